--- a/.ci/KnownRed.java
+++ b/.ci/KnownRed.java
@@ -14,8 +14,9 @@
 import javax.xml.stream.XMLStreamReader;
 
 /**
- * Holds the tests' reports against KNOWN-RED.txt: the tests that fail for a real fault not yet mended, three at most, one a line as
- * {@code class#method; cause; issue}. Only these may fail, and they must. Without the file, or with an empty one, all tests count.
+ * Holds the tests' reports against KNOWN-RED.txt: the tests that fail for a real fault not yet mended, three at most,
+ * one a line as {@code class#method; cause; issue}. Only these may fail, and they must. Without the file, or with an
+ * empty one, all tests count.
  *
  * <p>{@code java .ci/KnownRed.java ROOT} after a run that ignored failures; exit 1 where the rule is broken.
  */
@@ -30,7 +31,8 @@
         Map<String, String> listed = listed(root.resolve("KNOWN-RED.txt"), wrong);
         Map<String, Boolean> passed = new TreeMap<>();
         try (Stream<Path> files = Files.walk(root, 4)) {
-            for (Path file : files.filter(f -> f.toString().matches(".*/target/surefire-reports/TEST-[^/]*\\.xml")).toList()) {
+            for (Path file : files.filter(f -> f.toString().matches(".*/target/surefire-reports/TEST-[^/]*\\.xml"))
+                    .toList()) {
                 read(file, passed);
             }
         }
@@ -39,8 +41,8 @@
         }
         for (Map.Entry<String, String> red : listed.entrySet()) {
             Boolean good = passed.get(red.getKey());
-            System.out.println("known red: " + red.getKey() + " " + (good == null ? "did not run" : good ? "passed" : "failed") + ": "
-                    + red.getValue());
+            System.out.println("known red: " + red.getKey() + " "
+                    + (good == null ? "did not run" : good ? "passed" : "failed") + ": " + red.getValue());
             if (good == null) {
                 wrong.add("KNOWN-RED.txt lists a test that does not exist: " + red.getKey());
             } else if (good) {
@@ -70,7 +72,10 @@
             if (line.isBlank()) {
                 continue;
             }
-            if (parts.length < 3 || !parts[0].strip().matches("[\\w.]+#\\w+") || parts[1].isBlank() || parts[2].isBlank()) {
+            if (parts.length < 3
+                    || !parts[0].strip().matches("[\\w.]+#\\w+")
+                    || parts[1].isBlank()
+                    || parts[2].isBlank()) {
                 wrong.add("KNOWN-RED.txt: not class#method; cause; issue: " + line);
             } else if (listed.put(parts[0].strip(), parts[1].strip() + "; " + parts[2].strip()) != null) {
                 wrong.add("KNOWN-RED.txt lists twice: " + parts[0].strip());
@@ -89,12 +94,15 @@
             String test = null;
             while (xml.hasNext()) {
                 int event = xml.next();
-                if (event == XMLStreamConstants.START_ELEMENT && xml.getLocalName().equals("testcase")) {
+                if (event == XMLStreamConstants.START_ELEMENT
+                        && xml.getLocalName().equals("testcase")) {
                     String name = xml.getAttributeValue(null, "name");
                     test = xml.getAttributeValue(null, "classname") + "#" + name.replaceAll("[^\\w].*", "");
                     passed.putIfAbsent(test, true);
-                } else if (event == XMLStreamConstants.START_ELEMENT && test != null
-                        && (xml.getLocalName().equals("failure") || xml.getLocalName().equals("error"))) {
+                } else if (event == XMLStreamConstants.START_ELEMENT
+                        && test != null
+                        && (xml.getLocalName().equals("failure")
+                                || xml.getLocalName().equals("error"))) {
                     passed.put(test, false);
                 }
             }
--- a/audit/src/main/java/lupinvalve/audit/Course.java
+++ b/audit/src/main/java/lupinvalve/audit/Course.java
@@ -8,8 +8,8 @@
 import java.util.TreeMap;
 
 /**
- * Which pooler acted on which version when, as far as its own entries tell. What is not known is said as not known, with the
- * reason. Without I/O.
+ * Which pooler acted on which version when, as far as its own entries tell. What is not known is said as not known,
+ * with the reason. Without I/O.
  */
 public final class Course {
     /** For how long after its last entry a pooler is taken to go on as it said: a change would have brought another. */
@@ -21,7 +21,8 @@
      * @param to Long.MAX_VALUE where nothing says that it ceased
      * @param ended whether an entry tells the end; else {@code to} is only where knowledge ends
      */
-    public record Acted(String pooler, long life, String version, long index, long from, long to, boolean ended, String why) {}
+    public record Acted(
+            String pooler, long life, String version, long index, long from, long to, boolean ended, String why) {}
 
     private final TreeMap<String, TreeMap<Long, List<Entry>>> lives = new TreeMap<>();
 
@@ -72,12 +73,15 @@
         for (Entry e : entries) {
             long at = e.atMicros();
             switch (e.what()) {
-                case ADOPTED -> open.add(new Acted(e.pooler(), e.life(), e.version(), e.index(), at - e.errorMicros(),
-                        Long.MAX_VALUE, false, ""));
+                case ADOPTED -> open.add(new Acted(
+                        e.pooler(), e.life(), e.version(), e.index(), at - e.errorMicros(), Long.MAX_VALUE, false, ""));
                 case CEASED_OTHERS -> {
-                    List<Acted> stays = open.stream().filter(a -> a.version().equals(e.version())).toList();
+                    List<Acted> stays = open.stream()
+                            .filter(a -> a.version().equals(e.version()))
+                            .toList();
                     if (!fenced) {
-                        open.stream().filter(a -> !a.version().equals(e.version()))
+                        open.stream()
+                                .filter(a -> !a.version().equals(e.version()))
                                 .forEach(a -> all.add(ended(a, at + e.errorMicros(), "took up " + e.version())));
                     }
                     open.clear();
@@ -85,14 +89,22 @@
                 }
                 case FENCED, ENDED -> {
                     if (!fenced) {
-                        open.forEach(a -> all.add(ended(a, at + e.errorMicros(), e.what() == Entry.What.ENDED ? "ended" : "fenced")));
+                        open.forEach(a -> all.add(
+                                ended(a, at + e.errorMicros(), e.what() == Entry.What.ENDED ? "ended" : "fenced")));
                     }
                     fenced = true;
                 }
                 case RETURNED -> {
                     fenced = false;
-                    open.replaceAll(a -> new Acted(a.pooler(), a.life(), a.version(), a.index(), at - e.errorMicros(),
-                            Long.MAX_VALUE, false, ""));
+                    open.replaceAll(a -> new Acted(
+                            a.pooler(),
+                            a.life(),
+                            a.version(),
+                            a.index(),
+                            at - e.errorMicros(),
+                            Long.MAX_VALUE,
+                            false,
+                            ""));
                 }
                 default -> {
                     // What it acts on stays.
@@ -100,9 +112,17 @@
             }
         }
         if (!fenced) {
-            open.forEach(a -> all.add(new Acted(a.pooler(), a.life(), a.version(), a.index(), a.from(),
-                    successor == Long.MAX_VALUE ? a.to() : successor, false, successor == Long.MAX_VALUE
-                    ? "no entry since" : "its next process started; when this one ended is not known")));
+            open.forEach(a -> all.add(new Acted(
+                    a.pooler(),
+                    a.life(),
+                    a.version(),
+                    a.index(),
+                    a.from(),
+                    successor == Long.MAX_VALUE ? a.to() : successor,
+                    false,
+                    successor == Long.MAX_VALUE
+                            ? "no entry since"
+                            : "its next process started; when this one ended is not known")));
         }
     }
 
@@ -117,26 +137,39 @@
     public List<Known> at(long micros) {
         List<Known> all = new ArrayList<>();
         for (String pooler : lives.keySet()) {
-            List<Acted> then = of(pooler).stream().filter(a -> a.from() <= micros && micros < a.to()).toList();
+            List<Acted> then = of(pooler).stream()
+                    .filter(a -> a.from() <= micros && micros < a.to())
+                    .toList();
             Entry last = last(pooler, micros);
-            boolean later = lives.get(pooler).values().stream().flatMap(List::stream).anyMatch(e -> e.atMicros() > micros);
-            boolean sure = last != null && (later || micros - last.atMicros() < QUIET) && then.stream().allMatch(a -> a.ended() || later
-                    || micros - last.atMicros() < QUIET);
-            String why = last == null ? "no entry so early"
-                    : then.isEmpty() ? "acted on none: " + last.what().name().toLowerCase(java.util.Locale.ROOT)
-                    : sure ? "" : "no entry since " + last.atMicros() + " us";
-            all.add(new Known(pooler, then.stream().map(Acted::version).distinct().toList(), sure, why));
+            boolean later =
+                    lives.get(pooler).values().stream().flatMap(List::stream).anyMatch(e -> e.atMicros() > micros);
+            boolean sure = last != null
+                    && (later || micros - last.atMicros() < QUIET)
+                    && then.stream().allMatch(a -> a.ended() || later || micros - last.atMicros() < QUIET);
+            String why = last == null
+                    ? "no entry so early"
+                    : then.isEmpty()
+                            ? "acted on none: " + last.what().name().toLowerCase(java.util.Locale.ROOT)
+                            : sure ? "" : "no entry since " + last.atMicros() + " us";
+            all.add(new Known(
+                    pooler, then.stream().map(Acted::version).distinct().toList(), sure, why));
         }
         return all;
     }
 
     private Entry last(String pooler, long micros) {
-        return lives.get(pooler).values().stream().flatMap(List::stream).filter(e -> e.atMicros() <= micros)
-                .max(Comparator.comparingLong(Entry::atMicros)).orElse(null);
+        return lives.get(pooler).values().stream()
+                .flatMap(List::stream)
+                .filter(e -> e.atMicros() <= micros)
+                .max(Comparator.comparingLong(Entry::atMicros))
+                .orElse(null);
     }
 
     /** All that acted on a version. */
     public List<Acted> version(String version) {
-        return lives.keySet().stream().flatMap(p -> of(p).stream()).filter(a -> a.version().startsWith(version)).toList();
+        return lives.keySet().stream()
+                .flatMap(p -> of(p).stream())
+                .filter(a -> a.version().startsWith(version))
+                .toList();
     }
 }
--- a/audit/src/main/java/lupinvalve/audit/Journal.java
+++ b/audit/src/main/java/lupinvalve/audit/Journal.java
@@ -4,12 +4,13 @@
 import java.util.List;
 
 /**
- * One life's entries: chains them, bounds them, and says which are to be delivered. Without I/O; whoever carries it forces what
- * {@link #add} gives before it is acted on.
+ * One life's entries: chains them, bounds them, and says which are to be delivered. Without I/O; whoever carries it
+ * forces what {@link #add} gives before it is acted on.
  */
 public final class Journal {
     /** Entries kept at most; of more the older half goes, with a summary. */
     static final int MOST = 4_000;
+
     private final String pooler;
     private final long life, errorMicros;
     private final List<Entry> kept = new ArrayList<>();
@@ -28,11 +29,12 @@
         List<Entry> added = new ArrayList<>();
         if (kept.size() >= MOST) {
             List<Entry> old = kept.subList(0, MOST / 2);
-            String summary = old.size() + " entries from " + old.get(0).number() + " on, of " + old.get(0).atMicros() + " to "
-                    + old.get(old.size() - 1).atMicros() + " us";
+            String summary = old.size() + " entries from " + old.get(0).number() + " on, of "
+                    + old.get(0).atMicros() + " to " + old.get(old.size() - 1).atMicros() + " us";
             long undelivered = old.stream().filter(e -> e.number() > delivered).count();
             old.clear();
-            added.add(next(Entry.What.DROPPED, "", index, atMicros, summary + ", " + undelivered + " of them not delivered"));
+            added.add(next(
+                    Entry.What.DROPPED, "", index, atMicros, summary + ", " + undelivered + " of them not delivered"));
         }
         added.add(next(what, version, index, atMicros, why));
         return added;
@@ -55,15 +57,21 @@
         delivered = Math.max(delivered, upTo);
     }
 
-    /** Why a life's entries, in the order of their numbers, are not one chain, or null. A summary stands for what it names. */
+    /**
+     * Why a life's entries, in the order of their numbers, are not one chain, or null. A summary stands for what it
+     * names.
+     */
     public static String broken(List<Entry> entries) {
         Entry before = null;
         for (Entry entry : entries) {
-            if (before != null && entry.number() == before.number() + 1 && !entry.before().equals(before.digest())) {
+            if (before != null
+                    && entry.number() == before.number() + 1
+                    && !entry.before().equals(before.digest())) {
                 return entry.pooler() + "'s entry " + entry.number() + " does not follow from " + before.number();
             }
             if (before != null && entry.number() > before.number() + 1) {
-                return entry.pooler() + "'s entries " + (before.number() + 1) + " to " + (entry.number() - 1) + " are missing";
+                return entry.pooler() + "'s entries " + (before.number() + 1) + " to " + (entry.number() - 1)
+                        + " are missing";
             }
             before = entry;
         }
--- a/audit/src/main/java/lupinvalve/audit/Leases.java
+++ b/audit/src/main/java/lupinvalve/audit/Leases.java
@@ -7,14 +7,17 @@
 import java.util.TreeMap;
 
 /**
- * The leader's side of leases: who may still act, and on what. Decides when a strict change is done: once each pooler acts on it
- * or its lease has ended. A pooler that stays behind one is not granted another, and so is shut out, with its reason; a minority
- * at most, as a majority has accepted the change. No I/O; the leader's own monotonic clock, in microseconds.
+ * The leader's side of leases: who may still act, and on what. Decides when a strict change is done: once each pooler
+ * acts on it or its lease has ended. A pooler that stays behind one is not granted another, and so is shut out, with
+ * its reason; a minority at most, as a majority has accepted the change. No I/O; the leader's own monotonic clock, in
+ * microseconds.
  */
 public final class Leases {
     /** How long a pooler may take to act on a strict change before it gets no further lease. */
     public static final long CATCH_UP = 500_000;
-    /** A pooler that was shut out is let in again only after it has been well for so long; the longer the more often. */
+    /**
+     * A pooler that was shut out is let in again only after it has been well for so long; the longer the more often.
+     */
     private static final long STEADY = 300_000, STEADY_MOST = 5_000_000;
 
     private static final class Held {
@@ -67,7 +70,8 @@
     /**
      * The same for a pooler that others follow.
      *
-     * @param followers up to which change those act that hold a lease of its own; they are waited for, and don't shut it out
+     * @param followers up to which change those act that hold a lease of its own; they are waited for, and don't shut
+     *     it out
      */
     public Granted renew(String pooler, long acting, String objection, long followers, long nowMicros) {
         Held one = held.computeIfAbsent(pooler, p -> new Held());
@@ -75,7 +79,8 @@
         one.followers = followers;
         one.objection = objection;
         // One that holds none may have been passed over already when the change was called done.
-        boolean behind = acting < strict && (nowMicros - strictSince > CATCH_UP || !objection.isEmpty() || nowMicros >= one.until);
+        boolean behind = acting < strict
+                && (nowMicros - strictSince > CATCH_UP || !objection.isEmpty() || nowMicros >= one.until);
         if (behind) {
             // One that has just started has had no lease of late: it comes up to date, and is no case for watching.
             if (one.shutOut.isEmpty() && one.until > nowMicros - Lease.LENGTH) {
--- a/audit/src/test/java/lupinvalve/audit/CourseTest.java
+++ b/audit/src/test/java/lupinvalve/audit/CourseTest.java
@@ -23,7 +23,8 @@
     }
 
     private static String told(Course.Acted one) {
-        return one.version() + " " + one.from() / S + "-" + (one.to() == Long.MAX_VALUE ? "?" : one.to() / S) + (one.ended() ? "" : "?");
+        return one.version() + " " + one.from() / S + "-" + (one.to() == Long.MAX_VALUE ? "?" : one.to() / S)
+                + (one.ended() ? "" : "?");
     }
 
     private List<String> of(String pooler) {
@@ -32,8 +33,24 @@
 
     @Test
     void oldAndNewMayBothBeActedOnBetweenTheTwoEntries() {
-        life("p", 0, Entry.What.ADOPTED, "1-a", 1, Entry.What.CEASED_OTHERS, "1-a", 2, Entry.What.ADOPTED, "2-b", 10,
-                Entry.What.CEASED_OTHERS, "2-b", 11, Entry.What.ENDED, "2-b", 20);
+        life(
+                "p",
+                0,
+                Entry.What.ADOPTED,
+                "1-a",
+                1,
+                Entry.What.CEASED_OTHERS,
+                "1-a",
+                2,
+                Entry.What.ADOPTED,
+                "2-b",
+                10,
+                Entry.What.CEASED_OTHERS,
+                "2-b",
+                11,
+                Entry.What.ENDED,
+                "2-b",
+                20);
         assertEquals(List.of("1-a 1-11", "2-b 10-20"), of("p"));
         Course course = new Course(entries);
         assertEquals(List.of("1-a", "2-b"), course.at(10 * S + 1).get(0).versions());
@@ -43,9 +60,33 @@
 
     @Test
     void aFencedPoolerActsOnNothingUntilItReturns() {
-        life("p", 0, Entry.What.ADOPTED, "1-a", 1, Entry.What.CEASED_OTHERS, "1-a", 1, Entry.What.FENCED, "1-a", 5,
-                Entry.What.CUT_OFF, "1-a", 6, Entry.What.BACK, "1-a", 7, Entry.What.ADOPTED, "2-b", 8,
-                Entry.What.CEASED_OTHERS, "2-b", 8, Entry.What.RETURNED, "2-b", 9);
+        life(
+                "p",
+                0,
+                Entry.What.ADOPTED,
+                "1-a",
+                1,
+                Entry.What.CEASED_OTHERS,
+                "1-a",
+                1,
+                Entry.What.FENCED,
+                "1-a",
+                5,
+                Entry.What.CUT_OFF,
+                "1-a",
+                6,
+                Entry.What.BACK,
+                "1-a",
+                7,
+                Entry.What.ADOPTED,
+                "2-b",
+                8,
+                Entry.What.CEASED_OTHERS,
+                "2-b",
+                8,
+                Entry.What.RETURNED,
+                "2-b",
+                9);
         assertEquals(List.of("1-a 1-5", "2-b 9-??"), of("p"));
     }
 
@@ -75,7 +116,8 @@
         missing.remove(second);
         assertEquals(List.of("p's entries 2 to 2 are missing"), new Course(missing).breaks());
         List<Entry> changed = new ArrayList<>(missing);
-        changed.add(new Entry("p", 0, 2, second.what(), "9-z", second.index(), second.atMicros(), 0, "", second.before()));
+        changed.add(
+                new Entry("p", 0, 2, second.what(), "9-z", second.index(), second.atMicros(), 0, "", second.before()));
         assertEquals(List.of("p's entry 3 does not follow from 2"), new Course(changed).breaks());
     }
 
--- a/audit/src/test/java/lupinvalve/audit/LeasesTest.java
+++ b/audit/src/test/java/lupinvalve/audit/LeasesTest.java
@@ -40,7 +40,9 @@
         assertEquals(List.of("c"), leases.waitedFor(11, all, later + 200 * MS));
         assertEquals(List.of("c"), leases.waitedFor(11, all, later + Lease.LENGTH + 9 * MS), "its clock may be slow");
         assertEquals(List.of(), leases.waitedFor(11, all, later + Lease.LENGTH + 11 * MS));
-        assertEquals(Map.of("c", "not heard of, its lease has ended"), leases.stragglers(all, later + Lease.LENGTH + 11 * MS));
+        assertEquals(
+                Map.of("c", "not heard of, its lease has ended"),
+                leases.stragglers(all, later + Lease.LENGTH + 11 * MS));
     }
 
     @Test
@@ -58,11 +60,15 @@
         leases.renew("a", 10, "", START);
         leases.strict(11, START + MS);
         assertTrue(leases.renew("a", 10, "", START + 400 * MS).lengthMicros() > 0, "it has time to catch up");
-        assertEquals("acts on change 10, 11 is wanted", leases.renew("a", 10, "", START + 600 * MS).why());
+        assertEquals(
+                "acts on change 10, 11 is wanted",
+                leases.renew("a", 10, "", START + 600 * MS).why());
         assertEquals(0, leases.renew("a", 11, "", START + 700 * MS).lengthMicros(), "watched first");
         assertEquals(Lease.LENGTH, leases.renew("a", 11, "", START + 1_400 * MS).lengthMicros());
         leases.strict(12, START + 1_500 * MS);
-        assertEquals("it can't be read", leases.renew("a", 11, "it can't be read", START + 1_600 * MS).why());
+        assertEquals(
+                "it can't be read",
+                leases.renew("a", 11, "it can't be read", START + 1_600 * MS).why());
         leases.renew("a", 12, "", START + 1_700 * MS);
         assertEquals(0, leases.renew("a", 12, "", START + 2_500 * MS).lengthMicros(), "longer the second time");
         assertEquals(Lease.LENGTH, leases.renew("a", 12, "", START + 3_000 * MS).lengthMicros());
@@ -71,11 +77,13 @@
     @Test
     void oneThatWasPassedOverGetsNoLeaseForWhatHeldBefore() {
         Leases leases = new Leases(START, 10);
-        assertEquals(0, leases.renew("a", 9, "", START + MS).lengthMicros(), "the leader before may have called 10 done");
+        assertEquals(
+                0, leases.renew("a", 9, "", START + MS).lengthMicros(), "the leader before may have called 10 done");
         assertEquals(Lease.LENGTH, leases.renew("a", 10, "", START + 2 * MS).lengthMicros());
         leases.strict(11, START + 5_000 * MS);
         assertEquals(List.of(), leases.waitedFor(11, List.of("a"), START + 5_000 * MS), "its lease has ended long ago");
-        assertEquals(0, leases.renew("a", 10, "", START + 5_100 * MS).lengthMicros(), "so it may not act on 10 any more");
+        assertEquals(
+                0, leases.renew("a", 10, "", START + 5_100 * MS).lengthMicros(), "so it may not act on 10 any more");
     }
 
     @Test
@@ -86,7 +94,10 @@
         assertEquals(Lease.LENGTH, leases.renew("a", 11, "", START + 5_100 * MS).lengthMicros());
     }
 
-    /** Poolers with clocks that drift, answers that are late or lost, leaders that change: nobody acts on less once it is done. */
+    /**
+     * Poolers with clocks that drift, answers that are late or lost, leaders that change: nobody acts on less once it
+     * is done.
+     */
     @Test
     void nobodyActsOnAnOlderVersionOnceAStrictChangeIsDone() {
         for (long seed = 0; seed < 2_000; seed++) {
@@ -96,7 +107,8 @@
 
     @Test
     void aLeaseCountedFromItsAnswerIsFoundOut() {
-        assertTrue(java.util.stream.LongStream.range(0, 500).anyMatch(seed -> !play(seed, true).isEmpty()));
+        assertTrue(java.util.stream.LongStream.range(0, 500)
+                .anyMatch(seed -> !play(seed, true).isEmpty()));
     }
 
     private static List<String> play(long seed, boolean fromAnswer) {
--- a/capacity/src/main/java/lupinvalve/capacity/CapacityModel.java
+++ b/capacity/src/main/java/lupinvalve/capacity/CapacityModel.java
@@ -21,7 +21,8 @@
         this.slopes = slopes;
         configuration = new ConfigurationFigures(demand, slopes);
         connections = new ConnectionFigures(demand);
-        places = List.of(new Place("group", "the group, each pooler a member", new GroupFigures(demand).figures()),
+        places = List.of(
+                new Place("group", "the group, each pooler a member", new GroupFigures(demand).figures()),
                 new Place("subscription", "the group, followed", new SubscriptionFigures(demand).figures()),
                 new Place("configuration", "configuration", configuration.figures()),
                 new Place("positions", "positions", new PositionFigures(demand).figures()),
@@ -36,8 +37,14 @@
     public List<Table> overview() {
         RoleFigures roles = new RoleFigures(demand, slopes);
         Ranking ranking = new Ranking(figures());
-        return List.of(guesses(), roles.beforeAndAfter(), roles.runs(), Table.of("state", state()), worstByPlace(),
-                new FailureTable(demand, slopes).table(), ranking.table("over-members", Figure.Scope.MEMBERS),
+        return List.of(
+                guesses(),
+                roles.beforeAndAfter(),
+                roles.runs(),
+                Table.of("state", state()),
+                worstByPlace(),
+                new FailureTable(demand, slopes).table(),
+                ranking.table("over-members", Figure.Scope.MEMBERS),
                 ranking.table("over-subscriptions", Figure.Scope.SUBSCRIPTIONS));
     }
 
@@ -65,20 +72,37 @@
     }
 
     private Table worstByPlace() {
-        Table table = new Table("places", List.of("place", "worst that is no guess, each pooler a member", "ratio", "known by",
-                "worst, with subscriptions", "ratio", "known by"));
+        Table table = new Table(
+                "places",
+                List.of(
+                        "place",
+                        "worst that is no guess, each pooler a member",
+                        "ratio",
+                        "known by",
+                        "worst, with subscriptions",
+                        "ratio",
+                        "known by"));
         for (Place place : places) {
             Figure members = worst(place, Figure.Scope.MEMBERS);
             Figure followed = worst(place, Figure.Scope.SUBSCRIPTIONS);
-            table.row(place.words(), words(members), ratio(members), basis(members), words(followed), ratio(followed), basis(followed));
+            table.row(
+                    place.words(),
+                    words(members),
+                    ratio(members),
+                    basis(members),
+                    words(followed),
+                    ratio(followed),
+                    basis(followed));
         }
         return table;
     }
 
     private static Figure worst(Place place, Figure.Scope design) {
-        return place.figures().stream().filter(figure -> figure.scope() == design || figure.scope() == Figure.Scope.BOTH)
+        return place.figures().stream()
+                .filter(figure -> figure.scope() == design || figure.scope() == Figure.Scope.BOTH)
                 .filter(figure -> !Double.isNaN(figure.ratio()))
-                .max(Comparator.comparing((Figure figure) -> figure.basis() != Basis.GUESSED).thenComparingDouble(Figure::ratio))
+                .max(Comparator.comparing((Figure figure) -> figure.basis() != Basis.GUESSED)
+                        .thenComparingDouble(Figure::ratio))
                 .orElse(null);
     }
 
--- a/capacity/src/main/java/lupinvalve/capacity/CapacityPage.java
+++ b/capacity/src/main/java/lupinvalve/capacity/CapacityPage.java
@@ -7,7 +7,10 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** The page with its generated tables: each follows a mark that bears its name and ends with the last line of the table. No I/O. */
+/**
+ * The page with its generated tables: each follows a mark that bears its name and ends with the last line of the table.
+ * No I/O.
+ */
 public final class CapacityPage {
     private static final Pattern BLOCK = Pattern.compile("(<!-- generated: ([a-z-]+) -->\n)((?:\\|.*\n)*)");
 
@@ -24,7 +27,10 @@
             if (!left.remove(name)) {
                 throw new IllegalArgumentException("no table is called " + name + ", or it has two marks");
             }
-            Table table = tables.stream().filter(one -> one.name().equals(name)).findFirst().orElseThrow();
+            Table table = tables.stream()
+                    .filter(one -> one.name().equals(name))
+                    .findFirst()
+                    .orElseThrow();
             block.appendReplacement(out, Matcher.quoteReplacement(block.group(1) + table.markdown() + "\n"));
         }
         block.appendTail(out);
--- a/capacity/src/main/java/lupinvalve/capacity/CodeFacts.java
+++ b/capacity/src/main/java/lupinvalve/capacity/CodeFacts.java
@@ -1,8 +1,8 @@
 package lupinvalve.capacity;
 
 /**
- * What the program says of itself: its paces and bounds, and the sizes that its own encoders give real messages, in bytes above
- * TCP without TLS. {@code CodeFactsTest} compares each with the program.
+ * What the program says of itself: its paces and bounds, and the sizes that its own encoders give real messages, in
+ * bytes above TCP without TLS. {@code CodeFactsTest} compares each with the program.
  */
 final class CodeFacts {
     /** {@code Replica.HEARTBEAT_SECONDS} at the pace of {@code Pace.FACTOR}. */
@@ -13,8 +13,11 @@
     static final double BEATS_PER_SECOND = 2;
     /** Each of two members dials the other. */
     static final int CONNECTIONS_PER_PAIR = 2;
-    /** {@code Peers.TAKEN_MOST}: connections that a member takes. {@code Followers.MOST}: poolers that may follow it. */
+    /**
+     * {@code Peers.TAKEN_MOST}: connections that a member takes. {@code Followers.MOST}: poolers that may follow it.
+     */
     static final int TAKEN_MOST = 1088;
+
     static final int FOLLOWERS_MOST = 1024;
     /** {@code Shared.REFRESH}: how often the leader's pooler tells all of the db nodes. */
     static final double LISTING_SECONDS = 10;
@@ -29,12 +32,15 @@
 
     /** An {@code AppendEntriesRequest} without entries, and what it is answered. */
     static final int HEARTBEAT = 58;
+
     static final int HEARTBEAT_ANSWER = 51;
     /** A call for a lease, and its answer. */
     static final int LEASE_CALL = 38;
+
     static final int LEASE_ANSWER = 19;
     /** A subscriber's request and its answer with a lease and no news. */
     static final int FOLLOW = 66;
+
     static final int FOLLOW_ANSWER = 32;
     /** One session's commit in a bundle. */
     static final int COMMIT = 25;
@@ -42,6 +48,7 @@
     static final int NOTED = 222;
     /** A db node in the group's list, and in discovery's. */
     static final int LISTED = 53;
+
     static final int LIST_ENTRY = 167;
     /** A word that only says that the connection stands. */
     static final int BEAT = 5;
@@ -50,6 +57,7 @@
     static final double LIMIT_START = 16;
     /** {@code Limits.MEMORY} and {@code NEWEST}: how long an answer counts, and how many make a picture of its own. */
     static final double MEMORY_SECONDS = 3;
+
     static final double ANSWERS_FOR_A_PICTURE = 12;
     /** {@code Limits.COLD_ALONE}: tries at a cold db node where none is warm, of all poolers together. */
     static final double COLD_ALONE = 10;
@@ -59,6 +67,7 @@
     static final double CHANGE_PROBE_SECONDS = 0.15;
     /** {@code WatchSchedule}: a watch beats so often, is doubted after, and a new one may take so long to answer. */
     static final double WATCH_BEAT_SECONDS = 2;
+
     static final double WATCH_DOUBTED_SECONDS = 2.25;
     static final double CALL_SECONDS = 1.2;
     /** {@code HttpDirectory.ANSWER_MOST}. */
--- a/capacity/src/main/java/lupinvalve/capacity/ConfigurationFigures.java
+++ b/capacity/src/main/java/lupinvalve/capacity/ConfigurationFigures.java
@@ -8,6 +8,7 @@
 final class ConfigurationFigures {
     /** Revision, change, digest, lease and lengths beside a difference. */
     private static final double ENVELOPE = 80;
+
     private final Demand d;
     private final double document;
     private final double part;
@@ -16,8 +17,12 @@
 
     ConfigurationFigures(Demand demand, Slopes slopes) {
         d = demand;
-        double measured = slopes.latest().stream().filter(run -> run.databases() >= demand.databases())
-                .mapToDouble(run -> run.value(Metric.DOCUMENT_BYTES)).filter(bytes -> !Double.isNaN(bytes)).max().orElse(Double.NaN);
+        double measured = slopes.latest().stream()
+                .filter(run -> run.databases() >= demand.databases())
+                .mapToDouble(run -> run.value(Metric.DOCUMENT_BYTES))
+                .filter(bytes -> !Double.isNaN(bytes))
+                .max()
+                .orElse(Double.NaN);
         boolean known = !Double.isNaN(measured);
         document = known ? measured : demand.databases() * Assumptions.DOCUMENT_BYTES_PER_DATABASE;
         part = document / demand.databases();
@@ -37,22 +42,49 @@
 
     List<Figure> figures() {
         List<Figure> out = new ArrayList<>();
-        out.add(new Figure("document of all databases", document, Ledger.DOCUMENT_MOST, Unit.BYTES, failsAt(document,
-                Ledger.DOCUMENT_MOST), "databases", basis == Basis.COMPUTED ? Basis.MEASURED : basis, from, "ledger/Ledger.java"));
+        out.add(new Figure(
+                "document of all databases",
+                document,
+                Ledger.DOCUMENT_MOST,
+                Unit.BYTES,
+                failsAt(document, Ledger.DOCUMENT_MOST),
+                "databases",
+                basis == Basis.COMPUTED ? Basis.MEASURED : basis,
+                from,
+                "ledger/Ledger.java"));
         out.add(bytes("whole documents at a pooler, mean of the day", document, 1, basis));
         out.add(bytes("whole documents at a pooler, in busy hours", document, Assumptions.BUSY_FACTOR, Basis.GUESSED));
-        out.add(Figure.plain("largest part of a database with which whole documents fit in the mean",
-                d.controlBytesPerSecond() / d.changesPerSecond() / d.databases(), Unit.BYTES, Basis.COMPUTED, "the budget alone", ""));
+        out.add(Figure.plain(
+                "largest part of a database with which whole documents fit in the mean",
+                d.controlBytesPerSecond() / d.changesPerSecond() / d.databases(),
+                Unit.BYTES,
+                Basis.COMPUTED,
+                "the budget alone",
+                ""));
         out.add(oneWhole());
         out.add(bytes("one database's difference at a pooler, mean of the day", part + ENVELOPE, 1, basis));
         double farApart = DocumentDifferences.farApart(d.databases(), (int) Math.round(part)) + ENVELOPE;
         out.add(bytes("one difference of three databases far apart at a pooler, mean of the day", farApart, 1, basis));
-        out.add(bytes("one difference of three databases far apart at a pooler, in busy hours", farApart, Assumptions.BUSY_FACTOR,
+        out.add(bytes(
+                "one difference of three databases far apart at a pooler, in busy hours",
+                farApart,
+                Assumptions.BUSY_FACTOR,
                 Basis.GUESSED));
-        out.add(Figure.of("whole document to all poolers within 6 s, over three control members",
-                document * d.poolers() / d.controlMembers() / Assumptions.CONTROL_LINK_BYTES_PER_SECOND, d.inForceSeconds(), Unit.SECONDS,
-                Basis.GUESSED, from + "; the link is a guess", "subscription/WholeDocuments.java").in(Figure.Scope.SUBSCRIPTIONS));
-        out.add(Figure.plain("log of one day, each change a whole document", document * d.changesPerDay(), Unit.BYTES, basis, from,
+        out.add(Figure.of(
+                        "whole document to all poolers within 6 s, over three control members",
+                        document * d.poolers() / d.controlMembers() / Assumptions.CONTROL_LINK_BYTES_PER_SECOND,
+                        d.inForceSeconds(),
+                        Unit.SECONDS,
+                        Basis.GUESSED,
+                        from + "; the link is a guess",
+                        "subscription/WholeDocuments.java")
+                .in(Figure.Scope.SUBSCRIPTIONS));
+        out.add(Figure.plain(
+                "log of one day, each change a whole document",
+                document * d.changesPerDay(),
+                Unit.BYTES,
+                basis,
+                from,
                 "group/SegmentedLog.java"));
         return out;
     }
@@ -65,14 +97,30 @@
         double need = size * factor * d.changesPerSecond();
         double failsAt = failsAt(need, d.controlBytesPerSecond());
         boolean difference = what.startsWith("one");
-        return new Figure(what, need, d.controlBytesPerSecond(), Unit.BYTES_PER_SECOND, failsAt, "databases", known, from,
-                difference ? "subscription/DocumentDelta.java" : "group/Replica.java", difference ? Figure.Scope.SUBSCRIPTIONS
-                : Figure.Scope.MEMBERS);
+        return new Figure(
+                what,
+                need,
+                d.controlBytesPerSecond(),
+                Unit.BYTES_PER_SECOND,
+                failsAt,
+                "databases",
+                known,
+                from,
+                difference ? "subscription/DocumentDelta.java" : "group/Replica.java",
+                difference ? Figure.Scope.SUBSCRIPTIONS : Figure.Scope.MEMBERS);
     }
 
     private Figure oneWhole() {
         double seconds = document / d.controlBytesPerSecond();
-        return new Figure("one whole document, were the budget to hold in each second", seconds, d.inForceSeconds(), Unit.SECONDS,
-                failsAt(seconds, d.inForceSeconds()), "databases", basis, from, "group/Replica.java");
+        return new Figure(
+                "one whole document, were the budget to hold in each second",
+                seconds,
+                d.inForceSeconds(),
+                Unit.SECONDS,
+                failsAt(seconds, d.inForceSeconds()),
+                "databases",
+                basis,
+                from,
+                "group/Replica.java");
     }
 }
--- a/capacity/src/main/java/lupinvalve/capacity/ConnectionFigures.java
+++ b/capacity/src/main/java/lupinvalve/capacity/ConnectionFigures.java
@@ -24,48 +24,95 @@
             out.add(places(setting, now, setting.places().least(), "fewest"));
             out.add(places(setting, now, setting.places().most(), "most"));
         }
-        out.add(Figure.plain("agreed share of the fewest half of places for one of 910 poolers",
-                Setting.RECIFE.places().least() / 2 / d.poolers(), Unit.COUNT, Basis.COMPUTED, "under 1: shares alone can't do it", ""));
-        out.add(Figure.plain("connections of one pooler to all db nodes", d.databases() * now.open(), Unit.COUNT, Basis.COMPUTED,
-                "virtual time", "net/Pool.java"));
+        out.add(Figure.plain(
+                "agreed share of the fewest half of places for one of 910 poolers",
+                Setting.RECIFE.places().least() / 2 / d.poolers(),
+                Unit.COUNT,
+                Basis.COMPUTED,
+                "under 1: shares alone can't do it",
+                ""));
+        out.add(Figure.plain(
+                "connections of one pooler to all db nodes",
+                d.databases() * now.open(),
+                Unit.COUNT,
+                Basis.COMPUTED,
+                "virtual time",
+                "net/Pool.java"));
         return out;
     }
 
     private Figure places(Setting setting, RestingConnections.Outcome now, double places, String which) {
         double need = now.atDatabase(d.poolers());
         double failsAt = need > places / 2 ? Math.floor(places / 2 / need * d.poolers()) + 1 : Double.NaN;
-        return new Figure(setting.name() + ": connections at a db node against half of its places, " + which, need, places / 2, Unit.COUNT,
-                failsAt, "poolers", Basis.COMPUTED, "virtual time, `RestingConnections`", "net/Pool.java");
+        return new Figure(
+                setting.name() + ": connections at a db node against half of its places, " + which,
+                need,
+                places / 2,
+                Unit.COUNT,
+                failsAt,
+                "poolers",
+                Basis.COMPUTED,
+                "virtual time, `RestingConnections`",
+                "net/Pool.java");
     }
 
     private RestingConnections.Outcome play(double poolers, double rest) {
-        return RestingConnections.play(d.statementsPerDatabase() / poolers, Assumptions.STATEMENT_SECONDS,
-                RestingConnections.Rests.of(rest), REQUESTS, SEED);
+        return RestingConnections.play(
+                d.statementsPerDatabase() / poolers,
+                Assumptions.STATEMENT_SECONDS,
+                RestingConnections.Rests.of(rest),
+                REQUESTS,
+                SEED);
     }
 
     /** All 910 poolers, with connections closed sooner. */
     Table closingSooner() {
-        Table table = new Table("closing-sooner", List.of("closed after", "connections at a db node (once in 1,000)",
-                "handshakes at a db node", "cores for them, from the cheapest to the dearest", "requests that wait for one"));
+        Table table = new Table(
+                "closing-sooner",
+                List.of(
+                        "closed after",
+                        "connections at a db node (once in 1,000)",
+                        "handshakes at a db node",
+                        "cores for them, from the cheapest to the dearest",
+                        "requests that wait for one"));
         for (double rest : RESTS) {
             RestingConnections.Outcome outcome = play(d.poolers(), rest);
-            table.row(Unit.SECONDS.words(rest), connections(outcome, d.poolers()), handshakes(outcome), cores(outcome),
+            table.row(
+                    Unit.SECONDS.words(rest),
+                    connections(outcome, d.poolers()),
+                    handshakes(outcome),
+                    cores(outcome),
                     percent(outcome.newPart()));
         }
         return table;
     }
 
-    /** So many poolers before each db node, resting as today; the load's spread takes databases' loads to vary as much as their mean. */
+    /**
+     * So many poolers before each db node, resting as today; the load's spread takes databases' loads to vary as much
+     * as their mean.
+     */
     Table subsets() {
-        Table table = new Table("subsets", List.of("poolers before a db node", "connections at it (once in 1,000)", "handshakes",
-                "requests that wait for one", "a pooler's statements at it", "databases of a pooler",
-                "poolers' load off its mean (guessed)"));
+        Table table = new Table(
+                "subsets",
+                List.of(
+                        "poolers before a db node",
+                        "connections at it (once in 1,000)",
+                        "handshakes",
+                        "requests that wait for one",
+                        "a pooler's statements at it",
+                        "databases of a pooler",
+                        "poolers' load off its mean (guessed)"));
         for (int subset : SUBSETS) {
             double databases = Math.ceil((double) d.databases() * subset / d.poolers());
             RestingConnections.Outcome outcome = play(subset, SUBSET_REST);
-            table.row(Unit.number(subset), connections(outcome, subset), handshakes(outcome), percent(outcome.newPart()),
+            table.row(
+                    Unit.number(subset),
+                    connections(outcome, subset),
+                    handshakes(outcome),
+                    percent(outcome.newPart()),
                     Unit.PER_SECOND.words(d.statementsPerDatabase() / subset),
-                    Unit.number(databases), percent(1 / Math.sqrt(databases)));
+                    Unit.number(databases),
+                    percent(1 / Math.sqrt(databases)));
         }
         return table;
     }
--- a/capacity/src/main/java/lupinvalve/capacity/DatabaseFigures.java
+++ b/capacity/src/main/java/lupinvalve/capacity/DatabaseFigures.java
@@ -14,24 +14,57 @@
 
     List<Figure> figures() {
         List<Figure> out = new ArrayList<>();
-        out.add(Figure.plain("statements of a pooler at a db node", d.statementsPerPair(), Unit.PER_SECOND, Basis.COMPUTED,
-                "the demand alone", ""));
-        out.add(new Figure("least bound on attempts out at a db node, all poolers' summed", d.poolers(), CodeFacts.LIMIT_START,
-                Unit.COUNT, CodeFacts.LIMIT_START + 1, "poolers", Basis.COMPUTED,
-                "each may have one out; `Limits.LIMIT_START` is meant for all", "decisions/Limits.java"));
+        out.add(Figure.plain(
+                "statements of a pooler at a db node",
+                d.statementsPerPair(),
+                Unit.PER_SECOND,
+                Basis.COMPUTED,
+                "the demand alone",
+                ""));
+        out.add(new Figure(
+                "least bound on attempts out at a db node, all poolers' summed",
+                d.poolers(),
+                CodeFacts.LIMIT_START,
+                Unit.COUNT,
+                CodeFacts.LIMIT_START + 1,
+                "poolers",
+                Basis.COMPUTED,
+                "each may have one out; `Limits.LIMIT_START` is meant for all",
+                "decisions/Limits.java"));
         out.add(picture());
-        out.add(Figure.of("the last of all poolers to find it out, in the mean", lastToLearn(d), d.primaryChangeSeconds(), Unit.SECONDS,
-                Basis.COMPUTED, "random arrivals, each pooler alone", "decisions/Health.java"));
-        out.add(Figure.plain("requests lost to that, one a pooler at least", d.poolers(), Unit.COUNT, Basis.COMPUTED,
-                "an error shuns at once", "decisions/Health.java"));
-        out.add(Figure.plain("first tries of all poolers at a set of which none is warm", CodeFacts.COLD_ALONE, Unit.COUNT, Basis.COMPUTED,
-                "drawn by lot, ten in all; spread of the sum 3.2", "decisions/Limits.java"));
+        out.add(Figure.of(
+                "the last of all poolers to find it out, in the mean",
+                lastToLearn(d),
+                d.primaryChangeSeconds(),
+                Unit.SECONDS,
+                Basis.COMPUTED,
+                "random arrivals, each pooler alone",
+                "decisions/Health.java"));
+        out.add(Figure.plain(
+                "requests lost to that, one a pooler at least",
+                d.poolers(),
+                Unit.COUNT,
+                Basis.COMPUTED,
+                "an error shuns at once",
+                "decisions/Health.java"));
+        out.add(Figure.plain(
+                "first tries of all poolers at a set of which none is warm",
+                CodeFacts.COLD_ALONE,
+                Unit.COUNT,
+                Basis.COMPUTED,
+                "drawn by lot, ten in all; spread of the sum 3.2",
+                "decisions/Limits.java"));
         out.add(arrivals());
         for (Setting setting : Setting.all()) {
             out.add(probes(setting));
         }
-        out.add(Figure.of("probes of a pooler, were they counted as control", probesOfPooler() * Assumptions.PROBE_BYTES,
-                d.controlBytesPerSecond(), Unit.BYTES_PER_SECOND, Basis.GUESSED, "`PROBES_SPARSE`; a probe's bytes are a guess",
+        out.add(Figure.of(
+                "probes of a pooler, were they counted as control",
+                probesOfPooler() * Assumptions.PROBE_BYTES,
+                d.controlBytesPerSecond(),
+                Unit.BYTES_PER_SECOND,
+                Basis.GUESSED,
+                "`PROBES_SPARSE`; a probe's bytes are a guess",
                 "decisions/Health.java"));
         return out;
     }
@@ -43,18 +76,29 @@
 
     private Figure picture() {
         double heard = d.statementsPerPair() * CodeFacts.MEMORY_SECONDS;
-        return Figure.of("answers needed for a picture of a db node of one's own, against those heard while they count",
-                CodeFacts.ANSWERS_FOR_A_PICTURE, heard, Unit.COUNT, Basis.COMPUTED, "`Limits.NEWEST` against 3 s of answers; leans on the "
-                        + "group's mean", "decisions/Limits.java").in(Figure.Scope.OPTION);
+        return Figure.of(
+                        "answers needed for a picture of a db node of one's own, against those heard while they count",
+                        CodeFacts.ANSWERS_FOR_A_PICTURE,
+                        heard,
+                        Unit.COUNT,
+                        Basis.COMPUTED,
+                        "`Limits.NEWEST` against 3 s of answers; leans on the " + "group's mean",
+                        "decisions/Limits.java")
+                .in(Figure.Scope.OPTION);
     }
 
     /** A pooler that comes knows no db node: each first request needs a connection, all of a herd at once. */
     private Figure arrivals() {
         double perSecond = d.herd() * d.statementsPerPair();
         Setting.Range cost = Setting.ALMATY.handshakeCoreSeconds();
-        return Figure.of("handshakes at a db node as 130 poolers come at once, cores at the dearest", perSecond * cost.most(),
-                Assumptions.DB_NODE_CORES * Assumptions.OVERHEAD_PART, Unit.CORES, Basis.GUESSED, "the settings' `handshake_us`; the part "
-                        + "of a db node is a guess", "net/Pool.java");
+        return Figure.of(
+                "handshakes at a db node as 130 poolers come at once, cores at the dearest",
+                perSecond * cost.most(),
+                Assumptions.DB_NODE_CORES * Assumptions.OVERHEAD_PART,
+                Unit.CORES,
+                Basis.GUESSED,
+                "the settings' `handshake_us`; the part " + "of a db node is a guess",
+                "net/Pool.java");
     }
 
     private double probesOfPooler() {
@@ -63,8 +107,13 @@
 
     private Figure probes(Setting setting) {
         double perSecond = d.statementsPerDatabase() * CodeFacts.PROBES_PER_REQUEST;
-        return Figure.of(setting.name() + ": probes at a db node, cores at the dearest", perSecond * setting.probeCoreSeconds().most(),
-                Assumptions.DB_NODE_CORES * Assumptions.OVERHEAD_PART, Unit.CORES, Basis.GUESSED,
-                "`PROBES_SPARSE`, the settings' `work_us`; the part is a guess", "decisions/Health.java");
+        return Figure.of(
+                setting.name() + ": probes at a db node, cores at the dearest",
+                perSecond * setting.probeCoreSeconds().most(),
+                Assumptions.DB_NODE_CORES * Assumptions.OVERHEAD_PART,
+                Unit.CORES,
+                Basis.GUESSED,
+                "`PROBES_SPARSE`, the settings' `work_us`; the part is a guess",
+                "decisions/Health.java");
     }
 }
--- a/capacity/src/main/java/lupinvalve/capacity/Demand.java
+++ b/capacity/src/main/java/lupinvalve/capacity/Demand.java
@@ -12,10 +12,25 @@
  * @param herd poolers of a zone's share that come at once
  * @param cutHours how long regions lose each other
  */
-public record Demand(int poolers, int databases, double connections, double statementsPerSecond, int regions, int zones,
-        double primaryChangesPerDay, double primaryChangeSeconds, double changesPerDay, double inForceSeconds, double controlCore,
-        double controlMegabytes, double controlBytesPerSecond, int controlMembers, double machineFailuresPerDay,
-        double restartsPerDay, int herd, double cutHours) {
+public record Demand(
+        int poolers,
+        int databases,
+        double connections,
+        double statementsPerSecond,
+        int regions,
+        int zones,
+        double primaryChangesPerDay,
+        double primaryChangeSeconds,
+        double changesPerDay,
+        double inForceSeconds,
+        double controlCore,
+        double controlMegabytes,
+        double controlBytesPerSecond,
+        int controlMembers,
+        double machineFailuresPerDay,
+        double restartsPerDay,
+        int herd,
+        double cutHours) {
     /** The plan for two years. */
     public static final Demand OPERATORS =
             new Demand(910, 1200, 2.2e6, 1.8e6, 3, 7, 2, 9, 3800, 6, 0.029, 128, 18_000, 3, 4, 340, 130, 1);
--- a/capacity/src/main/java/lupinvalve/capacity/Figure.java
+++ b/capacity/src/main/java/lupinvalve/capacity/Figure.java
@@ -12,8 +12,17 @@
  * @param carriedBy the file of the mechanism
  * @param scope where it counts
  */
-public record Figure(String what, double need, double budget, Unit unit, double failsAt, String size, Basis basis, String from,
-        String carriedBy, Scope scope) {
+public record Figure(
+        String what,
+        double need,
+        double budget,
+        Unit unit,
+        double failsAt,
+        String size,
+        Basis basis,
+        String from,
+        String carriedBy,
+        Scope scope) {
     /** In which design a figure counts when budgets are ranked. */
     public enum Scope {
         /** Only where each pooler is a member of the group. */
@@ -26,7 +35,16 @@
         OPTION
     }
 
-    Figure(String what, double need, double budget, Unit unit, double failsAt, String size, Basis basis, String from, String carriedBy) {
+    Figure(
+            String what,
+            double need,
+            double budget,
+            Unit unit,
+            double failsAt,
+            String size,
+            Basis basis,
+            String from,
+            String carriedBy) {
         this(what, need, budget, unit, failsAt, size, basis, from, carriedBy, Scope.BOTH);
     }
 
@@ -36,7 +54,8 @@
     }
 
     /** A figure of a size that follows from the number of poolers in proportion. */
-    static Figure inProportion(String what, double need, double budget, Unit unit, int poolers, Basis basis, String from, String by) {
+    static Figure inProportion(
+            String what, double need, double budget, Unit unit, int poolers, Basis basis, String from, String by) {
         double failsAt = need > budget ? Math.floor(budget / need * poolers) + 1 : Double.NaN;
         return new Figure(what, need, budget, unit, failsAt, "poolers", basis, from, by);
     }
--- a/capacity/src/main/java/lupinvalve/capacity/GroupFigures.java
+++ b/capacity/src/main/java/lupinvalve/capacity/GroupFigures.java
@@ -16,28 +16,61 @@
     }
 
     List<Figure> figures() {
-        List<Figure> all = List.of(members(), taken(), heartbeats(), beats(), leases(), audit(1, Basis.COMPUTED),
-                audit(Assumptions.BUSY_FACTOR, Basis.GUESSED), listing(), together(), leaderMessages(), leaderBytes(), kept(), replaced());
+        List<Figure> all = List.of(
+                members(),
+                taken(),
+                heartbeats(),
+                beats(),
+                leases(),
+                audit(1, Basis.COMPUTED),
+                audit(Assumptions.BUSY_FACTOR, Basis.GUESSED),
+                listing(),
+                together(),
+                leaderMessages(),
+                leaderBytes(),
+                kept(),
+                replaced());
         return all.stream().map(figure -> figure.in(Figure.Scope.MEMBERS)).toList();
     }
 
     private Figure members() {
-        return new Figure("members of one group", d.poolers(), Identity.MOST, Unit.COUNT, Identity.MOST + 1, "poolers", Basis.COMPUTED,
-                "`Identity.MOST`", "ledger/Membership.java");
+        return new Figure(
+                "members of one group",
+                d.poolers(),
+                Identity.MOST,
+                Unit.COUNT,
+                Identity.MOST + 1,
+                "poolers",
+                Basis.COMPUTED,
+                "`Identity.MOST`",
+                "ledger/Membership.java");
     }
 
     private Figure taken() {
-        return Figure.of("connections that a member takes", d.poolers() - 1, CodeFacts.TAKEN_MOST, Unit.COUNT, Basis.COMPUTED,
-                 "`Peers.TAKEN_MOST`", "group/Peers.java");
+        return Figure.of(
+                "connections that a member takes",
+                d.poolers() - 1,
+                CodeFacts.TAKEN_MOST,
+                Unit.COUNT,
+                Basis.COMPUTED,
+                "`Peers.TAKEN_MOST`",
+                "group/Peers.java");
     }
 
     private double heartbeatBytes() {
-        return (CodeFacts.HEARTBEATS_PER_SECOND + CodeFacts.CONFIRMS_PER_SECOND) * (CodeFacts.HEARTBEAT + CodeFacts.HEARTBEAT_ANSWER);
+        return (CodeFacts.HEARTBEATS_PER_SECOND + CodeFacts.CONFIRMS_PER_SECOND)
+                * (CodeFacts.HEARTBEAT + CodeFacts.HEARTBEAT_ANSWER);
     }
 
     private Figure heartbeats() {
-        return Figure.of("heartbeats and confirmations at a pooler, at most", heartbeatBytes(), d.controlBytesPerSecond(),
-                Unit.BYTES_PER_SECOND, Basis.COMPUTED, "20 a second, " + SIZES, "group/Replica.java, Pace.java");
+        return Figure.of(
+                "heartbeats and confirmations at a pooler, at most",
+                heartbeatBytes(),
+                d.controlBytesPerSecond(),
+                Unit.BYTES_PER_SECOND,
+                Basis.COMPUTED,
+                "20 a second, " + SIZES,
+                "group/Replica.java, Pace.java");
     }
 
     private double beatBytes() {
@@ -45,8 +78,15 @@
     }
 
     private Figure beats() {
-        return Figure.inProportion("beats with all other members, both ways, at a pooler", beatBytes(), d.controlBytesPerSecond(),
-                Unit.BYTES_PER_SECOND, d.poolers(), Basis.COMPUTED, "each dials each, 2 a second, " + SIZES, "group/Peers.java");
+        return Figure.inProportion(
+                "beats with all other members, both ways, at a pooler",
+                beatBytes(),
+                d.controlBytesPerSecond(),
+                Unit.BYTES_PER_SECOND,
+                d.poolers(),
+                Basis.COMPUTED,
+                "each dials each, 2 a second, " + SIZES,
+                "group/Peers.java");
     }
 
     private double leaseBytes() {
@@ -54,8 +94,14 @@
     }
 
     private Figure leases() {
-        return Figure.of("leases at a pooler", leaseBytes(), d.controlBytesPerSecond(), Unit.BYTES_PER_SECOND, Basis.COMPUTED,
-                "each 0.3 s, " + SIZES, "audit/Lease.java");
+        return Figure.of(
+                "leases at a pooler",
+                leaseBytes(),
+                d.controlBytesPerSecond(),
+                Unit.BYTES_PER_SECOND,
+                Basis.COMPUTED,
+                "each 0.3 s, " + SIZES,
+                "audit/Lease.java");
     }
 
     private double auditBytes(double factor) {
@@ -64,8 +110,14 @@
 
     private Figure audit(double factor, Basis basis) {
         String when = basis == Basis.GUESSED ? "in busy hours" : "mean of the day";
-        return Figure.inProportion("audit entries of all poolers through the log, at each, " + when, auditBytes(factor),
-                d.controlBytesPerSecond(), Unit.BYTES_PER_SECOND, d.poolers(), basis, "two entries a change, " + SIZES,
+        return Figure.inProportion(
+                "audit entries of all poolers through the log, at each, " + when,
+                auditBytes(factor),
+                d.controlBytesPerSecond(),
+                Unit.BYTES_PER_SECOND,
+                d.poolers(),
+                basis,
+                "two entries a change, " + SIZES,
                 "group/AuditBook.java");
     }
 
@@ -74,42 +126,83 @@
     }
 
     private Figure listing() {
-        return Figure.of("list of db nodes through the log each 10 s, at each", listingBytes(), d.controlBytesPerSecond(),
-                Unit.BYTES_PER_SECOND, Basis.COMPUTED, "`Shared.REFRESH`, " + SIZES, "daemon/Shared.java");
+        return Figure.of(
+                "list of db nodes through the log each 10 s, at each",
+                listingBytes(),
+                d.controlBytesPerSecond(),
+                Unit.BYTES_PER_SECOND,
+                Basis.COMPUTED,
+                "`Shared.REFRESH`, " + SIZES,
+                "daemon/Shared.java");
     }
 
     private Figure together() {
         double sum = heartbeatBytes() + beatBytes() + leaseBytes() + auditBytes(1) + listingBytes();
         double fixed = heartbeatBytes() + leaseBytes() + listingBytes();
-        double failsAt = Math.floor((d.controlBytesPerSecond() - fixed) / (beatBytes() + auditBytes(1)) * d.poolers()) + 1;
-        return new Figure("all of these at a pooler, without documents and commits", sum, d.controlBytesPerSecond(),
-                Unit.BYTES_PER_SECOND, failsAt, "poolers", Basis.COMPUTED, "their sum, mean of the day", "group");
+        double failsAt =
+                Math.floor((d.controlBytesPerSecond() - fixed) / (beatBytes() + auditBytes(1)) * d.poolers()) + 1;
+        return new Figure(
+                "all of these at a pooler, without documents and commits",
+                sum,
+                d.controlBytesPerSecond(),
+                Unit.BYTES_PER_SECOND,
+                failsAt,
+                "poolers",
+                Basis.COMPUTED,
+                "their sum, mean of the day",
+                "group");
     }
 
     private Figure leaderMessages() {
         double followers = d.poolers() - 1;
         double each = 2 * (CodeFacts.HEARTBEATS_PER_SECOND + CodeFacts.CONFIRMS_PER_SECOND) + 2 * MICROS / Lease.RENEW;
-        return Figure.plain("leader: heartbeats, confirmations, leases, both ways, at most", followers * each, Unit.PER_SECOND,
-                Basis.COMPUTED, "paces alone", "group/Replica.java, Acting.java");
+        return Figure.plain(
+                "leader: heartbeats, confirmations, leases, both ways, at most",
+                followers * each,
+                Unit.PER_SECOND,
+                Basis.COMPUTED,
+                "paces alone",
+                "group/Replica.java, Acting.java");
     }
 
     private Figure leaderBytes() {
         double each = heartbeatBytes() + leaseBytes() + listingBytes() + auditBytes(1);
-        return Figure.inProportion("leader: bytes of that with list and audit entries", (d.poolers() - 1) * each,
-                Assumptions.CONTROL_LINK_BYTES_PER_SECOND, Unit.BYTES_PER_SECOND, d.poolers(), Basis.GUESSED,
-                "paces, sizes; the link is a guess", "group/Replica.java");
+        return Figure.inProportion(
+                "leader: bytes of that with list and audit entries",
+                (d.poolers() - 1) * each,
+                Assumptions.CONTROL_LINK_BYTES_PER_SECOND,
+                Unit.BYTES_PER_SECOND,
+                d.poolers(),
+                Basis.GUESSED,
+                "paces, sizes; the link is a guess",
+                "group/Replica.java");
     }
 
     private Figure kept() {
         double aDay = d.changesPerDay() * d.poolers() * CodeFacts.ENTRIES_PER_CHANGE;
-        return Figure.inProportion("audit entries of one day, against those kept", aDay, Ledger.NOTED_MOST, Unit.COUNT, d.poolers(),
-                Basis.GUESSED, "`Ledger.NOTED_MOST`; that a day is wanted is a guess", "ledger/Ledger.java");
+        return Figure.inProportion(
+                "audit entries of one day, against those kept",
+                aDay,
+                Ledger.NOTED_MOST,
+                Unit.COUNT,
+                d.poolers(),
+                Basis.GUESSED,
+                "`Ledger.NOTED_MOST`; that a day is wanted is a guess",
+                "ledger/Ledger.java");
     }
 
     private Figure replaced() {
         double seconds = d.herd() * CodeFacts.CHANGES_PER_REPLACED * CodeFacts.MEMBERSHIP_STEP_SECONDS;
         double failsAt = Math.floor(d.inForceSeconds() / seconds * d.herd()) + 1;
-        return new Figure("130 replaced members, one change of members at a time, at least", seconds, d.inForceSeconds(), Unit.SECONDS,
-                failsAt, "replaced at once", Basis.COMPUTED, "4 changes each, `Questions.STEP`", "ledger/Membership.java");
+        return new Figure(
+                "130 replaced members, one change of members at a time, at least",
+                seconds,
+                d.inForceSeconds(),
+                Unit.SECONDS,
+                failsAt,
+                "replaced at once",
+                Basis.COMPUTED,
+                "4 changes each, `Questions.STEP`",
+                "ledger/Membership.java");
     }
 }
--- a/capacity/src/main/java/lupinvalve/capacity/Metric.java
+++ b/capacity/src/main/java/lupinvalve/capacity/Metric.java
@@ -73,9 +73,9 @@
             case CONTROL_CPU_CORE, IDLE_CPU_CORE -> demand.controlCore();
             case CONTROL_BYTES_PER_S, IDLE_BYTES_PER_S -> demand.controlBytesPerSecond();
             case CONTROL_RSS_MB -> demand.controlMegabytes();
-            // Nobody may act on an old version without a lease.
+                // Nobody may act on an old version without a lease.
             case UNLEASED_OLD_MS -> 0;
-            // A member of the group works on one thread.
+                // A member of the group works on one thread.
             case LEADER_CPU_CORE, MEMBER_CPU_CORE -> 1;
             case LEADER_BYTES_PER_S -> Assumptions.CONTROL_LINK_BYTES_PER_SECOND;
             default -> Double.NaN;
--- a/capacity/src/main/java/lupinvalve/capacity/RegionFigures.java
+++ b/capacity/src/main/java/lupinvalve/capacity/RegionFigures.java
@@ -22,26 +22,71 @@
         List<Figure> out = new ArrayList<>();
         double missed = d.changesPerSecond() * d.cutHours() * HOUR;
         double difference = document / d.databases() + ENVELOPE;
-        out.add(Figure.of("a change accepted across regions, least", Assumptions.REGIONS_APART_SECONDS, d.inForceSeconds(), Unit.SECONDS,
-                Basis.GUESSED, "one way there and back", "group/Replica.java"));
-        out.add(Figure.of("a cut region's poolers may act with `fence`, at most", Lease.LENGTH / MICROS, d.inForceSeconds(), Unit.SECONDS,
-                Basis.COMPUTED, "`Lease.LENGTH`", "audit/Lease.java"));
-        out.add(Figure.plain("statements refused in the hour with `fence`", d.statementsPerSecond() / d.regions() * (d.cutHours() * HOUR
-                - Lease.LENGTH / MICROS), Unit.COUNT, Basis.COMPUTED, "a third of the statements", "audit/Lease.java"));
-        out.add(Figure.of("changes missed in the hour, against the differences that a member keeps", missed, RevisionHistory.STEPS_MOST,
-                Unit.COUNT, Basis.COMPUTED, "`RevisionHistory.STEPS_MOST`", "subscription/RevisionHistory.java")
+        out.add(Figure.of(
+                "a change accepted across regions, least",
+                Assumptions.REGIONS_APART_SECONDS,
+                d.inForceSeconds(),
+                Unit.SECONDS,
+                Basis.GUESSED,
+                "one way there and back",
+                "group/Replica.java"));
+        out.add(Figure.of(
+                "a cut region's poolers may act with `fence`, at most",
+                Lease.LENGTH / MICROS,
+                d.inForceSeconds(),
+                Unit.SECONDS,
+                Basis.COMPUTED,
+                "`Lease.LENGTH`",
+                "audit/Lease.java"));
+        out.add(Figure.plain(
+                "statements refused in the hour with `fence`",
+                d.statementsPerSecond() / d.regions() * (d.cutHours() * HOUR - Lease.LENGTH / MICROS),
+                Unit.COUNT,
+                Basis.COMPUTED,
+                "a third of the statements",
+                "audit/Lease.java"));
+        out.add(Figure.of(
+                        "changes missed in the hour, against the differences that a member keeps",
+                        missed,
+                        RevisionHistory.STEPS_MOST,
+                        Unit.COUNT,
+                        Basis.COMPUTED,
+                        "`RevisionHistory.STEPS_MOST`",
+                        "subscription/RevisionHistory.java")
                 .in(Figure.Scope.SUBSCRIPTIONS));
         String fetched = "what one of the region's " + Unit.number(Math.floor(d.poolersPerRegion()))
                 + " poolers fetches on return, by differences";
-        out.add(Figure.plain(fetched, Math.min(document, missed * difference), Unit.BYTES, Basis.GUESSED,
-                "one database a change is a guess", "subscription/RevisionHistory.java"));
-        out.add(Figure.of("those differences within 18 KB/s", Math.min(document, missed * difference) / d.controlBytesPerSecond(),
-                d.inForceSeconds(), Unit.SECONDS, Basis.GUESSED, "one database a change is a guess", "subscription/RevisionHistory.java"));
-        out.add(Figure.of("a whole document for each of the region's poolers, at its control member",
-                document * d.poolersPerRegion() / Assumptions.CONTROL_LINK_BYTES_PER_SECOND, d.inForceSeconds(), Unit.SECONDS,
-                Basis.GUESSED, "the link is a guess", "subscription/WholeDocuments.java"));
-        out.add(Figure.of("another leader where the leader's region is lost, worst seen", Past.FAILOVER_MOST_SECONDS, d.inForceSeconds(),
-                Unit.SECONDS, Basis.COMPUTED, Past.DRILL_PAGE + ", regions apart not run", "group/Replica.java"));
+        out.add(Figure.plain(
+                fetched,
+                Math.min(document, missed * difference),
+                Unit.BYTES,
+                Basis.GUESSED,
+                "one database a change is a guess",
+                "subscription/RevisionHistory.java"));
+        out.add(Figure.of(
+                "those differences within 18 KB/s",
+                Math.min(document, missed * difference) / d.controlBytesPerSecond(),
+                d.inForceSeconds(),
+                Unit.SECONDS,
+                Basis.GUESSED,
+                "one database a change is a guess",
+                "subscription/RevisionHistory.java"));
+        out.add(Figure.of(
+                "a whole document for each of the region's poolers, at its control member",
+                document * d.poolersPerRegion() / Assumptions.CONTROL_LINK_BYTES_PER_SECOND,
+                d.inForceSeconds(),
+                Unit.SECONDS,
+                Basis.GUESSED,
+                "the link is a guess",
+                "subscription/WholeDocuments.java"));
+        out.add(Figure.of(
+                "another leader where the leader's region is lost, worst seen",
+                Past.FAILOVER_MOST_SECONDS,
+                d.inForceSeconds(),
+                Unit.SECONDS,
+                Basis.COMPUTED,
+                Past.DRILL_PAGE + ", regions apart not run",
+                "group/Replica.java"));
         return out;
     }
 }
--- a/capacity/src/main/java/lupinvalve/capacity/RestingConnections.java
+++ b/capacity/src/main/java/lupinvalve/capacity/RestingConnections.java
@@ -6,9 +6,9 @@
 import java.util.SplittableRandom;
 
 /**
- * One pooler's connections to one db node in virtual time: requests come at random, each takes the connection used last or opens
- * one. As in {@code Pool.settle}, one that rested for a while stays if it is the one used last, up to the longer time, and is closed
- * else. No I/O; the same seed gives the same figures.
+ * One pooler's connections to one db node in virtual time: requests come at random, each takes the connection used last
+ * or opens one. As in {@code Pool.settle}, one that rested for a while stays if it is the one used last, up to the
+ * longer time, and is closed else. No I/O; the same seed gives the same figures.
  */
 final class RestingConnections {
     /**
@@ -59,6 +59,7 @@
     private final PriorityQueue<Double> busyUntil = new PriorityQueue<>();
     /** Those that rest; the one used last is the last. */
     private final List<Resting> resting = new ArrayList<>();
+
     private double now;
     private double area;
     private double squares;
--- a/capacity/src/main/java/lupinvalve/capacity/Slopes.java
+++ b/capacity/src/main/java/lupinvalve/capacity/Slopes.java
@@ -18,8 +18,11 @@
  * @param commit which program ran; a run may name another
  */
 @JsonIgnoreProperties(ignoreUnknown = true)
-public record Slopes(@JsonProperty("machine") String machine, @JsonProperty("commit") String commit,
-        @JsonProperty("runs") List<Run> runs, @JsonProperty("fits") List<Fit> fits) {
+public record Slopes(
+        @JsonProperty("machine") String machine,
+        @JsonProperty("commit") String commit,
+        @JsonProperty("runs") List<Run> runs,
+        @JsonProperty("fits") List<Fit> fits) {
     /** How poolers come by the configuration. */
     public enum Design {
         /** Each is a member of the group. */
@@ -66,11 +69,21 @@
      * @param metrics what it told, by {@link Metric#key}
      */
     @JsonIgnoreProperties(ignoreUnknown = true)
-    public record Run(@JsonProperty("design") Design design, @JsonProperty("load") Load load, @JsonProperty("poolers") int poolers,
-            @JsonProperty("databases") int databases, @JsonProperty("seconds") double seconds, @JsonProperty("seed") long seed,
-            @JsonProperty("change_factor") double changeFactor, @JsonProperty("restart_factor") double restartFactor,
-            @JsonProperty("commit") String commit, @JsonProperty("trial") String trial, @JsonProperty("failed") String failed,
-            @JsonProperty("divergent") long divergent, @JsonProperty("lost") long lost, @JsonProperty("unfenced_late") long unfencedLate,
+    public record Run(
+            @JsonProperty("design") Design design,
+            @JsonProperty("load") Load load,
+            @JsonProperty("poolers") int poolers,
+            @JsonProperty("databases") int databases,
+            @JsonProperty("seconds") double seconds,
+            @JsonProperty("seed") long seed,
+            @JsonProperty("change_factor") double changeFactor,
+            @JsonProperty("restart_factor") double restartFactor,
+            @JsonProperty("commit") String commit,
+            @JsonProperty("trial") String trial,
+            @JsonProperty("failed") String failed,
+            @JsonProperty("divergent") long divergent,
+            @JsonProperty("lost") long lost,
+            @JsonProperty("unfenced_late") long unfencedLate,
             @JsonProperty("metrics") Map<String, Double> metrics) {
         public Run {
             load = load == null ? Load.MIXED : load;
@@ -87,8 +100,10 @@
             if (!whole()) {
                 return "failed: " + failed;
             }
-            return divergent + lost + unfencedLate == 0 ? "whole" : String.format(Locale.ROOT, "whole; **divergent %d, lost %d, late %d**",
-                    divergent, lost, unfencedLate);
+            return divergent + lost + unfencedLate == 0
+                    ? "whole"
+                    : String.format(
+                            Locale.ROOT, "whole; **divergent %d, lost %d, late %d**", divergent, lost, unfencedLate);
         }
 
         /** What it told of a metric, or NaN. */
@@ -99,19 +114,28 @@
 
         /** By how much the load was heavier than the operators' mean, at the least. */
         public double factor() {
-            double factor = switch (load) {
-                case CHANGES -> changeFactor;
-                case RESTARTS -> restartFactor;
-                case MIXED -> Math.min(changeFactor, restartFactor);
-            };
+            double factor =
+                    switch (load) {
+                        case CHANGES -> changeFactor;
+                        case RESTARTS -> restartFactor;
+                        case MIXED -> Math.min(changeFactor, restartFactor);
+                    };
             return factor > 0 ? factor : 1;
         }
 
         /** What the page calls it. */
         public String words() {
             String times = factor() == 1 ? "" : " x " + Unit.number(factor());
-            return String.format(Locale.ROOT, "%s%s, %d poolers, %d databases, %.0f s, seed %d%s", load.word(), times, poolers, databases,
-                    seconds, seed, trial == null ? "" : ", trial: " + trial);
+            return String.format(
+                    Locale.ROOT,
+                    "%s%s, %d poolers, %d databases, %.0f s, seed %d%s",
+                    load.word(),
+                    times,
+                    poolers,
+                    databases,
+                    seconds,
+                    seed,
+                    trial == null ? "" : ", trial: " + trial);
         }
     }
 
@@ -123,9 +147,16 @@
      * @param points through how many
      */
     @JsonIgnoreProperties(ignoreUnknown = true)
-    public record Fit(@JsonProperty("design") Design design, @JsonProperty("metric") String metric, @JsonProperty("per") Per per,
-            @JsonProperty("load") Load load, @JsonProperty("trial") String trial, @JsonProperty("databases") int databases,
-            @JsonProperty("slope") double slope, @JsonProperty("intercept") double intercept, @JsonProperty("residual") double residual,
+    public record Fit(
+            @JsonProperty("design") Design design,
+            @JsonProperty("metric") String metric,
+            @JsonProperty("per") Per per,
+            @JsonProperty("load") Load load,
+            @JsonProperty("trial") String trial,
+            @JsonProperty("databases") int databases,
+            @JsonProperty("slope") double slope,
+            @JsonProperty("intercept") double intercept,
+            @JsonProperty("residual") double residual,
             @JsonProperty("points") int points) {
         public Fit {
             load = load == null ? Load.MIXED : load;
@@ -138,13 +169,19 @@
 
         /** Whether a run is of those that such a line is drawn through. */
         public boolean through(Run run) {
-            return run.whole() && run.design() == design && run.load() == load && Objects.equals(run.trial(), trial)
+            return run.whole()
+                    && run.design() == design
+                    && run.load() == load
+                    && Objects.equals(run.trial(), trial)
                     && (per != Per.POOLER || databases == 0 || run.databases() == databases);
         }
 
         /** Whether another line is of the same runs. */
         public boolean beside(Fit other) {
-            return other.design == design && other.per == per && other.load == load && Objects.equals(other.trial, trial)
+            return other.design == design
+                    && other.per == per
+                    && other.load == load
+                    && Objects.equals(other.trial, trial)
                     && other.databases == databases;
         }
     }
@@ -158,7 +195,9 @@
     List<Run> latest() {
         Map<String, Run> last = new LinkedHashMap<>();
         for (Run run : runs) {
-            last.put(run.design() + " " + run.load() + " " + run.poolers() + " " + run.databases() + " " + run.trial(), run);
+            last.put(
+                    run.design() + " " + run.load() + " " + run.poolers() + " " + run.databases() + " " + run.trial(),
+                    run);
         }
         return List.copyOf(last.values());
     }
--- a/capacity/src/main/java/lupinvalve/capacity/Table.java
+++ b/capacity/src/main/java/lupinvalve/capacity/Table.java
@@ -20,8 +20,15 @@
     static Table of(String name, List<Figure> figures) {
         Table table = new Table(name, FIGURES);
         for (Figure figure : figures) {
-            table.row(figure.what(), figure.needWords(), figure.budgetWords(), figure.ratioWords(), failsFrom(figure),
-                    figure.basis().word(), figure.from(), figure.carriedBy());
+            table.row(
+                    figure.what(),
+                    figure.needWords(),
+                    figure.budgetWords(),
+                    figure.ratioWords(),
+                    failsFrom(figure),
+                    figure.basis().word(),
+                    figure.from(),
+                    figure.carriedBy());
         }
         return table;
     }
@@ -32,7 +39,8 @@
 
     void row(String... cells) {
         if (cells.length != header.size()) {
-            throw new IllegalArgumentException(name + ": " + cells.length + " cells under " + header.size() + " headings");
+            throw new IllegalArgumentException(
+                    name + ": " + cells.length + " cells under " + header.size() + " headings");
         }
         rows.add(List.of(cells));
     }
--- a/capacity/src/main/java/lupinvalve/capacity/Unit.java
+++ b/capacity/src/main/java/lupinvalve/capacity/Unit.java
@@ -4,11 +4,19 @@
 
 /** What a figure counts, and how it is written: three digits that tell something. */
 public enum Unit {
-    COUNT(""), PER_SECOND("/s"), BYTES(" B"), BYTES_PER_SECOND(" B/s"), CORES(" cores"), MILLIS(" ms"), SECONDS(" s"), MEGABYTES(" MB");
+    COUNT(""),
+    PER_SECOND("/s"),
+    BYTES(" B"),
+    BYTES_PER_SECOND(" B/s"),
+    CORES(" cores"),
+    MILLIS(" ms"),
+    SECONDS(" s"),
+    MEGABYTES(" MB");
 
     private static final double DIGITS = 1000;
     /** Whole numbers below this are written whole. */
     private static final double WHOLE_MOST = 100_000;
+
     private final String suffix;
 
     Unit(String suffix) {
@@ -37,7 +45,9 @@
             double step = Math.pow(10, Math.floor(Math.log10(size)) - 2);
             return String.format(Locale.ROOT, "%,.0f", Math.round(value / step) * step);
         }
-        String format = size >= 100 || value == 0 ? "%.0f" : size >= 10 ? "%.1f" : size >= 1 ? "%.2f" : size >= 0.01 ? "%.3f" : "%.2g";
+        String format = size >= 100 || value == 0
+                ? "%.0f"
+                : size >= 10 ? "%.1f" : size >= 1 ? "%.2f" : size >= 0.01 ? "%.3f" : "%.2g";
         return String.format(Locale.ROOT, format, value);
     }
 }
--- a/capacity/src/test/java/lupinvalve/capacity/CodeFactsTest.java
+++ b/capacity/src/test/java/lupinvalve/capacity/CodeFactsTest.java
@@ -27,7 +27,8 @@
     @Test
     void theGroupsPacesAndBoundsAreTheProgramsOwn() throws ReflectiveOperationException {
         String group = "lupinvalve.replication.";
-        assertEquals(CodeFacts.HEARTBEATS_PER_SECOND,
+        assertEquals(
+                CodeFacts.HEARTBEATS_PER_SECOND,
                 constant(group + "Pace", "FACTOR") / constant(group + "Replica", "HEARTBEAT_SECONDS"));
         assertEquals(CodeFacts.CONFIRMS_PER_SECOND, MICROS / constant(group + "Acting", "CONFIRM"));
         assertEquals(CodeFacts.BEATS_PER_SECOND, MICROS / constant(group + "Peers", "BEAT"));
@@ -81,10 +82,12 @@
     /** Discovery is not ours: its entry is one in the form that the reader takes, with all fields that it reads. */
     @Test
     void theListsEntryIsOneThatTheReaderTakes() throws Exception {
-        String entry = "{\"id\":\"node-1042\",\"host_port\":\"10.17.3.142:5432\",\"locality\":\"region-1-zone-b\",\"cell\":173,"
-                + "\"phase\":\"in_service\",\"rank\":\"replica\",\"size\":1.0,\"up_since_ms\":1796169600000}";
+        String entry =
+                "{\"id\":\"node-1042\",\"host_port\":\"10.17.3.142:5432\",\"locality\":\"region-1-zone-b\",\"cell\":173,"
+                        + "\"phase\":\"in_service\",\"rank\":\"replica\",\"size\":1.0,\"up_since_ms\":1796169600000}";
         String list = "{\"revision\":1,\"complete\":true,\"members\":[" + entry + "]}";
-        ListReader.Listed read = new ListReader(List.of("region-1-zone-b"), null).read(list.getBytes(UTF_8), 0, list.length());
+        ListReader.Listed read =
+                new ListReader(List.of("region-1-zone-b"), null).read(list.getBytes(UTF_8), 0, list.length());
         assertEquals(Routing.Health.LIVE, read.entries().get(0).member().health());
         assertEquals(CodeFacts.LIST_ENTRY, entry.length() + 1, "entry and comma");
     }
--- a/capacity/src/test/java/lupinvalve/capacity/EstimateTest.java
+++ b/capacity/src/test/java/lupinvalve/capacity/EstimateTest.java
@@ -49,7 +49,9 @@
         Estimate estimate = of(Design.SUBSCRIPTIONS, Metric.CONTROL_CPU_CORE);
         assertEquals(0.01 + 0.2 / 20, estimate.value(), EXACT);
         assertEquals(Basis.COMPUTED, estimate.basis());
-        assertTrue(estimate.from().contains("changes x 20") && estimate.from().endsWith("as run 0.210 cores"), estimate.from());
+        assertTrue(
+                estimate.from().contains("changes x 20") && estimate.from().endsWith("as run 0.210 cores"),
+                estimate.from());
     }
 
     @Test
@@ -82,7 +84,10 @@
     void ofRunsOfTheSameTheLastOneCounts() throws IOException {
         Slopes slopes = fixture();
         assertEquals(slopes.runs().size() - 1, slopes.latest().size());
-        assertEquals(700, Estimate.of(slopes, Design.SUBSCRIPTIONS, Metric.TOLD_MS, Demand.OPERATORS).value());
+        assertEquals(
+                700,
+                Estimate.of(slopes, Design.SUBSCRIPTIONS, Metric.TOLD_MS, Demand.OPERATORS)
+                        .value());
     }
 
     @Test
@@ -90,6 +95,9 @@
         Estimate estimate = of(Design.SUBSCRIPTIONS, Metric.LEADER_CPU_CORE);
         assertTrue(Double.isNaN(estimate.value()));
         assertEquals(Basis.NOT_RUN, estimate.basis());
-        assertEquals(Basis.NOT_RUN, of(Design.MEMBERS, Metric.IN_FORCE_P99_MS).basis(), "one run of 15 poolers makes no line");
+        assertEquals(
+                Basis.NOT_RUN,
+                of(Design.MEMBERS, Metric.IN_FORCE_P99_MS).basis(),
+                "one run of 15 poolers makes no line");
     }
 }
--- a/capacity/src/test/java/lupinvalve/capacity/RestingConnectionsTest.java
+++ b/capacity/src/test/java/lupinvalve/capacity/RestingConnectionsTest.java
@@ -13,7 +13,8 @@
     void sparseRequestsThatTakeNoTimeFollowTheExponentialLaw() {
         double perSecond = 1.65;
         double rest = 0.5;
-        RestingConnections.Outcome outcome = RestingConnections.play(perSecond, 1e-9, RestingConnections.Rests.of(rest), REQUESTS, 1);
+        RestingConnections.Outcome outcome =
+                RestingConnections.play(perSecond, 1e-9, RestingConnections.Rests.of(rest), REQUESTS, 1);
         double missed = Math.exp(-perSecond * rest);
         assertEquals(missed, outcome.newPart(), 0.005, "a gap longer than the rest");
         assertEquals(1 - missed, outcome.open(), 0.005, "used within the rest");
@@ -22,15 +23,18 @@
 
     @Test
     void requestsThatOverlapTakeMoreThanOne() {
-        RestingConnections.Outcome outcome = RestingConnections.play(100, 0.05, RestingConnections.Rests.of(0), REQUESTS, 1);
+        RestingConnections.Outcome outcome =
+                RestingConnections.play(100, 0.05, RestingConnections.Rests.of(0), REQUESTS, 1);
         assertEquals(5, outcome.open(), 0.1, "arrivals times work");
         assertEquals(1, outcome.newPart(), 1e-9, "nothing rests");
     }
 
     @Test
     void onlyTheOneUsedLastStaysForTheLongerTime() {
-        double both = RestingConnections.play(20, 0.05, new RestingConnections.Rests(10, 10), REQUESTS, 1).open();
-        double last = RestingConnections.play(20, 0.05, RestingConnections.Rests.of(10), REQUESTS, 1).open();
+        double both = RestingConnections.play(20, 0.05, new RestingConnections.Rests(10, 10), REQUESTS, 1)
+                .open();
+        double last = RestingConnections.play(20, 0.05, RestingConnections.Rests.of(10), REQUESTS, 1)
+                .open();
         assertTrue(last < both - 1, last + " with surplus ones closed, " + both + " without");
     }
 
--- a/capacity/src/test/java/lupinvalve/replication/MessageSizes.java
+++ b/capacity/src/test/java/lupinvalve/replication/MessageSizes.java
@@ -15,7 +15,10 @@
 import lupinvalve.subscription.FollowAnswer;
 import lupinvalve.subscription.FollowRequest;
 
-/** What the program's own encoders make of messages as a group of hundreds would send them, in bytes above TCP without TLS. */
+/**
+ * What the program's own encoders make of messages as a group of hundreds would send them, in bytes above TCP without
+ * TLS.
+ */
 public final class MessageSizes {
     private static final String NAME = "pooler-0417";
     private static final long NOW = 1_796_169_600_000_000L;
@@ -39,8 +42,12 @@
     public static int heartbeat() {
         var message = Models.FACTORY.createAppendEntriesRequestBuilder();
         message.setGroupId(Replica.GROUP).setSender(sender()).setTerm(TERM);
-        message.setPreviousLogTerm(TERM).setPreviousLogIndex(INDEX).setCommitIndex(INDEX).setQuerySequenceNumber(QUERY)
-                .setFlowControlSequenceNumber(QUERY).setLogEntries(List.of());
+        message.setPreviousLogTerm(TERM)
+                .setPreviousLogIndex(INDEX)
+                .setCommitIndex(INDEX)
+                .setQuerySequenceNumber(QUERY)
+                .setFlowControlSequenceNumber(QUERY)
+                .setLogEntries(List.of());
         return sent(message.build());
     }
 
@@ -48,13 +55,20 @@
     public static int heartbeatAnswer() {
         var message = Models.FACTORY.createAppendEntriesSuccessResponseBuilder();
         message.setGroupId(Replica.GROUP).setSender(sender()).setTerm(TERM);
-        return sent(message.setLastLogIndex(INDEX).setQuerySequenceNumber(QUERY).setFlowControlSequenceNumber(QUERY).build());
+        return sent(message.setLastLogIndex(INDEX)
+                .setQuerySequenceNumber(QUERY)
+                .setFlowControlSequenceNumber(QUERY)
+                .build());
     }
 
     /** A call for a lease. */
     public static int leaseCall() {
-        return new Messages.Call(INDEX, "lease", List.of(NAME.getBytes(UTF_8), Long.toString(INDEX).getBytes(UTF_8), new byte[0]))
-                .write().length;
+        return new Messages.Call(
+                        INDEX,
+                        "lease",
+                        List.of(NAME.getBytes(UTF_8), Long.toString(INDEX).getBytes(UTF_8), new byte[0]))
+                .write()
+                .length;
     }
 
     /** What a lease is answered. */
@@ -65,7 +79,8 @@
     /** A subscriber's request, where it has all. */
     public static int follow() {
         String digest = "0011223344556677";
-        byte[] request = new FollowRequest(FollowRequest.VERSION, INDEX, REVISION, digest, digest, true, false, "").write();
+        byte[] request =
+                new FollowRequest(FollowRequest.VERSION, INDEX, REVISION, digest, digest, true, false, "").write();
         return new Messages.Call(INDEX, Followers.CALL, List.of(request)).write().length;
     }
 
@@ -87,8 +102,10 @@
     /** The two entries that a member notes for one configuration. */
     public static int noted() {
         String version = "3800-0011223344556677";
-        Entry adopted = new Entry(NAME, NOW, 17, Entry.What.ADOPTED, version, INDEX, NOW, 20_000, "", "00112233445566778899aabbccddeeff");
-        Entry ceased = new Entry(NAME, NOW, 18, Entry.What.CEASED_OTHERS, version, INDEX, NOW, 20_000, "", adopted.digest());
+        Entry adopted = new Entry(
+                NAME, NOW, 17, Entry.What.ADOPTED, version, INDEX, NOW, 20_000, "", "00112233445566778899aabbccddeeff");
+        Entry ceased =
+                new Entry(NAME, NOW, 18, Entry.What.CEASED_OTHERS, version, INDEX, NOW, 20_000, "", adopted.digest());
         return Encoding.write(new Change.Noted(NAME, NOW, 17, List.of(adopted.write(), ceased.write()))).length;
     }
 
@@ -96,7 +113,8 @@
     public static int listed() {
         List<Change.Listed> nodes = new ArrayList<>();
         for (int i = 0; i < MANY; i++) {
-            Routing.Member member = new Routing.Member("node-" + (1000 + i), i / 6, i % 7, Routing.Health.LIVE, i % 6 == 0, NOW);
+            Routing.Member member =
+                    new Routing.Member("node-" + (1000 + i), i / 6, i % 7, Routing.Health.LIVE, i % 6 == 0, NOW);
             nodes.add(new Change.Listed(member, Map.of("pg", "10.17.3." + i % 250 + ":5432"), NOW));
         }
         return Encoding.write(new Change.Listing(NOW, nodes)).length / MANY;
--- a/config/src/main/java/lupinvalve/config/Database.java
+++ b/config/src/main/java/lupinvalve/config/Database.java
@@ -19,10 +19,17 @@
  * @param connectionLimit how many connections one pooler may hold to it
  * @param statementTimeoutMillis after which a statement is given up; 0 for never
  */
-public record Database(String name, String group, String zone, String primary, List<String> replicas, int connectionLimit,
+public record Database(
+        String name,
+        String group,
+        String zone,
+        String primary,
+        List<String> replicas,
+        int connectionLimit,
         long statementTimeoutMillis) {
     /** How many databases a configuration names at most. */
     public static final int MOST = 4096;
+
     private static final int REPLICAS_MOST = 15;
     private static final int LIMIT_MOST = 100_000;
     private static final long TIMEOUT_MOST = 86_400_000;
@@ -111,7 +118,8 @@
         return in.getLongValue();
     }
 
-    // By characters: patterns took a third of the time of reading 1,200 entries, which each pooler does for each change.
+    // By characters: patterns took a third of the time of reading 1,200 entries, which each pooler does for each
+    // change.
 
     private static String name(String path, String value) throws IOException {
         boolean well = !value.isEmpty() && value.length() <= NAME_MOST;
@@ -142,7 +150,8 @@
         boolean literal = value.charAt(0) == '[' && value.charAt(end - 1) == ']' && end > 2;
         for (int i = literal ? 1 : 0; i < (literal ? end - 1 : end); i++) {
             char one = value.charAt(i);
-            boolean well = literal ? digit(one) || one >= 'a' && one <= 'f' || one >= 'A' && one <= 'F' || one == ':' || one == '.'
+            boolean well = literal
+                    ? digit(one) || one >= 'a' && one <= 'f' || one >= 'A' && one <= 'F' || one == ':' || one == '.'
                     : one != ':' && !Character.isWhitespace(one);
             if (!well) {
                 return false;
--- a/config/src/main/java/lupinvalve/config/NodeConfig.java
+++ b/config/src/main/java/lupinvalve/config/NodeConfig.java
@@ -19,8 +19,17 @@
  * @param known the list as this pooler had it last
  * @param operator where operators call, or null
  */
-public record NodeConfig(String name, String listen, String discovery, long seed, double cores, int memoryMb, int sockets,
-        ListReader.Listed known, SettingsReader.Site site, InetSocketAddress operator) {
+public record NodeConfig(
+        String name,
+        String listen,
+        String discovery,
+        long seed,
+        double cores,
+        int memoryMb,
+        int sockets,
+        ListReader.Listed known,
+        SettingsReader.Site site,
+        InetSocketAddress operator) {
     private static final JsonFactory JSON = new JsonFactory();
 
     /**
@@ -50,7 +59,8 @@
                     case "listen" -> listen = in.getValueAsString();
                     case "discovery" -> discovery = in.getValueAsString();
                     case "seed" -> seed = seed(in.getValueAsString("0"));
-                    case "operator" -> operator = in.currentToken() == JsonToken.VALUE_NULL ? null
+                    case "operator" -> operator = in.currentToken() == JsonToken.VALUE_NULL
+                            ? null
                             : address(file + ": operator", in.getText());
                     case "settings" -> site = site(file, in);
                     case "limits" -> {
@@ -81,8 +91,17 @@
         }
         ListReader.Listed known = known(file, new ListReader(site.zones(), mysqlPort));
         // Clients hold a third of the descriptors at most for requests.
-        return new NodeConfig(name, listen, discovery, seed, cores, memory, sockets, known,
-                site.withOpen(Math.max(1, sockets / 3)), operator);
+        return new NodeConfig(
+                name,
+                listen,
+                discovery,
+                seed,
+                cores,
+                memory,
+                sockets,
+                known,
+                site.withOpen(Math.max(1, sockets / 3)),
+                operator);
     }
 
     /** The same with the operators' address that a variable gives to this one process: it goes before the file's. */
@@ -136,7 +155,8 @@
 
     private static int count(Path file, JsonParser in, String field) throws IOException {
         int count = in.currentToken() == JsonToken.VALUE_NUMBER_INT && in.getNumberType() == JsonParser.NumberType.INT
-                ? in.getIntValue() : 0;
+                ? in.getIntValue()
+                : 0;
         if (count <= 0) {
             throw new IOException(file + ": " + field + ": " + in.getText() + " is no count");
         }
--- a/config/src/main/java/lupinvalve/config/OperatorConfig.java
+++ b/config/src/main/java/lupinvalve/config/OperatorConfig.java
@@ -22,8 +22,14 @@
     }
 
     /** The MySQL front and how db nodes are reached over that protocol. */
-    public record Mysql(String listen, String user, String password, int nodePort, String nodeUser,
-            String nodePassword, String database) {}
+    public record Mysql(
+            String listen,
+            String user,
+            String password,
+            int nodePort,
+            String nodeUser,
+            String nodePassword,
+            String database) {}
 
     /**
      * This pooler's part in the group that keeps the configuration.
@@ -34,30 +40,63 @@
      * @param waitMicros how long a booking's answer waits for a majority to hold its session's token; 0 for not at all
      * @param role whether it is a member or follows the members
      */
-    public record Store(String cluster, String name, Path folder, String listen, Map<String, String> members, Tls tls,
-            long waitMicros, Audit audit, Role role) {
-        public Store(String cluster, String name, Path folder, String listen, Map<String, String> members, Tls tls,
+    public record Store(
+            String cluster,
+            String name,
+            Path folder,
+            String listen,
+            Map<String, String> members,
+            Tls tls,
+            long waitMicros,
+            Audit audit,
+            Role role) {
+        public Store(
+                String cluster,
+                String name,
+                Path folder,
+                String listen,
+                Map<String, String> members,
+                Tls tls,
                 long waitMicros) {
             this(cluster, name, folder, listen, members, tls, waitMicros, Audit.OFF);
         }
 
         /** A member. */
-        public Store(String cluster, String name, Path folder, String listen, Map<String, String> members, Tls tls,
-                long waitMicros, Audit audit) {
+        public Store(
+                String cluster,
+                String name,
+                Path folder,
+                String listen,
+                Map<String, String> members,
+                Tls tls,
+                long waitMicros,
+                Audit audit) {
             this(cluster, name, folder, listen, members, tls, waitMicros, audit, Role.MEMBER);
         }
 
         /** One that follows the members. */
-        public static Store subscriber(String cluster, String name, Path folder, Map<String, String> members, Tls tls, Audit audit) {
+        public static Store subscriber(
+                String cluster, String name, Path folder, Map<String, String> members, Tls tls, Audit audit) {
             return new Store(cluster, name, folder, null, members, tls, 0, audit, Role.SUBSCRIBER);
         }
     }
 
-    /** Whether a pooler is a member of the group (it keeps the log and may vote) or follows what members have accepted. */
-    public enum Role { MEMBER, SUBSCRIBER }
+    /**
+     * Whether a pooler is a member of the group (it keeps the log and may vote) or follows what members have accepted.
+     */
+    public enum Role {
+        MEMBER,
+        SUBSCRIBER
+    }
 
-    /** Whether a member keeps entries of what it acts on and holds a lease for it, and what it does once that has ended. */
-    public enum Audit { OFF, SERVE, FENCE }
+    /**
+     * Whether a member keeps entries of what it acts on and holds a lease for it, and what it does once that has ended.
+     */
+    public enum Audit {
+        OFF,
+        SERVE,
+        FENCE
+    }
 
     /** PEM files: who signs members' certificates, this member's own and its key. */
     public record Tls(Path authority, Path certificate, Path key) {}
@@ -67,6 +106,7 @@
 
     /** Nothing turned on, as on the platform. */
     public static final OperatorConfig NONE = new OperatorConfig(0, null, null, null);
+
     private static final JsonFactory JSON = new JsonFactory();
     private static final String NAME = "[A-Za-z0-9_-]{1,63}";
     private static final int MEMBERS_MOST = 15;
@@ -112,7 +152,8 @@
             if (config.store != null) {
                 return "store: each member's own file has it";
             }
-            if (config.dnsSd != null && !config.dnsSd.resolver().matches("[0-9.]+:[0-9]{1,5}|\\[[0-9a-fA-F:.]+]:[0-9]{1,5}")) {
+            if (config.dnsSd != null
+                    && !config.dnsSd.resolver().matches("[0-9.]+:[0-9]{1,5}|\\[[0-9a-fA-F:.]+]:[0-9]{1,5}")) {
                 return "dns_sd.resolver: " + config.dnsSd.resolver() + " is no literal address with a port";
             }
             return null;
@@ -122,8 +163,8 @@
     }
 
     /**
-     * Why a document can't follow the one that holds, or null: a change that running members could not act on before their next
-     * start is turned down as it is put, with what to do.
+     * Why a document can't follow the one that holds, or null: a change that running members could not act on before
+     * their next start is turned down as it is put, with what to do.
      *
      * @param current null where none holds
      */
@@ -157,9 +198,15 @@
     public OperatorConfig accepted(byte[] document) throws IOException {
         OperatorConfig other = document == null ? NONE : read(document);
         Mysql m = other.mysql;
-        return new OperatorConfig(other.revision, m == null || mysql == null ? null
-                : new Mysql(mysql.listen, m.user, m.password, m.nodePort, m.nodeUser, m.nodePassword, m.database),
-                store, other.dnsSd, other.databases);
+        return new OperatorConfig(
+                other.revision,
+                m == null || mysql == null
+                        ? null
+                        : new Mysql(
+                                mysql.listen, m.user, m.password, m.nodePort, m.nodeUser, m.nodePassword, m.database),
+                store,
+                other.dnsSd,
+                other.databases);
     }
 
     private static Mysql mysql(JsonParser in) throws IOException {
@@ -224,8 +271,8 @@
             needed("store.listen", listen);
         }
         if (!member.matches(NAME) || !cluster.matches(NAME)) {
-            throw new IOException("operator's file: store.name and store.cluster are letters, digits, - and _: " + member
-                    + ", " + cluster);
+            throw new IOException("operator's file: store.name and store.cluster are letters, digits, - and _: "
+                    + member + ", " + cluster);
         }
         if (members.isEmpty() || members.size() > MEMBERS_MOST) {
             throw new IOException("operator's file: store.members names " + members.size() + " members; 1 to "
@@ -253,7 +300,8 @@
         return switch (text) {
             case "member" -> Role.MEMBER;
             case "subscriber" -> Role.SUBSCRIBER;
-            default -> throw new IOException("operator's file: store.role is " + text + "; member and subscriber are possible");
+            default -> throw new IOException(
+                    "operator's file: store.role is " + text + "; member and subscriber are possible");
         };
     }
 
@@ -262,7 +310,8 @@
             case "off" -> Audit.OFF;
             case "serve" -> Audit.SERVE;
             case "fence" -> Audit.FENCE;
-            default -> throw new IOException("operator's file: store.audit is " + text + "; off, serve and fence are possible");
+            default -> throw new IOException(
+                    "operator's file: store.audit is " + text + "; off, serve and fence are possible");
         };
     }
 
--- a/config/src/test/java/lupinvalve/config/DatabaseTest.java
+++ b/config/src/test/java/lupinvalve/config/DatabaseTest.java
@@ -10,8 +10,9 @@
 
 /** A group's configuration may name the databases; what is wrong in one entry is told with field and value. */
 class DatabaseTest {
-    private static final String ENTRY = "{\"name\":\"orders\",\"group\":\"g1\",\"zone\":\"z1\",\"primary\":\"10.0.0.1:5432\","
-            + "\"replicas\":[\"10.0.1.1:5432\",\"[fd00::1]:5432\"],\"connection_limit\":40,\"statement_timeout_ms\":30000}";
+    private static final String ENTRY =
+            "{\"name\":\"orders\",\"group\":\"g1\",\"zone\":\"z1\",\"primary\":\"10.0.0.1:5432\","
+                    + "\"replicas\":[\"10.0.1.1:5432\",\"[fd00::1]:5432\"],\"connection_limit\":40,\"statement_timeout_ms\":30000}";
 
     private static String objection(String entries) {
         return OperatorConfig.objection(("{\"databases\":[" + entries + "]}").getBytes(UTF_8));
@@ -24,8 +25,8 @@
     @Test
     void databasesAreReadAndStayThroughWhatAGroupAccepts() throws IOException {
         byte[] document = ("{\"databases\":[" + ENTRY + "]}").getBytes(UTF_8);
-        List<Database> expected = List.of(new Database("orders", "g1", "z1", "10.0.0.1:5432",
-                List.of("10.0.1.1:5432", "[fd00::1]:5432"), 40, 30_000));
+        List<Database> expected = List.of(new Database(
+                "orders", "g1", "z1", "10.0.0.1:5432", List.of("10.0.1.1:5432", "[fd00::1]:5432"), 40, 30_000));
         assertNull(OperatorConfig.objection(document));
         assertEquals(expected, OperatorConfig.read(document).databases());
         assertEquals(expected, OperatorConfig.NONE.accepted(document).databases());
@@ -34,7 +35,9 @@
 
     @Test
     void whatIsWrongIsToldWithFieldAndValue() {
-        wrong("\"orders\"", "\"or ders\"",
+        wrong(
+                "\"orders\"",
+                "\"or ders\"",
                 "databases[0].name is or ders; 1 to 63 letters, digits, ., - and _ are possible");
         wrong("\"orders\"", "7", "databases[0].name is 7; not a text");
         wrong("\"name\":\"orders\",", "", "databases[0].name is missing");
--- a/config/src/test/java/lupinvalve/config/NodeConfigTest.java
+++ b/config/src/test/java/lupinvalve/config/NodeConfigTest.java
@@ -24,7 +24,8 @@
 
     private void wrong(String from, String to, String... told) throws IOException {
         Path file = changed(from, to);
-        String message = assertThrows(IOException.class, () -> NodeConfig.read(file, null)).getMessage();
+        String message = assertThrows(IOException.class, () -> NodeConfig.read(file, null))
+                .getMessage();
         assertTrue(message.startsWith(file.toString()), message);
         for (String part : told) {
             assertTrue(message.contains(part), message);
@@ -43,9 +44,12 @@
 
     @Test
     void theListItHadIsReadWithTheZonesThatTheSettingsNameBehindIt() throws IOException {
-        String text = Files.readString(Path.of("example/config.json")).replace("\"almaty-main\"", "\"north\", \"south\"")
-                .replace("\"members\": []", "\"members\": [{\"id\": \"s-1\", \"host_port\": \"127.0.0.1:1\", \"locality\": \"south\","
-                        + " \"cell\": 1, \"phase\": \"in_service\", \"up_since_ms\": 0}]");
+        String text = Files.readString(Path.of("example/config.json"))
+                .replace("\"almaty-main\"", "\"north\", \"south\"")
+                .replace(
+                        "\"members\": []",
+                        "\"members\": [{\"id\": \"s-1\", \"host_port\": \"127.0.0.1:1\", \"locality\": \"south\","
+                                + " \"cell\": 1, \"phase\": \"in_service\", \"up_since_ms\": 0}]");
         NodeConfig config = NodeConfig.read(Files.writeString(folder.resolve("config.json"), text), null);
         assertEquals(1, config.known().entries().get(0).member().zone());
     }
@@ -72,7 +76,10 @@
         wrong("\"causal\"", "\"casual\"", "class_read", "casual");
         wrong("\"cold_from\": *[0-9.]+", "\"cold_from\": 1.5", "guarantees.cold_from", "1.5");
         wrong("\"fall_multiple\": *[0-9.]+", "\"fall_multiple\": 0", "guarantees.fall_multiple", "0");
-        wrong("\"stop_sending_within_us\": *[0-9]+,?", "\"stop_sending_within_us\": null", "stop_sending_within_us",
+        wrong(
+                "\"stop_sending_within_us\": *[0-9]+,?",
+                "\"stop_sending_within_us\": null",
+                "stop_sending_within_us",
                 "missing");
         wrong("\"cross_zone\": *[0-9.]+", "\"cross_zone\": -0.1", "prices.cross_zone", "-0.1");
         wrong("\"server_checks\": *\"bounce\"", "\"server_checks\": \"ask\"", "server_checks", "ask");
@@ -82,26 +89,48 @@
     @Test
     void anotherCustomersSettingsAreTakenAsTheyAre() throws IOException {
         String text = Files.readString(Path.of("example/config.json"));
-        for (String[] change : new String[][] {{"\"bag-status\"", "\"stock by site; no. 1/2 \u00fc\""}, {"\"aim_us\": 600000",
-                "\"aim_us\": 50000"}, {"\"deadline_us\": 2000000", "\"deadline_us\": 100000"}, {"\"deadline_us\": 1200000",
-                "\"deadline_us\": 600000000"}, {"\"key_ttl_us\": 5000000", "\"key_ttl_us\": 0"}, {"\"attempts_cap\": 6",
-                "\"attempts_cap\": 1"}, {"\"max_open\": 33687", "\"max_open\": 1"}, {"\"probe\": 0.039", "\"probe\": 0"},
-                {"\"may_probe\": true", "\"may_probe\": false"}, {"\"via\": \"piggyback\"", "\"via\": \"silent\""},
-                {"\"role_listed\": \"trailing\"", "\"role_listed\": \"never\""}, {"\"almaty-main\"", ""}, {"\"worth\": 1.0",
-                "\"worth\": 0"}, {"\"retry_after\": true", "\"retry_after\": false"}}) {
+        for (String[] change : new String[][] {
+            {"\"bag-status\"", "\"stock by site; no. 1/2 \u00fc\""},
+            {"\"aim_us\": 600000", "\"aim_us\": 50000"},
+            {"\"deadline_us\": 2000000", "\"deadline_us\": 100000"},
+            {"\"deadline_us\": 1200000", "\"deadline_us\": 600000000"},
+            {"\"key_ttl_us\": 5000000", "\"key_ttl_us\": 0"},
+            {"\"attempts_cap\": 6", "\"attempts_cap\": 1"},
+            {"\"max_open\": 33687", "\"max_open\": 1"},
+            {"\"probe\": 0.039", "\"probe\": 0"},
+            {"\"may_probe\": true", "\"may_probe\": false"},
+            {"\"via\": \"piggyback\"", "\"via\": \"silent\""},
+            {"\"role_listed\": \"trailing\"", "\"role_listed\": \"never\""},
+            {"\"almaty-main\"", ""},
+            {"\"worth\": 1.0", "\"worth\": 0"},
+            {"\"retry_after\": true", "\"retry_after\": false"}
+        }) {
             assertTrue(text.contains(change[0]), change[0]);
             NodeConfig.read(Files.writeString(folder.resolve("config.json"), text.replace(change[0], change[1])), null);
         }
-        String fewer = text.replaceFirst("(?s)\"projects\": \\[.*?\\],", "").replaceFirst("(?s)\"dcs\": \\[.*?\\],", "");
+        String fewer =
+                text.replaceFirst("(?s)\"projects\": \\[.*?\\],", "").replaceFirst("(?s)\"dcs\": \\[.*?\\],", "");
         assertTrue(fewer.length() < text.length() - 200);
         NodeConfig.read(Files.writeString(folder.resolve("config.json"), fewer), null);
     }
 
     @Test
     void operatorsAddressIsCheckedAndTheVariableGoesBeforeTheFile() throws IOException {
-        for (String value : new String[] {"\"nowhere\"", "\"127.0.0.1\"", "\"127.0.0.1:\"", "\"127.0.0.1:70000\"",
-                "\"ops.example:9600\"", "\"\"", "9600", "{}"}) {
-            wrong("\\{", "{\"operator\": " + value + ",", "operator", value.replace("\"", "").replace("{}", ""));
+        for (String value : new String[] {
+            "\"nowhere\"",
+            "\"127.0.0.1\"",
+            "\"127.0.0.1:\"",
+            "\"127.0.0.1:70000\"",
+            "\"ops.example:9600\"",
+            "\"\"",
+            "9600",
+            "{}"
+        }) {
+            wrong(
+                    "\\{",
+                    "{\"operator\": " + value + ",",
+                    "operator",
+                    value.replace("\"", "").replace("{}", ""));
         }
         NodeConfig plain = NodeConfig.read(changed("\"n0\"", "\"n9\""), null);
         assertEquals(null, plain.operator());
@@ -109,8 +138,11 @@
         NodeConfig file = NodeConfig.read(changed("\\{", "{\"operator\": \"127.0.0.1:9600\","), null);
         assertEquals(9600, file.operator().getPort());
         assertEquals(9600, file.withOperator("NODE_OPERATOR", null).operator().getPort());
-        assertEquals(9601, file.withOperator("NODE_OPERATOR", "127.0.0.2:9601").operator().getPort());
-        String message = assertThrows(IOException.class, () -> file.withOperator("NODE_OPERATOR", "there")).getMessage();
+        assertEquals(
+                9601,
+                file.withOperator("NODE_OPERATOR", "127.0.0.2:9601").operator().getPort());
+        String message = assertThrows(IOException.class, () -> file.withOperator("NODE_OPERATOR", "there"))
+                .getMessage();
         assertEquals("NODE_OPERATOR: there is no address and port", message);
     }
 
--- a/config/src/test/java/lupinvalve/config/StoreRoleTest.java
+++ b/config/src/test/java/lupinvalve/config/StoreRoleTest.java
@@ -11,12 +11,16 @@
 /** A member listens, a subscriber does not; what does not fit is told with its field and value. */
 class StoreRoleTest {
     private static OperatorConfig.Store store(String more) throws IOException {
-        return OperatorConfig.read(("{\"store\":{\"name\":\"s\",\"folder\":\"f\",\"members\":{\"a\":\"127.0.0.1:1\"}" + more + "}}")
-                .getBytes(StandardCharsets.UTF_8)).store();
+        return OperatorConfig.read(("{\"store\":{\"name\":\"s\",\"folder\":\"f\",\"members\":{\"a\":\"127.0.0.1:1\"}"
+                                + more + "}}")
+                        .getBytes(StandardCharsets.UTF_8))
+                .store();
     }
 
     private static void wrong(String more, String told) {
-        assertEquals("operator's file: " + told, assertThrows(IOException.class, () -> store(more)).getMessage());
+        assertEquals(
+                "operator's file: " + told,
+                assertThrows(IOException.class, () -> store(more)).getMessage());
     }
 
     @Test
@@ -24,12 +28,18 @@
         OperatorConfig.Store subscriber = store(",\"role\":\"subscriber\",\"audit\":\"fence\"");
         assertEquals(OperatorConfig.Role.SUBSCRIBER, subscriber.role());
         assertNull(subscriber.listen());
-        assertEquals(OperatorConfig.Role.MEMBER, store(",\"listen\":\"127.0.0.1:1\"").role());
-        assertEquals(OperatorConfig.Role.MEMBER, store(",\"listen\":\"127.0.0.1:1\",\"role\":\"member\"").role());
+        assertEquals(
+                OperatorConfig.Role.MEMBER, store(",\"listen\":\"127.0.0.1:1\"").role());
+        assertEquals(
+                OperatorConfig.Role.MEMBER,
+                store(",\"listen\":\"127.0.0.1:1\",\"role\":\"member\"").role());
         wrong("", "store.listen is missing");
         wrong(",\"role\":\"learner\"", "store.role is learner; member and subscriber are possible");
-        wrong(",\"role\":\"subscriber\",\"listen\":\"127.0.0.1:1\"", "store.listen is 127.0.0.1:1; a subscriber listens nowhere");
-        wrong(",\"role\":\"subscriber\",\"wait_for_majority_ms\":5",
+        wrong(
+                ",\"role\":\"subscriber\",\"listen\":\"127.0.0.1:1\"",
+                "store.listen is 127.0.0.1:1; a subscriber listens nowhere");
+        wrong(
+                ",\"role\":\"subscriber\",\"wait_for_majority_ms\":5",
                 "store.wait_for_majority_ms is 5; a subscriber tells the group of no commits");
     }
 }
--- a/core/src/main/java/lupinvalve/core/Backend.java
+++ b/core/src/main/java/lupinvalve/core/Backend.java
@@ -15,8 +15,7 @@
      * @param waitMicros how long the pooler will wait
      * @param wantedMicros for how long the db node may begin it, which it is told
      */
-    void send(long attempt, String node, String address, Object statement, long waitMicros,
-            long wantedMicros);
+    void send(long attempt, String node, String address, Object statement, long waitMicros, long wantedMicros);
 
     /** Stops waiting for an attempt and closes its connection; true where its request may have left. */
     boolean abandon(long attempt);
--- a/core/src/main/java/lupinvalve/core/Clock.java
+++ b/core/src/main/java/lupinvalve/core/Clock.java
@@ -3,8 +3,8 @@
 import java.time.Instant;
 
 /**
- * Unix time in microseconds: anchored once to the system's clock and advanced by the monotonic one, so that it
- * never goes back. Positions of the replication log lie on the same clock.
+ * Unix time in microseconds: anchored once to the system's clock and advanced by the monotonic one, so that it never
+ * goes back. Positions of the replication log lie on the same clock.
  */
 public final class Clock {
     private final long anchorNanos = System.nanoTime();
--- a/core/src/main/java/lupinvalve/core/Directory.java
+++ b/core/src/main/java/lupinvalve/core/Directory.java
@@ -27,7 +27,10 @@
     /** Asks for the whole list once. */
     void fetch();
 
-    /** Up to when all that was told is known to the core: what is told later has not been, when the work in hand was begun. */
+    /**
+     * Up to when all that was told is known to the core: what is told later has not been, when the work in hand was
+     * begun.
+     */
     default long knownUpTo() {
         return Long.MAX_VALUE;
     }
--- a/core/src/main/java/lupinvalve/core/FirstWord.java
+++ b/core/src/main/java/lupinvalve/core/FirstWord.java
@@ -4,18 +4,23 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * What a start waits for: discovery's first word to this process, or that discovery turns its calls down at once, in which case there is
- * nothing that it could have been told. A call that fails after it has waited is no such sign: an overloaded discovery fails some and
- * answers others. The core thread says what comes; another waits.
+ * What a start waits for: discovery's first word to this process, or that discovery turns its calls down at once, in
+ * which case there is nothing that it could have been told. A call that fails after it has waited is no such sign: an
+ * overloaded discovery fails some and answers others. The core thread says what comes; another waits.
  */
 public final class FirstWord {
     /** How it went. */
-    public enum Outcome { TOLD, TURNED_DOWN, SILENT }
+    public enum Outcome {
+        TOLD,
+        TURNED_DOWN,
+        SILENT
+    }
 
     /** One call may fail at once where discovery is up; a second one means that it takes none. */
     private static final int TURNED_DOWN_CALLS = 2;
     /** A call that fails within so many microseconds has not waited for its turn. */
     private static final long AT_ONCE = 100_000;
+
     private final CountDownLatch over = new CountDownLatch(1);
     private volatile Outcome outcome = Outcome.SILENT;
     private int turnedDown;
--- a/core/src/main/java/lupinvalve/core/Front.java
+++ b/core/src/main/java/lupinvalve/core/Front.java
@@ -8,7 +8,10 @@
     /** Whether the client has gone, as far as sockets tell: the core may not have come to it yet. */
     boolean left(long ticket);
 
-    /** A long answer begins, as a db node gives it; {@link #more} brings the rest, {@link #served} or {@link #cut} its end. */
+    /**
+     * A long answer begins, as a db node gives it; {@link #more} brings the rest, {@link #served} or {@link #cut} its
+     * end.
+     */
     default void begins(long ticket, Object first, Backend.Source source) {
         throw new IllegalStateException("this front takes whole answers only");
     }
--- a/core/src/main/java/lupinvalve/core/ListChanges.java
+++ b/core/src/main/java/lupinvalve/core/ListChanges.java
@@ -18,7 +18,8 @@
      * @param before the list held, by id
      * @param unnamed ids that a whole list no longer names
      */
-    static String text(Map<String, Directory.Entry> before, Collection<Directory.Entry> news, Collection<String> unnamed) {
+    static String text(
+            Map<String, Directory.Entry> before, Collection<Directory.Entry> news, Collection<String> unnamed) {
         List<String> changes = new ArrayList<>();
         for (Directory.Entry entry : news) {
             Directory.Entry known = before.get(entry.member().node());
@@ -35,6 +36,8 @@
         }
         unnamed.forEach(node -> changes.add(node + " unlisted"));
         String named = String.join(", ", changes.subList(0, Math.min(NAMED, changes.size())));
-        return changes.isEmpty() ? "nothing changed" : changes.size() > NAMED ? named + " and " + (changes.size() - NAMED) + " more" : named;
+        return changes.isEmpty()
+                ? "nothing changed"
+                : changes.size() > NAMED ? named + " and " + (changes.size() - NAMED) + " more" : named;
     }
 }
--- a/core/src/main/java/lupinvalve/core/Loop.java
+++ b/core/src/main/java/lupinvalve/core/Loop.java
@@ -6,8 +6,8 @@
 import lupinvalve.log.Log;
 
 /**
- * The core thread: runs what other threads post, and the deadlines, one after another. All tables belong to it, so
- * none of them needs a lock.
+ * The core thread: runs what other threads post, and the deadlines, one after another. All tables belong to it, so none
+ * of them needs a lock.
  */
 public final class Loop {
     private static final long WINDOW = 500_000;
@@ -16,7 +16,7 @@
     private final Clock clock = new Clock();
     private final Deadlines deadlines = new Deadlines();
     private final Thread thread;
-    private volatile Runnable first = () -> { };
+    private volatile Runnable first = () -> {};
     private volatile boolean stopped;
     private long longestWait, waits, waitsSince;
 
@@ -36,7 +36,7 @@
 
     public void stop() {
         stopped = true;
-        post(() -> { });
+        post(() -> {});
     }
 
     /** Hands work to the core thread, from any thread. */
@@ -48,7 +48,7 @@
     public void urgent(Runnable work) {
         urgent.add(work);
         // Wakes the thread where it waits for something posted.
-        posted.add(() -> { });
+        posted.add(() -> {});
     }
 
     /** Runs {@code look} before each piece of work, and what that makes urgent is done first. */
@@ -122,8 +122,9 @@
     }
 
     /**
-     * Guards against one connection's fault ending the thread that serves all the others. Errors too: a class that can't be
-     * loaded or a stack that is too deep for one request would leave a process that listens and answers nobody.
+     * Guards against one connection's fault ending the thread that serves all the others. Errors too: a class that
+     * can't be loaded or a stack that is too deep for one request would leave a process that listens and answers
+     * nobody.
      */
     private static void run(Runnable work) {
         try {
--- a/core/src/main/java/lupinvalve/core/Pooler.java
+++ b/core/src/main/java/lupinvalve/core/Pooler.java
@@ -41,8 +41,17 @@
      * @param expiresMicros when the client stops waiting
      * @param protocol name of the backend that can carry the statement
      */
-    public record Ask(String id, int classIndex, boolean repeated, String session, long afterMicros, int group,
-            long arrivedMicros, long expiresMicros, String protocol, Object statement) {
+    public record Ask(
+            String id,
+            int classIndex,
+            boolean repeated,
+            String session,
+            long afterMicros,
+            int group,
+            long arrivedMicros,
+            long expiresMicros,
+            String protocol,
+            Object statement) {
         /** How long the client said that it would wait. */
         long waitMicros() {
             return expiresMicros - arrivedMicros;
@@ -66,7 +75,8 @@
         }
 
         private boolean is(Directory.Entry entry) {
-            return addresses.equals(entry.addresses()) && bornMicros >= entry.member().bornMicros();
+            return addresses.equals(entry.addresses())
+                    && bornMicros >= entry.member().bornMicros();
         }
 
         /** Whether a connection to this one leads to the other: a restart binds those that were opened before it. */
@@ -89,6 +99,7 @@
         Deadlines.Deadline overtime;
         /** The attempt whose answer is being passed on, and the pieces so far. */
         Attempt passing;
+
         long pieces;
 
         Held(Front front, long ticket, Ask ask, long expires) {
@@ -120,9 +131,11 @@
     private final Map<String, Backend> backends = new java.util.LinkedHashMap<>();
     /** The list as discovery tells it, and the processes of those of its db nodes that may be used. */
     private final Map<String, Directory.Entry> listing = new HashMap<>();
+
     private final Map<String, Instance> instances = new HashMap<>();
     /** Since when db nodes that are still listed have been told as leaving. */
     private final Map<String, Long> leaving = new HashMap<>();
+
     private final Maintenance maintenance;
     private final Map<String, Maintenance.Orders> ordersBy = new HashMap<>();
     private final Drain drain = new Drain();
@@ -130,6 +143,7 @@
     private final FirstWord firstWord = new FirstWord();
     /** Whether this pooler may act on what it knows; null where that right can't end. */
     private BooleanSupplier fence;
+
     private final Map<String, Held> byId = new HashMap<>();
     private final Set<String> named = new HashSet<>();
     private final Slots<Held> requests = new Slots<>(MOST);
@@ -147,7 +161,8 @@
         this.loop = loop;
         this.settings = settings;
         maintenance = new Maintenance(settings.rules().warmUpMicros());
-        figures = new Figures(settings.classes().stream().map(Routing.RequestClass::name).toList());
+        figures = new Figures(
+                settings.classes().stream().map(Routing.RequestClass::name).toList());
     }
 
     public Drain drain() {
@@ -181,8 +196,8 @@
     }
 
     /**
-     * From now on nothing is decided while this says no: what comes is refused at once, and what was decided and has not gone out
-     * does not go. From any thread.
+     * From now on nothing is decided while this says no: what comes is refused at once, and what was decided and has
+     * not gone out does not go. From any thread.
      */
     public void fence(BooleanSupplier open) {
         fence = open;
@@ -252,8 +267,17 @@
         // A commit is rounded up, so it may lie in the future: no age would mean no token.
         long age = after > 0 ? Math.max(1, now - after) : 0;
         held.overtime = loop.after(left + OVERTIME, () -> overtime(held));
-        feed(now, new Routing.Request(held.id, ask.classIndex(), ask.repeated(), ask.session(), age, ask.group(),
-                left, ask.waitMicros()));
+        feed(
+                now,
+                new Routing.Request(
+                        held.id,
+                        ask.classIndex(),
+                        ask.repeated(),
+                        ask.session(),
+                        age,
+                        ask.group(),
+                        left,
+                        ask.waitMicros()));
         return held.handle;
     }
 
@@ -284,7 +308,11 @@
     }
 
     /** What is to be done with a long answer that has begun to come. */
-    public enum Pass { ON, KEEP, DROP }
+    public enum Pass {
+        ON,
+        KEEP,
+        DROP
+    }
 
     /**
      * A long answer has begun to come. Where it is passed on, the router hears that the request was served: an answer
@@ -298,8 +326,7 @@
         Held held = a.of;
         // What an answer tells at its end must be known first where it decides: whether the read is fresh enough, or
         // which token the session gets where this pooler keeps it.
-        boolean keepsToken = marks != Marks.NONE
-                || settings.replication().tokens() == Routing.TokenSource.REMEMBERED;
+        boolean keepsToken = marks != Marks.NONE || settings.replication().tokens() == Routing.TokenSource.REMEMBERED;
         if (held.token > 0 || keepsToken && access(held) == Routing.Access.WRITE) {
             return Pass.KEEP;
         }
@@ -309,8 +336,15 @@
         watch(held, 0);
         held.front.begins(held.ticket, first, source);
         if (!held.answered) {
-            feed(new Routing.Outcome(held.id, a.number, a.node, Ending.SERVED, loop.now() - a.sentAt, true,
-                    Routing.NO_POSITION, Routing.Role.UNKNOWN));
+            feed(new Routing.Outcome(
+                    held.id,
+                    a.number,
+                    a.node,
+                    Ending.SERVED,
+                    loop.now() - a.sentAt,
+                    true,
+                    Routing.NO_POSITION,
+                    Routing.Role.UNKNOWN));
         }
         return Pass.ON;
     }
@@ -374,8 +408,7 @@
                     held.front.served(held.ticket, answer, position, role);
                 }
             };
-            if (access(held) == Routing.Access.WRITE && held.ask.session() != null
-                    && position != Routing.NO_POSITION) {
+            if (access(held) == Routing.Access.WRITE && held.ask.session() != null && position != Routing.NO_POSITION) {
                 // Its answer may wait until others know the token; the wait has a bound of its own.
                 held.served = true;
                 loop.drop(held.overtime);
@@ -384,8 +417,17 @@
                 serve.run();
             }
         }
-        feed(now, new Routing.Outcome(held.id, a.number, a.node, ending, now - a.sentAt, held.answered || held.served,
-                position, role));
+        feed(
+                now,
+                new Routing.Outcome(
+                        held.id,
+                        a.number,
+                        a.node,
+                        ending,
+                        now - a.sentAt,
+                        held.answered || held.served,
+                        position,
+                        role));
     }
 
     /** A probe has ended. */
@@ -500,23 +542,24 @@
     }
 
     /**
-     * Whether what has waited for a connection to this process of a db node may no longer go out on it. When it was decided on,
-     * the process may not have been told to leave, its client was there, and the repeat or the age of data that it
-     * allows may have been in time; what counts is when the first byte goes out.
+     * Whether what has waited for a connection to this process of a db node may no longer go out on it. When it was
+     * decided on, the process may not have been told to leave, its client was there, and the repeat or the age of data
+     * that it allows may have been in time; what counts is when the first byte goes out.
      *
      * @param attempt or -1 for a probe
      */
     public boolean bars(String node, Instance opened, long openedAt, long attempt) {
         Long since = leaving.get(node);
-        boolean closed = fenced() || !leads(node, opened, openedAt)
+        boolean closed = fenced()
+                || !leads(node, opened, openedAt)
                 || since != null && loop.now() >= since + settings.rules().drainGraceMicros() * 3 / 4;
         Attempt a = attempts.get(attempt);
         return closed || a != null && (a.of.front.left(a.of.ticket) || !router.stands(a.of.id, loop.now()));
     }
 
     /**
-     * Until when the first byte of what is decided now may go out to a db node: a departure that has been told meanwhile
-     * binds by then, or one that is known.
+     * Until when the first byte of what is decided now may go out to a db node: a departure that has been told
+     * meanwhile binds by then, or one that is known.
      */
     public long beginBy(String node) {
         long known = Math.min(directory.knownUpTo(), leaving.getOrDefault(node, Long.MAX_VALUE));
@@ -538,8 +581,17 @@
         List<Known> all = new ArrayList<>();
         for (Directory.Entry entry : listing.values()) {
             Routing.Member m = entry.member();
-            all.add(new Known(new Directory.Entry(new Routing.Member(m.node(), m.group(), m.zone(), m.health(),
-                    router.isPrimary(m.node()), m.bornMicros()), entry.addresses()), router.position(m.node())));
+            all.add(new Known(
+                    new Directory.Entry(
+                            new Routing.Member(
+                                    m.node(),
+                                    m.group(),
+                                    m.zone(),
+                                    m.health(),
+                                    router.isPrimary(m.node()),
+                                    m.bornMicros()),
+                            entry.addresses()),
+                    router.position(m.node())));
         }
         all.sort(java.util.Comparator.comparing(known -> known.entry().member().node()));
         return all;
@@ -577,10 +629,16 @@
     /** @param end what its client is told; null where the client has left */
     private void close(Held held, String how, Figures.End end) {
         if (Log.debugs()) {
-            Log.debug("%s %s %s after %d us, group %d, %d attempts, first out after %d us, given %d us", held.id,
-                    settings.classes().get(held.ask.classIndex()).name(), how,
-                    loop.now() - held.ask.arrivedMicros(), held.ask.group(), held.attempts,
-                    held.attempts == 0 ? -1 : held.firstSent - held.ask.arrivedMicros(), held.ask.waitMicros());
+            Log.debug(
+                    "%s %s %s after %d us, group %d, %d attempts, first out after %d us, given %d us",
+                    held.id,
+                    settings.classes().get(held.ask.classIndex()).name(),
+                    how,
+                    loop.now() - held.ask.arrivedMicros(),
+                    held.ask.group(),
+                    held.attempts,
+                    held.attempts == 0 ? -1 : held.firstSent - held.ask.arrivedMicros(),
+                    held.ask.waitMicros());
         }
         note(summary.request(how, end == Figures.End.SERVED));
         held.answered = true;
@@ -687,8 +745,15 @@
         Instance instance = instances.get(send.node());
         String address = held == null || instance == null ? null : instance.addresses.get(held.ask.protocol());
         if (deserted || address == null || attempts.full() || fenced()) {
-            feed(new Routing.Outcome(send.id(), number, send.node(), Ending.NOT_SENT, 0, deserted || held == null,
-                    Routing.NO_POSITION, Routing.Role.UNKNOWN));
+            feed(new Routing.Outcome(
+                    send.id(),
+                    number,
+                    send.node(),
+                    Ending.NOT_SENT,
+                    0,
+                    deserted || held == null,
+                    Routing.NO_POSITION,
+                    Routing.Role.UNKNOWN));
             return;
         }
         long left = held.expires - now;
@@ -698,8 +763,14 @@
         summary.begins(number);
         held.out = a;
         a.timeout = loop.after(wait, () -> abandon(a, Ending.TIMED_OUT));
-        backends.get(held.ask.protocol()).send(a.handle, a.node, address, held.ask.statement(), wait,
-                send.wantedMicros() == 0 ? wait : Math.min(send.wantedMicros(), wait));
+        backends.get(held.ask.protocol())
+                .send(
+                        a.handle,
+                        a.node,
+                        address,
+                        held.ask.statement(),
+                        wait,
+                        send.wantedMicros() == 0 ? wait : Math.min(send.wantedMicros(), wait));
     }
 
     /** What was never handed to a socket has not run, whatever ended the wait for it. */
--- a/core/src/main/java/lupinvalve/core/Positions.java
+++ b/core/src/main/java/lupinvalve/core/Positions.java
@@ -28,7 +28,8 @@
         }
         long micros = new BigDecimal(text).movePointRight(digits).longValue();
         if (micros > now + AHEAD) {
-            IMPOSSIBLE.warn("a db node's position lies over 1 s ahead of this machine's wall clock and is not taken: spoilt, or one of the clocks is wrong");
+            IMPOSSIBLE.warn(
+                    "a db node's position lies over 1 s ahead of this machine's wall clock and is not taken: spoilt, or one of the clocks is wrong");
             return Routing.NO_POSITION;
         }
         return micros <= 0 ? Routing.NO_POSITION : micros;
--- a/core/src/main/java/lupinvalve/core/RequestSummary.java
+++ b/core/src/main/java/lupinvalve/core/RequestSummary.java
@@ -8,12 +8,13 @@
 import lupinvalve.Routing.Ending;
 
 /**
- * Counts how requests and attempts end, for one line of the log every few seconds in which something else than an answer came. Each
- * attempt after the first of a request is a retry. Core thread only.
+ * Counts how requests and attempts end, for one line of the log every few seconds in which something else than an
+ * answer came. Each attempt after the first of a request is a retry. Core thread only.
  */
 final class RequestSummary {
     /** Db nodes that are counted by name, and those of them that are named for each ending. */
     private static final int NODES_MOST = 64, NODES_NAMED = 3;
+
     private final Map<String, Integer> requests = new TreeMap<>();
     private final Map<Ending, Map<String, Integer>> attempts = new EnumMap<>(Ending.class);
     private int retries;
@@ -42,10 +43,16 @@
     /** What has been noted since the last call, in one line. */
     String take() {
         StringBuilder text = new StringBuilder(requests.entrySet().stream()
-                .map(e -> e.getValue() + " " + e.getKey()).collect(Collectors.joining(", ")));
+                .map(e -> e.getValue() + " " + e.getKey())
+                .collect(Collectors.joining(", ")));
         text.append("; ").append(retries).append(" retries");
-        attempts.forEach((ending, byNode) -> text.append("; attempts ").append(ending).append(' ')
-                .append(byNode.values().stream().mapToInt(Integer::intValue).sum()).append(" (").append(most(byNode)).append(')'));
+        attempts.forEach((ending, byNode) -> text.append("; attempts ")
+                .append(ending)
+                .append(' ')
+                .append(byNode.values().stream().mapToInt(Integer::intValue).sum())
+                .append(" (")
+                .append(most(byNode))
+                .append(')'));
         requests.clear();
         attempts.clear();
         retries = 0;
@@ -53,8 +60,11 @@
     }
 
     private static String most(Map<String, Integer> byNode) {
-        String named = byNode.entrySet().stream().sorted(Map.Entry.<String, Integer>comparingByValue().reversed())
-                .limit(NODES_NAMED).map(e -> e.getKey() + " " + e.getValue()).collect(Collectors.joining(", "));
+        String named = byNode.entrySet().stream()
+                .sorted(Map.Entry.<String, Integer>comparingByValue().reversed())
+                .limit(NODES_NAMED)
+                .map(e -> e.getKey() + " " + e.getValue())
+                .collect(Collectors.joining(", "));
         return byNode.size() > NODES_NAMED ? named + " and " + (byNode.size() - NODES_NAMED) + " more" : named;
     }
 }
--- a/core/src/main/java/lupinvalve/core/Slots.java
+++ b/core/src/main/java/lupinvalve/core/Slots.java
@@ -6,8 +6,8 @@
 import java.util.function.Consumer;
 
 /**
- * A bounded table of numbered slots. A handle holds the slot's number and its generation, so that an event which
- * comes late, after its slot was freed and used again, finds nothing instead of a stranger.
+ * A bounded table of numbered slots. A handle holds the slot's number and its generation, so that an event which comes
+ * late, after its slot was freed and used again, finds nothing instead of a stranger.
  */
 public final class Slots<T> {
     private static final int NUMBER_BITS = 20;
@@ -61,7 +61,8 @@
     public T get(long handle) {
         int number = (int) (handle & (1 << NUMBER_BITS) - 1);
         return handle < 0 || number >= held.size() || generations[number] != handle >> NUMBER_BITS
-                ? null : held.get(number);
+                ? null
+                : held.get(number);
     }
 
     /** Frees the slot and gives what it held, or null if the handle was over already. */
--- a/core/src/main/java/lupinvalve/core/Statement.java
+++ b/core/src/main/java/lupinvalve/core/Statement.java
@@ -119,8 +119,9 @@
      * @param session the session's key, or null to take the first quoted literal
      * @param carried what goes to the backend
      */
-    public Pooler.Ask ask(List<Routing.RequestClass> classes, long arrivedMicros, String session, String protocol,
-            Object carried) throws Unclear {
+    public Pooler.Ask ask(
+            List<Routing.RequestClass> classes, long arrivedMicros, String session, String protocol, Object carried)
+            throws Unclear {
         String name = fields.get("c");
         int index = 0;
         while (index < classes.size() && !classes.get(index).name().equals(name)) {
@@ -143,9 +144,17 @@
         }
         // What a client claims to wait can't be longer than a class allows: it would hold its slot for ever.
         long most = Math.max(classes.get(index).deadlineMicros() / 1000, 1);
-        return new Pooler.Ask(id, index, "1".equals(fields.get("r")), session != null ? session : key(),
-                Math.max(0, number("after")) * 1000, (int) group, arrivedMicros,
-                arrivedMicros + Math.min(wait, most) * 1000, protocol, carried);
+        return new Pooler.Ask(
+                id,
+                index,
+                "1".equals(fields.get("r")),
+                session != null ? session : key(),
+                Math.max(0, number("after")) * 1000,
+                (int) group,
+                arrivedMicros,
+                arrivedMicros + Math.min(wait, most) * 1000,
+                protocol,
+                carried);
     }
 
     /** A field's whole number, or -1 where it is missing. Nothing is guessed for one that is no such number. */
--- a/core/src/test/java/lupinvalve/core/CoreTest.java
+++ b/core/src/test/java/lupinvalve/core/CoreTest.java
@@ -69,8 +69,7 @@
         Statement statement = new Statement(text.getBytes(StandardCharsets.UTF_8));
         assertEquals("it''s", statement.key());
         assertEquals("x", statement.field("c"));
-        assertEquals(text.replace("d=480", "d=12"),
-                new String(statement.bytes(12_900), StandardCharsets.UTF_8));
+        assertEquals(text.replace("d=480", "d=12"), new String(statement.bytes(12_900), StandardCharsets.UTF_8));
         Statement bare = new Statement("SELECT '".getBytes(StandardCharsets.UTF_8));
         assertNull(bare.key());
         assertFalse(bare.bytes(5).length == 0);
--- a/core/src/test/java/lupinvalve/core/LogTextsTest.java
+++ b/core/src/test/java/lupinvalve/core/LogTextsTest.java
@@ -42,13 +42,21 @@
 
     @Test
     void changesOfTheListAreNamedUpToAFew() {
-        Map<String, Directory.Entry> before = Map.of("s-1", entry("s-1", Routing.Health.LIVE, 1), "s-2", entry("s-2", Routing.Health.LIVE, 1));
+        Map<String, Directory.Entry> before =
+                Map.of("s-1", entry("s-1", Routing.Health.LIVE, 1), "s-2", entry("s-2", Routing.Health.LIVE, 1));
         assertEquals("nothing changed", ListChanges.text(before, before.values(), List.of()));
-        assertEquals("s-1 draining, s-2 restarted, s-3 new live, s-4 unlisted", ListChanges.text(before, List.of(
-                entry("s-1", Routing.Health.DRAINING, 1), entry("s-2", Routing.Health.LIVE, 2), entry("s-3", Routing.Health.LIVE, 1)),
-                List.of("s-4")));
+        assertEquals(
+                "s-1 draining, s-2 restarted, s-3 new live, s-4 unlisted",
+                ListChanges.text(
+                        before,
+                        List.of(
+                                entry("s-1", Routing.Health.DRAINING, 1),
+                                entry("s-2", Routing.Health.LIVE, 2),
+                                entry("s-3", Routing.Health.LIVE, 1)),
+                        List.of("s-4")));
         List<String> gone = List.of("a", "b", "c", "d", "e", "f", "g", "h", "i", "j");
-        assertEquals("a unlisted, b unlisted, c unlisted, d unlisted, e unlisted, f unlisted, g unlisted, h unlisted and 2 more",
+        assertEquals(
+                "a unlisted, b unlisted, c unlisted, d unlisted, e unlisted, f unlisted, g unlisted, h unlisted and 2 more",
                 ListChanges.text(Map.of(), List.of(), gone));
     }
 }
--- a/daemon/src/main/java/lupinvalve/cli/CheckConfig.java
+++ b/daemon/src/main/java/lupinvalve/cli/CheckConfig.java
@@ -10,7 +10,8 @@
         OperatorConfig operator = operator();
         NodeConfig config = node(operator);
         System.out.println("ok: " + config.name() + " listens on " + config.listen() + ", "
-                + config.site().settings().classes().size() + " classes, " + config.known().entries().size()
+                + config.site().settings().classes().size() + " classes, "
+                + config.known().entries().size()
                 + " db nodes known; operators' address "
                 + (config.operator() == null ? "off" : config.operator()) + ", MySQL front "
                 + on(operator.mysql()) + ", store " + on(operator.store()) + ", DNS-SD " + on(operator.dnsSd()));
--- a/daemon/src/main/java/lupinvalve/cli/Daemon.java
+++ b/daemon/src/main/java/lupinvalve/cli/Daemon.java
@@ -37,19 +37,26 @@
     private static final long KILL = 700_000, LONGEST = 3_000_000;
     /** Before that all is answered; and before that again nothing new is taken. */
     private static final long ANSWERED = 250_000, LAST_CALL = 400_000;
-    /** Descriptors kept for files, listeners, discovery and the JVM; of these, connections on their way out may take some. */
+    /**
+     * Descriptors kept for files, listeners, discovery and the JVM; of these, connections on their way out may take
+     * some.
+     */
     private static final int SPARE = 64, PARTING = 16;
+
     private static final long PROBE = 250_000;
     /** How long threads of sockets may take to end: less than a halt would wait for them. */
     private static final long THREADS_MILLIS = 60;
     /** How often it is looked whether all has ended, and how often that must be so in turn. */
     private static final long SETTLE = 10_000;
+
     private static final int QUIET = 5;
     /**
-     * How long a start waits for discovery's first word, from when it was asked. Changes bind 6 s after discovery had them, so the
-     * list in the file may name db nodes that must not be used any more; nine in ten starts have to be over within 10 s.
+     * How long a start waits for discovery's first word, from when it was asked. Changes bind 6 s after discovery had
+     * them, so the list in the file may name db nodes that must not be used any more; nine in ten starts have to be
+     * over within 10 s.
      */
     private static final long FIRST_WORD_MILLIS = 4_000;
+
     private final NodeConfig config;
     private final Loop loop = new Loop();
     private final Net net = new Net(loop);
@@ -58,6 +65,7 @@
      * start, when clients come at once and code is cold, had lists wait longer than that behind requests.
      */
     private final Net listing = new Net(loop, true);
+
     private final Pooler pooler;
     private final PgFront front;
     // One of them is the directory.
@@ -111,8 +119,11 @@
         net.bound(sockets + PARTING);
         int clients = Math.min(600, sockets * 5 / 9) / parts;
         front = new PgFront(pooler, clients);
-        Pool.Bounds bounds = new Pool.Bounds(Math.min(480, sockets * 4 / 9) / parts, config.site().connectMicros(),
-                config.site().keepaliveMicros() * 7 / 10, PROBE);
+        Pool.Bounds bounds = new Pool.Bounds(
+                Math.min(480, sockets * 4 / 9) / parts,
+                config.site().connectMicros(),
+                config.site().keepaliveMicros() * 7 / 10,
+                PROBE);
         backend(PgFront.PROTOCOL, new PgBackend(net, pooler, bounds, "api", "ledger"));
         if (file.mysql() != null) {
             // Where a group keeps the configuration, the one accepted has the accounts, and there may be none yet.
@@ -124,10 +135,11 @@
         pooler.directory(directory());
         if (config.operator() != null) {
             // Poolers of other names may share the folder where it is no pooler's own.
-            Path stem = folder == null ? null
+            Path stem = folder == null
+                    ? null
                     : folder.resolve("lupinvalve-" + config.name().replaceAll("[^A-Za-z0-9_.-]", "_"));
-            operations = new Operations(pooler, stem, this::endConnections,
-                    another -> pools.forEach(pool -> pool.beside(another)));
+            operations = new Operations(
+                    pooler, stem, this::endConnections, another -> pools.forEach(pool -> pool.beside(another)));
             door = new Door(new Calls(operations));
         }
     }
@@ -144,7 +156,9 @@
         }
     }
 
-    /** A configuration that a majority has accepted: accounts and resolver hold at once, the rest from the next start. */
+    /**
+     * A configuration that a majority has accepted: accounts and resolver hold at once, the rest from the next start.
+     */
     private void adopted(byte[] document) {
         try {
             OperatorConfig before = operator;
@@ -223,14 +237,23 @@
         if (config.discovery() == null) {
             throw new IllegalArgumentException("no discovery in the configuration and no dns_sd");
         }
-        http = new HttpDirectory(listing, pooler, Addresses.parse(config.discovery()),
-                new ListReader(config.site().zones(), port), config.known().revision());
+        http = new HttpDirectory(
+                listing,
+                pooler,
+                Addresses.parse(config.discovery()),
+                new ListReader(config.site().zones(), port),
+                config.known().revision());
         return http;
     }
 
     private DnsDirectory dnsDirectory(OperatorConfig.DnsSd place) {
-        dns = new DnsDirectory(pooler, Addresses.parse(place.resolver()), place.service(), place.pollMicros(),
-                operator.mysql() == null ? 3306 : operator.mysql().nodePort(), config.site().zones());
+        dns = new DnsDirectory(
+                pooler,
+                Addresses.parse(place.resolver()),
+                place.service(),
+                place.pollMicros(),
+                operator.mysql() == null ? 3306 : operator.mysql().nodePort(),
+                config.site().zones());
         return dns;
     }
 
@@ -244,13 +267,15 @@
         OperatorConfig.DnsSd place = nextOperator.dnsSd();
         InetSocketAddress at = http != null && next.discovery() != null ? Addresses.parse(next.discovery()) : null;
         // What a group keeps is not changed by one member's file.
-        InetSocketAddress resolver = dns != null && place != null && shared == null ? Addresses.parse(place.resolver())
-                : null;
+        InetSocketAddress resolver =
+                dns != null && place != null && shared == null ? Addresses.parse(place.resolver()) : null;
         if (at != null && at.isUnresolved() || resolver != null && resolver.isUnresolved()) {
             throw new IllegalArgumentException("not a literal address: " + (at != null ? at : resolver));
         }
-        if (!next.site().equals(config.site()) || !next.listen().equals(config.listen())
-                || next.sockets() != config.sockets() || next.memoryMb() != config.memoryMb()) {
+        if (!next.site().equals(config.site())
+                || !next.listen().equals(config.listen())
+                || next.sockets() != config.sockets()
+                || next.memoryMb() != config.memoryMb()) {
             Log.warn("configuration: settings, limits and listen hold from the next start");
         }
         loop.post(() -> {
@@ -298,12 +323,15 @@
             operations.serves(true);
             Log.info("%s answers operators on %s", config.name(), door.address());
         }
-        Log.info("%s listens on %s:%d", config.name(), address().getHostString(), address().getPort());
+        Log.info(
+                "%s listens on %s:%d",
+                config.name(), address().getHostString(), address().getPort());
     }
 
     /**
-     * Guards against requests routed by the list in the file, which is as old as this process's start and what came before it took
-     * together. Where discovery turns calls down the list serves at once, as it has told nobody anything newer.
+     * Guards against requests routed by the list in the file, which is as old as this process's start and what came
+     * before it took together. Where discovery turns calls down the list serves at once, as it has told nobody anything
+     * newer.
      */
     private void awaitFirstWord(long askedNanos) throws InterruptedException {
         if (http == null && dns == null) {
@@ -312,16 +340,23 @@
         long passed = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - askedNanos);
         FirstWord.Outcome outcome = pooler.firstWord().await(FIRST_WORD_MILLIS - passed);
         if (outcome != FirstWord.Outcome.TOLD) {
-            Log.warn("discovery: %s after %d ms: %s serves from the list of its file, revision %d", outcome,
-                    TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - askedNanos), config.name(), config.known().revision());
+            Log.warn(
+                    "discovery: %s after %d ms: %s serves from the list of its file, revision %d",
+                    outcome,
+                    TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - askedNanos),
+                    config.name(),
+                    config.known().revision());
         }
     }
 
     /** Opens the MySQL front, unless it is open. */
     private void listenMysql() throws IOException {
-        if (mysql != null && mysqlListener == null && operator.mysql() != null && operator.mysql().listen() != null) {
-            mysqlListener = net.listen(Addresses.parse(operator.mysql().listen()), operations != null, mysql::framer,
-                    mysql);
+        if (mysql != null
+                && mysqlListener == null
+                && operator.mysql() != null
+                && operator.mysql().listen() != null) {
+            mysqlListener =
+                    net.listen(Addresses.parse(operator.mysql().listen()), operations != null, mysql::framer, mysql);
             Log.info("%s speaks MySQL on %s", config.name(), mysqlListener.address());
         }
     }
@@ -384,15 +419,16 @@
 
     /**
      * Ends without losing what was taken; {@code then} runs when all is answered. Where another process of this pooler
-     * serves, the port closes at once. Else clients use the connections they have for as long as these stay open, and find
-     * nobody once they are closed: so requests are taken for as long as they can be answered before the platform kills
-     * the program, and the wait of those that come late is cut to that.
+     * serves, the port closes at once. Else clients use the connections they have for as long as these stay open, and
+     * find nobody once they are closed: so requests are taken for as long as they can be answered before the platform
+     * kills the program, and the wait of those that come late is cut to that.
      */
     public void drain(Runnable then) {
         boolean succeeded = operations != null && operations.succeeded();
         loop.post(() -> {
-            Log.info("ending%s: %d requests, %d clients", succeeded ? " after a successor's start" : "", pooler.open(),
-                    front.open());
+            Log.info(
+                    "ending%s: %d requests, %d clients",
+                    succeeded ? " after a successor's start" : "", pooler.open(), front.open());
             long longest = 0;
             for (Routing.RequestClass kind : config.site().settings().classes()) {
                 longest = Math.max(longest, kind.deadlineMicros());
@@ -425,14 +461,17 @@
     }
 
     /**
-     * Ends once nothing is due any more. There is no bound: what the program leaves unanswered by its own end is lost, while what SIGKILL finds
-     * unanswered is not, if it came early enough.
+     * Ends once nothing is due any more. There is no bound: what the program leaves unanswered by its own end is lost,
+     * while what SIGKILL finds unanswered is not, if it came early enough.
      */
     private void settle(Runnable then, int quiet) {
         // A connection that its front has ended may still have its last answer with MINA's thread, for as long as that
         // thread gets no time or the client does not read.
-        boolean over = pooler.open() == 0 && front.open() == 0 && (mysql == null || mysql.open() == 0)
-                && listener.open() == 0 && (mysqlListener == null || mysqlListener.open() == 0);
+        boolean over = pooler.open() == 0
+                && front.open() == 0
+                && (mysql == null || mysql.open() == 0)
+                && listener.open() == 0
+                && (mysqlListener == null || mysqlListener.open() == 0);
         if (over && quiet >= QUIET) {
             // The last connections taken have been heard of by now.
             then.run();
@@ -449,8 +488,8 @@
     }
 
     /**
-     * Drops everything and waits a moment for the threads of all sockets. A JVM that is halted waits 0.3 s for those that wait in the
-     * system, and SIGKILL may come sooner.
+     * Drops everything and waits a moment for the threads of all sockets. A JVM that is halted waits 0.3 s for those
+     * that wait in the system, and SIGKILL may come sooner.
      */
     public void stopWithThreads() throws InterruptedException {
         stop();
--- a/daemon/src/main/java/lupinvalve/cli/Files.java
+++ b/daemon/src/main/java/lupinvalve/cli/Files.java
@@ -16,13 +16,16 @@
     private Path operator;
 
     OperatorConfig operator() throws IOException {
-        return operator == null ? OperatorConfig.NONE
-                : OperatorConfig.read(java.nio.file.Files.readAllBytes(operator));
+        return operator == null ? OperatorConfig.NONE : OperatorConfig.read(java.nio.file.Files.readAllBytes(operator));
     }
 
     /** The platform's file, with db nodes' addresses as the operator's has them. */
     NodeConfig node(OperatorConfig operatorConfig) throws IOException {
-        return NodeConfig.read(config(), operatorConfig.mysql() == null ? null : operatorConfig.mysql().nodePort())
+        return NodeConfig.read(
+                        config(),
+                        operatorConfig.mysql() == null
+                                ? null
+                                : operatorConfig.mysql().nodePort())
                 .withOperator("NODE_OPERATOR", System.getenv("NODE_OPERATOR"));
     }
 
--- a/daemon/src/main/java/lupinvalve/cli/Keys.java
+++ b/daemon/src/main/java/lupinvalve/cli/Keys.java
@@ -32,11 +32,13 @@
     }
 
     /** @param valid keytool's words for since when and how long members' certificates are good */
-    static void make(Path folder, List<String> members, List<String> valid) throws IOException, GeneralSecurityException {
+    static void make(Path folder, List<String> members, List<String> valid)
+            throws IOException, GeneralSecurityException {
         if (members.isEmpty()) {
             throw new IllegalArgumentException("store keys needs a folder and the members' names");
         }
-        Files.createDirectories(folder, PosixFilePermissions.asFileAttribute(PosixFilePermissions.fromString("rwx------")));
+        Files.createDirectories(
+                folder, PosixFilePermissions.asFileAttribute(PosixFilePermissions.fromString("rwx------")));
         byte[] random = new byte[16];
         new SecureRandom().nextBytes(random);
         String word = HexFormat.of().formatHex(random);
@@ -44,8 +46,20 @@
         Files.delete(store);
         try {
             List<String> key = List.of("-genkeypair", "-keyalg", "EC", "-groupname", "secp256r1");
-            tool(store, word, key, "-alias", AUTHORITY, "-dname", "CN=" + AUTHORITY, "-validity", "3650", "-ext", "bc:c",
-                    "-ext", "ku:c=keyCertSign");
+            tool(
+                    store,
+                    word,
+                    key,
+                    "-alias",
+                    AUTHORITY,
+                    "-dname",
+                    "CN=" + AUTHORITY,
+                    "-validity",
+                    "3650",
+                    "-ext",
+                    "bc:c",
+                    "-ext",
+                    "ku:c=keyCertSign");
             key = new ArrayList<>(key);
             key.addAll(valid);
             List<String> names = new ArrayList<>(members);
@@ -54,8 +68,20 @@
                 if (!name.matches("[A-Za-z0-9_-]{1,63}") || name.equals(AUTHORITY)) {
                     throw new IllegalArgumentException("no name for a member: " + name);
                 }
-                tool(store, word, key, "-alias", name, "-dname", "CN=" + name, "-signer", AUTHORITY, "-signerkeypass", word,
-                        "-ext", "san=dns:" + name);
+                tool(
+                        store,
+                        word,
+                        key,
+                        "-alias",
+                        name,
+                        "-dname",
+                        "CN=" + name,
+                        "-signer",
+                        AUTHORITY,
+                        "-signerkeypass",
+                        word,
+                        "-ext",
+                        "san=dns:" + name);
             }
             write(folder, store, word, names);
         } finally {
@@ -64,7 +90,8 @@
     }
 
     private static void tool(Path store, String word, List<String> what, String... more) throws IOException {
-        List<String> line = new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin", "keytool").toString()));
+        List<String> line = new ArrayList<>(List.of(
+                Path.of(System.getProperty("java.home"), "bin", "keytool").toString()));
         line.addAll(what);
         line.addAll(Arrays.asList(more));
         // The word guards the file for the moment that it is there; on a command line others could read it.
@@ -92,8 +119,14 @@
             throws IOException, GeneralSecurityException {
         KeyStore keys = KeyStore.getInstance("PKCS12");
         keys.load(new ByteArrayInputStream(Files.readAllBytes(store)), word.toCharArray());
-        pem(folder.resolve(AUTHORITY + ".pem"), "CERTIFICATE", keys.getCertificate(AUTHORITY).getEncoded());
-        pem(folder.resolve(AUTHORITY + ".key"), "PRIVATE KEY", keys.getKey(AUTHORITY, word.toCharArray()).getEncoded());
+        pem(
+                folder.resolve(AUTHORITY + ".pem"),
+                "CERTIFICATE",
+                keys.getCertificate(AUTHORITY).getEncoded());
+        pem(
+                folder.resolve(AUTHORITY + ".key"),
+                "PRIVATE KEY",
+                keys.getKey(AUTHORITY, word.toCharArray()).getEncoded());
         for (String name : names) {
             Key key = keys.getKey(name, word.toCharArray());
             Certificate certificate = keys.getCertificate(name);
@@ -105,7 +138,8 @@
     private static void pem(Path file, String kind, byte[] content) throws IOException {
         Files.deleteIfExists(file);
         Files.createFile(file, PosixFilePermissions.asFileAttribute(PosixFilePermissions.fromString("rw-------")));
-        String lines = Base64.getMimeEncoder(64, "\n".getBytes(StandardCharsets.US_ASCII)).encodeToString(content);
+        String lines = Base64.getMimeEncoder(64, "\n".getBytes(StandardCharsets.US_ASCII))
+                .encodeToString(content);
         Files.writeString(file, "-----BEGIN " + kind + "-----\n" + lines + "\n-----END " + kind + "-----\n");
     }
 }
--- a/daemon/src/main/java/lupinvalve/cli/Main.java
+++ b/daemon/src/main/java/lupinvalve/cli/Main.java
@@ -17,7 +17,10 @@
         int run() throws Exception;
     }
 
-    @Argument(required = true, metaVar = "COMMAND", usage = "serve, call, store, check-config, rehearse, wirehost or version",
+    @Argument(
+            required = true,
+            metaVar = "COMMAND",
+            usage = "serve, call, store, check-config, rehearse, wirehost or version",
             handler = SubCommandHandler.class)
     @SubCommands({
         @SubCommand(name = "serve", impl = Serve.class),
@@ -45,7 +48,8 @@
             err.println("lupinvalve: " + e.getMessage());
             err.println("usage: lupinvalve serve [--config FILE] [--operator FILE] [--debug]");
             err.println("       lupinvalve call [--to ADDRESS] health|counters|cordon ID|uncordon ID|quiesce|resume");
-            err.println("       lupinvalve store CALL [WHAT...] --operator FILE [--json] [--seconds N]    (docs/store.md)");
+            err.println(
+                    "       lupinvalve store CALL [WHAT...] --operator FILE [--json] [--seconds N]    (docs/store.md)");
             err.println("       lupinvalve check-config [--config FILE] [--operator FILE]");
             err.println("       lupinvalve wirehost");
             err.println("       lupinvalve version");
--- a/daemon/src/main/java/lupinvalve/cli/Operations.java
+++ b/daemon/src/main/java/lupinvalve/cli/Operations.java
@@ -24,6 +24,7 @@
     private static final long LOOK_MILLIS = 80;
     /** How many looks later it is looked whether the other process runs. */
     private static final int LOOKS = 4;
+
     private static final String BY = "call";
     private final Pooler pooler;
     private final OrdersFile file;
@@ -120,7 +121,8 @@
             if (why != null) {
                 objection.accept(why);
             } else {
-                worker.execute(() -> order(held -> held.with(takeOut, id, pooler.loop().now()), objection));
+                worker.execute(
+                        () -> order(held -> held.with(takeOut, id, pooler.loop().now()), objection));
             }
         });
     }
--- a/daemon/src/main/java/lupinvalve/cli/Rehearse.java
+++ b/daemon/src/main/java/lupinvalve/cli/Rehearse.java
@@ -14,8 +14,8 @@
 
 /**
  * Plays a moment of service on loopback, from start to drain, so that the JVM that runs it has met every class of the
- * request path. The build runs it with {@code -XX:ArchiveClassesAtExit}: what the JVM then writes down spares each start
- * reading and checking those classes again.
+ * request path. The build runs it with {@code -XX:ArchiveClassesAtExit}: what the JVM then writes down spares each
+ * start reading and checking those classes again.
  */
 public final class Rehearse extends Files implements Main.Command {
     private static final int REQUESTS = 200;
@@ -25,10 +25,22 @@
         NodeConfig config = node(OperatorConfig.NONE);
         int served = 0;
         try (StandIns standIns = new StandIns()) {
-            Daemon daemon = new Daemon(new NodeConfig(config.name(), "127.0.0.1:0", standIns.discovery(), config.seed(), config.cores(),
-                    config.memoryMb(), config.sockets(), config.known(), config.site(), null), OperatorConfig.NONE);
+            Daemon daemon = new Daemon(
+                    new NodeConfig(
+                            config.name(),
+                            "127.0.0.1:0",
+                            standIns.discovery(),
+                            config.seed(),
+                            config.cores(),
+                            config.memoryMb(),
+                            config.sockets(),
+                            config.known(),
+                            config.site(),
+                            null),
+                    OperatorConfig.NONE);
             daemon.start();
-            try (Socket client = new Socket(daemon.address().getAddress(), daemon.address().getPort())) {
+            try (Socket client =
+                    new Socket(daemon.address().getAddress(), daemon.address().getPort())) {
                 served = ask(client, config.site().settings().classes());
             }
             CountDownLatch drained = new CountDownLatch(1);
--- a/daemon/src/main/java/lupinvalve/cli/Reload.java
+++ b/daemon/src/main/java/lupinvalve/cli/Reload.java
@@ -16,6 +16,7 @@
     private final Files files;
     /** Null where the signal is heard. */
     private final FileWatch watch;
+
     private Daemon daemon;
     private long signals;
 
@@ -37,7 +38,9 @@
             // sun.misc.Signal is the JDK's only way to a signal; javac warns of it by name and can't be told not to.
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
-            Object onSignal = Proxy.newProxyInstance(Reload.class.getClassLoader(), new Class<?>[] {handler},
+            Object onSignal = Proxy.newProxyInstance(
+                    Reload.class.getClassLoader(),
+                    new Class<?>[] {handler},
                     (proxy, method, values) -> switch (method.getName()) {
                         case "handle" -> {
                             hangUp();
@@ -47,10 +50,11 @@
                         case "hashCode" -> System.identityHashCode(proxy);
                         default -> "reload";
                     });
-            Object before = signal.getMethod("handle", signal, handler).invoke(null,
-                    signal.getConstructor(String.class).newInstance("HUP"), onSignal);
+            Object before = signal.getMethod("handle", signal, handler)
+                    .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), onSignal);
             // A JVM that starts with the signal ignored leaves it so, whatever is registered.
-            return before == handler.getField("SIG_IGN").get(null) ? "SIGHUP is ignored by whoever started this process"
+            return before == handler.getField("SIG_IGN").get(null)
+                    ? "SIGHUP is ignored by whoever started this process"
                     : null;
         } catch (InvocationTargetException e) {
             return "SIGHUP can't be heard (" + e.getCause() + ")";
@@ -71,8 +75,8 @@
     }
 
     /**
-     * Signals come on threads of their own; one after another, so that the files read last hold. While one waits to read
-     * again, the next goes on in its place.
+     * Signals come on threads of their own; one after another, so that the files read last hold. While one waits to
+     * read again, the next goes on in its place.
      */
     private synchronized void hangUp() {
         signals++;
@@ -87,7 +91,10 @@
         }
     }
 
-    /** Reads again with pauses until the files can be used, a newer signal has come, or it has been tried for long enough. */
+    /**
+     * Reads again with pauses until the files can be used, a newer signal has come, or it has been tried for long
+     * enough.
+     */
     private void readAgain() {
         long mine = signals;
         RereadPauses pauses = new RereadPauses();
@@ -103,7 +110,9 @@
         }
     }
 
-    /** The watched files have changed and stand still. Once they can be used they have changed again, so one try does. */
+    /**
+     * The watched files have changed and stand still. Once they can be used they have changed again, so one try does.
+     */
     private synchronized void changed() {
         String fault = takeOver();
         if (fault != null) {
--- a/daemon/src/main/java/lupinvalve/cli/Serve.java
+++ b/daemon/src/main/java/lupinvalve/cli/Serve.java
@@ -12,13 +12,17 @@
 public class Serve extends Files implements Main.Command {
     @Option(name = "--debug", usage = "log each attempt")
     private boolean debug;
-    /** What the program ends with where one of its threads has ended by an error: an internal fault, as sysexits.h has it. */
+    /**
+     * What the program ends with where one of its threads has ended by an error: an internal fault, as sysexits.h has
+     * it.
+     */
     private static final int EXIT_DEAD_THREAD = 70;
+
     private volatile int exitCode;
 
     /**
-     * A thread that ends by an error serves nobody any more: the process answers what it has and ends, so that whoever watches over it
-     * starts another.
+     * A thread that ends by an error serves nobody any more: the process answers what it has and ends, so that whoever
+     * watches over it starts another.
      */
     private void endOnDeadThread() {
         Thread.setDefaultUncaughtExceptionHandler((thread, failure) -> {
@@ -43,23 +47,32 @@
         OperatorConfig operator = operator();
         String shared = System.getenv("TMPDIR");
         NodeConfig node = node(operator);
-        Log.info("%s starts: list of the file at revision %d with %d db nodes, discovery at %s, memory %d MB, sockets %d", node.name(),
-                node.known().revision(), node.known().entries().size(), node.discovery(), node.memoryMb(), node.sockets());
+        Log.info(
+                "%s starts: list of the file at revision %d with %d db nodes, discovery at %s, memory %d MB, sockets %d",
+                node.name(),
+                node.known().revision(),
+                node.known().entries().size(),
+                node.discovery(),
+                node.memoryMb(),
+                node.sockets());
         Daemon daemon = daemon(node, operator, shared == null || shared.isEmpty() ? null : Path.of(shared));
         endOnDeadThread();
         CountDownLatch stopped = new CountDownLatch(1);
-        Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-            // SIGTERM: what was taken is answered first, and that is no failure.
-            daemon.drain(stopped::countDown);
-            try {
-                stopped.await();
-                daemon.stopWithThreads();
-            } catch (InterruptedException e) {
-                Log.warn("interrupted while draining");
-            }
-            Log.info("stopped");
-            Runtime.getRuntime().halt(exitCode);
-        }, "drain"));
+        Runtime.getRuntime()
+                .addShutdownHook(new Thread(
+                        () -> {
+                            // SIGTERM: what was taken is answered first, and that is no failure.
+                            daemon.drain(stopped::countDown);
+                            try {
+                                stopped.await();
+                                daemon.stopWithThreads();
+                            } catch (InterruptedException e) {
+                                Log.warn("interrupted while draining");
+                            }
+                            Log.info("stopped");
+                            Runtime.getRuntime().halt(exitCode);
+                        },
+                        "drain"));
         daemon.start();
         reload.serves(daemon);
         stopped.await();
--- a/daemon/src/main/java/lupinvalve/cli/Shared.java
+++ b/daemon/src/main/java/lupinvalve/cli/Shared.java
@@ -40,13 +40,19 @@
      * @param adopted acts on a configuration; on the core thread
      * @param held is told whether this pooler itself is held; on the core thread
      */
-    Shared(Pooler pooler, OperatorConfig.Store config, Daemon.Opening opening, Consumer<byte[]> adopted,
-            Consumer<Boolean> held) throws IOException {
+    Shared(
+            Pooler pooler,
+            OperatorConfig.Store config,
+            Daemon.Opening opening,
+            Consumer<byte[]> adopted,
+            Consumer<Boolean> held)
+            throws IOException {
         this.pooler = pooler;
         this.adopted = adopted;
         this.held = held;
         name = config.name();
-        plane = opening != null ? opening.open(config)
+        plane = opening != null
+                ? opening.open(config)
                 : config.role() == OperatorConfig.Role.SUBSCRIBER ? new Subscriber(config) : new Group(config);
         known = plane.known();
         tokens = new Tokens(pooler.loop(), plane, config.waitMicros(), known.commits());
@@ -79,7 +85,11 @@
     void follow() {
         for (Change.Listed listed : known.nodes()) {
             if (listed.position() != Routing.NO_POSITION) {
-                pooler.probed(listed.member().node(), Routing.Ending.SERVED, 0, listed.position(),
+                pooler.probed(
+                        listed.member().node(),
+                        Routing.Ending.SERVED,
+                        0,
+                        listed.position(),
                         listed.member().listedPrimary() ? Routing.Role.PRIMARY : Routing.Role.REPLICA);
             }
         }
@@ -89,13 +99,16 @@
     /** The leader's pooler tells: one list for all is enough, and all poolers see the same db nodes. */
     private void look() {
         List<Pooler.Known> nodes = pooler.known();
-        List<Routing.Member> members = nodes.stream().map(one -> one.entry().member()).toList();
+        List<Routing.Member> members =
+                nodes.stream().map(one -> one.entry().member()).toList();
         long now = pooler.loop().now();
         if (plane.leads() && !nodes.isEmpty() && (!members.equals(told) || now - toldAt > REFRESH)) {
             told = members;
             toldAt = now;
-            plane.listing(nodes.stream().map(one -> new Change.Listed(one.entry().member(), one.entry().addresses(),
-                    one.position())).toList());
+            plane.listing(nodes.stream()
+                    .map(one ->
+                            new Change.Listed(one.entry().member(), one.entry().addresses(), one.position()))
+                    .toList());
         }
         pooler.loop().after(LOOK, this::look);
     }
@@ -130,7 +143,9 @@
         pooler.loop().urgent(() -> {
             Map<String, Long> back = new HashMap<>(orders.back());
             back.keySet().removeAll(out);
-            orders.out().stream().filter(id -> !out.contains(id)).forEach(id -> back.put(id, pooler.loop().now()));
+            orders.out().stream()
+                    .filter(id -> !out.contains(id))
+                    .forEach(id -> back.put(id, pooler.loop().now()));
             orders = new Orders(out, back);
             pooler.maintain(BY, orders);
             held.accept(self);
--- a/daemon/src/main/java/lupinvalve/cli/StoreCommand.java
+++ b/daemon/src/main/java/lupinvalve/cli/StoreCommand.java
@@ -22,13 +22,16 @@
 import org.kohsuke.args4j.Option;
 
 /**
- * What operators ask of the group that keeps the configuration. Exit codes: 0 done, 1 refused, 2 a wrong command line, 3
- * another revision holds, 4 it may have happened, 5 nobody could answer in time and nothing has happened.
+ * What operators ask of the group that keeps the configuration. Exit codes: 0 done, 1 refused, 2 a wrong command line,
+ * 3 another revision holds, 4 it may have happened, 5 nobody could answer in time and nothing has happened.
  */
 public final class StoreCommand implements Main.Command {
     static final int CONFLICT = 3, MAY_HAVE = 4, NOBODY = 5;
 
-    @Argument(index = 0, required = true, metaVar = "CALL",
+    @Argument(
+            index = 0,
+            required = true,
+            metaVar = "CALL",
             usage = "status, get, put, members, add, remove, hold, release, holds, snapshot, audit, verify or keys")
     private String call;
 
@@ -76,14 +79,16 @@
         if (operator == null) {
             throw new IllegalArgumentException("store " + call + " needs --operator FILE");
         }
-        OperatorConfig.Store store = OperatorConfig.read(Files.readAllBytes(operator)).store();
+        OperatorConfig.Store store =
+                OperatorConfig.read(Files.readAllBytes(operator)).store();
         if (store == null) {
             throw new IllegalArgumentException(operator + ": store is missing");
         }
         Map<String, String> members = new LinkedHashMap<>();
         boolean subscriber = store.role() == OperatorConfig.Role.SUBSCRIBER;
         if (subscriber && call.equals("status")) {
-            throw new IllegalArgumentException(operator + ": " + store.name() + " is a subscriber and can't be asked; its log has it");
+            throw new IllegalArgumentException(
+                    operator + ": " + store.name() + " is a subscriber and can't be asked; its log has it");
         }
         if (!subscriber) {
             members.put(store.name(), store.listen());
@@ -171,8 +176,10 @@
                     case START_OBJECT, START_ARRAY -> {
                         boolean inList = in.getParsingContext().getParent() != null
                                 && in.getParsingContext().getParent().inArray();
-                        path.addLast(inList ? Integer.toString(next(positions))
-                                : in.currentName() == null ? "" : in.currentName());
+                        path.addLast(
+                                inList
+                                        ? Integer.toString(next(positions))
+                                        : in.currentName() == null ? "" : in.currentName());
                         positions.addLast(0);
                     }
                     case END_OBJECT, END_ARRAY -> {
@@ -183,9 +190,11 @@
                         // It comes again with its value.
                     }
                     default -> {
-                        String at = String.join(".", path) + "." + (listed ? Integer.toString(next(positions))
-                                : in.currentName());
-                        lines.append(lines.isEmpty() ? "" : "\n").append(at.replaceAll("^\\.+", "")).append(": ")
+                        String at = String.join(".", path) + "."
+                                + (listed ? Integer.toString(next(positions)) : in.currentName());
+                        lines.append(lines.isEmpty() ? "" : "\n")
+                                .append(at.replaceAll("^\\.+", ""))
+                                .append(": ")
                                 .append(in.getText());
                     }
                 }
--- a/daemon/src/main/java/lupinvalve/cli/WarmUp.java
+++ b/daemon/src/main/java/lupinvalve/cli/WarmUp.java
@@ -20,7 +20,8 @@
 
 /**
  * Runs requests through a pooler that is thrown away, all of it but the sockets, so that the first clients don't meet
- * code that is not compiled yet: it takes several times the part of a core that a pooler has, and the core falls behind.
+ * code that is not compiled yet: it takes several times the part of a core that a pooler has, and the core falls
+ * behind.
  */
 final class WarmUp {
     static final int MANY = 600, FEW = 60;
@@ -30,6 +31,7 @@
      * the warm-up takes is time in which nobody is served at all, and after a release most of a fleet starts at once.
      */
     private static final double COLD = 0.004, COLD_PART = 0.9;
+
     private static final int CLIENTS = 4, GROUP = 1, PRIMARY = 1, REPLICA = 2;
     /** A machine so slow that this is not enough does better to serve. */
     private static final long MOST_MILLIS = 2_000;
@@ -52,12 +54,23 @@
         pooler.directory(new Silent());
         PgFront front = new PgFront(pooler, 16);
         Memory net = new Memory(loop, address -> new NodeScript(address.getPort() == PRIMARY));
-        pooler.backend(PgFront.PROTOCOL, new PgBackend(net, pooler, new Pool.Bounds(16, config.site().connectMicros(),
-                config.site().keepaliveMicros(), config.site().connectMicros()), "api", "ledger"));
+        pooler.backend(
+                PgFront.PROTOCOL,
+                new PgBackend(
+                        net,
+                        pooler,
+                        new Pool.Bounds(
+                                16,
+                                config.site().connectMicros(),
+                                config.site().keepaliveMicros(),
+                                config.site().connectMicros()),
+                        "api",
+                        "ledger"));
         List<Directory.Entry> entries = new ArrayList<>();
         for (int port : List.of(PRIMARY, REPLICA)) {
-            entries.add(new Directory.Entry(new Routing.Member("n" + port, GROUP, 0, Routing.Health.LIVE,
-                    port == PRIMARY, 0), Map.of(PgFront.PROTOCOL, "127.0.0.1:" + port)));
+            entries.add(new Directory.Entry(
+                    new Routing.Member("n" + port, GROUP, 0, Routing.Health.LIVE, port == PRIMARY, 0),
+                    Map.of(PgFront.PROTOCOL, "127.0.0.1:" + port)));
         }
         CountDownLatch left = new CountDownLatch(requests);
         // Whole before the core thread sees it: it is read here even if the time runs out first.
@@ -67,7 +80,8 @@
         }
         try {
             loop.start();
-            // What this pooler says would be taken for the word of the one that serves, which has begun to ask discovery.
+            // What this pooler says would be taken for the word of the one that serves, which has begun to ask
+            // discovery.
             loop.post(() -> Log.leastHere(Log.Level.ERROR));
             loop.post(() -> {
                 pooler.start(1, List.of());
--- a/daemon/src/main/java/lupinvalve/cli/WireHost.java
+++ b/daemon/src/main/java/lupinvalve/cli/WireHost.java
@@ -12,8 +12,10 @@
 public final class WireHost implements Main.Command {
     @Override
     public int run() throws IOException {
-        new Host().run(new BufferedInputStream(new FileInputStream(FileDescriptor.in), 1 << 16),
-                new BufferedOutputStream(new FileOutputStream(FileDescriptor.out), 1 << 16));
+        new Host()
+                .run(
+                        new BufferedInputStream(new FileInputStream(FileDescriptor.in), 1 << 16),
+                        new BufferedOutputStream(new FileOutputStream(FileDescriptor.out), 1 << 16));
         return 0;
     }
 }
