--- a/daemon/src/test/java/lupinvalve/cli/GroupTest.java
+++ b/daemon/src/test/java/lupinvalve/cli/GroupTest.java
@@ -38,10 +38,13 @@
 /** Three members over real sockets with certificates, and what operators ask of them on the command line. */
 class GroupTest {
     private static final List<String> NAMES = List.of("a", "b", "c");
+
     @TempDir
     private static Path keys;
+
     @TempDir
     private Path folder;
+
     private final Map<String, String> addresses = new TreeMap<>();
     private final Map<String, Group> groups = new HashMap<>();
     private final Map<String, Ledger.Document> acting = new ConcurrentHashMap<>();
@@ -58,7 +61,9 @@
         Keys.make(keys.resolve("old"), List.of("c"), List.of("-startdate", "-10d", "-validity", "5"));
         // Signed by the right authority's name, but out of time: only the authority's file is shared.
         Files.copy(keys.resolve("old/authority.pem"), keys.resolve("both.pem"));
-        Files.write(keys.resolve("both.pem"), Files.readAllBytes(keys.resolve("own/authority.pem")),
+        Files.write(
+                keys.resolve("both.pem"),
+                Files.readAllBytes(keys.resolve("own/authority.pem")),
                 java.nio.file.StandardOpenOption.APPEND);
     }
 
@@ -85,12 +90,15 @@
     }
 
     private static OperatorConfig.Tls tls(String authority, String of, String name) {
-        return new OperatorConfig.Tls(keys.resolve(authority), keys.resolve(of + "/" + name + ".pem"),
+        return new OperatorConfig.Tls(
+                keys.resolve(authority),
+                keys.resolve(of + "/" + name + ".pem"),
                 keys.resolve(of + "/" + name + ".key"));
     }
 
     private OperatorConfig.Store config(String name, OperatorConfig.Tls tls) {
-        return new OperatorConfig.Store("plant", name, folder.resolve(name), addresses.get(name), addresses, tls, 0, audit);
+        return new OperatorConfig.Store(
+                "plant", name, folder.resolve(name), addresses.get(name), addresses, tls, 0, audit);
     }
 
     private Group start(String name, OperatorConfig.Tls tls) throws IOException {
@@ -127,11 +135,19 @@
 
     private Path file(String name, OperatorConfig.Tls tls) throws IOException {
         StringBuilder members = new StringBuilder();
-        addresses.forEach((n, at) -> members.append(members.isEmpty() ? "" : ",").append("\"" + n + "\":\"" + at + "\""));
-        return Files.writeString(folder.resolve(name + ".json"), "{\"store\":{\"cluster\":\"plant\",\"name\":\"" + name
-                + "\",\"folder\":\"" + folder.resolve(name) + "\",\"listen\":\"" + addresses.get(name) + "\",\"members\":{"
-                + members + "}" + (tls == null ? "" : ",\"tls\":{\"authority\":\"" + tls.authority()
-                + "\",\"certificate\":\"" + tls.certificate() + "\",\"key\":\"" + tls.key() + "\"}") + "}}");
+        addresses.forEach(
+                (n, at) -> members.append(members.isEmpty() ? "" : ",").append("\"" + n + "\":\"" + at + "\""));
+        return Files.writeString(
+                folder.resolve(name + ".json"),
+                "{\"store\":{\"cluster\":\"plant\",\"name\":\"" + name
+                        + "\",\"folder\":\"" + folder.resolve(name) + "\",\"listen\":\"" + addresses.get(name)
+                        + "\",\"members\":{"
+                        + members + "}"
+                        + (tls == null
+                                ? ""
+                                : ",\"tls\":{\"authority\":\"" + tls.authority() + "\",\"certificate\":\""
+                                        + tls.certificate() + "\",\"key\":\"" + tls.key() + "\"}")
+                        + "}}");
     }
 
     private record Said(int code, String out, String err) {}
@@ -151,7 +167,10 @@
         Log.Level before = Log.least();
         try {
             int code = command.run();
-            return new Said(code, out.toString(StandardCharsets.UTF_8).strip(), err.toString(StandardCharsets.UTF_8).strip());
+            return new Said(
+                    code,
+                    out.toString(StandardCharsets.UTF_8).strip(),
+                    err.toString(StandardCharsets.UTF_8).strip());
         } catch (IOException | IllegalArgumentException e) {
             return new Said(1, "", e.getMessage());
         } finally {
@@ -175,18 +194,24 @@
         all();
         Path a = file("a", tls("own/authority.pem", "own", "operator"));
         Path c = file("c", tls("own/authority.pem", "own", "c"));
-        String document = document("{\"mysql\":{\"user\":\"portal\",\"password\":\"towel\"}}").toString();
+        String document = document("{\"mysql\":{\"user\":\"portal\",\"password\":\"towel\"}}")
+                .toString();
         assertEquals(new Said(0, "changed: true\nrevision: 1", ""), store(c, "put", document, "--revision", "0"));
-        assertEquals(new Said(StoreCommand.CONFLICT, "", "lupinvalve: revision 1 holds by now"),
+        assertEquals(
+                new Said(StoreCommand.CONFLICT, "", "lupinvalve: revision 1 holds by now"),
                 store(a, "put", document, "--revision", "0"));
         Said bad = store(a, "put", document("{\"mysql\":{\"usr\":1}}").toString(), "--revision", "1");
         assertTrue(bad.code() == 1 && bad.err().endsWith("mysql.usr is unknown"), bad.err());
         World.await("adopted by all", () -> acting.size() == 3);
-        assertEquals(1, acting.values().stream().map(Ledger.Document::digest).distinct().count());
+        assertEquals(
+                1,
+                acting.values().stream().map(Ledger.Document::digest).distinct().count());
         assertTrue(store(a, "get").out().contains("document.mysql.password: ***"));
         assertTrue(store(a, "get", "--show-secrets").out().contains("document.mysql.password: towel"));
         assertEquals(0, store(a, "hold", "node", "db-7", "--why", "new disk").code());
-        World.await("held everywhere", () -> holds.values().stream().filter(h -> h.size() == 1).count() == 3);
+        World.await(
+                "held everywhere",
+                () -> holds.values().stream().filter(h -> h.size() == 1).count() == 3);
         assertTrue(store(c, "holds").out().contains("holds.0.why: new disk"));
         assertEquals(0, store(a, "release", "node", "db-7").code());
 
@@ -220,9 +245,16 @@
         Said put = store(a, "put", first, "--revision", "0", "--strict");
         assertEquals(0, put.code(), put.err());
         assertEquals(3, acting.size(), "all act on it by the time of the answer");
-        Said turned = store(a, "put", document("{\"dns_sd\":{\"resolver\":\"127.0.0.1:53\",\"service\":\"_x._tcp.example.org\"}}")
-                .toString(), "--revision", "1");
-        assertTrue(turned.code() == 1 && turned.err().contains("dns_sd: members that run can't turn to DNS-SD"), turned.err());
+        Said turned = store(
+                a,
+                "put",
+                document("{\"dns_sd\":{\"resolver\":\"127.0.0.1:53\",\"service\":\"_x._tcp.example.org\"}}")
+                        .toString(),
+                "--revision",
+                "1");
+        assertTrue(
+                turned.code() == 1 && turned.err().contains("dns_sd: members that run can't turn to DNS-SD"),
+                turned.err());
 
         Group gone = groups.remove("c");
         gone.stop();
@@ -243,12 +275,15 @@
         for (String name : List.of("a", "b")) {
             assertTrue(acted.contains("pooler: " + name), acted);
         }
-        assertTrue(store(a, "audit", "at", Long.toString(System.currentTimeMillis() * 1000)).out().contains("acted_on: 1-"));
+        assertTrue(store(a, "audit", "at", Long.toString(System.currentTimeMillis() * 1000))
+                .out()
+                .contains("acted_on: 1-"));
         assertEquals(1, store(a, "audit", "who").code());
         // What it noted of its own end comes once it is back; without the others it may not act.
         groups.remove("b").stop();
         World.await("one alone is fenced", () -> !groups.get("a").mayAct());
-        String kept = store(null, "audit", "verify", folder.resolve("b").toString()).out();
+        String kept =
+                store(null, "audit", "verify", folder.resolve("b").toString()).out();
         assertTrue(kept.contains("lives: 1") && kept.contains("acted.0: 1-"), kept);
         start("b", null);
         start("c", null);
@@ -269,8 +304,10 @@
         start("a", tls("both.pem", "own", "a"));
         start("b", tls("both.pem", "own", "b"));
         start("c", tls("both.pem", "old", "c"));
-        Path foreign = file("c", new OperatorConfig.Tls(keys.resolve("both.pem"), keys.resolve("foreign/c.pem"),
-                keys.resolve("foreign/c.key")));
+        Path foreign = file(
+                "c",
+                new OperatorConfig.Tls(
+                        keys.resolve("both.pem"), keys.resolve("foreign/c.pem"), keys.resolve("foreign/c.key")));
         assertTrue(store(foreign, "members", "--seconds", "1").code() != 0);
         Thread.sleep(500);
         assertEquals(0, groups.values().stream().filter(Group::leads).count(), "without the third nothing is founded");
@@ -281,14 +318,25 @@
         for (Group group : groups.values()) {
             group.reload();
         }
-        assertEquals(0, store(file("b", tls("both.pem", "own", "b")), "put", document("{}").toString(), "--revision", "0").code());
+        assertEquals(
+                0,
+                store(
+                                file("b", tls("both.pem", "own", "b")),
+                                "put",
+                                document("{}").toString(),
+                                "--revision",
+                                "0")
+                        .code());
     }
 
     @Test
     void aRestartGoesOnWithWhatWasAcceptedThoughItIsAlone() throws Exception {
         all();
         Path a = file("a", tls("own/authority.pem", "own", "a"));
-        assertEquals(0, store(a, "put", document("{\"mysql\":{\"user\":\"x\"}}").toString(), "--revision", "0").code());
+        assertEquals(
+                0,
+                store(a, "put", document("{\"mysql\":{\"user\":\"x\"}}").toString(), "--revision", "0")
+                        .code());
         AtomicInteger held = new AtomicInteger();
         groups.get("b").committed("session-1", 4_000_000_000_000_000L, held::incrementAndGet);
         World.await("a majority holds the token", () -> held.get() == 1);
@@ -328,7 +376,8 @@
         Files.writeString(left.resolve("store.jsonl"), text + "{\"crc\":" + crc.getValue() + "}\n");
         start("a", null);
         World.await("taken over", () -> Files.exists(left.resolve("store.jsonl.imported")) && acting.containsKey("a"));
-        assertEquals("{\"mysql\":{\"user\":\"old\"}}", new String(acting.get("a").content()));
+        assertEquals(
+                "{\"mysql\":{\"user\":\"old\"}}", new String(acting.get("a").content()));
         World.await("tokens", () -> tokens.getOrDefault("a", Map.of()).containsKey("s1"));
         groups.remove("a").stop();
         start("a", null);
@@ -341,13 +390,20 @@
         places();
         start("a", tls("own/authority.pem", "own", "a"));
         assertThrows(IOException.class, () -> new Group(config("a", tls("own/authority.pem", "own", "a"))));
-        try (Stream<Path> files = Stream.of(Files.list(keys.resolve("own")), Files.list(folder.resolve("a"))).flatMap(s -> s)) {
+        try (Stream<Path> files = Stream.of(Files.list(keys.resolve("own")), Files.list(folder.resolve("a")))
+                .flatMap(s -> s)) {
             for (Path file : files.filter(f -> !f.endsWith("lock")).toList()) {
-                assertEquals("rw-------", PosixFilePermissions.toString(Files.getPosixFilePermissions(file)), file.toString());
+                assertEquals(
+                        "rw-------",
+                        PosixFilePermissions.toString(Files.getPosixFilePermissions(file)),
+                        file.toString());
             }
         }
-        OperatorConfig.Store open = new OperatorConfig.Store("plant", "z", folder.resolve("z"), "0.0.0.0:1", addresses, null, 0);
-        assertTrue(assertThrows(IOException.class, () -> new Group(open)).getMessage().startsWith("store.tls is missing"));
+        OperatorConfig.Store open =
+                new OperatorConfig.Store("plant", "z", folder.resolve("z"), "0.0.0.0:1", addresses, null, 0);
+        assertTrue(assertThrows(IOException.class, () -> new Group(open))
+                .getMessage()
+                .startsWith("store.tls is missing"));
         assertNull(acting.get("a"));
     }
 }
--- a/daemon/src/test/java/lupinvalve/cli/OffOnThePlatformTest.java
+++ b/daemon/src/test/java/lupinvalve/cli/OffOnThePlatformTest.java
@@ -18,17 +18,32 @@
     @Test
     void noClassOfTheGroupIsLoadedWhereNoneIsConfigured() throws Exception {
         Path loaded = folder.resolve("loaded");
-        Process program = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-cp",
-                System.getProperty("surefire.test.class.path", System.getProperty("java.class.path")),
-                "-Xlog:class+load=info:file=" + loaded, "lupinvalve.cli.Main", "rehearse", "--config", "example/config.json")
-                .redirectErrorStream(true).redirectOutput(folder.resolve("out").toFile()).start();
+        Process program = new ProcessBuilder(
+                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                        "-cp",
+                        System.getProperty("surefire.test.class.path", System.getProperty("java.class.path")),
+                        "-Xlog:class+load=info:file=" + loaded,
+                        "lupinvalve.cli.Main",
+                        "rehearse",
+                        "--config",
+                        "example/config.json")
+                .redirectErrorStream(true)
+                .redirectOutput(folder.resolve("out").toFile())
+                .start();
         assertTrue(program.waitFor(60, TimeUnit.SECONDS));
         assertEquals(0, program.exitValue(), Files.readString(folder.resolve("out")));
         List<String> lines = Files.readAllLines(loaded);
         assertTrue(lines.stream().anyMatch(line -> line.contains("lupinvalve.core.Pooler ")));
-        assertEquals(List.of(), lines.stream().filter(line -> line.contains("lupinvalve.replication")
-                || line.contains("lupinvalve.subscription") || line.contains("lupinvalve.ledger") || line.contains("lupinvalve.audit")
-                || line.contains("io.microraft") || line.contains("dataformat.cbor")
-                || line.contains("mina.filter.ssl")).toList());
+        assertEquals(
+                List.of(),
+                lines.stream()
+                        .filter(line -> line.contains("lupinvalve.replication")
+                                || line.contains("lupinvalve.subscription")
+                                || line.contains("lupinvalve.ledger")
+                                || line.contains("lupinvalve.audit")
+                                || line.contains("io.microraft")
+                                || line.contains("dataformat.cbor")
+                                || line.contains("mina.filter.ssl"))
+                        .toList());
     }
 }
--- a/daemon/src/test/java/lupinvalve/cli/RunScriptTest.java
+++ b/daemon/src/test/java/lupinvalve/cli/RunScriptTest.java
@@ -15,6 +15,7 @@
 class RunScriptTest {
     /** Db nodes of the largest fleet that the operators run. */
     private static final int LARGEST_FLEET = 3_200;
+
     @TempDir
     private Path folder;
 
@@ -32,7 +33,8 @@
         Path file = folder.resolve("config.json");
         Files.writeString(file, config);
         Path out = folder.resolve("out");
-        ProcessBuilder script = new ProcessBuilder("/bin/sh", "deploy/run.sh").redirectErrorStream(true)
+        ProcessBuilder script = new ProcessBuilder("/bin/sh", "deploy/run.sh")
+                .redirectErrorStream(true)
                 .redirectOutput(out.toFile());
         script.environment().clear();
         script.environment().putAll(Map.of("PATH", folder.toString(), "NODE_CONFIG", file.toString()));
@@ -95,9 +97,15 @@
     private static String servers(int count) {
         StringBuilder all = new StringBuilder();
         for (int i = 0; i < count; i++) {
-            all.append(i == 0 ? "" : ",").append("{\"id\":\"s-").append(Integer.toHexString(i * 7919))
-                    .append("\",\"host_port\":\"10.1.").append(i / 250).append('.').append(1 + i % 250)
-                    .append(":5432\",\"locality\":\"a\",\"flavor\":\"m2\",\"cell\":").append(i / 5)
+            all.append(i == 0 ? "" : ",")
+                    .append("{\"id\":\"s-")
+                    .append(Integer.toHexString(i * 7919))
+                    .append("\",\"host_port\":\"10.1.")
+                    .append(i / 250)
+                    .append('.')
+                    .append(1 + i % 250)
+                    .append(":5432\",\"locality\":\"a\",\"flavor\":\"m2\",\"cell\":")
+                    .append(i / 5)
                     .append(",\"phase\":\"in_service\",\"size\":1.0,\"up_since_ms\":0}");
         }
         return all.toString();
@@ -123,7 +131,11 @@
     }
 
     private static void signal(String which, Process process) throws Exception {
-        assertEquals(0, new ProcessBuilder("kill", "-" + which, Long.toString(process.pid())).start().waitFor());
+        assertEquals(
+                0,
+                new ProcessBuilder("kill", "-" + which, Long.toString(process.pid()))
+                        .start()
+                        .waitFor());
     }
 
     @Test
--- a/daemon/src/test/java/lupinvalve/cli/SettledChangeTest.java
+++ b/daemon/src/test/java/lupinvalve/cli/SettledChangeTest.java
@@ -49,9 +49,12 @@
 
     @Test
     void timeSizeAndAFilePutInPlaceOfAnotherCountEachInBothFiles() {
-        List<List<Look>> others = List.of(List.of(look(2, 100, "a"), look(1, 20, "b")),
-                List.of(look(1, 101, "a"), look(1, 20, "b")), List.of(look(1, 100, "c"), look(1, 20, "b")),
-                List.of(look(1, 100, "a"), look(2, 20, "b")), List.of(look(1, 100, "a"), look(1, 21, "b")),
+        List<List<Look>> others = List.of(
+                List.of(look(2, 100, "a"), look(1, 20, "b")),
+                List.of(look(1, 101, "a"), look(1, 20, "b")),
+                List.of(look(1, 100, "c"), look(1, 20, "b")),
+                List.of(look(1, 100, "a"), look(2, 20, "b")),
+                List.of(look(1, 100, "a"), look(1, 21, "b")),
                 List.of(look(1, 100, "a"), look(1, 20, "c")));
         double second = 0;
         for (List<Look> other : others) {
--- a/daemon/src/test/java/lupinvalve/cli/SubscriberTest.java
+++ b/daemon/src/test/java/lupinvalve/cli/SubscriberTest.java
@@ -36,8 +36,10 @@
 class SubscriberTest {
     private static final List<String> NAMES = List.of("a", "b", "c");
     private static final int MANY = 40;
+
     @TempDir
     private Path folder;
+
     private final Map<String, String> addresses = new TreeMap<>();
     private final Map<String, Group> groups = new HashMap<>();
     private final List<ControlPlane> subscribers = new ArrayList<>();
@@ -95,15 +97,19 @@
     }
 
     private void member(String name, OperatorConfig.Audit audit) throws IOException {
-        Group group = new Group(new OperatorConfig.Store("plant", name, folder.resolve(name), addresses.get(name), addresses, null, 0,
-                audit));
+        Group group = new Group(new OperatorConfig.Store(
+                "plant", name, folder.resolve(name), addresses.get(name), addresses, null, 0, audit));
         groups.put(name, group);
         group.start(pooler(name));
     }
 
     private Subscriber subscriber(String name, OperatorConfig.Audit audit) throws IOException {
-        Subscriber subscriber = new Subscriber(OperatorConfig.Store.subscriber("plant", name, folder.resolve(name), addresses, null,
-                audit), loop, net, new lupinvalve.replication.FolderDisk(folder.resolve(name), true), name.hashCode());
+        Subscriber subscriber = new Subscriber(
+                OperatorConfig.Store.subscriber("plant", name, folder.resolve(name), addresses, null, audit),
+                loop,
+                net,
+                new lupinvalve.replication.FolderDisk(folder.resolve(name), true),
+                name.hashCode());
         subscribers.add(subscriber);
         subscriber.start(pooler(name));
         return subscriber;
@@ -122,7 +128,8 @@
     }
 
     private void put(int revision, String user, String... more) {
-        List<String> words = new ArrayList<>(List.of(Integer.toString(revision), "{\"mysql\":{\"user\":\"" + user + "\"}}"));
+        List<String> words =
+                new ArrayList<>(List.of(Integer.toString(revision), "{\"mysql\":{\"user\":\"" + user + "\"}}"));
         words.addAll(List.of(more));
         Client.Said said = ask("put", words.toArray(new String[0]));
         assertEquals(Messages.Code.OK, said.code(), said.text());
@@ -133,13 +140,15 @@
     }
 
     private List<Subscriber> many(OperatorConfig.Audit audit) {
-        return IntStream.range(0, MANY).mapToObj(i -> {
-            try {
-                return subscriber("s" + i, audit);
-            } catch (IOException e) {
-                throw new IllegalStateException(e);
-            }
-        }).toList();
+        return IntStream.range(0, MANY)
+                .mapToObj(i -> {
+                    try {
+                        return subscriber("s" + i, audit);
+                    } catch (IOException e) {
+                        throw new IllegalStateException(e);
+                    }
+                })
+                .toList();
     }
 
     @Test
@@ -150,15 +159,25 @@
         List<Subscriber> all = many(OperatorConfig.Audit.FENCE);
         World.await("all follow with a lease", () -> allAt(all, 1));
         put(1, "two-of-a-name-that-is-as-long-as-a-difference", "strict");
-        assertTrue(all.stream().allMatch(one -> one.actingRevision() == 2 || !one.mayAct()), "by the time of a strict answer");
+        assertTrue(
+                all.stream().allMatch(one -> one.actingRevision() == 2 || !one.mayAct()),
+                "by the time of a strict answer");
         World.await("all act on it", () -> allAt(all, 2));
-        assertEquals(0, all.stream().filter(one -> one.traffic().differences() == 0).count());
+        assertEquals(
+                0, all.stream().filter(one -> one.traffic().differences() == 0).count());
         Client.Said held = ask("hold", "node", "db-7", "disk", "strict");
         assertEquals(Messages.Code.OK, held.code(), held.text());
-        World.await("held", () -> all.stream().allMatch(one -> one.mayAct()) && holds.get("s7").size() == 1);
+        World.await(
+                "held",
+                () -> all.stream().allMatch(one -> one.mayAct())
+                        && holds.get("s7").size() == 1);
 
         // The member that leads goes: those that followed it come to others before their leases end, or soon after.
-        String leader = groups.entrySet().stream().filter(one -> one.getValue().leads()).findFirst().orElseThrow().getKey();
+        String leader = groups.entrySet().stream()
+                .filter(one -> one.getValue().leads())
+                .findFirst()
+                .orElseThrow()
+                .getKey();
         groups.remove(leader).stop();
         World.await("led anew", () -> groups.values().stream().anyMatch(Group::leads));
         put(2, "three");
@@ -175,12 +194,20 @@
         members(OperatorConfig.Audit.FENCE);
         World.await("led", () -> groups.values().stream().anyMatch(Group::leads));
         put(0, "one");
-        String without = groups.keySet().stream().filter(name -> !groups.get(name).leads()).findFirst().orElseThrow();
+        String without = groups.keySet().stream()
+                .filter(name -> !groups.get(name).leads())
+                .findFirst()
+                .orElseThrow();
         groups.remove(without).stop();
         member(without, OperatorConfig.Audit.OFF);
-        String name = IntStream.range(0, 100).mapToObj(i -> "s" + i).filter(one ->
-                new FollowSchedule(one, NAMES, 1).first().equals(without)).findFirst().orElseThrow();
-        World.await("it takes part", () -> acting.containsKey(without) && groups.values().stream().anyMatch(Group::leads));
+        String name = IntStream.range(0, 100)
+                .mapToObj(i -> "s" + i)
+                .filter(one -> new FollowSchedule(one, NAMES, 1).first().equals(without))
+                .findFirst()
+                .orElseThrow();
+        World.await(
+                "it takes part",
+                () -> acting.containsKey(without) && groups.values().stream().anyMatch(Group::leads));
         Subscriber subscriber = subscriber(name, OperatorConfig.Audit.FENCE);
         World.await("adopted", () -> subscriber.actingRevision() == 1);
         World.await("let act by another", subscriber::mayAct);
@@ -204,7 +231,10 @@
         acting.clear();
         holds.clear();
         Subscriber again = subscriber("serves", OperatorConfig.Audit.OFF);
-        World.await("acts on what it kept", () -> again.actingRevision() == 1 && holds.getOrDefault("serves", Map.of()).size() == 1);
+        World.await(
+                "acts on what it kept",
+                () -> again.actingRevision() == 1
+                        && holds.getOrDefault("serves", Map.of()).size() == 1);
         again.stop();
         byte[] kept = Files.readAllBytes(folder.resolve("serves/followed"));
         kept[kept.length / 2] ^= 4;
--- a/daemon/src/test/java/lupinvalve/discovery/DnsDirectoryTest.java
+++ b/daemon/src/test/java/lupinvalve/discovery/DnsDirectoryTest.java
@@ -46,7 +46,8 @@
                 while (true) {
                     DatagramPacket packet = new DatagramPacket(new byte[1500], 1500);
                     socket.receive(packet);
-                    byte[] bytes = answer(new Message(Arrays.copyOf(packet.getData(), packet.getLength()))).toWire();
+                    byte[] bytes = answer(new Message(Arrays.copyOf(packet.getData(), packet.getLength())))
+                            .toWire();
                     socket.send(new DatagramPacket(bytes, bytes.length, packet.getSocketAddress()));
                 }
             });
@@ -58,8 +59,9 @@
             answer.getHeader().setRcode(code);
             answer.addRecord(question.getQuestion(), Section.QUESTION);
             if (code == Rcode.NOERROR) {
-                zone.stream().filter(r -> r.getName().equals(question.getQuestion().getName())
-                        && r.getType() == question.getQuestion().getType())
+                zone.stream()
+                        .filter(r -> r.getName().equals(question.getQuestion().getName())
+                                && r.getType() == question.getQuestion().getType())
                         .forEach(r -> answer.addRecord(r, Section.ANSWER));
             }
             return answer;
@@ -69,7 +71,8 @@
             Name service = Name.fromString(SERVICE);
             Name instance = new Name(label, service);
             Name host = Name.fromString(label + ".plant.example.");
-            zone.removeIf(r -> r.getName().equals(instance) || r.getName().equals(host)
+            zone.removeIf(r -> r.getName().equals(instance)
+                    || r.getName().equals(host)
                     || r instanceof PTRRecord p && p.getTarget().equals(instance));
             zone.add(new SRVRecord(instance, DClass.IN, 1, 0, 0, port, host));
             zone.add(new TXTRecord(instance, DClass.IN, 1, List.of(text)));
@@ -87,22 +90,32 @@
         List<Directory.News> told = new CopyOnWriteArrayList<>();
         Loop loop = new Loop();
         loop.start();
-        Pooler pooler = new Pooler(loop, NodeConfig.read(java.nio.file.Path.of("example/config.json"), null).site()
-                .settings()) {
-            @Override
-            public void listed(Directory.News news) {
-                told.add(news);
-            }
-        };
-        DnsDirectory directory = new DnsDirectory(pooler, (InetSocketAddress) server.socket.getLocalSocketAddress(),
-                SERVICE, 20_000, 3306, List.of());
+        Pooler pooler =
+                new Pooler(
+                        loop,
+                        NodeConfig.read(java.nio.file.Path.of("example/config.json"), null)
+                                .site()
+                                .settings()) {
+                    @Override
+                    public void listed(Directory.News news) {
+                        told.add(news);
+                    }
+                };
+        DnsDirectory directory = new DnsDirectory(
+                pooler, (InetSocketAddress) server.socket.getLocalSocketAddress(), SERVICE, 20_000, 3306, List.of());
         loop.post(() -> directory.subscribe(true));
         World.await("first list", () -> told.size() == 1);
-        assertEquals(new Directory.News(Routing.ListForm.FULL, List.of(
-                new Directory.Entry(new Routing.Member("s-1", 3, 0, Routing.Health.LIVE, true, 7000),
-                        Map.of("pg", "127.0.0.9:5432", "mysql", "127.0.0.9:3307")),
-                new Directory.Entry(new Routing.Member("other", 3, 0, Routing.Health.DRAINING, false, 0),
-                        Map.of("pg", "127.0.0.9:5433", "mysql", "127.0.0.9:3306")))), told.get(0));
+        assertEquals(
+                new Directory.News(
+                        Routing.ListForm.FULL,
+                        List.of(
+                                new Directory.Entry(
+                                        new Routing.Member("s-1", 3, 0, Routing.Health.LIVE, true, 7000),
+                                        Map.of("pg", "127.0.0.9:5432", "mysql", "127.0.0.9:3307")),
+                                new Directory.Entry(
+                                        new Routing.Member("other", 3, 0, Routing.Health.DRAINING, false, 0),
+                                        Map.of("pg", "127.0.0.9:5433", "mysql", "127.0.0.9:3306")))),
+                told.get(0));
         server.instance("s-3", 5434, "cell=3");
         World.await("a change", () -> told.size() == 2);
         assertEquals(3, told.get(1).entries().size());
--- a/daemon/src/test/java/lupinvalve/discovery/HttpDirectoryTest.java
+++ b/daemon/src/test/java/lupinvalve/discovery/HttpDirectoryTest.java
@@ -32,7 +32,9 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What a pooler makes of a discovery that breaks off, falls silent, overlaps or is late: a scripted one on loopback. */
+/**
+ * What a pooler makes of a discovery that breaks off, falls silent, overlaps or is late: a scripted one on loopback.
+ */
 class HttpDirectoryTest {
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     private static final String PLAIN = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n";
@@ -47,15 +49,21 @@
 
     HttpDirectoryTest() throws IOException {
         server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        pooler = new Pooler(loop, NodeConfig.read(Path.of("example/config.json"), null).site().settings()) {
+        pooler = new Pooler(
+                loop,
+                NodeConfig.read(Path.of("example/config.json"), null).site().settings()) {
             @Override
             public void listed(Directory.News news) {
                 told.add(news);
                 super.listed(news);
             }
         };
-        directory = new HttpDirectory(net, pooler, new InetSocketAddress("127.0.0.1", server.getLocalPort()),
-                new ListReader(List.of(), null), 5);
+        directory = new HttpDirectory(
+                net,
+                pooler,
+                new InetSocketAddress("127.0.0.1", server.getLocalPort()),
+                new ListReader(List.of(), null),
+                5);
         pooler.directory(directory);
     }
 
@@ -102,11 +110,15 @@
     }
 
     private static String list(int revision, boolean complete, String... ids) {
-        StringBuilder text = new StringBuilder("{\"revision\":" + revision + ",\"complete\":" + complete + ",\"members\":[");
+        StringBuilder text =
+                new StringBuilder("{\"revision\":" + revision + ",\"complete\":" + complete + ",\"members\":[");
         for (String id : ids) {
-            text.append(text.charAt(text.length() - 1) == '[' ? "" : ",").append("{\"id\":\"").append(id.replace("-", ""))
+            text.append(text.charAt(text.length() - 1) == '[' ? "" : ",")
+                    .append("{\"id\":\"")
+                    .append(id.replace("-", ""))
                     .append("\",\"host_port\":\"127.0.0.1:1\",\"cell\":1,\"phase\":\"")
-                    .append(id.startsWith("-") ? "terminated" : "in_service").append("\",\"up_since_ms\":0}");
+                    .append(id.startsWith("-") ? "terminated" : "in_service")
+                    .append("\",\"up_since_ms\":0}");
         }
         return text.append("]}").toString();
     }
@@ -134,8 +146,12 @@
     void anObjectMayBeIndentedAndSpreadOverManyChunks() throws Exception {
         Socket watch = call();
         say(watch, HEAD);
-        String indented = list(6, true, "a", "b").replace("{", "{\n  ").replace(",", ",\n\t").replace("]", "\r\n ]")
-                .replace("\"b\"", "\"b \\\" } ] \\\\\"") + "\n";
+        String indented = list(6, true, "a", "b")
+                        .replace("{", "{\n  ")
+                        .replace(",", ",\n\t")
+                        .replace("]", "\r\n ]")
+                        .replace("\"b\"", "\"b \\\" } ] \\\\\"")
+                + "\n";
         for (char c : indented.toCharArray()) {
             say(watch, chunk(String.valueOf(c)));
         }
@@ -294,7 +310,9 @@
         say(second, HEAD + chunk(list(6, true, "a") + "\n"));
         World.await("listed", () -> lists("a"));
         assertEquals(false, lists("x"));
-        assertEquals(Routing.Health.LIVE, onCore(() -> pooler.known().get(0).entry().member().health()));
+        assertEquals(
+                Routing.Health.LIVE,
+                onCore(() -> pooler.known().get(0).entry().member().health()));
     }
 
     @Test
@@ -396,8 +414,12 @@
             }
         });
         Pooler empty = new Pooler(loop, pooler.settings());
-        HttpDirectory asks = new HttpDirectory(net, empty, new InetSocketAddress("127.0.0.1", other.getLocalPort()),
-                new ListReader(List.of(), null), 0);
+        HttpDirectory asks = new HttpDirectory(
+                net,
+                empty,
+                new InetSocketAddress("127.0.0.1", other.getLocalPort()),
+                new ListReader(List.of(), null),
+                0);
         empty.directory(asks);
         loop.post(() -> empty.start(2, List.of()));
         Socket first = came.poll(10, TimeUnit.SECONDS);
--- a/daemon/src/test/java/lupinvalve/discovery/WatchScheduleTest.java
+++ b/daemon/src/test/java/lupinvalve/discovery/WatchScheduleTest.java
@@ -25,10 +25,17 @@
 
     /** What becomes of a call. */
     private enum Fate {
-        ANSWERED, REFUSED, REFUSED_LATE, REFUSED_LATER, RESET, NEVER_UP, HEAD_THEN_SILENCE, HEAD_LATE_THEN_SILENCE;
-
-        static final List<Fate> FAILURES = List.of(REFUSED, REFUSED_LATE, REFUSED_LATER, RESET, NEVER_UP, HEAD_THEN_SILENCE,
-                HEAD_LATE_THEN_SILENCE);
+        ANSWERED,
+        REFUSED,
+        REFUSED_LATE,
+        REFUSED_LATER,
+        RESET,
+        NEVER_UP,
+        HEAD_THEN_SILENCE,
+        HEAD_LATE_THEN_SILENCE;
+
+        static final List<Fate> FAILURES = List.of(
+                REFUSED, REFUSED_LATE, REFUSED_LATER, RESET, NEVER_UP, HEAD_THEN_SILENCE, HEAD_LATE_THEN_SILENCE);
         /** Of an overloaded discovery, and of one that a part of the callers can't reach. */
         static final List<Fate> CROWDED = List.of(REFUSED, REFUSED_LATE, REFUSED_LATER, RESET, NEVER_UP);
     }
@@ -42,14 +49,15 @@
     private static final class Play implements WatchSchedule.Calls {
         private record Due(long at, long order, Runnable then) {}
 
-        private final PriorityQueue<Due> ahead = new PriorityQueue<>((a, b) -> a.at != b.at
-                ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
+        private final PriorityQueue<Due> ahead =
+                new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
         private final WatchSchedule schedule = new WatchSchedule(this);
         private final Consumer<Routing.Action> acts = this::act;
         private final List<Fate> fates;
         private final Router router;
         /** From when on discovery has the change and can be reached; calls begun before meet what is there before. */
         private final long reachableAt;
+
         private final Fate before;
         private final List<Routing.Action> pending = new ArrayList<>();
         private long now = START, order, knownAt = -1, dueAt = Long.MAX_VALUE;
@@ -111,7 +119,7 @@
                 case REFUSED_LATER -> at(now + LATER, () -> schedule.failed(number));
                 case HEAD_THEN_SILENCE -> at(now + 1, () -> schedule.headed(number, now));
                 case HEAD_LATE_THEN_SILENCE -> at(now + LATE, () -> schedule.headed(number, now));
-                default -> { }
+                default -> {}
             }
         }
 
@@ -256,15 +264,23 @@
 
     @Test
     void discoveryReturns() {
-        List<Fate> outages = List.of(Fate.REFUSED, Fate.REFUSED_LATE, Fate.REFUSED_LATER, Fate.RESET, Fate.NEVER_UP,
-                Fate.HEAD_THEN_SILENCE);
+        List<Fate> outages = List.of(
+                Fate.REFUSED, Fate.REFUSED_LATE, Fate.REFUSED_LATER, Fate.RESET, Fate.NEVER_UP, Fate.HEAD_THEN_SILENCE);
         for (Fate meanwhile : outages) {
             for (long phase = 0; phase < 2000; phase += 125) {
                 long at = phase * MS;
-                worst("return after " + meanwhile, Fate.FAILURES, 2, false,
+                worst(
+                        "return after " + meanwhile,
+                        Fate.FAILURES,
+                        2,
+                        false,
                         (seed, fates) -> outage(seed, fates, meanwhile, at));
             }
-            worst("return after " + meanwhile, Fate.FAILURES, 2, true,
+            worst(
+                    "return after " + meanwhile,
+                    Fate.FAILURES,
+                    2,
+                    true,
                     (seed, fates) -> outage(seed, fates, meanwhile, 700 * MS));
         }
     }
--- a/daemon/src/test/java/lupinvalve/mysql/MysqlPort.java
+++ b/daemon/src/test/java/lupinvalve/mysql/MysqlPort.java
@@ -123,9 +123,21 @@
 
         private void login() throws IOException, Framer.Malformed, GeneralSecurityException {
             long capabilities = 0x200 | 0x8000 | 0x80000 | 0x800000 | 0x1000000 | 0x8000000;
-            write(new Out().int1(10).zero("8.0.0").fixed(1, 4).raw(Arrays.copyOf(NONCE, 8)).int1(0)
-                    .fixed(capabilities & 0xFFFF, 2).int1(45).fixed(2, 2).fixed(capabilities >> 16, 2).int1(21)
-                    .raw(new byte[10]).raw(Arrays.copyOfRange(NONCE, 8, 20)).int1(0).zero("caching_sha2_password"));
+            write(new Out()
+                    .int1(10)
+                    .zero("8.0.0")
+                    .fixed(1, 4)
+                    .raw(Arrays.copyOf(NONCE, 8))
+                    .int1(0)
+                    .fixed(capabilities & 0xFFFF, 2)
+                    .int1(45)
+                    .fixed(2, 2)
+                    .fixed(capabilities >> 16, 2)
+                    .int1(21)
+                    .raw(new byte[10])
+                    .raw(Arrays.copyOfRange(NONCE, 8, 20))
+                    .int1(0)
+                    .zero("caching_sha2_password"));
             In packet = new In(read());
             packet.raw(32);
             String user = packet.zero();
@@ -151,9 +163,12 @@
             KeyPair pair = KEYS;
             write(new Out().int1(1).int1(4));
             read();
-            write(new Out().int1(1).text("-----BEGIN PUBLIC KEY-----\n"
-                    + Base64.getMimeEncoder().encodeToString(pair.getPublic().getEncoded())
-                    + "\n-----END PUBLIC KEY-----\n"));
+            write(new Out()
+                    .int1(1)
+                    .text("-----BEGIN PUBLIC KEY-----\n"
+                            + Base64.getMimeEncoder()
+                                    .encodeToString(pair.getPublic().getEncoded())
+                            + "\n-----END PUBLIC KEY-----\n"));
             Cipher cipher = Cipher.getInstance("RSA/ECB/OAEPWithSHA-1AndMGF1Padding");
             cipher.init(Cipher.DECRYPT_MODE, pair.getPrivate());
             byte[] open = cipher.doFinal(new In(read()).rest());
@@ -168,7 +183,13 @@
             long id = 7 + prepared.size() * 3L;
             prepared.put(id, statement);
             int places = statement.replaceAll("[^?]", "").length();
-            write(new Out().int1(0).fixed(id, 4).fixed(1, 2).fixed(places, 2).int1(0).fixed(0, 2));
+            write(new Out()
+                    .int1(0)
+                    .fixed(id, 4)
+                    .fixed(1, 2)
+                    .fixed(places, 2)
+                    .int1(0)
+                    .fixed(0, 2));
             for (int i = 0; i < places + 1; i++) {
                 write(Variables.column("c"));
             }
@@ -191,7 +212,9 @@
             StringBuilder values = new StringBuilder();
             for (int i = 0; i < params.size(); i++) {
                 if (i < places) {
-                    values.append(" <").append(sent.get(i) ? ahead.get(i) : params.get(i).text()).append('>');
+                    values.append(" <")
+                            .append(sent.get(i) ? ahead.get(i) : params.get(i).text())
+                            .append('>');
                 } else {
                     fields.put(params.get(i).name(), params.get(i).text());
                 }
@@ -227,10 +250,24 @@
         }
 
         private void ok(int header) throws IOException {
-            byte[] asOf = new Out().counted("as_of").counted(Long.toString(node.asOf.getAsLong())).payload();
+            byte[] asOf = new Out()
+                    .counted("as_of")
+                    .counted(Long.toString(node.asOf.getAsLong()))
+                    .payload();
             byte[] rank = new Out().counted("rank").counted(node.rank()).payload();
-            write(new Out().int1(header).lenenc(0).lenenc(0).fixed(2 | 0x4000, 2).fixed(0, 2).counted("")
-                    .counted(new Out().int1(0).counted(asOf).int1(0).counted(rank).payload()));
+            write(new Out()
+                    .int1(header)
+                    .lenenc(0)
+                    .lenenc(0)
+                    .fixed(2 | 0x4000, 2)
+                    .fixed(0, 2)
+                    .counted("")
+                    .counted(new Out()
+                            .int1(0)
+                            .counted(asOf)
+                            .int1(0)
+                            .counted(rank)
+                            .payload()));
         }
 
         private void error(int code, String state) throws IOException {
--- a/daemon/src/test/java/lupinvalve/mysql/MysqlTest.java
+++ b/daemon/src/test/java/lupinvalve/mysql/MysqlTest.java
@@ -33,6 +33,7 @@
 class MysqlTest {
     @TempDir
     Path folder;
+
     private final DbNode primary, replica;
     private final MysqlPort primaryPort, replicaPort;
 
@@ -49,16 +50,25 @@
 
     private World world(int sockets) throws Exception {
         Map<String, String> members = Map.of("n0", "127.0.0.1:1");
-        World world = new World(sockets, new OperatorConfig(1, new OperatorConfig.Mysql("127.0.0.1:0", "nobody", "", 0,
-                "", "", ""), new OperatorConfig.Store("test", "n0", folder, "127.0.0.1:0", members, null, 0), null),
-                primary, replica);
+        World world = new World(
+                sockets,
+                new OperatorConfig(
+                        1,
+                        new OperatorConfig.Mysql("127.0.0.1:0", "nobody", "", 0, "", "", ""),
+                        new OperatorConfig.Store("test", "n0", folder, "127.0.0.1:0", members, null, 0),
+                        null),
+                primary,
+                replica);
         // The front is served once a configuration with its accounts has been accepted.
         assertNull(world.daemon.mysqlAddress());
-        String document = "{\"mysql\": {\"user\": \"portal\", \"password\": \"towel\", \"node_user\": \"" + MysqlPort.USER
-                + "\", \"node_password\": \"" + MysqlPort.PASSWORD + "\"}}";
-        Client operator = new Client("test", Map.of("n0", "127.0.0.1:" + world.daemon.storeAddress().getPort()), null);
-        assertEquals(Messages.Code.OK, operator.ask("put", List.of("0".getBytes(UTF_8), document.getBytes(UTF_8)), false,
-                10_000).code());
+        String document = "{\"mysql\": {\"user\": \"portal\", \"password\": \"towel\", \"node_user\": \""
+                + MysqlPort.USER + "\", \"node_password\": \"" + MysqlPort.PASSWORD + "\"}}";
+        Client operator = new Client(
+                "test", Map.of("n0", "127.0.0.1:" + world.daemon.storeAddress().getPort()), null);
+        assertEquals(
+                Messages.Code.OK,
+                operator.ask("put", List.of("0".getBytes(UTF_8), document.getBytes(UTF_8)), false, 10_000)
+                        .code());
         World.await("served", () -> world.daemon.mysqlAddress() != null);
         return world;
     }
@@ -105,8 +115,10 @@
     @Test
     void an_account_is_checked() throws Exception {
         try (World world = world()) {
-            assertThrows(SQLException.class, () -> world.mysql("portal", "wrong").close());
-            assertThrows(SQLException.class, () -> world.mysql("stranger", "towel").close());
+            assertThrows(
+                    SQLException.class, () -> world.mysql("portal", "wrong").close());
+            assertThrows(
+                    SQLException.class, () -> world.mysql("stranger", "towel").close());
             try (Connection client = client(world)) {
                 assertTrue(client.isValid(1));
             }
@@ -115,7 +127,8 @@
 
     @Test
     void statements_are_served_plain_and_prepared_with_their_fields_in_attributes_or_the_comment() throws Exception {
-        try (World world = world(); Connection client = client(world)) {
+        try (World world = world();
+                Connection client = client(world)) {
             assertEquals("value", end(client, read("bag-status", "a1", 900)));
             try (Statement plain = client.createStatement()) {
                 JdbcStatement named = plain.unwrap(JdbcStatement.class);
@@ -126,8 +139,8 @@
                 assertEquals("value", value(plain, "INSERT INTO rows VALUES ('k1', 'x') RETURNING blob"));
             }
             assertEquals(1, primary.runs.get("a2"));
-            try (PreparedStatement write = client.prepareStatement("INSERT INTO rows VALUES (?, ?) RETURNING blob"
-                    + comment("pickup-booking", "a3", 900))) {
+            try (PreparedStatement write = client.prepareStatement(
+                    "INSERT INTO rows VALUES (?, ?) RETURNING blob" + comment("pickup-booking", "a3", 900))) {
                 write.setString(1, "k1");
                 write.setBinaryStream(2, new ByteArrayInputStream("sheets".getBytes()));
                 assertEquals("value", value(write));
@@ -146,9 +159,18 @@
     void a_statement_prepared_before_a_drain_executes_on_another_db_node() throws Exception {
         DbNode other = new DbNode("s-3", false);
         MysqlPort otherPort = new MysqlPort(other, true);
-        try (World world = new World(new OperatorConfig(1, new OperatorConfig.Mysql("127.0.0.1:0", "portal", "towel", 0,
-                MysqlPort.USER, MysqlPort.PASSWORD, ""), null, null), primary, replica, other);
-                Connection client = client(world); PreparedStatement read = client.prepareStatement(
+        try (World world = new World(
+                        new OperatorConfig(
+                                1,
+                                new OperatorConfig.Mysql(
+                                        "127.0.0.1:0", "portal", "towel", 0, MysqlPort.USER, MysqlPort.PASSWORD, ""),
+                                null,
+                                null),
+                        primary,
+                        replica,
+                        other);
+                Connection client = client(world);
+                PreparedStatement read = client.prepareStatement(
                         "SELECT blob FROM rows WHERE handle = ?" + comment("bag-status", "b1", 900))) {
             read.setString(1, "k1");
             assertEquals("value", value(read));
@@ -169,7 +191,8 @@
 
     @Test
     void deadlines_refusals_and_errors_end_as_documented() throws Exception {
-        try (World world = world(); Connection client = client(world)) {
+        try (World world = world();
+                Connection client = client(world)) {
             primary.script.add(Makes.HANG);
             long start = System.nanoTime();
             assertEquals("1105", end(client, booking("c1", 300)));
@@ -179,8 +202,8 @@
             for (int i = 0; i < 64; i++) {
                 primary.script.add(Makes.FULL);
             }
-            SQLException refused = assertThrows(SQLException.class,
-                    () -> client.createStatement().execute(booking("c3", 400)));
+            SQLException refused = assertThrows(
+                    SQLException.class, () -> client.createStatement().execute(booking("c3", 400)));
             assertEquals(1226, refused.getErrorCode());
             assertTrue(refused.getMessage().contains("retry after 50 ms"), refused.getMessage());
             assertFalse(primary.runs.containsKey("c3"));
@@ -191,8 +214,10 @@
     @Test
     void a_booking_whose_connection_breaks_fails_and_ran_once() throws Exception {
         primary.script.add(Makes.DROP);
-        try (World world = world(); Connection client = client(world); PreparedStatement write =
-                client.prepareStatement("INSERT INTO rows VALUES (?)" + comment("pickup-booking", "d1", 900))) {
+        try (World world = world();
+                Connection client = client(world);
+                PreparedStatement write =
+                        client.prepareStatement("INSERT INTO rows VALUES (?)" + comment("pickup-booking", "d1", 900))) {
             write.setString(1, "k1");
             assertEquals(1105, assertThrows(SQLException.class, write::execute).getErrorCode());
             assertEquals(1, primary.runs.get("d1"));
@@ -204,7 +229,9 @@
     void a_client_of_both_protocols_sees_its_writes_though_the_replica_is_behind() throws Exception {
         long stopped = System.currentTimeMillis() - 200;
         replica.asOf = () -> stopped;
-        try (World world = world(); Connection mysql = client(world); Connection pg = world.pg()) {
+        try (World world = world();
+                Connection mysql = client(world);
+                Connection pg = world.pg()) {
             try (ResultSet rows = pg.createStatement().executeQuery(booking("e1", 900))) {
                 assertTrue(rows.next());
             }
@@ -223,7 +250,8 @@
     void reads_keep_their_bound_of_age() throws Exception {
         long stopped = System.currentTimeMillis() - 5_000;
         replica.asOf = () -> stopped;
-        try (World world = world(); Connection client = client(world)) {
+        try (World world = world();
+                Connection client = client(world)) {
             // The replica's first answer tells how far behind it is; from then on it is sent no such read.
             assertEquals("value", end(client, read("own-order-view", "f0", 900)));
             assertEquals("value", end(client, read("bag-status", "f1", 900)));
@@ -235,7 +263,9 @@
     @Test
     void the_same_work_ends_the_same_over_both_fronts() throws Exception {
         List<String> ends = new ArrayList<>();
-        try (World world = world(); Connection mysql = client(world); Connection pg = world.pg()) {
+        try (World world = world();
+                Connection mysql = client(world);
+                Connection pg = world.pg()) {
             for (Connection client : List.of(mysql, pg)) {
                 for (Makes makes : Makes.values()) {
                     if (makes == Makes.MISS || makes == Makes.BEHIND || makes.compareTo(Makes.DROP) > 0) {
@@ -248,18 +278,27 @@
                     }
                     String query = booking(makes + "-" + (client == mysql), 900);
                     String end = client == mysql ? end(client, query) : pgEnd(client, query);
-                    ends.add(makes + " " + end.replace("53300", "refused").replace("1226", "refused")
-                            .replace("58000", "failed").replace("1105", "failed"));
+                    ends.add(makes + " "
+                            + end.replace("53300", "refused")
+                                    .replace("1226", "refused")
+                                    .replace("58000", "failed")
+                                    .replace("1105", "failed"));
                     primary.script.clear();
                     // A broken or silent connection ejects the primary for a moment: it must be back for the next.
-                    for (int i = 0; !"value".equals(client == mysql ? end(client, booking("w", 900))
-                            : pgEnd(client, booking("w", 900))); i++) {
+                    for (int i = 0;
+                            !"value"
+                                    .equals(
+                                            client == mysql
+                                                    ? end(client, booking("w", 900))
+                                                    : pgEnd(client, booking("w", 900)));
+                            i++) {
                         assertTrue(i < 50);
                     }
                 }
             }
         }
-        assertEquals(List.of("SERVED value", "FULL refused", "ERROR failed", "HANG failed", "DROP failed"),
+        assertEquals(
+                List.of("SERVED value", "FULL refused", "ERROR failed", "HANG failed", "DROP failed"),
                 ends.subList(0, 5));
         assertEquals(ends.subList(0, 5), ends.subList(5, 10));
     }
@@ -297,13 +336,35 @@
         byte[] head = new Out().lenenc(1).packet(1);
         byte[] column = Variables.column("blob").packet(2);
         byte[] end = Protocol.Ok.PLAIN.packet(0xFE, Protocol.SESSION_TRACK, 4);
-        try (World world = world(); Connection client = client(world)) {
+        try (World world = world();
+                Connection client = client(world)) {
             int id = 0;
-            for (byte[] spoilt : List.of("noise".getBytes(), new byte[] {-1, -1, -1, 1, 0},
-                    new Out().raw(head).raw(column).raw(new Out().int1(9).text("odd").packet(3)).raw(end).payload(),
-                    new Out().raw(head).raw(column).raw(new Out().counted("odd").int1(0).packet(3)).raw(end).payload(),
-                    new Out().raw(head).raw(new Out().counted("odd").packet(2)).raw(end).payload(),
-                    new Out().raw(head).raw(column).raw(new Out().counted("odd").packet(7)).raw(end).payload())) {
+            for (byte[] spoilt : List.of(
+                    "noise".getBytes(),
+                    new byte[] {-1, -1, -1, 1, 0},
+                    new Out()
+                            .raw(head)
+                            .raw(column)
+                            .raw(new Out().int1(9).text("odd").packet(3))
+                            .raw(end)
+                            .payload(),
+                    new Out()
+                            .raw(head)
+                            .raw(column)
+                            .raw(new Out().counted("odd").int1(0).packet(3))
+                            .raw(end)
+                            .payload(),
+                    new Out()
+                            .raw(head)
+                            .raw(new Out().counted("odd").packet(2))
+                            .raw(end)
+                            .payload(),
+                    new Out()
+                            .raw(head)
+                            .raw(column)
+                            .raw(new Out().counted("odd").packet(7))
+                            .raw(end)
+                            .payload())) {
                 primary.strange = spoilt;
                 primary.script.add(Makes.SPOILT);
                 assertEquals("1105", end(client, booking("v" + ++id, 900)));
@@ -320,7 +381,9 @@
     @Test
     void bad_fields_and_anothers_id_are_turned_down() throws Exception {
         primary.script.add(Makes.HANG);
-        try (World world = world(); Connection client = client(world); Connection stranger = client(world)) {
+        try (World world = world();
+                Connection client = client(world);
+                Connection stranger = client(world)) {
             Thread owner = new Thread(() -> {
                 try {
                     end(client, booking("o1", 700));
@@ -340,8 +403,10 @@
 
     @Test
     void broken_packets_end_their_own_connection_only() throws Exception {
-        try (World world = world(); Connection client = client(world);
-                Socket broken = new Socket("127.0.0.1", world.daemon.mysqlAddress().getPort())) {
+        try (World world = world();
+                Connection client = client(world);
+                Socket broken =
+                        new Socket("127.0.0.1", world.daemon.mysqlAddress().getPort())) {
             broken.setSoTimeout(10_000);
             broken.getOutputStream().write(new byte[] {1, 0, 0, 1, 0});
             byte[] all = broken.getInputStream().readAllBytes();
@@ -358,7 +423,8 @@
     void commands_past_the_bound_are_refused_in_their_turn_and_the_connection_goes_on() throws Exception {
         int waiting = 64;
         int more = 6;
-        try (World world = world(); RawMysqlClient client = raw(world)) {
+        try (World world = world();
+                RawMysqlClient client = raw(world)) {
             CountDownLatch held = new CountDownLatch(1);
             primary.hold = held;
             List<byte[]> commands = new ArrayList<>();
@@ -381,7 +447,8 @@
 
     @Test
     void what_breaks_the_protocol_is_told_once_all_before_it_is_answered() throws Exception {
-        try (World world = world(); RawMysqlClient client = raw(world)) {
+        try (World world = world();
+                RawMysqlClient client = raw(world)) {
             CountDownLatch held = new CountDownLatch(1);
             primary.hold = held;
             client.send(RawMysqlClient.command(Protocol.COM_QUERY, booking("a", 5000)));
@@ -394,12 +461,15 @@
 
     @Test
     void a_command_that_can_not_be_read_takes_no_answer_from_those_around_it() throws Exception {
-        try (World world = world(); RawMysqlClient client = raw(world)) {
+        try (World world = world();
+                RawMysqlClient client = raw(world)) {
             CountDownLatch held = new CountDownLatch(1);
             primary.hold = held;
             client.send(RawMysqlClient.command(Protocol.COM_QUERY, booking("a", 5000)));
             World.await("it runs", () -> primary.runs.containsKey("a"));
-            client.send(RawMysqlClient.command(Protocol.COM_PING, ""), RawMysqlClient.command(Protocol.COM_EXECUTE, "x"),
+            client.send(
+                    RawMysqlClient.command(Protocol.COM_PING, ""),
+                    RawMysqlClient.command(Protocol.COM_EXECUTE, "x"),
                     RawMysqlClient.command(Protocol.COM_PING, ""));
             held.countDown();
             assertEquals(List.of("rows", "ok", "1153", "1153", "end"), client.answers(5));
--- a/daemon/src/test/java/lupinvalve/mysql/RawMysqlClient.java
+++ b/daemon/src/test/java/lupinvalve/mysql/RawMysqlClient.java
@@ -33,8 +33,16 @@
         byte[] nonce = Arrays.copyOf(Arrays.copyOfRange(greeting, at, at + 8), MysqlClient.NONCE_BYTES);
         System.arraycopy(greeting, at + SECOND_NONCE, nonce, 8, nonce.length - 8);
         byte[] proof = Protocol.scramble(Protocol.NATIVE, password, nonce);
-        socket.getOutputStream().write(new Out().fixed(Protocol.PROTOCOL_41 | Protocol.SECURE_CONNECTION | Protocol.PLUGIN_AUTH, 4).fixed(0, 4)
-                .raw(new byte[24]).zero(user).int1(proof.length).raw(proof).zero(Protocol.NATIVE).packet(1));
+        socket.getOutputStream()
+                .write(new Out()
+                        .fixed(Protocol.PROTOCOL_41 | Protocol.SECURE_CONNECTION | Protocol.PLUGIN_AUTH, 4)
+                        .fixed(0, 4)
+                        .raw(new byte[24])
+                        .zero(user)
+                        .int1(proof.length)
+                        .raw(proof)
+                        .zero(Protocol.NATIVE)
+                        .packet(1));
         if (packet()[0] != 0) {
             throw new IOException("not let in");
         }
@@ -59,7 +67,9 @@
         return in.readNBytes(length);
     }
 
-    /** What the next so many answers begin with: "ok", "rows" or an error's code; "end" where the connection ends first. */
+    /**
+     * What the next so many answers begin with: "ok", "rows" or an error's code; "end" where the connection ends first.
+     */
     List<String> answers(int count) throws IOException {
         List<String> answers = new ArrayList<>();
         while (true) {
@@ -72,9 +82,13 @@
             }
             if (sequence == ANSWER_BEGINS) {
                 int code = packet[0] & 255;
-                answers.add(code == 0 ? "ok" : code == 255 ? Integer.toString(packet[1] & 255 | (packet[2] & 255) << 8) : "rows");
+                answers.add(
+                        code == 0
+                                ? "ok"
+                                : code == 255 ? Integer.toString(packet[1] & 255 | (packet[2] & 255) << 8) : "rows");
             }
-            if (answers.size() == count && (packet[0] & 255) >= 254 || answers.size() == count && answers.get(count - 1).equals("ok")) {
+            if (answers.size() == count && (packet[0] & 255) >= 254
+                    || answers.size() == count && answers.get(count - 1).equals("ok")) {
                 return answers;
             }
         }
--- a/daemon/src/test/java/lupinvalve/net/AcceptorTest.java
+++ b/daemon/src/test/java/lupinvalve/net/AcceptorTest.java
@@ -39,7 +39,9 @@
             HeldCore.Stop stop = pooler.stop();
             stop.reached();
             for (int i = 0; i < 60; i++) {
-                clients.add(new Socket(InetAddress.getLoopbackAddress(), pooler.listener.address().getPort()));
+                clients.add(new Socket(
+                        InetAddress.getLoopbackAddress(),
+                        pooler.listener.address().getPort()));
             }
             // Those that there was no room for are told so by their end.
             clients.get(59).setSoTimeout(10_000);
@@ -94,7 +96,9 @@
             acceptor.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
             long begun = System.nanoTime();
             for (int i = 0; i < clients; i++) {
-                try (Socket client = new Socket(InetAddress.getLoopbackAddress(), acceptor.getLocalAddress().getPort())) {
+                try (Socket client = new Socket(
+                        InetAddress.getLoopbackAddress(),
+                        acceptor.getLocalAddress().getPort())) {
                     client.setSoTimeout(10_000);
                     taken += client.getInputStream().read() == '!' ? 1 : 0;
                 }
@@ -143,8 +147,10 @@
             }
             Thread closing = new Thread(acceptor::unbind);
             closing.start();
-            World.await("asked to close", () -> closing.getState() == Thread.State.TIMED_WAITING
-                    || closing.getState() == Thread.State.WAITING);
+            World.await(
+                    "asked to close",
+                    () -> closing.getState() == Thread.State.TIMED_WAITING
+                            || closing.getState() == Thread.State.WAITING);
             held.countDown();
             closing.join();
             World.await("all taken", () -> taken.get() == clients.size());
@@ -159,7 +165,9 @@
         }
     }
 
-    /** What the system lacks for a moment as the port is opened ends no start; an address that is taken does, at once. */
+    /**
+     * What the system lacks for a moment as the port is opened ends no start; an address that is taken does, at once.
+     */
     @Test
     void aPortThatCanNotBeOpenedForAMomentIsTriedAgain() throws Exception {
         ExecutorService threads = Executors.newCachedThreadPool();
@@ -179,7 +187,8 @@
         try (ServerSocket other = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             Net.bind(acceptor, any);
             assertEquals(4, calls.get());
-            try (Socket client = new Socket(InetAddress.getLoopbackAddress(), acceptor.getLocalAddress().getPort())) {
+            try (Socket client = new Socket(
+                    InetAddress.getLoopbackAddress(), acceptor.getLocalAddress().getPort())) {
                 assertTrue(client.isConnected());
             }
             InetSocketAddress taken = new InetSocketAddress(InetAddress.getLoopbackAddress(), other.getLocalPort());
--- a/daemon/src/test/java/lupinvalve/net/BarredLinkTest.java
+++ b/daemon/src/test/java/lupinvalve/net/BarredLinkTest.java
@@ -7,13 +7,16 @@
 import lupinvalve.stories.World;
 import org.junit.jupiter.api.Test;
 
-/** Between the decision to end a connection and its end, bytes may come: nobody may go round for them without a pause. */
+/**
+ * Between the decision to end a connection and its end, bytes may come: nobody may go round for them without a pause.
+ */
 class BarredLinkTest {
     private static final int UNREAD = 8 << 20;
 
     @Test
     void whatComesWhileTheLastWordsAreNotReadIsLookedAtOnceAndNotAgain() throws Exception {
-        try (HeldCore pooler = new HeldCore(text -> text); Socket client = pooler.client()) {
+        try (HeldCore pooler = new HeldCore(text -> text);
+                Socket client = pooler.client()) {
             Link link = pooler.links.get(0);
             pooler.onCore(() -> {
                 link.write(new byte[UNREAD]);
@@ -31,7 +34,8 @@
     /** A connection whose end was asked for is read on until the last look, and what that finds keeps it open. */
     @Test
     void aConnectionThatIsUsedBeforeTheLastLookGoesOn() throws Exception {
-        try (HeldCore pooler = new HeldCore(text -> text); Socket client = pooler.client()) {
+        try (HeldCore pooler = new HeldCore(text -> text);
+                Socket client = pooler.client()) {
             Link link = pooler.links.get(0);
             HeldCore.Stop stop = pooler.stop();
             stop.reached();
--- a/daemon/src/test/java/lupinvalve/net/ClientEndsTest.java
+++ b/daemon/src/test/java/lupinvalve/net/ClientEndsTest.java
@@ -27,7 +27,10 @@
             Log.leastHere(null);
             Log.to(System.err);
         }
-        return said.toString(StandardCharsets.UTF_8).lines().map(line -> line.replaceFirst("^\\S+ ", "").replaceAll("\\d+ ms", "N ms")).toList();
+        return said.toString(StandardCharsets.UTF_8)
+                .lines()
+                .map(line -> line.replaceFirst("^\\S+ ", "").replaceAll("\\d+ ms", "N ms"))
+                .toList();
     }
 
     @Test
@@ -39,11 +42,16 @@
             ends.ended(EndReason.CUT, link, 3);
             ends.ended(EndReason.CUT, link, 2);
         });
-        assertEquals(List.of("INFO client ? ended: to make room; open N ms, nothing due",
-                "WARN client ? ended: a long answer broke off; open N ms, 3 requests due"), lines);
+        assertEquals(
+                List.of(
+                        "INFO client ? ended: to make room; open N ms, nothing due",
+                        "WARN client ? ended: a long answer broke off; open N ms, 3 requests due"),
+                lines);
         String counted = ends.take();
-        assertTrue(counted.matches("37 to make room \\(open \\d+ to \\d+ ms, 0 requests due\\); "
-                + "1 a long answer broke off \\(open \\d+ to \\d+ ms, 2 requests due\\)"), counted);
+        assertTrue(
+                counted.matches("37 to make room \\(open \\d+ to \\d+ ms, 0 requests due\\); "
+                        + "1 a long answer broke off \\(open \\d+ to \\d+ ms, 2 requests due\\)"),
+                counted);
         assertEquals("", ends.take());
     }
 
@@ -54,7 +62,8 @@
             ends.ended(EndReason.GOODBYE, link, 0);
         }));
         assertEquals("", ends.take());
-        assertEquals(List.of("WARN client ? ended: by the client; open N ms, 1 requests due"),
+        assertEquals(
+                List.of("WARN client ? ended: by the client; open N ms, 1 requests due"),
                 logged(() -> ends.ended(EndReason.CLIENT_LEFT, link, 1)));
     }
 }
--- a/daemon/src/test/java/lupinvalve/net/CrossedEndTest.java
+++ b/daemon/src/test/java/lupinvalve/net/CrossedEndTest.java
@@ -22,15 +22,22 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * What a client sends between the pooler's decision to end its connection and the end itself. The thread of the sockets is held up at two points,
- * and the statement is seen in the system's own table before it goes on: what has come by that thread's last look is answered, and what comes
- * behind it lies unread as the connection closes. A reset must say so; an end in order would say that all was answered.
+ * What a client sends between the pooler's decision to end its connection and the end itself. The thread of the sockets
+ * is held up at two points, and the statement is seen in the system's own table before it goes on: what has come by
+ * that thread's last look is answered, and what comes behind it lies unread as the connection closes. A reset must say
+ * so; an end in order would say that all was answered.
  */
 class CrossedEndTest {
     private static final int STATEMENT = 80;
 
-    /** Why the connection is ended. MySQL drivers ask by themselves once they are in, so that none of them is silent. */
-    enum Path { ROOM, SILENCE, SENT_AWAY }
+    /**
+     * Why the connection is ended. MySQL drivers ask by themselves once they are in, so that none of them is silent.
+     */
+    enum Path {
+        ROOM,
+        SILENCE,
+        SENT_AWAY
+    }
 
     private static Throwable root(Throwable of) {
         return of.getCause() == null ? of : root(of.getCause());
@@ -39,7 +46,9 @@
     private static FutureTask<Throwable> ask(Connection client) {
         FutureTask<Throwable> asked = new FutureTask<>(() -> {
             try {
-                client.createStatement().executeQuery("SELECT blob FROM rows WHERE handle = 'k' /* id=crossed,c=bag-status,t=acme,d=400,cluster=1 */");
+                client.createStatement()
+                        .executeQuery(
+                                "SELECT blob FROM rows WHERE handle = 'k' /* id=crossed,c=bag-status,t=acme,d=400,cluster=1 */");
                 return null;
             } catch (SQLException e) {
                 return root(e);
@@ -74,8 +83,11 @@
                 if (path != Path.SILENCE) {
                     // Each has asked, so that it counts as resting.
                     Connection client = clients.get(i);
-                    assertThrows(SQLException.class, () -> client.createStatement().executeQuery(
-                            "SELECT blob FROM rows WHERE handle = 'k' /* id=first,c=bag-status,t=acme,d=400,cluster=1 */"));
+                    assertThrows(
+                            SQLException.class,
+                            () -> client.createStatement()
+                                    .executeQuery(
+                                            "SELECT blob FROM rows WHERE handle = 'k' /* id=first,c=bag-status,t=acme,d=400,cluster=1 */"));
                 }
             }
             long rested = System.nanoTime();
@@ -113,7 +125,8 @@
             FutureTask<Throwable> asked = front.asks();
             front.decided.letGo();
             SQLException answer = assertInstanceOf(SQLException.class, asked.get());
-            assertEquals(protocol == SmallFront.Protocol.PG ? "53300" : "42000", answer.getSQLState(), answer.toString());
+            assertEquals(
+                    protocol == SmallFront.Protocol.PG ? "53300" : "42000", answer.getSQLState(), answer.toString());
         }
     }
 
@@ -131,13 +144,18 @@
         }
     }
 
-    /** A connection past the bound on clients, whose startup and first statements come as it is ended for saying nothing. */
+    /**
+     * A connection past the bound on clients, whose startup and first statements come as it is ended for saying
+     * nothing.
+     */
     @Test
     void whatANewcomerPastTheBoundSendsAsItEndsIsLeftUnreadUnderAReset() throws Exception {
-        try (SmallFront pool = new SmallFront(SmallFront.Protocol.PG); HeldSockets decided = new HeldSockets(pool.net);
+        try (SmallFront pool = new SmallFront(SmallFront.Protocol.PG);
+                HeldSockets decided = new HeldSockets(pool.net);
                 HeldSockets looked = new HeldSockets(pool.net)) {
             pool.fillWithBusyClients();
-            try (Socket newcomer = new Socket("127.0.0.1", pool.listener.address().getPort())) {
+            try (Socket newcomer =
+                    new Socket("127.0.0.1", pool.listener.address().getPort())) {
                 newcomer.setSoTimeout(10_000);
                 World.await("taken", () -> pool.links.size() == SmallFront.MOST + 1);
                 decided.hold();
@@ -148,7 +166,8 @@
                 newcomer.getOutputStream().write("\0\0\0\20\0\3\0\0user\0\0\0\0Q\0\0\0\5\0".getBytes(ISO_8859_1));
                 World.await("in the machine", () -> pool.bytesWaiting(SmallFront.MOST) > 0);
                 looked.letGo();
-                assertThrows(SocketException.class, () -> newcomer.getInputStream().read());
+                assertThrows(
+                        SocketException.class, () -> newcomer.getInputStream().read());
             }
         }
     }
@@ -157,7 +176,8 @@
     @ParameterizedTest
     @CsvSource({"PG", "MYSQL"})
     void anEndThatNothingCrossesIsInOrder(SmallFront.Protocol protocol) throws Exception {
-        try (SmallFront pool = new SmallFront(protocol); Socket client = new Socket("127.0.0.1", pool.listener.address().getPort())) {
+        try (SmallFront pool = new SmallFront(protocol);
+                Socket client = new Socket("127.0.0.1", pool.listener.address().getPort())) {
             client.setSoTimeout(10_000);
             World.await("taken", () -> pool.links.size() == 1);
             pool.loop.post(pool.closeFront);
@@ -171,11 +191,15 @@
         }
     }
 
-    /** A connection that was asked to end, is used after all, and then ends with its last word: a late last look takes nothing of that. */
+    /**
+     * A connection that was asked to end, is used after all, and then ends with its last word: a late last look takes
+     * nothing of that.
+     */
     @Test
     void aLastLookThatComesLateCutsNoLastWord() throws Exception {
         byte[] lastWord = new byte[8 << 20];
-        try (SmallFront pool = new SmallFront(SmallFront.Protocol.PG); HeldSockets sockets = new HeldSockets(pool.net);
+        try (SmallFront pool = new SmallFront(SmallFront.Protocol.PG);
+                HeldSockets sockets = new HeldSockets(pool.net);
                 Socket client = new Socket("127.0.0.1", pool.listener.address().getPort())) {
             client.setSoTimeout(10_000);
             World.await("taken", () -> pool.links.size() == 1);
--- a/daemon/src/test/java/lupinvalve/net/DepartureTest.java
+++ b/daemon/src/test/java/lupinvalve/net/DepartureTest.java
@@ -51,7 +51,8 @@
     @EnumSource
     void whatACoreThatIsBehindHasYetToDecideIsNotBegunForAClientThatHasGone(Goes goes) throws Exception {
         try (DbNode primary = new DbNode("p", true);
-                HeldCore pooler = new HeldCore(AS_IT_IS, entry(primary, "p", 0)); Socket client = pooler.client()) {
+                HeldCore pooler = new HeldCore(AS_IT_IS, entry(primary, "p", 0));
+                Socket client = pooler.client()) {
             // A connection rests, so that nothing but the decision stands between the request and the db node.
             ask(client, booking("y", 2000));
             assertEquals(List.of("T", "D", "C"), answer(client));
@@ -73,8 +74,8 @@
     @EnumSource
     void whatWaitsForItsConnectionIsTakenBackAlsoWhereNothingMayBeCalledOff(Goes goes) throws Exception {
         try (DbNode primary = new DbNode("p", true);
-                HeldCore pooler = new HeldCore(text -> text.replace("\"may_cancel\": true", "\"may_cancel\": false"),
-                        entry(primary, "p", 0));
+                HeldCore pooler = new HeldCore(
+                        text -> text.replace("\"may_cancel\": true", "\"may_cancel\": false"), entry(primary, "p", 0));
                 Socket client = pooler.client()) {
             primary.greets = new CountDownLatch(1);
             ask(client, booking("b", 2000));
@@ -89,7 +90,8 @@
     @Test
     void noFurtherAttemptIsBegunOnceItsClientHasGone() throws Exception {
         try (DbNode primary = new DbNode("p", true);
-                HeldCore pooler = new HeldCore(AS_IT_IS, entry(primary, "p", 0)); Socket client = pooler.client()) {
+                HeldCore pooler = new HeldCore(AS_IT_IS, entry(primary, "p", 0));
+                Socket client = pooler.client()) {
             // After a miss it is tried again at once: the answer and then the client's end come while the core is held.
             primary.hold = new CountDownLatch(1);
             for (int i = 0; i < 10; i++) {
@@ -111,7 +113,8 @@
             World.await("over", () -> over(pooler));
             assertEquals(1, primary.seen.size());
             assertNothingMoreComes(pooler, primary, 1);
-            // Nor is anything left in the books: one that seems to be out for good would keep its db node from being used.
+            // Nor is anything left in the books: one that seems to be out for good would keep its db node from being
+            // used.
             long rested = System.nanoTime();
             World.await("rested", () -> System.nanoTime() - rested > 1_500_000_000L);
             assertNothingMoreComes(pooler, primary, 2);
@@ -122,9 +125,14 @@
     void aCancelEndsTheRequestAndWhatIsOutForIt() throws Exception {
         try (DbNode primary = new DbNode("p", true);
                 HeldCore pooler = new HeldCore(AS_IT_IS, entry(primary, "p", 0));
-                Socket client = new Socket("127.0.0.1", pooler.listener.address().getPort())) {
+                Socket client =
+                        new Socket("127.0.0.1", pooler.listener.address().getPort())) {
             client.getOutputStream().write("\0\0\0\20\0\3\0\0user\0\0\0\0".getBytes(ISO_8859_1));
-            String key = answer(client).stream().filter(m -> m.startsWith("K")).findFirst().orElseThrow().substring(1);
+            String key = answer(client).stream()
+                    .filter(m -> m.startsWith("K"))
+                    .findFirst()
+                    .orElseThrow()
+                    .substring(1);
             primary.script.add(DbNode.Makes.HANG);
             ask(client, booking("d", 2000));
             World.await("out", () -> primary.seen.size() == 1);
@@ -145,11 +153,16 @@
     @Test
     void aCancelWhileItsRequestWaitsForAConnectionLeavesNothingToBeSent() throws Exception {
         try (DbNode primary = new DbNode("p", true);
-                HeldCore pooler = new HeldCore(text -> text.replace("\"may_cancel\": true", "\"may_cancel\": false"),
-                        entry(primary, "p", 0));
-                Socket client = new Socket("127.0.0.1", pooler.listener.address().getPort())) {
+                HeldCore pooler = new HeldCore(
+                        text -> text.replace("\"may_cancel\": true", "\"may_cancel\": false"), entry(primary, "p", 0));
+                Socket client =
+                        new Socket("127.0.0.1", pooler.listener.address().getPort())) {
             client.getOutputStream().write("\0\0\0\20\0\3\0\0user\0\0\0\0".getBytes(ISO_8859_1));
-            String key = answer(client).stream().filter(m -> m.startsWith("K")).findFirst().orElseThrow().substring(1);
+            String key = answer(client).stream()
+                    .filter(m -> m.startsWith("K"))
+                    .findFirst()
+                    .orElseThrow()
+                    .substring(1);
             primary.greets = new CountDownLatch(1);
             ask(client, booking("f", 2000));
             World.await("on its way", () -> primary.met.get() == 1);
--- a/daemon/src/test/java/lupinvalve/net/DroppedDialsTest.java
+++ b/daemon/src/test/java/lupinvalve/net/DroppedDialsTest.java
@@ -54,7 +54,8 @@
                     loop.after(given, link::drop);
                 }));
             }
-            loop.post(() -> loop.after(DROPPED * 3_000L + 3_000, () -> net.dial(to, (bytes, from, end, out) -> end, last)));
+            loop.post(() ->
+                    loop.after(DROPPED * 3_000L + 3_000, () -> net.dial(to, (bytes, from, end, out) -> end, last)));
         }
     }
 
--- a/daemon/src/test/java/lupinvalve/net/EndsTest.java
+++ b/daemon/src/test/java/lupinvalve/net/EndsTest.java
@@ -25,8 +25,9 @@
     private static FutureTask<String> ask(Connection client, String id) {
         FutureTask<String> asked = new FutureTask<>(() -> {
             try {
-                client.createStatement().executeQuery("SELECT blob FROM rows WHERE handle = 'k1' /* id=" + id
-                        + ",c=bag-status,t=acme,d=400,cluster=1 */");
+                client.createStatement()
+                        .executeQuery("SELECT blob FROM rows WHERE handle = 'k1' /* id=" + id
+                                + ",c=bag-status,t=acme,d=400,cluster=1 */");
                 return "served";
             } catch (SQLException e) {
                 return e.getSQLState() + " " + e.getErrorCode();
@@ -68,7 +69,9 @@
     @ParameterizedTest
     @EnumSource
     void a_request_that_crosses_with_the_end_of_the_program_is_answered(SmallFront.Protocol protocol) throws Exception {
-        try (SmallFront pool = new SmallFront(protocol); Connection client = pool.client(); Connection idle = pool.client()) {
+        try (SmallFront pool = new SmallFront(protocol);
+                Connection client = pool.client();
+                Connection idle = pool.client()) {
             // One that was only just opened would be given a moment for its first request.
             assertEquals(refused(protocol), ask(idle, "i").get());
             pool.hold();
@@ -83,8 +86,10 @@
 
     @ParameterizedTest
     @EnumSource
-    void a_request_under_way_is_answered_before_its_silent_connection_ends(SmallFront.Protocol protocol) throws Exception {
-        try (SmallFront pool = new SmallFront(protocol); Connection client = pool.client()) {
+    void a_request_under_way_is_answered_before_its_silent_connection_ends(SmallFront.Protocol protocol)
+            throws Exception {
+        try (SmallFront pool = new SmallFront(protocol);
+                Connection client = pool.client()) {
             // Logged in, but without a command so far: silent to the front.
             World.await("told", () -> !pool.links.get(0).more());
             pool.hold();
@@ -122,7 +127,10 @@
                 newcomers.add(socket);
                 int count = SmallFront.MOST + i + 1;
                 socket.getOutputStream().write(bytes, 0, 1);
-                World.await("begun", () -> pool.links.size() == count && pool.links.get(count - 1).more());
+                World.await(
+                        "begun",
+                        () -> pool.links.size() == count
+                                && pool.links.get(count - 1).more());
             }
             pool.fill();
             for (int i = 0; i < 40; i++) {
@@ -132,7 +140,8 @@
             }
             pool.letGo();
             for (Socket socket : newcomers) {
-                int type = protocol == SmallFront.Protocol.PG ? socket.getInputStream().read()
+                int type = protocol == SmallFront.Protocol.PG
+                        ? socket.getInputStream().read()
                         : socket.getInputStream().readNBytes(5)[4] & 255;
                 assertEquals(protocol == SmallFront.Protocol.PG ? 'E' : 255, type);
                 socket.close();
@@ -150,7 +159,8 @@
             pool.fillWithBusyClients();
             byte[] startup = "\0\0\0\20\0\3\0\0user\0\0\0\0".getBytes(ISO_8859_1);
             byte[] statement = "Q\0\0\0\15SELECT 1\0".getBytes(ISO_8859_1);
-            try (Socket newcomer = new Socket("127.0.0.1", pool.listener.address().getPort())) {
+            try (Socket newcomer =
+                    new Socket("127.0.0.1", pool.listener.address().getPort())) {
                 newcomer.setSoTimeout(10_000);
                 World.await("taken", () -> pool.links.size() == SmallFront.MOST + 1);
                 pool.hold();
--- a/daemon/src/test/java/lupinvalve/net/FirstByteTest.java
+++ b/daemon/src/test/java/lupinvalve/net/FirstByteTest.java
@@ -13,13 +13,16 @@
 import lupinvalve.stories.World;
 import org.junit.jupiter.api.Test;
 
-/** What was decided goes out in the time for which the decision holds, or not at all: a drain counts at the first byte. */
+/**
+ * What was decided goes out in the time for which the decision holds, or not at all: a drain counts at the first byte.
+ */
 class FirstByteTest {
     @Test
     void whatASlowThreadHasNotBegunToWriteDoesNotGoToADbNodeThatDrains() throws Exception {
         try (DbNode primary = new DbNode("p", true);
                 HeldCore pooler = new HeldCore(text -> text, entry(primary, "p", 0));
-                HeldSockets sockets = new HeldSockets(pooler.net); Socket client = pooler.client()) {
+                HeldSockets sockets = new HeldSockets(pooler.net);
+                Socket client = pooler.client()) {
             // A connection rests, so that the request is written as soon as it is decided.
             ask(client, booking("y", 2000));
             assertEquals(List.of("T", "D", "C"), answer(client));
@@ -43,7 +46,8 @@
     void whatASlowThreadHasNotBegunToWriteIsDecidedAnew() throws Exception {
         try (DbNode primary = new DbNode("p", true);
                 HeldCore pooler = new HeldCore(text -> text, entry(primary, "p", 0));
-                HeldSockets sockets = new HeldSockets(pooler.net); Socket client = pooler.client()) {
+                HeldSockets sockets = new HeldSockets(pooler.net);
+                Socket client = pooler.client()) {
             ask(client, booking("y", 2000));
             assertEquals(List.of("T", "D", "C"), answer(client));
             HeldCore.Stop before = pooler.stop();
--- a/daemon/src/test/java/lupinvalve/net/HeldCore.java
+++ b/daemon/src/test/java/lupinvalve/net/HeldCore.java
@@ -73,13 +73,15 @@
     }
 
     static Directory.Entry entry(DbNode node, String id, long bornMicros) {
-        return new Directory.Entry(new Routing.Member(id, 1, 0, Routing.Health.LIVE, node.primary, bornMicros),
+        return new Directory.Entry(
+                new Routing.Member(id, 1, 0, Routing.Health.LIVE, node.primary, bornMicros),
                 Map.of(PgFront.PROTOCOL, "127.0.0.1:" + node.port()));
     }
 
     static Directory.Entry draining(DbNode node, String id) {
         Directory.Entry live = entry(node, id, 0);
-        return new Directory.Entry(new Routing.Member(id, 1, 0, Routing.Health.DRAINING, node.primary, 0), live.addresses());
+        return new Directory.Entry(
+                new Routing.Member(id, 1, 0, Routing.Health.DRAINING, node.primary, 0), live.addresses());
     }
 
     static Directory.Entry gone(String id) {
@@ -163,8 +165,8 @@
 
     static void ask(Socket client, String query) throws IOException {
         int length = query.length() + 5;
-        client.getOutputStream().write(("Q\0\0" + (char) (length >> 8) + (char) (length & 255) + query + "\0")
-                .getBytes(ISO_8859_1));
+        client.getOutputStream()
+                .write(("Q\0\0" + (char) (length >> 8) + (char) (length & 255) + query + "\0").getBytes(ISO_8859_1));
     }
 
     /** What comes up to ReadyForQuery: types, and of errors the code; "end" where the connection is over. */
@@ -181,12 +183,16 @@
             if (type == 'Z') {
                 return got;
             }
-            got.add(type == 'E' ? body.replaceAll("(?s).*\0C(.{5}).*", "$1") : type == 'K' ? "K" + body : "" + (char) type);
+            got.add(
+                    type == 'E'
+                            ? body.replaceAll("(?s).*\0C(.{5}).*", "$1")
+                            : type == 'K' ? "K" + body : "" + (char) type);
         }
     }
 
     static String read(String id, String kind, int wait) {
-        return "SELECT blob FROM rows WHERE handle = 'k1' /* id=" + id + ",c=" + kind + ",t=acme,d=" + wait + ",cluster=1 */";
+        return "SELECT blob FROM rows WHERE handle = 'k1' /* id=" + id + ",c=" + kind + ",t=acme,d=" + wait
+                + ",cluster=1 */";
     }
 
     static String booking(String id, int wait) {
--- a/daemon/src/test/java/lupinvalve/net/HeldLinkTest.java
+++ b/daemon/src/test/java/lupinvalve/net/HeldLinkTest.java
@@ -93,7 +93,8 @@
         AtomicReference<Link> opened = new AtomicReference<>();
         Link.Events events = events(opened, new ArrayList<>());
         loop.start();
-        Net.Listener listener = net.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), () -> BYTES, events);
+        Net.Listener listener =
+                net.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), () -> BYTES, events);
         try (Socket peer = new Socket()) {
             peer.setReceiveBufferSize(4096);
             peer.connect(listener.address());
@@ -138,7 +139,7 @@
 
     @Test
     void aConnectionThatHasEndedCountsUntilItsLastWordIsOut() throws Exception {
-        unread(link -> { }, (loop, listener, peer, link) -> {
+        unread(link -> {}, (loop, listener, peer, link) -> {
             CountDownLatch finished = new CountDownLatch(1);
             loop.post(() -> {
                 link.finish();
--- a/daemon/src/test/java/lupinvalve/net/HeldSockets.java
+++ b/daemon/src/test/java/lupinvalve/net/HeldSockets.java
@@ -53,7 +53,8 @@
     /** Whether a core waits for what has come to its sockets. */
     public static boolean isAwaited() {
         return Thread.getAllStackTraces().values().stream().anyMatch(stack -> List.of(stack).stream()
-                .anyMatch(frame -> frame.getClassName().endsWith("ReadProgress") && frame.getMethodName().equals("await")));
+                .anyMatch(frame -> frame.getClassName().endsWith("ReadProgress")
+                        && frame.getMethodName().equals("await")));
     }
 
     @Override
--- a/daemon/src/test/java/lupinvalve/net/LateConnectionTest.java
+++ b/daemon/src/test/java/lupinvalve/net/LateConnectionTest.java
@@ -25,8 +25,11 @@
     @Test
     void aRepeatGoesOutWithinItsWindowOrNotAtAll() throws Exception {
         try (DbNode primary = new DbNode("p", true);
-                HeldCore pooler = new HeldCore(text -> text.replace("\"unsafe\"", "\"keyed\"").replace("5000000", "300000")
-                        .replace("\"group\": \"all\"", "\"group\": \"cell\""), entry(primary, "p", 0));
+                HeldCore pooler = new HeldCore(
+                        text -> text.replace("\"unsafe\"", "\"keyed\"")
+                                .replace("5000000", "300000")
+                                .replace("\"group\": \"all\"", "\"group\": \"cell\""),
+                        entry(primary, "p", 0));
                 Socket client = pooler.client()) {
             // The first attempt may have run; the repeat's connection comes up when the window is over.
             primary.script.add(DbNode.Makes.DROP);
@@ -47,9 +50,13 @@
 
     @Test
     void aReadGoesOutWhileItsDbNodeIsFreshEnoughOrNotThere() throws Exception {
-        try (DbNode primary = new DbNode("p", true); DbNode replica = new DbNode("r", false);
-                HeldCore pooler = new HeldCore(text -> text.replace("\"bounce\"", "\"silent\"")
-                        .replace("\"aim_us\": 600000", "\"aim_us\": 1500000"), entry(primary, "p", 0), entry(replica, "r", 0));
+        try (DbNode primary = new DbNode("p", true);
+                DbNode replica = new DbNode("r", false);
+                HeldCore pooler = new HeldCore(
+                        text -> text.replace("\"bounce\"", "\"silent\"")
+                                .replace("\"aim_us\": 600000", "\"aim_us\": 1500000"),
+                        entry(primary, "p", 0),
+                        entry(replica, "r", 0));
                 Socket client = pooler.client()) {
             // Read until both have told what they have, then the replica stands still.
             World.await("the replica serves", () -> {
@@ -82,7 +89,8 @@
     @Test
     void whatWaitsForItsConnectionDoesNotGoToOneThatMayHaveBeenDrainedLongAgo() throws Exception {
         try (DbNode primary = new DbNode("p", true);
-                HeldCore pooler = new HeldCore(AS_IT_IS, entry(primary, "p", 0)); Socket client = pooler.client()) {
+                HeldCore pooler = new HeldCore(AS_IT_IS, entry(primary, "p", 0));
+                Socket client = pooler.client()) {
             primary.greets = new CountDownLatch(1);
             ask(client, booking("a", 1900));
             World.await("on its way", () -> primary.met.get() == 1);
@@ -96,8 +104,10 @@
     @Test
     void whatWaitsForItsConnectionGoesToAPrimaryWhoseDrainIsNew() throws Exception {
         try (DbNode primary = new DbNode("p", true);
-                HeldCore pooler = new HeldCore(text -> text.replace("\"stop_sending_within_us\": 250000",
-                        "\"stop_sending_within_us\": 4000000"), entry(primary, "p", 0));
+                HeldCore pooler = new HeldCore(
+                        text -> text.replace(
+                                "\"stop_sending_within_us\": 250000", "\"stop_sending_within_us\": 4000000"),
+                        entry(primary, "p", 0));
                 Socket client = pooler.client()) {
             primary.greets = new CountDownLatch(1);
             ask(client, booking("a", 1900));
@@ -111,8 +121,10 @@
 
     @Test
     void aRestingConnectionIsNotUsedOnceItsDbNodeIsElsewhere() throws Exception {
-        try (DbNode first = new DbNode("p", true); DbNode second = new DbNode("p", true);
-                HeldCore pooler = new HeldCore(AS_IT_IS, entry(first, "p", 0)); Socket client = pooler.client()) {
+        try (DbNode first = new DbNode("p", true);
+                DbNode second = new DbNode("p", true);
+                HeldCore pooler = new HeldCore(AS_IT_IS, entry(first, "p", 0));
+                Socket client = pooler.client()) {
             ask(client, booking("a", 1000));
             assertEquals(List.of("T", "D", "C"), answer(client));
             pooler.listed(entry(second, "p", 0));
@@ -126,8 +138,10 @@
 
     @Test
     void aBusyConnectionIsNotUsedAgainOnceItsDbNodeHasLeftAndCameBackElsewhere() throws Exception {
-        try (DbNode first = new DbNode("p", true); DbNode second = new DbNode("p", true);
-                HeldCore pooler = new HeldCore(AS_IT_IS, entry(first, "p", 0)); Socket client = pooler.client()) {
+        try (DbNode first = new DbNode("p", true);
+                DbNode second = new DbNode("p", true);
+                HeldCore pooler = new HeldCore(AS_IT_IS, entry(first, "p", 0));
+                Socket client = pooler.client()) {
             first.hold = new CountDownLatch(1);
             ask(client, booking("a", 1900));
             World.await("out", () -> first.seen.size() == 1);
@@ -145,7 +159,8 @@
 
     @Test
     void aRestartedDbNodeGetsNothingOnConnectionsFromBefore() throws Exception {
-        try (DbNode node = new DbNode("p", true); HeldCore pooler = new HeldCore(AS_IT_IS, entry(node, "p", 0));
+        try (DbNode node = new DbNode("p", true);
+                HeldCore pooler = new HeldCore(AS_IT_IS, entry(node, "p", 0));
                 Socket client = pooler.client()) {
             ask(client, booking("a", 1900));
             assertEquals(List.of("T", "D", "C"), answer(client));
@@ -159,8 +174,10 @@
 
     @Test
     void whatWaitsForAConnectionToAFormerAddressGoesToTheNewOne() throws Exception {
-        try (DbNode first = new DbNode("p", true); DbNode second = new DbNode("p", true);
-                HeldCore pooler = new HeldCore(AS_IT_IS, entry(first, "p", 0)); Socket client = pooler.client()) {
+        try (DbNode first = new DbNode("p", true);
+                DbNode second = new DbNode("p", true);
+                HeldCore pooler = new HeldCore(AS_IT_IS, entry(first, "p", 0));
+                Socket client = pooler.client()) {
             first.greets = new CountDownLatch(1);
             ask(client, booking("a", 1900));
             World.await("on its way", () -> first.met.get() == 1);
--- a/daemon/src/test/java/lupinvalve/net/LinkFaultTest.java
+++ b/daemon/src/test/java/lupinvalve/net/LinkFaultTest.java
@@ -64,7 +64,8 @@
         Log.least(Log.Level.INFO);
     }
 
-    private static void isReset(Framer framer, Front front, EndReason reason, boolean reads, int withinSeconds) throws Exception {
+    private static void isReset(Framer framer, Front front, EndReason reason, boolean reads, int withinSeconds)
+            throws Exception {
         Loop loop = new Loop();
         loop.start();
         Net net = new Net(loop);
@@ -73,7 +74,8 @@
             client.setSoTimeout(10_000);
             client.getOutputStream().write(1);
             if (reads) {
-                assertThrows(SocketException.class, () -> client.getInputStream().read());
+                assertThrows(
+                        SocketException.class, () -> client.getInputStream().read());
             }
             assertEquals(reason, front.ended.get(withinSeconds, TimeUnit.SECONDS));
             assertThrows(SocketException.class, () -> client.getInputStream().readAllBytes());
@@ -85,21 +87,36 @@
 
     @Test
     void aFaultInAFrontIsAReset() throws Exception {
-        isReset(BYTES, new Front(link -> {
-            throw new IllegalStateException("planted");
-        }), EndReason.FAULT, true, 10);
+        isReset(
+                BYTES,
+                new Front(link -> {
+                    throw new IllegalStateException("planted");
+                }),
+                EndReason.FAULT,
+                true,
+                10);
     }
 
     @Test
     void aFaultOnTheThreadOfTheSocketsIsAReset() throws Exception {
-        isReset((bytes, from, to, out) -> {
-            throw new IllegalStateException("planted");
-        }, new Front(link -> { }), EndReason.FAULT, true, 10);
+        isReset(
+                (bytes, from, to, out) -> {
+                    throw new IllegalStateException("planted");
+                },
+                new Front(link -> {}),
+                EndReason.FAULT,
+                true,
+                10);
     }
 
     /** It is given 15 s, as one that reads slowly must get its answers. */
     @Test
     void whoTakesNothingIsResetAfterAWhile() throws Exception {
-        isReset(BYTES, new Front(link -> link.write(new byte[MORE_THAN_BUFFERS_HOLD])), EndReason.READS_TOO_SLOWLY, false, 30);
+        isReset(
+                BYTES,
+                new Front(link -> link.write(new byte[MORE_THAN_BUFFERS_HOLD])),
+                EndReason.READS_TOO_SLOWLY,
+                false,
+                30);
     }
 }
--- a/daemon/src/test/java/lupinvalve/net/SmallFront.java
+++ b/daemon/src/test/java/lupinvalve/net/SmallFront.java
@@ -33,7 +33,10 @@
     static final int MOST = 4;
 
     /** What the front speaks. */
-    enum Protocol { PG, MYSQL }
+    enum Protocol {
+        PG,
+        MYSQL
+    }
 
     final Protocol protocol;
     final Loop loop = new Loop();
@@ -46,7 +49,9 @@
 
     SmallFront(Protocol protocol) throws IOException {
         this.protocol = protocol;
-        Pooler pooler = new Pooler(loop, NodeConfig.read(Path.of("example/config.json"), null).site().settings());
+        Pooler pooler = new Pooler(
+                loop,
+                NodeConfig.read(Path.of("example/config.json"), null).site().settings());
         pooler.directory(new Directory() {
             @Override
             public void subscribe(boolean active) {
@@ -105,10 +110,15 @@
     Connection client() throws SQLException {
         int port = listener.address().getPort();
         return protocol == Protocol.PG
-                ? DriverManager.getConnection("jdbc:postgresql://127.0.0.1:" + port + "/ledger?preferQueryMode=simple"
-                        + "&sslmode=disable&assumeMinServerVersion=9.0", "api", "")
-                : DriverManager.getConnection("jdbc:mysql://127.0.0.1:" + port + "/ledger?sslMode=DISABLED"
-                        + "&allowPublicKeyRetrieval=true", "portal", "towel");
+                ? DriverManager.getConnection(
+                        "jdbc:postgresql://127.0.0.1:" + port + "/ledger?preferQueryMode=simple"
+                                + "&sslmode=disable&assumeMinServerVersion=9.0",
+                        "api",
+                        "")
+                : DriverManager.getConnection(
+                        "jdbc:mysql://127.0.0.1:" + port + "/ledger?sslMode=DISABLED" + "&allowPublicKeyRetrieval=true",
+                        "portal",
+                        "towel");
     }
 
     /** Fills the table with clients that have each sent the half of a statement: nobody makes room of them. */
@@ -145,7 +155,7 @@
     /** So much that deadlines come between what was posted before and what is posted behind it. */
     void fill() {
         for (int i = 0; i < 130; i++) {
-            loop.post(() -> { });
+            loop.post(() -> {});
         }
     }
 
--- a/daemon/src/test/java/lupinvalve/net/SurplusTest.java
+++ b/daemon/src/test/java/lupinvalve/net/SurplusTest.java
@@ -29,9 +29,12 @@
     private PgBackend pool;
 
     private void open(int routers) throws Exception {
-        Routing.Settings s = NodeConfig.read(Path.of("example/config.json"), null).site().settings();
-        Pooler pooler = new Pooler(loop, new Routing.Settings(0, routers, 0, s.mustSubscribe(), s.classes(), s.limits(),
-                s.rules(), s.replication()));
+        Routing.Settings s =
+                NodeConfig.read(Path.of("example/config.json"), null).site().settings();
+        Pooler pooler = new Pooler(
+                loop,
+                new Routing.Settings(
+                        0, routers, 0, s.mustSubscribe(), s.classes(), s.limits(), s.rules(), s.replication()));
         pooler.directory(new Directory() {
             @Override
             public void subscribe(boolean active) {
@@ -48,11 +51,19 @@
         pooler.backend(PgFront.PROTOCOL, pool);
         loop.start();
         loop.post(() -> {
-            pooler.start(1, List.of(new Directory.Entry(new Routing.Member("n", 1, 0, Routing.Health.LIVE, true, 0),
-                    Map.of(PgFront.PROTOCOL, "127.0.0.1:1"))));
+            pooler.start(
+                    1,
+                    List.of(new Directory.Entry(
+                            new Routing.Member("n", 1, 0, Routing.Health.LIVE, true, 0),
+                            Map.of(PgFront.PROTOCOL, "127.0.0.1:1"))));
             for (int i = 0; i < 4; i++) {
-                pool.send(100 + i, "n", "127.0.0.1:1",
-                        new Statement("SELECT 1".getBytes(StandardCharsets.UTF_8)), 1_000_000, 1_000_000);
+                pool.send(
+                        100 + i,
+                        "n",
+                        "127.0.0.1:1",
+                        new Statement("SELECT 1".getBytes(StandardCharsets.UTF_8)),
+                        1_000_000,
+                        1_000_000);
             }
         });
     }
@@ -88,8 +99,13 @@
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
         loop.post(() -> {
             for (int i = 0; i < 40; i++) {
-                pool.send(200 + i, "n", "127.0.0.1:1",
-                        new Statement("SELECT 1".getBytes(StandardCharsets.UTF_8)), 1_000_000, 1_000_000);
+                pool.send(
+                        200 + i,
+                        "n",
+                        "127.0.0.1:1",
+                        new Statement("SELECT 1".getBytes(StandardCharsets.UTF_8)),
+                        1_000_000,
+                        1_000_000);
             }
             pool.beside(true);
         });
@@ -101,8 +117,13 @@
         loop.post(() -> {
             pool.beside(false);
             for (int i = 0; i < 40; i++) {
-                pool.send(300 + i, "n", "127.0.0.1:1",
-                        new Statement("SELECT 1".getBytes(StandardCharsets.UTF_8)), 1_000_000, 1_000_000);
+                pool.send(
+                        300 + i,
+                        "n",
+                        "127.0.0.1:1",
+                        new Statement("SELECT 1".getBytes(StandardCharsets.UTF_8)),
+                        1_000_000,
+                        1_000_000);
             }
         });
         assertTrue(onCore(pool::open) > 25, "alone it may use them all");
--- a/daemon/src/test/java/lupinvalve/replication/OldMemberTest.java
+++ b/daemon/src/test/java/lupinvalve/replication/OldMemberTest.java
@@ -33,11 +33,13 @@
 /** Programs of before subscriptions and of after this one, beside this one. */
 class OldMemberTest {
     private static final byte[] DOCUMENT = "{}".getBytes(StandardCharsets.UTF_8);
+
     @TempDir
     private Path folder;
 
     /** A member that answers each call as it is told. */
-    private static ServerSocket member(String name, AtomicInteger calls, java.util.function.Function<Messages.Call, byte[]> answers)
+    private static ServerSocket member(
+            String name, AtomicInteger calls, java.util.function.Function<Messages.Call, byte[]> answers)
             throws IOException {
         ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         Thread thread = new Thread(() -> {
@@ -54,9 +56,11 @@
         return server;
     }
 
-    private static void serve(Socket socket, String name, AtomicInteger calls, java.util.function.Function<Messages.Call, byte[]> answers)
+    private static void serve(
+            Socket socket, String name, AtomicInteger calls, java.util.function.Function<Messages.Call, byte[]> answers)
             throws IOException {
-        Founding.Word word = new Founding.Word(new Identity(name, "disk"), Founding.Phase.FOUNDED, Set.of(new Identity(name, "disk")));
+        Founding.Word word = new Founding.Word(
+                new Identity(name, "disk"), Founding.Phase.FOUNDED, Set.of(new Identity(name, "disk")));
         socket.getOutputStream().write(new Messages.Hello("plant", name, "127.0.0.1:1", word).write());
         DataInputStream in = new DataInputStream(socket.getInputStream());
         while (true) {
@@ -71,8 +75,13 @@
 
     /** As programs of before subscriptions wrote it: three values. */
     private static byte[] oldAnswer(Messages.Call call) {
-        return Messages.message(Messages.Kind.ANSWER, new Cbor.Out().number(call.id()).number(Messages.Code.REFUSED.ordinal())
-                .text("no such call: " + call.name()).done());
+        return Messages.message(
+                Messages.Kind.ANSWER,
+                new Cbor.Out()
+                        .number(call.id())
+                        .number(Messages.Code.REFUSED.ordinal())
+                        .text("no such call: " + call.name())
+                        .done());
     }
 
     private static byte[] newAnswer(Messages.Call call) {
@@ -94,12 +103,18 @@
                 ServerSocket b = member("b", current, OldMemberTest::newAnswer)) {
             Log.to(new PrintStream(lines, true));
             Log.least(Log.Level.INFO);
-            Map<String, String> members = Map.of("a", "127.0.0.1:" + a.getLocalPort(), "b", "127.0.0.1:" + b.getLocalPort());
+            Map<String, String> members =
+                    Map.of("a", "127.0.0.1:" + a.getLocalPort(), "b", "127.0.0.1:" + b.getLocalPort());
             // A name whose first member is the old one.
-            String name = java.util.stream.IntStream.range(0, 100).mapToObj(i -> "s" + i).filter(one ->
-                    new lupinvalve.subscription.FollowSchedule(one, members.keySet(), 1).first().equals("a")).findFirst().orElseThrow();
-            Subscriber subscriber = new Subscriber(OperatorConfig.Store.subscriber("plant", name, folder, members, null,
-                    OperatorConfig.Audit.OFF));
+            String name = java.util.stream.IntStream.range(0, 100)
+                    .mapToObj(i -> "s" + i)
+                    .filter(one -> new lupinvalve.subscription.FollowSchedule(one, members.keySet(), 1)
+                            .first()
+                            .equals("a"))
+                    .findFirst()
+                    .orElseThrow();
+            Subscriber subscriber = new Subscriber(
+                    OperatorConfig.Store.subscriber("plant", name, folder, members, null, OperatorConfig.Audit.OFF));
             subscriber.start(pooler(acting));
             World.await("follows the other", () -> acting.get() != null && current.get() > 3);
             subscriber.stop();
@@ -150,7 +165,9 @@
             World.await("led", group::leads);
             byte[] newer = new FollowRequest(FollowRequest.VERSION + 1, 0, 0, "", "", false, false, "").write();
             Client.Said said = new Client("plant", members, null).ask("follow", List.of(newer), false, 5_000);
-            assertEquals(new Client.Said(Messages.Code.REFUSED, "version 2 of following is asked for; this member speaks 1"), said);
+            assertEquals(
+                    new Client.Said(Messages.Code.REFUSED, "version 2 of following is asked for; this member speaks 1"),
+                    said);
         } finally {
             group.stop();
         }
--- a/daemon/src/test/java/lupinvalve/stories/DayToDayTest.java
+++ b/daemon/src/test/java/lupinvalve/stories/DayToDayTest.java
@@ -53,8 +53,16 @@
         try (World world = world(new DbNode("s-1", true))) {
             assertEquals("ok\n", world.call("health"));
             assertEquals("ok\n", world.call(" health \r"));
-            for (String strange : List.of("", "helth", "health now", "cordon", "cordon s-1 s-1", "cordon \u0007",
-                    "uncordon nobody", "cordon nobody", "x".repeat(300))) {
+            for (String strange : List.of(
+                    "",
+                    "helth",
+                    "health now",
+                    "cordon",
+                    "cordon s-1 s-1",
+                    "cordon \u0007",
+                    "uncordon nobody",
+                    "cordon nobody",
+                    "x".repeat(300))) {
                 String answer = world.call(strange);
                 assertTrue(answer.startsWith("fail ") && answer.endsWith("\n"), strange + ": " + answer);
             }
@@ -69,7 +77,9 @@
         List<Socket> silent = new ArrayList<>();
         try (World world = world(new DbNode("s-1", true))) {
             for (int i = 0; i < 100; i++) {
-                silent.add(new Socket(world.daemon.doorAddress().getAddress(), world.daemon.doorAddress().getPort()));
+                silent.add(new Socket(
+                        world.daemon.doorAddress().getAddress(),
+                        world.daemon.doorAddress().getPort()));
                 silent.get(i).getOutputStream().write('h');
             }
             long start = System.nanoTime();
@@ -77,7 +87,9 @@
             assertTrue(System.nanoTime() - start < 1_000_000_000L);
             // The one that has been here longest made room, and was told why.
             silent.get(0).setSoTimeout(10_000);
-            assertEquals("fail too many callers\n", new String(silent.get(0).getInputStream().readAllBytes()));
+            assertEquals(
+                    "fail too many callers\n",
+                    new String(silent.get(0).getInputStream().readAllBytes()));
         } finally {
             for (Socket socket : silent) {
                 socket.close();
@@ -91,14 +103,21 @@
         DbNode replica = new DbNode("s-2", false);
         Map<String, Integer> told = new HashMap<>();
         Random random = new Random(7);
-        try (World world = world(primary, replica); Connection client = world.pg()) {
-            DbNode.Makes[] makes = {DbNode.Makes.SERVED, DbNode.Makes.FULL, DbNode.Makes.ERROR, DbNode.Makes.DROP,
-                    DbNode.Makes.SERVED, DbNode.Makes.HANG};
+        try (World world = world(primary, replica);
+                Connection client = world.pg()) {
+            DbNode.Makes[] makes = {
+                DbNode.Makes.SERVED,
+                DbNode.Makes.FULL,
+                DbNode.Makes.ERROR,
+                DbNode.Makes.DROP,
+                DbNode.Makes.SERVED,
+                DbNode.Makes.HANG
+            };
             for (int i = 0; i < 60; i++) {
                 boolean write = random.nextBoolean();
                 primary.script.add(makes[random.nextInt(makes.length)]);
-                String end = PlatformTest.end(client, write ? PlatformTest.booking("f" + i, 200)
-                        : PlatformTest.read("f" + i, 200));
+                String end = PlatformTest.end(
+                        client, write ? PlatformTest.booking("f" + i, 200) : PlatformTest.read("f" + i, 200));
                 String how = end.equals("value") ? "served" : end.equals("53300") ? "refused" : "failed";
                 told.merge("requests." + (write ? "pickup-booking." : "bag-status.") + how, 1, Integer::sum);
             }
@@ -107,14 +126,19 @@
             Map<String, Long> figures = figures(world);
             assertTrue(told.size() >= 4, "each ending comes about: " + told);
             told.forEach((name, count) -> assertEquals(count.longValue(), figures.get(name), name));
-            assertEquals(60, figures.entrySet().stream().filter(e -> e.getKey().startsWith("requests."))
-                    .mapToLong(Map.Entry::getValue).sum());
+            assertEquals(
+                    60,
+                    figures.entrySet().stream()
+                            .filter(e -> e.getKey().startsWith("requests."))
+                            .mapToLong(Map.Entry::getValue)
+                            .sum());
             assertEquals(primary.seen.size() + replica.seen.size(), figures.get("attempts"));
             assertEquals(0, figures.get("in_flight"));
             primary.script.clear();
             // What hung may have left the primary out for a moment, and a write is held for half of its aim only.
             int tries = 0;
-            while (!PlatformTest.end(client, PlatformTest.booking("h" + tries, 2000)).equals("value")) {
+            while (!PlatformTest.end(client, PlatformTest.booking("h" + tries, 2000))
+                    .equals("value")) {
                 assertTrue(tries++ < 50, "used again");
             }
             primary.script.add(DbNode.Makes.HANG);
@@ -137,7 +161,8 @@
     void whatIsTakenOutGetsNothingWhateverIsListedAndComesBackAtOneCall() throws Exception {
         DbNode out = new DbNode("s-2", false);
         DbNode other = new DbNode("s-3", false);
-        try (World world = world(new DbNode("s-1", true), out, other); Connection client = world.pg()) {
+        try (World world = world(new DbNode("s-1", true), out, other);
+                Connection client = world.pg()) {
             World.await("watching", () -> world.watches.get() > 0);
             assertEquals("ok\n", world.call("cordon s-2"));
             assertEquals("ok\n", world.call("cordon s-2"));
@@ -166,7 +191,8 @@
             }
             World.await("used again", () -> out.seen.size() > before);
             enough.set(true);
-            assertEquals(List.of(), ends.stream().filter(end -> !end.equals("value")).toList());
+            assertEquals(
+                    List.of(), ends.stream().filter(end -> !end.equals("value")).toList());
             World.await("counted", () -> excluded(world) == 0);
         }
     }
@@ -183,7 +209,8 @@
     void aPrimaryTakenOutGetsNoWriteAndTheNextOneIsFound() throws Exception {
         DbNode old = new DbNode("s-1", true);
         DbNode next = new DbNode("s-2", false);
-        try (World world = world(old, next); Connection client = world.pg()) {
+        try (World world = world(old, next);
+                Connection client = world.pg()) {
             assertEquals("value", PlatformTest.end(client, PlatformTest.booking("a", 900)));
             assertEquals("ok\n", world.call("cordon s-1"));
             int before = old.seen.size();
@@ -198,7 +225,9 @@
     @Test
     void aDrainedPoolerSaysNoEndsConnectionsAndGoesBackToWork() throws Exception {
         DbNode primary = new DbNode("s-1", true);
-        try (World world = world(primary, new DbNode("s-2", false)); Socket idle = world.raw(); Socket asks = world.raw("");
+        try (World world = world(primary, new DbNode("s-2", false));
+                Socket idle = world.raw();
+                Socket asks = world.raw("");
                 Socket busy = world.raw(PlatformTest.booking("a", 1500))) {
             PlatformTest.messages(idle, 'Z', 1);
             assertTrue(PlatformTest.messages(asks, 'Z', 2).contains("I"));
@@ -246,7 +275,11 @@
             next.start();
             // Both processes of this test have one number, so the note is made another's.
             Process successor = new ProcessBuilder("sleep", "60").start();
-            Files.writeString(Files.list(shared).filter(f -> f.toString().endsWith(".serving")).findAny().orElseThrow(),
+            Files.writeString(
+                    Files.list(shared)
+                            .filter(f -> f.toString().endsWith(".serving"))
+                            .findAny()
+                            .orElseThrow(),
                     Long.toString(successor.pid()));
             try {
                 assertEquals("ok\n", World.call(next, "health"));
@@ -280,7 +313,9 @@
                 world.daemon.drain(stopped::countDown);
                 assertTrue(stopped.await(2, TimeUnit.SECONDS), "it leaves early");
                 assertTrue(asked.await(20, TimeUnit.SECONDS));
-                assertEquals(List.of(), ends.stream().filter(end -> !end.equals("served")).toList());
+                assertEquals(
+                        List.of(),
+                        ends.stream().filter(end -> !end.equals("served")).toList());
                 assertEquals(400, ends.size());
                 assertEquals(0, out.seen.size());
                 assertFalse(world.call("health").startsWith("ok"));
--- a/daemon/src/test/java/lupinvalve/stories/DbNode.java
+++ b/daemon/src/test/java/lupinvalve/stories/DbNode.java
@@ -20,7 +20,17 @@
 /** A scripted db node: one behaviour, spoken over PostgreSQL's protocol here and over MySQL's by a second port. */
 public final class DbNode implements Closeable {
     /** What a node makes of a request. */
-    public enum Makes { SERVED, MISS, BEHIND, FULL, ERROR, HANG, DROP, SPOILT, MORE }
+    public enum Makes {
+        SERVED,
+        MISS,
+        BEHIND,
+        FULL,
+        ERROR,
+        HANG,
+        DROP,
+        SPOILT,
+        MORE
+    }
 
     final String id;
     public volatile boolean primary;
@@ -33,17 +43,20 @@
     public volatile java.util.concurrent.CountDownLatch greets = new java.util.concurrent.CountDownLatch(0);
     /** Connections that have rested longer are dropped without a word, as the next request on them finds out. */
     public volatile long dropsAfterNanos = Long.MAX_VALUE;
+
     public volatile long restsSince = System.nanoTime();
     /** What comes in place of an answer that is SPOILT, or behind one with MORE. */
     public volatile byte[] strange = {};
     /** Statements as they came, and how often each request has run. */
     public final List<String> seen = new CopyOnWriteArrayList<>();
+
     public final Map<String, Integer> runs = new ConcurrentHashMap<>();
     public final AtomicInteger open = new AtomicInteger();
     /** Connections met so far. */
     public final AtomicInteger met = new AtomicInteger();
     /** Address of its MySQL port, where it has one. */
     public volatile String mysql;
+
     volatile String phase = "in_service";
     private final ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     private final List<Socket> sockets = new CopyOnWriteArrayList<>();
@@ -109,8 +122,12 @@
                 makes = Makes.BEHIND;
             }
         }
-        if (makes == Makes.SERVED || makes == Makes.DROP || makes == Makes.ERROR || makes == Makes.HANG
-                || makes == Makes.SPOILT || makes == Makes.MORE) {
+        if (makes == Makes.SERVED
+                || makes == Makes.DROP
+                || makes == Makes.ERROR
+                || makes == Makes.HANG
+                || makes == Makes.SPOILT
+                || makes == Makes.MORE) {
             runs.merge(fields.getOrDefault("id", "?"), 1, Integer::sum);
         }
         return makes;
@@ -120,7 +137,8 @@
         Map<String, String> fields = new ConcurrentHashMap<>();
         int from = statement.lastIndexOf("/*");
         if (from >= 0) {
-            for (String pair : statement.substring(from + 2, statement.lastIndexOf("*/")).split(",")) {
+            for (String pair :
+                    statement.substring(from + 2, statement.lastIndexOf("*/")).split(",")) {
                 fields.put(pair.split("=")[0].strip(), pair.split("=")[1].strip());
             }
         }
@@ -143,7 +161,11 @@
             byte[] body = in.readNBytes(in.readInt() - 4);
             String statement = new String(body, 0, body.length - 1, UTF_8);
             if (statement.equals("SHOW vitals")) {
-                row(out, "x0=" + java.math.BigDecimal.valueOf(asOf.getAsLong(), 3).toPlainString() + ",x1=" + (primary ? 1 : 0));
+                row(
+                        out,
+                        "x0="
+                                + java.math.BigDecimal.valueOf(asOf.getAsLong(), 3)
+                                        .toPlainString() + ",x1=" + (primary ? 1 : 0));
                 ready(out);
                 continue;
             }
@@ -177,8 +199,11 @@
     }
 
     private static void row(DataOutputStream out, String value) throws IOException {
-        message(out, 'T', ("\0\1blob\0" + "\0\0\0\0\0\0\0\0\0\31\377\377\377\377\377\377\0\0")
-                .getBytes(java.nio.charset.StandardCharsets.ISO_8859_1));
+        message(
+                out,
+                'T',
+                ("\0\1blob\0" + "\0\0\0\0\0\0\0\0\0\31\377\377\377\377\377\377\0\0")
+                        .getBytes(java.nio.charset.StandardCharsets.ISO_8859_1));
         byte[] bytes = value.getBytes(UTF_8);
         out.write('D');
         out.writeInt(4 + 2 + 4 + bytes.length);
--- a/daemon/src/test/java/lupinvalve/stories/ExampleFolderTest.java
+++ b/daemon/src/test/java/lupinvalve/stories/ExampleFolderTest.java
@@ -24,8 +24,12 @@
 class ExampleFolderTest {
     @Test
     void the_toy_server_is_served_through_the_pooler() throws Exception {
-        Process toy = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                "example/ToyServer.java", "0").redirectErrorStream(true).start();
+        Process toy = new ProcessBuilder(
+                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                        "example/ToyServer.java",
+                        "0")
+                .redirectErrorStream(true)
+                .start();
         try (BufferedReader said = new BufferedReader(new InputStreamReader(toy.getInputStream()))) {
             String line = said.readLine();
             while (line != null && !line.startsWith("discovery on")) {
@@ -35,8 +39,11 @@
             Matcher address = Pattern.compile("127\\.0\\.0\\.1:\\d+").matcher(line);
             assertTrue(address.find());
             Path file = Files.createTempFile("example", ".json");
-            Files.writeString(file, Files.readString(Path.of("example/config.json"))
-                    .replace("127.0.0.1:5432", "127.0.0.1:0").replace("127.0.0.1:8500", address.group()));
+            Files.writeString(
+                    file,
+                    Files.readString(Path.of("example/config.json"))
+                            .replace("127.0.0.1:5432", "127.0.0.1:0")
+                            .replace("127.0.0.1:8500", address.group()));
             Daemon daemon = new Daemon(NodeConfig.read(file, null), OperatorConfig.NONE);
             Files.delete(file);
             daemon.start();
@@ -53,8 +60,12 @@
                     }
                 });
                 long after = System.currentTimeMillis();
-                assertEquals("washed", PlatformTest.end(client, "SELECT blob FROM rows WHERE handle = 'k1' "
-                        + "/* id=2,c=own-order-view,t=acme,d=900,cluster=1,after=" + after + " */"));
+                assertEquals(
+                        "washed",
+                        PlatformTest.end(
+                                client,
+                                "SELECT blob FROM rows WHERE handle = 'k1' "
+                                        + "/* id=2,c=own-order-view,t=acme,d=900,cluster=1,after=" + after + " */"));
             } finally {
                 daemon.stop();
             }
@@ -67,11 +78,21 @@
     void told_to_stop_the_program_ends_with_0() throws Exception {
         Path file = Files.createTempFile("example", ".json");
         // Nothing answers at port 1: a pooler starts without its discovery, and stops without it.
-        Files.writeString(file, Files.readString(Path.of("example/config.json"))
-                .replace("127.0.0.1:5432", "127.0.0.1:0").replace("127.0.0.1:8500", "127.0.0.1:1"));
-        Process program = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-cp",
-                System.getProperty("java.class.path"), "lupinvalve.cli.Main", "serve", "--config", file.toString())
-                .redirectErrorStream(true).start();
+        Files.writeString(
+                file,
+                Files.readString(Path.of("example/config.json"))
+                        .replace("127.0.0.1:5432", "127.0.0.1:0")
+                        .replace("127.0.0.1:8500", "127.0.0.1:1"));
+        Process program = new ProcessBuilder(
+                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        "lupinvalve.cli.Main",
+                        "serve",
+                        "--config",
+                        file.toString())
+                .redirectErrorStream(true)
+                .start();
         try (BufferedReader said = new BufferedReader(new InputStreamReader(program.getInputStream()))) {
             String line = said.readLine();
             while (line != null && !line.contains("listens on")) {
--- a/daemon/src/test/java/lupinvalve/stories/GroupStoryTest.java
+++ b/daemon/src/test/java/lupinvalve/stories/GroupStoryTest.java
@@ -22,12 +22,13 @@
 class GroupStoryTest {
     @TempDir
     private Path shared;
+
     @TempDir
     private Path state;
 
     private OperatorConfig member(Map<String, String> members, long waitMicros) {
-        return new OperatorConfig(0, null, new OperatorConfig.Store("test", "n0", state, "127.0.0.1:0", members, null,
-                waitMicros), null);
+        return new OperatorConfig(
+                0, null, new OperatorConfig.Store("test", "n0", state, "127.0.0.1:0", members, null, waitMicros), null);
     }
 
     private OperatorConfig alone() {
@@ -39,7 +40,8 @@
         for (String word : words) {
             arguments.add(word.getBytes(UTF_8));
         }
-        Client client = new Client("test", Map.of("n0", "127.0.0.1:" + daemon.storeAddress().getPort()), null);
+        Client client = new Client(
+                "test", Map.of("n0", "127.0.0.1:" + daemon.storeAddress().getPort()), null);
         Client.Said said = client.ask(call, arguments, true, 10_000);
         assertEquals(Messages.Code.OK, said.code(), said.text());
         return said.text();
@@ -84,8 +86,11 @@
     @Test
     void aBookingsAnswerWaitsForAMajorityNoLongerThanItsBound() throws Exception {
         // The other founder never comes, so nothing is ever held by a majority.
-        try (World world = new World(1024, member(Map.of("n0", "127.0.0.1:1", "n1", "127.0.0.1:1"), 300_000),
-                new DbNode("s-1", true)); Connection client = world.pg()) {
+        try (World world = new World(
+                        1024,
+                        member(Map.of("n0", "127.0.0.1:1", "n1", "127.0.0.1:1"), 300_000),
+                        new DbNode("s-1", true));
+                Connection client = world.pg()) {
             assertEquals("value", PlatformTest.end(client, PlatformTest.read("r", 900)));
             long start = System.nanoTime();
             assertEquals("value", PlatformTest.end(client, PlatformTest.booking("b", 2000)));
@@ -108,8 +113,12 @@
             });
             world.daemon.stop();
             // Nobody answers at that address, and the file knows no db nodes.
-            Daemon again = World.daemon(Files.readString(Path.of("example/config.json"))
-                    .replace("127.0.0.1:5432", "127.0.0.1:0").replace("127.0.0.1:8500", "127.0.0.1:1"), alone(), null);
+            Daemon again = World.daemon(
+                    Files.readString(Path.of("example/config.json"))
+                            .replace("127.0.0.1:5432", "127.0.0.1:0")
+                            .replace("127.0.0.1:8500", "127.0.0.1:1"),
+                    alone(),
+                    null);
             try {
                 again.start();
                 try (Connection next = World.pg(again.address().getPort())) {
--- a/daemon/src/test/java/lupinvalve/stories/LongAnswersTest.java
+++ b/daemon/src/test/java/lupinvalve/stories/LongAnswersTest.java
@@ -22,6 +22,7 @@
 /** Values that are passed on in pieces. */
 class LongAnswersTest {
     private static final String HEAD = "T\0\0\0\35\0\1blob\0\0\0\0\0\0\0\0\0\0\31\377\377\377\377\377\377\0\0";
+
     @TempDir
     private Path shared;
 
@@ -40,8 +41,12 @@
     }
 
     private static long figure(World world, String name) throws IOException {
-        return world.call("counters").lines().filter(l -> l.startsWith("edge_node." + name + "="))
-                .mapToLong(l -> Long.parseLong(l.split("=")[1])).findAny().orElseThrow();
+        return world.call("counters")
+                .lines()
+                .filter(l -> l.startsWith("edge_node." + name + "="))
+                .mapToLong(l -> Long.parseLong(l.split("=")[1]))
+                .findAny()
+                .orElseThrow();
     }
 
     @Test
@@ -58,7 +63,9 @@
                     try (Connection client = world.pg()) {
                         int whole = 0;
                         for (int n = 0; n < 3; n++) {
-                            whole += replica.value.equals(PlatformTest.end(client, PlatformTest.read(id + n, 2000))) ? 1 : 0;
+                            whole += replica.value.equals(PlatformTest.end(client, PlatformTest.read(id + n, 2000)))
+                                    ? 1
+                                    : 0;
                         }
                         return whole;
                     }
@@ -96,7 +103,8 @@
             assertEquals(0, in.available());
             assertEquals(1, figure(world, "in_flight"));
             replica.close();
-            // The row is filled up to its length and voided by an error, so that its client can tell; the connection goes on.
+            // The row is filled up to its length and voided by an error, so that its client can tell; the connection
+            // goes on.
             in.skipNBytes((1 << 20) - 100_000);
             assertEquals(List.of("E58000", "Z"), PlatformTest.messages(client, 'Z', 1));
             assertEquals(1, figure(world, "requests.bag-status.failed"));
@@ -106,12 +114,14 @@
 
     @Test
     void lengthsThatDisagreeAreSpoiltBeforeAnythingIsPassedOn() throws Exception {
-        for (byte[] strange : List.of(begun(1 << 20, 99, 70_000), begun((4 << 20) + 100_000, (4 << 20) + 100_000, 70_000))) {
+        for (byte[] strange :
+                List.of(begun(1 << 20, 99, 70_000), begun((4 << 20) + 100_000, (4 << 20) + 100_000, 70_000))) {
             DbNode primary = new DbNode("s-1", true);
             DbNode replica = new DbNode("s-2", false);
             replica.strange = strange;
             replica.script.add(DbNode.Makes.SPOILT);
-            try (World world = PlatformTest.calm(primary, replica); Connection client = world.pg()) {
+            try (World world = PlatformTest.calm(primary, replica);
+                    Connection client = world.pg()) {
                 // It may have run, and is safe to repeat: the primary serves it.
                 assertEquals("value", PlatformTest.end(client, PlatformTest.read("a", 900)));
             }
@@ -126,8 +136,11 @@
         replica.script.add(DbNode.Makes.SPOILT);
         try (World world = PlatformTest.calm(new DbNode("s-1", true), replica);
                 Socket client = world.raw(PlatformTest.read("a", 900))) {
-            assertEquals(List.of("T", "D", "E58000", "Z"),
-                    PlatformTest.messages(client, 'Z', 2).stream().skip(PlatformTest.GREETING).toList());
+            assertEquals(
+                    List.of("T", "D", "E58000", "Z"),
+                    PlatformTest.messages(client, 'Z', 2).stream()
+                            .skip(PlatformTest.GREETING)
+                            .toList());
         }
     }
 
@@ -145,24 +158,36 @@
             client.getOutputStream().write(World.query(PlatformTest.booking("c", 900)));
             World.await("the others have run", () -> primary.runs.size() == 2);
             replica.close();
-            assertEquals(List.of("T", "D", "E58000", "Z", "T", "D", "C", "Z", "T", "D", "C", "Z"),
-                    PlatformTest.messages(client, 'Z', 4).stream().skip(PlatformTest.GREETING).toList());
+            assertEquals(
+                    List.of("T", "D", "E58000", "Z", "T", "D", "C", "Z", "T", "D", "C", "Z"),
+                    PlatformTest.messages(client, 'Z', 4).stream()
+                            .skip(PlatformTest.GREETING)
+                            .toList());
         }
     }
 
-    /** Answers that must be held whole, several at once, for a client that reads slowly: none ends its connection, and all are whole. */
+    /**
+     * Answers that must be held whole, several at once, for a client that reads slowly: none ends its connection, and
+     * all are whole.
+     */
     @Test
     void aClientThatReadsSlowlyGetsAllThatItAskedForAtOnce() throws Exception {
         DbNode primary = new DbNode("s-1", true);
         primary.value = "v".repeat(3 << 20);
         try (World world = PlatformTest.calm(primary, new DbNode("s-2", false));
-                Socket client = world.raw(PlatformTest.booking("a", 2000), PlatformTest.booking("b", 2000), PlatformTest.booking("c", 2000))) {
+                Socket client = world.raw(
+                        PlatformTest.booking("a", 2000),
+                        PlatformTest.booking("b", 2000),
+                        PlatformTest.booking("c", 2000))) {
             World.await("all have run", () -> primary.runs.size() == 3);
             long begun = System.nanoTime();
             // Longer than a connection that nobody reads would be kept for.
             World.await("rests", () -> System.nanoTime() - begun > 4_500_000_000L);
-            assertEquals(List.of("T", "D", "C", "Z", "T", "D", "C", "Z", "T", "D", "C", "Z"),
-                    PlatformTest.messages(client, 'Z', 4).stream().skip(PlatformTest.GREETING).toList());
+            assertEquals(
+                    List.of("T", "D", "C", "Z", "T", "D", "C", "Z", "T", "D", "C", "Z"),
+                    PlatformTest.messages(client, 'Z', 4).stream()
+                            .skip(PlatformTest.GREETING)
+                            .toList());
         }
     }
 
@@ -174,12 +199,18 @@
         primary.script.add(DbNode.Makes.HANG);
         try (World world = PlatformTest.calm(primary, replica);
                 Socket client = world.raw(PlatformTest.booking("a", 600), PlatformTest.read("b", 2000))) {
-            assertEquals(List.of("E58000", "Z", "T", "D", "C", "Z"),
-                    PlatformTest.messages(client, 'Z', 3).stream().skip(PlatformTest.GREETING).toList());
+            assertEquals(
+                    List.of("E58000", "Z", "T", "D", "C", "Z"),
+                    PlatformTest.messages(client, 'Z', 3).stream()
+                            .skip(PlatformTest.GREETING)
+                            .toList());
         }
     }
 
-    /** What the program leaves unanswered by its own end is lost: it waits for a client that reads slowly, however late that is. */
+    /**
+     * What the program leaves unanswered by its own end is lost: it waits for a client that reads slowly, however late
+     * that is.
+     */
     @Test
     void theEndOfTheProgramWaitsForAnswersThatAreBeingRead() throws Exception {
         DbNode primary = new DbNode("s-1", true);
@@ -187,13 +218,17 @@
         DbNode replica = new DbNode("s-2", false);
         replica.value = primary.value;
         try (World world = PlatformTest.calm(primary, replica);
-                Socket client = world.raw(PlatformTest.read("a", 900), PlatformTest.booking("b", 900), PlatformTest.booking("c", 900))) {
+                Socket client = world.raw(
+                        PlatformTest.read("a", 900), PlatformTest.booking("b", 900), PlatformTest.booking("c", 900))) {
             World.await("all have run", () -> primary.runs.size() + replica.runs.size() >= 3);
             CountDownLatch ended = new CountDownLatch(1);
             world.daemon.drain(ended::countDown);
             assertFalse(ended.await(3_500, TimeUnit.MILLISECONDS), "longer than the platform waits");
-            assertEquals(List.of("T", "D", "C", "Z", "T", "D", "C", "Z", "T", "D", "C", "Z"),
-                    PlatformTest.messages(client, 'Z', 4).stream().skip(PlatformTest.GREETING).toList());
+            assertEquals(
+                    List.of("T", "D", "C", "Z", "T", "D", "C", "Z", "T", "D", "C", "Z"),
+                    PlatformTest.messages(client, 'Z', 4).stream()
+                            .skip(PlatformTest.GREETING)
+                            .toList());
             assertTrue(ended.await(10, TimeUnit.SECONDS));
         }
     }
--- a/daemon/src/test/java/lupinvalve/stories/PlatformTest.java
+++ b/daemon/src/test/java/lupinvalve/stories/PlatformTest.java
@@ -70,7 +70,8 @@
     @Test
     void serves_and_passes_statements_on_with_only_the_wait_rewritten() throws Exception {
         DbNode replica = new DbNode("s-2", false);
-        try (World world = calm(new DbNode("s-1", true), replica); Connection client = world.pg()) {
+        try (World world = calm(new DbNode("s-1", true), replica);
+                Connection client = world.pg()) {
             assertEquals("value", end(client, read("a1", 900)));
             String seen = replica.seen.get(0);
             String[] sent = read("a1", 900).split("d=900");
@@ -84,7 +85,8 @@
     void takes_bytes_in_any_pieces_and_answers_a_pipeline_in_order() throws Exception {
         DbNode primary = new DbNode("s-1", true);
         primary.script.add(DbNode.Makes.ERROR);
-        try (World world = calm(primary, new DbNode("s-2", false)); Socket whole = world.raw();
+        try (World world = calm(primary, new DbNode("s-2", false));
+                Socket whole = world.raw();
                 Socket pieces = world.raw(booking("b1", 900), "", read("b2", 900))) {
             messages(whole, 'Z', 1);
             for (byte b : new byte[] {'Q', 0, 0, 0, 5, 0}) {
@@ -102,7 +104,8 @@
     void a_booking_that_may_have_run_fails_and_goes_out_once() throws Exception {
         DbNode primary = new DbNode("s-1", true);
         primary.script.add(DbNode.Makes.DROP);
-        try (World world = calm(primary, new DbNode("s-2", false)); Connection client = world.pg()) {
+        try (World world = calm(primary, new DbNode("s-2", false));
+                Connection client = world.pg()) {
             assertEquals("58000", end(client, booking("c1", 900)));
             assertEquals(1, primary.runs.get("c1"));
             assertEquals(1, primary.seen.size());
@@ -112,7 +115,8 @@
     @Test
     void a_db_node_that_refuses_connections_has_not_run_it_so_another_serves() throws Exception {
         DbNode dead = new DbNode("s-2", false);
-        try (World world = calm(new DbNode("s-1", true), dead); Connection client = world.pg()) {
+        try (World world = calm(new DbNode("s-1", true), dead);
+                Connection client = world.pg()) {
             dead.close();
             assertEquals("value", end(client, read("e1", 900)));
         }
@@ -124,9 +128,10 @@
         for (int i = 0; i < 64; i++) {
             primary.script.add(DbNode.Makes.FULL);
         }
-        try (World world = calm(primary, new DbNode("s-2", false)); Connection client = world.pg()) {
-            SQLException refused = assertThrows(SQLException.class,
-                    () -> client.createStatement().executeQuery(booking("f1", 400)));
+        try (World world = calm(primary, new DbNode("s-2", false));
+                Connection client = world.pg()) {
+            SQLException refused = assertThrows(
+                    SQLException.class, () -> client.createStatement().executeQuery(booking("f1", 400)));
             assertEquals("53300", refused.getSQLState());
             assertTrue(refused.getMessage().contains("Detail: 50"), refused.getMessage());
             assertTrue(primary.runs.isEmpty());
@@ -137,7 +142,8 @@
     void a_silent_db_node_costs_no_more_than_the_clients_wait_and_loses_its_connection() throws Exception {
         DbNode primary = new DbNode("s-1", true);
         primary.script.add(DbNode.Makes.HANG);
-        try (World world = calm(primary, new DbNode("s-2", false)); Connection client = world.pg()) {
+        try (World world = calm(primary, new DbNode("s-2", false));
+                Connection client = world.pg()) {
             long start = System.nanoTime();
             assertEquals("58000", end(client, booking("g1", 300)));
             long took = (System.nanoTime() - start) / 1_000_000;
@@ -161,8 +167,10 @@
 
     @Test
     void bad_input_ends_its_own_connection_only() throws Exception {
-        try (World world = calm(new DbNode("s-1", true), new DbNode("s-2", false)); Connection client = world.pg();
-                Socket oversized = world.raw(); Socket strange = world.raw("SELECT 2")) {
+        try (World world = calm(new DbNode("s-1", true), new DbNode("s-2", false));
+                Connection client = world.pg();
+                Socket oversized = world.raw();
+                Socket strange = world.raw("SELECT 2")) {
             messages(oversized, 'Z', 1);
             oversized.getOutputStream().write(new byte[] {'Q', 127, 0, 0, 0});
             assertEquals(List.of("E08P01", "end"), messages(oversized, 'Z', 1));
@@ -196,7 +204,8 @@
     void nothing_new_goes_to_a_draining_db_node() throws Exception {
         DbNode leaving = new DbNode("s-2", false);
         DbNode staying = new DbNode("s-3", false);
-        try (World world = calm(new DbNode("s-1", true), leaving, staying); Connection client = world.pg()) {
+        try (World world = calm(new DbNode("s-1", true), leaving, staying);
+                Connection client = world.pg()) {
             World.await("watching", () -> world.watches.get() > 0);
             world.phase(leaving, "terminated");
             // Its idle connections are closed with the news; until then it may still be sent reads.
@@ -221,7 +230,8 @@
     @Test
     void a_request_that_waits_for_its_connection_does_not_go_to_a_db_node_that_has_left() throws Exception {
         DbNode leaving = new DbNode("s-2", false);
-        try (World world = calm(new DbNode("s-1", true), leaving); Socket client = world.raw()) {
+        try (World world = calm(new DbNode("s-1", true), leaving);
+                Socket client = world.raw()) {
             messages(client, 'Z', 1);
             World.await("watching", () -> world.watches.get() > 0);
             leaving.greets = new CountDownLatch(1);
@@ -251,7 +261,8 @@
     void told_to_stop_it_answers_what_it_took_and_closes_the_rest() throws Exception {
         DbNode primary = new DbNode("s-1", true);
         primary.script.add(DbNode.Makes.HANG);
-        try (World world = calm(primary, new DbNode("s-2", false)); Socket idle = world.raw();
+        try (World world = calm(primary, new DbNode("s-2", false));
+                Socket idle = world.raw();
                 Socket busy = world.raw(booking("l1", 1500))) {
             messages(idle, 'Z', 1);
             messages(busy, 'Z', 1);
@@ -271,7 +282,8 @@
     @Test
     void told_to_stop_it_serves_on_for_as_long_as_answers_come_before_the_kill() throws Exception {
         DbNode primary = new DbNode("s-1", true);
-        try (World world = calm(primary, new DbNode("s-2", false)); Connection client = world.pg();
+        try (World world = calm(primary, new DbNode("s-2", false));
+                Connection client = world.pg();
                 Socket late = world.raw()) {
             messages(late, 'Z', 1);
             CountDownLatch stopped = new CountDownLatch(1);
@@ -300,7 +312,10 @@
                 .getBytes(ISO_8859_1);
     }
 
-    /** More statements at once than may wait, and a goodbye behind them: each is answered before the connection ends in order. */
+    /**
+     * More statements at once than may wait, and a goodbye behind them: each is answered before the connection ends in
+     * order.
+     */
     @Test
     void whatIsAskedAtOnceIsAnsweredBeforeAGoodbyeEndsTheConnection() throws Exception {
         int statements = 70;
--- a/daemon/src/test/java/lupinvalve/stories/Program.java
+++ b/daemon/src/test/java/lupinvalve/stories/Program.java
@@ -34,17 +34,25 @@
     static Program serve(String configuration, Map<String, String> environment) throws IOException {
         Path config = Files.createTempFile("lupinvalve", ".json");
         Files.writeString(config, configuration);
-        ProcessBuilder command = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-Xmx64m",
-                "-XX:TieredStopAtLevel=1", "-cp", System.getProperty("java.class.path"), "lupinvalve.cli.Main", "serve", "--config",
-                config.toString()).redirectErrorStream(true);
+        ProcessBuilder command = new ProcessBuilder(
+                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                        "-Xmx64m",
+                        "-XX:TieredStopAtLevel=1",
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        "lupinvalve.cli.Main",
+                        "serve",
+                        "--config",
+                        config.toString())
+                .redirectErrorStream(true);
         command.environment().putAll(environment);
         return new Program(config, command.start());
     }
 
     /** The next line of the log that has these words; a program that does not say them in time is ended. */
     String until(String words) throws IOException {
-        CompletableFuture<?> late = CompletableFuture.runAsync(process::destroyForcibly,
-                CompletableFuture.delayedExecutor(SAYS_SECONDS, TimeUnit.SECONDS));
+        CompletableFuture<?> late = CompletableFuture.runAsync(
+                process::destroyForcibly, CompletableFuture.delayedExecutor(SAYS_SECONDS, TimeUnit.SECONDS));
         try {
             return next(words);
         } finally {
@@ -68,7 +76,9 @@
     }
 
     void signal(String which) throws IOException, InterruptedException {
-        new ProcessBuilder("kill", "-" + which, Long.toString(process.pid())).start().waitFor();
+        new ProcessBuilder("kill", "-" + which, Long.toString(process.pid()))
+                .start()
+                .waitFor();
     }
 
     /** Its exit value, once it has ended. */
--- a/daemon/src/test/java/lupinvalve/stories/ReloadTest.java
+++ b/daemon/src/test/java/lupinvalve/stories/ReloadTest.java
@@ -17,7 +17,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The program as it ships, its files changed while it runs: with SIGHUP heard, and with SIGHUP ignored from the start. */
+/**
+ * The program as it ships, its files changed while it runs: with SIGHUP heard, and with SIGHUP ignored from the start.
+ */
 class ReloadTest {
     private static final String MOVED = "discovery is at";
     private static final String STAYS = "the old one stays";
@@ -27,6 +29,7 @@
     private static final List<String> HEARD = List.of("env", "--default-signal=HUP");
     /** As nohup leaves it. */
     private static final List<String> IGNORED = List.of("sh", "-c", "trap '' HUP; exec \"$@\"", "sh");
+
     @TempDir
     private Path folder;
 
@@ -45,10 +48,21 @@
             Files.writeString(config, world.config(first, 1024));
             Files.writeString(operator, "{}");
             List<String> command = new ArrayList<>(starter);
-            command.addAll(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                    "-Xlog:class+load=info:file=" + loaded, "-cp", System.getProperty("java.class.path"),
-                    "lupinvalve.cli.Main", "serve", "--config", config.toString(), "--operator", operator.toString()));
-            process = new ProcessBuilder(command).redirectErrorStream(true).redirectOutput(log.toFile()).start();
+            command.addAll(List.of(
+                    Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                    "-Xlog:class+load=info:file=" + loaded,
+                    "-cp",
+                    System.getProperty("java.class.path"),
+                    "lupinvalve.cli.Main",
+                    "serve",
+                    "--config",
+                    config.toString(),
+                    "--operator",
+                    operator.toString()));
+            process = new ProcessBuilder(command)
+                    .redirectErrorStream(true)
+                    .redirectOutput(log.toFile())
+                    .start();
             try {
                 says("listens on", 1);
                 first.accept().close();
@@ -73,7 +87,11 @@
         }
 
         void signal(String which) throws Exception {
-            assertEquals(0, new ProcessBuilder("kill", "-" + which, Long.toString(process.pid())).start().waitFor());
+            assertEquals(
+                    0,
+                    new ProcessBuilder("kill", "-" + which, Long.toString(process.pid()))
+                            .start()
+                            .waitFor());
         }
 
         /** How many lines of the log have these words. */
@@ -86,7 +104,8 @@
         }
 
         List<String> loaded(List<String> names) {
-            return names.stream().filter(name -> lines(loaded).stream().anyMatch(line -> line.contains(name + " ")))
+            return names.stream()
+                    .filter(name -> lines(loaded).stream().anyMatch(line -> line.contains(name + " ")))
                     .toList();
         }
 
@@ -117,8 +136,10 @@
     @Test
     void whereTheSignalIsIgnoredChangedFilesAreTakenOverOnceTheyStandStill() throws Exception {
         try (Running running = new Running(IGNORED)) {
-            assertEquals(1, running.said("SIGHUP is ignored by whoever started this process: "
-                    + "configuration files are looked at every second"));
+            assertEquals(
+                    1,
+                    running.said("SIGHUP is ignored by whoever started this process: "
+                            + "configuration files are looked at every second"));
             Files.writeString(running.operator, "{\"nothing\": 1}");
             running.says(STAYS, 1);
             Files.writeString(running.operator, "{}");
--- a/daemon/src/test/java/lupinvalve/stories/SignalsTest.java
+++ b/daemon/src/test/java/lupinvalve/stories/SignalsTest.java
@@ -25,13 +25,24 @@
     private static final Pattern PORT = Pattern.compile("listens on 127.0.0.1:(\\d+)");
 
     private static Process serve(Path file) throws Exception {
-        return new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-cp",
-                System.getProperty("java.class.path"), "lupinvalve.cli.Main", "serve", "--config", file.toString())
-                .redirectErrorStream(true).start();
+        return new ProcessBuilder(
+                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        "lupinvalve.cli.Main",
+                        "serve",
+                        "--config",
+                        file.toString())
+                .redirectErrorStream(true)
+                .start();
     }
 
     private static void signal(String which, Process process) throws Exception {
-        assertEquals(0, new ProcessBuilder("kill", "-" + which, Long.toString(process.pid())).start().waitFor());
+        assertEquals(
+                0,
+                new ProcessBuilder("kill", "-" + which, Long.toString(process.pid()))
+                        .start()
+                        .waitFor());
     }
 
     private static String until(BufferedReader log, String words) throws Exception {
@@ -84,7 +95,8 @@
                 assertTrue(port.find());
                 try (Socket client = new Socket("127.0.0.1", Integer.parseInt(port.group(1)))) {
                     client.setSoTimeout(10_000);
-                    client.getOutputStream().write("\0\0\0\20\0\3\0\0user\0\0\0\0".getBytes(StandardCharsets.ISO_8859_1));
+                    client.getOutputStream()
+                            .write("\0\0\0\20\0\3\0\0user\0\0\0\0".getBytes(StandardCharsets.ISO_8859_1));
                     messages(client, 'Z', 1);
                     client.getOutputStream().write(query(booking("out", 1500)));
                     World.await("out", () -> primary.runs.containsKey("out"));
--- a/daemon/src/test/java/lupinvalve/stories/StartTest.java
+++ b/daemon/src/test/java/lupinvalve/stories/StartTest.java
@@ -19,10 +19,14 @@
 import lupinvalve.config.OperatorConfig;
 import org.junit.jupiter.api.Test;
 
-/** A process that starts with the list in its file, which may be old: a server listed there may have been drained long ago. */
+/**
+ * A process that starts with the list in its file, which may be old: a server listed there may have been drained long
+ * ago.
+ */
 class StartTest {
     /** Longer than the rest of a start takes; a port that opens meanwhile opened on the old list. */
     private static final long PENDING_MILLIS = 2_500;
+
     private static final long WITHIN_SECONDS = 10;
     /** How long a call waits before it fails. */
     private static final long WAITED_MILLIS = 500;
@@ -38,7 +42,8 @@
         static void answer(Socket call, String json) throws IOException {
             OutputStream out = call.getOutputStream();
             String line = json + "\n";
-            out.write(("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(line.length()) + "\r\n" + line + "\r\n")
+            out.write(("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(line.length())
+                            + "\r\n" + line + "\r\n")
                     .getBytes(StandardCharsets.UTF_8));
             out.flush();
         }
@@ -67,15 +72,20 @@
         DbNode primary = new DbNode("s-1", true);
         DbNode replica = new DbNode("s-2", false);
         AtomicBoolean failed = new AtomicBoolean();
-        try (Discovery discovery = new Discovery(); World world = new World(OperatorConfig.NONE, primary, replica)) {
+        try (Discovery discovery = new Discovery();
+                World world = new World(OperatorConfig.NONE, primary, replica)) {
             Daemon restarted = World.daemon(world.config(discovery.server, 1024), OperatorConfig.NONE, null);
             try {
                 CountDownLatch started = start(restarted, failed);
                 try (Socket call = discovery.server.accept()) {
-                    assertFalse(started.await(PENDING_MILLIS, TimeUnit.MILLISECONDS), "serves from a list that may be old");
+                    assertFalse(
+                            started.await(PENDING_MILLIS, TimeUnit.MILLISECONDS), "serves from a list that may be old");
                     // The replica was drained while nobody told this process.
                     replica.phase = "terminating";
-                    Discovery.answer(call, "{\"revision\":9,\"complete\":true,\"members\":[" + primary.entry() + "," + replica.entry() + "]}");
+                    Discovery.answer(
+                            call,
+                            "{\"revision\":9,\"complete\":true,\"members\":[" + primary.entry() + "," + replica.entry()
+                                    + "]}");
                     assertTrue(started.await(WITHIN_SECONDS, TimeUnit.SECONDS), "serves once it is told");
                 }
                 assertFalse(failed.get());
@@ -88,7 +98,8 @@
     @Test
     void whereDiscoverySaysNothingItServesFromTheListInItsFileWithinSeconds() throws Exception {
         AtomicBoolean failed = new AtomicBoolean();
-        try (Discovery discovery = new Discovery(); World world = new World(OperatorConfig.NONE, new DbNode("s-1", true))) {
+        try (Discovery discovery = new Discovery();
+                World world = new World(OperatorConfig.NONE, new DbNode("s-1", true))) {
             Daemon restarted = World.daemon(world.config(discovery.server, 1024), OperatorConfig.NONE, null);
             try {
                 assertTrue(start(restarted, failed).await(WITHIN_SECONDS, TimeUnit.SECONDS));
@@ -103,13 +114,16 @@
     @Test
     void whereDiscoveryTurnsCallsDownItServesFromTheListInItsFileAtOnce() throws Exception {
         AtomicBoolean failed = new AtomicBoolean();
-        try (Discovery discovery = new Discovery(); World world = new World(OperatorConfig.NONE, new DbNode("s-1", true))) {
+        try (Discovery discovery = new Discovery();
+                World world = new World(OperatorConfig.NONE, new DbNode("s-1", true))) {
             Daemon restarted = World.daemon(world.config(discovery.server, 1024), OperatorConfig.NONE, null);
             try {
                 CountDownLatch started = start(restarted, failed);
                 for (int call = 0; call < 2; call++) {
                     try (Socket turnedDown = discovery.server.accept()) {
-                        turnedDown.getOutputStream().write("HTTP/1.1 503 Service Unavailable\r\n\r\n".getBytes(StandardCharsets.UTF_8));
+                        turnedDown
+                                .getOutputStream()
+                                .write("HTTP/1.1 503 Service Unavailable\r\n\r\n".getBytes(StandardCharsets.UTF_8));
                     }
                 }
                 // The third call is not answered, and holds nothing up.
@@ -125,7 +139,8 @@
     @Test
     void callsThatFailAfterTheyHaveWaitedDoNotEndTheWait() throws Exception {
         AtomicBoolean failed = new AtomicBoolean();
-        try (Discovery discovery = new Discovery(); World world = new World(OperatorConfig.NONE, new DbNode("s-1", true))) {
+        try (Discovery discovery = new Discovery();
+                World world = new World(OperatorConfig.NONE, new DbNode("s-1", true))) {
             Daemon restarted = World.daemon(world.config(discovery.server, 1024), OperatorConfig.NONE, null);
             try {
                 CountDownLatch started = start(restarted, failed);
@@ -136,8 +151,12 @@
                     }
                 }
                 try (Socket call = discovery.server.accept()) {
-                    assertFalse(started.await(WAITED_MILLIS, TimeUnit.MILLISECONDS), "serves from a list that may be old");
-                    Discovery.answer(call, "{\"revision\":9,\"complete\":true,\"members\":[" + world.nodes.get(0).entry() + "]}");
+                    assertFalse(
+                            started.await(WAITED_MILLIS, TimeUnit.MILLISECONDS), "serves from a list that may be old");
+                    Discovery.answer(
+                            call,
+                            "{\"revision\":9,\"complete\":true,\"members\":["
+                                    + world.nodes.get(0).entry() + "]}");
                     assertTrue(started.await(WITHIN_SECONDS, TimeUnit.SECONDS));
                 }
                 assertFalse(failed.get());
@@ -149,14 +168,18 @@
 
     @Test
     void theProgramSaysWhatItStartsFrom() throws Exception {
-        Pattern start = Pattern.compile("INFO \\S+ starts: list of the file at revision \\d+ with 2 db nodes, discovery at 127.0.0.1:\\d+.*");
+        Pattern start = Pattern.compile(
+                "INFO \\S+ starts: list of the file at revision \\d+ with 2 db nodes, discovery at 127.0.0.1:\\d+.*");
         try (Discovery discovery = new Discovery();
                 World world = new World(OperatorConfig.NONE, new DbNode("s-1", true), new DbNode("s-2", false));
                 Program program = Program.serve(world.config(discovery.server, 1024))) {
             String line = program.until("starts: ");
             assertTrue(start.matcher(line).find(), line);
             try (Socket call = discovery.server.accept()) {
-                Discovery.answer(call, "{\"revision\":9,\"complete\":true,\"members\":[" + world.nodes.get(0).entry() + "]}");
+                Discovery.answer(
+                        call,
+                        "{\"revision\":9,\"complete\":true,\"members\":["
+                                + world.nodes.get(0).entry() + "]}");
                 assertTrue(program.until("discovery's first word").contains("revision 9"));
                 program.until("listens on");
                 Discovery.answer(call, "");
--- a/daemon/src/test/java/lupinvalve/stories/TroubleTest.java
+++ b/daemon/src/test/java/lupinvalve/stories/TroubleTest.java
@@ -124,14 +124,25 @@
     void a_field_that_is_bad_is_answered_with_an_error_and_reaches_no_db_node() throws Exception {
         DbNode primary = new DbNode("s-1", true);
         DbNode replica = new DbNode("s-2", false);
-        try (World world = calm(primary, replica); Connection client = world.pg()) {
+        try (World world = calm(primary, replica);
+                Connection client = world.pg()) {
             String good = read("f1", 900);
-            for (String bad : List.of(good.replace("id=f1,", ""), good.replace("f1", ""), good.replace("d=900,", ""),
-                    good.replace("900", "-900"), good.replace("900", "0"), good.replace("900", "NaN"),
-                    good.replace("900", "9e2"), good.replace("900", "0x9"), good.replace("900", "9".repeat(30)),
-                    good.replace("cluster=1", "cluster=-1"), good.replace("cluster=1", "cluster=one"),
-                    good.replace("bag-status", "bag"), good.replace(" */", ",after=soon */"),
-                    good.replace("f1", "f".repeat(200)), "SELECT blob FROM rows")) {
+            for (String bad : List.of(
+                    good.replace("id=f1,", ""),
+                    good.replace("f1", ""),
+                    good.replace("d=900,", ""),
+                    good.replace("900", "-900"),
+                    good.replace("900", "0"),
+                    good.replace("900", "NaN"),
+                    good.replace("900", "9e2"),
+                    good.replace("900", "0x9"),
+                    good.replace("900", "9".repeat(30)),
+                    good.replace("cluster=1", "cluster=-1"),
+                    good.replace("cluster=1", "cluster=one"),
+                    good.replace("bag-status", "bag"),
+                    good.replace(" */", ",after=soon */"),
+                    good.replace("f1", "f".repeat(200)),
+                    "SELECT blob FROM rows")) {
                 assertEquals("42601", end(client, bad), bad);
             }
             assertTrue(primary.seen.isEmpty() && replica.seen.isEmpty());
@@ -143,7 +154,8 @@
     void the_id_of_anothers_open_request_is_turned_down_and_leaves_that_one_alone() throws Exception {
         DbNode primary = new DbNode("s-1", true);
         primary.script.add(DbNode.Makes.HANG);
-        try (World world = calm(primary, new DbNode("s-2", false)); Connection stranger = world.pg();
+        try (World world = calm(primary, new DbNode("s-2", false));
+                Connection stranger = world.pg();
                 Socket owner = world.raw(booking("o1", 700))) {
             World.await("out", () -> primary.runs.containsKey("o1"));
             assertEquals("42601", end(stranger, booking("o1", 700)));
@@ -157,8 +169,10 @@
 
     @Test
     void clients_that_can_not_be_read_get_an_end_soon_and_disturb_nobody() throws Exception {
-        try (World world = calm(new DbNode("s-1", true), new DbNode("s-2", false)); Connection client = world.pg()) {
-            // A connection that has said nothing ends after 2.6 s by itself, and on a busy machine the rest takes longer.
+        try (World world = calm(new DbNode("s-1", true), new DbNode("s-2", false));
+                Connection client = world.pg()) {
+            // A connection that has said nothing ends after 2.6 s by itself, and on a busy machine the rest takes
+            // longer.
             assertEquals("value", end(client, read("n0", 900)));
             byte[] noise = "a line that never ends ".repeat(400).getBytes(ISO_8859_1);
             for (String head : List.of("\0\0\0\4", "\377\377\377\377", "\177\377\377\377", "GET / HTTP/1.1\r\n\r\n")) {
@@ -207,7 +221,8 @@
         DbNode primary = new DbNode("s-1", true);
         DbNode replica = new DbNode("s-2", false);
         replica.value = "w".repeat(400_000);
-        try (World world = calm(primary, replica); Connection client = world.pg()) {
+        try (World world = calm(primary, replica);
+                Connection client = world.pg()) {
             assertEquals(replica.value, end(client, read("l1", 1900)));
             String long800 = booking("l2", 1900).replace("9f", "9f".repeat(400_000));
             assertEquals("value", end(client, long800));
@@ -219,7 +234,8 @@
     void connections_are_trusted_only_as_long_as_db_nodes_keep_them() throws Exception {
         DbNode primary = new DbNode("s-1", true);
         primary.dropsAfterNanos = 100_000_000L;
-        try (World world = calm(primary, new DbNode("s-2", false)); Connection client = world.pg()) {
+        try (World world = calm(primary, new DbNode("s-2", false));
+                Connection client = world.pg()) {
             List<String> ends = new ArrayList<>();
             for (int id = 0; id < 3; id++) {
                 ends.add(end(client, booking("r" + id, 900)));
@@ -234,7 +250,8 @@
     void a_connection_that_was_busy_when_its_db_node_left_is_closed_with_its_answer() throws Exception {
         DbNode primary = new DbNode("s-1", true);
         primary.hold = new CountDownLatch(1);
-        try (World world = calm(primary, new DbNode("s-2", false)); Socket client = world.raw(booking("z1", 2000))) {
+        try (World world = calm(primary, new DbNode("s-2", false));
+                Socket client = world.raw(booking("z1", 2000))) {
             World.await("out", () -> primary.runs.containsKey("z1"));
             World.await("watching", () -> world.watches.get() > 0);
             world.phase(primary, "terminated");
@@ -270,15 +287,23 @@
     @Test
     void a_spoilt_answer_may_have_run_and_its_connection_is_not_used_again() throws Exception {
         DbNode primary = new DbNode("s-1", true);
-        try (World world = calm(primary, new DbNode("s-2", false)); Connection client = world.pg()) {
+        try (World world = calm(primary, new DbNode("s-2", false));
+                Connection client = world.pg()) {
             int id = 0;
-            for (String spoilt : List.of("noise without an end ".repeat(40), "\0\0\0",
+            for (String spoilt : List.of(
+                    "noise without an end ".repeat(40),
+                    "\0\0\0",
                     HEAD + message('D', -1294967296, "\0\1\0\0\0\3odd"),
                     HEAD + message('D', 13, "\0\1\0\0\0\7odd") + DONE + READY,
                     HEAD + message('D', 14, "\0\1\0\0\0\3odd") + DONE + READY,
-                    HEAD + message('D', 13, "\0\2\0\0\0\3odd") + DONE + READY, HEAD + ROW + ROW + DONE + READY,
-                    ROW + DONE + READY, HEAD + ROW + READY, READY, HEAD + ROW + message('C', 12, "SELECT 1") + READY,
-                    HEAD + ROW + DONE + message('Z', 5, "?"), HEAD + ROW + DONE + message('Z', 6, "I"),
+                    HEAD + message('D', 13, "\0\2\0\0\0\3odd") + DONE + READY,
+                    HEAD + ROW + ROW + DONE + READY,
+                    ROW + DONE + READY,
+                    HEAD + ROW + READY,
+                    READY,
+                    HEAD + ROW + message('C', 12, "SELECT 1") + READY,
+                    HEAD + ROW + DONE + message('Z', 5, "?"),
+                    HEAD + ROW + DONE + message('Z', 6, "I"),
                     HEAD + message('E', 9, "Cno\0\0") + READY)) {
                 primary.strange = spoilt.getBytes(ISO_8859_1);
                 primary.script.add(DbNode.Makes.SPOILT);
@@ -293,7 +318,8 @@
     @Test
     void what_comes_behind_a_whole_answer_spoils_only_the_connection() throws Exception {
         DbNode primary = new DbNode("s-1", true);
-        try (World world = calm(primary, new DbNode("s-2", false)); Connection client = world.pg()) {
+        try (World world = calm(primary, new DbNode("s-2", false));
+                Connection client = world.pg()) {
             int id = 0;
             for (String behind : List.of(HEAD + ROW + DONE + READY, "noise", "D", READY)) {
                 primary.strange = behind.getBytes(ISO_8859_1);
@@ -312,9 +338,17 @@
                 ServerSocket first = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
                 ServerSocket second = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             Files.writeString(file, world.config(first, 1024));
-            Process served = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                    "-cp", System.getProperty("java.class.path"), "lupinvalve.cli.Main", "serve", "--config",
-                    file.toString()).redirectErrorStream(true).start();
+            Process served = new ProcessBuilder(
+                            Path.of(System.getProperty("java.home"), "bin", "java")
+                                    .toString(),
+                            "-cp",
+                            System.getProperty("java.class.path"),
+                            "lupinvalve.cli.Main",
+                            "serve",
+                            "--config",
+                            file.toString())
+                    .redirectErrorStream(true)
+                    .start();
             try (BufferedReader log = served.inputReader()) {
                 Matcher port = Pattern.compile("listens on 127.0.0.1:(\\d+)").matcher("");
                 port.reset(until(log, "listens on"));
@@ -323,8 +357,10 @@
                 AtomicInteger watching = new AtomicInteger();
                 World.thread(() -> world.answer(watch, watching));
                 World.await("watching", () -> watching.get() == 1);
-                for (String bad : List.of("{\"discovery\":", "{}", world.config(second, 1024)
-                        .replace("127.0.0.1:" + second.getLocalPort(), "nowhere:8500"))) {
+                for (String bad : List.of(
+                        "{\"discovery\":",
+                        "{}",
+                        world.config(second, 1024).replace("127.0.0.1:" + second.getLocalPort(), "nowhere:8500"))) {
                     Files.writeString(file, bad);
                     hangUp(served);
                     until(log, "the old one stays");
@@ -335,7 +371,8 @@
                 Socket next = second.accept();
                 // The new one has not answered yet, so the old watch still stands.
                 watch.setSoTimeout(100);
-                assertThrows(SocketTimeoutException.class, () -> watch.getInputStream().read());
+                assertThrows(SocketTimeoutException.class, () -> watch.getInputStream()
+                        .read());
                 World.thread(() -> world.answer(next, new AtomicInteger()));
                 watch.setSoTimeout(10_000);
                 assertEquals(-1, watch.getInputStream().read());
@@ -353,7 +390,11 @@
     }
 
     private static void hangUp(Process process) throws Exception {
-        assertEquals(0, new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor());
+        assertEquals(
+                0,
+                new ProcessBuilder("kill", "-HUP", Long.toString(process.pid()))
+                        .start()
+                        .waitFor());
     }
 
     private static String until(BufferedReader log, String words) throws IOException {
--- a/daemon/src/test/java/lupinvalve/stories/World.java
+++ b/daemon/src/test/java/lupinvalve/stories/World.java
@@ -70,14 +70,17 @@
 
     /** The same pooler once more: with the same address and folder, and a door of its own. */
     Daemon successor(Path shared) throws Exception {
-        return daemon(config(discovery, 1024).replace("127.0.0.1:0", "127.0.0.1:" + daemon.address().getPort()),
-                OperatorConfig.NONE, shared);
+        return daemon(
+                config(discovery, 1024)
+                        .replace("127.0.0.1:0", "127.0.0.1:" + daemon.address().getPort()),
+                OperatorConfig.NONE,
+                shared);
     }
 
     static Daemon daemon(String config, OperatorConfig operator, Path shared) throws IOException {
         Path file = Files.createTempFile("lupinvalve", ".json");
-        Files.writeString(file, shared == null ? config
-                : config.replaceFirst("\\{", "{\"operator\": \"127.0.0.1:00\","));
+        Files.writeString(
+                file, shared == null ? config : config.replaceFirst("\\{", "{\"operator\": \"127.0.0.1:00\","));
         Daemon daemon = new Daemon(NodeConfig.read(file, null), operator, shared);
         Files.delete(file);
         return daemon;
@@ -85,7 +88,8 @@
 
     /** What a call to the operators' address is answered. */
     static String call(Daemon daemon, String line) throws IOException {
-        try (Socket socket = new Socket(daemon.doorAddress().getAddress(), daemon.doorAddress().getPort())) {
+        try (Socket socket = new Socket(
+                daemon.doorAddress().getAddress(), daemon.doorAddress().getPort())) {
             socket.setSoTimeout(10_000);
             socket.getOutputStream().write((line + "\n").getBytes(UTF_8));
             return new String(socket.getInputStream().readAllBytes(), UTF_8);
@@ -98,7 +102,8 @@
 
     /** The platform's file, with discovery at a port. */
     String config(ServerSocket at, int sockets) throws IOException {
-        return Files.readString(Path.of("example/config.json")).replace("127.0.0.1:5432", "127.0.0.1:0")
+        return Files.readString(Path.of("example/config.json"))
+                .replace("127.0.0.1:5432", "127.0.0.1:0")
                 .replace("127.0.0.1:8500", "127.0.0.1:" + at.getLocalPort())
                 .replace("\"sockets\": 1024", "\"sockets\": " + sockets)
                 .replace("\"members\": []", "\"members\": [" + entries() + "]");
@@ -200,8 +205,11 @@
 
     /** A client of MySQL's own driver. */
     public Connection mysql(String user, String password) throws SQLException {
-        return DriverManager.getConnection("jdbc:mysql://127.0.0.1:" + daemon.mysqlAddress().getPort()
-                + "/ledger?sslMode=DISABLED&useServerPrepStmts=true&allowPublicKeyRetrieval=true", user, password);
+        return DriverManager.getConnection(
+                "jdbc:mysql://127.0.0.1:" + daemon.mysqlAddress().getPort()
+                        + "/ledger?sslMode=DISABLED&useServerPrepStmts=true&allowPublicKeyRetrieval=true",
+                user,
+                password);
     }
 
     /** A bare socket to the platform's front, which has sent its startup message. */
@@ -224,7 +232,11 @@
     /** A simple query as it is sent. */
     static byte[] query(String text) {
         byte[] bytes = (text + "\0").getBytes(UTF_8);
-        return java.nio.ByteBuffer.allocate(1 + Integer.BYTES + bytes.length).put((byte) 'Q').putInt(Integer.BYTES + bytes.length).put(bytes).array();
+        return java.nio.ByteBuffer.allocate(1 + Integer.BYTES + bytes.length)
+                .put((byte) 'Q')
+                .putInt(Integer.BYTES + bytes.length)
+                .put(bytes)
+                .array();
     }
 
     @Override
--- a/decisions/src/main/java/lupinvalve/Ages.java
+++ b/decisions/src/main/java/lupinvalve/Ages.java
@@ -8,12 +8,14 @@
 
 /**
  * Tells how long ago a client first asked, where repeats bear no mark. A client waits for all its tries together no
- * longer than its class's deadline, so a repeat has less left than first tries are given: what it lacks has passed since.
- * First tries are known by the wait that most requests of a class name; where none stands out, nothing is concluded.
+ * longer than its class's deadline, so a repeat has less left than first tries are given: what it lacks has passed
+ * since. First tries are known by the wait that most requests of a class name; where none stands out, nothing is
+ * concluded.
  */
 final class Ages {
     /** Waits remembered for each class, and the part of them that must be one and the same. */
     private static final int KEPT = 64, LEAST = 16;
+
     private static final double STANDS_OUT = 0.3;
     private static final long STEP = 1000;
     private final List<Kind> kinds = new ArrayList<>();
--- a/decisions/src/main/java/lupinvalve/Allowance.java
+++ b/decisions/src/main/java/lupinvalve/Allowance.java
@@ -1,8 +1,8 @@
 package lupinvalve;
 
 /**
- * How many requests one router may send a cold db node: what it has earned and not yet used up, and how far it is
- * to the next one that goes there. Bookkeeping only; how much is earned and used up comes from {@link Limits}.
+ * How many requests one router may send a cold db node: what it has earned and not yet used up, and how far it is to
+ * the next one that goes there. Bookkeeping only; how much is earned and used up comes from {@link Limits}.
  */
 final class Allowance {
     private double servedBefore, saved, due;
@@ -37,9 +37,9 @@
     }
 
     /**
-     * Uses up at most so much for one request, and tells whether it is the one to go: the parts used up add to
-     * the next one due. Routers that begin with parts due drawn evenly from 0 to 1 send together, over any time,
-     * about the sum of all parts used up, each at most one more than its own.
+     * Uses up at most so much for one request, and tells whether it is the one to go: the parts used up add to the next
+     * one due. Routers that begin with parts due drawn evenly from 0 to 1 send together, over any time, about the sum
+     * of all parts used up, each at most one more than its own.
      */
     boolean draw(double most) {
         double part = Math.min(most, saved);
--- a/decisions/src/main/java/lupinvalve/Choice.java
+++ b/decisions/src/main/java/lupinvalve/Choice.java
@@ -6,10 +6,12 @@
 final class Choice {
     /** The article's wait for a replica before the primary is asked; aims are often shorter: part of one. */
     private static final long HOLD = 2_000_000;
+
     private static final double HOLD_OF_AIM = 0.2;
     private static final long TICK = 10_000, MISS_STEP = 2_000, READ_PROBE_PACE = 60_000;
     /** An attempt is overdue after so many times what is expected, called off after so many times that. */
     private static final double OVERDUE = 4, PATIENCE = 4;
+
     private static final long OVERDUE_LEAST = 100_000;
     /** What a member costs that has erred at this request, and a cold one drawn; what part counts as less. */
     private static final double ERRED = 50, DRAWN = 0.01, LESS = 0.85;
@@ -18,12 +20,13 @@
     /** Latency over aim at replicas from which reads may spill to a primary that has this many times less. */
     private static final double SPILL_FROM = 0.25, SPILL = 2;
     /**
-     * What a member in another zone costs at least against one in the own, and what the price of a crossing
-     * adds: one more request ahead costs about 0.013 of a worth, as answers come late.
+     * What a member in another zone costs at least against one in the own, and what the price of a crossing adds: one
+     * more request ahead costs about 0.013 of a worth, as answers come late.
      */
     private static final double FAR = 1.3, FAR_PRICE = 75;
     /** What a member kept for long reads costs for fresh ones; reads of any age rather go there. */
     private static final double KEPT_FOR_LONG = 3;
+
     private final Scene s;
     private final Limits limits;
     private final Health health;
@@ -43,8 +46,8 @@
     }
 
     /**
-     * Whether a replica may be sent a read that needs a position: at a proven one; where members guard it
-     * themselves, also by the lag last seen, the less after each miss, or tries are spent within a moment.
+     * Whether a replica may be sent a read that needs a position: at a proven one; where members guard it themselves,
+     * also by the lag last seen, the less after each miss, or tries are spent within a moment.
      */
     boolean fresh(Node n, long need, int misses) {
         long ahead = s.settings.replication().waitMicros() / 2 - misses * MISS_STEP;
@@ -68,17 +71,20 @@
             if (!fresh(n, need, r.attempts)) {
                 // Where nothing is guarded only news helps: from answers just had, or from probes.
                 boolean silent = n.probeFails > 0 && n.noNews(s.now, Health.NEWS_PACE);
-                soonest = Math.min(soonest, guarded ? Math.max(0, need - (s.now - n.lag))
-                        : silent ? Long.MAX_VALUE : 0);
+                soonest =
+                        Math.min(soonest, guarded ? Math.max(0, need - (s.now - n.lag)) : silent ? Long.MAX_VALUE : 0);
                 continue;
             }
             if (!limits.room(n, r, 1)) {
                 full = true;
                 continue;
             }
-            double cost = (n.out.size() + 1) * limits.load.slow(n) * (n.zone == s.settings.zone() ? 1 : far)
+            double cost = (n.out.size() + 1)
+                    * limits.load.slow(n)
+                    * (n.zone == s.settings.zone() ? 1 : far)
                     * (n != kept ? 1 : anyAge ? 1 / KEPT_FOR_LONG : KEPT_FOR_LONG)
-                    * (n == r.last ? 4 : 1) * (r.erredAt.contains(n) ? ERRED : limits.drawn(n) ? DRAWN : 1);
+                    * (n == r.last ? 4 : 1)
+                    * (r.erredAt.contains(n) ? ERRED : limits.drawn(n) ? DRAWN : 1);
             if (cost < least * (limits.sparse ? LESS : 1)) {
                 least = cost;
                 best = n;
@@ -87,7 +93,9 @@
         Node p = g.primary;
         if (best != null) {
             // Guards a crowded group whose primary idles: groups draw unequal shares of reads and writes.
-            boolean spills = guarded && primaries.ready(p, false) && !r.erredAt.contains(p)
+            boolean spills = guarded
+                    && primaries.ready(p, false)
+                    && !r.erredAt.contains(p)
                     && limits.load.pressure(best) > Math.max(SPILL_FROM, SPILL * limits.load.pressure(p))
                     && limits.room(p, r, READS_ON_PRIMARY);
             limits.shed = false;
@@ -109,8 +117,11 @@
     /** Blocking work stops apply where it runs, so all routers put it on the same replicas, by sorted id. */
     Node keptForLong(Group g, Pending r) {
         for (Node n : g.members) {
-            if (limits.anyLong && n != g.primary && primaries.ready(n, false)
-                    && !limits.inSlowStart(n) && (r == null || n != r.last)) {
+            if (limits.anyLong
+                    && n != g.primary
+                    && primaries.ready(n, false)
+                    && !limits.inSlowStart(n)
+                    && (r == null || n != r.last)) {
                 return r == null || limits.room(n, r, 1) ? n : null;
             }
         }
@@ -121,7 +132,9 @@
     void probeForReads(Group g) {
         for (int i = 0; i < g.members.size(); i++) {
             Node n = g.members.get((g.probeTurn + i) % g.members.size());
-            if (n != g.primary && primaries.ready(n, false) && s.now - n.probedAt >= READ_PROBE_PACE
+            if (n != g.primary
+                    && primaries.ready(n, false)
+                    && s.now - n.probedAt >= READ_PROBE_PACE
                     && n.noNews(s.now, READ_PROBE_PACE / 2)) {
                 health.probe(n);
                 health.probeBudget--;
@@ -139,8 +152,11 @@
         boolean longRead = limits.longWork[r.cls()];
         Node n = r.write() ? primaries.forWrite(r) : longRead ? keptForLong(r.group, r) : forRead(r);
         Node p = r.group.primary;
-        if (n == null && longRead && s.now > r.arrived + HOLD_OF_AIM * r.kind.aimMicros()
-                && primaries.ready(p, false) && limits.room(p, r, READS_ON_PRIMARY)) {
+        if (n == null
+                && longRead
+                && s.now > r.arrived + HOLD_OF_AIM * r.kind.aimMicros()
+                && primaries.ready(p, false)
+                && limits.room(p, r, READS_ON_PRIMARY)) {
             n = p;
         }
         if (n != null) {
--- a/decisions/src/main/java/lupinvalve/Health.java
+++ b/decisions/src/main/java/lupinvalve/Health.java
@@ -6,6 +6,7 @@
 final class Health {
     /** A replica of which nothing was heard for this long is probed, as far as the probe budget goes. */
     static final long NEWS_PACE = 500_000;
+
     private static final double PROBES_PER_REQUEST = 0.4, PROBES_SPARSE = 0.03;
     private static final long EJECT_FIRST = 200_000, FULL_PAUSE = 40_000, RESTART_LEAST = 1_000_000;
     private static final int EJECT_DOUBLINGS = 4, PROBES_PER_TRIAL = 2;
@@ -36,9 +37,9 @@
     }
 
     /**
-     * Guards members that went on refusing connections for a while: they may have restarted, so are taken for
-     * cold. Those that serve sooner had their tables full: idle connections are closed earlier. How long
-     * nothing was asked of them tells nothing: who lost one connection is not cold for that.
+     * Guards members that went on refusing connections for a while: they may have restarted, so are taken for cold.
+     * Those that serve sooner had their tables full: idle connections are closed earlier. How long nothing was asked of
+     * them tells nothing: who lost one connection is not cold for that.
      */
     void answered(Node n) {
         n.answeredAt = s.now;
@@ -59,7 +60,8 @@
     /** Silent with work out for longer than that work should take. */
     boolean overdue(Node n) {
         Attempt oldest = n.out.isEmpty() ? null : n.out.iterator().next();
-        return oldest != null && s.now > oldest.overdueAt()
+        return oldest != null
+                && s.now > oldest.overdueAt()
                 && s.now - n.answeredAt > oldest.overdueAt() - oldest.sentAt();
     }
 
@@ -82,7 +84,9 @@
             if (!n.onTrial) {
                 probe(n);
             }
-        } else if (probeBudget >= 10 && s.now - n.probedAt > NEWS_PACE && s.now - n.group.askedAt < NEWS_PACE
+        } else if (probeBudget >= 10
+                && s.now - n.probedAt > NEWS_PACE
+                && s.now - n.group.askedAt < NEWS_PACE
                 && n.noNews(s.now, NEWS_PACE)) {
             probeBudget--;
             probe(n);
@@ -94,8 +98,8 @@
     }
 
     /**
-     * Probes may fail while a member serves: a failed one ejects nobody, but makes the next one rarer and,
-     * for a member that service has ejected, the trial later.
+     * Probes may fail while a member serves: a failed one ejects nobody, but makes the next one rarer and, for a member
+     * that service has ejected, the trial later.
      */
     void probed(Node n, Routing.Ending ending) {
         n.probing = false;
@@ -164,7 +168,7 @@
                 n.probeFails = 0;
                 strike(n);
             }
-            default -> { }
+            default -> {}
         }
     }
 
--- a/decisions/src/main/java/lupinvalve/Idle.java
+++ b/decisions/src/main/java/lupinvalve/Idle.java
@@ -8,6 +8,7 @@
 final class Idle {
     /** Bounds on how long one is kept, its cut for a loss, and its growth a tick. */
     private static final double LEAST = 250_000, MOST = 60e6, CUT = 0.7, GROW = 1.003;
+
     private final Scene s;
     private double keep = MOST;
 
--- a/decisions/src/main/java/lupinvalve/Limits.java
+++ b/decisions/src/main/java/lupinvalve/Limits.java
@@ -7,18 +7,21 @@
     /** Part of what a cold member bears that it is given, most saved for it, tries where none is warm. */
     private static final double COLD_PART = 0.75, COLD_BURST = 3, COLD_ALONE = 10;
     /**
-     * Start and least bound on all routers' attempts out at a member, greatest on own. Then the part of its
-     * aim that an answer may take in the mean: works vary about as their mean, so of a quarter e^-4 are late.
+     * Start and least bound on all routers' attempts out at a member, greatest on own. Then the part of its aim that an
+     * answer may take in the mean: works vary about as their mean, so of a quarter e^-4 are late.
      */
     private static final double LIMIT_START = 16, LIMIT_LEAST = 6, LIMIT_MOST = 400, LIMIT_TELLS = 2;
+
     private static final double PRESSURE = 0.25, PRESSURE_SHED = 0.42, PRESSURE_FULL = 1.5, WRITE_EASE = 2;
     /** How long evidence of load counts, in microseconds, and how many answers outweigh what is pooled. */
     private static final double MEMORY = 3e6, LEAN = 2, NEWEST = 12, LOT_STEEP = 3;
     /** Latency over work of a member not yet known; a class is long with so many times the shortest aim. */
     private static final double ORDINARY = 2, LONG = 4;
+
     private final Scene s;
     /** What answers told of load. */
     final LoadStatistics load;
+
     private final double leastLimit;
     final double startLimit;
     final boolean[] longWork;
@@ -35,7 +38,10 @@
         load = new LoadStatistics(s, PRESSURE / 2, ORDINARY);
         int count = s.settings.classes().size();
         longWork = new boolean[count];
-        long shortest = s.settings.classes().stream().mapToLong(c -> c.aimMicros()).min().orElse(0);
+        long shortest = s.settings.classes().stream()
+                .mapToLong(c -> c.aimMicros())
+                .min()
+                .orElse(0);
         for (int i = 0; i < count; i++) {
             Routing.RequestClass c = s.settings.classes().get(i);
             longWork[i] = c.access() == Routing.Access.ANY && c.aimMicros() >= LONG * shortest;
@@ -59,18 +65,19 @@
     }
 
     /**
-     * A cold member earns requests only as warm ones serve them, in proportion to its warmth at that moment,
-     * so all routers together keep it under what it can do however unevenly they are loaded. Served requests
-     * count: not sent ones, as repeats prove nothing, nor latencies, as queues swell them. What many routers
-     * saved must not go out at once: each request uses up some, an equal share of reads at most, and goes to
-     * it once these add up to one. Warmth is that at the start of the time in which overload is counted.
+     * A cold member earns requests only as warm ones serve them, in proportion to its warmth at that moment, so all
+     * routers together keep it under what it can do however unevenly they are loaded. Served requests count: not sent
+     * ones, as repeats prove nothing, nor latencies, as queues swell them. What many routers saved must not go out at
+     * once: each request uses up some, an equal share of reads at most, and goes to it once these add up to one. Warmth
+     * is that at the start of the time in which overload is counted.
      */
     boolean slowStartRoom(Node n, Pending r) {
         if (!inSlowStart(n) || longWork[r.cls()]) {
             return !inSlowStart(n);
         }
         long warm = s.nodes.values().stream()
-                .filter(m -> m.health == Routing.Health.LIVE && m.strikes == 0 && !inSlowStart(m)).count();
+                .filter(m -> m.health == Routing.Health.LIVE && m.strikes == 0 && !inSlowStart(m))
+                .count();
         double luck = r.lot * 1e4 + n.id.hashCode() * 0.618;
         luck -= Math.floor(luck);
         if (warm == 0) {
--- a/decisions/src/main/java/lupinvalve/LoadStatistics.java
+++ b/decisions/src/main/java/lupinvalve/LoadStatistics.java
@@ -14,6 +14,7 @@
     private static final double FIRST_WORK = 1 / 8.0;
     /** How fast the estimate of work falls to a shorter latency, and rises to a longer one. */
     private static final double WORK_FALLS = 0.1;
+
     private static final double WORK_RISES = 0.02;
     private final Scene context;
     private final double usualPressure;
@@ -23,12 +24,16 @@
     private final double[] work;
     private double warmServed;
 
-    /** Starts empty: where nothing was seen yet, latency over aim and latency over work are taken for the usual ones. */
+    /**
+     * Starts empty: where nothing was seen yet, latency over aim and latency over work are taken for the usual ones.
+     */
     LoadStatistics(Scene context, double usualPressure, double usualSlowness) {
         this.context = context;
         this.usualPressure = usualPressure;
         this.usualSlowness = usualSlowness;
-        work = context.settings.classes().stream().mapToDouble(kind -> kind.aimMicros() * FIRST_WORK).toArray();
+        work = context.settings.classes().stream()
+                .mapToDouble(kind -> kind.aimMicros() * FIRST_WORK)
+                .toArray();
     }
 
     /** Latency over aim at a db node; it leans on that at its group's replicas, that on all of its kind. */
--- a/decisions/src/main/java/lupinvalve/Primaries.java
+++ b/decisions/src/main/java/lupinvalve/Primaries.java
@@ -55,8 +55,10 @@
 
     /** Leaving members take nothing new; a draining primary takes writes until its successor shows. */
     boolean listed(Node n, boolean write) {
-        return n.health == Routing.Health.LIVE || n.health == Routing.Health.DRAINING && write
-                && s.now < n.toldLeaving + s.settings.rules().drainGraceMicros() * 3 / 4;
+        return n.health == Routing.Health.LIVE
+                || n.health == Routing.Health.DRAINING
+                        && write
+                        && s.now < n.toldLeaving + s.settings.rules().drainGraceMicros() * 3 / 4;
     }
 
     boolean ready(Node p, boolean write) {
--- a/decisions/src/main/java/lupinvalve/QueuedRequests.java
+++ b/decisions/src/main/java/lupinvalve/QueuedRequests.java
@@ -9,8 +9,8 @@
 import lupinvalve.State.Pending;
 
 /**
- * The requests that wait for a db node, in a queue for each class of each group, and how many they are. Bookkeeping only;
- * {@link WaitQueue} decides what waits and in which order it goes on.
+ * The requests that wait for a db node, in a queue for each class of each group, and how many they are. Bookkeeping
+ * only; {@link WaitQueue} decides what waits and in which order it goes on.
  */
 final class QueuedRequests {
     private int size;
@@ -51,8 +51,9 @@
 
     /** Whether anything that only a primary can answer waits. */
     boolean anyForPrimary(Group group) {
-        return group.waiting.stream().anyMatch(queue -> !queue.isEmpty() && (queue.peek().write()
-                || queue.peek().kind.access() == Routing.Access.STRONG));
+        return group.waiting.stream()
+                .anyMatch(queue -> !queue.isEmpty()
+                        && (queue.peek().write() || queue.peek().kind.access() == Routing.Access.STRONG));
     }
 
     private void count(Group group, int change) {
