--- a/decisions/src/main/java/lupinvalve/Roster.java
+++ b/decisions/src/main/java/lupinvalve/Roster.java
@@ -8,18 +8,20 @@
 import lupinvalve.State.Scene;
 
 /**
- * The table of db nodes, by what discovery lists. Watches the list: asks at the start, and again after a
- * failure, ever more rarely and spread over time.
+ * The table of db nodes, by what discovery lists. Watches the list: asks at the start, and again after a failure, ever
+ * more rarely and spread over time.
  */
 final class Roster {
     /**
-     * Pauses before discovery is asked again. A change binds some seconds after discovery had it and could be reached, whatever
-     * calls have failed by then: the longest pause and a call that hangs must fit in twice.
+     * Pauses before discovery is asked again. A change binds some seconds after discovery had it and could be reached,
+     * whatever calls have failed by then: the longest pause and a call that hangs must fit in twice.
      */
     private static final long ASK_FIRST = 250_000, ASK_MOST = 750_000;
+
     private static final int DOUBLINGS = 2;
     /** How long a member that is gone is remembered, should the list name it again or a probe still end. */
     private static final long GONE_KEPT = 5_000_000;
+
     private final Scene s;
     private final Limits limits;
     private final Primaries primaries;
@@ -74,8 +76,8 @@
             if (m.health() == Routing.Health.GONE && !s.nodes.containsKey(m.node())) {
                 continue;
             }
-            Node n = s.nodes.computeIfAbsent(m.node(),
-                    id -> new Node(id, limits.startLimit, Limits.gauge(), Limits.gauge()));
+            Node n = s.nodes.computeIfAbsent(
+                    m.node(), id -> new Node(id, limits.startLimit, Limits.gauge(), Limits.gauge()));
             if (n.group == null) {
                 adopt(n, m);
             }
@@ -83,7 +85,9 @@
             n.zone = m.zone();
             setHealth(n, m.health(), news.toldSince());
             restarted(n, m.bornMicros());
-            if (m.listedPrimary() && n.group.primary == null && n.replicaAt == Long.MIN_VALUE
+            if (m.listedPrimary()
+                    && n.group.primary == null
+                    && n.replicaAt == Long.MIN_VALUE
                     && m.health() == Routing.Health.LIVE) {
                 n.group.primary = n;
             }
@@ -93,8 +97,8 @@
 
     private void adopt(Node n, Routing.Member m) {
         int classes = s.settings.classes().size();
-        Group g = s.groups.computeIfAbsent(m.group(),
-                id -> new Group(Limits.gauge(), Limits.gauge(), classes, s.random.nextInt(1 << 16)));
+        Group g = s.groups.computeIfAbsent(
+                m.group(), id -> new Group(Limits.gauge(), Limits.gauge(), classes, s.random.nextInt(1 << 16)));
         n.group = g;
         g.members.add(n);
         g.members.sort(Comparator.comparing(x -> x.id));
@@ -131,8 +135,7 @@
 
     /** Each deploy brings new ids: members that have left, and have nothing out, must not pile up. */
     private boolean forgotten(Node n) {
-        boolean over = n.health == Routing.Health.GONE && n.out.isEmpty()
-                && s.now > n.toldLeaving + GONE_KEPT;
+        boolean over = n.health == Routing.Health.GONE && n.out.isEmpty() && s.now > n.toldLeaving + GONE_KEPT;
         if (over) {
             n.group.members.remove(n);
         }
--- a/decisions/src/main/java/lupinvalve/Router.java
+++ b/decisions/src/main/java/lupinvalve/Router.java
@@ -6,10 +6,10 @@
 /**
  * The decisions of one router before groups of a primary and its replicas. Interface file: Routing.java.
  *
- * <p>The ordinary path is the log-position token of Anhaia's replication-lag article: a write's answered
- * position becomes its session's token, the session's reads go to replicas that have reached it, a read that
- * finds none is held and falls back to the primary. Departures are marked so; docs/design.md gives the
- * reasons. One instance per router; it has no clock, thread or I/O. Not safe for use by several threads.
+ * <p>The ordinary path is the log-position token of Anhaia's replication-lag article: a write's answered position
+ * becomes its session's token, the session's reads go to replicas that have reached it, a read that finds none is held
+ * and falls back to the primary. Departures are marked so; docs/design.md gives the reasons. One instance per router;
+ * it has no clock, thread or I/O. Not safe for use by several threads.
  */
 public final class Router {
     private static final long TICK = 10_000, IDLE_TICK = 100_000;
@@ -17,6 +17,7 @@
     private static final long CHANGE_PROBE_PACE = 150_000;
     /** Errors after which a request is tried no more; the least of a lot that a client's repeat draws. */
     private static final int ERRORS_MOST = 2, TOKENS = 50_000;
+
     private static final double REPEAT_LOT = 0.9;
     private final Scene s;
     private final Limits limits;
@@ -31,8 +32,7 @@
     private long membersAt, tickAt = Long.MAX_VALUE;
 
     /** Starts a router, its random choices seeded; the start's actions go to {@code actions}. */
-    public Router(long seed, Routing.Settings settings, long nowMicros,
-            Consumer<? super Routing.Action> actions) {
+    public Router(long seed, Routing.Settings settings, long nowMicros, Consumer<? super Routing.Action> actions) {
         s = new Scene(settings, seed, nowMicros, actions);
         limits = new Limits(s);
         idles = new Idle(s);
@@ -79,7 +79,8 @@
         s.now = nowMicros;
         Pending r = s.requests.get(id);
         Node n = r == null || r.out == null ? null : r.out.node();
-        return n != null && primaries.mayRun(r, n)
+        return n != null
+                && primaries.mayRun(r, n)
                 && (r.write() || n == r.group.primary || choice.fresh(n, r.need(s.now), r.attempts - 1));
     }
 
@@ -113,7 +114,8 @@
         lot = repeat ? REPEAT_LOT + (1 - REPEAT_LOT) * lot : lot;
         Pending r = new Pending(q, kind, g, s.now, repeat, lot);
         s.requests.put(r.id(), r);
-        r.token = kind.access() == Routing.Access.STRONG ? s.now
+        r.token = kind.access() == Routing.Access.STRONG
+                ? s.now
                 : kind.access() == Routing.Access.SESSION ? tokens.of(q, s.now) : Long.MIN_VALUE;
         if (r.expires - s.now <= WaitQueue.MARGIN) {
             waitQueue.giveUp(r);
@@ -157,7 +159,8 @@
     }
 
     private void again(Pending r, Routing.Ending ending) {
-        boolean spent = r.attempts >= s.settings.limits().attempts() || r.errors > ERRORS_MOST
+        boolean spent = r.attempts >= s.settings.limits().attempts()
+                || r.errors > ERRORS_MOST
                 || s.now >= Math.min(r.expires - WaitQueue.MARGIN, r.worthlessAt());
         if (spent || !primaries.mayRun(r, r.last)) {
             waitQueue.giveUp(r);
@@ -171,7 +174,9 @@
             // The last look at the primary comes before the end, though both may be due at one tick.
             waitQueue.dispatch(g);
             waitQueue.expire(g);
-            if (!g.members.isEmpty() && waitQueue.queued.anyForPrimary(g) && !primaries.ready(g.primary, true)
+            if (!g.members.isEmpty()
+                    && waitQueue.queued.anyForPrimary(g)
+                    && !primaries.ready(g.primary, true)
                     && s.now >= g.changeProbeAt) {
                 // One member at a time, the faster the more is held, as every router does the same.
                 long pace = CHANGE_PROBE_PACE / Math.min(g.held, g.members.size());
--- a/decisions/src/main/java/lupinvalve/Routing.java
+++ b/decisions/src/main/java/lupinvalve/Routing.java
@@ -6,32 +6,60 @@
 /**
  * What goes into a {@link Router} and what comes out of it. Nothing here decides anything.
  *
- * <p>All times are microseconds. A <em>position</em> is a place in the replication log, told as the clock time
- * up to which a member has applied all commits; it lies on the same clock as the time given with each event.
- * All records are immutable once built; lists are copied on construction.
+ * <p>All times are microseconds. A <em>position</em> is a place in the replication log, told as the clock time up to
+ * which a member has applied all commits; it lies on the same clock as the time given with each event. All records are
+ * immutable once built; lists are copied on construction.
  */
 public final class Routing {
     private Routing() {}
 
     /** What a request needs of the member that answers it. */
-    public enum Access { WRITE, STRONG, SESSION, BOUNDED, ANY }
+    public enum Access {
+        WRITE,
+        STRONG,
+        SESSION,
+        BOUNDED,
+        ANY
+    }
 
     /** Whether a request may run more than once. */
-    public enum Effect { SAFE, KEYED, UNSAFE }
+    public enum Effect {
+        SAFE,
+        KEYED,
+        UNSAFE
+    }
 
     /** Where repeats of a keyed request are dropped. */
-    public enum KeyScope { ALL, ZONE, GROUP }
+    public enum KeyScope {
+        ALL,
+        ZONE,
+        GROUP
+    }
 
     /** What a member does with a read that it is too far behind for. */
-    public enum FreshnessCheck { SILENT, BOUNCE, AWAIT }
+    public enum FreshnessCheck {
+        SILENT,
+        BOUNCE,
+        AWAIT
+    }
 
     /** Where a session's token comes from. */
-    public enum TokenSource { CARRIED, REMEMBERED }
+    public enum TokenSource {
+        CARRIED,
+        REMEMBERED
+    }
 
     /** How an attempt or a probe ended. */
     public enum Ending {
-        SERVED(false), ERROR(false), TURNED_BACK(true), TIMED_OUT(false), NOT_CONNECTED(true), BROKEN(false),
-        CANCELLED(false), NOT_SENT(true), MISSED(true);
+        SERVED(false),
+        ERROR(false),
+        TURNED_BACK(true),
+        TIMED_OUT(false),
+        NOT_CONNECTED(true),
+        BROKEN(false),
+        CANCELLED(false),
+        NOT_SENT(true),
+        MISSED(true);
 
         /** True where the ending proves that the attempt never ran. */
         public final boolean neverRan;
@@ -42,13 +70,26 @@
     }
 
     /** The role that a member gave in an answer. */
-    public enum Role { UNKNOWN, PRIMARY, REPLICA }
+    public enum Role {
+        UNKNOWN,
+        PRIMARY,
+        REPLICA
+    }
 
     /** What the list of members says of one. */
-    public enum Health { LIVE, DRAINING, GONE }
+    public enum Health {
+        LIVE,
+        DRAINING,
+        GONE
+    }
 
     /** How a list event relates to the list held. */
-    public enum ListForm { UPDATE, FULL, RESTORED, UNAVAILABLE }
+    public enum ListForm {
+        UPDATE,
+        FULL,
+        RESTORED,
+        UNAVAILABLE
+    }
 
     /**
      * A class of requests.
@@ -59,8 +100,17 @@
      * @param lateShare share of the worth that a later answer keeps
      * @param keyTtlMicros how long repeats of a keyed request are dropped
      */
-    public record RequestClass(String name, Access access, long boundMicros, Effect effect, KeyScope keyScope,
-            long keyTtlMicros, long aimMicros, long deadlineMicros, double worth, double lateShare) {
+    public record RequestClass(
+            String name,
+            Access access,
+            long boundMicros,
+            Effect effect,
+            KeyScope keyScope,
+            long keyTtlMicros,
+            long aimMicros,
+            long deadlineMicros,
+            double worth,
+            double lateShare) {
         public RequestClass {
             require(access != null, "class_read of class " + name, access);
             require(effect != null, "classes.effect of class " + name, effect);
@@ -78,8 +128,14 @@
      *
      * @param openMost how many requests clients can have open here at once
      */
-    public record Limits(int attempts, boolean parallelAttempts, boolean cancel, boolean probe, boolean retryAfter,
-            long maxRetryAfterMicros, long openMost) {
+    public record Limits(
+            int attempts,
+            boolean parallelAttempts,
+            boolean cancel,
+            boolean probe,
+            boolean retryAfter,
+            long maxRetryAfterMicros,
+            long openMost) {
         public Limits {
             require(openMost > 0, "ceilings.max_open", openMost);
             require(attempts > 0, "ceilings.attempts_cap", attempts);
@@ -88,8 +144,14 @@
     }
 
     /** The figures of the rules. */
-    public record Rules(long answerSlackMicros, long drainGraceMicros, long askWithinMicros, double coldShare,
-            long warmUpMicros, double overloadMultiple, long overloadMicros) {
+    public record Rules(
+            long answerSlackMicros,
+            long drainGraceMicros,
+            long askWithinMicros,
+            double coldShare,
+            long warmUpMicros,
+            double overloadMultiple,
+            long overloadMicros) {
         public Rules {
             require(answerSlackMicros >= 0, "guarantees.answer_slack_us", answerSlackMicros);
             require(drainGraceMicros >= 0, "guarantees.stop_sending_within_us", drainGraceMicros);
@@ -115,18 +177,34 @@
      *
      * @param crossingPrice what each attempt that leaves the own zone costs, as a part of a request's worth
      */
-    public record Settings(int self, int routers, int zone, boolean mustSubscribe, List<RequestClass> classes,
-            Limits limits, Rules rules, Replication replication, double crossingPrice) {
+    public record Settings(
+            int self,
+            int routers,
+            int zone,
+            boolean mustSubscribe,
+            List<RequestClass> classes,
+            Limits limits,
+            Rules rules,
+            Replication replication,
+            double crossingPrice) {
         /** Where another zone costs nothing. */
-        public Settings(int self, int routers, int zone, boolean mustSubscribe, List<RequestClass> classes,
-                Limits limits, Rules rules, Replication replication) {
+        public Settings(
+                int self,
+                int routers,
+                int zone,
+                boolean mustSubscribe,
+                List<RequestClass> classes,
+                Limits limits,
+                Rules rules,
+                Replication replication) {
             this(self, routers, zone, mustSubscribe, classes, limits, rules, replication, 0);
         }
 
         public Settings {
             classes = List.copyOf(classes);
             require(!classes.isEmpty(), "classes", "none");
-            List<String> names = new ArrayList<>(classes.stream().map(RequestClass::name).toList());
+            List<String> names =
+                    new ArrayList<>(classes.stream().map(RequestClass::name).toList());
             names.stream().distinct().toList().forEach(names::remove);
             require(names.isEmpty(), "classes.name", "twice: " + names);
             require(routers > 0, "n_instances", routers);
@@ -172,10 +250,24 @@
      * @param timeLeftMicros time until the client stops waiting for this try
      * @param waitMicros what it said it would wait, of which a busy core may have lost some
      */
-    public record Request(String id, int classIndex, boolean repeated, String session, long sinceWriteMicros,
-            int group, long timeLeftMicros, long waitMicros) implements Event {
+    public record Request(
+            String id,
+            int classIndex,
+            boolean repeated,
+            String session,
+            long sinceWriteMicros,
+            int group,
+            long timeLeftMicros,
+            long waitMicros)
+            implements Event {
         /** One that comes the moment it was sent. */
-        public Request(String id, int classIndex, boolean repeated, String session, long sinceWriteMicros, int group,
+        public Request(
+                String id,
+                int classIndex,
+                boolean repeated,
+                String session,
+                long sinceWriteMicros,
+                int group,
                 long timeLeftMicros) {
             this(id, classIndex, repeated, session, sinceWriteMicros, group, timeLeftMicros, timeLeftMicros);
         }
@@ -190,12 +282,19 @@
      * @param closed the request is over by this or was before
      * @param position the position told, or {@link #NO_POSITION}
      */
-    public record Outcome(String id, int attempt, String node, Ending ending, long elapsedMicros, boolean closed,
-            long position, Role role) implements Event {}
+    public record Outcome(
+            String id,
+            int attempt,
+            String node,
+            Ending ending,
+            long elapsedMicros,
+            boolean closed,
+            long position,
+            Role role)
+            implements Event {}
 
     /** How a probe ended; position and role are those of the member's last report, which may be old. */
-    public record Probed(String node, Ending ending, long elapsedMicros, long position, Role role)
-            implements Event {}
+    public record Probed(String node, Ending ending, long elapsedMicros, long position, Role role) implements Event {}
 
     /** An answer has begun to stream; that attempt belongs to the client now. */
     public record Streaming(String id, int attempt) implements Event {}
--- a/decisions/src/main/java/lupinvalve/State.java
+++ b/decisions/src/main/java/lupinvalve/State.java
@@ -34,8 +34,8 @@
     }
 
     /**
-     * A mean that forgets: evidence fades within a memory and counts at most the newest so many samples. Where
-     * little was seen, it leans on what the caller gives for it.
+     * A mean that forgets: evidence fades within a memory and counts at most the newest so many samples. Where little
+     * was seen, it leans on what the caller gives for it.
      */
     static final class Gauge {
         private final double memoryMicros, newest, lean;
@@ -138,6 +138,7 @@
         final double lot;
         /** Whether it is a client's repeat, by its mark or by the time that it has left. */
         final boolean repeat;
+
         long token = Long.MIN_VALUE;
         int attempts, errors;
         Attempt out;
@@ -146,6 +147,7 @@
         long mayHaveRunSince = Long.MAX_VALUE;
         /** Whether an attempt has reached a member. */
         boolean reached;
+
         boolean over;
 
         Pending(Routing.Request asked, Routing.RequestClass kind, Group group, long now, boolean repeat, double lot) {
@@ -197,8 +199,8 @@
     }
 
     /**
-     * Sessions' tokens: those that requests carry, or those remembered here. The latter are bounded in number; those dropped
-     * for space still bind through a floor.
+     * Sessions' tokens: those that requests carry, or those remembered here. The latter are bounded in number; those
+     * dropped for space still bind through a floor.
      */
     static final class Tokens {
         private final int most;
--- a/decisions/src/main/java/lupinvalve/WaitQueue.java
+++ b/decisions/src/main/java/lupinvalve/WaitQueue.java
@@ -11,6 +11,7 @@
 final class WaitQueue {
     /** Kept back from a deadline so that the final answer is out in time; share for what was never sent. */
     static final long MARGIN = 15_000;
+
     private static final double UNTRIED = 0.49;
     /** Part of the requests clients can have open which may be held; of an aim kept for an answer at most. */
     private static final double HELD_PART = 0.3, HELD_LEAST = 0.7;
@@ -18,6 +19,7 @@
     private static final double HELD_READ = 0.22, HELD_WRITE = 0.5;
     /** Part of its aim after which a read that was refused should come back. */
     private static final double ADVICE = 0.18;
+
     private final Scene s;
     private final Limits limits;
     private final Choice choice;
@@ -46,8 +48,8 @@
     }
 
     /**
-     * Guards the other groups' requests: those held for one in trouble would take all that clients can have
-     * open. Of the group that holds most, the read that would be served last goes if it is worth little late.
+     * Guards the other groups' requests: those held for one in trouble would take all that clients can have open. Of
+     * the group that holds most, the read that would be served last goes if it is worth little late.
      */
     void crowdOut() {
         Group g = queued.longest(s.groups.values());
@@ -70,7 +72,8 @@
 
     /** The final answer for a request given up: at once, and a refusal wherever the rules allow one. */
     void giveUp(Pending r) {
-        boolean refusable = r.mayHaveRunSince == Long.MAX_VALUE || r.kind.effect() == Routing.Effect.SAFE
+        boolean refusable = r.mayHaveRunSince == Long.MAX_VALUE
+                || r.kind.effect() == Routing.Effect.SAFE
                 || r.kind.effect() == Routing.Effect.KEYED && r.kind.keyScope() == Routing.KeyScope.ALL;
         s.act.accept(refusable ? new Routing.Refuse(r.id(), advice(r.kind)) : new Routing.Fail(r.id()));
         finish(r);
@@ -88,7 +91,8 @@
         // Guards against clients kept waiting for nothing: the newest go first, so what has waited for long
         // is hardly served any more, and one told early can come back in time.
         double most = r.arrived + (r.write() ? HELD_WRITE : HELD_READ) * r.kind.aimMicros();
-        double last = r.reached ? r.expires - Math.max(MARGIN, limits.load.work(r))
+        double last = r.reached
+                ? r.expires - Math.max(MARGIN, limits.load.work(r))
                 : r.arrived + UNTRIED * (r.expires - r.arrived);
         double takes = Math.min(limits.load.takes(r), HELD_LEAST * r.kind.aimMicros());
         return (long) Math.min(Math.min(most, last), r.worthlessAt() - takes);
--- a/decisions/src/test/java/lupinvalve/AgesTest.java
+++ b/decisions/src/test/java/lupinvalve/AgesTest.java
@@ -10,10 +10,28 @@
 class AgesTest {
     private static final long MS = 1000;
     private final Ages ages = new Ages(List.of(
-            new Routing.RequestClass("read", Routing.Access.ANY, 0, Routing.Effect.SAFE, Routing.KeyScope.ALL, 0,
-                    600 * MS, 2000 * MS, 1, 0),
-            new Routing.RequestClass("write", Routing.Access.WRITE, 0, Routing.Effect.UNSAFE, Routing.KeyScope.ALL, 0,
-                    600 * MS, 2000 * MS, 3, 0.7)));
+            new Routing.RequestClass(
+                    "read",
+                    Routing.Access.ANY,
+                    0,
+                    Routing.Effect.SAFE,
+                    Routing.KeyScope.ALL,
+                    0,
+                    600 * MS,
+                    2000 * MS,
+                    1,
+                    0),
+            new Routing.RequestClass(
+                    "write",
+                    Routing.Access.WRITE,
+                    0,
+                    Routing.Effect.UNSAFE,
+                    Routing.KeyScope.ALL,
+                    0,
+                    600 * MS,
+                    2000 * MS,
+                    3,
+                    0.7)));
 
     private void first(int cls, int count) {
         for (int i = 0; i < count; i++) {
--- a/decisions/src/test/java/lupinvalve/FleetTest.java
+++ b/decisions/src/test/java/lupinvalve/FleetTest.java
@@ -20,6 +20,7 @@
     private static final double SHARE = 0.2;
     /** How much more than it can do a cold member bears, and how long it takes to be warm. */
     private double multiple = 3;
+
     private long ramp = 10 * SECOND;
 
     private record Due(long at, int router, Routing.Event event) {}
@@ -28,24 +29,40 @@
     private final List<Router> routers = new ArrayList<>();
     /** What each router was set to, and what was last listed, for those that start again. */
     private final List<Routing.Settings> settingsOf = new ArrayList<>();
+
     private final Map<String, Routing.Member> listed = new LinkedHashMap<>();
     private final Map<String, List<Long>> sends = new HashMap<>();
     private final List<Long> advice = new ArrayList<>();
     private long now = 1000 * SECOND, took = 40 * MS;
     private int probes;
     /** Which router a request comes to, and for which group. */
-    private java.util.function.ToIntFunction<SplittableRandom> chooses = random -> random.nextInt(routers.size()), asks = random -> 1;
+    private java.util.function.ToIntFunction<SplittableRandom> chooses = random -> random.nextInt(routers.size()),
+            asks = random -> 1;
 
     private void fleet(int count) {
         fleet(count, 1);
     }
 
     private void fleet(int count, int groups) {
-        Routing.RequestClass read = new Routing.RequestClass("read", Routing.Access.BOUNDED, 500 * MS,
-                Routing.Effect.SAFE, Routing.KeyScope.ALL, 0, 600 * MS, 2000 * MS, 1, 0);
+        Routing.RequestClass read = new Routing.RequestClass(
+                "read",
+                Routing.Access.BOUNDED,
+                500 * MS,
+                Routing.Effect.SAFE,
+                Routing.KeyScope.ALL,
+                0,
+                600 * MS,
+                2000 * MS,
+                1,
+                0);
         for (int i = 0; i < count; i++) {
             int self = i;
-            Routing.Settings settings = new Routing.Settings(i, count, 0, false, List.of(read),
+            Routing.Settings settings = new Routing.Settings(
+                    i,
+                    count,
+                    0,
+                    false,
+                    List.of(read),
                     new Routing.Limits(6, false, true, true, true, SECOND, 1000),
                     new Routing.Rules(20 * MS, 250 * MS, 10 * SECOND, SHARE, ramp, multiple, 3 * SECOND),
                     new Routing.Replication(Routing.FreshnessCheck.BOUNCE, 0, Routing.TokenSource.CARRIED));
@@ -85,14 +102,26 @@
         if (action instanceof Routing.Send send) {
             sends.computeIfAbsent(send.node(), n -> new ArrayList<>()).add(now);
             boolean primary = send.node().endsWith("0");
-            ahead.add(new Due(now + took, router, new Routing.Outcome(send.id(), 0, send.node(), Routing.Ending.SERVED,
-                    took, true, now, primary ? Routing.Role.PRIMARY : Routing.Role.REPLICA)));
+            ahead.add(new Due(
+                    now + took,
+                    router,
+                    new Routing.Outcome(
+                            send.id(),
+                            0,
+                            send.node(),
+                            Routing.Ending.SERVED,
+                            took,
+                            true,
+                            now,
+                            primary ? Routing.Role.PRIMARY : Routing.Role.REPLICA)));
         } else if (action instanceof Routing.Refuse refuse) {
             advice.add(refuse.retryAfterMicros());
         } else if (action instanceof Routing.Probe probe) {
             probes++;
-            ahead.add(new Due(now + MS, router, new Routing.Probed(probe.node(), Routing.Ending.SERVED, MS, now,
-                    Routing.Role.REPLICA)));
+            ahead.add(new Due(
+                    now + MS,
+                    router,
+                    new Routing.Probed(probe.node(), Routing.Ending.SERVED, MS, now, Routing.Role.REPLICA)));
         } else if (action instanceof Routing.SetTimer timer) {
             ahead.add(new Due(now + timer.delayMicros(), router, new Routing.TimerFired(timer.handle())));
         }
@@ -109,21 +138,34 @@
                 give(due.router, due.event);
             }
             now = next;
-            give(chooses.applyAsInt(random), new Routing.Request(Long.toString(now, 36) + "-" + random.nextInt(1 << 30),
-                    0, false, null, 0, asks.applyAsInt(random), 1500 * MS));
+            give(
+                    chooses.applyAsInt(random),
+                    new Routing.Request(
+                            Long.toString(now, 36) + "-" + random.nextInt(1 << 30),
+                            0,
+                            false,
+                            null,
+                            0,
+                            asks.applyAsInt(random),
+                            1500 * MS));
         }
         now = end;
     }
 
     /** What may be sent to a member in any window of 3 s by all together: what it bears, and a little chance. */
     private void assertBearable(String node, long born, double warmPerSecond, String what) {
-        List<Long> cold = sends.getOrDefault(node, List.of()).stream().filter(at -> at >= born).toList();
+        List<Long> cold = sends.getOrDefault(node, List.of()).stream()
+                .filter(at -> at >= born)
+                .toList();
         for (long from = born; from <= now - 3 * SECOND; from += 50 * MS) {
             long start = from;
-            long sent = cold.stream().filter(at -> at >= start && at < start + 3 * SECOND).count();
+            long sent = cold.stream()
+                    .filter(at -> at >= start && at < start + 3 * SECOND)
+                    .count();
             double bears = multiple * (SHARE + (1 - SHARE) * (from - born) / ramp) * warmPerSecond * 3;
-            assertTrue(sent <= bears + 2 * Math.sqrt(bears) + 2, what + ": " + sent + " sent, bears " + bears + ", from "
-                    + (from - born) / MS + " ms on");
+            assertTrue(
+                    sent <= bears + 2 * Math.sqrt(bears) + 2,
+                    what + ": " + sent + " sent, bears " + bears + ", from " + (from - born) / MS + " ms on");
         }
     }
 
@@ -139,7 +181,11 @@
     /** What a warm replica of the cold one's group was sent in the mean: it can bear that at least. */
     private double warmPerSecond(long from) {
         return List.of("m1", "m2", "m3", "m4").stream()
-                .mapToLong(node -> sends.get(node).stream().filter(at -> at >= from).count()).sum() / 4.0
+                        .mapToLong(node -> sends.get(node).stream()
+                                .filter(at -> at >= from)
+                                .count())
+                        .sum()
+                / 4.0
                 / ((now - from) / (double) SECOND);
     }
 
@@ -154,10 +200,13 @@
         double warm = sends.get("m4").stream().filter(at -> at >= born).count() / 8.0;
         for (long from = born; from < born + 5 * SECOND; from += 100 * MS) {
             long start = from;
-            long sent = cold.stream().filter(at -> at >= start && at < start + 3 * SECOND).count();
+            long sent = cold.stream()
+                    .filter(at -> at >= start && at < start + 3 * SECOND)
+                    .count();
             double warmth = SHARE + (1 - SHARE) * (from - born) / ramp;
-            assertTrue(sent <= multiple * warmth * warm * 3, sent + " sent, warm members take " + warm + "/s, from "
-                    + (from - born) / MS + " ms on");
+            assertTrue(
+                    sent <= multiple * warmth * warm * 3,
+                    sent + " sent, warm members take " + warm + "/s, from " + (from - born) / MS + " ms on");
         }
         assertTrue(cold.size() > 30, "it is not starved: " + cold.size());
     }
@@ -176,16 +225,24 @@
         }
         run(7 * SECOND, 3);
         double warm = List.of("m1", "m2", "m3", "m4").stream()
-                .mapToLong(node -> sends.get(node).stream().filter(at -> at >= born).count()).min().orElseThrow() / 8.0;
+                        .mapToLong(node -> sends.get(node).stream()
+                                .filter(at -> at >= born)
+                                .count())
+                        .min()
+                        .orElseThrow()
+                / 8.0;
         List<Long> cold = sends.get("m5").stream().filter(at -> at >= born).toList();
         for (long from = born; from <= now - 3 * SECOND; from += 100 * MS) {
             long start = from;
-            long sent = cold.stream().filter(at -> at >= start && at < start + 3 * SECOND).count();
+            long sent = cold.stream()
+                    .filter(at -> at >= start && at < start + 3 * SECOND)
+                    .count();
             double bears = multiple * (SHARE + (1 - SHARE) * (from - born) / ramp) * warm * 3;
             assertTrue(sent <= bears, sent + " sent, bears " + bears + ", from " + (from - born) / MS + " ms on");
         }
-        assertTrue(cold.size() > 0.3 * 8 * warmPerSecond(born), "it is not starved: " + cold.size() + " against "
-                + 8 * warmPerSecond(born));
+        assertTrue(
+                cold.size() > 0.3 * 8 * warmPerSecond(born),
+                "it is not starved: " + cold.size() + " against " + 8 * warmPerSecond(born));
     }
 
     /** Late answers make the poolers refuse most reads: what a refused one might have used up is left for others. */
@@ -202,8 +259,9 @@
         assertTrue(advice.size() - refusedBefore > RATE * 10 / 2, "refused " + (advice.size() - refusedBefore));
         assertBearable("m5", born, warmPerSecond(born), "pressed");
         long cold = sends.get("m5").stream().filter(at -> at >= born).count();
-        assertTrue(cold > 0.3 * 10 * warmPerSecond(born), "it is not starved: " + cold + " against "
-                + 10 * warmPerSecond(born));
+        assertTrue(
+                cold > 0.3 * 10 * warmPerSecond(born),
+                "it is not starved: " + cold + " against " + 10 * warmPerSecond(born));
     }
 
     /** Each pooler sees few answers: what these tell apart by chance must not make all prefer the same replicas. */
@@ -215,7 +273,9 @@
         long from = now;
         run(8 * SECOND, 2);
         List<Long> reads = List.of("m1", "m2", "m3", "m4", "m5").stream()
-                .map(node -> sends.get(node).stream().filter(at -> at >= from).count()).sorted().toList();
+                .map(node -> sends.get(node).stream().filter(at -> at >= from).count())
+                .sorted()
+                .toList();
         assertTrue(reads.get(0) > 0.6 * reads.get(4), "reads: " + reads);
     }
 
@@ -231,8 +291,9 @@
         run(10 * SECOND, 2);
         assertBearable("m5", born, warmPerSecond(born), "steady");
         long cold = sends.get("m5").stream().filter(at -> at >= born).count();
-        assertTrue(cold > 0.2 * 10 * warmPerSecond(born), "it is not starved: " + cold + " against "
-                + 10 * warmPerSecond(born));
+        assertTrue(
+                cold > 0.2 * 10 * warmPerSecond(born),
+                "it is not starved: " + cold + " against " + 10 * warmPerSecond(born));
     }
 
     @ParameterizedTest
@@ -261,7 +322,9 @@
         long born = start("m0", "m1", "m2", "m3", "m4", "m5", "k0", "k1", "k2", "k3", "k4", "k5");
         run(200 * MS, 2);
         for (String node : List.of("m1", "m2", "m3", "m4", "m5")) {
-            long sent = sends.getOrDefault(node, List.of()).stream().filter(at -> at >= born).count();
+            long sent = sends.getOrDefault(node, List.of()).stream()
+                    .filter(at -> at >= born)
+                    .count();
             assertTrue(sent <= 20, node + ": " + sent);
         }
     }
--- a/decisions/src/test/java/lupinvalve/PolicyFileTest.java
+++ b/decisions/src/test/java/lupinvalve/PolicyFileTest.java
@@ -14,9 +14,15 @@
 class PolicyFileTest {
     @Test
     void moduleKeepsToItsSizeAndLineLength() throws IOException {
-        String policy = Files.readString(Path.of("deploy/balancer.toml")).lines()
-                .filter(line -> line.startsWith("policy")).findFirst().orElseThrow();
-        List<String> files = Pattern.compile("\"([^\"]+)\"").matcher(policy).results().map((MatchResult m) -> m.group(1))
+        String policy = Files.readString(Path.of("deploy/balancer.toml"))
+                .lines()
+                .filter(line -> line.startsWith("policy"))
+                .findFirst()
+                .orElseThrow();
+        List<String> files = Pattern.compile("\"([^\"]+)\"")
+                .matcher(policy)
+                .results()
+                .map((MatchResult m) -> m.group(1))
                 .toList();
         assertTrue(files.size() > 1, policy);
         long counted = 0;
--- a/decisions/src/test/java/lupinvalve/RosterTest.java
+++ b/decisions/src/test/java/lupinvalve/RosterTest.java
@@ -15,13 +15,29 @@
     private final List<Routing.Action> done = new ArrayList<>();
     private long now = 1_000_000 * MS;
     private int asked;
-    private final Router router = new Router(7, new Routing.Settings(0, 2, 0, true,
-            List.of(new Routing.RequestClass("write", Routing.Access.WRITE, 0, Routing.Effect.UNSAFE,
-                    Routing.KeyScope.GROUP, 0, 500 * MS, 2000 * MS, 1, 0.2)),
-            new Routing.Limits(8, false, true, true, true, 1_000_000, 10_000),
-            new Routing.Rules(20 * MS, GRACE, 10_000 * MS, 0.2, 10_000 * MS, 2, 1500 * MS),
-            new Routing.Replication(Routing.FreshnessCheck.SILENT, 50 * MS, Routing.TokenSource.REMEMBERED)),
-            now, done::add);
+    private final Router router = new Router(
+            7,
+            new Routing.Settings(
+                    0,
+                    2,
+                    0,
+                    true,
+                    List.of(new Routing.RequestClass(
+                            "write",
+                            Routing.Access.WRITE,
+                            0,
+                            Routing.Effect.UNSAFE,
+                            Routing.KeyScope.GROUP,
+                            0,
+                            500 * MS,
+                            2000 * MS,
+                            1,
+                            0.2)),
+                    new Routing.Limits(8, false, true, true, true, 1_000_000, 10_000),
+                    new Routing.Rules(20 * MS, GRACE, 10_000 * MS, 0.2, 10_000 * MS, 2, 1500 * MS),
+                    new Routing.Replication(Routing.FreshnessCheck.SILENT, 50 * MS, Routing.TokenSource.REMEMBERED)),
+            now,
+            done::add);
 
     private static Routing.Member a(Health health) {
         return new Routing.Member("a", 1, 0, health, true, 0);
@@ -39,8 +55,12 @@
     private String sentTo() {
         String id = "w" + asked++;
         give(new Routing.Request(id, 0, false, "s", 0, 1, 400 * MS));
-        String node = done.stream().filter(action -> action instanceof Routing.Send send && send.id().equals(id))
-                .map(action -> ((Routing.Send) action).node()).findFirst().orElse(null);
+        String node = done.stream()
+                .filter(action ->
+                        action instanceof Routing.Send send && send.id().equals(id))
+                .map(action -> ((Routing.Send) action).node())
+                .findFirst()
+                .orElse(null);
         if (node == null) {
             give(new Routing.ClientGone(id));
         } else {
--- a/decisions/src/test/java/lupinvalve/RouterTest.java
+++ b/decisions/src/test/java/lupinvalve/RouterTest.java
@@ -9,7 +9,6 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import org.junit.jupiter.api.Test;
 import lupinvalve.Routing.Access;
 import lupinvalve.Routing.Effect;
 import lupinvalve.Routing.Ending;
@@ -18,6 +17,7 @@
 import lupinvalve.Routing.ListForm;
 import lupinvalve.Routing.Role;
 import lupinvalve.Routing.TokenSource;
+import org.junit.jupiter.api.Test;
 
 /** Drives the module through its interface alone. */
 class RouterTest {
@@ -33,13 +33,18 @@
     private Router router;
 
     private static Routing.RequestClass kind(String name, Access access, Effect effect, long aim) {
-        return new Routing.RequestClass(name, access, 500 * MS, effect, Routing.KeyScope.GROUP, 3000 * MS, aim,
-                4 * aim, 1, 0.2);
+        return new Routing.RequestClass(
+                name, access, 500 * MS, effect, Routing.KeyScope.GROUP, 3000 * MS, aim, 4 * aim, 1, 0.2);
     }
 
     private static Routing.Settings settings(FreshnessCheck check, TokenSource tokens, Effect write) {
-        return new Routing.Settings(0, 2, 0, true,
-                List.of(kind("read", Access.BOUNDED, Effect.SAFE, 200 * MS),
+        return new Routing.Settings(
+                0,
+                2,
+                0,
+                true,
+                List.of(
+                        kind("read", Access.BOUNDED, Effect.SAFE, 200 * MS),
                         kind("own", Access.SESSION, Effect.SAFE, 200 * MS),
                         kind("live", Access.STRONG, Effect.SAFE, 200 * MS),
                         kind("write", Access.WRITE, write, 500 * MS),
@@ -80,7 +85,7 @@
 
     /** Lets time pass, firing the timer of the module whenever it may be due. */
     private void pass(long micros) {
-        for (long end = now + micros; now < end;) {
+        for (long end = now + micros; now < end; ) {
             now += 5 * MS;
             give(new Routing.TimerFired(1));
         }
@@ -102,15 +107,21 @@
     }
 
     private long sends(String id) {
-        return done.stream().filter(a -> a instanceof Routing.Send s && s.id().equals(id)).count();
+        return done.stream()
+                .filter(a -> a instanceof Routing.Send s && s.id().equals(id))
+                .count();
     }
 
     private long refusals(String id) {
-        return done.stream().filter(a -> a instanceof Routing.Refuse r && r.id().equals(id)).count();
+        return done.stream()
+                .filter(a -> a instanceof Routing.Refuse r && r.id().equals(id))
+                .count();
     }
 
     private long failures(String id) {
-        return done.stream().filter(a -> a instanceof Routing.Fail f && f.id().equals(id)).count();
+        return done.stream()
+                .filter(a -> a instanceof Routing.Fail f && f.id().equals(id))
+                .count();
     }
 
     private void known() {
@@ -251,7 +262,9 @@
     @Test
     void whatNeverWentOutIsRefusedBeforeHalfItsTimeAndWhatHasReachedAMemberIsHeldOn() {
         start(FreshnessCheck.BOUNCE, TokenSource.REMEMBERED, Effect.UNSAFE);
-        list(ListForm.UPDATE, new Routing.Member("a", 1, 0, Health.GONE, false, 0),
+        list(
+                ListForm.UPDATE,
+                new Routing.Member("a", 1, 0, Health.GONE, false, 0),
                 new Routing.Member("b", 1, 0, Health.GONE, false, 0));
         request("w1", WRITE, "s", 900 * MS);
         assertEquals("c", sentTo("w1"));
@@ -358,7 +371,9 @@
     void drainingReplicaGetsNothingNewAndDrainingPrimaryOnlyWritesWithinTheGrace() {
         start(FreshnessCheck.SILENT, TokenSource.REMEMBERED, Effect.UNSAFE);
         known();
-        list(ListForm.UPDATE, new Routing.Member("a", 1, 0, Health.DRAINING, true, 0),
+        list(
+                ListForm.UPDATE,
+                new Routing.Member("a", 1, 0, Health.DRAINING, true, 0),
                 new Routing.Member("b", 1, 0, Health.DRAINING, false, 0));
         for (int i = 0; i < 8; i++) {
             request("r" + i, READ, null, 400 * MS);
@@ -496,8 +511,11 @@
     @Test
     void manyRoutersRefuseAtOnceInProportionAsAnswersAreLate() {
         Routing.Settings two = settings(FreshnessCheck.AWAIT, TokenSource.CARRIED, Effect.KEYED);
-        router = new Router(7, new Routing.Settings(0, 200, 0, true, two.classes(), two.limits(), two.rules(),
-                two.replication()), now, done::add);
+        router = new Router(
+                7,
+                new Routing.Settings(0, 200, 0, true, two.classes(), two.limits(), two.rules(), two.replication()),
+                now,
+                done::add);
         list(ListForm.RESTORED, live("a", true), live("b", false), live("c", false));
         known();
         int refusedEarly = 0;
@@ -509,8 +527,8 @@
                 refusedEarly += i < 1 ? 1 : 0;
                 refusedLate++;
             } else if (sentTo("r" + i) != null) {
-                give(new Routing.Outcome("r" + i, 0, sentTo("r" + i), Ending.SERVED, 190 * MS, true,
-                        now - MS, Role.REPLICA));
+                give(new Routing.Outcome(
+                        "r" + i, 0, sentTo("r" + i), Ending.SERVED, 190 * MS, true, now - MS, Role.REPLICA));
             }
         }
         assertEquals(0, refusedEarly, "nothing is refused before anything was late");
@@ -543,15 +561,13 @@
         request("r1", READ, null, 800 * MS);
         assertEquals(first, sentTo("r1"));
         now += 790 * MS;
-        give(new Routing.Outcome("r1", 0, first, Ending.TIMED_OUT, 790 * MS, false, Routing.NO_POSITION,
-                Role.UNKNOWN));
+        give(new Routing.Outcome("r1", 0, first, Ending.TIMED_OUT, 790 * MS, false, Routing.NO_POSITION, Role.UNKNOWN));
         assertEquals(1, closes(), "the lost connection is closed");
         for (int i = 0; i < 2; i++) {
             now += 1000 * MS;
             request("s" + i, READ, null, 800 * MS);
         }
-        assertTrue(first.equals(sentTo("s0")) || first.equals(sentTo("s1")),
-                "the member stays in use: " + first);
+        assertTrue(first.equals(sentTo("s0")) || first.equals(sentTo("s1")), "the member stays in use: " + first);
     }
 
     private void errs(String id, int attempt) {
@@ -619,8 +635,18 @@
     @Test
     void readsHeldForAGroupInTroubleDoNotTakeAllThatClientsCanHaveOpen() {
         Routing.Settings s = settings(FreshnessCheck.BOUNCE, TokenSource.CARRIED, Effect.UNSAFE);
-        router = new Router(7, new Routing.Settings(0, 2, 0, true, s.classes(),
-                new Routing.Limits(8, false, true, true, true, 1_000_000, 20), s.rules(), s.replication()), now,
+        router = new Router(
+                7,
+                new Routing.Settings(
+                        0,
+                        2,
+                        0,
+                        true,
+                        s.classes(),
+                        new Routing.Limits(8, false, true, true, true, 1_000_000, 20),
+                        s.rules(),
+                        s.replication()),
+                now,
                 done::add);
         list(ListForm.FULL, new Routing.Member("a", 1, 0, Health.DRAINING, false, 0));
         for (int i = 0; i < 8; i++) {
@@ -628,9 +654,19 @@
             request("w" + i, WRITE, null, 2000 * MS);
         }
         // Six may be held: the reads go, the oldest first, since the newest is served first; the writes stay.
-        assertEquals(8, done.stream().filter(a -> a instanceof Routing.Refuse r && r.id().startsWith("r")).count());
-        assertEquals(0, done.stream().filter(a -> a instanceof Routing.Refuse r && r.id().startsWith("w")).count());
-        Routing.Refuse first = (Routing.Refuse) done.stream().filter(Routing.Refuse.class::isInstance).findFirst()
+        assertEquals(
+                8,
+                done.stream()
+                        .filter(a -> a instanceof Routing.Refuse r && r.id().startsWith("r"))
+                        .count());
+        assertEquals(
+                0,
+                done.stream()
+                        .filter(a -> a instanceof Routing.Refuse r && r.id().startsWith("w"))
+                        .count());
+        Routing.Refuse first = (Routing.Refuse) done.stream()
+                .filter(Routing.Refuse.class::isInstance)
+                .findFirst()
                 .orElseThrow();
         assertEquals("r0", first.id());
         assertTrue(first.retryAfterMicros() < 100 * MS, "in time for an aim of 200 ms");
@@ -663,7 +699,9 @@
         request("w", WRITE, "s", 60_000 * MS);
         for (int i = 0; i < 50; i++) {
             list(ListForm.UPDATE, live("n" + i, false));
-            list(ListForm.UPDATE, new Routing.Member("n" + i, 1, 0, Health.GONE, false, 0),
+            list(
+                    ListForm.UPDATE,
+                    new Routing.Member("n" + i, 1, 0, Health.GONE, false, 0),
                     new Routing.Member("never" + i, 1, 0, Health.GONE, false, 0));
         }
         list(ListForm.UPDATE, new Routing.Member("a", 1, 0, Health.GONE, false, 0));
@@ -717,8 +755,11 @@
     void repeatThatCannotBeInTimeIsShedFirst() {
         start(FreshnessCheck.AWAIT, TokenSource.CARRIED, Effect.UNSAFE);
         Routing.Settings s = settings(FreshnessCheck.AWAIT, TokenSource.CARRIED, Effect.UNSAFE);
-        router = new Router(7, new Routing.Settings(0, 14, 0, true, s.classes(), s.limits(), s.rules(),
-                s.replication()), now, done::add);
+        router = new Router(
+                7,
+                new Routing.Settings(0, 14, 0, true, s.classes(), s.limits(), s.rules(), s.replication()),
+                now,
+                done::add);
         list(ListForm.RESTORED, live("a", true), live("b", false), live("c", false));
         known();
         int[] refused = new int[2];
@@ -762,7 +803,8 @@
         request("trial", READ, null, 800 * MS);
         assertEquals(bad, sentTo("trial"), "a request tries it, without a probe first");
         outcome("trial", 0, bad, Ending.SERVED, now - MS, Role.REPLICA);
-        assertEquals(0, done.stream().filter(a -> a.equals(new Routing.Probe(bad))).count());
+        assertEquals(
+                0, done.stream().filter(a -> a.equals(new Routing.Probe(bad))).count());
     }
 
     @Test
@@ -813,7 +855,9 @@
     void slowAnswersOfWarmMembersEarnAColdOneNoMore() {
         start(FreshnessCheck.AWAIT, TokenSource.CARRIED, Effect.KEYED);
         known();
-        list(ListForm.UPDATE, new Routing.Member("a", 1, 0, Health.LIVE, true, now),
+        list(
+                ListForm.UPDATE,
+                new Routing.Member("a", 1, 0, Health.LIVE, true, now),
                 new Routing.Member("b", 1, 0, Health.GONE, false, 0));
         probed("a", now + MS, Role.PRIMARY);
         int reads = 0;
@@ -822,7 +866,14 @@
             request("r" + i, READ, null, 400 * MS);
             if (sentTo("r" + i) != null) {
                 reads++;
-                give(new Routing.Outcome("r" + i, 0, sentTo("r" + i), Ending.SERVED, 150 * MS, true, now - MS,
+                give(new Routing.Outcome(
+                        "r" + i,
+                        0,
+                        sentTo("r" + i),
+                        Ending.SERVED,
+                        150 * MS,
+                        true,
+                        now - MS,
                         sentTo("r" + i).equals("a") ? Role.PRIMARY : Role.REPLICA));
             }
             request("w" + i, WRITE, "s", 2000 * MS);
@@ -890,7 +941,9 @@
             now += 10 * MS;
             give(new Routing.Outcome("s" + i, 0, sentTo("s" + i), Ending.SERVED, 120 * MS, true, now, Role.REPLICA));
         }
-        list(ListForm.UPDATE, new Routing.Member("b", 1, 0, Health.GONE, false, 0),
+        list(
+                ListForm.UPDATE,
+                new Routing.Member("b", 1, 0, Health.GONE, false, 0),
                 new Routing.Member("c", 1, 0, Health.GONE, false, 0),
                 new Routing.Member("a", 1, 0, Health.GONE, false, 0));
         request("held", READ, null, 800 * MS);
@@ -903,7 +956,9 @@
     @Test
     void whatIsHeldGoesBeforeItsClientCouldNotComeBackInTime() {
         start(FreshnessCheck.BOUNCE, TokenSource.CARRIED, Effect.KEYED);
-        list(ListForm.UPDATE, new Routing.Member("a", 1, 0, Health.GONE, false, 0),
+        list(
+                ListForm.UPDATE,
+                new Routing.Member("a", 1, 0, Health.GONE, false, 0),
                 new Routing.Member("b", 1, 0, Health.GONE, false, 0),
                 new Routing.Member("c", 1, 0, Health.GONE, false, 0));
         request("read", READ, null, 800 * MS);
@@ -949,8 +1004,8 @@
             }
             String lost = "w" + (i - 100);
             if (i % 7 == 100 % 7 && sentTo(lost) != null) {
-                give(new Routing.Outcome(lost, 0, "a", Ending.TIMED_OUT, 1000 * MS, false, Routing.NO_POSITION,
-                        Role.UNKNOWN));
+                give(new Routing.Outcome(
+                        lost, 0, "a", Ending.TIMED_OUT, 1000 * MS, false, Routing.NO_POSITION, Role.UNKNOWN));
             }
             give(new Routing.TimerFired(1));
         }
@@ -968,9 +1023,16 @@
     private long crossings(double price) {
         done.clear();
         Routing.Settings s = settings(FreshnessCheck.BOUNCE, TokenSource.CARRIED, Effect.KEYED);
-        router = new Router(7, new Routing.Settings(0, 1, 0, true, s.classes(), s.limits(), s.rules(),
-                s.replication(), price), now, done::add);
-        list(ListForm.RESTORED, live("a", true), live("b", false), live("c", false),
+        router = new Router(
+                7,
+                new Routing.Settings(0, 1, 0, true, s.classes(), s.limits(), s.rules(), s.replication(), price),
+                now,
+                done::add);
+        list(
+                ListForm.RESTORED,
+                live("a", true),
+                live("b", false),
+                live("c", false),
                 new Routing.Member("far", 1, 1, Health.LIVE, false, 0),
                 new Routing.Member("further", 1, 1, Health.LIVE, false, 0));
         for (String id : List.of("b", "c", "far", "further")) {
@@ -979,7 +1041,9 @@
         for (int i = 0; i < 24; i++) {
             request("r" + i, READ, null, 400 * MS);
         }
-        return done.stream().filter(a -> a instanceof Routing.Send send && send.node().startsWith("f")).count();
+        return done.stream()
+                .filter(a -> a instanceof Routing.Send send && send.node().startsWith("f"))
+                .count();
     }
 
     // ---- the rest ----
@@ -1017,8 +1081,8 @@
 
     @Test
     void settingsOutOfRangeAreTurnedDownByName() {
-        IllegalArgumentException e = assertThrows(IllegalArgumentException.class,
-                () -> new Routing.Limits(0, false, true, true, true, 0, 1));
+        IllegalArgumentException e = assertThrows(
+                IllegalArgumentException.class, () -> new Routing.Limits(0, false, true, true, true, 0, 1));
         assertTrue(e.getMessage().contains("attempts_cap"));
         assertThrows(IllegalArgumentException.class, () -> kind("x", Access.ANY, Effect.SAFE, -1));
     }
--- a/decisions/src/test/java/lupinvalve/RulesWorld.java
+++ b/decisions/src/test/java/lupinvalve/RulesWorld.java
@@ -18,13 +18,16 @@
 import lupinvalve.Routing.TokenSource;
 
 /**
- * A small world in virtual time: db nodes with cores, queues, warmth, positions and roles, and clients. It draws all of it
- * from a seed, plays routers in it, and writes down each rule that an action breaks.
+ * A small world in virtual time: db nodes with cores, queues, warmth, positions and roles, and clients. It draws all of
+ * it from a seed, plays routers in it, and writes down each rule that an action breaks.
  */
 final class RulesWorld {
     /** What a test lets a router do wrong, and how the note on it begins. */
     enum Planted {
-        ANSWER_KEPT_BACK("answer"), REPEATED_WRITE("effect"), SENT_TO_A_DRAINING_ONE("drain"), COLD_ONE_FLOODED("cold"),
+        ANSWER_KEPT_BACK("answer"),
+        REPEATED_WRITE("effect"),
+        SENT_TO_A_DRAINING_ONE("drain"),
+        COLD_ONE_FLOODED("cold"),
         READ_FROM_ANY_REPLICA("stale");
 
         final String rule;
@@ -110,8 +113,8 @@
     Planted planted;
     private final long seed;
     private final SplittableRandom random;
-    private final PriorityQueue<Due> ahead = new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at)
-            : Long.compare(a.order, b.order));
+    private final PriorityQueue<Due> ahead =
+            new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
     private final List<Router> routers = new ArrayList<>();
     private final Map<String, Box> boxes = new HashMap<>();
     private final List<Box> all = new ArrayList<>();
@@ -137,13 +140,24 @@
         double scale = Math.pow(10, random.nextDouble() * 1.5 - 1);
         work = 100 * MS * scale;
         drawClasses(scale);
-        rules = new Routing.Rules(20 * MS, (250 + random.nextInt(2000)) * MS, 10 * SECOND,
-                0.1 + 0.4 * random.nextDouble(), (2 + random.nextInt(17)) * SECOND, 2 + 3 * random.nextDouble(),
+        rules = new Routing.Rules(
+                20 * MS,
+                (250 + random.nextInt(2000)) * MS,
+                10 * SECOND,
+                0.1 + 0.4 * random.nextDouble(),
+                (2 + random.nextInt(17)) * SECOND,
+                2 + 3 * random.nextDouble(),
                 (1000 + random.nextInt(2500)) * MS);
-        limits = new Routing.Limits(1 + random.nextInt(8), random.nextBoolean(), true, random.nextInt(4) > 0,
-                random.nextBoolean(), 500 * MS, 200 + random.nextInt(2000));
-        replication = new Routing.Replication(FreshnessCheck.values()[random.nextInt(3)], random.nextInt(60) * MS,
-                TokenSource.CARRIED);
+        limits = new Routing.Limits(
+                1 + random.nextInt(8),
+                random.nextBoolean(),
+                true,
+                random.nextInt(4) > 0,
+                random.nextBoolean(),
+                500 * MS,
+                200 + random.nextInt(2000));
+        replication = new Routing.Replication(
+                FreshnessCheck.values()[random.nextInt(3)], random.nextInt(60) * MS, TokenSource.CARRIED);
         primaries = new Box[groups];
         double capacity = 0;
         for (int g = 0; g < groups; g++) {
@@ -164,8 +178,12 @@
         double price = random.nextBoolean() ? 0 : 0.05 * random.nextDouble();
         for (int i = 0; i < count; i++) {
             int self = i;
-            routers.add(new Router(seed * 1000 + i, new Routing.Settings(i, count, random.nextInt(zones), true, classes,
-                    limits, rules, replication, price), now, action -> act(self, action)));
+            routers.add(new Router(
+                    seed * 1000 + i,
+                    new Routing.Settings(
+                            i, count, random.nextInt(zones), true, classes, limits, rules, replication, price),
+                    now,
+                    action -> act(self, action)));
         }
     }
 
@@ -175,8 +193,16 @@
             Access access = i == 0 ? Access.WRITE : Access.values()[1 + random.nextInt(4)];
             Effect effect = access == Access.WRITE ? Effect.values()[1 + random.nextInt(2)] : Effect.SAFE;
             long aim = (long) ((300 + random.nextInt(900)) * MS * scale * (access == Access.ANY ? 4 : 1));
-            classes.add(new Routing.RequestClass("c" + i, access, (long) (aim * 2 * random.nextDouble()) + 50 * MS,
-                    effect, KeyScope.GROUP, 3 * SECOND, aim, aim * (2 + random.nextInt(4)), 1 + random.nextInt(4),
+            classes.add(new Routing.RequestClass(
+                    "c" + i,
+                    access,
+                    (long) (aim * 2 * random.nextDouble()) + 50 * MS,
+                    effect,
+                    KeyScope.GROUP,
+                    3 * SECOND,
+                    aim,
+                    aim * (2 + random.nextInt(4)),
+                    1 + random.nextInt(4),
                     random.nextInt(3) * 0.35));
         }
     }
@@ -233,8 +259,9 @@
         long since = random.nextBoolean() ? 0 : (1 + random.nextInt(900)) * MS;
         c.came = now;
         c.expires = now + wait;
-        c.needs = kind.access() == Access.STRONG ? now : kind.access() == Access.SESSION && since > 0 ? now - since
-                : Long.MIN_VALUE;
+        c.needs = kind.access() == Access.STRONG
+                ? now
+                : kind.access() == Access.SESSION && since > 0 ? now - since : Long.MIN_VALUE;
         calls.put(c.id, c);
         // Whoever keeps no answer rule is found by this: the final one is due with a little slack.
         in(wait + rules.answerSlackMicros() + MS, () -> {
@@ -276,9 +303,19 @@
             }
         } else if (action instanceof Routing.Probe probe) {
             Box b = boxes.get(probe.node());
-            in(2 * MS, () -> give(router, b.up ? new Routing.Probed(b.id, Ending.SERVED, 2 * MS, b.at(),
-                    b.primary() ? Role.PRIMARY : Role.REPLICA)
-                    : new Routing.Probed(b.id, Ending.NOT_CONNECTED, 2 * MS, Routing.NO_POSITION, Role.UNKNOWN)));
+            in(
+                    2 * MS,
+                    () -> give(
+                            router,
+                            b.up
+                                    ? new Routing.Probed(
+                                            b.id,
+                                            Ending.SERVED,
+                                            2 * MS,
+                                            b.at(),
+                                            b.primary() ? Role.PRIMARY : Role.REPLICA)
+                                    : new Routing.Probed(
+                                            b.id, Ending.NOT_CONNECTED, 2 * MS, Routing.NO_POSITION, Role.UNKNOWN)));
         } else if (action instanceof Routing.SetTimer timer) {
             in(timer.delayMicros(), () -> give(router, new Routing.TimerFired(timer.handle())));
         } else if (action instanceof Routing.Subscribe && random.nextInt(4) == 0) {
@@ -298,7 +335,8 @@
             broken.add("answer: sent after its end: " + send.id());
             return;
         }
-        if (planted == Planted.READ_FROM_ANY_REPLICA || planted == Planted.COLD_ONE_FLOODED && !cold(b)
+        if (planted == Planted.READ_FROM_ANY_REPLICA
+                || planted == Planted.COLD_ONE_FLOODED && !cold(b)
                 || planted == Planted.SENT_TO_A_DRAINING_ONE) {
             b = misled(c, b);
         }
@@ -318,11 +356,12 @@
     /** The db node that a router with a planted fault would take. */
     private Box misled(Call c, Box right) {
         for (Box b : all) {
-            boolean fits = switch (planted) {
-                case READ_FROM_ANY_REPLICA -> classes.get(c.cls).access() == Access.SESSION && !b.primary();
-                case COLD_ONE_FLOODED -> cold(b);
-                default -> b.listed == Health.DRAINING;
-            };
+            boolean fits =
+                    switch (planted) {
+                        case READ_FROM_ANY_REPLICA -> classes.get(c.cls).access() == Access.SESSION && !b.primary();
+                        case COLD_ONE_FLOODED -> cold(b);
+                        default -> b.listed == Health.DRAINING;
+                    };
             if (b.group == c.group && fits) {
                 return b;
             }
@@ -336,8 +375,9 @@
             broken.add("effect: another group, a second at a time, or one too many: " + c.id);
         }
         boolean mayHaveRun = c.mayHaveRunSince != Long.MAX_VALUE;
-        if (mayHaveRun && (kind.effect() == Effect.UNSAFE
-                || kind.effect() == Effect.KEYED && now >= c.mayHaveRunSince + kind.keyTtlMicros())) {
+        if (mayHaveRun
+                && (kind.effect() == Effect.UNSAFE
+                        || kind.effect() == Effect.KEYED && now >= c.mayHaveRunSince + kind.keyTtlMicros())) {
             broken.add("effect: a repeat that may run twice: " + c.id);
         }
         if (b.listed != Health.LIVE && now > b.toldLeaving + rules.drainGraceMicros()) {
@@ -363,7 +403,8 @@
         double whole = rules.overloadMultiple() * b.warmth() * b.cores * b.speed * rules.overloadMicros() / work;
         double slack = 3 * routers.size() + 3 * Math.sqrt(whole) + whole / 3;
         if (sent > Math.max(most, 1) + slack) {
-            broken.add("cold: " + sent + " sent to " + b.id + " in " + (now - from) / MS + " ms, it bears " + (int) most);
+            broken.add(
+                    "cold: " + sent + " sent to " + b.id + " in " + (now - from) / MS + " ms, it bears " + (int) most);
         }
     }
 
@@ -421,7 +462,9 @@
             c.mayHaveRunSince = Math.min(c.mayHaveRunSince, w.sent);
         }
         c.out = c.out == w ? null : c.out;
-        boolean told = ending == Ending.SERVED || ending == Ending.MISSED || ending == Ending.TURNED_BACK
+        boolean told = ending == Ending.SERVED
+                || ending == Ending.MISSED
+                || ending == Ending.TURNED_BACK
                 || ending == Ending.ERROR;
         Role role = !told ? Role.UNKNOWN : w.box.primary() ? Role.PRIMARY : Role.REPLICA;
         if (told) {
@@ -434,8 +477,17 @@
         }
         // A router that takes what may have run for what never did.
         Ending heard = planted == Planted.REPEATED_WRITE && ending == Ending.TIMED_OUT ? Ending.NOT_CONNECTED : ending;
-        give(c.router, new Routing.Outcome(c.id, w.number, w.box.id, heard, now - w.sent, c.over,
-                told ? w.box.at() : Routing.NO_POSITION, role));
+        give(
+                c.router,
+                new Routing.Outcome(
+                        c.id,
+                        w.number,
+                        w.box.id,
+                        heard,
+                        now - w.sent,
+                        c.over,
+                        told ? w.box.at() : Routing.NO_POSITION,
+                        role));
     }
 
     // ---- troubles ----
@@ -487,7 +539,9 @@
     }
 
     private void elect(Box old) {
-        all.stream().filter(x -> x.group == old.group && x != old && x.up && x.listed == Health.LIVE).findFirst()
+        all.stream()
+                .filter(x -> x.group == old.group && x != old && x.up && x.listed == Health.LIVE)
+                .findFirst()
                 .ifPresent(next -> primaries[old.group] = next);
     }
 
--- a/discovery/src/main/java/lupinvalve/discovery/Chunks.java
+++ b/discovery/src/main/java/lupinvalve/discovery/Chunks.java
@@ -5,7 +5,15 @@
 
 /** Takes HTTP's chunked coding off, however the bytes come. */
 final class Chunks {
-    private enum At { SIZE, EXTENSION, SIZE_END, DATA, DATA_END, TRAILER, ENDED }
+    private enum At {
+        SIZE,
+        EXTENSION,
+        SIZE_END,
+        DATA,
+        DATA_END,
+        TRAILER,
+        ENDED
+    }
 
     private At at = At.SIZE;
     private long left;
@@ -53,7 +61,7 @@
                         trailer++;
                     }
                 }
-                default -> { }
+                default -> {}
             }
             i++;
         }
--- a/discovery/src/main/java/lupinvalve/discovery/DnsDirectory.java
+++ b/discovery/src/main/java/lupinvalve/discovery/DnsDirectory.java
@@ -53,7 +53,12 @@
     private Deadlines.Deadline next;
 
     /** @param mysqlPort port for MySQL where an instance's TXT record names none */
-    public DnsDirectory(Pooler pooler, InetSocketAddress resolver, String service, long pollMicros, int mysqlPort,
+    public DnsDirectory(
+            Pooler pooler,
+            InetSocketAddress resolver,
+            String service,
+            long pollMicros,
+            int mysqlPort,
             List<String> zones) {
         this.pooler = pooler;
         this.resolver = resolver;
@@ -155,7 +160,8 @@
             }
             for (int section : new int[] {Section.ANSWER, Section.ADDITIONAL}) {
                 for (Record record : answer.getSection(section)) {
-                    known.computeIfAbsent(key(record.getName(), record.getType()), k -> new ArrayList<>()).add(record);
+                    known.computeIfAbsent(key(record.getName(), record.getType()), k -> new ArrayList<>())
+                            .add(record);
                 }
             }
         }
@@ -192,19 +198,24 @@
 
     private Entry entry(Name instance, SRVRecord place, String host, Map<String, String> pairs) throws IOException {
         try {
-            Routing.Health health = switch (pairs.getOrDefault("phase", "in_service")) {
-                case "in_service" -> Routing.Health.LIVE;
-                case "terminating" -> Routing.Health.DRAINING;
-                case "terminated" -> Routing.Health.GONE;
-                default -> throw new IOException(instance + ": phase " + pairs.get("phase"));
-            };
-            String label = new String(instance.getLabel(0), 1, instance.getLabel(0)[0] & 255,
-                    java.nio.charset.StandardCharsets.UTF_8);
+            Routing.Health health =
+                    switch (pairs.getOrDefault("phase", "in_service")) {
+                        case "in_service" -> Routing.Health.LIVE;
+                        case "terminating" -> Routing.Health.DRAINING;
+                        case "terminated" -> Routing.Health.GONE;
+                        default -> throw new IOException(instance + ": phase " + pairs.get("phase"));
+                    };
+            String label = new String(
+                    instance.getLabel(0), 1, instance.getLabel(0)[0] & 255, java.nio.charset.StandardCharsets.UTF_8);
             int mysql = Integer.parseInt(pairs.getOrDefault("mysql", Integer.toString(mysqlPort)));
-            return new Entry(new Routing.Member(pairs.getOrDefault("id", label),
-                    Integer.parseInt(pairs.getOrDefault("cell", "0")),
-                    zones.getOrDefault(pairs.getOrDefault("locality", ""), 0), health,
-                    "source".equals(pairs.get("rank")), Long.parseLong(pairs.getOrDefault("up_since_ms", "0")) * 1000),
+            return new Entry(
+                    new Routing.Member(
+                            pairs.getOrDefault("id", label),
+                            Integer.parseInt(pairs.getOrDefault("cell", "0")),
+                            zones.getOrDefault(pairs.getOrDefault("locality", ""), 0),
+                            health,
+                            "source".equals(pairs.get("rank")),
+                            Long.parseLong(pairs.getOrDefault("up_since_ms", "0")) * 1000),
                     Map.of("pg", host + ":" + place.getPort(), "mysql", host + ":" + mysql));
         } catch (NumberFormatException e) {
             throw new IOException(instance + ": " + e.getMessage(), e);
--- a/discovery/src/main/java/lupinvalve/discovery/HttpDirectory.java
+++ b/discovery/src/main/java/lupinvalve/discovery/HttpDirectory.java
@@ -21,13 +21,17 @@
 
 /** The list over HTTP/1.1: whole on demand, and as a watch of changes. Core thread only. */
 public final class HttpDirectory implements Directory {
-    /** How long a call for the whole list may take until it is answered; discovery itself gives one up after a second. */
+    /**
+     * How long a call for the whole list may take until it is answered; discovery itself gives one up after a second.
+     */
     private static final long CALL = 1_200_000;
+
     private static final int ANSWER_MOST = 4 << 20;
     /** A departure binds 250 ms after it was told: so much may the core be behind before that is worth a line. */
     private static final long LATE = 50_000;
     /** How old at most what is not known may be when a request is decided, and how long the core waits for that. */
     private static final long BLIND_LEAST = 100_000, CATCH_UP = 500_000;
+
     private final Net net;
     private final Pooler pooler;
     private final Loop loop;
@@ -40,6 +44,7 @@
     private long revision;
     /** Calls begun so far; which of them told the revision held; with which of them its numbers last began anew. */
     private long calls, toldBy, numberedBy;
+
     private final long startedAt;
     private long knownUpTo;
 
@@ -75,8 +80,8 @@
     }
 
     /**
-     * Runs before each piece of the core's work. Guards decisions that are made right after this process stood still, or
-     * while only its listening thread did: what discovery has told meanwhile is read first.
+     * Runs before each piece of the core's work. Guards decisions that are made right after this process stood still,
+     * or while only its listening thread did: what discovery has told meanwhile is read first.
      */
     private void look() {
         long blind = Math.max(BLIND_LEAST, pooler.settings().rules().drainGraceMicros() / 2);
@@ -115,8 +120,8 @@
     }
 
     /**
-     * Discovery has another address from now on. Guards against a gap in the news: the watch at the old address is
-     * kept until one at the new address has answered, or until it ends by itself.
+     * Discovery has another address from now on. Guards against a gap in the news: the watch at the old address is kept
+     * until one at the new address has answered, or until it ends by itself.
      */
     public void move(InetSocketAddress to) {
         if (to.equals(address)) {
@@ -133,9 +138,9 @@
     }
 
     /**
-     * Takes over what a call has told, unless something newer is known: calls overlap, and one that is late would bring back
-     * db nodes that have been drained since. A whole list older than what its watch asked for counts all the same: that is
-     * how discovery answers once it numbers its lists anew.
+     * Takes over what a call has told, unless something newer is known: calls overlap, and one that is late would bring
+     * back db nodes that have been drained since. A whole list older than what its watch asked for counts all the same:
+     * that is how discovery answers once it numbers its lists anew.
      */
     private void tell(Call by, byte[] json) throws IOException {
         ListReader.Listed listed = reader.read(json, 0, json.length);
@@ -145,14 +150,17 @@
             return;
         }
         if (toldBy == 0) {
-            Log.info("discovery's first word: revision %d, %d db nodes, after %d ms", listed.revision(), listed.entries().size(),
-                    (loop.now() - startedAt) / 1000);
+            Log.info(
+                    "discovery's first word: revision %d, %d db nodes, after %d ms",
+                    listed.revision(), listed.entries().size(), (loop.now() - startedAt) / 1000);
         }
         numberedBy = anew ? by.number : numberedBy;
         revision = listed.revision();
         toldBy = Math.max(toldBy, by.number);
-        pooler.listed(new News(listed.complete() ? Routing.ListForm.FULL : Routing.ListForm.UPDATE,
-                listed.entries(), by.toldSince(listed.complete())));
+        pooler.listed(new News(
+                listed.complete() ? Routing.ListForm.FULL : Routing.ListForm.UPDATE,
+                listed.entries(),
+                by.toldSince(listed.complete())));
     }
 
     /** Takes bytes as they come: the answer is cut on the core thread. */
@@ -168,6 +176,7 @@
         private final boolean watching;
         /** Its number among the watches, 0 where it is none. */
         private final long watch;
+
         private final String path;
         private final ByteArrayOutputStream head = new ByteArrayOutputStream();
         private final ByteArrayOutputStream body = new ByteArrayOutputStream();
@@ -199,8 +208,9 @@
         }
 
         /**
-         * The earliest time at which what is being taken may have been told. Only a change on a watch that has not missed a
-         * beat, with no other open that may have been told it before, is as new as its bytes; anything else may be old.
+         * The earliest time at which what is being taken may have been told. Only a change on a watch that has not
+         * missed a beat, with no other open that may have been told it before, is as new as its bytes; anything else
+         * may be old.
          */
         long toldSince(boolean whole) {
             boolean beats = wordAt > 0 && readAt - wordAt <= WatchSchedule.BEAT + WatchSchedule.BEAT_LATE;
@@ -211,8 +221,16 @@
             if (over) {
                 return;
             }
-            Log.info("discovery: %s %d at %s:%d ended after %d ms, %s, list at revision %d: %s", watching ? "watch" : "call", number,
-                    address.getHostString(), address.getPort(), (loop.now() - begunAt) / 1000, told ? "told" : "nothing told", revision, why);
+            Log.info(
+                    "discovery: %s %d at %s:%d ended after %d ms, %s, list at revision %d: %s",
+                    watching ? "watch" : "call",
+                    number,
+                    address.getHostString(),
+                    address.getPort(),
+                    (loop.now() - begunAt) / 1000,
+                    told ? "told" : "nothing told",
+                    revision,
+                    why);
             pooler.firstWord().callFailed(loop.now() - begunAt);
             end();
             if (watching) {
@@ -226,7 +244,7 @@
         @Override
         public void opened(Link opened) {
             link.write(("GET " + path + " HTTP/1.1\r\nHost: " + address.getHostString() + ":" + address.getPort()
-                    + "\r\nAccept: application/json\r\n" + (watching ? "" : "Connection: close\r\n") + "\r\n")
+                            + "\r\nAccept: application/json\r\n" + (watching ? "" : "Connection: close\r\n") + "\r\n")
                     .getBytes(ISO_8859_1));
         }
 
@@ -304,7 +322,8 @@
             }
             for (String header : lines) {
                 int colon = header.indexOf(':');
-                String name = colon < 0 ? "" : header.substring(0, colon).strip().toLowerCase(java.util.Locale.ROOT);
+                String name =
+                        colon < 0 ? "" : header.substring(0, colon).strip().toLowerCase(java.util.Locale.ROOT);
                 String value = header.substring(colon + 1).strip();
                 if (name.equals("transfer-encoding")) {
                     chunked = value.equalsIgnoreCase("chunked");
--- a/discovery/src/main/java/lupinvalve/discovery/ListReader.java
+++ b/discovery/src/main/java/lupinvalve/discovery/ListReader.java
@@ -88,13 +88,15 @@
         if (id == null) {
             throw new IOException("list: an entry without id");
         }
-        Routing.Health health = switch (phase) {
-            case "in_service" -> Routing.Health.LIVE;
-            case "terminating" -> Routing.Health.DRAINING;
-            case "terminated" -> Routing.Health.GONE;
-            default -> throw new IOException("list: phase " + phase);
-        };
-        return new Directory.Entry(new Routing.Member(id, cell, zones.getOrDefault(zone, 0), health, primary, born),
+        Routing.Health health =
+                switch (phase) {
+                    case "in_service" -> Routing.Health.LIVE;
+                    case "terminating" -> Routing.Health.DRAINING;
+                    case "terminated" -> Routing.Health.GONE;
+                    default -> throw new IOException("list: phase " + phase);
+                };
+        return new Directory.Entry(
+                new Routing.Member(id, cell, zones.getOrDefault(zone, 0), health, primary, born),
                 addresses(address, mysql));
     }
 
--- a/discovery/src/main/java/lupinvalve/discovery/WatchSchedule.java
+++ b/discovery/src/main/java/lupinvalve/discovery/WatchSchedule.java
@@ -6,22 +6,28 @@
 import java.util.TreeMap;
 
 /**
- * When watches are opened, doubted and given up. A change binds 6 s after discovery had it and could be reached, and 6 s
- * after the watch that misses it fell silent: one that may be dead gets a successor beside it. What discovery has written to a
- * call counts as told, read or not, so none is dropped while it may be answered, nor as soon as another has spoken: that
- * would also give up its place among the callers that discovery works through. No I/O, no clock.
+ * When watches are opened, doubted and given up. A change binds 6 s after discovery had it and could be reached, and 6
+ * s after the watch that misses it fell silent: one that may be dead gets a successor beside it. What discovery has
+ * written to a call counts as told, read or not, so none is dropped while it may be answered, nor as soon as another
+ * has spoken: that would also give up its place among the callers that discovery works through. No I/O, no clock.
  */
 final class WatchSchedule {
     /** From one word of a watch to the next, a beat where nothing has changed, and what the way may add to it. */
     static final long BEAT = 2_000_000, BEAT_LATE = 200_000;
     /** A watch that has spoken is doubted after so much silence. */
     private static final long DOUBTED = BEAT + 250_000;
-    /** One that has not is doubted after this, and given up after that: an overloaded discovery may answer until then. */
+    /**
+     * One that has not is doubted after this, and given up after that: an overloaded discovery may answer until then.
+     */
     private static final long UNANSWERED = 1_200_000, GIVEN_UP = 5_000_000;
     /** An answer that has begun may say nothing until its first beat. */
     private static final long FIRST_WORD = 2_600_000;
+
     private static final long SILENCE = 4_200_000;
-    /** What is needed no more is read for so long, since discovery may have written to it what the other has yet to hear. */
+    /**
+     * What is needed no more is read for so long, since discovery may have written to it what the other has yet to
+     * hear.
+     */
     private static final long LEAVING = 3_000_000;
     /** Open at once at most. */
     private static final int MOST = 4;
@@ -54,6 +60,7 @@
     private final TreeMap<Long, Watch> open = new TreeMap<>();
     /** The one relied on: the newest, until one opened before it is answered after all. */
     private Watch newest;
+
     private boolean active;
     private long count, addresses;
 
--- a/example/ToyServer.java
+++ b/example/ToyServer.java
@@ -33,12 +33,17 @@
             String name = "toy-" + i;
             ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
             serve(server, socket -> node(socket, name, lag));
-            members.append(i == 0 ? "" : ",").append("{\"id\":\"").append(name).append("\",\"host_port\":\"127.0.0.1:")
-                    .append(server.getLocalPort()).append("\",\"cell\":1,\"phase\":\"in_service\",\"rank\":\"")
-                    .append(i == 0 ? "source" : "copy").append("\",\"up_since_ms\":0}");
+            members.append(i == 0 ? "" : ",")
+                    .append("{\"id\":\"")
+                    .append(name)
+                    .append("\",\"host_port\":\"127.0.0.1:")
+                    .append(server.getLocalPort())
+                    .append("\",\"cell\":1,\"phase\":\"in_service\",\"rank\":\"")
+                    .append(i == 0 ? "source" : "copy")
+                    .append("\",\"up_since_ms\":0}");
         }
-        ServerSocket discovery = new ServerSocket(args.length > 0 ? Integer.parseInt(args[0]) : 8500, 50,
-                InetAddress.getLoopbackAddress());
+        ServerSocket discovery = new ServerSocket(
+                args.length > 0 ? Integer.parseInt(args[0]) : 8500, 50, InetAddress.getLoopbackAddress());
         String list = "{\"revision\":1,\"complete\":true,\"members\":[" + members + "]}\n";
         serve(discovery, socket -> watch(socket, list));
         System.out.println("discovery on 127.0.0.1:" + discovery.getLocalPort() + ", group 1");
@@ -46,29 +51,31 @@
 
     private static void serve(ServerSocket server, Speaker speaker) {
         new Thread(() -> {
-            while (true) {
-                try {
-                    Socket socket = server.accept();
-                    new Thread(() -> {
-                        try (socket) {
-                            speaker.speak(socket);
+                    while (true) {
+                        try {
+                            Socket socket = server.accept();
+                            new Thread(() -> {
+                                        try (socket) {
+                                            speaker.speak(socket);
+                                        } catch (IOException e) {
+                                            System.out.println("closed: " + e.getMessage());
+                                        }
+                                    })
+                                    .start();
                         } catch (IOException e) {
-                            System.out.println("closed: " + e.getMessage());
+                            System.out.println("no longer accepting: " + e.getMessage());
+                            return;
                         }
-                    }).start();
-                } catch (IOException e) {
-                    System.out.println("no longer accepting: " + e.getMessage());
-                    return;
-                }
-            }
-        }).start();
+                    }
+                })
+                .start();
     }
 
     // ---- discovery: the list, and a beat every 2 s ----
 
     private static void watch(Socket socket, String list) throws IOException {
-        BufferedReader in = new BufferedReader(new InputStreamReader(socket.getInputStream(),
-                StandardCharsets.US_ASCII));
+        BufferedReader in =
+                new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
         while (!in.readLine().isEmpty()) {
             // The request's head says nothing that this toy needs.
             continue;
@@ -130,8 +137,10 @@
     }
 
     private static void row(DataOutputStream out, String value) throws IOException {
-        message(out, 'T', ("\0\1blob\0\0\0\0\0\0\0\0\0\0\31\377\377\377\377\377\377\0\0")
-                .getBytes(StandardCharsets.ISO_8859_1));
+        message(
+                out,
+                'T',
+                ("\0\1blob\0\0\0\0\0\0\0\0\0\0\31\377\377\377\377\377\377\0\0").getBytes(StandardCharsets.ISO_8859_1));
         byte[] bytes = value.getBytes(StandardCharsets.UTF_8);
         out.write('D');
         out.writeInt(10 + bytes.length);
--- a/faults/src/main/java/lupinvalve/faults/HandOff.java
+++ b/faults/src/main/java/lupinvalve/faults/HandOff.java
@@ -15,8 +15,8 @@
 import lupinvalve.upkeep.Maintenance.Orders;
 
 /**
- * An upgrade in which operators take db nodes out and call them back at both processes: each order that got a yes must hold
- * at every process from its next look on, and at one that starts later, whatever fails in between. All in memory.
+ * An upgrade in which operators take db nodes out and call them back at both processes: each order that got a yes must
+ * hold at every process from its next look on, and at one that starts later, whatever fails in between. All in memory.
  */
 public final class HandOff {
     /** The process has ended. */
@@ -26,10 +26,12 @@
 
     /** What the folder holds; it outlives processes. */
     private final Map<String, byte[]> files = new TreeMap<>();
+
     private final Points points;
     private final List<String> broken = new ArrayList<>();
     /** Whether a db node is out by the last order with a yes; null where an order of unknown outcome came since. */
     private final Map<String, Boolean> truth = new TreeMap<>();
+
     private long now = 1;
 
     private HandOff(Points points) {
@@ -122,8 +124,10 @@
         if (!process.ended) {
             truth.forEach((id, out) -> {
                 if (out != null && process.held.out().contains(id) != out) {
-                    broken.add(who + (out ? " uses " + id + ", which was taken out with a yes"
-                            : " leaves " + id + " out, which was called back with a yes"));
+                    broken.add(who
+                            + (out
+                                    ? " uses " + id + ", which was taken out with a yes"
+                                    : " leaves " + id + " out, which was called back with a yes"));
                 }
             });
         }
@@ -170,7 +174,9 @@
 
         @Override
         public void write(String name, byte[] content) throws IOException {
-            step(Kind.WRITE, () -> files.put(name, content.clone()),
+            step(
+                    Kind.WRITE,
+                    () -> files.put(name, content.clone()),
                     () -> files.put(name, Arrays.copyOf(content, content.length / 2)));
         }
 
@@ -182,7 +188,7 @@
         @Override
         public Closeable lock(String name) throws IOException {
             step(Kind.CREATE, () -> null, () -> null);
-            return () -> { };
+            return () -> {};
         }
     }
 }
--- a/faults/src/main/java/lupinvalve/faults/Points.java
+++ b/faults/src/main/java/lupinvalve/faults/Points.java
@@ -11,12 +11,23 @@
 import java.util.function.Supplier;
 
 /**
- * Numbers the steps at which a process meets the world, and says which fault, if any, comes at one. It counts only while it
- * is on, so that a scenario's own steps are numbered and not those that lead to it. No I/O, no clock.
+ * Numbers the steps at which a process meets the world, and says which fault, if any, comes at one. It counts only
+ * while it is on, so that a scenario's own steps are numbered and not those that lead to it. No I/O, no clock.
  */
 public final class Points {
     /** What a process is about to do at a point. */
-    public enum Kind { READ, CREATE, WRITE, FORCE, REPLACE, CUT, DELETE, SEND, ARRIVE, TIMER }
+    public enum Kind {
+        READ,
+        CREATE,
+        WRITE,
+        FORCE,
+        REPLACE,
+        CUT,
+        DELETE,
+        SEND,
+        ARRIVE,
+        TIMER
+    }
 
     /** What may go wrong there. */
     public enum Fault {
@@ -38,6 +49,7 @@
 
         /** Whether it ends a process. */
         public final boolean ends;
+
         private final Set<Kind> fits;
 
         Fault(boolean ends, Set<Kind> fits) {
--- a/faults/src/main/java/lupinvalve/replication/MemoryDisk.java
+++ b/faults/src/main/java/lupinvalve/replication/MemoryDisk.java
@@ -85,8 +85,8 @@
 
             @Override
             public void force() {
-                boolean skipped = planted == Sweep.Planted.ACK_BEFORE_FORCE
-                        || planted == Sweep.Planted.VOTE_NOT_FORCED && small;
+                boolean skipped =
+                        planted == Sweep.Planted.ACK_BEFORE_FORCE || planted == Sweep.Planted.VOTE_NOT_FORCED && small;
                 file.forced = skipped ? file.forced : file.bytes.length;
             }
 
--- a/faults/src/main/java/lupinvalve/replication/Scenario.java
+++ b/faults/src/main/java/lupinvalve/replication/Scenario.java
@@ -5,7 +5,6 @@
 import java.util.Set;
 import java.util.TreeSet;
 import java.util.concurrent.atomic.AtomicReference;
-import lupinvalve.ledger.Change;
 import lupinvalve.ledger.Identity;
 import lupinvalve.ledger.Membership;
 
@@ -51,8 +50,10 @@
             Simulation.Member next = sim.leader();
             if (next != null && next.runs()) {
                 // The last change reaches one of the others alone: nobody but that one can lead then.
-                Simulation.Member spared = sim.members.stream().filter(m -> m != next && m.runs())
-                        .min(java.util.Comparator.comparingInt(m -> m.life)).orElse(next);
+                Simulation.Member spared = sim.members.stream()
+                        .filter(m -> m != next && m.runs())
+                        .min(java.util.Comparator.comparingInt(m -> m.life))
+                        .orElse(next);
                 sim.each(m -> sim.cut[next.number][m.number] = m != spared);
                 put(sim, clients, 1);
                 next.kill();
@@ -68,7 +69,10 @@
     CATCH_UP(3, 0) {
         @Override
         void play(Simulation sim, Simulation.Clients clients) throws IOException {
-            Simulation.Member away = sim.members.stream().filter(m -> m != sim.leader()).findFirst().orElseThrow();
+            Simulation.Member away = sim.members.stream()
+                    .filter(m -> m != sim.leader())
+                    .findFirst()
+                    .orElseThrow();
             away.kill();
             put(sim, clients, 3);
             if (away.replica == null) {
@@ -159,9 +163,13 @@
                 return sim.leader() != null && sim.leader().left == null;
             });
             Set<String> left = new TreeSet<>();
-            sim.each(m -> left.add(lupinvalve.ledger.Ledger.digest(Simulation.document("{\"left\":" + m.number + "}"))));
-            List<String> taken = sim.history.values().stream().filter(left::contains).toList();
-            if (taken.size() > 1 || taken.size() == 1 && !taken.get(0).equals(sim.history.firstEntry().getValue())) {
+            sim.each(
+                    m -> left.add(lupinvalve.ledger.Ledger.digest(Simulation.document("{\"left\":" + m.number + "}"))));
+            List<String> taken =
+                    sim.history.values().stream().filter(left::contains).toList();
+            if (taken.size() > 1
+                    || taken.size() == 1
+                            && !taken.get(0).equals(sim.history.firstEntry().getValue())) {
                 sim.faults.add("what was left was taken over " + taken.size() + " times, or late");
             }
             return done;
@@ -189,7 +197,6 @@
             put(sim, clients, 1);
         }
     };
-
     final int founding, later;
 
     Scenario(int founding, int later) {
@@ -255,7 +262,7 @@
                 leader.report((fate, report) -> {
                     if (fate == Replica.Fate.DONE && Replica.leads(report)) {
                         step.set(Membership.next(wish, Replica.view(report, all, all)));
-                        leader.step(step.get(), report, (f, ok) -> { });
+                        leader.step(step.get(), report, (f, ok) -> {});
                     }
                 });
             }
--- a/faults/src/main/java/lupinvalve/replication/Simulation.java
+++ b/faults/src/main/java/lupinvalve/replication/Simulation.java
@@ -20,8 +20,8 @@
 import lupinvalve.ledger.Ledger;
 
 /**
- * Members, their disks and the network between them in virtual time: one seed, one course of events. Each step at which a
- * member meets the world is a point, at which {@link Points} may name a fault.
+ * Members, their disks and the network between them in virtual time: one seed, one course of events. Each step at which
+ * a member meets the world is a point, at which {@link Points} may name a fault.
  */
 final class Simulation {
     private record Event(long at, long order, Runnable work) implements Comparable<Event> {
@@ -45,6 +45,7 @@
         final TreeMap<Long, String> adopted = new TreeMap<>();
         /** What an earlier store left at this member, until that is taken over. */
         byte[] left;
+
         private TakeOver takeOver;
 
         Member(int number) {
@@ -148,55 +149,65 @@
             takeOver = new TakeOver(left == null ? null : new Left());
             if (log.word().phase() == Founding.Phase.ALONE) {
                 boolean founder = founders.contains(identity);
-                log.keep(new Founding.Word(identity, founder ? Founding.Phase.FOUNDED : Founding.Phase.NEWCOMER, founders));
+                log.keep(new Founding.Word(
+                        identity, founder ? Founding.Phase.FOUNDED : Founding.Phase.NEWCOMER, founders));
             }
             stopped = null;
-            replica = new Replica(new Life(), log, founders, new Replica.Sending() {
-                private final int mine = life;
-
-                @Override
-                public void send(Identity to, byte[] message) {
-                    if (mine != life) {
-                        return;
-                    }
-                    Member there = members.stream().filter(m -> m.identity.equals(to)).findFirst().orElse(null);
-                    Fault fault = points.next(Kind.SEND);
-                    boolean goes = fault == null || fault == Fault.DOUBLED || fault == Fault.DIE_AFTER;
-                    if (goes || fault == Fault.LATE) {
-                        carry(Member.this, there, message, fault == Fault.LATE ? LATE_MICROS : 0);
-                    }
-                    if (fault == Fault.DOUBLED) {
-                        carry(Member.this, there, message, 0);
-                    } else if (fault != null && fault.ends) {
-                        die(fault);
-                    }
-                }
-
-                @Override
-                public boolean reaches(Identity who) {
-                    return true;
-                }
-            }, new Random(random.nextLong()), new Replica.Watcher() {
-                @Override
-                public void applied(long index, Change change, Ledger.Outcome outcome) {
-                    if (change instanceof Change.Put && outcome.result() == Ledger.Result.DONE) {
-                        adopt(replica.ledger().document());
-                    }
-                }
-
-                @Override
-                public void restored() {
-                    if (replica.ledger().document() != null) {
-                        adopt(replica.ledger().document());
-                    }
-                }
-
-                @Override
-                public void ended(String why) {
-                    stopped = why;
-                    new Life().after(REVIVE_MICROS, Member.this::revive);
-                }
-            });
+            replica = new Replica(
+                    new Life(),
+                    log,
+                    founders,
+                    new Replica.Sending() {
+                        private final int mine = life;
+
+                        @Override
+                        public void send(Identity to, byte[] message) {
+                            if (mine != life) {
+                                return;
+                            }
+                            Member there = members.stream()
+                                    .filter(m -> m.identity.equals(to))
+                                    .findFirst()
+                                    .orElse(null);
+                            Fault fault = points.next(Kind.SEND);
+                            boolean goes = fault == null || fault == Fault.DOUBLED || fault == Fault.DIE_AFTER;
+                            if (goes || fault == Fault.LATE) {
+                                carry(Member.this, there, message, fault == Fault.LATE ? LATE_MICROS : 0);
+                            }
+                            if (fault == Fault.DOUBLED) {
+                                carry(Member.this, there, message, 0);
+                            } else if (fault != null && fault.ends) {
+                                die(fault);
+                            }
+                        }
+
+                        @Override
+                        public boolean reaches(Identity who) {
+                            return true;
+                        }
+                    },
+                    new Random(random.nextLong()),
+                    new Replica.Watcher() {
+                        @Override
+                        public void applied(long index, Change change, Ledger.Outcome outcome) {
+                            if (change instanceof Change.Put && outcome.result() == Ledger.Result.DONE) {
+                                adopt(replica.ledger().document());
+                            }
+                        }
+
+                        @Override
+                        public void restored() {
+                            if (replica.ledger().document() != null) {
+                                adopt(replica.ledger().document());
+                            }
+                        }
+
+                        @Override
+                        public void ended(String why) {
+                            stopped = why;
+                            new Life().after(REVIVE_MICROS, Member.this::revive);
+                        }
+                    });
             replica.start();
         }
 
@@ -232,14 +243,15 @@
         /** Takes over what was left here, as long as this member leads. */
         void takesOver() {
             if (runs() && replica.leads()) {
-                takeOver.lead(replica, document -> true, (session, position) -> { });
+                takeOver.lead(replica, document -> true, (session, position) -> {});
             }
         }
 
         private void adopt(Ledger.Document document) {
             String before = adopted.putIfAbsent(document.index(), document.digest());
             String agreed = history.putIfAbsent(document.index(), document.digest());
-            if (agreed != null && !agreed.equals(document.digest()) || before != null && !before.equals(document.digest())) {
+            if (agreed != null && !agreed.equals(document.digest())
+                    || before != null && !before.equals(document.digest())) {
                 faults.add("change " + document.index() + " is " + document.digest() + " and " + agreed);
             }
         }
@@ -300,7 +312,8 @@
             return;
         }
         int life = to.life;
-        points.note(() -> now / 1000 + " ms: " + from.identity.name() + " to " + to.identity.name() + ": " + said(message));
+        points.note(
+                () -> now / 1000 + " ms: " + from.identity.name() + " to " + to.identity.name() + ": " + said(message));
         at(later + 200 + random.nextInt(3000), () -> {
             if (to.life == life && to.replica != null && !cut[from.number][to.number]) {
                 Fault fault = points.next(Kind.ARRIVE);
@@ -338,7 +351,10 @@
     }
 
     Member leader() {
-        return members.stream().filter(m -> m.runs() && m.replica.leads()).findFirst().orElse(null);
+        return members.stream()
+                .filter(m -> m.runs() && m.replica.leads())
+                .findFirst()
+                .orElse(null);
     }
 
     /** Runs until something holds, within virtual 30 s. */
@@ -358,10 +374,15 @@
         long end = now + micros;
         while (now < end) {
             run(50_000);
-            stood &= 2 * members.stream().filter(m -> m.runs() && now >= m.pausedUntil).count() > founders.size();
+            stood &= 2
+                            * members.stream()
+                                    .filter(m -> m.runs() && now >= m.pausedUntil)
+                                    .count()
+                    > founders.size();
         }
         if (stood && leader() == null) {
-            faults.add("no leader " + micros / 1000 + " ms after the last one's end, though a majority runs throughout");
+            faults.add(
+                    "no leader " + micros / 1000 + " ms after the last one's end, though a majority runs throughout");
         }
     }
 
@@ -408,27 +429,35 @@
             long least = acknowledged.isEmpty() ? 0 : acknowledged.lastKey();
             at.replica.upToDate((fate, ok) -> {
                 if (fate == Replica.Fate.DONE && at.replica.ledger().revision() < least) {
-                    faults.add("a read came back with revision " + at.replica.ledger().revision() + " after " + least);
+                    faults.add("a read came back with revision "
+                            + at.replica.ledger().revision() + " after " + least);
                 }
             });
         }
 
         boolean caughtUp(Member member) {
-            return member.runs() && !acknowledged.isEmpty() && member.replica.ledger().revision() >= acknowledged.lastKey();
+            return member.runs()
+                    && !acknowledged.isEmpty()
+                    && member.replica.ledger().revision() >= acknowledged.lastKey();
         }
 
         /** Whether all that was acknowledged is in a member's history, at the revision that was told. */
         void check(Member member) {
             if (!caughtUp(member)) {
                 long last = acknowledged.isEmpty() ? 0 : acknowledged.lastKey();
-                faults.add(member.identity + (member.runs() ? " has only revision " + member.replica.ledger().revision()
-                        + " after " + last + ", term " + member.replica.term() + " of " + leaders.lastKey()
-                        : " does not run: " + member.stopped));
+                faults.add(member.identity
+                        + (member.runs()
+                                ? " has only revision "
+                                        + member.replica.ledger().revision() + " after " + last + ", term "
+                                        + member.replica.term() + " of " + leaders.lastKey()
+                                : " does not run: " + member.stopped));
                 return;
             }
-            List<String> digests = new ArrayList<>(history.headMap(member.replica.ledger().applied(), true).values());
+            List<String> digests = new ArrayList<>(
+                    history.headMap(member.replica.ledger().applied(), true).values());
             acknowledged.forEach((revision, digest) -> {
-                if (digests.size() < revision || !digests.get((int) (revision - 1)).equals(digest)) {
+                if (digests.size() < revision
+                        || !digests.get((int) (revision - 1)).equals(digest)) {
                     faults.add("revision " + revision + " was acknowledged and is lost");
                 }
             });
--- a/faults/src/main/java/lupinvalve/replication/Sweep.java
+++ b/faults/src/main/java/lupinvalve/replication/Sweep.java
@@ -11,8 +11,9 @@
 import lupinvalve.faults.Points.At;
 
 /**
- * Plays a scenario once to count its points, then once for each fault at each of them, then for pairs drawn by seed, and looks
- * after each at what must hold: one history, nothing acknowledged lost, one leader a term, and a group that goes on.
+ * Plays a scenario once to count its points, then once for each fault at each of them, then for pairs drawn by seed,
+ * and looks after each at what must hold: one history, nothing acknowledged lost, one leader a term, and a group that
+ * goes on.
  */
 public final class Sweep {
     /** What a test makes the members do wrong, to see the sweep find it. */
@@ -27,7 +28,8 @@
     }
 
     /** One play: what it broke, and whether the group stood still for good. */
-    public record Play(Scenario scenario, long seed, List<At> at, List<String> broken, boolean hung, List<Points.Kind> met) {
+    public record Play(
+            Scenario scenario, long seed, List<At> at, List<String> broken, boolean hung, List<Points.Kind> met) {
         public boolean good() {
             return broken.isEmpty() && !hung;
         }
@@ -51,7 +53,8 @@
     }
 
     /** The same, told step by step. */
-    public static Play play(Scenario scenario, long seed, Planted planted, List<At> faults, java.util.function.Consumer<String> trace) {
+    public static Play play(
+            Scenario scenario, long seed, Planted planted, List<At> faults, java.util.function.Consumer<String> trace) {
         Points points = new Points(faults.toArray(At[]::new));
         points.trace(trace);
         return play(scenario, seed, planted, points, faults);
@@ -100,7 +103,8 @@
         if (!goesOn || !scenario.settle(sim)) {
             return false;
         }
-        List<Simulation.Member> stay = sim.members.stream().filter(scenario::stays).toList();
+        List<Simulation.Member> stay =
+                sim.members.stream().filter(scenario::stays).toList();
         boolean same = sim.until(() -> stay.stream().allMatch(clients::caughtUp));
         stay.forEach(clients::check);
         return same;
@@ -134,7 +138,9 @@
             }
         }
         List<Play> bad = Stream.concat(single, drawn.stream()).toList().parallelStream()
-                .map(faults -> play(scenario, seed, planted, faults)).filter(p -> !p.good()).toList();
+                .map(faults -> play(scenario, seed, planted, faults))
+                .filter(p -> !p.good())
+                .toList();
         return new Result(scenario, course.size(), all.size() + drawn.size(), bad);
     }
 }
--- a/faults/src/test/java/lupinvalve/replication/KeptDocumentTest.java
+++ b/faults/src/test/java/lupinvalve/replication/KeptDocumentTest.java
@@ -25,8 +25,10 @@
 
     private static FollowState.Kept kept(long revision) {
         byte[] content = ("{\"revision\":" + revision + "}").getBytes(StandardCharsets.UTF_8);
-        return new FollowState.Kept(new Ledger.Document(revision, revision, Ledger.digest(content), content),
-                new TreeMap<>(Map.of(new Change.Holding(Change.Kind.NODE, "n" + revision), new Ledger.Held("why", 7))), revision);
+        return new FollowState.Kept(
+                new Ledger.Document(revision, revision, Ledger.digest(content), content),
+                new TreeMap<>(Map.of(new Change.Holding(Change.Kind.NODE, "n" + revision), new Ledger.Held("why", 7))),
+                revision);
     }
 
     @Test
@@ -44,7 +46,12 @@
             FollowState.Kept left = KeptDocument.read(own, CLUSTER);
             long revision = left.document() == null ? 0 : left.document().revision();
             assertTrue(revision >= seen && revision <= 2, at + ": " + revision + " after " + seen);
-            assertEquals(revision == 0 ? FollowState.Kept.NOTHING.holds() : kept(revision).holds(), left.holds(), at.toString());
+            assertEquals(
+                    revision == 0
+                            ? FollowState.Kept.NOTHING.holds()
+                            : kept(revision).holds(),
+                    left.holds(),
+                    at.toString());
         }
     }
 
@@ -82,7 +89,9 @@
     void whatIsTornOrChangedOrOfAnotherClusterIsNotBelieved() throws IOException {
         KeptDocument.write(disk, CLUSTER, kept(1));
         byte[] whole = disk.content(KeptDocument.FILE);
-        assertArrayEquals(kept(1).document().content(), KeptDocument.read(disk, CLUSTER).document().content());
+        assertArrayEquals(
+                kept(1).document().content(),
+                KeptDocument.read(disk, CLUSTER).document().content());
         for (int length = 0; length < whole.length; length++) {
             disk.put(KeptDocument.FILE, Arrays.copyOf(whole, length));
             assertThrows(IOException.class, () -> KeptDocument.read(disk, CLUSTER));
@@ -94,8 +103,10 @@
             assertThrows(IOException.class, () -> KeptDocument.read(disk, CLUSTER));
         }
         disk.put(KeptDocument.FILE, whole);
-        assertEquals("followed: of the cluster plant",
-                assertThrows(IOException.class, () -> KeptDocument.read(disk, "another")).getMessage());
+        assertEquals(
+                "followed: of the cluster plant",
+                assertThrows(IOException.class, () -> KeptDocument.read(disk, "another"))
+                        .getMessage());
     }
 
     @Test
--- a/faults/src/test/java/lupinvalve/replication/SegmentedLogTest.java
+++ b/faults/src/test/java/lupinvalve/replication/SegmentedLogTest.java
@@ -26,18 +26,33 @@
     }
 
     private static LogEntry entry(long index, int term) {
-        return Models.FACTORY.createLogEntryBuilder().setIndex(index).setTerm(term).setOperation(
-                Encoding.write(new Change.Put(index - 1, ("{\"n\":" + index + "}").getBytes(StandardCharsets.UTF_8)))).build();
+        return Models.FACTORY
+                .createLogEntryBuilder()
+                .setIndex(index)
+                .setTerm(term)
+                .setOperation(Encoding.write(
+                        new Change.Put(index - 1, ("{\"n\":" + index + "}").getBytes(StandardCharsets.UTF_8))))
+                .build();
     }
 
     private static void begin(SegmentedLog log) throws IOException {
         log.keep(new Founding.Word(ME, Founding.Phase.FOUNDED, Set.of(ME)));
-        log.persistAndFlushLocalEndpoint(Models.FACTORY.createRaftEndpointPersistentStateBuilder()
-                .setLocalEndpoint(new Endpoint(ME)).setVoting(true).build());
-        log.persistAndFlushInitialGroupMembers(Models.FACTORY.createRaftGroupMembersViewBuilder().setLogIndex(0)
-                .setMembers(List.of(new Endpoint(ME))).setVotingMembers(List.of(new Endpoint(ME))).build());
-        log.persistAndFlushTerm(Models.FACTORY.createRaftTermPersistentStateBuilder().setTerm(3)
-                .setVotedFor(new Endpoint(ME)).build());
+        log.persistAndFlushLocalEndpoint(Models.FACTORY
+                .createRaftEndpointPersistentStateBuilder()
+                .setLocalEndpoint(new Endpoint(ME))
+                .setVoting(true)
+                .build());
+        log.persistAndFlushInitialGroupMembers(Models.FACTORY
+                .createRaftGroupMembersViewBuilder()
+                .setLogIndex(0)
+                .setMembers(List.of(new Endpoint(ME)))
+                .setVotingMembers(List.of(new Endpoint(ME)))
+                .build());
+        log.persistAndFlushTerm(Models.FACTORY
+                .createRaftTermPersistentStateBuilder()
+                .setTerm(3)
+                .setVotedFor(new Endpoint(ME))
+                .build());
     }
 
     /** A history of 20 changes, each forced. */
@@ -52,7 +67,8 @@
     }
 
     private String history() {
-        return disk.files.lastEntry().getKey().startsWith("history") ? disk.files.lastKey()
+        return disk.files.lastEntry().getKey().startsWith("history")
+                ? disk.files.lastKey()
                 : disk.files.headMap("identity").lastKey();
     }
 
@@ -102,22 +118,31 @@
     @Test
     void aForeignFolderOrANewerFormatStopsTheStart() throws Exception {
         written();
-        assertEquals("identity: of the cluster plant, not of dock",
-                assertThrows(IOException.class, () -> SegmentedLog.open(disk, "dock", "a", "d1")).getMessage());
-        assertEquals("identity: of the member a, not of b",
-                assertThrows(IOException.class, () -> SegmentedLog.open(disk, "plant", "b", "d1")).getMessage());
+        assertEquals(
+                "identity: of the cluster plant, not of dock",
+                assertThrows(IOException.class, () -> SegmentedLog.open(disk, "dock", "a", "d1"))
+                        .getMessage());
+        assertEquals(
+                "identity: of the member a, not of b",
+                assertThrows(IOException.class, () -> SegmentedLog.open(disk, "plant", "b", "d1"))
+                        .getMessage());
         MemoryDisk newer = disk.copy();
-        newer.put("identity", Frames.frame(new lupinvalve.ledger.Cbor.Out().number(2).done()));
-        assertEquals("identity: format 2; this program reads 1",
+        newer.put(
+                "identity",
+                Frames.frame(new lupinvalve.ledger.Cbor.Out().number(2).done()));
+        assertEquals(
+                "identity: format 2; this program reads 1",
                 assertThrows(IOException.class, () -> open(newer)).getMessage());
         MemoryDisk bare = disk.copy();
         bare.files.remove("identity");
-        assertTrue(assertThrows(IOException.class, () -> open(bare)).getMessage().startsWith("identity is missing"));
+        assertTrue(
+                assertThrows(IOException.class, () -> open(bare)).getMessage().startsWith("identity is missing"));
         MemoryDisk gap = disk.copy();
         SegmentedLog log = open(gap);
         log.persistLogEntries(List.of(entry(30, 3)));
         log.flush();
-        assertTrue(assertThrows(IOException.class, () -> open(gap)).getMessage().contains("changes 1 to 29 are missing"));
+        assertTrue(
+                assertThrows(IOException.class, () -> open(gap)).getMessage().contains("changes 1 to 29 are missing"));
     }
 
     @Test
@@ -130,21 +155,34 @@
         }
         List<byte[]> pieces = Encoding.snapshot(ledger);
         for (int i = 0; i < pieces.size(); i++) {
-            log.persistSnapshotChunk(Models.FACTORY.createSnapshotChunkBuilder().setIndex(15).setTerm(3)
-                    .setSnapshotChunkIndex(i).setSnapshotChunkCount(pieces.size()).setOperation(pieces.get(i))
-                    .setGroupMembersView(Models.FACTORY.createRaftGroupMembersViewBuilder().setLogIndex(0)
-                            .setMembers(List.of(new Endpoint(ME))).setVotingMembers(List.of(new Endpoint(ME))).build())
+            log.persistSnapshotChunk(Models.FACTORY
+                    .createSnapshotChunkBuilder()
+                    .setIndex(15)
+                    .setTerm(3)
+                    .setSnapshotChunkIndex(i)
+                    .setSnapshotChunkCount(pieces.size())
+                    .setOperation(pieces.get(i))
+                    .setGroupMembersView(Models.FACTORY
+                            .createRaftGroupMembersViewBuilder()
+                            .setLogIndex(0)
+                            .setMembers(List.of(new Endpoint(ME)))
+                            .setVotingMembers(List.of(new Endpoint(ME)))
+                            .build())
                     .build());
         }
         log.flush();
         log.truncateLogEntriesUntil(20);
-        assertEquals(1, disk.names().stream().filter(name -> name.startsWith("history")).count());
+        assertEquals(
+                1,
+                disk.names().stream().filter(name -> name.startsWith("history")).count());
         log.persistLogEntries(List.of(entry(21, 3), entry(22, 3)));
         log.truncateLogEntriesFrom(22);
         log.persistLogEntries(List.of(entry(22, 4)));
         log.flush();
         // The changes that lay in the segment gone are missing behind the snapshot: that must not pass.
-        assertTrue(assertThrows(IOException.class, () -> open(disk.copy())).getMessage().contains("changes 16 to 20"));
+        assertTrue(assertThrows(IOException.class, () -> open(disk.copy()))
+                .getMessage()
+                .contains("changes 16 to 20"));
     }
 
     @Test
@@ -170,8 +208,13 @@
         disk.room = Long.MAX_VALUE;
         assertThrows(IOException.class, () -> log.persistLogEntries(List.of(entry(22, 3))));
         assertThrows(IOException.class, log::flush);
-        assertThrows(IOException.class, () -> log.persistAndFlushTerm(Models.FACTORY.createRaftTermPersistentStateBuilder()
-                .setTerm(9).setVotedFor(null).build()));
+        assertThrows(
+                IOException.class,
+                () -> log.persistAndFlushTerm(Models.FACTORY
+                        .createRaftTermPersistentStateBuilder()
+                        .setTerm(9)
+                        .setVotedFor(null)
+                        .build()));
         assertEquals(1, told[0]);
         assertEquals(20, open(disk).lastIndex());
     }
--- a/faults/src/test/java/lupinvalve/replication/SimulationTest.java
+++ b/faults/src/test/java/lupinvalve/replication/SimulationTest.java
@@ -111,14 +111,18 @@
 
     @Test
     void noCourseOfFaultsLosesOrDivides() {
-        List<String> faults = IntStream.range(0, SCHEDULES).parallel().boxed()
-                .flatMap(seed -> schedule(seed, false).stream().map(fault -> seed + ": " + fault)).toList();
+        List<String> faults = IntStream.range(0, SCHEDULES)
+                .parallel()
+                .boxed()
+                .flatMap(seed -> schedule(seed, false).stream().map(fault -> seed + ": " + fault))
+                .toList();
         assertEquals(List.of(), faults);
     }
 
     @Test
     void disksThatOnlySayThatTheyForceAreFoundOut() {
-        assertTrue(IntStream.range(0, 60).parallel().anyMatch(seed -> !schedule(seed, true).isEmpty()));
+        assertTrue(IntStream.range(0, 60).parallel().anyMatch(seed -> !schedule(seed, true)
+                .isEmpty()));
     }
 
     @Test
@@ -179,7 +183,9 @@
         sim.run(3_000_000);
         assertEquals(Replica.Fate.UNKNOWN, lost.get());
         assertEquals(List.of(), sim.faults);
-        assertEquals(old.replica.ledger().document().digest(), sim.leader().replica.ledger().document().digest());
+        assertEquals(
+                old.replica.ledger().document().digest(),
+                sim.leader().replica.ledger().document().digest());
     }
 
     @Test
@@ -187,8 +193,12 @@
         Simulation sim = led(3, 0);
         AtomicReference<Ledger.Outcome> first = new AtomicReference<>();
         AtomicReference<Ledger.Outcome> second = new AtomicReference<>();
-        sim.leader().replica.propose(new Change.Put(0, Simulation.document("{\"a\":1}")), (f, outcome) -> first.set(outcome));
-        sim.leader().replica.propose(new Change.Put(0, Simulation.document("{\"b\":1}")), (f, outcome) -> second.set(outcome));
+        sim.leader()
+                .replica
+                .propose(new Change.Put(0, Simulation.document("{\"a\":1}")), (f, outcome) -> first.set(outcome));
+        sim.leader()
+                .replica
+                .propose(new Change.Put(0, Simulation.document("{\"b\":1}")), (f, outcome) -> second.set(outcome));
         sim.until(() -> first.get() != null && second.get() != null);
         assertEquals(Ledger.Result.DONE, first.get().result());
         assertEquals(Ledger.Result.CONFLICT, second.get().result());
@@ -203,13 +213,16 @@
         assertTrue(put(sim, old, 0, "{\"long\":\"" + "x".repeat(100) + "\"}") != Replica.Fate.DONE);
         assertEquals("the disk fails", old.stopped);
         assertTrue(sim.until(() -> sim.leader() != null));
-        assertEquals(Replica.Fate.DONE, put(sim, sim.leader(), sim.leader().replica.ledger().revision(), "{}"));
+        assertEquals(
+                Replica.Fate.DONE,
+                put(sim, sim.leader(), sim.leader().replica.ledger().revision(), "{}"));
         // With room again it comes back with what it had.
         old.kill();
         old.disk.room = Long.MAX_VALUE;
         old.start();
         sim.run(3_000_000);
-        assertEquals(sim.leader().replica.ledger().revision(), old.replica.ledger().revision());
+        assertEquals(
+                sim.leader().replica.ledger().revision(), old.replica.ledger().revision());
         assertEquals(List.of(), sim.faults);
     }
 
@@ -222,20 +235,22 @@
             }
         });
         AtomicReference<Membership.Step> step = new AtomicReference<>();
-        assertTrue(sim.until(() -> {
-            if (sim.leader() != null) {
-                Replica leader = sim.leader().replica;
-                leader.report((fate, report) -> {
-                    if (fate == Replica.Fate.DONE && Replica.leads(report)) {
-                        Membership.View view = Replica.view(report, all, all);
-                        step.set(Membership.next(wish, view));
-                        leader.step(step.get(), report, (f, ok) -> { });
+        assertTrue(
+                sim.until(() -> {
+                    if (sim.leader() != null) {
+                        Replica leader = sim.leader().replica;
+                        leader.report((fate, report) -> {
+                            if (fate == Replica.Fate.DONE && Replica.leads(report)) {
+                                Membership.View view = Replica.view(report, all, all);
+                                step.set(Membership.next(wish, view));
+                                leader.step(step.get(), report, (f, ok) -> {});
+                            }
+                        });
+                        sim.run(100_000);
                     }
-                });
-                sim.run(100_000);
-            }
-            return step.get() instanceof Membership.Step.Done;
-        }), String.valueOf(step.get()));
+                    return step.get() instanceof Membership.Step.Done;
+                }),
+                String.valueOf(step.get()));
     }
 
     @Test
@@ -245,7 +260,11 @@
         for (int i = 0; i < 40; i++) {
             assertEquals(Replica.Fate.DONE, put(sim, sim.leader(), i, "{\"n\":\"" + i + filler + "\"}"));
         }
-        assertEquals(1, sim.leader().disk.names().stream().filter(name -> name.startsWith("snapshot")).count());
+        assertEquals(
+                1,
+                sim.leader().disk.names().stream()
+                        .filter(name -> name.startsWith("snapshot"))
+                        .count());
         Simulation.Member newcomer = sim.members.get(3);
         newcomer.start();
         sim.members.get(4).start();
@@ -256,7 +275,9 @@
         change(sim, true, newcomer);
         change(sim, true, sim.members.get(4));
         sim.run(3_000_000);
-        assertEquals(sim.leader().replica.ledger().revision(), newcomer.replica.ledger().revision());
+        assertEquals(
+                sim.leader().replica.ledger().revision(),
+                newcomer.replica.ledger().revision());
         // The leader is to go as well: it hands over first.
         Simulation.Member old = sim.leader();
         change(sim, false, old);
@@ -267,7 +288,9 @@
         old.start();
         sim.run(10_000_000);
         assertEquals(term, sim.leader().replica.term());
-        assertEquals(Replica.Fate.DONE, put(sim, sim.leader(), sim.leader().replica.ledger().revision(), "{}"));
+        assertEquals(
+                Replica.Fate.DONE,
+                put(sim, sim.leader(), sim.leader().replica.ledger().revision(), "{}"));
         assertEquals(List.of(), sim.faults);
         assertNotNull(newcomer.replica.ledger().document());
     }
@@ -280,12 +303,17 @@
         AtomicReference<Replica.Fate> late = new AtomicReference<>();
         old.replica.propose(new Change.Put(0, Simulation.document("{\"old\":1}")), (fate, outcome) -> late.set(fate));
         assertTrue(sim.until(() -> sim.members.stream().anyMatch(m -> m != old && m.replica.leads())));
-        Simulation.Member next = sim.members.stream().filter(m -> m != old && m.replica.leads()).findFirst().orElseThrow();
+        Simulation.Member next = sim.members.stream()
+                .filter(m -> m != old && m.replica.leads())
+                .findFirst()
+                .orElseThrow();
         assertEquals(Replica.Fate.DONE, put(sim, next, 0, "{\"new\":1}"));
         sim.run(15_000_000);
         assertFalse(old.replica.leads());
         assertTrue(late.get() != Replica.Fate.DONE);
-        assertEquals(next.replica.ledger().document().digest(), old.replica.ledger().document().digest());
+        assertEquals(
+                next.replica.ledger().document().digest(),
+                old.replica.ledger().document().digest());
         assertEquals(List.of(), sim.faults);
     }
 
@@ -295,7 +323,10 @@
             Simulation sim = new Simulation(seed, 3, 0);
             Simulation.Clients clients = sim.new Clients();
             assertTrue(sim.until(() -> sim.leader() != null));
-            Simulation.Member full = sim.members.stream().filter(m -> m != sim.leader()).findFirst().orElseThrow();
+            Simulation.Member full = sim.members.stream()
+                    .filter(m -> m != sim.leader())
+                    .findFirst()
+                    .orElseThrow();
             full.disk.room = 30;
             sim.until(() -> {
                 Scenario.leading(sim, clients);
@@ -306,10 +337,12 @@
             Scenario.leading(sim, clients);
             int life = full.life;
             full.disk.room = Long.MAX_VALUE;
-            assertTrue(sim.until(() -> {
-                Scenario.leading(sim, clients);
-                return clients.caughtUp(full);
-            }), "seed " + seed);
+            assertTrue(
+                    sim.until(() -> {
+                        Scenario.leading(sim, clients);
+                        return clients.caughtUp(full);
+                    }),
+                    "seed " + seed);
             assertEquals(life, full.life);
             clients.check(full);
             assertEquals(List.of(), sim.faults, "seed " + seed);
--- a/faults/src/test/java/lupinvalve/replication/SweepTest.java
+++ b/faults/src/test/java/lupinvalve/replication/SweepTest.java
@@ -31,14 +31,18 @@
     }
 
     @ParameterizedTest
-    @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = {"COMPACTION", "SNAPSHOT"})
+    @EnumSource(
+            mode = EnumSource.Mode.EXCLUDE,
+            names = {"COMPACTION", "SNAPSHOT"})
     void noFaultAtAnyPointBreaksAnything(Scenario scenario) {
         Sweep.Result result = Sweep.run(scenario, SEED, Sweep.Planted.NONE, 100);
         assertEquals(List.of(), result.bad().stream().limit(5).toList());
         assertTrue(result.points() >= 50, "points " + result.points());
     }
 
-    /** Found by the sweep: a member that died once its snapshot was forced, with one change behind it, never caught up. */
+    /**
+     * Found by the sweep: a member that died once its snapshot was forced, with one change behind it, never caught up.
+     */
     @Test
     void aMemberWithAChangeBehindItsSnapshotCatchesUp() {
         for (String at : List.of("472:DIE_AFTER", "473:DIE_BEFORE")) {
@@ -47,7 +51,10 @@
         }
     }
 
-    /** Found by the sweep: the leader's first answer behind a snapshot was lost, and the newcomer turned down all that followed. */
+    /**
+     * Found by the sweep: the leader's first answer behind a snapshot was lost, and the newcomer turned down all that
+     * followed.
+     */
     @Test
     void aNewcomerWhoseFirstAnswerBehindASnapshotIsLostCatchesUp() {
         Sweep.Play play = Sweep.play(Scenario.SNAPSHOT, SEED, Sweep.Planted.NONE, List.of(At.of("155:LOST")));
@@ -56,12 +63,16 @@
 
     @Test
     void whatIsAcknowledgedBeforeTheForceIsFoundLost() {
-        assertFalse(Sweep.run(Scenario.PUT, SEED, Sweep.Planted.ACK_BEFORE_FORCE, 0).bad().isEmpty());
+        assertFalse(Sweep.run(Scenario.PUT, SEED, Sweep.Planted.ACK_BEFORE_FORCE, 0)
+                .bad()
+                .isEmpty());
     }
 
     @Test
     void aPlaceTakenBeforeTheForceIsFound() {
-        assertFalse(Sweep.run(Scenario.FOUNDING, SEED, Sweep.Planted.RENAME_WITHOUT_FORCE, 0).bad().isEmpty());
+        assertFalse(Sweep.run(Scenario.FOUNDING, SEED, Sweep.Planted.RENAME_WITHOUT_FORCE, 0)
+                .bad()
+                .isEmpty());
     }
 
     @Test
--- a/group/src/main/java/lupinvalve/replication/Acting.java
+++ b/group/src/main/java/lupinvalve/replication/Acting.java
@@ -13,8 +13,8 @@
 import lupinvalve.log.Log;
 
 /**
- * What this member acts on and for how long it may: its lease, its entries, and, while it leads, the leases of all. On the
- * group's thread but for {@link #holds}.
+ * What this member acts on and for how long it may: its lease, its entries, and, while it leads, the leases of all. On
+ * the group's thread but for {@link #holds}.
  */
 final class Acting {
     private static final long CONFIRM = 100_000, ANSWER = 1_000_000, DELIVER = 200_000, UNTOLD = -1;
@@ -31,7 +31,11 @@
         /** Why the pooler can't act on what holds, or empty. */
         String objection();
 
-        void call(Identity whom, String what, List<byte[]> arguments, long withinMicros,
+        void call(
+                Identity whom,
+                String what,
+                List<byte[]> arguments,
+                long withinMicros,
                 java.util.function.Consumer<Messages.Answer> then);
 
         void propose(Change change, java.util.function.Consumer<Boolean> accepted);
@@ -42,7 +46,10 @@
         /** Up to which change those act that follow this member by a lease of its own. */
         long followersFloor();
 
-        /** This member may act until then; when that was granted, the leader had applied a change that matters to poolers. */
+        /**
+         * This member may act until then; when that was granted, the leader had applied a change that matters to
+         * poolers.
+         */
         void right(long untilMicros, long leadersChanged);
     }
 
@@ -152,21 +159,27 @@
     }
 
     /**
-     * Notes that the lease has ended, at the time when it did, or that there is one again. Before anything else is noted, as a process
-     * that stood still hears of many things at once when it wakes.
+     * Notes that the lease has ended, at the time when it did, or that there is one again. Before anything else is
+     * noted, as a process that stood still hears of many things at once when it wakes.
      */
     private void look(long nowMicros) {
         long now = clock();
         if (fences && fenced == lease.holds(now)) {
             fenced = !fenced;
-            note(fenced ? Entry.What.FENCED : Entry.What.RETURNED, version, acting, fenced ? nowMicros - (now - lease.until())
-                    : nowMicros, fenced ? shutOut : "");
+            note(
+                    fenced ? Entry.What.FENCED : Entry.What.RETURNED,
+                    version,
+                    acting,
+                    fenced ? nowMicros - (now - lease.until()) : nowMicros,
+                    fenced ? shutOut : "");
         }
     }
 
     private void renew(boolean leads, long now) {
         Identity leader = member.leader();
-        if (leader == null || leader.equals(waiting) || now - asked < (lease.until() - now > Lease.LENGTH / 2 ? Lease.RENEW : CONFIRM)) {
+        if (leader == null
+                || leader.equals(waiting)
+                || now - asked < (lease.until() - now > Lease.LENGTH / 2 ? Lease.RENEW : CONFIRM)) {
             return;
         }
         asked = now;
@@ -175,16 +188,24 @@
             return;
         }
         waiting = leader;
-        member.call(leader, "lease", List.of(bytes(name), bytes(Long.toString(acting)), bytes(member.objection()),
-                bytes(Long.toString(member.followersFloor()))), ANSWER, answer -> {
-            // One who leads no more may answer late; what it granted still counts from when it was asked.
-            waiting = leader.equals(waiting) ? null : waiting;
-            if (answer.code() == Messages.Code.OK) {
-                granted(new Leases.Granted(Long.parseLong(answer.text()), ""), now, leadersChanged(answer));
-            } else if (answer.code() == Messages.Code.REFUSED) {
-                granted(new Leases.Granted(0, answer.text()), now, UNTOLD);
-            }
-        });
+        member.call(
+                leader,
+                "lease",
+                List.of(
+                        bytes(name),
+                        bytes(Long.toString(acting)),
+                        bytes(member.objection()),
+                        bytes(Long.toString(member.followersFloor()))),
+                ANSWER,
+                answer -> {
+                    // One who leads no more may answer late; what it granted still counts from when it was asked.
+                    waiting = leader.equals(waiting) ? null : waiting;
+                    if (answer.code() == Messages.Code.OK) {
+                        granted(new Leases.Granted(Long.parseLong(answer.text()), ""), now, leadersChanged(answer));
+                    } else if (answer.code() == Messages.Code.REFUSED) {
+                        granted(new Leases.Granted(0, answer.text()), now, UNTOLD);
+                    }
+                });
     }
 
     /** A leader of an earlier version does not tell: then nothing can be granted to subscribers. */
@@ -209,8 +230,8 @@
     }
 
     /**
-     * The leader's answer to a request for a lease. Nothing is granted past what it could be sure of when a majority last confirmed
-     * that it leads: a later leader counts its own wait from its election, which came after that.
+     * The leader's answer to a request for a lease. Nothing is granted past what it could be sure of when a majority
+     * last confirmed that it leads: a later leader counts its own wait from its election, which came after that.
      */
     Leases.Granted grant(String pooler, long actsOn, String objection, long followersFloor) {
         long now = clock();
@@ -230,8 +251,9 @@
     }
 
     /**
-     * The leader's: who must be waited for before a change is done; null where it leads no more. A lease counts as ended only where it had
-     * when a majority last confirmed that this member leads: one that has stood still does not know what others have granted since.
+     * The leader's: who must be waited for before a change is done; null where it leads no more. A lease counts as
+     * ended only where it had when a majority last confirmed that this member leads: one that has stood still does not
+     * know what others have granted since.
      */
     List<String> waitedFor(long index, List<String> poolers) {
         return leases == null ? null : leases.waitedFor(index, poolers, confirmed);
--- a/group/src/main/java/lupinvalve/replication/AuditAnswers.java
+++ b/group/src/main/java/lupinvalve/replication/AuditAnswers.java
@@ -7,7 +7,10 @@
 import lupinvalve.audit.Course;
 import lupinvalve.audit.Entry;
 
-/** What operators are told of who acted on what when. Times are Unix times in microseconds; -1 for one that is not known. */
+/**
+ * What operators are told of who acted on what when. Times are Unix times in microseconds; -1 for one that is not
+ * known.
+ */
 final class AuditAnswers {
     private AuditAnswers() {}
 
@@ -43,12 +46,14 @@
         Course course = new Course(entries);
         return Json.object(out -> {
             out.writeNumberField("entries", entries.size());
-            out.writeNumberField("lives", entries.stream().map(Entry::life).distinct().count());
+            out.writeNumberField(
+                    "lives", entries.stream().map(Entry::life).distinct().count());
             out.writeArrayFieldStart("acted");
             for (String pooler : course.poolers()) {
                 for (Course.Acted one : course.of(pooler)) {
-                    out.writeString(one.version() + " from " + one.from() + " to " + (one.to() == Long.MAX_VALUE ? "not known"
-                            : one.to()) + " us" + (one.why().isEmpty() ? "" : ", " + one.why()));
+                    out.writeString(one.version() + " from " + one.from() + " to "
+                            + (one.to() == Long.MAX_VALUE ? "not known" : one.to()) + " us"
+                            + (one.why().isEmpty() ? "" : ", " + one.why()));
                 }
             }
             out.writeEndArray();
@@ -58,7 +63,9 @@
 
     private static long micros(String text) throws IOException {
         try {
-            return text.matches("[0-9]+") ? Long.parseLong(text) : java.time.Instant.parse(text).toEpochMilli() * 1000;
+            return text.matches("[0-9]+")
+                    ? Long.parseLong(text)
+                    : java.time.Instant.parse(text).toEpochMilli() * 1000;
         } catch (RuntimeException e) {
             throw new IOException("no time: " + text + "; a Unix time in microseconds, or 2026-01-31T12:00:00Z");
         }
@@ -83,7 +90,9 @@
 
     private static String between(Course course, long from, long to) {
         List<Course.Acted> all = new ArrayList<>();
-        course.poolers().forEach(pooler -> course.of(pooler).stream().filter(a -> a.from() < to && a.to() > from).forEach(all::add));
+        course.poolers().forEach(pooler -> course.of(pooler).stream()
+                .filter(a -> a.from() < to && a.to() > from)
+                .forEach(all::add));
         return acted(course, all);
     }
 
@@ -103,9 +112,15 @@
             }
             out.writeEndArray();
             if (!all.isEmpty()) {
-                out.writeNumberField("first_us", all.stream().mapToLong(Course.Acted::from).min().getAsLong());
+                out.writeNumberField(
+                        "first_us",
+                        all.stream().mapToLong(Course.Acted::from).min().getAsLong());
                 boolean open = all.stream().anyMatch(a -> a.to() == Long.MAX_VALUE);
-                out.writeNumberField("last_us", open ? -1 : all.stream().mapToLong(Course.Acted::to).max().getAsLong());
+                out.writeNumberField(
+                        "last_us",
+                        open
+                                ? -1
+                                : all.stream().mapToLong(Course.Acted::to).max().getAsLong());
             }
             breaks(out, course);
         });
--- a/group/src/main/java/lupinvalve/replication/AuditBook.java
+++ b/group/src/main/java/lupinvalve/replication/AuditBook.java
@@ -9,18 +9,23 @@
 import lupinvalve.log.Log;
 
 /**
- * A member's entries on its own disk, one file for each life, each entry forced before it is acted on; and what of them the
- * group has not been told yet, those of earlier lives first. On the group's thread.
+ * A member's entries on its own disk, one file for each life, each entry forced before it is acted on; and what of them
+ * the group has not been told yet, those of earlier lives first. On the group's thread.
  */
 final class AuditBook {
     static final String FILE = "audit-";
     private static final int LIVES_MOST = 8, AT_ONCE = 100;
-    /** The platform's clock is read once at the start and goes on by the monotonic one: what an hour of those may differ. */
+    /**
+     * The platform's clock is read once at the start and goes on by the monotonic one: what an hour of those may
+     * differ.
+     */
     private static final long CLOCK_ERROR = 20_000;
+
     private final Disk disk;
     private final String pooler, name;
     /** Of this life's files: behind a write that failed nothing more is appended. */
     private int part;
+
     private final Journal journal;
     private final List<Change.Noted> earlier = new ArrayList<>();
     private Disk.Out out;
@@ -30,7 +35,8 @@
         this.disk = disk;
         this.pooler = pooler;
         name = String.format("%s%020d", FILE, lifeMicros);
-        List<String> files = disk.names().stream().filter(file -> file.startsWith(FILE)).toList();
+        List<String> files =
+                disk.names().stream().filter(file -> file.startsWith(FILE)).toList();
         for (int i = 0; i < files.size(); i++) {
             if (i < files.size() - LIVES_MOST) {
                 disk.delete(files.get(i));
@@ -65,7 +71,11 @@
 
     private static Change.Noted noted(List<Entry> entries) {
         Entry first = entries.get(0);
-        return new Change.Noted(first.pooler(), first.life(), first.number(), entries.stream().map(Entry::write).toList());
+        return new Change.Noted(
+                first.pooler(),
+                first.life(),
+                first.number(),
+                entries.stream().map(Entry::write).toList());
     }
 
     /** Notes something and forces it; where that fails, it must not be acted on. */
@@ -85,8 +95,9 @@
             out = null;
             throw e;
         }
-        Log.info("store: audit: %s %s, change %s%s", what.name().toLowerCase(java.util.Locale.ROOT), version, index,
-                why.isEmpty() ? "" : ": " + why);
+        Log.info(
+                "store: audit: %s %s, change %s%s",
+                what.name().toLowerCase(java.util.Locale.ROOT), version, index, why.isEmpty() ? "" : ": " + why);
     }
 
     /** What the group is to be told next, or null. */
--- a/group/src/main/java/lupinvalve/replication/Client.java
+++ b/group/src/main/java/lupinvalve/replication/Client.java
@@ -21,8 +21,8 @@
 import lupinvalve.net.Addresses;
 
 /**
- * Asks the group, for the command line: one member after another until one can answer. What may have happened is told as
- * that, and not asked again, unless asking again can do no harm.
+ * Asks the group, for the command line: one member after another until one can answer. What may have happened is told
+ * as that, and not asked again, unless asking again can do no harm.
  */
 public final class Client {
     private static final int CONNECT_MILLIS = 2_000, PAUSE_MILLIS = 150, LENGTH_MOST = 16 << 20;
@@ -45,7 +45,8 @@
         try {
             X509Certificate own = (X509Certificate) CertificateFactory.getInstance("X.509")
                     .generateCertificate(new ByteArrayInputStream(Files.readAllBytes(files.certificate())));
-            return String.valueOf(own.getSubjectAlternativeNames().iterator().next().get(1));
+            return String.valueOf(
+                    own.getSubjectAlternativeNames().iterator().next().get(1));
         } catch (GeneralSecurityException | RuntimeException e) {
             throw new IOException("store.tls.certificate: " + files.certificate() + ": " + e.getMessage(), e);
         }
@@ -111,8 +112,8 @@
             Messages.Answer answer = session.receive();
             return new Said(answer.code(), answer.text());
         } catch (IOException | IllegalArgumentException e) {
-            String why = member + " at " + address + ": " + (e.getMessage() == null ? e.getClass().getSimpleName()
-                    : e.getMessage());
+            String why = member + " at " + address + ": "
+                    + (e.getMessage() == null ? e.getClass().getSimpleName() : e.getMessage());
             return new Said(sent ? Messages.Code.UNKNOWN : Messages.Code.AGAIN, why);
         }
     }
@@ -127,8 +128,8 @@
             plain.setSoTimeout((int) Math.min(Integer.MAX_VALUE, withinMillis));
             Socket socket = plain;
             if (tls != null) {
-                SSLSocket secure = (SSLSocket) tls.getSocketFactory().createSocket(plain, at.getHostString(), at.getPort(),
-                        true);
+                SSLSocket secure =
+                        (SSLSocket) tls.getSocketFactory().createSocket(plain, at.getHostString(), at.getPort(), true);
                 secure.setEnabledProtocols(new String[] {Tls.VERSION});
                 secure.startHandshake();
                 Tls.check(secure.getSession(), member);
@@ -176,7 +177,9 @@
         }
     }
 
-    /** A stopped member's folder, read whole: what it holds, as JSON. Throws with one line that says what is damaged. */
+    /**
+     * A stopped member's folder, read whole: what it holds, as JSON. Throws with one line that says what is damaged.
+     */
     public static String verify(java.nio.file.Path folder, boolean secrets) throws IOException {
         if (!Files.isDirectory(folder)) {
             throw new IOException(folder + ": no such folder");
@@ -192,14 +195,18 @@
                 out.writeNumberField("last_change", log.lastIndex());
                 out.writeNumberField("accepted_change", ledger.applied());
                 out.writeNumberField("revision", ledger.revision());
-                out.writeStringField("digest", ledger.document() == null ? "" : ledger.document().digest());
+                out.writeStringField(
+                        "digest",
+                        ledger.document() == null ? "" : ledger.document().digest());
                 out.writeNumberField("sessions", ledger.sessionCount());
                 out.writeNumberField("holds", ledger.holds().size());
                 out.writeNumberField("files", files.size());
                 if (ledger.document() != null) {
                     out.writeFieldName("document");
-                    out.writeRawValue(secrets ? Json.text(ledger.document().content())
-                            : Json.masked(ledger.document().content()));
+                    out.writeRawValue(
+                            secrets
+                                    ? Json.text(ledger.document().content())
+                                    : Json.masked(ledger.document().content()));
                 }
             });
         }
--- a/group/src/main/java/lupinvalve/replication/ControlPlane.java
+++ b/group/src/main/java/lupinvalve/replication/ControlPlane.java
@@ -5,7 +5,10 @@
 import lupinvalve.ledger.Change;
 import lupinvalve.ledger.Ledger;
 
-/** What a pooler has beside it that tells it the agreed configuration: a member of the group, or one that follows members. */
+/**
+ * What a pooler has beside it that tells it the agreed configuration: a member of the group, or one that follows
+ * members.
+ */
 public interface ControlPlane {
     /**
      * What was accepted as far as this process knows by itself.
--- a/group/src/main/java/lupinvalve/replication/DocumentKeeper.java
+++ b/group/src/main/java/lupinvalve/replication/DocumentKeeper.java
@@ -10,8 +10,8 @@
 import lupinvalve.subscription.FollowState;
 
 /**
- * Brings what a subscriber keeps to its disk, beside its loop: a disk that takes long must hold up neither what is acted on nor the
- * lease. Of several that wait only the last is written. Safe for all threads.
+ * Brings what a subscriber keeps to its disk, beside its loop: a disk that takes long must hold up neither what is
+ * acted on nor the lease. Of several that wait only the last is written. Safe for all threads.
  */
 final class DocumentKeeper {
     private static final int IDLE_SECONDS = 5;
@@ -31,11 +31,12 @@
 
     /** A thread that is there only while something is written. */
     static Executor thread() {
-        ThreadPoolExecutor one = new ThreadPoolExecutor(1, 1, IDLE_SECONDS, TimeUnit.SECONDS, new LinkedBlockingQueue<>(), work -> {
-            Thread thread = new Thread(null, work, "store disk", 256 << 10);
-            thread.setDaemon(true);
-            return thread;
-        });
+        ThreadPoolExecutor one =
+                new ThreadPoolExecutor(1, 1, IDLE_SECONDS, TimeUnit.SECONDS, new LinkedBlockingQueue<>(), work -> {
+                    Thread thread = new Thread(null, work, "store disk", 256 << 10);
+                    thread.setDaemon(true);
+                    return thread;
+                });
         one.allowCoreThreadTimeOut(true);
         return one;
     }
--- a/group/src/main/java/lupinvalve/replication/FolderDisk.java
+++ b/group/src/main/java/lupinvalve/replication/FolderDisk.java
@@ -14,7 +14,9 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** A folder of the system's, for one process at a time; what is in it is for its owner alone, since it holds secrets. */
+/**
+ * A folder of the system's, for one process at a time; what is in it is for its owner alone, since it holds secrets.
+ */
 public final class FolderDisk implements Disk {
     private static final String LOCK = "lock", BESIDE = ".new", NAMES = "identity|followed|(history|snapshot|audit)-.*";
     private final Path folder;
@@ -54,7 +56,9 @@
     public List<String> names() throws IOException {
         try (Stream<Path> files = Files.list(folder)) {
             return files.map(file -> file.getFileName().toString())
-                    .filter(name -> name.matches(NAMES)).sorted().toList();
+                    .filter(name -> name.matches(NAMES))
+                    .sorted()
+                    .toList();
         }
     }
 
--- a/group/src/main/java/lupinvalve/replication/Followers.java
+++ b/group/src/main/java/lupinvalve/replication/Followers.java
@@ -22,6 +22,7 @@
     static final int MOST = 1024;
     /** Those that wait are answered in slices, so that a document is not sent to all in one moment. */
     private static final int SLICE = 32;
+
     private static final long SLICE_STEP = 1_000;
 
     /** A request that waits. */
@@ -35,8 +36,11 @@
     /** @param warm what a majority has accepted, as far as is known before the start */
     Followers(Group group, Ledger warm) {
         this.group = group;
-        service = new FollowService(group.config().audit() == OperatorConfig.Audit.OFF
-                ? "store.audit is off at " + group.config().name() : "", Acting.clock());
+        service = new FollowService(
+                group.config().audit() == OperatorConfig.Audit.OFF
+                        ? "store.audit is off at " + group.config().name()
+                        : "",
+                Acting.clock());
         restored(warm);
     }
 
@@ -55,7 +59,8 @@
 
     /** A change has been applied here. */
     void applied(Ledger ledger, Change change, Ledger.Outcome outcome) {
-        boolean matters = change instanceof Change.Put || change instanceof Change.Hold || change instanceof Change.Release;
+        boolean matters =
+                change instanceof Change.Put || change instanceof Change.Hold || change instanceof Change.Release;
         if (matters && outcome.result() == Ledger.Result.DONE) {
             restored(ledger);
         }
@@ -102,7 +107,9 @@
     /** Why a subscriber does better at another member, or null. */
     private String unfit() {
         if (group.replica() == null || group.ended() != null) {
-            return group.ended() != null ? "this member takes no part any more: " + group.ended() : "the group is not founded yet";
+            return group.ended() != null
+                    ? "this member takes no part any more: " + group.ended()
+                    : "the group is not founded yet";
         }
         if (group.adoption().cutOff()) {
             return "cut off from the majority";
--- a/group/src/main/java/lupinvalve/replication/Frames.java
+++ b/group/src/main/java/lupinvalve/replication/Frames.java
@@ -12,6 +12,7 @@
 final class Frames {
     /** Of one record's content. */
     static final int MOST = 64 << 20;
+
     private static final int HEAD = 8, TAIL = 8, END = 0x4C757049;
 
     private Frames() {}
@@ -28,8 +29,13 @@
     static byte[] frame(byte[] content) {
         CRC32C crc = new CRC32C();
         crc.update(content);
-        return ByteBuffer.allocate(HEAD + content.length + TAIL).putInt(content.length).putInt(~content.length)
-                .put(content).putInt((int) crc.getValue()).putInt(END).array();
+        return ByteBuffer.allocate(HEAD + content.length + TAIL)
+                .putInt(content.length)
+                .putInt(~content.length)
+                .put(content)
+                .putInt((int) crc.getValue())
+                .putInt(END)
+                .array();
     }
 
     /**
@@ -79,7 +85,8 @@
         in.position(in.position() + length);
         int written = in.getInt();
         if (in.getInt() != END) {
-            // The mark ends in a byte that is not zero, so that one which is there in part can be told from a wrong one.
+            // The mark ends in a byte that is not zero, so that one which is there in part can be told from a wrong
+            // one.
             return zeros(file, at + HEAD + length + TAIL - 1) ? TORN : WRONG;
         }
         return written == (int) crc.getValue() ? at + HEAD + length + TAIL : WRONG;
--- a/group/src/main/java/lupinvalve/replication/Group.java
+++ b/group/src/main/java/lupinvalve/replication/Group.java
@@ -1,24 +1,18 @@
 package lupinvalve.replication;
 
-import com.fasterxml.jackson.core.JsonGenerator;
-import io.microraft.report.RaftNodeReport;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
-import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
-import java.util.Set;
 import java.util.TreeMap;
-import java.util.TreeSet;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.function.Consumer;
-import java.util.function.Function;
 import lupinvalve.config.OperatorConfig;
 import lupinvalve.core.Loop;
 import lupinvalve.ledger.Adoption;
@@ -27,7 +21,6 @@
 import lupinvalve.ledger.Founding;
 import lupinvalve.ledger.Identity;
 import lupinvalve.ledger.Ledger;
-import lupinvalve.ledger.Membership;
 import lupinvalve.ledger.Outbox;
 import lupinvalve.log.Log;
 import lupinvalve.net.Addresses;
@@ -35,11 +28,13 @@
 
 /**
  * One member of the group with all that belongs to it: disk, connections, the founding, what operators ask, and what
- * the pooler beside it is told. It runs on a thread of its own, since a force of the disk takes as long as many requests.
+ * the pooler beside it is told. It runs on a thread of its own, since a force of the disk takes as long as many
+ * requests.
  */
 public final class Group implements ControlPlane {
     /** Answers that wait for a majority at once; those beyond go out when their bound is over. */
     private static final int HELD_MOST = 10_000;
+
     private static final long TICK = 100_000;
     /** How soon a disk that failed is tried again, and how late at most. */
     private static final long REVIVE = 500_000, REVIVE_MOST = 16_000_000;
@@ -49,7 +44,9 @@
         /** Why this version can't act on a configuration, or null. */
         String objection(byte[] document);
 
-        /** Why running poolers could not act on a configuration after the one that holds (null for none yet), or null. */
+        /**
+         * Why running poolers could not act on a configuration after the one that holds (null for none yet), or null.
+         */
         default String refusal(byte[] current, byte[] next) {
             return null;
         }
@@ -97,13 +94,14 @@
     private final TakeOver takeOver;
     /** Null where the operator's file does not turn it on. */
     private final Acting acting;
+
     private final Followers followers;
     private volatile boolean leading;
 
     /** Where a member meets the world. The program's own are these; a laboratory counts what goes through others. */
     public interface Seams {
         /** The program's own: the world as it is. */
-        Seams NONE = new Seams() { };
+        Seams NONE = new Seams() {};
 
         /** The way to a folder. */
         default Disk disk(Disk folder) {
@@ -153,17 +151,25 @@
             throw new IOException("store " + config.folder() + ": " + e.getMessage(), e);
         }
         takeOver = new TakeOver(OldStore.read(config.folder()));
-        acting = config.audit() == OperatorConfig.Audit.OFF ? null
+        acting = config.audit() == OperatorConfig.Audit.OFF
+                ? null
                 : new Acting(new Acts(), config.name(), config.audit() == OperatorConfig.Audit.FENCE, disk, loop.now());
         followers = new Followers(this, warm);
         adoption = new Adoption(loop.now());
         founding = new Founding(log.word(), config.members().keySet());
-        peers = new Peers(net, loop, config.cluster(), config.name(), config.listen(), log.word(),
+        peers = new Peers(
+                net,
+                loop,
+                config.cluster(),
+                config.name(),
+                config.listen(),
+                log.word(),
                 (link, name, member) -> {
                     if (tls != null) {
                         Tls.check(link, name);
                     }
-                }, new Hearing());
+                },
+                new Hearing());
     }
 
     /** What was accepted as far as this member knows by itself; before {@link #start}. */
@@ -327,7 +333,8 @@
         }
 
         @Override
-        public void call(Identity whom, String what, List<byte[]> arguments, long withinMicros, Consumer<Messages.Answer> then) {
+        public void call(
+                Identity whom, String what, List<byte[]> arguments, long withinMicros, Consumer<Messages.Answer> then) {
             peers.call(whom, what, arguments, withinMicros, then);
         }
 
@@ -361,11 +368,14 @@
         try {
             while (!founding.own().equals(log.word())) {
                 log.keep(founding.own());
-                Log.info("store: %s %s", log.word().who(), switch (log.word().phase()) {
-                    case BOUND -> "is bound to found the group";
-                    case FOUNDED -> "has founded the group";
-                    default -> "is no member yet: it waits for `store add " + config.name() + "`";
-                });
+                Log.info(
+                        "store: %s %s",
+                        log.word().who(),
+                        switch (log.word().phase()) {
+                            case BOUND -> "is bound to found the group";
+                            case FOUNDED -> "has founded the group";
+                            default -> "is no member yet: it waits for `store add " + config.name() + "`";
+                        });
                 peers.say(log.word());
             }
         } catch (IOException e) {
@@ -441,8 +451,9 @@
                     end(Replica.DISK);
                     return;
                 }
-                Log.info("store: adopted revision %s, change %s, digest %s", document.revision(), document.index(),
-                        document.digest());
+                Log.info(
+                        "store: adopted revision %s, change %s, digest %s",
+                        document.revision(), document.index(), document.digest());
                 pooler.adopt(document);
                 if (acting != null) {
                     pooler.reached(() -> loop.post(() -> acting.acts(version, document.index(), loop.now())));
@@ -497,7 +508,9 @@
             }
         } else if (leading) {
             announce();
-            takeOver.lead(replica, document -> pooler.objection(document) == null,
+            takeOver.lead(
+                    replica,
+                    document -> pooler.objection(document) == null,
                     (session, position) -> outbox.add(session, position, loop.now()));
         }
         if (acting != null && pooler != null) {
@@ -508,8 +521,8 @@
     }
 
     /**
-     * A member whose disk failed takes part again once the disk is good, from what is really there: each file is read and
-     * forced anew before anything of it is believed. Tried ever more rarely.
+     * A member whose disk failed takes part again once the disk is good, from what is really there: each file is read
+     * and forced anew before anything of it is believed. Tried ever more rarely.
      */
     private void revive() {
         if (ended == null || !ended.equals(Replica.DISK) || loop.now() < reviveAt) {
@@ -538,7 +551,7 @@
         for (Identity who : peers.connected()) {
             String at = addresses.get(who.name());
             if (at != null && !config.members().containsKey(who.name()) && !at.equals(known.get(who.name()))) {
-                replica.propose(new Change.Place(who.name(), at), (fate, outcome) -> { });
+                replica.propose(new Change.Place(who.name(), at), (fate, outcome) -> {});
                 return;
             }
         }
@@ -595,7 +608,7 @@
     public void listing(List<Change.Listed> nodes) {
         loop.post(() -> {
             if (leading) {
-                replica.propose(new Change.Listing(loop.now(), nodes), (fate, outcome) -> { });
+                replica.propose(new Change.Listing(loop.now(), nodes), (fate, outcome) -> {});
             }
         });
     }
@@ -604,7 +617,11 @@
         if (replica.leads()) {
             replica.propose(change, (fate, outcome) -> accepted.accept(fate == Replica.Fate.DONE));
         } else {
-            peers.call(leader, "propose", List.of(Encoding.write(change)), Questions.FORWARDED,
+            peers.call(
+                    leader,
+                    "propose",
+                    List.of(Encoding.write(change)),
+                    Questions.FORWARDED,
                     answer -> accepted.accept(answer.code() == Messages.Code.OK));
         }
     }
--- a/group/src/main/java/lupinvalve/replication/Json.java
+++ b/group/src/main/java/lupinvalve/replication/Json.java
@@ -36,7 +36,8 @@
     /** An object with more fields behind its own. */
     static String with(String object, Fields more) {
         StringWriter text = new StringWriter();
-        try (JsonParser in = JSON.createParser(object); JsonGenerator out = JSON.createGenerator(text)) {
+        try (JsonParser in = JSON.createParser(object);
+                JsonGenerator out = JSON.createGenerator(text)) {
             for (JsonToken token = in.nextToken(); token != null; token = in.nextToken()) {
                 if (token == JsonToken.END_OBJECT && in.getParsingContext().inRoot()) {
                     more.to(out);
@@ -52,7 +53,8 @@
     /** A document without its secrets: what is named password, secret or key. */
     static String masked(byte[] document) throws IOException {
         StringWriter text = new StringWriter();
-        try (JsonParser in = JSON.createParser(document); JsonGenerator out = JSON.createGenerator(text)) {
+        try (JsonParser in = JSON.createParser(document);
+                JsonGenerator out = JSON.createGenerator(text)) {
             for (JsonToken token = in.nextToken(); token != null; token = in.nextToken()) {
                 String name = in.currentName() == null ? "" : in.currentName().toLowerCase(Locale.ROOT);
                 boolean secret = name.contains("password") || name.contains("secret") || name.endsWith("key");
--- a/group/src/main/java/lupinvalve/replication/KeptDocument.java
+++ b/group/src/main/java/lupinvalve/replication/KeptDocument.java
@@ -11,12 +11,14 @@
 import lupinvalve.subscription.FollowState;
 
 /**
- * A subscriber's one file: what it heard of last, for a restart before any member answers. It is replaced whole (written beside, forced,
- * renamed), and believed only where its checksum, its cluster and the document's digest are right.
+ * A subscriber's one file: what it heard of last, for a restart before any member answers. It is replaced whole
+ * (written beside, forced, renamed), and believed only where its checksum, its cluster and the document's digest are
+ * right.
  */
 final class KeptDocument {
     /** The file's name in the subscriber's folder. */
     static final String FILE = "followed";
+
     private static final int VERSION = 1;
 
     private KeptDocument() {}
@@ -27,7 +29,10 @@
         Ledger.Document document = kept.document();
         out.flag(document != null);
         if (document != null) {
-            out.number(document.revision()).number(document.index()).text(document.digest()).bytes(document.content());
+            out.number(document.revision())
+                    .number(document.index())
+                    .text(document.digest())
+                    .bytes(document.content());
         }
         disk.replace(FILE, Frames.frame(out.done()));
     }
@@ -53,7 +58,8 @@
         }
         long index = in.number();
         Map<Change.Holding, Ledger.Held> holds = FollowAnswer.holds(in);
-        Ledger.Document document = in.flag() ? new Ledger.Document(in.number(), in.number(), in.text(), in.bytes()) : null;
+        Ledger.Document document =
+                in.flag() ? new Ledger.Document(in.number(), in.number(), in.text(), in.bytes()) : null;
         if (document != null && !Ledger.digest(document.content()).equals(document.digest())) {
             throw new IOException(FILE + ": the document's digest is wrong");
         }
--- a/group/src/main/java/lupinvalve/replication/Messages.java
+++ b/group/src/main/java/lupinvalve/replication/Messages.java
@@ -12,7 +12,13 @@
 /** The store's own wire: a length, a kind, and CBOR. */
 public final class Messages implements Framer {
     /** What a message is. */
-    enum Kind { HELLO, RAFT, CALL, ANSWER, BEAT }
+    enum Kind {
+        HELLO,
+        RAFT,
+        CALL,
+        ANSWER,
+        BEAT
+    }
 
     /** How a call ended; the numbers are the wire's. */
     public enum Code {
@@ -38,7 +44,12 @@
      */
     record Hello(String cluster, String name, String address, Founding.Word word) {
         byte[] write() {
-            Cbor.Out out = new Cbor.Out().number(VERSION).text(cluster).text(name).text(address).flag(word != null);
+            Cbor.Out out = new Cbor.Out()
+                    .number(VERSION)
+                    .text(cluster)
+                    .text(name)
+                    .text(address)
+                    .flag(word != null);
             if (word != null) {
                 word.write(out);
             }
@@ -92,12 +103,17 @@
 
         static Answer read(byte[] body) throws IOException {
             Cbor.In in = new Cbor.In(body);
-            return new Answer(in.number(), Code.values()[in.count(Code.values().length - 1)], in.text(), in.bytesIfAny());
+            return new Answer(
+                    in.number(), Code.values()[in.count(Code.values().length - 1)], in.text(), in.bytesIfAny());
         }
     }
 
     static byte[] message(Kind kind, byte[] body) {
-        return ByteBuffer.allocate(5 + body.length).putInt(1 + body.length).put((byte) kind.ordinal()).put(body).array();
+        return ByteBuffer.allocate(5 + body.length)
+                .putInt(1 + body.length)
+                .put((byte) kind.ordinal())
+                .put(body)
+                .array();
     }
 
     static Kind kind(byte[] message) throws IOException {
--- a/group/src/main/java/lupinvalve/replication/Models.java
+++ b/group/src/main/java/lupinvalve/replication/Models.java
@@ -63,8 +63,11 @@
     }
 
     static RaftGroupMembersView view(Cbor.In in) throws IOException {
-        return FACTORY.createRaftGroupMembersViewBuilder().setLogIndex(in.number()).setMembers(endpoints(in))
-                .setVotingMembers(endpoints(in)).build();
+        return FACTORY.createRaftGroupMembersViewBuilder()
+                .setLogIndex(in.number())
+                .setMembers(endpoints(in))
+                .setVotingMembers(endpoints(in))
+                .build();
     }
 
     private static void operation(Cbor.Out out, Object operation) {
@@ -82,8 +85,12 @@
         if (in.count(1) == 0) {
             return in.bytes();
         }
-        return FACTORY.createUpdateRaftGroupMembersOpBuilder().setMembers(endpoints(in)).setVotingMembers(endpoints(in))
-                .setEndpoint(endpoint(in)).setMode(MembershipChangeMode.valueOf(in.text())).build();
+        return FACTORY.createUpdateRaftGroupMembersOpBuilder()
+                .setMembers(endpoints(in))
+                .setVotingMembers(endpoints(in))
+                .setEndpoint(endpoint(in))
+                .setMode(MembershipChangeMode.valueOf(in.text()))
+                .build();
     }
 
     static Cbor.Out entry(Cbor.Out out, LogEntry entry) {
@@ -92,20 +99,30 @@
     }
 
     static LogEntry entry(Cbor.In in) throws IOException {
-        return FACTORY.createLogEntryBuilder().setIndex(in.number()).setTerm((int) in.number())
-                .setOperation(operation(in)).build();
+        return FACTORY.createLogEntryBuilder()
+                .setIndex(in.number())
+                .setTerm((int) in.number())
+                .setOperation(operation(in))
+                .build();
     }
 
     static Cbor.Out chunk(Cbor.Out out, SnapshotChunk chunk) {
-        out.number(chunk.getIndex()).number(chunk.getTerm()).number(chunk.getSnapshotChunkIndex())
+        out.number(chunk.getIndex())
+                .number(chunk.getTerm())
+                .number(chunk.getSnapshotChunkIndex())
                 .number(chunk.getSnapshotChunkCount());
         return view(out, chunk.getGroupMembersView()).bytes((byte[]) chunk.getOperation());
     }
 
     static SnapshotChunk chunk(Cbor.In in) throws IOException {
-        return FACTORY.createSnapshotChunkBuilder().setIndex(in.number()).setTerm((int) in.number())
-                .setSnapshotChunkIndex(in.count(PIECES_MOST)).setSnapshotChunkCount(in.count(PIECES_MOST))
-                .setGroupMembersView(view(in)).setOperation(in.bytes()).build();
+        return FACTORY.createSnapshotChunkBuilder()
+                .setIndex(in.number())
+                .setTerm((int) in.number())
+                .setSnapshotChunkIndex(in.count(PIECES_MOST))
+                .setSnapshotChunkCount(in.count(PIECES_MOST))
+                .setGroupMembersView(view(in))
+                .setOperation(in.bytes())
+                .build();
     }
 
     // ---- messages ----
@@ -114,33 +131,52 @@
     static byte[] write(RaftMessage message) {
         Cbor.Out out = new Cbor.Out();
         if (message instanceof AppendEntriesRequest m) {
-            begin(out, 1, m).number(m.getPreviousLogTerm()).number(m.getPreviousLogIndex()).number(m.getCommitIndex())
-                    .number(m.getQuerySequenceNumber()).number(m.getFlowControlSequenceNumber())
+            begin(out, 1, m)
+                    .number(m.getPreviousLogTerm())
+                    .number(m.getPreviousLogIndex())
+                    .number(m.getCommitIndex())
+                    .number(m.getQuerySequenceNumber())
+                    .number(m.getFlowControlSequenceNumber())
                     .number(m.getLogEntries().size());
             m.getLogEntries().forEach(entry -> entry(out, entry));
         } else if (message instanceof AppendEntriesSuccessResponse m) {
-            begin(out, 2, m).number(m.getLastLogIndex()).number(m.getQuerySequenceNumber())
+            begin(out, 2, m)
+                    .number(m.getLastLogIndex())
+                    .number(m.getQuerySequenceNumber())
                     .number(m.getFlowControlSequenceNumber());
         } else if (message instanceof AppendEntriesFailureResponse m) {
-            begin(out, 3, m).number(m.getExpectedNextIndex()).number(m.getQuerySequenceNumber())
+            begin(out, 3, m)
+                    .number(m.getExpectedNextIndex())
+                    .number(m.getQuerySequenceNumber())
                     .number(m.getFlowControlSequenceNumber());
         } else if (message instanceof InstallSnapshotRequest m) {
-            begin(out, 4, m).flag(m.isSenderLeader()).number(m.getSnapshotTerm()).number(m.getSnapshotIndex())
-                    .number(m.getTotalSnapshotChunkCount()).flag(m.getSnapshotChunk() != null);
+            begin(out, 4, m)
+                    .flag(m.isSenderLeader())
+                    .number(m.getSnapshotTerm())
+                    .number(m.getSnapshotIndex())
+                    .number(m.getTotalSnapshotChunkCount())
+                    .flag(m.getSnapshotChunk() != null);
             if (m.getSnapshotChunk() != null) {
                 chunk(out, m.getSnapshotChunk());
             }
             view(endpoints(out, m.getSnapshottedMembers()), m.getGroupMembersView())
-                    .number(m.getQuerySequenceNumber()).number(m.getFlowControlSequenceNumber());
+                    .number(m.getQuerySequenceNumber())
+                    .number(m.getFlowControlSequenceNumber());
         } else if (message instanceof InstallSnapshotResponse m) {
-            begin(out, 5, m).number(m.getSnapshotIndex()).number(m.getRequestedSnapshotChunkIndex())
-                    .number(m.getQuerySequenceNumber()).number(m.getFlowControlSequenceNumber());
+            begin(out, 5, m)
+                    .number(m.getSnapshotIndex())
+                    .number(m.getRequestedSnapshotChunkIndex())
+                    .number(m.getQuerySequenceNumber())
+                    .number(m.getFlowControlSequenceNumber());
         } else if (message instanceof PreVoteRequest m) {
             begin(out, 6, m).number(m.getLastLogTerm()).number(m.getLastLogIndex());
         } else if (message instanceof PreVoteResponse m) {
             begin(out, 7, m).flag(m.isGranted());
         } else if (message instanceof VoteRequest m) {
-            begin(out, 8, m).number(m.getLastLogTerm()).number(m.getLastLogIndex()).flag(m.isSticky());
+            begin(out, 8, m)
+                    .number(m.getLastLogTerm())
+                    .number(m.getLastLogIndex())
+                    .flag(m.isSticky());
         } else if (message instanceof VoteResponse m) {
             begin(out, 9, m).flag(m.isGranted());
         } else if (message instanceof TriggerLeaderElectionRequest m) {
@@ -164,8 +200,11 @@
             case 1 -> {
                 var m = FACTORY.createAppendEntriesRequestBuilder();
                 m.setGroupId(group).setSender(sender).setTerm(term);
-                m.setPreviousLogTerm((int) in.number()).setPreviousLogIndex(in.number()).setCommitIndex(in.number())
-                        .setQuerySequenceNumber(in.number()).setFlowControlSequenceNumber(in.number());
+                m.setPreviousLogTerm((int) in.number())
+                        .setPreviousLogIndex(in.number())
+                        .setCommitIndex(in.number())
+                        .setQuerySequenceNumber(in.number())
+                        .setFlowControlSequenceNumber(in.number());
                 List<LogEntry> entries = new ArrayList<>();
                 for (int left = in.count(ENTRIES_MOST); left > 0; left--) {
                     entries.add(entry(in));
@@ -175,33 +214,48 @@
             case 2 -> {
                 var m = FACTORY.createAppendEntriesSuccessResponseBuilder();
                 m.setGroupId(group).setSender(sender).setTerm(term);
-                yield m.setLastLogIndex(in.number()).setQuerySequenceNumber(in.number())
-                        .setFlowControlSequenceNumber(in.number()).build();
+                yield m.setLastLogIndex(in.number())
+                        .setQuerySequenceNumber(in.number())
+                        .setFlowControlSequenceNumber(in.number())
+                        .build();
             }
             case 3 -> {
                 var m = FACTORY.createAppendEntriesFailureResponseBuilder();
                 m.setGroupId(group).setSender(sender).setTerm(term);
-                yield m.setExpectedNextIndex(in.number()).setQuerySequenceNumber(in.number())
-                        .setFlowControlSequenceNumber(in.number()).build();
+                yield m.setExpectedNextIndex(in.number())
+                        .setQuerySequenceNumber(in.number())
+                        .setFlowControlSequenceNumber(in.number())
+                        .build();
             }
             case 4 -> {
                 var m = FACTORY.createInstallSnapshotRequestBuilder();
                 m.setGroupId(group).setSender(sender).setTerm(term);
-                m.setSenderLeader(in.flag()).setSnapshotTerm((int) in.number()).setSnapshotIndex(in.number())
-                        .setTotalSnapshotChunkCount(in.count(PIECES_MOST)).setSnapshotChunk(in.flag() ? chunk(in) : null);
-                yield m.setSnapshottedMembers(endpoints(in)).setGroupMembersView(view(in))
-                        .setQuerySequenceNumber(in.number()).setFlowControlSequenceNumber(in.number()).build();
+                m.setSenderLeader(in.flag())
+                        .setSnapshotTerm((int) in.number())
+                        .setSnapshotIndex(in.number())
+                        .setTotalSnapshotChunkCount(in.count(PIECES_MOST))
+                        .setSnapshotChunk(in.flag() ? chunk(in) : null);
+                yield m.setSnapshottedMembers(endpoints(in))
+                        .setGroupMembersView(view(in))
+                        .setQuerySequenceNumber(in.number())
+                        .setFlowControlSequenceNumber(in.number())
+                        .build();
             }
             case 5 -> {
                 var m = FACTORY.createInstallSnapshotResponseBuilder();
                 m.setGroupId(group).setSender(sender).setTerm(term);
-                yield m.setSnapshotIndex(in.number()).setRequestedSnapshotChunkIndex((int) in.number())
-                        .setQuerySequenceNumber(in.number()).setFlowControlSequenceNumber(in.number()).build();
+                yield m.setSnapshotIndex(in.number())
+                        .setRequestedSnapshotChunkIndex((int) in.number())
+                        .setQuerySequenceNumber(in.number())
+                        .setFlowControlSequenceNumber(in.number())
+                        .build();
             }
             case 6 -> {
                 var m = FACTORY.createPreVoteRequestBuilder();
                 m.setGroupId(group).setSender(sender).setTerm(term);
-                yield m.setLastLogTerm((int) in.number()).setLastLogIndex(in.number()).build();
+                yield m.setLastLogTerm((int) in.number())
+                        .setLastLogIndex(in.number())
+                        .build();
             }
             case 7 -> {
                 var m = FACTORY.createPreVoteResponseBuilder();
@@ -211,7 +265,10 @@
             case 8 -> {
                 var m = FACTORY.createVoteRequestBuilder();
                 m.setGroupId(group).setSender(sender).setTerm(term);
-                yield m.setLastLogTerm((int) in.number()).setLastLogIndex(in.number()).setSticky(in.flag()).build();
+                yield m.setLastLogTerm((int) in.number())
+                        .setLastLogIndex(in.number())
+                        .setSticky(in.flag())
+                        .build();
             }
             case 9 -> {
                 var m = FACTORY.createVoteResponseBuilder();
@@ -221,7 +278,9 @@
             case 10 -> {
                 var m = FACTORY.createTriggerLeaderElectionRequestBuilder();
                 m.setGroupId(group).setSender(sender).setTerm(term);
-                yield m.setLastLogTerm((int) in.number()).setLastLogIndex(in.number()).build();
+                yield m.setLastLogTerm((int) in.number())
+                        .setLastLogIndex(in.number())
+                        .build();
             }
             default -> throw new IOException("a message of the unknown kind " + kind);
         };
--- a/group/src/main/java/lupinvalve/replication/OldStore.java
+++ b/group/src/main/java/lupinvalve/replication/OldStore.java
@@ -18,7 +18,10 @@
  * group that has no configuration yet; the file then has another name.
  */
 final class OldStore implements TakeOver.Left {
-    private static final String FILE = "store.jsonl", DONE = "store.jsonl.imported", END = "{\"crc\":", SESSION = "session/";
+    private static final String FILE = "store.jsonl",
+            DONE = "store.jsonl.imported",
+            END = "{\"crc\":",
+            SESSION = "session/";
     private final Path folder;
     private byte[] document;
     private boolean reported;
--- a/group/src/main/java/lupinvalve/replication/Pace.java
+++ b/group/src/main/java/lupinvalve/replication/Pace.java
@@ -9,7 +9,8 @@
 
 /**
  * The library's work on a schedule, at a pace of its own: it counts heartbeats in whole seconds, which would make a
- * fail-over take three and more, so its clock and all its waits run ten times as fast. Nothing else looks at that clock.
+ * fail-over take three and more, so its clock and all its waits run ten times as fast. Nothing else looks at that
+ * clock.
  */
 final class Pace extends Clock implements RaftNodeExecutor {
     static final int FACTOR = 10;
--- a/group/src/main/java/lupinvalve/replication/Peers.java
+++ b/group/src/main/java/lupinvalve/replication/Peers.java
@@ -20,17 +20,23 @@
 import lupinvalve.net.Net;
 
 /**
- * The connections between members, and those of operators. Each member dials all others that it knows an address of;
- * of two connections to one, either does. On the store's own thread.
+ * The connections between members, and those of operators. Each member dials all others that it knows an address of; of
+ * two connections to one, either does. On the store's own thread.
  */
 final class Peers implements Replica.Sending {
-    private static final long RETRY = 300_000, RETRY_MOST = 3_000_000, BEAT = 500_000, SILENCE = 2_500_000,
+    private static final long RETRY = 300_000,
+            RETRY_MOST = 3_000_000,
+            BEAT = 500_000,
+            SILENCE = 2_500_000,
             HELLO_WITHIN = 3_000_000;
     /** Connections taken at most: members, operators with their tools, and subscribers. */
     private static final int TAKEN_MOST = 64 + Followers.MOST;
+
     private static final int CALLS_MOST = 1000;
 
-    /** Says who a connection's peer is by its certificate, or that it needs none; throws where it is not who it says. */
+    /**
+     * Says who a connection's peer is by its certificate, or that it needs none; throws where it is not who it says.
+     */
     interface Proof {
         void check(Link link, String name, boolean member) throws IOException;
     }
@@ -60,7 +66,14 @@
     private boolean stopped;
     private long callNumber;
 
-    Peers(Net net, Loop loop, String cluster, String name, String address, Founding.Word word, Proof proof,
+    Peers(
+            Net net,
+            Loop loop,
+            String cluster,
+            String name,
+            String address,
+            Founding.Word word,
+            Proof proof,
             Heard heard) {
         this.net = net;
         this.loop = loop;
@@ -160,7 +173,11 @@
     }
 
     /** Asks another member; there is an answer within the time in any case. */
-    void call(Identity whom, String what, List<byte[]> arguments, long withinMicros,
+    void call(
+            Identity whom,
+            String what,
+            List<byte[]> arguments,
+            long withinMicros,
             java.util.function.Consumer<Messages.Answer> then) {
         List<Conn> conns = up.get(whom);
         long id = ++callNumber;
@@ -171,8 +188,10 @@
         Conn conn = conns.get(0);
         conn.calls.put(id, then);
         conn.link.write(new Messages.Call(id, what, arguments).write());
-        loop.after(withinMicros, () -> conn.answered(new Messages.Answer(id, Messages.Code.UNKNOWN,
-                "no answer from " + whom.name() + " in time")));
+        loop.after(
+                withinMicros,
+                () -> conn.answered(
+                        new Messages.Answer(id, Messages.Code.UNKNOWN, "no answer from " + whom.name() + " in time")));
     }
 
     void stop() {
@@ -273,7 +292,8 @@
                 throw new IOException(hello.name() + " is of the cluster " + hello.cluster());
             }
             boolean member = hello.word() != null;
-            if (member && !hello.word().who().name().equals(hello.name()) || hello.name().equals(name) && member) {
+            if (member && !hello.word().who().name().equals(hello.name())
+                    || hello.name().equals(name) && member) {
                 throw new IOException(hello.name() + " is not its own name, or this member's");
             }
             if (dial != null && !hello.name().equals(dial.member)) {
@@ -315,8 +335,10 @@
 
         void broken(String why) {
             if (!over) {
-                Log.warn("store: connection with %s ended: %s", who != null ? who.toString()
-                        : dial != null ? dial.member + " at " + dial.at : "a stranger", why);
+                Log.warn(
+                        "store: connection with %s ended: %s",
+                        who != null ? who.toString() : dial != null ? dial.member + " at " + dial.at : "a stranger",
+                        why);
                 link.drop();
                 over();
             }
@@ -336,8 +358,8 @@
                 Log.info("store: %s is out of reach", who);
                 heard.lost(who);
             }
-            new ArrayList<>(calls.keySet()).forEach(id -> answered(new Messages.Answer(id, Messages.Code.UNKNOWN,
-                    "the connection broke")));
+            new ArrayList<>(calls.keySet())
+                    .forEach(id -> answered(new Messages.Answer(id, Messages.Code.UNKNOWN, "the connection broke")));
             if (dial != null) {
                 dial.again();
             }
