--- a/group/src/main/java/lupinvalve/replication/Questions.java
+++ b/group/src/main/java/lupinvalve/replication/Questions.java
@@ -23,8 +23,12 @@
 
 /** What operators and other members ask of this one, and what they are told. On the group's thread. */
 final class Questions {
-    /** How long a call that another member forwarded may take, a change of members in all, and the pause between its steps. */
+    /**
+     * How long a call that another member forwarded may take, a change of members in all, and the pause between its
+     * steps.
+     */
     static final long FORWARDED = 3_000_000;
+
     private static final long STRICT_WITHIN = 6_000_000, STRICT_STEP = 20_000;
     private static final long MEMBERS_WITHIN = 20_000_000, STEP = 50_000;
     private final Group group;
@@ -47,18 +51,29 @@
             } else if (call.name().equals("status")) {
                 status(text -> answer.accept(new Messages.Answer(call.id(), Messages.Code.OK, text)));
             } else if (group.replica() == null || group.ended() != null) {
-                answer.accept(new Messages.Answer(call.id(), Messages.Code.AGAIN, group.ended() != null
-                        ? "this member takes no part any more: " + group.ended() : "the group is not founded yet: "
-                                + group.founding().wanting()));
+                answer.accept(new Messages.Answer(
+                        call.id(),
+                        Messages.Code.AGAIN,
+                        group.ended() != null
+                                ? "this member takes no part any more: " + group.ended()
+                                : "the group is not founded yet: "
+                                        + group.founding().wanting()));
             } else if (group.replica().leads()) {
                 lead(call, answer);
             } else if (group.leader() == null || call.name().startsWith(">")) {
-                answer.accept(new Messages.Answer(call.id(), Messages.Code.AGAIN, "no majority is in touch: no leader"));
+                answer.accept(
+                        new Messages.Answer(call.id(), Messages.Code.AGAIN, "no majority is in touch: no leader"));
             } else {
-                group.peers().call(group.leader(), call.name().equals("propose") ? "propose" : ">" + call.name(), call.arguments(),
-                        call.name().equals("add") || call.name().equals("remove") ? MEMBERS_WITHIN + FORWARDED
-                                : FORWARDED + STRICT_WITHIN,
-                        got -> answer.accept(new Messages.Answer(call.id(), got.code(), got.text(), got.content())));
+                group.peers()
+                        .call(
+                                group.leader(),
+                                call.name().equals("propose") ? "propose" : ">" + call.name(),
+                                call.arguments(),
+                                call.name().equals("add") || call.name().equals("remove")
+                                        ? MEMBERS_WITHIN + FORWARDED
+                                        : FORWARDED + STRICT_WITHIN,
+                                got -> answer.accept(
+                                        new Messages.Answer(call.id(), got.code(), got.text(), got.content())));
             }
         } catch (IOException | IllegalArgumentException e) {
             answer.accept(new Messages.Answer(call.id(), Messages.Code.REFUSED, String.valueOf(e.getMessage())));
@@ -68,23 +83,37 @@
     private void lead(Messages.Call call, Consumer<Messages.Answer> answer) throws IOException {
         String name = call.name().startsWith(">") ? call.name().substring(1) : call.name();
         switch (name) {
-            case "propose" -> group.replica().propose(Encoding.read(call.arguments().get(0)), told(call, answer,
-                    outcome -> "{}"));
+            case "propose" -> group.replica()
+                    .propose(Encoding.read(call.arguments().get(0)), told(call, answer, outcome -> "{}"));
             case "get" -> group.replica().upToDate(told(call, answer, ok -> document(call)));
             case "put" -> put(call, answer);
-            case "hold" -> group.replica().propose(new Change.Hold(holding(call), argument(call, 2), group.loop().now()),
-                    taken(call, strict(call, 3, answer)));
-            case "release" -> group.replica().propose(new Change.Release(holding(call)), taken(call, strict(call, 2, answer)));
+            case "hold" -> group.replica()
+                    .propose(
+                            new Change.Hold(
+                                    holding(call),
+                                    argument(call, 2),
+                                    group.loop().now()),
+                            taken(call, strict(call, 3, answer)));
+            case "release" -> group.replica()
+                    .propose(new Change.Release(holding(call)), taken(call, strict(call, 2, answer)));
             case "lease" -> lease(call, answer);
             case "audit" -> audit(call, answer);
             case "holds" -> group.replica().upToDate(told(call, answer, ok -> holds()));
             case "members" -> group.replica().report(told(call, answer, this::members));
-            case "add", "remove" -> change(new Membership.Wish(name.equals("add"), argument(call, 0)),
-                    group.loop().now() + MEMBERS_WITHIN, (code, text) -> answer.accept(new Messages.Answer(call.id(), code, text)));
-            case "snapshot" -> group.replica().snapshot(told(call, answer, report -> Json.object(out -> {
-                out.writeNumberField("snapshot_index", report.getLog().getLastSnapshotIndex());
-                out.writeNumberField("snapshot_bytes", group.log().snapshotBytes());
-            })));
+            case "add", "remove" -> change(
+                    new Membership.Wish(name.equals("add"), argument(call, 0)),
+                    group.loop().now() + MEMBERS_WITHIN,
+                    (code, text) -> answer.accept(new Messages.Answer(call.id(), code, text)));
+            case "snapshot" -> group.replica()
+                    .snapshot(told(
+                            call,
+                            answer,
+                            report -> Json.object(out -> {
+                                out.writeNumberField(
+                                        "snapshot_index", report.getLog().getLastSnapshotIndex());
+                                out.writeNumberField(
+                                        "snapshot_bytes", group.log().snapshotBytes());
+                            })));
             default -> answer.accept(new Messages.Answer(call.id(), Messages.Code.REFUSED, "no such call: " + name));
         }
     }
@@ -107,13 +136,16 @@
     }
 
     private static String words(Replica.Fate fate) {
-        return fate == Replica.Fate.ELSEWHERE ? "the leader changes or has too much to do: nothing has happened"
-                : fate == Replica.Fate.REFUSED ? "the group can't do that now" : "it may have happened: look before asking again";
+        return fate == Replica.Fate.ELSEWHERE
+                ? "the leader changes or has too much to do: nothing has happened"
+                : fate == Replica.Fate.REFUSED
+                        ? "the group can't do that now"
+                        : "it may have happened: look before asking again";
     }
 
     private <T> Replica.Then<T> told(Messages.Call call, Consumer<Messages.Answer> answer, Function<T, String> text) {
-        return (fate, result) -> answer.accept(new Messages.Answer(call.id(), code(fate),
-                fate == Replica.Fate.DONE ? text.apply(result) : words(fate)));
+        return (fate, result) -> answer.accept(new Messages.Answer(
+                call.id(), code(fate), fate == Replica.Fate.DONE ? text.apply(result) : words(fate)));
     }
 
     private Replica.Then<Ledger.Outcome> taken(Messages.Call call, Consumer<Messages.Answer> answer) {
@@ -156,12 +188,18 @@
     private void lease(Messages.Call call, Consumer<Messages.Answer> answer) throws IOException {
         // A member of an earlier version has no subscribers.
         long followersFloor = call.arguments().size() > 3 ? Long.parseLong(argument(call, 3)) : Long.MAX_VALUE;
-        Leases.Granted granted = group.acting() == null ? new Leases.Granted(0, "audit is off at the leader")
-                : group.acting().grant(argument(call, 0), Long.parseLong(argument(call, 1)), argument(call, 2), followersFloor);
-        Messages.Code code = granted.lengthMicros() > 0 ? Messages.Code.OK
+        Leases.Granted granted = group.acting() == null
+                ? new Leases.Granted(0, "audit is off at the leader")
+                : group.acting()
+                        .grant(argument(call, 0), Long.parseLong(argument(call, 1)), argument(call, 2), followersFloor);
+        Messages.Code code = granted.lengthMicros() > 0
+                ? Messages.Code.OK
                 : granted.why().isEmpty() ? Messages.Code.AGAIN : Messages.Code.REFUSED;
-        answer.accept(new Messages.Answer(call.id(), code, granted.lengthMicros() > 0 ? Long.toString(granted.lengthMicros())
-                : granted.why(), new Cbor.Out().number(group.followers().changed()).done()));
+        answer.accept(new Messages.Answer(
+                call.id(),
+                code,
+                granted.lengthMicros() > 0 ? Long.toString(granted.lengthMicros()) : granted.why(),
+                new Cbor.Out().number(group.followers().changed()).done()));
     }
 
     private void audit(Messages.Call call, Consumer<Messages.Answer> answer) throws IOException {
@@ -178,8 +216,15 @@
         }
         group.replica().upToDate((fate, ok) -> {
             try {
-                answer.accept(new Messages.Answer(call.id(), code(fate), fate != Replica.Fate.DONE ? words(fate)
-                        : AuditAnswers.answer(AuditAnswers.course(group.replica().ledger().noted().values()), question)));
+                answer.accept(new Messages.Answer(
+                        call.id(),
+                        code(fate),
+                        fate != Replica.Fate.DONE
+                                ? words(fate)
+                                : AuditAnswers.answer(
+                                        AuditAnswers.course(
+                                                group.replica().ledger().noted().values()),
+                                        question)));
             } catch (IOException e) {
                 answer.accept(new Messages.Answer(call.id(), Messages.Code.REFUSED, e.getMessage()));
             }
@@ -189,7 +234,8 @@
     private String stragglers(RaftNodeReport report) {
         return Json.object(out -> {
             out.writeArrayFieldStart("stragglers");
-            for (Map.Entry<String, String> one : group.acting().stragglers(voters(report)).entrySet()) {
+            for (Map.Entry<String, String> one :
+                    group.acting().stragglers(voters(report)).entrySet()) {
                 out.writeStartObject();
                 out.writeStringField("pooler", one.getKey());
                 out.writeStringField("why", one.getValue());
@@ -204,10 +250,11 @@
     }
 
     /**
-     * For a call that is strict, an answer that waits until each pooler acts on what was accepted or may act no more; then it tells
-     * who was waited for last.
+     * For a call that is strict, an answer that waits until each pooler acts on what was accepted or may act no more;
+     * then it tells who was waited for last.
      */
-    private Consumer<Messages.Answer> strict(Messages.Call call, int at, Consumer<Messages.Answer> answer) throws IOException {
+    private Consumer<Messages.Answer> strict(Messages.Call call, int at, Consumer<Messages.Answer> answer)
+            throws IOException {
         if (call.arguments().size() <= at || !argument(call, at).equals("strict")) {
             return answer;
         }
@@ -226,15 +273,19 @@
         };
     }
 
-    private void settle(Messages.Answer done, long index, long asked, List<String> before, Consumer<Messages.Answer> answer) {
+    private void settle(
+            Messages.Answer done, long index, long asked, List<String> before, Consumer<Messages.Answer> answer) {
         group.replica().report((fate, report) -> {
             List<String> poolers = fate != Replica.Fate.DONE ? null : voters(report);
             List<String> left = poolers == null ? null : group.acting().waitedFor(index, poolers);
             long took = group.loop().now() - asked;
             if (left == null || took > STRICT_WITHIN) {
-                answer.accept(new Messages.Answer(done.id(), Messages.Code.UNKNOWN, left == null
-                        ? "accepted, but the leader changed before all were known to act on it"
-                        : "accepted, but not known to be acted on by " + left));
+                answer.accept(new Messages.Answer(
+                        done.id(),
+                        Messages.Code.UNKNOWN,
+                        left == null
+                                ? "accepted, but the leader changed before all were known to act on it"
+                                : "accepted, but not known to be acted on by " + left));
             } else if (left.isEmpty()) {
                 answer.accept(new Messages.Answer(done.id(), Messages.Code.OK, Json.with(done.text(), out -> {
                     out.writeStringField("waited_for", String.join(", ", before));
@@ -263,7 +314,8 @@
     private String holds() {
         return Json.object(out -> {
             out.writeArrayFieldStart("holds");
-            for (Map.Entry<Change.Holding, Ledger.Held> hold : group.replica().ledger().holds().entrySet()) {
+            for (Map.Entry<Change.Holding, Ledger.Held> hold :
+                    group.replica().ledger().holds().entrySet()) {
                 out.writeStartObject();
                 out.writeStringField("kind", hold.getKey().kind() == Change.Kind.NODE ? "node" : "pooler");
                 out.writeStringField("name", hold.getKey().name());
@@ -289,8 +341,9 @@
             out.writeStartObject();
             out.writeStringField("name", one.name());
             out.writeStringField("disk", one.disk());
-            out.writeStringField("part", view.voting().contains(one) ? "votes"
-                    : view.learning().contains(one) ? "learns" : "none");
+            out.writeStringField(
+                    "part",
+                    view.voting().contains(one) ? "votes" : view.learning().contains(one) ? "learns" : "none");
             out.writeBooleanField("leads", one.equals(group.leader()));
             out.writeBooleanField("in_reach", view.inReach().contains(one));
             out.writeEndObject();
@@ -328,8 +381,11 @@
             } else if (next instanceof Membership.Step.Refused refused) {
                 then.done(Messages.Code.REFUSED, refused.why());
             } else if (group.loop().now() > until) {
-                then.done(Messages.Code.AGAIN, next instanceof Membership.Step.Wait wait ? wait.what()
-                        : "it takes longer; ask again to go on");
+                then.done(
+                        Messages.Code.AGAIN,
+                        next instanceof Membership.Step.Wait wait
+                                ? wait.what()
+                                : "it takes longer; ask again to go on");
             } else if (next instanceof Membership.Step.Wait) {
                 group.loop().after(STEP, () -> change(wish, until, then));
             } else {
@@ -348,7 +404,7 @@
 
     private void forgetPlace(Membership.Wish wish) {
         if (!wish.in() && group.replica().ledger().places().containsKey(wish.name())) {
-            group.replica().propose(new Change.Place(wish.name(), ""), (fate, outcome) -> { });
+            group.replica().propose(new Change.Place(wish.name(), ""), (fate, outcome) -> {});
         }
     }
 
@@ -367,12 +423,20 @@
         out.writeStringField("name", group.config().name());
         out.writeStringField("disk", group.log().word().who().disk());
         out.writeStringField("phase", group.log().word().phase().name().toLowerCase(java.util.Locale.ROOT));
-        out.writeStringField("leader", group.leader() == null ? "" : group.leader().name());
+        out.writeStringField(
+                "leader", group.leader() == null ? "" : group.leader().name());
         out.writeBooleanField("leads", group.leads());
         out.writeBooleanField("cut_off", group.adoption().cutOff());
-        out.writeStringField("acting", group.ended() != null ? "takes no part any more: " + group.ended() + "; " + group.adoption().acting()
-                : group.log().word().phase() == Founding.Phase.ALONE || group.log().word().phase() == Founding.Phase.BOUND
-                ? "the group is not founded yet: " + group.founding().wanting() : group.adoption().acting());
+        out.writeStringField(
+                "acting",
+                group.ended() != null
+                        ? "takes no part any more: " + group.ended() + "; "
+                                + group.adoption().acting()
+                        : group.log().word().phase() == Founding.Phase.ALONE
+                                        || group.log().word().phase() == Founding.Phase.BOUND
+                                ? "the group is not founded yet: "
+                                        + group.founding().wanting()
+                                : group.adoption().acting());
         out.writeNumberField("revision", running == null ? 0 : running.revision());
         out.writeStringField("digest", running == null ? "" : running.digest());
         out.writeNumberField("adopted_change", running == null ? 0 : running.index());
--- a/group/src/main/java/lupinvalve/replication/RecordBatch.java
+++ b/group/src/main/java/lupinvalve/replication/RecordBatch.java
@@ -9,6 +9,7 @@
 final class RecordBatch {
     /** A buffer that has grown beyond this is not kept. */
     private static final int BUFFER_MOST = 1 << 20;
+
     private ByteArrayOutputStream pending = new ByteArrayOutputStream();
     private int records;
 
--- a/group/src/main/java/lupinvalve/replication/Replica.java
+++ b/group/src/main/java/lupinvalve/replication/Replica.java
@@ -46,12 +46,13 @@
 final class Replica {
     /** The group's name for the library; who is connected is of one cluster. */
     static final Object GROUP = "ledger";
+
     private static final int ENTRIES_AT_ONCE = 512, PENDING_MOST = 20_000;
     /** A bound on the library's own table only: history is cut by its bytes. */
     private static final int CHANGES_MOST = 100_000;
     /**
-     * In the library's time, which runs faster by {@link Pace#FACTOR}. A vote takes a force of the disk and two ways, some 10 ms
-     * where 99 in 100 are met; votes that were split are asked for again after 15 times that.
+     * In the library's time, which runs faster by {@link Pace#FACTOR}. A vote takes a force of the disk and two ways,
+     * some 10 ms where 99 in 100 are met; votes that were split are asked for again after 15 times that.
      */
     private static final int HEARTBEAT_SECONDS = 1, SILENCE_SECONDS = 6, ELECTION_MILLIS = 1500;
 
@@ -105,7 +106,12 @@
     private long keptBytes;
 
     /** @param founders of the group */
-    Replica(Schedule schedule, SegmentedLog log, Set<Identity> founders, Sending sending, Random random,
+    Replica(
+            Schedule schedule,
+            SegmentedLog log,
+            Set<Identity> founders,
+            Sending sending,
+            Random random,
             Watcher watcher) {
         this.schedule = schedule;
         this.log = log;
@@ -113,13 +119,24 @@
         this.watcher = watcher;
         self = log.word().who();
         pace = new Pace(schedule);
-        RaftNode.RaftNodeBuilder builder = RaftNode.newBuilder().setGroupId(GROUP)
-                .setConfig(RaftConfig.newBuilder().setLeaderHeartbeatPeriodSecs(HEARTBEAT_SECONDS)
-                        .setLeaderHeartbeatTimeoutSecs(SILENCE_SECONDS).setLeaderElectionTimeoutMillis(ELECTION_MILLIS)
-                        .setAppendEntriesRequestBatchSize(ENTRIES_AT_ONCE).setMaxPendingLogEntryCount(PENDING_MOST)
-                        .setCommitCountToTakeSnapshot(CHANGES_MOST).setRaftNodeReportPublishPeriodSecs(60).build())
-                .setTransport(new Carrier()).setStateMachine(new Machine()).setExecutor(pace).setStore(log)
-                .setModelFactory(Models.FACTORY).setRandom(random).setClock(pace);
+        RaftNode.RaftNodeBuilder builder = RaftNode.newBuilder()
+                .setGroupId(GROUP)
+                .setConfig(RaftConfig.newBuilder()
+                        .setLeaderHeartbeatPeriodSecs(HEARTBEAT_SECONDS)
+                        .setLeaderHeartbeatTimeoutSecs(SILENCE_SECONDS)
+                        .setLeaderElectionTimeoutMillis(ELECTION_MILLIS)
+                        .setAppendEntriesRequestBatchSize(ENTRIES_AT_ONCE)
+                        .setMaxPendingLogEntryCount(PENDING_MOST)
+                        .setCommitCountToTakeSnapshot(CHANGES_MOST)
+                        .setRaftNodeReportPublishPeriodSecs(60)
+                        .build())
+                .setTransport(new Carrier())
+                .setStateMachine(new Machine())
+                .setExecutor(pace)
+                .setStore(log)
+                .setModelFactory(Models.FACTORY)
+                .setRandom(random)
+                .setClock(pace);
         RestoredRaftState restored = log.restored();
         if (restored != null) {
             builder.setRestoredState(restored);
@@ -225,7 +242,8 @@
         @Override
         public void installSnapshot(long index, List<Object> pieces) {
             try {
-                Encoding.restore(ledger, pieces.stream().map(piece -> (byte[]) piece).toList());
+                Encoding.restore(
+                        ledger, pieces.stream().map(piece -> (byte[]) piece).toList());
                 log.accepted(index);
             } catch (IOException e) {
                 Log.error("store: the snapshot at %s can't be read: %s", index, e.getMessage());
@@ -265,13 +283,16 @@
 
     private static Fate fate(Throwable failure) {
         Throwable cause = failure instanceof java.util.concurrent.CompletionException ? failure.getCause() : failure;
-        if (cause instanceof NotLeaderException || cause instanceof CannotReplicateException
+        if (cause instanceof NotLeaderException
+                || cause instanceof CannotReplicateException
                 || cause instanceof LaggingCommitIndexException) {
             return Fate.ELSEWHERE;
         }
-        return cause instanceof IllegalArgumentException || cause instanceof IllegalStateException
-                && !(cause instanceof IndeterminateStateException)
-                || cause instanceof MismatchingRaftGroupMembersCommitIndexException ? Fate.REFUSED : Fate.UNKNOWN;
+        return cause instanceof IllegalArgumentException
+                        || cause instanceof IllegalStateException && !(cause instanceof IndeterminateStateException)
+                        || cause instanceof MismatchingRaftGroupMembersCommitIndexException
+                ? Fate.REFUSED
+                : Fate.UNKNOWN;
     }
 
     private <T> void answer(Supplier<CompletableFuture<Ordered<T>>> asked, Then<T> then) {
@@ -279,20 +300,21 @@
             then.done(Fate.ELSEWHERE, null);
             return;
         }
-        asked.get().whenComplete((ordered, failure) -> schedule.post(() -> {
-            if (failure != null) {
-                Fate fate = fate(failure);
-                if (fate == Fate.REFUSED) {
-                    Log.info("store: %s", failure.getMessage());
-                }
-                then.done(fate, null);
-            } else if (log.hasFailed()) {
-                // A majority may hold it all the same, but this disk does not, and answers for nothing.
-                then.done(Fate.UNKNOWN, null);
-            } else {
-                then.done(Fate.DONE, ordered.getResult());
-            }
-        }));
+        asked.get()
+                .whenComplete((ordered, failure) -> schedule.post(() -> {
+                    if (failure != null) {
+                        Fate fate = fate(failure);
+                        if (fate == Fate.REFUSED) {
+                            Log.info("store: %s", failure.getMessage());
+                        }
+                        then.done(fate, null);
+                    } else if (log.hasFailed()) {
+                        // A majority may hold it all the same, but this disk does not, and answers for nothing.
+                        then.done(Fate.UNKNOWN, null);
+                    } else {
+                        then.done(Fate.DONE, ordered.getResult());
+                    }
+                }));
     }
 
     void propose(Change change, Then<Ledger.Outcome> then) {
@@ -315,15 +337,23 @@
     /** The group as this member sees it as its leader; whether it is must be asked apart. */
     static Membership.View view(RaftNodeReport report, Set<Identity> strangers, Set<Identity> inReach) {
         Set<Identity> voting = Endpoint.identities(report.getCommittedMembers().getVotingMembers());
-        Set<Identity> learning = Endpoint.identities(report.getCommittedMembers().getMembers());
+        Set<Identity> learning =
+                Endpoint.identities(report.getCommittedMembers().getMembers());
         learning.removeAll(voting);
         Identity self = Endpoint.of(report.getEndpoint());
         Set<Identity> reached = new TreeSet<>(inReach);
         reached.add(self);
         Map<Identity, Long> matching = new HashMap<>();
         report.getLog().getFollowerMatchIndices().forEach((one, index) -> matching.put(Endpoint.of(one), index));
-        return new Membership.View(self, voting, learning, strangers, reached, matching,
-                report.getLog().getLastLogOrSnapshotIndex(), report.getCommittedMembers().getLogIndex());
+        return new Membership.View(
+                self,
+                voting,
+                learning,
+                strangers,
+                reached,
+                matching,
+                report.getLog().getLastLogOrSnapshotIndex(),
+                report.getCommittedMembers().getLogIndex());
     }
 
     /** Takes a step that membership decided on. */
@@ -340,7 +370,9 @@
     }
 
     private void change(Identity who, MembershipChangeMode mode, RaftNodeReport report, Then<Object> then) {
-        answer(() -> node.changeMembership(new Endpoint(who), mode, report.getCommittedMembers().getLogIndex()),
+        answer(
+                () -> node.changeMembership(
+                        new Endpoint(who), mode, report.getCommittedMembers().getLogIndex()),
                 (fate, members) -> then.done(fate, members));
     }
 
--- a/group/src/main/java/lupinvalve/replication/SegmentHead.java
+++ b/group/src/main/java/lupinvalve/replication/SegmentHead.java
@@ -9,8 +9,8 @@
 import lupinvalve.ledger.Cbor;
 
 /**
- * What each segment begins with, so that older ones can go whole: the member itself, the group's first members, term and
- * vote, and up to which index changes are known to be accepted.
+ * What each segment begins with, so that older ones can go whole: the member itself, the group's first members, term
+ * and vote, and up to which index changes are known to be accepted.
  */
 final class SegmentHead {
     RaftEndpointPersistentState self;
@@ -35,8 +35,11 @@
     }
 
     private static RaftTermPersistentState termAndVote(int number, List<RaftEndpoint> voted) {
-        return Models.FACTORY.createRaftTermPersistentStateBuilder().setTerm(number)
-                .setVotedFor(voted.isEmpty() ? null : voted.get(0)).build();
+        return Models.FACTORY
+                .createRaftTermPersistentStateBuilder()
+                .setTerm(number)
+                .setVotedFor(voted.isEmpty() ? null : voted.get(0))
+                .build();
     }
 
     /** Writes the term and the vote as a record. */
@@ -47,13 +50,17 @@
 
     /** Reads who the member itself is. */
     static RaftEndpointPersistentState readSelf(Cbor.In in) throws IOException {
-        return Models.FACTORY.createRaftEndpointPersistentStateBuilder()
-                .setLocalEndpoint(Models.endpoints(in).get(0)).setVoting(in.flag()).build();
+        return Models.FACTORY
+                .createRaftEndpointPersistentStateBuilder()
+                .setLocalEndpoint(Models.endpoints(in).get(0))
+                .setVoting(in.flag())
+                .build();
     }
 
     /** Writes who the member itself is, as a record. */
     void writeSelf(Cbor.Out out) {
-        Models.endpoints(out.number(RecordKind.SELF), List.of(self.getLocalEndpoint())).flag(self.isVoting());
+        Models.endpoints(out.number(RecordKind.SELF), List.of(self.getLocalEndpoint()))
+                .flag(self.isVoting());
     }
 
     /** Writes the group's first members as a record. */
--- a/group/src/main/java/lupinvalve/replication/SegmentedLog.java
+++ b/group/src/main/java/lupinvalve/replication/SegmentedLog.java
@@ -25,12 +25,14 @@
  * A member's memory on disk: the history in segments, snapshots in files of their own, and whose folder it is. Changes
  * gather until a flush, which writes them as one record with one force: that is the group commit.
  *
- * <p>Each segment begins with what older ones said of term, vote and members, so that they can go whole. After the first
- * fault of the disk nothing is written any more and each call fails: what a disk that has failed once holds is not known.
+ * <p>Each segment begins with what older ones said of term, vote and members, so that they can go whole. After the
+ * first fault of the disk nothing is written any more and each call fails: what a disk that has failed once holds is
+ * not known.
  */
 final class SegmentedLog implements RaftStore {
     /** What the names of segments begin with; their number follows. */
     static final String SEGMENT = "history-";
+
     private static final int SEGMENT_MOST = 1 << 20;
 
     private final Disk disk;
@@ -45,13 +47,15 @@
     private long number;
     /** The highest index of an entry in the segment that is being written, and that segment's size. */
     private long highest;
+
     private long size;
     /** Bytes of all segments that are there. */
     private long historyBytes;
     /** Whether the head's accepted index is due to be written. */
     private boolean committedUnsaid;
+
     private IOException failure;
-    private Runnable onFailure = () -> { };
+    private Runnable onFailure = () -> {};
 
     /** A segment that is not written to any more: the highest index of an entry in it, and its size. */
     private record ClosedSegment(long highest, long bytes) {}
@@ -94,8 +98,8 @@
     }
 
     /**
-     * Opens a folder again after its disk has failed. What a force that failed left in the system's memory may not be on the
-     * disk and yet be read, so each file is put there anew first.
+     * Opens a folder again after its disk has failed. What a force that failed left in the system's memory may not be
+     * on the disk and yet be read, so each file is put there anew first.
      */
     static SegmentedLog reopen(Disk disk, String cluster, String name) throws IOException {
         for (String file : disk.names()) {
@@ -135,7 +139,8 @@
     }
 
     private void load(List<String> names, boolean mends) throws IOException {
-        List<String> segments = names.stream().filter(name -> name.startsWith(SEGMENT)).toList();
+        List<String> segments =
+                names.stream().filter(name -> name.startsWith(SEGMENT)).toList();
         for (int i = 0; i < segments.size(); i++) {
             loadSegment(segments.get(i), i == segments.size() - 1, mends);
         }
--- a/group/src/main/java/lupinvalve/replication/SnapshotFiles.java
+++ b/group/src/main/java/lupinvalve/replication/SnapshotFiles.java
@@ -15,13 +15,16 @@
 final class SnapshotFiles {
     /** What the files' names begin with; the index of a snapshot follows. */
     static final String KIND = "snapshot-";
+
     private final Disk disk;
     /** The files' sizes by index. */
     private final TreeMap<Long, Long> sizes = new TreeMap<>();
+
     private Disk.Out out;
     private long index;
     /** Which pieces of the snapshot that is being written are there, and whether those are all. */
     private final Set<Integer> pieces = new TreeSet<>();
+
     private boolean whole;
     private boolean unforced;
 
@@ -38,7 +41,8 @@
      * @param mends whether files of older snapshots are deleted
      */
     Found load(List<String> names, boolean mends) throws IOException {
-        List<String> files = new ArrayList<>(names.stream().filter(name -> name.startsWith(KIND)).toList());
+        List<String> files = new ArrayList<>(
+                names.stream().filter(name -> name.startsWith(KIND)).toList());
         Collections.reverse(files);
         SnapshotEntry newest = null;
         IOException fault = null;
@@ -76,8 +80,12 @@
             return null;
         }
         SnapshotChunk any = chunks.firstEntry().getValue();
-        return Models.FACTORY.createSnapshotEntryBuilder().setIndex(any.getIndex()).setTerm(any.getTerm())
-                .setSnapshotChunks(new ArrayList<>(chunks.values())).setGroupMembersView(any.getGroupMembersView())
+        return Models.FACTORY
+                .createSnapshotEntryBuilder()
+                .setIndex(any.getIndex())
+                .setTerm(any.getTerm())
+                .setSnapshotChunks(new ArrayList<>(chunks.values()))
+                .setGroupMembersView(any.getGroupMembersView())
                 .build();
     }
 
--- a/group/src/main/java/lupinvalve/replication/StoredHistory.java
+++ b/group/src/main/java/lupinvalve/replication/StoredHistory.java
@@ -59,8 +59,10 @@
         long base = snapshotIndex();
         long first = entries.isEmpty() ? Long.MAX_VALUE : entries.firstKey();
         if (first != Long.MAX_VALUE && first > base + 1) {
-            throw found.fault() != null ? found.fault() : new Frames.Damaged(SegmentedLog.SEGMENT + "*: changes "
-                    + (base + 1) + " to " + (first - 1) + " are missing");
+            throw found.fault() != null
+                    ? found.fault()
+                    : new Frames.Damaged(
+                            SegmentedLog.SEGMENT + "*: changes " + (base + 1) + " to " + (first - 1) + " are missing");
         } else if (found.fault() != null && entries.isEmpty()) {
             throw found.fault();
         }
@@ -72,8 +74,8 @@
         if (head.self == null || head.founders == null) {
             return null;
         }
-        return new RestoredRaftState(head.self, head.founders, head.termOrNone(), snapshot,
-                new ArrayList<>(entries.values()));
+        return new RestoredRaftState(
+                head.self, head.founders, head.termOrNone(), snapshot, new ArrayList<>(entries.values()));
     }
 
     /** The pieces of the snapshot that was found. */
--- a/group/src/main/java/lupinvalve/replication/Subscriber.java
+++ b/group/src/main/java/lupinvalve/replication/Subscriber.java
@@ -22,8 +22,8 @@
 import lupinvalve.subscription.FollowState;
 
 /**
- * Follows the group's configuration and holds from one member at a time, without being a member. Hundreds of them may share one loop
- * and one {@link Net} in a process; the daemon's has its own.
+ * Follows the group's configuration and holds from one member at a time, without being a member. Hundreds of them may
+ * share one loop and one {@link Net} in a process; the daemon's has its own.
  */
 public final class Subscriber implements ControlPlane {
     private static final long TICK = 1_000_000;
@@ -41,6 +41,7 @@
     private final boolean own;
     /** What its lines in the log begin with: its name too where there are many. */
     private final String of;
+
     private final FollowState.Kept kept;
     private final FollowState state;
     private final FollowSchedule schedule;
@@ -51,6 +52,7 @@
     private FollowLink link;
     /** To the first member, tried beside the one that is followed. */
     private FollowLink candidate;
+
     private boolean stopped, fenced;
     private long idleSince;
     private Deadlines.Deadline leaseEnd;
@@ -58,9 +60,19 @@
     private volatile Ledger.Document acting;
     private volatile long calls, wholes, differences, moves, acted;
 
-    /** The daemon's: with a thread and connections of its own. Throws with one line that says what is wrong with the folder. */
+    /**
+     * The daemon's: with a thread and connections of its own. Throws with one line that says what is wrong with the
+     * folder.
+     */
     public Subscriber(OperatorConfig.Store config) throws IOException {
-        this(config, new Loop("store"), null, new FolderDisk(config.folder(), true), DocumentKeeper.thread(), System.nanoTime(), true);
+        this(
+                config,
+                new Loop("store"),
+                null,
+                new FolderDisk(config.folder(), true),
+                DocumentKeeper.thread(),
+                System.nanoTime(),
+                true);
     }
 
     /**
@@ -75,7 +87,8 @@
         this(config, loop, net, disk, Runnable::run, seed, false);
     }
 
-    private Subscriber(OperatorConfig.Store config, Loop loop, Net net, Disk disk, Executor writes, long seed, boolean own)
+    private Subscriber(
+            OperatorConfig.Store config, Loop loop, Net net, Disk disk, Executor writes, long seed, boolean own)
             throws IOException {
         this.config = config;
         this.loop = loop;
@@ -97,7 +110,8 @@
     }
 
     private static void unsecured(OperatorConfig.Store config) throws IOException {
-        for (String address : config.tls() != null ? List.<String>of() : config.members().values()) {
+        for (String address :
+                config.tls() != null ? List.<String>of() : config.members().values()) {
             InetAddress host = Addresses.parse(address).getAddress();
             if (host == null || !host.isLoopbackAddress()) {
                 throw new IOException("store.tls is missing: " + address + " is not on loopback");
@@ -172,8 +186,15 @@
     };
 
     private FollowLink to(String member) {
-        FollowLink next = new FollowLink(loop, new FollowLink.Way(config.cluster(), config.name(), member,
-                config.members().get(member), tls != null), hearing);
+        FollowLink next = new FollowLink(
+                loop,
+                new FollowLink.Way(
+                        config.cluster(),
+                        config.name(),
+                        member,
+                        config.members().get(member),
+                        tls != null),
+                hearing);
         next.dial(net, schedule.greetingWithin());
         return next;
     }
@@ -215,7 +236,8 @@
             Log.warn("%s: %s", of, line);
         }
         if (greeted && !link.asks() && Acting.clock() - idleSince > IDLE_MOST) {
-            // The pooler takes long to act on what it was told: the member hears that this one is there, and what it acts on.
+            // The pooler takes long to act on what it was told: the member hears that this one is there, and what it
+            // acts on.
             ask();
         }
         if (greeted && candidate == null && schedule.homeDue(Acting.clock())) {
@@ -257,7 +279,9 @@
     private void heard(FollowAnswer answer, long asked) {
         idleSince = Acting.clock();
         wholes += answer.news() instanceof FollowAnswer.News.Whole ? 1 : 0;
-        differences += answer.news() instanceof FollowAnswer.News.Differences all ? all.steps().size() : 0;
+        differences += answer.news() instanceof FollowAnswer.News.Differences all
+                ? all.steps().size()
+                : 0;
         FollowState.Heard news = state.heard(answer, asked, Acting.clock(), pooler::objection);
         look();
         if (!news.wrong().isEmpty()) {
@@ -289,7 +313,8 @@
 
     /** Whether the member that answered will do. */
     private void judge(FollowAnswer answer) {
-        boolean wanted = config.audit() != OperatorConfig.Audit.OFF && state.adoption().unreadable().isEmpty();
+        boolean wanted = config.audit() != OperatorConfig.Audit.OFF
+                && state.adoption().unreadable().isEmpty();
         if (answer.leaseMicros() > 0 && answer.leaseMicros() < FollowSchedule.MOVE_BELOW) {
             move(link.member() + ": it is losing its own lease");
         } else if (wanted && answer.leaseMicros() == 0 && schedule.denied(Acting.clock())) {
@@ -310,15 +335,18 @@
         long left = state.until() - Acting.clock();
         if (fenced == left > 0) {
             fenced = left <= 0;
-            Log.info("%s: %s", of, fenced ? "fenced" + (state.shutOut().isEmpty() ? "" : ": " + state.shutOut())
-                    : "returned");
+            Log.info(
+                    "%s: %s",
+                    of, fenced ? "fenced" + (state.shutOut().isEmpty() ? "" : ": " + state.shutOut()) : "returned");
         }
         loop.drop(leaseEnd);
         leaseEnd = left > 0 ? loop.after(left, this::look) : null;
     }
 
     private void adopt(Ledger.Document document) {
-        Log.info("%s: adopted revision %s, change %s, digest %s", of, document.revision(), document.index(), document.digest());
+        Log.info(
+                "%s: adopted revision %s, change %s, digest %s",
+                of, document.revision(), document.index(), document.digest());
         pooler.adopt(document);
         pooler.reached(() -> acting = document);
     }
--- a/group/src/main/java/lupinvalve/replication/TakeOver.java
+++ b/group/src/main/java/lupinvalve/replication/TakeOver.java
@@ -27,8 +27,8 @@
     }
 
     /**
-     * Called while this member leads: proposes what was left where the group has no configuration yet. Where it has one, that
-     * one stays, and what was left is done with.
+     * Called while this member leads: proposes what was left where the group has no configuration yet. Where it has
+     * one, that one stays, and what was left is done with.
      *
      * @param fits whether a document can be a configuration
      */
@@ -43,7 +43,8 @@
             left = what.done() ? null : what;
             return;
         }
-        replica.propose(new Change.Put(0, what.document()),
+        replica.propose(
+                new Change.Put(0, what.document()),
                 (fate, outcome) -> left = fate == Replica.Fate.DONE && what.done() ? null : what);
     }
 }
--- a/group/src/main/java/lupinvalve/replication/Tls.java
+++ b/group/src/main/java/lupinvalve/replication/Tls.java
@@ -108,7 +108,8 @@
     }
 
     private static PrivateKey key(Path file) throws IOException, GeneralSecurityException {
-        PKCS8EncodedKeySpec spec = new PKCS8EncodedKeySpec(blocks(file, "PRIVATE KEY").get(0));
+        PKCS8EncodedKeySpec spec =
+                new PKCS8EncodedKeySpec(blocks(file, "PRIVATE KEY").get(0));
         try {
             return KeyFactory.getInstance("EC").generatePrivate(spec);
         } catch (GeneralSecurityException e) {
@@ -126,10 +127,12 @@
 
     static void check(SSLSession session, String name) throws IOException {
         try {
-            Collection<List<?>> names = ((X509Certificate) session.getPeerCertificates()[0])
-                    .getSubjectAlternativeNames();
-            if (names == null || names.stream().noneMatch(one -> one.get(0).equals(DNS_NAME)
-                    && one.get(1).equals(name))) {
+            Collection<List<?>> names =
+                    ((X509Certificate) session.getPeerCertificates()[0]).getSubjectAlternativeNames();
+            if (names == null
+                    || names.stream()
+                            .noneMatch(one ->
+                                    one.get(0).equals(DNS_NAME) && one.get(1).equals(name))) {
                 throw new IOException("its certificate is not for " + name);
             }
         } catch (GeneralSecurityException | SSLPeerUnverifiedException e) {
--- a/group/src/main/java/lupinvalve/replication/Tokens.java
+++ b/group/src/main/java/lupinvalve/replication/Tokens.java
@@ -7,8 +7,8 @@
 import lupinvalve.ledger.Sessions;
 
 /**
- * Sessions' last commits on the core thread: this pooler's own at once, all others' once a majority holds them. A booking's
- * answer may wait for that, within a bound: its session then reads its own writes at any pooler.
+ * Sessions' last commits on the core thread: this pooler's own at once, all others' once a majority holds them. A
+ * booking's answer may wait for that, within a bound: its session then reads its own writes at any pooler.
  */
 public final class Tokens implements Marks {
     private final Loop loop;
--- a/lab/src/main/java/lupinvalve/lab/AuditDrillCommand.java
+++ b/lab/src/main/java/lupinvalve/lab/AuditDrillCommand.java
@@ -8,8 +8,8 @@
 import org.kohsuke.args4j.Option;
 
 /**
- * Real daemons whose right to act has an end, strict calls throughout, and faults that part them from the group. Exit code 1 where
- * anything was decided under what a strict call had replaced, or the audit says what was not so.
+ * Real daemons whose right to act has an end, strict calls throughout, and faults that part them from the group. Exit
+ * code 1 where anything was decided under what a strict call had replaced, or the audit says what was not so.
  */
 public final class AuditDrillCommand extends DrillOptions {
     private static final int SHOWN = 20;
--- a/lab/src/main/java/lupinvalve/lab/Disk.java
+++ b/lab/src/main/java/lupinvalve/lab/Disk.java
@@ -30,7 +30,8 @@
         if (seconds < 1 || batch < 1 || batch > 100_000) {
             throw new IllegalArgumentException("--seconds from 1, --batch from 1 to 100000");
         }
-        Path file = folder == null ? Files.createTempFile("lab-disk", ".log")
+        Path file = folder == null
+                ? Files.createTempFile("lab-disk", ".log")
                 : Files.createTempFile(folder, "lab-disk", ".log");
         Histogram forces = new Histogram(TimeUnit.SECONDS.toNanos(60), 3);
         ByteBuffer records = ByteBuffer.allocateDirect(120 * batch);
@@ -50,9 +51,14 @@
         }
         double took = (System.nanoTime() - start) / 1e9;
         double rate = forces.getTotalCount() * (double) batch / took;
-        out.printf(json ? "{\"batch\":%d,\"records_per_s\":%.0f,\"force_p50_ms\":%.3f,\"force_p99_ms\":%.3f}%n"
-                : "batches of %d: %.0f records a second, a batch takes %.3f ms (p50), %.3f ms (p99)%n", batch, rate,
-                forces.getValueAtPercentile(50) / 1e6, forces.getValueAtPercentile(99) / 1e6);
+        out.printf(
+                json
+                        ? "{\"batch\":%d,\"records_per_s\":%.0f,\"force_p50_ms\":%.3f,\"force_p99_ms\":%.3f}%n"
+                        : "batches of %d: %.0f records a second, a batch takes %.3f ms (p50), %.3f ms (p99)%n",
+                batch,
+                rate,
+                forces.getValueAtPercentile(50) / 1e6,
+                forces.getValueAtPercentile(99) / 1e6);
         return 0;
     }
 }
--- a/lab/src/main/java/lupinvalve/lab/Faults.java
+++ b/lab/src/main/java/lupinvalve/lab/Faults.java
@@ -11,7 +11,9 @@
 import lupinvalve.replication.Sweep;
 import org.kohsuke.args4j.Option;
 
-/** Faults at numbered points of a group in virtual time, each in turn. Exit code 1 where anything was broken or hung. */
+/**
+ * Faults at numbered points of a group in virtual time, each in turn. Exit code 1 where anything was broken or hung.
+ */
 public final class Faults implements Lab.Command {
     private static final int SHOWN = 10;
 
@@ -33,15 +35,18 @@
     @Option(name = "--trace", usage = "with --at: each message, with the number of the point before it")
     private boolean trace;
 
-    @Option(name = "--planted", metaVar = "NAME", usage = "what members do wrong: ack-before-force, vote-not-forced, "
-            + "rename-without-force")
+    @Option(
+            name = "--planted",
+            metaVar = "NAME",
+            usage = "what members do wrong: ack-before-force, vote-not-forced, " + "rename-without-force")
     private String planted = "none";
 
     @Option(name = "--json", usage = "only the last line")
     private boolean json;
 
     private List<Scenario> chosen() {
-        List<Scenario> all = Arrays.stream(Scenario.values()).filter(s -> name.equals("all") || s.title().equals(name))
+        List<Scenario> all = Arrays.stream(Scenario.values())
+                .filter(s -> name.equals("all") || s.title().equals(name))
                 .toList();
         if (all.isEmpty()) {
             throw new IllegalArgumentException("--scenario " + name + ": none of that name; --list has them");
@@ -53,7 +58,8 @@
         try {
             return Sweep.Planted.valueOf(planted.toUpperCase(Locale.ROOT).replace('-', '_'));
         } catch (IllegalArgumentException e) {
-            throw new IllegalArgumentException("--planted " + planted + ": none of " + Arrays.toString(Sweep.Planted.values()));
+            throw new IllegalArgumentException(
+                    "--planted " + planted + ": none of " + Arrays.toString(Sweep.Planted.values()));
         }
     }
 
@@ -65,7 +71,8 @@
         }
         try {
             if (list) {
-                chosen().forEach(s -> out.println(s.title() + " " + Sweep.course(s, seed).size()));
+                chosen().forEach(s ->
+                        out.println(s.title() + " " + Sweep.course(s, seed).size()));
                 return 0;
             }
             return at != null ? again(out) : sweep(out);
@@ -79,7 +86,7 @@
         for (String one : at.split(",")) {
             faults.add(Points.At.of(one));
         }
-        Sweep.Play play = Sweep.play(chosen().get(0), seed, fault(), faults, trace ? out::println : line -> { });
+        Sweep.Play play = Sweep.play(chosen().get(0), seed, fault(), faults, trace ? out::println : line -> {});
         out.println(told(play, 0));
         return play.good() ? 0 : 1;
     }
@@ -95,16 +102,32 @@
             Sweep.Result result = Sweep.run(scenario, seed, fault(), pairs);
             points += result.points();
             runs += result.runs();
-            violations += (int) result.bad().stream().filter(p -> !p.broken().isEmpty()).count();
+            violations += (int)
+                    result.bad().stream().filter(p -> !p.broken().isEmpty()).count();
             hung += (int) result.bad().stream().filter(Sweep.Play::hung).count();
             if (!json) {
-                out.printf(Locale.ROOT, "%s: %d points, %d runs, %d bad, %.1f s%n", scenario.title(), result.points(),
-                        result.runs(), result.bad().size(), (System.nanoTime() - begun) / 1e9);
+                out.printf(
+                        Locale.ROOT,
+                        "%s: %d points, %d runs, %d bad, %.1f s%n",
+                        scenario.title(),
+                        result.points(),
+                        result.runs(),
+                        result.bad().size(),
+                        (System.nanoTime() - begun) / 1e9);
                 result.bad().stream().limit(SHOWN).forEach(play -> out.println("  " + told(play, result.points())));
             }
         }
-        out.printf(Locale.ROOT, "{\"scenarios\":%d,\"points\":%d,\"runs\":%d,\"violations\":%d,\"hung\":%d,\"seed\":%d,"
-                + "\"planted\":\"%s\"}%n", scenarios.size(), points, runs, violations, hung, seed, planted);
+        out.printf(
+                Locale.ROOT,
+                "{\"scenarios\":%d,\"points\":%d,\"runs\":%d,\"violations\":%d,\"hung\":%d,\"seed\":%d,"
+                        + "\"planted\":\"%s\"}%n",
+                scenarios.size(),
+                points,
+                runs,
+                violations,
+                hung,
+                seed,
+                planted);
         return violations + hung == 0 ? 0 : 1;
     }
 
@@ -113,10 +136,13 @@
         StringBuilder kinds = new StringBuilder();
         play.at().forEach(one -> {
             faults.append(faults.isEmpty() ? "" : ",").append(one);
-            kinds.append(' ').append(one.point() <= play.met().size() ? play.met().get(one.point() - 1) : "not met");
+            kinds.append(' ')
+                    .append(one.point() <= play.met().size() ? play.met().get(one.point() - 1) : "not met");
         });
-        return faults + (of > 0 ? " of " + of : "") + " at" + kinds + ": " + (play.good() ? "kept" : play.hung() ? "hung" : "broken")
+        return faults + (of > 0 ? " of " + of : "") + " at" + kinds + ": "
+                + (play.good() ? "kept" : play.hung() ? "hung" : "broken")
                 + (play.broken().isEmpty() ? "" : " " + play.broken().get(0)) + " (again: lab faults --scenario "
-                + play.scenario().title() + " --seed " + play.seed() + " --planted " + planted + " --at " + faults + ")";
+                + play.scenario().title() + " --seed " + play.seed() + " --planted " + planted + " --at " + faults
+                + ")";
     }
 }
--- a/lab/src/main/java/lupinvalve/lab/FleetSoakCommand.java
+++ b/lab/src/main/java/lupinvalve/lab/FleetSoakCommand.java
@@ -7,7 +7,10 @@
 import lupinvalve.rig.FleetResult;
 import org.kohsuke.args4j.Option;
 
-/** Strikes whole fleets, one seed after another: killed together, ended together, configured together. Exit code 1 where any was bad. */
+/**
+ * Strikes whole fleets, one seed after another: killed together, ended together, configured together. Exit code 1 where
+ * any was bad.
+ */
 public final class FleetSoakCommand extends DrillOptions {
     private static final int SHOWN = 12;
 
@@ -45,7 +48,8 @@
     }
 
     private FleetResult one(long number, PrintStream log) throws Exception {
-        FleetDrill drill = new FleetDrill(new FleetDrill.Setting(poolers, groups, config, number, clients, sockets, cores, log));
+        FleetDrill drill =
+                new FleetDrill(new FleetDrill.Setting(poolers, groups, config, number, clients, sockets, cores, log));
         boolean good = false;
         try {
             drill.start();
--- a/lab/src/main/java/lupinvalve/lab/Lab.java
+++ b/lab/src/main/java/lupinvalve/lab/Lab.java
@@ -25,7 +25,12 @@
         }
     }
 
-    @Argument(required = true, metaVar = "COMMAND", usage = "disk, faults, process-points, process-drill, soak, fleet-soak, audit-drill, store-drill, store-bench, store-cost, scale or capacity", handler = SubCommandHandler.class)
+    @Argument(
+            required = true,
+            metaVar = "COMMAND",
+            usage =
+                    "disk, faults, process-points, process-drill, soak, fleet-soak, audit-drill, store-drill, store-bench, store-cost, scale or capacity",
+            handler = SubCommandHandler.class)
     @SubCommands({
         @SubCommand(name = "disk", impl = Disk.class),
         @SubCommand(name = "faults", impl = Faults.class),
@@ -58,21 +63,28 @@
                 return 2;
             }
             err.println("usage: lab disk [--folder FOLDER] [--seconds N] [--batch N] [--json]");
-            err.println("       lab faults [--list] [--scenario NAME] [--seed N] [--pairs N] [--at POINT:FAULT] [--planted NAME] [--json]");
+            err.println(
+                    "       lab faults [--list] [--scenario NAME] [--seed N] [--pairs N] [--at POINT:FAULT] [--planted NAME] [--json]");
             err.println("       lab process-points [--plays N] [--seed N] [--at POINT:FAULT] [--json]");
-            err.println("       lab process-drill [--poolers N] [--groups N] [--seconds N] [--seed N] [--mix NAME] [--scenario FILE] "
-                    + "[--timeline FILE] [--keep] [--json]");
-            err.println("       lab soak [--seeds N] [--seed N] [--poolers N] [--groups N] [--seconds N] [--clients N] [--sockets N] [--cores N] "
-                    + "[--keep] [--json]");
-            err.println("       lab fleet-soak [--seeds N] [--seed N] [--poolers N] [--groups N] [--clients N] [--sockets N] [--cores N] "
-                    + "[--keep] [--json]");
-            err.println("       lab audit-drill [--poolers N] [--seconds N] [--seed N] [--at-lease-end fence|serve] [--keep] [--json]");
-            err.println("       lab store-drill [--members N] [--seconds N] [--seed N] [--lying-disks] [--only-leader-kills] [--json]");
+            err.println(
+                    "       lab process-drill [--poolers N] [--groups N] [--seconds N] [--seed N] [--mix NAME] [--scenario FILE] "
+                            + "[--timeline FILE] [--keep] [--json]");
+            err.println(
+                    "       lab soak [--seeds N] [--seed N] [--poolers N] [--groups N] [--seconds N] [--clients N] [--sockets N] [--cores N] "
+                            + "[--keep] [--json]");
+            err.println(
+                    "       lab fleet-soak [--seeds N] [--seed N] [--poolers N] [--groups N] [--clients N] [--sockets N] [--cores N] "
+                            + "[--keep] [--json]");
+            err.println(
+                    "       lab audit-drill [--poolers N] [--seconds N] [--seed N] [--at-lease-end fence|serve] [--keep] [--json]");
+            err.println(
+                    "       lab store-drill [--members N] [--seconds N] [--seed N] [--lying-disks] [--only-leader-kills] [--json]");
             err.println("       lab store-bench [--seconds N] [--changes N] [--outstanding N]");
             err.println("       lab store-cost [--requests N]");
-            err.println("       lab scale [--poolers N] [--databases N] [--daemons N] [--seconds N] [--seed N] [--design NAME] [--load NAME] "
-                    + "[--change-factor X] [--restart-factor X] [--region-delay-ms N] [--slopes FILE [--sizes N,N] [--documents N,N] "
-                    + "[--trial WHAT]] [--keep] [--json]");
+            err.println(
+                    "       lab scale [--poolers N] [--databases N] [--daemons N] [--seconds N] [--seed N] [--design NAME] [--load NAME] "
+                            + "[--change-factor X] [--restart-factor X] [--region-delay-ms N] [--slopes FILE [--sizes N,N] [--documents N,N] "
+                            + "[--trial WHAT]] [--keep] [--json]");
             err.println("       lab capacity [--slopes FILE] [--page FILE] [--places FILE] [--check]");
             return 2;
         }
--- a/lab/src/main/java/lupinvalve/lab/ProcessDrill.java
+++ b/lab/src/main/java/lupinvalve/lab/ProcessDrill.java
@@ -10,8 +10,8 @@
 import org.kohsuke.args4j.Option;
 
 /**
- * Real daemons before stand-in db nodes, with a proxy on every pair and faults from a scenario file or a seed. Exit code 1
- * where a request had no final answer, a write ran twice, or members went apart.
+ * Real daemons before stand-in db nodes, with a proxy on every pair and faults from a scenario file or a seed. Exit
+ * code 1 where a request had no final answer, a write ran twice, or members went apart.
  */
 public final class ProcessDrill extends DrillOptions {
     private static final int SHOWN = 20;
@@ -34,7 +34,10 @@
     @Option(name = "--lying-disks", usage = "a double: killed poolers lose the end of what their disks said was forced")
     private boolean lying;
 
-    @Option(name = "--late-lists", metaVar = "MS", usage = "a double: all that discovery writes to p1 comes so many ms late")
+    @Option(
+            name = "--late-lists",
+            metaVar = "MS",
+            usage = "a double: all that discovery writes to p1 comes so many ms late")
     private long lateLists;
 
     private Scenario chosen() throws java.io.IOException {
@@ -42,11 +45,12 @@
             return Scenario.read(scenario.toString(), Files.readString(scenario));
         }
         try {
-            Scenario.Mix drawn = Scenario.Mix.valueOf(mix.toUpperCase(Locale.ROOT).replace('-', '_'));
+            Scenario.Mix drawn =
+                    Scenario.Mix.valueOf(mix.toUpperCase(Locale.ROOT).replace('-', '_'));
             return Scenario.draw(drawn, poolers, groups, seconds * 1000L, seed);
         } catch (IllegalArgumentException e) {
-            throw new IllegalArgumentException("--mix " + mix + ", --poolers " + poolers + ", --groups " + groups + ": "
-                    + e.getMessage(), e);
+            throw new IllegalArgumentException(
+                    "--mix " + mix + ", --poolers " + poolers + ", --groups " + groups + ": " + e.getMessage(), e);
         }
     }
 
@@ -68,10 +72,17 @@
      *
      * @param leaderKillsMillis how long nothing but leaders are killed, in place of the scenario's steps; 0 for those
      */
-    static int run(PrintStream out, DrillOptions told, Scenario scenario, Doubles doubles, long leaderKillsMillis, Path timeline)
+    static int run(
+            PrintStream out,
+            DrillOptions told,
+            Scenario scenario,
+            Doubles doubles,
+            long leaderKillsMillis,
+            Path timeline)
             throws Exception {
         PrintStream log = told.log(out);
-        Drill drill = new Drill(new Drill.Setting(scenario, told.config, told.seed, doubles.lyingDisks(), log, java.util.List.of(), 0, "off"));
+        Drill drill = new Drill(new Drill.Setting(
+                scenario, told.config, told.seed, doubles.lyingDisks(), log, java.util.List.of(), 0, "off"));
         if (told.debug) {
             drill.debug();
         }
--- a/lab/src/main/java/lupinvalve/lab/ProcessPoints.java
+++ b/lab/src/main/java/lupinvalve/lab/ProcessPoints.java
@@ -15,7 +15,9 @@
 import lupinvalve.rig.PointPlay;
 import org.kohsuke.args4j.Option;
 
-/** Faults at numbered points of real processes, each in turn or drawn by seed. Exit code 1 where anything was broken. */
+/**
+ * Faults at numbered points of real processes, each in turn or drawn by seed. Exit code 1 where anything was broken.
+ */
 public final class ProcessPoints implements Lab.Command {
     @Option(name = "--plays", usage = "how many of all points and faults are drawn; 0 for each in turn")
     private int plays = 48;
@@ -61,17 +63,27 @@
                 met += played.met() != null ? 1 : 0;
                 bad += played.good() ? 0 : 1;
                 if (!json) {
-                    out.println(played.at() + " of " + points + ": " + (played.met() == null ? "not met, "
-                            : played.met().replaceFirst("^.* point ", "point ") + ", ")
-                            + (played.good() ? "kept" : played.findings() + " (again: lab process-points --seed " + seed
-                            + " --at " + played.at() + ")"));
+                    out.println(played.at() + " of " + points + ": "
+                            + (played.met() == null
+                                    ? "not met, "
+                                    : played.met().replaceFirst("^.* point ", "point ") + ", ")
+                            + (played.good()
+                                    ? "kept"
+                                    : played.findings() + " (again: lab process-points --seed " + seed + " --at "
+                                            + played.at() + ")"));
                 }
             }
         } finally {
             pool.shutdown();
         }
-        out.printf(Locale.ROOT, "{\"points\":%d,\"runs\":%d,\"met\":%d,\"violations\":%d,\"seed\":%d}%n", points, chosen.size(),
-                met, bad, seed);
+        out.printf(
+                Locale.ROOT,
+                "{\"points\":%d,\"runs\":%d,\"met\":%d,\"violations\":%d,\"seed\":%d}%n",
+                points,
+                chosen.size(),
+                met,
+                bad,
+                seed);
         return bad == 0 ? 0 : 1;
     }
 }
--- a/lab/src/main/java/lupinvalve/lab/SoakCommand.java
+++ b/lab/src/main/java/lupinvalve/lab/SoakCommand.java
@@ -14,14 +14,26 @@
 import org.kohsuke.args4j.Option;
 
 /**
- * Drills one seed after another, each with signals in series and kills as early as the platform may send them, stepped clocks, calls
- * that fail, crowds, drains and overloaded discovery, while clients go on using their connections. Exit code 1 where any was bad.
+ * Drills one seed after another, each with signals in series and kills as early as the platform may send them, stepped
+ * clocks, calls that fail, crowds, drains and overloaded discovery, while clients go on using their connections. Exit
+ * code 1 where any was bad.
  */
 public final class SoakCommand extends DrillOptions {
     private static final Pattern FIGURE = Pattern.compile("\"(\\w+)\":(\\d+)[,}]");
-    private static final List<String> SUMS = List.of("requests", "lost", "doubled", "stale", "unanswered", "ended_in_order", "reset",
+    private static final List<String> SUMS = List.of(
+            "requests",
+            "lost",
+            "doubled",
+            "stale",
+            "unanswered",
+            "ended_in_order",
+            "reset",
             "late_after_drain",
-            "late_after_departure", "cold_overrun", "not_ready_10s", "divergent", "unclean");
+            "late_after_departure",
+            "cold_overrun",
+            "not_ready_10s",
+            "divergent",
+            "unclean");
     private static final int SHOWN = 5;
 
     @Option(name = "--seeds", usage = "how many, from --seed on")
@@ -33,7 +45,9 @@
     @Option(name = "--clients", usage = "of each pooler that ask several things at once, rest and read slowly")
     private int clients = 40;
 
-    @Option(name = "--sockets", usage = "what each pooler is told of its descriptors: so few that room is made of resting connections")
+    @Option(
+            name = "--sockets",
+            usage = "what each pooler is told of its descriptors: so few that room is made of resting connections")
     private int sockets = 96;
 
     @Option(name = "--cores", usage = "to how many cores all poolers are held, so that they contend; 0 for all")
--- a/lab/src/main/java/lupinvalve/lab/StoreBench.java
+++ b/lab/src/main/java/lupinvalve/lab/StoreBench.java
@@ -26,7 +26,10 @@
 import org.HdrHistogram.Histogram;
 import org.kohsuke.args4j.Option;
 
-/** Three members in one process over loopback and real files: how many small changes they take, and how fast a restart is. */
+/**
+ * Three members in one process over loopback and real files: how many small changes they take, and how fast a restart
+ * is.
+ */
 public final class StoreBench implements Lab.Command {
     private static final int SESSIONS = 50_000, CONNECTIONS = 4;
 
@@ -88,7 +91,8 @@
             List<Thread> senders = new ArrayList<>();
             for (int i = 0; i < CONNECTIONS; i++) {
                 int number = i;
-                Thread sender = new Thread(() -> send(leader, number, start, done, turnedDown, latencies), "sender " + i);
+                Thread sender =
+                        new Thread(() -> send(leader, number, start, done, turnedDown, latencies), "sender " + i);
                 sender.start();
                 senders.add(sender);
             }
@@ -97,7 +101,8 @@
             }
             double took = (System.nanoTime() - start) / 1e9;
             System.gc();
-            long heap = Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
+            long heap =
+                    Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
             groups.forEach(Group::stop);
             groups.clear();
             long disk = 0;
@@ -110,10 +115,17 @@
             Group again = new Group(config(leader));
             groups.add(again);
             double restart = (System.nanoTime() - opened) / 1e6;
-            out.printf("{\"changes\":%d,\"changes_per_s\":%.0f,\"turned_down\":%d,\"p50_ms\":%.1f,\"p99_ms\":%.1f,"
-                    + "\"sessions\":%d,\"heap_mb_of_three_members\":%.1f,\"disk_kb\":%d,\"restart_ms\":%.0f}%n", done.get(),
-                    done.get() / took, turnedDown.get(), latencies.getValueAtPercentile(50) / 1000.0,
-                    latencies.getValueAtPercentile(99) / 1000.0, again.warm().sessionCount(), heap / 1048576.0, disk / 1024,
+            out.printf(
+                    "{\"changes\":%d,\"changes_per_s\":%.0f,\"turned_down\":%d,\"p50_ms\":%.1f,\"p99_ms\":%.1f,"
+                            + "\"sessions\":%d,\"heap_mb_of_three_members\":%.1f,\"disk_kb\":%d,\"restart_ms\":%.0f}%n",
+                    done.get(),
+                    done.get() / took,
+                    turnedDown.get(),
+                    latencies.getValueAtPercentile(50) / 1000.0,
+                    latencies.getValueAtPercentile(99) / 1000.0,
+                    again.warm().sessionCount(),
+                    heap / 1048576.0,
+                    disk / 1024,
                     restart);
             return 0;
         } finally {
@@ -135,27 +147,30 @@
         throw new IOException("no leader in 30 s");
     }
 
-    private void send(String leader, int number, long start, AtomicLong done, AtomicLong turnedDown, Histogram latencies) {
+    private void send(
+            String leader, int number, long start, AtomicLong done, AtomicLong turnedDown, Histogram latencies) {
         Semaphore room = new Semaphore(outstanding);
         Map<Long, Long> sentAt = new ConcurrentHashMap<>();
         try (Client.Session session = new Client("bench", places, null).open(leader, places.get(leader), 20_000)) {
-            Thread receiver = new Thread(() -> {
-                try {
-                    while (true) {
-                        Messages.Answer answer = session.receive();
-                        Long sent = sentAt.remove(answer.id());
-                        if (answer.code() == Messages.Code.OK) {
-                            done.incrementAndGet();
-                            latencies.recordValue((System.nanoTime() - sent) / 1000);
-                        } else {
-                            turnedDown.incrementAndGet();
+            Thread receiver = new Thread(
+                    () -> {
+                        try {
+                            while (true) {
+                                Messages.Answer answer = session.receive();
+                                Long sent = sentAt.remove(answer.id());
+                                if (answer.code() == Messages.Code.OK) {
+                                    done.incrementAndGet();
+                                    latencies.recordValue((System.nanoTime() - sent) / 1000);
+                                } else {
+                                    turnedDown.incrementAndGet();
+                                }
+                                room.release();
+                            }
+                        } catch (IOException e) {
+                            // The sender has closed the connection.
                         }
-                        room.release();
-                    }
-                } catch (IOException e) {
-                    // The sender has closed the connection.
-                }
-            }, "receiver");
+                    },
+                    "receiver");
             receiver.setDaemon(true);
             receiver.start();
             long end = start + TimeUnit.SECONDS.toNanos(seconds);
--- a/lab/src/main/java/lupinvalve/lab/StoreCost.java
+++ b/lab/src/main/java/lupinvalve/lab/StoreCost.java
@@ -23,7 +23,9 @@
 import org.HdrHistogram.Histogram;
 import org.kohsuke.args4j.Option;
 
-/** What the store costs requests: the same ones by turns to a pooler without it and to one that leads a group of three. */
+/**
+ * What the store costs requests: the same ones by turns to a pooler without it and to one that leads a group of three.
+ */
 public final class StoreCost implements Lab.Command {
     @Option(name = "--requests", usage = "to each of the two")
     private int requests = 20_000;
@@ -74,8 +76,19 @@
     }
 
     private Daemon daemon(NodeConfig from, StandIns standIns, OperatorConfig.Store store) throws Exception {
-        Daemon daemon = new Daemon(new NodeConfig(from.name(), "127.0.0.1:0", standIns.discovery(), from.seed(), from.cores(),
-                from.memoryMb(), from.sockets(), from.known(), from.site(), null), new OperatorConfig(0, null, store, null));
+        Daemon daemon = new Daemon(
+                new NodeConfig(
+                        from.name(),
+                        "127.0.0.1:0",
+                        standIns.discovery(),
+                        from.seed(),
+                        from.cores(),
+                        from.memoryMb(),
+                        from.sockets(),
+                        from.known(),
+                        from.site(),
+                        null),
+                new OperatorConfig(0, null, store, null));
         daemon.start();
         return daemon;
     }
@@ -90,8 +103,11 @@
         try (StandIns standIns = new StandIns()) {
             daemons.add(daemon(from, standIns, null));
             for (String name : places.keySet()) {
-                daemons.add(daemon(from, standIns, new OperatorConfig.Store("cost", name, folder.resolve(name),
-                        places.get(name), places, null, 0)));
+                daemons.add(daemon(
+                        from,
+                        standIns,
+                        new OperatorConfig.Store(
+                                "cost", name, folder.resolve(name), places.get(name), places, null, 0)));
             }
             Thread.sleep(3000);
             List<Routing.RequestClass> classes = from.site().settings().classes();
@@ -105,10 +121,16 @@
                     without.ask();
                     with.ask();
                 }
-                out.printf("{\"requests\":%d,\"off_p50_us\":%d,\"off_p99_us\":%d,\"on_p50_us\":%d,\"on_p99_us\":%d,"
-                        + "\"off_served\":%d,\"on_served\":%d}%n", requests, without.latencies.getValueAtPercentile(50),
-                        without.latencies.getValueAtPercentile(99), with.latencies.getValueAtPercentile(50),
-                        with.latencies.getValueAtPercentile(99), without.script.served(), with.script.served());
+                out.printf(
+                        "{\"requests\":%d,\"off_p50_us\":%d,\"off_p99_us\":%d,\"on_p50_us\":%d,\"on_p99_us\":%d,"
+                                + "\"off_served\":%d,\"on_served\":%d}%n",
+                        requests,
+                        without.latencies.getValueAtPercentile(50),
+                        without.latencies.getValueAtPercentile(99),
+                        with.latencies.getValueAtPercentile(50),
+                        with.latencies.getValueAtPercentile(99),
+                        without.script.served(),
+                        with.script.served());
             }
             return 0;
         } finally {
--- a/lab/src/main/java/lupinvalve/lab/StoreDrill.java
+++ b/lab/src/main/java/lupinvalve/lab/StoreDrill.java
@@ -18,6 +18,7 @@
     @Override
     public int run(PrintStream out) throws Exception {
         Scenario scenario = Scenario.draw(Scenario.Mix.STORE, count, 0, seconds * 1000L, seed);
-        return ProcessDrill.run(out, this, scenario, new ProcessDrill.Doubles(lying, 0), leaderKills ? seconds * 1000L : 0, null);
+        return ProcessDrill.run(
+                out, this, scenario, new ProcessDrill.Doubles(lying, 0), leaderKills ? seconds * 1000L : 0, null);
     }
 }
--- a/lab/src/test/java/lupinvalve/lab/KnownRedTest.java
+++ b/lab/src/test/java/lupinvalve/lab/KnownRedTest.java
@@ -14,22 +14,31 @@
 /** Only the tests that KNOWN-RED.txt lists may fail, and they must: tried on planted reports. */
 class KnownRedTest {
     private static final String RED = "a.BadTest#fails; the cause; issue 1\n";
+
     @TempDir
     private Path root;
 
     @BeforeEach
     void plant() throws IOException {
         Path reports = Files.createDirectories(root.resolve("one/target/surefire-reports"));
-        Files.writeString(reports.resolve("TEST-a.GoodTest.xml"), "<testsuite><testcase name=\"holds\" classname=\"a.GoodTest\"/>"
-                + "<testcase name=\"some(int)[1]\" classname=\"a.GoodTest\"/></testsuite>");
-        Files.writeString(reports.resolve("TEST-a.BadTest.xml"), "<testsuite><testcase name=\"fails(int)[1]\" classname=\"a.BadTest\"/>"
-                + "<testcase name=\"fails(int)[2]\" classname=\"a.BadTest\"><failure message=\"no\">at</failure></testcase></testsuite>");
+        Files.writeString(
+                reports.resolve("TEST-a.GoodTest.xml"),
+                "<testsuite><testcase name=\"holds\" classname=\"a.GoodTest\"/>"
+                        + "<testcase name=\"some(int)[1]\" classname=\"a.GoodTest\"/></testsuite>");
+        Files.writeString(
+                reports.resolve("TEST-a.BadTest.xml"),
+                "<testsuite><testcase name=\"fails(int)[1]\" classname=\"a.BadTest\"/>"
+                        + "<testcase name=\"fails(int)[2]\" classname=\"a.BadTest\"><failure message=\"no\">at</failure></testcase></testsuite>");
     }
 
     private String told(int exit) throws IOException, InterruptedException {
-        Process run = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                Path.of(".ci/KnownRed.java").toAbsolutePath().toString(), ".").directory(root.toFile())
-                .redirectErrorStream(true).start();
+        Process run = new ProcessBuilder(
+                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                        Path.of(".ci/KnownRed.java").toAbsolutePath().toString(),
+                        ".")
+                .directory(root.toFile())
+                .redirectErrorStream(true)
+                .start();
         String out = new String(run.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         assertEquals(exit, run.waitFor(), out);
         return out;
--- a/lab/src/test/java/lupinvalve/lab/LabTest.java
+++ b/lab/src/test/java/lupinvalve/lab/LabTest.java
@@ -17,8 +17,12 @@
     @Test
     void theDiskIsMeasuredAndNothingIsLeft() throws Exception {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        assertEquals(0, Lab.run(new String[] {"disk", "--folder", folder.toString(), "--seconds", "1", "--json"},
-                new PrintStream(out), System.err));
+        assertEquals(
+                0,
+                Lab.run(
+                        new String[] {"disk", "--folder", folder.toString(), "--seconds", "1", "--json"},
+                        new PrintStream(out),
+                        System.err));
         assertTrue(out.toString().matches("\\{\"batch\":1,\"records_per_s\":\\d+,.*}\\R"), out.toString());
         try (var left = Files.list(folder)) {
             assertEquals(0, left.count());
--- a/ledger/src/main/java/lupinvalve/ledger/Adoption.java
+++ b/ledger/src/main/java/lupinvalve/ledger/Adoption.java
@@ -1,15 +1,19 @@
 package lupinvalve.ledger;
 
 /**
- * Decides what a pooler acts on: the last configuration that a majority accepted and that this version can read. Cut off
- * from the majority it goes on with that, and says so; it takes up nothing newer until it is in touch again.
+ * Decides what a pooler acts on: the last configuration that a majority accepted and that this version can read. Cut
+ * off from the majority it goes on with that, and says so; it takes up nothing newer until it is in touch again.
  */
 public final class Adoption {
     /** Elections take less: a shorter gap is no cut. */
     static final long GRACE = 3_000_000;
 
     /** What is to be done about a configuration. */
-    public enum Verdict { ADOPT, KNOWN, UNREADABLE }
+    public enum Verdict {
+        ADOPT,
+        KNOWN,
+        UNREADABLE
+    }
 
     private Ledger.Document running;
     private String unreadable;
@@ -66,7 +70,8 @@
 
     /** What is acted on, in words. */
     public String acting() {
-        String on = running == null ? "no configuration was accepted yet; what needs one is not served"
+        String on = running == null
+                ? "no configuration was accepted yet; what needs one is not served"
                 : "serving with revision " + running.revision() + " (" + running.digest() + ")";
         return unreadable == null ? on : on + "; " + unreadable;
     }
--- a/ledger/src/main/java/lupinvalve/ledger/Change.java
+++ b/ledger/src/main/java/lupinvalve/ledger/Change.java
@@ -8,7 +8,10 @@
 /** One step of the agreed history. What time it was is in the change: members must come to the same state. */
 public sealed interface Change {
     /** Whom operators may hold back. */
-    enum Kind { NODE, POOLER }
+    enum Kind {
+        NODE,
+        POOLER
+    }
 
     /** A db node or a pooler that operators told to drain. */
     record Holding(Kind kind, String name) implements Comparable<Holding> {
--- a/ledger/src/main/java/lupinvalve/ledger/Compaction.java
+++ b/ledger/src/main/java/lupinvalve/ledger/Compaction.java
@@ -9,7 +9,8 @@
 
     /**
      * @param historyBytes of changes on disk
-     * @param keptBytes of them that the last cut left, for members that are behind: another cut would leave them as well
+     * @param keptBytes of them that the last cut left, for members that are behind: another cut would leave them as
+     *     well
      * @param stateBytes of the last snapshot
      */
     public static boolean due(long historyBytes, long keptBytes, long stateBytes) {
--- a/ledger/src/main/java/lupinvalve/ledger/Encoding.java
+++ b/ledger/src/main/java/lupinvalve/ledger/Encoding.java
@@ -12,7 +12,9 @@
 public final class Encoding {
     /** Sessions to a piece of a snapshot, so that pieces stay well under what the wire takes at once. */
     private static final int PIECE = 4000;
-    /** The second has what poolers noted; it is written only where there is any, so that older programs read the rest. */
+    /**
+     * The second has what poolers noted; it is written only where there is any, so that older programs read the rest.
+     */
     private static final int FORMAT = 1, WITH_NOTES = 2;
 
     private Encoding() {}
@@ -35,7 +37,11 @@
         } else if (change instanceof Change.Place place) {
             out.number(6).text(place.member()).text(place.address());
         } else if (change instanceof Change.Noted noted) {
-            out.number(7).text(noted.pooler()).number(noted.life()).number(noted.first()).number(noted.entries().size());
+            out.number(7)
+                    .text(noted.pooler())
+                    .number(noted.life())
+                    .number(noted.first())
+                    .number(noted.entries().size());
             noted.entries().forEach(out::bytes);
         } else {
             out.number(0);
@@ -46,17 +52,18 @@
     public static Change read(byte[] bytes) throws IOException {
         Cbor.In in = new Cbor.In(bytes);
         int kind = in.count(100);
-        Change change = switch (kind) {
-            case 0 -> new Change.Nothing();
-            case 1 -> new Change.Put(in.number(), in.bytes());
-            case 2 -> new Change.Hold(holding(in), in.text(), in.number());
-            case 3 -> new Change.Release(holding(in));
-            case 4 -> new Change.Commits(in.number(), positions(in));
-            case 5 -> listing(in);
-            case 6 -> new Change.Place(in.text(), in.text());
-            case 7 -> new Change.Noted(in.text(), in.number(), in.number(), entries(in));
-            default -> throw new IOException("a change of the unknown kind " + kind);
-        };
+        Change change =
+                switch (kind) {
+                    case 0 -> new Change.Nothing();
+                    case 1 -> new Change.Put(in.number(), in.bytes());
+                    case 2 -> new Change.Hold(holding(in), in.text(), in.number());
+                    case 3 -> new Change.Release(holding(in));
+                    case 4 -> new Change.Commits(in.number(), positions(in));
+                    case 5 -> listing(in);
+                    case 6 -> new Change.Place(in.text(), in.text());
+                    case 7 -> new Change.Noted(in.text(), in.number(), in.number(), entries(in));
+                    default -> throw new IOException("a change of the unknown kind " + kind);
+                };
         if (!in.ended()) {
             throw new IOException("more than a change");
         }
@@ -92,10 +99,16 @@
         out.number(listing.revision()).number(listing.nodes().size());
         for (Change.Listed listed : listing.nodes()) {
             Routing.Member m = listed.member();
-            out.text(m.node()).number(m.group()).number(m.zone()).number(m.health().ordinal())
-                    .flag(m.listedPrimary()).number(m.bornMicros()).number(listed.position())
+            out.text(m.node())
+                    .number(m.group())
+                    .number(m.zone())
+                    .number(m.health().ordinal())
+                    .flag(m.listedPrimary())
+                    .number(m.bornMicros())
+                    .number(listed.position())
                     .number(listed.addresses().size());
-            new TreeMap<>(listed.addresses()).forEach((protocol, address) -> out.text(protocol).text(address));
+            new TreeMap<>(listed.addresses())
+                    .forEach((protocol, address) -> out.text(protocol).text(address));
         }
     }
 
@@ -105,8 +118,13 @@
         List<Change.Listed> nodes = new ArrayList<>();
         Routing.Health[] healths = Routing.Health.values();
         for (int i = 0; i < count; i++) {
-            Routing.Member m = new Routing.Member(in.text(), (int) in.number(), (int) in.number(),
-                    healths[in.count(healths.length - 1)], in.flag(), in.number());
+            Routing.Member m = new Routing.Member(
+                    in.text(),
+                    (int) in.number(),
+                    (int) in.number(),
+                    healths[in.count(healths.length - 1)],
+                    in.flag(),
+                    in.number());
             long position = in.number();
             Map<String, String> addresses = new HashMap<>();
             for (int left = in.count(16); left > 0; left--) {
@@ -122,15 +140,18 @@
     /** The whole state in pieces: the first one has all but the sessions. */
     public static List<byte[]> snapshot(Ledger ledger) {
         List<byte[]> pieces = new ArrayList<>();
-        Cbor.Out head = new Cbor.Out().number(ledger.noted().isEmpty() ? FORMAT : WITH_NOTES)
-                .number(ledger.applied()).number(ledger.sessions().latest());
+        Cbor.Out head = new Cbor.Out()
+                .number(ledger.noted().isEmpty() ? FORMAT : WITH_NOTES)
+                .number(ledger.applied())
+                .number(ledger.sessions().latest());
         Ledger.Document document = ledger.document();
         head.flag(document != null);
         if (document != null) {
             head.number(document.revision()).number(document.index()).bytes(document.content());
         }
         head.number(ledger.holds().size());
-        ledger.holds().forEach((held, why) -> holding(head, held).text(why.why()).number(why.atMicros()));
+        ledger.holds()
+                .forEach((held, why) -> holding(head, held).text(why.why()).number(why.atMicros()));
         head.number(ledger.places().size());
         ledger.places().forEach((member, address) -> head.text(member).text(address));
         listing(head, ledger.listing());
@@ -184,7 +205,8 @@
         Cbor.In in = new Cbor.In(pieces.get(0));
         long format = in.number();
         if (format != FORMAT && format != WITH_NOTES) {
-            throw new IOException("a snapshot of format " + format + "; this program reads " + FORMAT + " and " + WITH_NOTES);
+            throw new IOException(
+                    "a snapshot of format " + format + "; this program reads " + FORMAT + " and " + WITH_NOTES);
         }
         long index = in.number();
         long latest = in.number();
--- a/ledger/src/main/java/lupinvalve/ledger/Founding.java
+++ b/ledger/src/main/java/lupinvalve/ledger/Founding.java
@@ -7,16 +7,21 @@
 import java.util.TreeSet;
 
 /**
- * Decides when a group is founded, and by which disks. All founders must be there at once, each binds itself to the same
- * set of disks, and only when all have said that they are bound is the group founded. Who comes later, or again with
- * another disk, is a newcomer: it is of the group only once its members have agreed to that.
+ * Decides when a group is founded, and by which disks. All founders must be there at once, each binds itself to the
+ * same set of disks, and only when all have said that they are bound is the group founded. Who comes later, or again
+ * with another disk, is a newcomer: it is of the group only once its members have agreed to that.
  *
- * <p>Guards against two groups under one name, and against a founder that comes back with an empty disk while the others
- * remember it: in neither case may there be a second first history.
+ * <p>Guards against two groups under one name, and against a founder that comes back with an empty disk while the
+ * others remember it: in neither case may there be a second first history.
  */
 public final class Founding {
     /** How far a member is: alone, bound to a set, of the founded group, or none of its founders. */
-    public enum Phase { ALONE, BOUND, FOUNDED, NEWCOMER }
+    public enum Phase {
+        ALONE,
+        BOUND,
+        FOUNDED,
+        NEWCOMER
+    }
 
     /** What a member says of itself; it must be on its disk before it is said. */
     public record Word(Identity who, Phase phase, Set<Identity> founders) {
@@ -30,7 +35,9 @@
         }
 
         public static Word read(Cbor.In in) throws IOException {
-            return new Word(new Identity(in.text(), in.text()), Phase.values()[in.count(Phase.values().length - 1)],
+            return new Word(
+                    new Identity(in.text(), in.text()),
+                    Phase.values()[in.count(Phase.values().length - 1)],
                     Identity.read(in));
         }
     }
@@ -71,8 +78,8 @@
         }
         for (Word word : words.values()) {
             if (word.phase() == Phase.BOUND && !word.founders().contains(own.who())) {
-                return word.who().name() + " is bound to a disk that " + own.who().name()
-                        + " had before: start again with empty folders";
+                return word.who().name() + " is bound to a disk that "
+                        + own.who().name() + " had before: start again with empty folders";
             }
         }
         return "the others are not bound yet";
@@ -103,8 +110,9 @@
         }
         if (own.phase() == Phase.ALONE) {
             bind();
-        } else if (others().stream().allMatch(name -> words.get(name).phase() == Phase.BOUND
-                && words.get(name).founders().equals(own.founders()))) {
+        } else if (others().stream()
+                .allMatch(name -> words.get(name).phase() == Phase.BOUND
+                        && words.get(name).founders().equals(own.founders()))) {
             own = new Word(own.who(), Phase.FOUNDED, own.founders());
         }
     }
@@ -116,7 +124,8 @@
             here.add(words.get(name).who());
         }
         // Who is bound already can't be bound to others.
-        if (words.values().stream().allMatch(w -> w.phase() != Phase.BOUND || w.founders().equals(here))) {
+        if (words.values().stream()
+                .allMatch(w -> w.phase() != Phase.BOUND || w.founders().equals(here))) {
             own = new Word(own.who(), Phase.BOUND, here);
         }
     }
--- a/ledger/src/main/java/lupinvalve/ledger/Identity.java
+++ b/ledger/src/main/java/lupinvalve/ledger/Identity.java
@@ -2,12 +2,12 @@
 
 import java.io.IOException;
 import java.util.Collection;
-import java.util.TreeSet;
 import java.util.Set;
+import java.util.TreeSet;
 
 /**
- * A member of the group: its name and the disk that it remembers by. Who has lost the disk under the old name is another
- * one, so that it can't vote as if it remembered.
+ * A member of the group: its name and the disk that it remembers by. Who has lost the disk under the old name is
+ * another one, so that it can't vote as if it remembered.
  */
 public record Identity(String name, String disk) implements Comparable<Identity> {
     /** Members of a group at most. */
--- a/ledger/src/main/java/lupinvalve/ledger/Ledger.java
+++ b/ledger/src/main/java/lupinvalve/ledger/Ledger.java
@@ -16,11 +16,22 @@
  */
 public final class Ledger {
     /** Bounds of what operators and poolers may put in. */
-    public static final int DOCUMENT_MOST = 1 << 20, HOLDS_MOST = 1000, NAME_MOST = 200, LISTED_MOST = 4096,
-            PLACES_MOST = 64, NOTED_MOST = 20_000, NOTED_AT_ONCE = 200, NOTE_MOST = 2_000;
+    public static final int DOCUMENT_MOST = 1 << 20,
+            HOLDS_MOST = 1000,
+            NAME_MOST = 200,
+            LISTED_MOST = 4096,
+            PLACES_MOST = 64,
+            NOTED_MOST = 20_000,
+            NOTED_AT_ONCE = 200,
+            NOTE_MOST = 2_000;
 
     /** How a change was taken. */
-    public enum Result { DONE, UNCHANGED, CONFLICT, TOO_MUCH }
+    public enum Result {
+        DONE,
+        UNCHANGED,
+        CONFLICT,
+        TOO_MUCH
+    }
 
     /** @param revision the configuration's, after the change */
     public record Outcome(Result result, long revision) {}
@@ -42,6 +53,7 @@
     private final Sessions sessions = new Sessions();
     /** By pooler, life and number; those that came first go first once there are too many. */
     private final LinkedHashMap<String, byte[]> noted = new LinkedHashMap<>();
+
     private Change.Listing listing = new Change.Listing(0, List.of());
 
     /** Takes the change with the given index of the history. */
@@ -93,7 +105,9 @@
         if (holds.containsKey(hold.held())) {
             return Result.UNCHANGED;
         }
-        if (holds.size() >= HOLDS_MOST || hold.held().name().length() > NAME_MOST || hold.why().length() > NAME_MOST) {
+        if (holds.size() >= HOLDS_MOST
+                || hold.held().name().length() > NAME_MOST
+                || hold.why().length() > NAME_MOST) {
             return Result.TOO_MUCH;
         }
         holds.put(hold.held(), new Held(hold.why(), hold.atMicros()));
@@ -101,7 +115,8 @@
     }
 
     private Result note(Change.Noted news) {
-        if (news.entries().size() > NOTED_AT_ONCE || news.pooler().length() > NAME_MOST
+        if (news.entries().size() > NOTED_AT_ONCE
+                || news.pooler().length() > NAME_MOST
                 || news.entries().stream().anyMatch(entry -> entry.length > NOTE_MOST)) {
             return Result.TOO_MUCH;
         }
@@ -130,7 +145,8 @@
             return places.remove(place.member()) == null ? Result.UNCHANGED : Result.DONE;
         }
         if (places.size() >= PLACES_MOST && !places.containsKey(place.member())
-                || place.member().length() > NAME_MOST || place.address().length() > NAME_MOST) {
+                || place.member().length() > NAME_MOST
+                || place.address().length() > NAME_MOST) {
             return Result.TOO_MUCH;
         }
         places.put(place.member(), place.address());
@@ -173,8 +189,13 @@
     }
 
     /** Becomes what a snapshot says. */
-    void restore(long index, Document accepted, Map<Change.Holding, Held> held, Map<String, String> placed,
-            Change.Listing listed, Map<String, byte[]> notes) {
+    void restore(
+            long index,
+            Document accepted,
+            Map<Change.Holding, Held> held,
+            Map<String, String> placed,
+            Change.Listing listed,
+            Map<String, byte[]> notes) {
         noted.clear();
         noted.putAll(notes);
         applied = index;
--- a/ledger/src/main/java/lupinvalve/ledger/Membership.java
+++ b/ledger/src/main/java/lupinvalve/ledger/Membership.java
@@ -26,8 +26,15 @@
      * @param inReach members heard of lately, the leader among them
      * @param matching up to which change each member has the history
      */
-    public record View(Identity leader, Set<Identity> voting, Set<Identity> learning, Set<Identity> strangers,
-            Set<Identity> inReach, Map<Identity, Long> matching, long last, long changed) {}
+    public record View(
+            Identity leader,
+            Set<Identity> voting,
+            Set<Identity> learning,
+            Set<Identity> strangers,
+            Set<Identity> inReach,
+            Map<Identity, Long> matching,
+            long last,
+            long changed) {}
 
     /** What to do next. */
     public sealed interface Step {
@@ -56,23 +63,29 @@
         Identity member = named(name, members(view));
         if (member != null && !view.inReach().contains(member)) {
             // If it came back with another disk, what it was is gone for good; until it shows nothing is known of it.
-            return stranger != null ? remove(member, view) : new Step.Wait(name + " is a member and out of reach: start it");
+            return stranger != null
+                    ? remove(member, view)
+                    : new Step.Wait(name + " is a member and out of reach: start it");
         }
         if (member == null) {
             if (stranger == null) {
                 return new Step.Refused(name + " is not connected: start it with the same cluster and members first");
             }
             return members(view).size() >= Identity.MOST
-                    ? new Step.Refused("a group has " + Identity.MOST + " members at most") : new Step.Learn(stranger);
+                    ? new Step.Refused("a group has " + Identity.MOST + " members at most")
+                    : new Step.Learn(stranger);
         }
         if (view.voting().contains(member)) {
             // Should the leader go now, those left must know who votes, or they could wait for one who is not there.
-            boolean heard = view.voting().stream().allMatch(one -> one.equals(view.leader())
-                    || !view.inReach().contains(one) || view.matching().getOrDefault(one, 0L) >= view.changed());
+            boolean heard = view.voting().stream()
+                    .allMatch(one -> one.equals(view.leader())
+                            || !view.inReach().contains(one)
+                            || view.matching().getOrDefault(one, 0L) >= view.changed());
             return heard ? new Step.Done() : new Step.Wait("not all have heard of it yet");
         }
         return view.matching().getOrDefault(member, 0L) + BEHIND_MOST < view.last()
-                ? new Step.Wait(name + " is still learning") : new Step.Promote(member);
+                ? new Step.Wait(name + " is still learning")
+                : new Step.Promote(member);
     }
 
     private static Step remove(Identity member, View view) {
@@ -97,8 +110,10 @@
         }
         Identity best = null;
         for (Identity one : left) {
-            if (view.inReach().contains(one) && (best == null
-                    || view.matching().getOrDefault(one, 0L) > view.matching().getOrDefault(best, 0L))) {
+            if (view.inReach().contains(one)
+                    && (best == null
+                            || view.matching().getOrDefault(one, 0L)
+                                    > view.matching().getOrDefault(best, 0L))) {
                 best = one;
             }
         }
--- a/ledger/src/main/java/lupinvalve/ledger/Outbox.java
+++ b/ledger/src/main/java/lupinvalve/ledger/Outbox.java
@@ -12,6 +12,7 @@
     static final long BUNDLE = 5_000;
     /** After a bundle was turned down. */
     static final long AGAIN = 200_000;
+
     private static final int MOST = 4000;
     private Map<String, Long> waiting = new HashMap<>();
     private Change.Commits out;
@@ -30,7 +31,8 @@
 
     /** When {@link #next} should be asked, or {@link Long#MAX_VALUE} where nothing waits or one is out. */
     public long dueAt() {
-        return out != null || waiting.isEmpty() ? Long.MAX_VALUE
+        return out != null || waiting.isEmpty()
+                ? Long.MAX_VALUE
                 : Math.max(notBefore, waiting.size() >= MOST ? 0 : sinceMicros + BUNDLE);
     }
 
--- a/ledger/src/test/java/lupinvalve/ledger/FoundingTest.java
+++ b/ledger/src/test/java/lupinvalve/ledger/FoundingTest.java
@@ -51,7 +51,9 @@
                         member.heard(word);
                     }
                 }
-                members.values().stream().map(Founding::own).filter(w -> w.phase() == Phase.FOUNDED)
+                members.values().stream()
+                        .map(Founding::own)
+                        .filter(w -> w.phase() == Phase.FOUNDED)
                         .forEach(w -> groups.add(w.founders()));
             }
             assertTrue(groups.size() <= 1, "seed " + seed + ": " + groups);
@@ -76,7 +78,8 @@
         again.heard(a.own());
         assertEquals(Phase.NEWCOMER, again.own().phase());
         assertEquals(a.own().founders(), again.own().founders());
-        assertEquals(Phase.FOUNDED, new Founding(alone("x", 1), Set.of("x")).own().phase());
+        assertEquals(
+                Phase.FOUNDED, new Founding(alone("x", 1), Set.of("x")).own().phase());
     }
 
     private static Identity id(String name) {
@@ -89,10 +92,19 @@
         return all;
     }
 
-    private static Membership.Step next(boolean in, String name, String voting, String learning, String strangers,
-            String reach, long behind) {
-        return Membership.next(new Membership.Wish(in, name), new Membership.View(id("a"), ids(voting), ids(learning),
-                ids(strangers), ids(reach), Map.of(id("b"), 996L, id("c"), 1000L, id("n"), 1000 - behind), 1000, 995));
+    private static Membership.Step next(
+            boolean in, String name, String voting, String learning, String strangers, String reach, long behind) {
+        return Membership.next(
+                new Membership.Wish(in, name),
+                new Membership.View(
+                        id("a"),
+                        ids(voting),
+                        ids(learning),
+                        ids(strangers),
+                        ids(reach),
+                        Map.of(id("b"), 996L, id("c"), 1000L, id("n"), 1000 - behind),
+                        1000,
+                        995));
     }
 
     @Test
@@ -103,7 +115,8 @@
         assertEquals(new Membership.Step.Promote(id("n")), next(true, "n", "abc", "n", "", "abcn", 10));
         assertInstanceOf(Membership.Step.Wait.class, next(true, "n", "abcn", "", "", "abcn", 10), "it has not heard");
         assertInstanceOf(Membership.Step.Done.class, next(true, "n", "abcn", "", "", "abcn", 0));
-        assertInstanceOf(Membership.Step.Wait.class, next(true, "c", "abc", "", "", "ab", 0), "its new disk is not here yet");
+        assertInstanceOf(
+                Membership.Step.Wait.class, next(true, "c", "abc", "", "", "ab", 0), "its new disk is not here yet");
         assertInstanceOf(Membership.Step.Done.class, next(false, "n", "abc", "", "", "abc", 0));
         assertEquals(new Membership.Step.Remove(id("b")), next(false, "b", "abc", "", "", "ac", 0));
         assertInstanceOf(Membership.Step.Refused.class, next(false, "b", "abc", "", "", "ab", 0));
@@ -114,8 +127,8 @@
 
     @Test
     void aMemberThatLostItsDiskIsReplacedByWhatItIsNow() {
-        Membership.View view = new Membership.View(id("a"), ids("abc"), Set.of(), Set.of(new Identity("c", "d2")), ids("ab"),
-                Map.of(), 10, 5);
+        Membership.View view = new Membership.View(
+                id("a"), ids("abc"), Set.of(), Set.of(new Identity("c", "d2")), ids("ab"), Map.of(), 10, 5);
         assertEquals(new Membership.Step.Remove(id("c")), Membership.next(new Membership.Wish(true, "c"), view));
     }
 }
--- a/ledger/src/test/java/lupinvalve/ledger/LedgerTest.java
+++ b/ledger/src/test/java/lupinvalve/ledger/LedgerTest.java
@@ -34,10 +34,14 @@
                 }
                 yield new Change.Commits(now, positions);
             }
-            case 4 -> new Change.Listing(random.nextInt(50), List.of(new Change.Listed(new Routing.Member("db-1", 1, 0,
-                    Routing.Health.DRAINING, random.nextBoolean(), now), Map.of("pg", "127.0.0.1:1", "mysql", "127.0.0.1:2"),
-                    random.nextBoolean() ? Routing.NO_POSITION : now)));
-            case 5 -> new Change.Place("m" + random.nextInt(3), random.nextInt(3) == 0 ? "" : "10.0.0.1:" + random.nextInt(9));
+            case 4 -> new Change.Listing(
+                    random.nextInt(50),
+                    List.of(new Change.Listed(
+                            new Routing.Member("db-1", 1, 0, Routing.Health.DRAINING, random.nextBoolean(), now),
+                            Map.of("pg", "127.0.0.1:1", "mysql", "127.0.0.1:2"),
+                            random.nextBoolean() ? Routing.NO_POSITION : now)));
+            case 5 -> new Change.Place(
+                    "m" + random.nextInt(3), random.nextInt(3) == 0 ? "" : "10.0.0.1:" + random.nextInt(9));
             default -> new Change.Nothing();
         };
     }
@@ -78,7 +82,8 @@
         assertEquals(new Ledger.Outcome(Ledger.Result.CONFLICT, 0), ledger.apply(1, new Change.Put(1, bytes("a"))));
         assertEquals(new Ledger.Outcome(Ledger.Result.DONE, 1), ledger.apply(2, new Change.Put(0, bytes("a"))));
         assertEquals(new Ledger.Outcome(Ledger.Result.CONFLICT, 1), ledger.apply(3, new Change.Put(0, bytes("b"))));
-        assertEquals(new Ledger.Outcome(Ledger.Result.TOO_MUCH, 1),
+        assertEquals(
+                new Ledger.Outcome(Ledger.Result.TOO_MUCH, 1),
                 ledger.apply(4, new Change.Put(1, new byte[Ledger.DOCUMENT_MOST + 1])));
         assertEquals(2, ledger.document().index());
         assertEquals(Ledger.digest(bytes("a")), ledger.document().digest());
@@ -108,7 +113,10 @@
         assertThrows(IOException.class, () -> Encoding.read(Arrays.copyOf(put, put.length - 1)));
         assertThrows(IOException.class, () -> Encoding.read(new byte[] {23}));
         assertThrows(IOException.class, () -> Encoding.read(Arrays.copyOf(put, put.length + 1)));
-        assertThrows(IOException.class, () -> Encoding.restore(new Ledger(), List.of(new Cbor.Out().number(2).done())));
+        assertThrows(
+                IOException.class,
+                () -> Encoding.restore(
+                        new Ledger(), List.of(new Cbor.Out().number(2).done())));
     }
 
     @Test
@@ -139,8 +147,11 @@
                 }
                 for (Map.Entry<Long, Map.Entry<String, Long>> number : numbers) {
                     if (number.getKey() <= done) {
-                        assertEquals(true, accepted.getOrDefault(number.getValue().getKey(), -1L)
-                                >= number.getValue().getValue(), "told as held before it was");
+                        assertEquals(
+                                true,
+                                accepted.getOrDefault(number.getValue().getKey(), -1L)
+                                        >= number.getValue().getValue(),
+                                "told as held before it was");
                     }
                 }
                 long upTo = done;
@@ -166,7 +177,8 @@
         Ledger.Document first = new Ledger.Document(1, 5, "d1", bytes("{}"));
         assertEquals(Adoption.Verdict.ADOPT, adoption.accepted(first, null));
         assertEquals(Adoption.Verdict.KNOWN, adoption.accepted(first, null));
-        assertEquals(Adoption.Verdict.UNREADABLE, adoption.accepted(new Ledger.Document(2, 6, "d2", bytes("?")), "strange"));
+        assertEquals(
+                Adoption.Verdict.UNREADABLE, adoption.accepted(new Ledger.Document(2, 6, "d2", bytes("?")), "strange"));
         assertEquals(first, adoption.running());
         assertEquals("serving with revision 1 (d1); revision 2 can't be used: strange", adoption.acting());
         assertNull(adoption.touch(false, Adoption.GRACE - 1));
--- a/log/src/main/java/lupinvalve/log/Log.java
+++ b/log/src/main/java/lupinvalve/log/Log.java
@@ -6,7 +6,12 @@
 /** The program's own log: one line an event on standard error, at or above one level. Safe for all threads. */
 public final class Log {
     /** How much a line matters. */
-    public enum Level { DEBUG, INFO, WARN, ERROR }
+    public enum Level {
+        DEBUG,
+        INFO,
+        WARN,
+        ERROR
+    }
 
     private static volatile Level least = Level.INFO;
     private static final ThreadLocal<Level> LEAST_HERE = new ThreadLocal<>();
--- a/log/src/main/java/lupinvalve/log/RepeatedWarnings.java
+++ b/log/src/main/java/lupinvalve/log/RepeatedWarnings.java
@@ -5,8 +5,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Warnings that may come by the thousand: the first of each text is told at once, those that follow are counted and told with their
- * number, once a second at most. Safe for all threads; holds a bounded number of texts.
+ * Warnings that may come by the thousand: the first of each text is told at once, those that follow are counted and
+ * told with their number, once a second at most. Safe for all threads; holds a bounded number of texts.
  */
 public final class RepeatedWarnings {
     private static final long PAUSE_NANOS = TimeUnit.SECONDS.toNanos(1);
--- a/mysql/src/main/java/lupinvalve/mysql/MysqlBackend.java
+++ b/mysql/src/main/java/lupinvalve/mysql/MysqlBackend.java
@@ -19,8 +19,8 @@
 import lupinvalve.core.Pooler;
 import lupinvalve.core.Positions;
 import lupinvalve.log.Log;
-import lupinvalve.net.Framer;
 import lupinvalve.net.Dialer;
+import lupinvalve.net.Framer;
 import lupinvalve.net.Pool;
 
 /**
@@ -29,9 +29,15 @@
  */
 public final class MysqlBackend extends Pool {
     private static final int PACKET_MOST = 4 << 20, ANSWER_MOST = 4 << 20, STATEMENTS_MOST = 64, COLUMNS_MOST = 4096;
-    private static final long WANTED = Protocol.LONG_PASSWORD | Protocol.FOUND_ROWS | Protocol.PROTOCOL_41
-            | Protocol.TRANSACTIONS | Protocol.SECURE_CONNECTION | Protocol.PLUGIN_AUTH | Protocol.SESSION_TRACK
-            | Protocol.DEPRECATE_EOF | Protocol.QUERY_ATTRIBUTES;
+    private static final long WANTED = Protocol.LONG_PASSWORD
+            | Protocol.FOUND_ROWS
+            | Protocol.PROTOCOL_41
+            | Protocol.TRANSACTIONS
+            | Protocol.SECURE_CONNECTION
+            | Protocol.PLUGIN_AUTH
+            | Protocol.SESSION_TRACK
+            | Protocol.DEPRECATE_EOF
+            | Protocol.QUERY_ATTRIBUTES;
     private static final String OAEP = "RSA/ECB/OAEPWithSHA-1AndMGF1Padding";
     private String user, password, database;
 
@@ -55,7 +61,16 @@
         database = newDatabase;
     }
 
-    private enum At { GREETING, LOGIN, READY, PREPARING, DEFINITIONS, ANSWER, COLUMNS, ROWS }
+    private enum At {
+        GREETING,
+        LOGIN,
+        READY,
+        PREPARING,
+        DEFINITIONS,
+        ANSWER,
+        COLUMNS,
+        ROWS
+    }
 
     private static final class MysqlConn extends Conn {
         private At at = At.GREETING;
@@ -65,6 +80,7 @@
         private boolean keyAsked;
         /** Statements prepared on this connection, by text; the one used longest ago comes first. */
         private final Map<String, Long> prepared = new LinkedHashMap<>(16, 0.75f, true);
+
         private int definitions, columns, size, sequence;
         private int[] types = new int[0];
         private Ending error;
@@ -168,7 +184,12 @@
         }
         c.capabilities = capabilities & (WANTED | (database.isEmpty() ? 0 : Protocol.CONNECT_WITH_DB));
         byte[] proof = Protocol.scramble(c.plugin, password, c.nonce);
-        Out out = new Out().fixed(c.capabilities, 4).fixed(PACKET_MOST, 4).int1(45).raw(new byte[23]).zero(user);
+        Out out = new Out()
+                .fixed(c.capabilities, 4)
+                .fixed(PACKET_MOST, 4)
+                .int1(45)
+                .raw(new byte[23])
+                .zero(user);
         out.int1(proof == null ? 0 : proof.length).raw(proof == null ? new byte[0] : proof);
         if (c.has(Protocol.CONNECT_WITH_DB)) {
             out.zero(database);
@@ -218,8 +239,11 @@
         try {
             String key = new String(pem, ISO_8859_1).replaceAll("-----[A-Z ]+-----", "");
             Cipher cipher = Cipher.getInstance(OAEP);
-            cipher.init(Cipher.ENCRYPT_MODE, KeyFactory.getInstance("RSA")
-                    .generatePublic(new X509EncodedKeySpec(Base64.getMimeDecoder().decode(key))));
+            cipher.init(
+                    Cipher.ENCRYPT_MODE,
+                    KeyFactory.getInstance("RSA")
+                            .generatePublic(new X509EncodedKeySpec(
+                                    Base64.getMimeDecoder().decode(key))));
             return cipher.doFinal(Protocol.xor((password + "\0").getBytes(UTF_8), nonce));
         } catch (GeneralSecurityException | IllegalArgumentException e) {
             throw new Framer.Malformed("server key: " + e.getMessage());
@@ -268,7 +292,8 @@
     private List<Params.Param> timed(MysqlConn c, List<Params.Param> params) {
         List<Params.Param> out = new ArrayList<>(params);
         out.replaceAll(p -> p.name().equals("d")
-                ? Params.text("d", Long.toString(Math.max(1, c.job().wanted(loop.now()) / 1000))) : p);
+                ? Params.text("d", Long.toString(Math.max(1, c.job().wanted(loop.now()) / 1000)))
+                : p);
         return out;
     }
 
@@ -303,13 +328,21 @@
         long id = c.prepared.get(key(request));
         trim(c);
         for (MysqlRequest.LongData piece : request.ahead()) {
-            c.write(new Out().int1(Protocol.COM_LONG_DATA).fixed(id, 4).fixed(piece.param(), 2).raw(piece.bytes())
+            c.write(new Out()
+                    .int1(Protocol.COM_LONG_DATA)
+                    .fixed(id, 4)
+                    .fixed(piece.param(), 2)
+                    .raw(piece.bytes())
                     .packet(0));
         }
         boolean named = c.has(Protocol.QUERY_ATTRIBUTES);
-        List<Params.Param> params = named ? timed(c, request.params())
-                : request.params().subList(0, request.values());
-        Out out = new Out().int1(Protocol.COM_EXECUTE).fixed(id, 4).int1(named ? Protocol.COUNT_TOLD : 0).fixed(1, 4);
+        List<Params.Param> params =
+                named ? timed(c, request.params()) : request.params().subList(0, request.values());
+        Out out = new Out()
+                .int1(Protocol.COM_EXECUTE)
+                .fixed(id, 4)
+                .int1(named ? Protocol.COUNT_TOLD : 0)
+                .fixed(1, 4);
         if (named) {
             out.lenenc(params.size());
         }
@@ -409,7 +442,8 @@
             position = Positions.read(asOf, 3, loop.now());
         }
         if (rank != null) {
-            role = rank.equals("source") ? Routing.Role.PRIMARY
+            role = rank.equals("source")
+                    ? Routing.Role.PRIMARY
                     : rank.equals("copy") ? Routing.Role.REPLICA : Routing.Role.UNKNOWN;
         }
         boolean more = (ok.status() & Protocol.STATUS_MORE) != 0;
--- a/mysql/src/main/java/lupinvalve/mysql/MysqlClient.java
+++ b/mysql/src/main/java/lupinvalve/mysql/MysqlClient.java
@@ -47,11 +47,15 @@
     final ArrayDeque<Command> waiting = new ArrayDeque<>();
     /** The number by which the front and the pooler know the connection. */
     long slot;
+
     Phase phase = Phase.LOGIN;
     long capabilities;
     /** Whether a request of this client is open at the pooler. */
     boolean busy;
-    /** Why nothing more that it sends can be read; null where it can. The connection ends once all before that is answered. */
+    /**
+     * Why nothing more that it sends can be read; null where it can. The connection ends once all before that is
+     * answered.
+     */
     String fault;
     /** Whether it is looked at again in a moment, as clients are sent away. */
     boolean parts;
--- a/mysql/src/main/java/lupinvalve/mysql/MysqlFront.java
+++ b/mysql/src/main/java/lupinvalve/mysql/MysqlFront.java
@@ -18,12 +18,13 @@
 import lupinvalve.net.Spare;
 
 /**
- * Takes MySQL clients' connections and commands, and passes requests to the pooler and its answers back. {@link MysqlLogin}
- * does logins, {@link PreparedStatements} what needs no db node. Core thread only.
+ * Takes MySQL clients' connections and commands, and passes requests to the pooler and its answers back.
+ * {@link MysqlLogin} does logins, {@link PreparedStatements} what needs no db node. Core thread only.
  */
 public final class MysqlFront implements Front, Link.Events {
     /** The name by which db nodes that speak this protocol are asked for. */
     public static final String PROTOCOL = "mysql";
+
     private static final int PACKET_MOST = 1 << 20;
     /** Commands of one client that wait their turn. */
     private static final int WAITING_MOST = 64;
@@ -35,6 +36,7 @@
     private static final long AGAIN = 20_000;
     /** Once the program ends, a client has so long to go on with what it has begun to send, or to read. */
     private static final long LAST_PATIENCE = 300_000;
+
     private static final int REFUSED = 1226;
     private static final int FAILED = 1105;
     private static final int TOO_MANY_CONNECTIONS = 1040;
@@ -55,7 +57,8 @@
         this.pooler = pooler;
         login = new MysqlLogin(user, password);
         clients = new Slots<>(Spare.places(clientsMost));
-        spare = new Spare<>(pooler.loop(), clients, clientsMost, pooler.settings().limits().openMost(), this::retire);
+        spare = new Spare<>(
+                pooler.loop(), clients, clientsMost, pooler.settings().limits().openMost(), this::retire);
         ends = new ClientEnds(pooler.loop());
     }
 
@@ -75,7 +78,11 @@
     public void opened(Link link) {
         spare.makeRoom();
         if (spare.isFull()) {
-            link.write(new Out().int1(0xFF).fixed(TOO_MANY_CONNECTIONS, 2).text("Too many connections").packet(0));
+            link.write(new Out()
+                    .int1(0xFF)
+                    .fixed(TOO_MANY_CONNECTIONS, 2)
+                    .text("Too many connections")
+                    .packet(0));
             link.finish();
             ends.ended(EndReason.PAST_BOUND, link, 0);
             return;
@@ -117,7 +124,10 @@
         }
     }
 
-    /** Asks for the end of a connection on which nothing is due; {@link #closed} follows, unless its client has begun to use it. */
+    /**
+     * Asks for the end of a connection on which nothing is due; {@link #closed} follows, unless its client has begun to
+     * use it.
+     */
     private boolean retire(MysqlClient client, long patience, EndReason reason) {
         return !client.waits() && client.link.retire(patience, reason);
     }
@@ -140,7 +150,8 @@
     }
 
     /**
-     * A command that breaks the protocol: its client is told so, and so is each command that came behind it; then the connection ends.
+     * A command that breaks the protocol: its client is told so, and so is each command that came behind it; then the
+     * connection ends.
      *
      * @param untold commands that came with it and have not been looked at
      */
@@ -171,7 +182,8 @@
     private void take(MysqlClient client, byte[] packet, long atMicros) throws Framer.Malformed {
         if (client.phase != MysqlClient.Phase.READY) {
             login(client, packet);
-        } else if (client.waits() && (client.waiting.size() >= WAITING_MOST || waiting + packet.length > WAITING_BYTES)) {
+        } else if (client.waits()
+                && (client.waiting.size() >= WAITING_MOST || waiting + packet.length > WAITING_BYTES)) {
             client.waiting.add(MysqlClient.Command.refused());
         } else if (client.waits()) {
             waiting += packet.length;
@@ -225,9 +237,11 @@
             }
         }
         byte[] text = in.rest();
-        String start = new String(text, 0, Math.min(text.length, 32), ISO_8859_1).strip().toUpperCase(Locale.ROOT);
-        byte[][] variables = Variables.answer(new String(text, ISO_8859_1), client.has(Protocol.DEPRECATE_EOF),
-                client.capabilities);
+        String start = new String(text, 0, Math.min(text.length, 32), ISO_8859_1)
+                .strip()
+                .toUpperCase(Locale.ROOT);
+        byte[][] variables =
+                Variables.answer(new String(text, ISO_8859_1), client.has(Protocol.DEPRECATE_EOF), client.capabilities);
         if (variables != null) {
             client.link.write(variables);
         } else if (start.startsWith("SET ") || start.startsWith("USE ")) {
@@ -250,8 +264,7 @@
             }
         }
         try {
-            Pooler.Ask ask = request.statement().ask(pooler.settings().classes(), atMicros, session, PROTOCOL,
-                    request);
+            Pooler.Ask ask = request.statement().ask(pooler.settings().classes(), atMicros, session, PROTOCOL, request);
             if (pooler.named(ask.id())) {
                 throw new Statement.Unclear("field id names an open request");
             }
@@ -282,8 +295,10 @@
     public void refused(long ticket, long retryAfterMicros) {
         MysqlClient client = clients.get(ticket);
         if (client != null) {
-            client.error(REFUSED, "42000", "refused: a repeat does no harm; retry after "
-                    + (retryAfterMicros + 999) / 1000 + " ms");
+            client.error(
+                    REFUSED,
+                    "42000",
+                    "refused: a repeat does no harm; retry after " + (retryAfterMicros + 999) / 1000 + " ms");
             answered(client);
         }
     }
--- a/mysql/src/main/java/lupinvalve/mysql/MysqlLogin.java
+++ b/mysql/src/main/java/lupinvalve/mysql/MysqlLogin.java
@@ -7,14 +7,23 @@
 
 /** Greets clients and checks that they know the one account's name and password. */
 final class MysqlLogin {
-    private static final long OFFERED = Protocol.LONG_PASSWORD | Protocol.FOUND_ROWS | Protocol.CONNECT_WITH_DB
-            | Protocol.PROTOCOL_41 | Protocol.TRANSACTIONS | Protocol.SECURE_CONNECTION | Protocol.PLUGIN_AUTH
-            | Protocol.LENENC_AUTH | Protocol.SESSION_TRACK | Protocol.DEPRECATE_EOF | Protocol.QUERY_ATTRIBUTES;
+    private static final long OFFERED = Protocol.LONG_PASSWORD
+            | Protocol.FOUND_ROWS
+            | Protocol.CONNECT_WITH_DB
+            | Protocol.PROTOCOL_41
+            | Protocol.TRANSACTIONS
+            | Protocol.SECURE_CONNECTION
+            | Protocol.PLUGIN_AUTH
+            | Protocol.LENENC_AUTH
+            | Protocol.SESSION_TRACK
+            | Protocol.DEPRECATE_EOF
+            | Protocol.QUERY_ATTRIBUTES;
     private static final String VERSION = "8.0.0-lupinvalve";
     private static final int PROTOCOL_VERSION = 10;
     private static final int UTF8MB4 = 45;
     /** Bytes of the nonce in the first part of the greeting. */
     private static final int NONCE_FIRST = 8;
+
     private static final int ACCESS_DENIED = 1045;
     private final SecureRandom random = new SecureRandom();
     private String user;
@@ -39,9 +48,22 @@
         }
         byte[] first = Arrays.copyOf(client.nonce, NONCE_FIRST);
         byte[] second = Arrays.copyOfRange(client.nonce, NONCE_FIRST, client.nonce.length);
-        client.link.write(new Out().int1(PROTOCOL_VERSION).zero(VERSION).fixed(client.slot, 4).raw(first).int1(0)
-                .fixed(OFFERED & 0xFFFF, 2).int1(UTF8MB4).fixed(Protocol.STATUS_AUTOCOMMIT, 2).fixed(OFFERED >> 16, 2)
-                .int1(client.nonce.length + 1).raw(new byte[10]).raw(second).int1(0).zero(Protocol.SHA2).packet(0));
+        client.link.write(new Out()
+                .int1(PROTOCOL_VERSION)
+                .zero(VERSION)
+                .fixed(client.slot, 4)
+                .raw(first)
+                .int1(0)
+                .fixed(OFFERED & 0xFFFF, 2)
+                .int1(UTF8MB4)
+                .fixed(Protocol.STATUS_AUTOCOMMIT, 2)
+                .fixed(OFFERED >> 16, 2)
+                .int1(client.nonce.length + 1)
+                .raw(new byte[10])
+                .raw(second)
+                .int1(0)
+                .zero(Protocol.SHA2)
+                .packet(0));
     }
 
     /** Takes a packet of a login; false where the client was turned down and its connection is to end. */
@@ -70,7 +92,12 @@
             return prove(client, method, proof, sequence);
         }
         client.phase = MysqlClient.Phase.METHOD_SWITCHED;
-        client.link.write(new Out().int1(0xFE).zero(Protocol.SHA2).raw(client.nonce).int1(0).packet(sequence));
+        client.link.write(new Out()
+                .int1(0xFE)
+                .zero(Protocol.SHA2)
+                .raw(client.nonce)
+                .int1(0)
+                .packet(sequence));
         return true;
     }
 
--- a/mysql/src/main/java/lupinvalve/mysql/MysqlRequest.java
+++ b/mysql/src/main/java/lupinvalve/mysql/MysqlRequest.java
@@ -12,7 +12,12 @@
  * @param values how many of them are values
  * @param ahead values that were sent ahead as long data
  */
-record MysqlRequest(byte[] text, Statement statement, boolean prepared, List<Params.Param> params, int values,
+record MysqlRequest(
+        byte[] text,
+        Statement statement,
+        boolean prepared,
+        List<Params.Param> params,
+        int values,
         List<LongData> ahead) {
     /** A piece of a value that was sent ahead. */
     record LongData(int param, byte[] bytes) {}
--- a/mysql/src/main/java/lupinvalve/mysql/Params.java
+++ b/mysql/src/main/java/lupinvalve/mysql/Params.java
@@ -79,21 +79,21 @@
         for (int i = 0; i < count; i++) {
             boolean sentAhead = i < ahead.size() && ahead.get(i);
             boolean none = (nulls[i / 8] >> i % 8 & 1) != 0;
-            params.add(new Param(types[i], names[i], none || sentAhead ? null : value(in, types[i] & 255),
-                    sentAhead));
+            params.add(new Param(types[i], names[i], none || sentAhead ? null : value(in, types[i] & 255), sentAhead));
         }
         return params;
     }
 
     static byte[] value(In in, int type) throws Framer.Malformed {
-        int size = switch (type) {
-            case 1 -> 1;
-            case 2, 13 -> 2;
-            case 3, 4, 9 -> 4;
-            case 5, 8 -> 8;
-            case 6 -> 0;
-            default -> -1;
-        };
+        int size =
+                switch (type) {
+                    case 1 -> 1;
+                    case 2, 13 -> 2;
+                    case 3, 4, 9 -> 4;
+                    case 5, 8 -> 8;
+                    case 6 -> 0;
+                    default -> -1;
+                };
         if (size >= 0) {
             return in.raw(size);
         }
--- a/mysql/src/main/java/lupinvalve/mysql/PreparedStatements.java
+++ b/mysql/src/main/java/lupinvalve/mysql/PreparedStatements.java
@@ -8,14 +8,15 @@
 import lupinvalve.net.Framer;
 
 /**
- * The prepared statements of one client, under numbers of the pooler's own, so that each outlives the db node that first
- * ran it. Answers the commands that need no db node.
+ * The prepared statements of one client, under numbers of the pooler's own, so that each outlives the db node that
+ * first ran it. Answers the commands that need no db node.
  */
 final class PreparedStatements {
     private static final int STATEMENTS_MOST = 256;
     private static final int PLACES_MOST = 65535;
     /** Bytes of the values sent ahead for one execution. */
     private static final int AHEAD_MOST = 1 << 20;
+
     private static final int TOO_MANY_PLACES = 1390;
     private static final int TOO_MANY_STATEMENTS = 1461;
     private static final int WRONG_ARGUMENTS = 1210;
@@ -29,6 +30,7 @@
         final int places;
         /** Types of the last execution's values. */
         List<Params.Param> types;
+
         List<MysqlRequest.LongData> ahead = new ArrayList<>();
         int aheadBytes;
 
@@ -51,18 +53,38 @@
     void prepare(byte[] text) {
         int places = Params.places(text);
         if (places > PLACES_MOST || statements.size() >= STATEMENTS_MOST) {
-            client.error(places > PLACES_MOST ? TOO_MANY_PLACES : TOO_MANY_STATEMENTS,
-                    places > PLACES_MOST ? "HY000" : "42000", "Too many placeholders or prepared statements");
+            client.error(
+                    places > PLACES_MOST ? TOO_MANY_PLACES : TOO_MANY_STATEMENTS,
+                    places > PLACES_MOST ? "HY000" : "42000",
+                    "Too many placeholders or prepared statements");
             return;
         }
         long id = ++lastId;
         statements.put(id, new Prepared(text, places));
         int sequence = 1;
-        client.link.write(new Out().int1(0).fixed(id, 4).fixed(0, 2).fixed(places, 2).int1(0).fixed(0, 2)
+        client.link.write(new Out()
+                .int1(0)
+                .fixed(id, 4)
+                .fixed(0, 2)
+                .fixed(places, 2)
+                .int1(0)
+                .fixed(0, 2)
                 .packet(sequence++));
         for (int i = 0; i < places; i++) {
-            client.link.write(new Out().counted("def").counted("").counted("").counted("").counted("?").counted("")
-                    .lenenc(12).fixed(63, 2).fixed(0, 4).int1(0xFD).fixed(128, 2).int1(0).fixed(0, 2)
+            client.link.write(new Out()
+                    .counted("def")
+                    .counted("")
+                    .counted("")
+                    .counted("")
+                    .counted("?")
+                    .counted("")
+                    .lenenc(12)
+                    .fixed(63, 2)
+                    .fixed(0, 4)
+                    .int1(0xFD)
+                    .fixed(128, 2)
+                    .int1(0)
+                    .fixed(0, 2)
                     .packet(sequence++));
         }
         if (places > 0 && !client.has(Protocol.DEPRECATE_EOF)) {
--- a/mysql/src/main/java/lupinvalve/mysql/Protocol.java
+++ b/mysql/src/main/java/lupinvalve/mysql/Protocol.java
@@ -9,14 +9,31 @@
 
 /** What both sides of MySQL's protocol share: numbers, OK and ERR packets, passwords. */
 final class Protocol {
-    static final int LONG_PASSWORD = 1, FOUND_ROWS = 2, CONNECT_WITH_DB = 8, PROTOCOL_41 = 0x200,
-            TRANSACTIONS = 0x2000, SECURE_CONNECTION = 0x8000, PLUGIN_AUTH = 0x80000, LENENC_AUTH = 0x200000, SESSION_TRACK = 0x800000,
-            DEPRECATE_EOF = 0x1000000, QUERY_ATTRIBUTES = 0x8000000;
-    static final int COM_QUIT = 1, COM_INIT_DB = 2, COM_QUERY = 3, COM_PING = 14, COM_PREPARE = 22, COM_EXECUTE = 23,
-            COM_LONG_DATA = 24, COM_CLOSE = 25, COM_RESET = 26, COM_RESET_CONNECTION = 31;
+    static final int LONG_PASSWORD = 1,
+            FOUND_ROWS = 2,
+            CONNECT_WITH_DB = 8,
+            PROTOCOL_41 = 0x200,
+            TRANSACTIONS = 0x2000,
+            SECURE_CONNECTION = 0x8000,
+            PLUGIN_AUTH = 0x80000,
+            LENENC_AUTH = 0x200000,
+            SESSION_TRACK = 0x800000,
+            DEPRECATE_EOF = 0x1000000,
+            QUERY_ATTRIBUTES = 0x8000000;
+    static final int COM_QUIT = 1,
+            COM_INIT_DB = 2,
+            COM_QUERY = 3,
+            COM_PING = 14,
+            COM_PREPARE = 22,
+            COM_EXECUTE = 23,
+            COM_LONG_DATA = 24,
+            COM_CLOSE = 25,
+            COM_RESET = 26,
+            COM_RESET_CONNECTION = 31;
     static final int STATUS_AUTOCOMMIT = 2, STATUS_MORE = 8, STATUS_STATE_CHANGED = 0x4000;
     /** Flag of an execute: the count of its parameters, query attributes among them, is told. */
     static final int COUNT_TOLD = 8;
+
     static final String NATIVE = "mysql_native_password", SHA2 = "caching_sha2_password";
     /** The tracked variables that tell a db node's position, in Unix milliseconds, and its role. */
     static final String AS_OF = "as_of", RANK = "rank";
@@ -24,7 +41,13 @@
     private Protocol() {}
 
     static byte[] error(int sequence, int code, String state, String message) {
-        return new Out().int1(0xFF).fixed(code, 2).text("#").text(state).text(message).packet(sequence);
+        return new Out()
+                .int1(0xFF)
+                .fixed(code, 2)
+                .text("#")
+                .text(state)
+                .text(message)
+                .packet(sequence);
     }
 
     /** One tracked variable and its value. */
@@ -47,7 +70,8 @@
                 In states = new In(new Out().fixed(0, 4).raw(in.counted()).payload());
                 while (states.left() > 0) {
                     int type = states.int1();
-                    In entry = new In(new Out().fixed(0, 4).raw(states.counted()).payload());
+                    In entry =
+                            new In(new Out().fixed(0, 4).raw(states.counted()).payload());
                     while (type == 0 && entry.left() > 0) {
                         tracked.add(new Tracked(entry.countedText(), entry.countedText()));
                     }
@@ -63,7 +87,10 @@
         byte[] packet(int header, long capabilities, int sequence) {
             boolean tracks = (capabilities & SESSION_TRACK) != 0;
             boolean changed = tracks && !tracked.isEmpty();
-            Out out = new Out().int1(header).lenenc(affected).lenenc(insertId)
+            Out out = new Out()
+                    .int1(header)
+                    .lenenc(affected)
+                    .lenenc(insertId)
                     .fixed(changed ? status | STATUS_STATE_CHANGED : status & ~STATUS_STATE_CHANGED, 2)
                     .fixed(warnings, 2);
             if (!tracks) {
@@ -75,7 +102,11 @@
             if (changed) {
                 Out states = new Out();
                 for (Tracked t : tracked) {
-                    states.int1(0).counted(new Out().counted(t.name()).counted(t.value()).payload());
+                    states.int1(0)
+                            .counted(new Out()
+                                    .counted(t.name())
+                                    .counted(t.value())
+                                    .payload());
                 }
                 out.counted(states.payload());
             }
@@ -83,12 +114,20 @@
         }
 
         String tracked(String name) {
-            return tracked.stream().filter(t -> t.name().equals(name)).map(Tracked::value).findFirst().orElse(null);
+            return tracked.stream()
+                    .filter(t -> t.name().equals(name))
+                    .map(Tracked::value)
+                    .findFirst()
+                    .orElse(null);
         }
     }
 
     static byte[] eof(int status, int sequence) {
-        return new Out().int1(0xFE).fixed(0, 2).fixed(status & ~STATUS_STATE_CHANGED, 2).packet(sequence);
+        return new Out()
+                .int1(0xFE)
+                .fixed(0, 2)
+                .fixed(status & ~STATUS_STATE_CHANGED, 2)
+                .packet(sequence);
     }
 
     /** What a client proves that it knows a password with, or null for an unknown method. */
--- a/mysql/src/main/java/lupinvalve/mysql/Variables.java
+++ b/mysql/src/main/java/lupinvalve/mysql/Variables.java
@@ -15,18 +15,30 @@
     private static final Pattern QUERY =
             Pattern.compile("(?is)\\s*(?:/\\*.*?\\*/\\s*)?select\\s+(@@.+?)(?:\\s+limit\\s+1)?\\s*;?\\s*");
     private static final Pattern ITEM = Pattern.compile("(?i)@@(?:session\\.|global\\.)?(\\w+)(?:\\s+as\\s+(\\w+))?");
-    private static final Map<String, String> VALUES = Map.ofEntries(Map.entry("auto_increment_increment", "1"),
-            Map.entry("character_set_client", "utf8mb4"), Map.entry("character_set_connection", "utf8mb4"),
-            Map.entry("character_set_results", "utf8mb4"), Map.entry("character_set_server", "utf8mb4"),
+    private static final Map<String, String> VALUES = Map.ofEntries(
+            Map.entry("auto_increment_increment", "1"),
+            Map.entry("character_set_client", "utf8mb4"),
+            Map.entry("character_set_connection", "utf8mb4"),
+            Map.entry("character_set_results", "utf8mb4"),
+            Map.entry("character_set_server", "utf8mb4"),
             Map.entry("collation_server", "utf8mb4_general_ci"),
-            Map.entry("collation_connection", "utf8mb4_general_ci"), Map.entry("init_connect", ""),
-            Map.entry("interactive_timeout", "28800"), Map.entry("wait_timeout", "28800"),
-            Map.entry("net_write_timeout", "60"), Map.entry("license", ""), Map.entry("lower_case_table_names", "0"),
-            Map.entry("max_allowed_packet", "1048576"), Map.entry("performance_schema", "0"),
-            Map.entry("sql_mode", "STRICT_TRANS_TABLES"), Map.entry("system_time_zone", "UTC"),
-            Map.entry("time_zone", "SYSTEM"), Map.entry("transaction_isolation", "READ-COMMITTED"),
-            Map.entry("tx_isolation", "READ-COMMITTED"), Map.entry("transaction_read_only", "0"),
-            Map.entry("autocommit", "1"), Map.entry("version", "8.0.0-lupinvalve"),
+            Map.entry("collation_connection", "utf8mb4_general_ci"),
+            Map.entry("init_connect", ""),
+            Map.entry("interactive_timeout", "28800"),
+            Map.entry("wait_timeout", "28800"),
+            Map.entry("net_write_timeout", "60"),
+            Map.entry("license", ""),
+            Map.entry("lower_case_table_names", "0"),
+            Map.entry("max_allowed_packet", "1048576"),
+            Map.entry("performance_schema", "0"),
+            Map.entry("sql_mode", "STRICT_TRANS_TABLES"),
+            Map.entry("system_time_zone", "UTC"),
+            Map.entry("time_zone", "SYSTEM"),
+            Map.entry("transaction_isolation", "READ-COMMITTED"),
+            Map.entry("tx_isolation", "READ-COMMITTED"),
+            Map.entry("transaction_read_only", "0"),
+            Map.entry("autocommit", "1"),
+            Map.entry("version", "8.0.0-lupinvalve"),
             Map.entry("version_comment", "lupinvalve"));
 
     private Variables() {}
@@ -61,14 +73,28 @@
             packets.add(Protocol.eof(Protocol.STATUS_AUTOCOMMIT, sequence++));
         }
         packets.add(row.packet(sequence++));
-        packets.add(newer ? Protocol.Ok.PLAIN.packet(0xFE, capabilities, sequence)
-                : Protocol.eof(Protocol.STATUS_AUTOCOMMIT, sequence));
+        packets.add(
+                newer
+                        ? Protocol.Ok.PLAIN.packet(0xFE, capabilities, sequence)
+                        : Protocol.eof(Protocol.STATUS_AUTOCOMMIT, sequence));
         return packets.toArray(new byte[0][]);
     }
 
     /** A column definition of a text. */
     static Out column(String name) {
-        return new Out().counted("def").counted("").counted("").counted("").counted(name).counted("").lenenc(12)
-                .fixed(45, 2).fixed(1024, 4).int1(0xFD).fixed(0, 2).int1(0).fixed(0, 2);
+        return new Out()
+                .counted("def")
+                .counted("")
+                .counted("")
+                .counted("")
+                .counted(name)
+                .counted("")
+                .lenenc(12)
+                .fixed(45, 2)
+                .fixed(1024, 4)
+                .int1(0xFD)
+                .fixed(0, 2)
+                .int1(0)
+                .fixed(0, 2);
     }
 }
--- a/net/src/main/java/lupinvalve/net/Addresses.java
+++ b/net/src/main/java/lupinvalve/net/Addresses.java
@@ -18,7 +18,8 @@
         try {
             int port = Integer.parseInt(text.substring(colon + 1));
             boolean literal = host.matches("[0-9.]+|\\[[0-9a-fA-F:.]+]") || host.equals("localhost");
-            return literal ? new InetSocketAddress(InetAddress.getByName(host), port)
+            return literal
+                    ? new InetSocketAddress(InetAddress.getByName(host), port)
                     : InetSocketAddress.createUnresolved(host, port);
         } catch (NumberFormatException | UnknownHostException e) {
             throw new IllegalArgumentException("not host:port: " + text, e);
--- a/net/src/main/java/lupinvalve/net/ClientEnds.java
+++ b/net/src/main/java/lupinvalve/net/ClientEnds.java
@@ -7,8 +7,9 @@
 import lupinvalve.log.Log;
 
 /**
- * Tells the log why clients' connections have ended, how old they were and what was due on them: the first of each reason at once, those that
- * follow by count, in a line every few seconds. Core thread only; holds a count for each reason.
+ * Tells the log why clients' connections have ended, how old they were and what was due on them: the first of each
+ * reason at once, those that follow by count, in a line every few seconds. Core thread only; holds a count for each
+ * reason.
  */
 public final class ClientEnds {
     private static final long PERIOD_MICROS = 5_000_000;
@@ -28,6 +29,7 @@
     private final Loop loop;
     /** Reasons that have been told of in this period, with what came since. */
     private final Map<EndReason, Count> repeats = new EnumMap<>(EndReason.class);
+
     private boolean isSummaryDue;
 
     public ClientEnds(Loop loop) {
@@ -69,17 +71,24 @@
         }
     }
 
-    /** What has come since the last call beside the first of each reason; empty where that is nothing but clients' own ends. */
+    /**
+     * What has come since the last call beside the first of each reason; empty where that is nothing but clients' own
+     * ends.
+     */
     String take() {
         boolean isWorthALine = repeats.entrySet().stream()
-                .anyMatch(each -> each.getValue().due > 0 || !each.getKey().isClients() && each.getValue().connections > 0);
-        String text = repeats.entrySet().stream().filter(each -> each.getValue().connections > 0)
-                .map(each -> text(each.getKey(), each.getValue())).collect(Collectors.joining("; "));
+                .anyMatch(each ->
+                        each.getValue().due > 0 || !each.getKey().isClients() && each.getValue().connections > 0);
+        String text = repeats.entrySet().stream()
+                .filter(each -> each.getValue().connections > 0)
+                .map(each -> text(each.getKey(), each.getValue()))
+                .collect(Collectors.joining("; "));
         repeats.clear();
         return isWorthALine ? text : "";
     }
 
     private static String text(EndReason reason, Count count) {
-        return count.connections + " " + reason + " (open " + count.youngest + " to " + count.oldest + " ms, " + count.due + " requests due)";
+        return count.connections + " " + reason + " (open " + count.youngest + " to " + count.oldest + " ms, "
+                + count.due + " requests due)";
     }
 }
--- a/net/src/main/java/lupinvalve/net/Link.java
+++ b/net/src/main/java/lupinvalve/net/Link.java
@@ -18,11 +18,13 @@
  * One connection. MINA's threads only frame what comes in and post it; all calls to the outside are made by the core
  * thread, and none after {@link Events#closed}.
  *
- * <p>There are four ways to end one. {@link #finish} is for when the last word has been said; {@link #drop} for when there is nobody to say it
- * to; {@link #abort} for when what is due can't be said any more: a reset tells the peer so. {@link #retire} is for an end that the pooler
- * chooses by itself: the thread of the sockets takes a last look, and what it finds is told like all else, while the connection goes on. What
- * comes behind that look stays in the socket and makes the system reset the connection, so that its client knows that it was not read:
- * {@link Net.Processor#destroy} sees to it that the system decides between an end in order and a reset in the moment of the close.
+ * <p>There are four ways to end one. {@link #finish} is for when the last word has been said; {@link #drop} for when
+ * there is nobody to say it to; {@link #abort} for when what is due can't be said any more: a reset tells the peer so.
+ * {@link #retire} is for an end that the pooler chooses by itself: the thread of the sockets takes a last look, and
+ * what it finds is told like all else, while the connection goes on. What comes behind that look stays in the socket
+ * and makes the system reset the connection, so that its client knows that it was not read:
+ * {@link Net.Processor#destroy} sees to it that the system decides between an end in order and a reset in the moment of
+ * the close.
  */
 public final class Link {
     /** What happens on a connection, told on the core thread. */
@@ -52,6 +54,7 @@
     private static final long READ_PATIENCE = 1_000_000;
     /** More than this may still be on its way through the system's buffers, where nobody sees it. */
     private static final long LONG_ANSWER = 64 << 10;
+
     private static final RepeatedWarnings WARNINGS = new RepeatedWarnings();
 
     private final Loop loop;
@@ -67,6 +70,7 @@
     private ReadProgress progress;
     /** When what is written past so many bytes may begin to go out at the latest. */
     private volatile long beginBy = Long.MAX_VALUE, beginsAfter;
+
     private volatile boolean tooLate;
     // Both sides, under the gate: a read and the decision to end the connection exclude each other.
     private final Object gate = new Object();
@@ -75,14 +79,19 @@
     private int barredReads;
     /** Bytes read when the core last asked for the end: where more have come since, the connection goes on. */
     private long retiredAt = -1;
+
     private final AtomicInteger ahead = new AtomicInteger();
-    /** The core wants no more to be read for now; and it wants to know once the peer has read most of what was written. */
+    /**
+     * The core wants no more to be read for now; and it wants to know once the peer has read most of what was written.
+     */
     private volatile boolean held;
+
     private volatile BooleanSupplier fence;
     /** How the connection ended, as MINA's side saw it. */
     private volatile boolean left, broke;
     /** Why this side ended it by itself; null where it did not. */
     private volatile EndReason endedBy;
+
     private final long createdAt;
     // The core's side.
     private IoSession session;
@@ -92,6 +101,7 @@
     private long writtenAtRead, unreadSince;
     /** How much had been handed over when the last messages were told: what has been since answers them. */
     private long handedAtTold;
+
     private ConnectFuture dialling;
     private boolean over;
     /** Whether the end has been asked for, and nothing has come since. */
@@ -296,7 +306,13 @@
 
     /** Reads again where nothing stands against it any more. */
     private void readOn() {
-        if (!over && !held && !full && ahead.get() <= AHEAD_MOST && session != null && session.isReadSuspended() && !isBarred()) {
+        if (!over
+                && !held
+                && !full
+                && ahead.get() <= AHEAD_MOST
+                && session != null
+                && session.isReadSuspended()
+                && !isBarred()) {
             session.resumeRead();
         }
     }
@@ -385,7 +401,9 @@
 
     /** The other end's address, for the log. */
     public String peer() {
-        return session == null ? "?" : String.valueOf(session.getRemoteAddress()).replaceFirst("^/", "");
+        return session == null
+                ? "?"
+                : String.valueOf(session.getRemoteAddress()).replaceFirst("^/", "");
     }
 
     // ---- the core thread ----
@@ -499,8 +517,8 @@
     }
 
     /**
-     * What is written from now on may begin to go out until then. Guards decisions that hold for a time against a processor
-     * that is kept from running: if it is late the connection ends as by a fault, with none of it sent.
+     * What is written from now on may begin to go out until then. Guards decisions that hold for a time against a
+     * processor that is kept from running: if it is late the connection ends as by a fault, with none of it sent.
      */
     public void beginBy(long micros) {
         beginBy = Long.MAX_VALUE;
@@ -524,11 +542,12 @@
     }
 
     /**
-     * Asks for the end of a connection that its client may be about to use. {@link Events#closed} follows, unless something has come by the
-     * time of the last look: that is told, and the connection goes on. If there is something read that has not been told yet, or an answer is
-     * still on its way out, the end is not asked for.
+     * Asks for the end of a connection that its client may be about to use. {@link Events#closed} follows, unless
+     * something has come by the time of the last look: that is told, and the connection goes on. If there is something
+     * read that has not been told yet, or an answer is still on its way out, the end is not asked for.
      *
-     * @param patience for how long the beginning of a message, or a long answer that may not have arrived, holds back the end
+     * @param patience for how long the beginning of a message, or a long answer that may not have arrived, holds back
+     *     the end
      * @param reason what {@link #reason} gives once it has ended
      * @return whether the end has been asked for
      */
@@ -561,8 +580,8 @@
     }
 
     /**
-     * Closes once all that was written has been handed to the socket; no further events come, and nothing more is read. For when the last word
-     * has been said: what lies unread then makes a reset.
+     * Closes once all that was written has been handed to the socket; no further events come, and nothing more is read.
+     * For when the last word has been said: what lies unread then makes a reset.
      */
     public void finish() {
         over = true;
@@ -614,7 +633,8 @@
     }
 
     /**
-     * Ends the connection at once by a reset, so that its peer knows that not all was answered; {@link Events#closed} follows.
+     * Ends the connection at once by a reset, so that its peer knows that not all was answered; {@link Events#closed}
+     * follows.
      */
     public void abort(EndReason why) {
         if (session != null && !over) {
--- a/net/src/main/java/lupinvalve/net/Net.java
+++ b/net/src/main/java/lupinvalve/net/Net.java
@@ -45,6 +45,7 @@
     private static final int READ_LEAST = 4096;
     /** How often a port is tried to be opened, and the rest between two tries. */
     private static final int BIND_TRIES = 20;
+
     private static final long BIND_PAUSE_MILLIS = 50;
     /** Of messages that are not whole: a third of the least heap that a pooler is given. */
     private static final long UNFINISHED_MOST = 14 << 20;
@@ -63,6 +64,7 @@
     });
     /** Where it matters how long bytes may have waited in the system; null elsewhere. */
     private final ReadProgress progress;
+
     private final Processor processor;
     private final NioSocketConnector connector;
 
@@ -100,8 +102,9 @@
     }
 
     /**
-     * Connections are let in only while fewer than so many are open, dialled ones counted. Guards the process's descriptors:
-     * a burst is taken in faster than what is past the fronts' bounds can be told so, and with none left nothing can be dialled.
+     * Connections are let in only while fewer than so many are open, dialled ones counted. Guards the process's
+     * descriptors: a burst is taken in faster than what is past the fronts' bounds can be told so, and with none left
+     * nothing can be dialled.
      */
     public void bound(int sessions) {
         sessionsMost = sessions;
@@ -151,7 +154,10 @@
             wakeup();
         }
 
-        /** Closes a connection whose end was asked for, unless something has come by now; that is passed on like all that is read. */
+        /**
+         * Closes a connection whose end was asked for, unless something has come by now; that is passed on like all
+         * that is read.
+         */
         private void lastLook(NioSession session) {
             IoBuffer in = IoBuffer.allocate(READ_LEAST);
             try {
@@ -178,9 +184,10 @@
         }
 
         /**
-         * Closes the channel in one step. As long as it is registered the JDK only shuts it for writing, and closes it at the selector's next
-         * turn: its peer reads an end in order, whatever lies unread. So it is taken from the selector first; the system then resets the
-         * connection where anything is unread, and ends it in order where nothing is.
+         * Closes the channel in one step. As long as it is registered the JDK only shuts it for writing, and closes it
+         * at the selector's next turn: its peer reads an end in order, whatever lies unread. So it is taken from the
+         * selector first; the system then resets the connection where anything is unread, and ends it in order where
+         * nothing is.
          */
         @Override
         protected void destroy(NioSession session) throws Exception {
@@ -188,7 +195,7 @@
             if (key != null) {
                 key.cancel();
                 // What is found ready now is found again by the next select.
-                selector.selectNow(ready -> { });
+                selector.selectNow(ready -> {});
                 if (wakeupCalled.get()) {
                     // That call took it.
                     selector.wakeup();
@@ -234,7 +241,7 @@
 
         /** Takes no new connections; those open stay, and those that wait to be taken are. */
         public void stop() {
-            stop(() -> { });
+            stop(() -> {});
         }
 
         /** The same; {@code then} runs on the core thread once it is done. */
@@ -253,7 +260,11 @@
 
     private Listener listen(InetSocketAddress address, boolean shared, Function<IoSession, Link> accept)
             throws IOException {
-        NioSocketAcceptor acceptor = new Acceptor(threads, processor, shared, accepted,
+        NioSocketAcceptor acceptor = new Acceptor(
+                threads,
+                processor,
+                shared,
+                accepted,
                 () -> accepted.get() + connector.getManagedSessionCount() < sessionsMost);
         acceptor.setReuseAddress(true);
         acceptor.setBacklog(BACKLOG);
@@ -274,8 +285,8 @@
     }
 
     /**
-     * Opens a port. What the system lacks for a moment is asked for again: a start must not fail by it. An address that can't be had is told at
-     * once.
+     * Opens a port. What the system lacks for a moment is asked for again: a start must not fail by it. An address that
+     * can't be had is told at once.
      */
     static void bind(NioSocketAcceptor acceptor, InetSocketAddress address) throws IOException {
         for (int tries = 1; ; tries++) {
@@ -304,8 +315,8 @@
     }
 
     /** Listens with the same events for all connections. */
-    public Listener listen(InetSocketAddress address, java.util.function.Supplier<Framer> framers,
-            Link.Events events) throws IOException {
+    public Listener listen(InetSocketAddress address, java.util.function.Supplier<Framer> framers, Link.Events events)
+            throws IOException {
         return listen(address, false, framers, events);
     }
 
@@ -314,15 +325,16 @@
      *
      * @param shared whether another process may listen on the address at the same time
      */
-    public Listener listen(InetSocketAddress address, boolean shared, java.util.function.Supplier<Framer> framers,
-            Link.Events events) throws IOException {
+    public Listener listen(
+            InetSocketAddress address, boolean shared, java.util.function.Supplier<Framer> framers, Link.Events events)
+            throws IOException {
         return listen(address, shared, session -> new Link(loop, framers.get(), events, memory, urgent));
     }
 
     /**
      * MINA's acceptor with three more duties: the address may be shared between the two processes of an upgrade, the
-     * connections that wait to be taken when it closes are taken first, since the system would reset them, and no more are
-     * open than there is room for.
+     * connections that wait to be taken when it closes are taken first, since the system would reset them, and no more
+     * are open than there is room for.
      */
     static class Acceptor extends NioSocketAcceptor {
         private static final int TURNS = 40, TURN = 5;
@@ -333,8 +345,12 @@
         private final BooleanSupplier room;
         private boolean took, crowded;
 
-        Acceptor(Executor threads, IoProcessor<NioSession> processor, boolean shared,
-                AtomicInteger accepted, BooleanSupplier room) {
+        Acceptor(
+                Executor threads,
+                IoProcessor<NioSession> processor,
+                boolean shared,
+                AtomicInteger accepted,
+                BooleanSupplier room) {
             super(threads, processor);
             this.shared = shared;
             this.accepted = accepted;
@@ -387,8 +403,9 @@
         }
 
         /**
-         * One connection could not be taken; those behind it can. MINA would stop taking any for a second. Only what this machine lacks
-         * is given a moment: the connection stays readable meanwhile, and asking again at once would keep a thread busy.
+         * One connection could not be taken; those behind it can. MINA would stop taking any for a second. Only what
+         * this machine lacks is given a moment: the connection stays readable meanwhile, and asking again at once would
+         * keep a thread busy.
          */
         private void failed(IOException why) throws InterruptedException {
             took = true;
@@ -400,7 +417,9 @@
 
         private static boolean lacksResources(IOException why) {
             String text = String.valueOf(why.getMessage());
-            return text.startsWith("Too many open files") || text.startsWith("No buffer space") || text.startsWith("Cannot allocate");
+            return text.startsWith("Too many open files")
+                    || text.startsWith("No buffer space")
+                    || text.startsWith("Cannot allocate");
         }
 
         /** Takes the connection that has waited longest, or gives null where none waits. */
@@ -408,7 +427,9 @@
             return super.accept(by, handle);
         }
 
-        /** Waits a little for connections that are being ended; those that come behind one that waited in vain don't. */
+        /**
+         * Waits a little for connections that are being ended; those that come behind one that waited in vain don't.
+         */
         private boolean roomSoon() throws InterruptedException {
             for (int i = 0; i < TURNS && !crowded && !room.getAsBoolean(); i++) {
                 Thread.sleep(TURN);
@@ -443,8 +464,7 @@
             link.ended();
             return link;
         }
-        ConnectFuture future = connector.connect(address, (session, connecting) ->
-                session.setAttribute(LINK, link));
+        ConnectFuture future = connector.connect(address, (session, connecting) -> session.setAttribute(LINK, link));
         link.dialling(future);
         future.addListener(done -> {
             if (future.getException() != null || future.isCanceled()) {
@@ -471,8 +491,8 @@
     }
 
     /**
-     * Closes the socket under a dial that is given up. MINA's own cancel counts a dial twice that has just come up and has no
-     * session yet: its connector's thread may then end while other dials wait for it, and these never come up.
+     * Closes the socket under a dial that is given up. MINA's own cancel counts a dial twice that has just come up and
+     * has no session yet: its connector's thread may then end while other dials wait for it, and these never come up.
      */
     static void abandon(ConnectFuture dialling) {
         if (dialling instanceof AbstractPollingIoConnector<?, ?>.ConnectionRequest request
@@ -558,7 +578,6 @@
             }
             session.closeNow();
         }
-
     }
 
     static Link link(IoSession session) {
--- a/net/src/main/java/lupinvalve/net/Outbound.java
+++ b/net/src/main/java/lupinvalve/net/Outbound.java
@@ -4,8 +4,8 @@
 import org.apache.mina.core.session.IoSession;
 
 /**
- * What has been written on one connection and its peer has not taken yet. Tells when there is room again, and finds peers that take nothing:
- * what they leave unread must not be held for good. Core thread only, but for {@link #sent}.
+ * What has been written on one connection and its peer has not taken yet. Tells when there is room again, and finds
+ * peers that take nothing: what they leave unread must not be held for good. Core thread only, but for {@link #sent}.
  */
 final class Outbound {
     /** With so much unread a connection is full: nothing more is read from its peer, and answers wait. */
@@ -21,8 +21,12 @@
     private volatile Runnable room;
     private volatile long roomFrom;
     private long handed, writtenAt;
-    /** What the peer had taken at the last look, when that had changed, and since when each look has found something unread. */
+    /**
+     * What the peer had taken at the last look, when that had changed, and since when each look has found something
+     * unread.
+     */
     private long taken, takenAt, unreadSince = Long.MAX_VALUE;
+
     private boolean isWatched;
 
     /** @param stalled ends the connection, as its peer takes nothing */
@@ -81,8 +85,9 @@
     }
 
     /**
-     * Whether something is unread, and the peer has taken some of it less than so long ago. The time counts from the first look that finds
-     * something unread: if it was this process that stood still, nothing is held against the peer.
+     * Whether something is unread, and the peer has taken some of it less than so long ago. The time counts from the
+     * first look that finds something unread: if it was this process that stood still, nothing is held against the
+     * peer.
      */
     boolean awaitsPeer(long patienceMicros) {
         look();
--- a/net/src/main/java/lupinvalve/net/Pool.java
+++ b/net/src/main/java/lupinvalve/net/Pool.java
@@ -29,8 +29,7 @@
         public final long waitMicros, wantedMicros;
         final long startedAt;
 
-        Job(long attempt, String node, Object statement, long waitMicros, long wantedMicros,
-                long startedAt) {
+        Job(long attempt, String node, Object statement, long waitMicros, long wantedMicros, long startedAt) {
             this.attempt = attempt;
             this.node = node;
             this.statement = statement;
@@ -59,6 +58,7 @@
         private final String node;
         /** The db node's process that it was opened to. */
         private Pooler.Instance instance;
+
         private long openedAt, slot;
         private Link link;
         private boolean greeted, started, more;
@@ -66,6 +66,7 @@
         private long before, through;
         /** When it began to rest, and how long it had rested before its job; 0 where it is new. */
         private long restAt, rested;
+
         private Deadlines.Deadline limit;
 
         protected Conn(String node) {
@@ -134,7 +135,8 @@
         conns = new Slots<>(bounds.connections());
         most = bounds.connections();
         trust = new Trust(bounds.idleMicros());
-        surplus = Math.max(Math.min(SURPLUS_LEAST, bounds.idleMicros()),
+        surplus = Math.max(
+                Math.min(SURPLUS_LEAST, bounds.idleMicros()),
                 bounds.idleMicros() / pooler.settings().routers());
     }
 
@@ -198,8 +200,8 @@
      * The job has its whole answer; the connection is free, or is closed where it can't be used again. Guards against
      * bytes behind the answer, which would be read as the next request's: they spoil the connection, not the answer.
      */
-    protected final void done(Conn conn, boolean reusable, Ending ending, Object answer, long position,
-            Routing.Role role) {
+    protected final void done(
+            Conn conn, boolean reusable, Ending ending, Object answer, long position, Routing.Role role) {
         Job job = conn.job;
         trust.kept(conn.rested);
         conn.link.hold(false);
@@ -232,8 +234,8 @@
     // ---- the core's calls ----
 
     @Override
-    public final void send(long attempt, String node, String address, Object statement, long waitMicros,
-            long wantedMicros) {
+    public final void send(
+            long attempt, String node, String address, Object statement, long waitMicros, long wantedMicros) {
         take(new Job(attempt, node, statement, waitMicros, wantedMicros, loop.now()), address);
     }
 
@@ -390,8 +392,8 @@
     }
 
     /**
-     * A connection has rested for a while: the one used last stays, the others go. Guards the db nodes' tables, which all
-     * poolers fill together: what one keeps for its rare peaks takes room and capacity there from all.
+     * A connection has rested for a while: the one used last stays, the others go. Guards the db nodes' tables, which
+     * all poolers fill together: what one keeps for its rare peaks takes room and capacity there from all.
      */
     private void settle(Conn conn) {
         if (idle.get(conn.node).peekLast() == conn && surplus < bounds.idleMicros()) {
@@ -414,7 +416,7 @@
             // Db nodes that have left leave nothing behind.
             idle.remove(conn.node);
         } else if (resting != null) {
-            for (Iterator<Conn> it = resting.iterator(); it.hasNext();) {
+            for (Iterator<Conn> it = resting.iterator(); it.hasNext(); ) {
                 if (it.next() == conn) {
                     it.remove();
                     break;
--- a/net/src/main/java/lupinvalve/net/ReadProgress.java
+++ b/net/src/main/java/lupinvalve/net/ReadProgress.java
@@ -13,9 +13,11 @@
 final class ReadProgress extends Net.Processor {
     /** How long it looks at most between two passes: so old may news be although it is read at once. */
     private static final long PASS_MILLIS = 50;
+
     private volatile long readUpTo = System.nanoTime();
     /** Where the last wait was in vain; the core's. */
     private long givenUpAt = readUpTo - 1;
+
     private volatile boolean woken;
     private volatile Thread waiting;
     /** What {@link #readUpTo} becomes once this pass has read what it found. */
@@ -36,7 +38,10 @@
         super.wakeup();
     }
 
-    /** MINA takes a wait that ends early and finds nothing for a fault of its selector, so short ones are strung together. */
+    /**
+     * MINA takes a wait that ends early and finds nothing for a fault of its selector, so short ones are strung
+     * together.
+     */
     @Override
     protected int select(long timeout) throws Exception {
         long end = System.nanoTime() + timeout * 1_000_000;
@@ -72,7 +77,7 @@
     /** Whether the pass before has left nothing in the sockets that it found readable. */
     private boolean allRead() {
         boolean all = true;
-        for (Iterator<NioSession> sessions = allSessions(); sessions.hasNext();) {
+        for (Iterator<NioSession> sessions = allSessions(); sessions.hasNext(); ) {
             IoSession session = sessions.next();
             Link link = Net.link(session);
             // One that had more than fits is found again by the next look, or has been emptied just so.
@@ -94,7 +99,9 @@
         long from = System.nanoTime();
         waiting = Thread.currentThread();
         wakeup();
-        for (long left = most * 1000; ageMicros() > ageMicros && left > 0; left = from + most * 1000 - System.nanoTime()) {
+        for (long left = most * 1000;
+                ageMicros() > ageMicros && left > 0;
+                left = from + most * 1000 - System.nanoTime()) {
             LockSupport.parkNanos(this, left);
         }
         waiting = null;
--- a/net/src/main/java/lupinvalve/net/Spare.java
+++ b/net/src/main/java/lupinvalve/net/Spare.java
@@ -34,6 +34,7 @@
     private static final long PATIENCE = 3_000_000;
     /** After this a connection that could not be ended is tried again. */
     private static final long AGAIN = 20_000;
+
     private final Loop loop;
     private final Slots<C> clients;
     private final int most;
@@ -43,10 +44,12 @@
     private final Map<C, Long> resting = new LinkedHashMap<>();
     /** Those whose end has been asked for: they count as gone unless their clients use them. */
     private final Set<C> ending = new HashSet<>();
+
     private Deadlines.Deadline again;
 
     /**
-     * @param most connections that may be open at once; the table holds {@link #places} so that newcomers need not wait for those that end
+     * @param most connections that may be open at once; the table holds {@link #places} so that newcomers need not wait
+     *     for those that end
      * @param allowed connections that clients can have for requests, whatever the table holds
      * @param close ends a connection
      */
@@ -59,8 +62,8 @@
     }
 
     /**
-     * How large a table must be that holds so many connections and those that are ending: many may be, where newcomers come faster than the
-     * sockets' thread closes.
+     * How large a table must be that holds so many connections and those that are ending: many may be, where newcomers
+     * come faster than the sockets' thread closes.
      */
     public static int places(int most) {
         return most * 4;
@@ -133,8 +136,8 @@
     }
 
     /**
-     * Closes what may be closed, the oldest first, until a quarter of the table is free, and a quarter of what
-     * clients are allowed: one that has none left can't ask, though this table has room.
+     * Closes what may be closed, the oldest first, until a quarter of the table is free, and a quarter of what clients
+     * are allowed: one that has none left can't ask, though this table has room.
      */
     private void ease() {
         while (size() > most * 3 / 4 && rested(REST)) {
@@ -178,7 +181,9 @@
     }
 
     private boolean scarce() {
-        long used = clients.size() - silent.size() - ending.stream().filter(client -> !silent.containsKey(client)).count();
+        long used = clients.size()
+                - silent.size()
+                - ending.stream().filter(client -> !silent.containsKey(client)).count();
         return used * 4 > allowed * 3;
     }
 
--- a/operators/src/main/java/lupinvalve/door/Calls.java
+++ b/operators/src/main/java/lupinvalve/door/Calls.java
@@ -35,8 +35,10 @@
         String[] words = text.strip().split(" +");
         boolean named = words[0].equals("cordon") || words[0].equals("uncordon");
         if (words.length != (named ? 2 : 1)) {
-            answer.accept(words[0].isEmpty() ? "fail no call\n"
-                    : "fail " + words[0] + (named ? " takes one id\n" : " takes nothing more\n"));
+            answer.accept(
+                    words[0].isEmpty()
+                            ? "fail no call\n"
+                            : "fail " + words[0] + (named ? " takes one id\n" : " takes nothing more\n"));
             return;
         }
         Consumer<String> done = objection -> answer.accept(objection == null ? "ok\n" : "fail " + objection + "\n");
--- a/operators/src/main/java/lupinvalve/door/Door.java
+++ b/operators/src/main/java/lupinvalve/door/Door.java
@@ -28,9 +28,11 @@
 public final class Door {
     /** Callers at once; one more ends the one that has been here longest without a whole line. */
     static final int CALLERS_MOST = 32;
+
     private static final int LINE_MOST = 256, BACKLOG = 64;
     /** How long a caller may take to say its line, and to read the answer. */
     private static final long LINE_WAIT_MILLIS = 3_000, READ_WAIT_MILLIS = 1_000;
+
     private final ExecutorService threads = Executors.newCachedThreadPool(Door::thread);
     private final ScheduledExecutorService clock = Executors.newSingleThreadScheduledExecutor(Door::thread);
     private final SimpleIoProcessorPool<NioSession> processor =
@@ -79,8 +81,8 @@
 
     private synchronized void came(IoSession session) {
         Caller caller = new Caller();
-        caller.limit = clock.schedule(() -> answer(session, "fail no line in time"), LINE_WAIT_MILLIS,
-                TimeUnit.MILLISECONDS);
+        caller.limit =
+                clock.schedule(() -> answer(session, "fail no line in time"), LINE_WAIT_MILLIS, TimeUnit.MILLISECONDS);
         unheard.put(session, caller);
         if (unheard.size() > CALLERS_MOST) {
             Iterator<IoSession> eldest = unheard.keySet().iterator();
--- a/operators/src/main/java/lupinvalve/handoff/Incumbent.java
+++ b/operators/src/main/java/lupinvalve/handoff/Incumbent.java
@@ -18,6 +18,7 @@
     private final long self = ProcessHandle.current().pid();
     /** Who served when this process started; 0 for nobody. */
     private volatile long predecessor;
+
     private volatile boolean reported;
 
     /** @param stem path of the files, without their endings */
@@ -62,7 +63,9 @@
     }
 
     private boolean runs(long pid) {
-        return pid > 0 && pid != self && ProcessHandle.of(pid).map(ProcessHandle::isAlive).orElse(false);
+        return pid > 0
+                && pid != self
+                && ProcessHandle.of(pid).map(ProcessHandle::isAlive).orElse(false);
     }
 
     /** The process that a note names; 0 for none. */
--- a/operators/src/main/java/lupinvalve/handoff/OrdersFile.java
+++ b/operators/src/main/java/lupinvalve/handoff/OrdersFile.java
@@ -19,13 +19,14 @@
 import lupinvalve.upkeep.Maintenance.Orders;
 
 /**
- * The operators' orders in a file that the two processes of an upgrade share. It is written whole beside the old one and
- * renamed, under a lock, so a reader sees one state or the other. For one thread.
+ * The operators' orders in a file that the two processes of an upgrade share. It is written whole beside the old one
+ * and renamed, under a lock, so a reader sees one state or the other. For one thread.
  */
 public final class OrdersFile {
     private static final JsonFactory JSON = new JsonFactory();
     /** Longer than any file of ours: what is longer is not read. */
     private static final long BYTES_MOST = 1 << 20;
+
     private final Shelf shelf;
     private final String file, beside, lock;
     private byte[] seen = {};
@@ -45,8 +46,8 @@
     }
 
     /**
-     * What the file holds where it has changed since it was last read or written, else null. Of one that is spoilt, what
-     * could be read stands beside what is held: a db node too many is out, and none that was taken out is used.
+     * What the file holds where it has changed since it was last read or written, else null. Of one that is spoilt,
+     * what could be read stands beside what is held: a db node too many is out, and none that was taken out is used.
      */
     public Orders changed(Orders held) {
         try {
@@ -73,8 +74,8 @@
     }
 
     /**
-     * Makes a change to what the file holds; it is in the file when this returns. Where the file can't be read there is no
-     * change: made to what is held here, it would undo what the other process wrote since.
+     * Makes a change to what the file holds; it is in the file when this returns. Where the file can't be read there is
+     * no change: made to what is held here, it would undo what the other process wrote since.
      */
     public Orders change(Orders held, UnaryOperator<Orders> change) throws IOException {
         Closeable locked = shelf.lock(lock);
@@ -124,7 +125,8 @@
 
     private static void expect(JsonParser in, boolean holds) throws IOException {
         if (!holds) {
-            throw new IOException("unexpected " + in.currentToken() + " at byte " + in.currentLocation().getByteOffset());
+            throw new IOException("unexpected " + in.currentToken() + " at byte "
+                    + in.currentLocation().getByteOffset());
         }
     }
 
--- a/operators/src/main/java/lupinvalve/handoff/Shelf.java
+++ b/operators/src/main/java/lupinvalve/handoff/Shelf.java
@@ -44,13 +44,17 @@
 
             @Override
             public void move(String name, String to) throws IOException {
-                Files.move(folder.resolve(name), folder.resolve(to), StandardCopyOption.ATOMIC_MOVE,
+                Files.move(
+                        folder.resolve(name),
+                        folder.resolve(to),
+                        StandardCopyOption.ATOMIC_MOVE,
                         StandardCopyOption.REPLACE_EXISTING);
             }
 
             @Override
             public Closeable lock(String name) throws IOException {
-                FileChannel channel = FileChannel.open(folder.resolve(name), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+                FileChannel channel =
+                        FileChannel.open(folder.resolve(name), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
                 try {
                     channel.lock();
                 } catch (IOException | RuntimeException e) {
--- a/operators/src/test/java/lupinvalve/handoff/OrdersFileTest.java
+++ b/operators/src/test/java/lupinvalve/handoff/OrdersFileTest.java
@@ -22,8 +22,10 @@
 
 class OrdersFileTest {
     private static final Orders HELD = new Orders(Set.of("s-9"), Map.of("s-8", 77L));
+
     @TempDir
     private Path folder;
+
     private final ByteArrayOutputStream log = new ByteArrayOutputStream();
 
     private OrdersFile process() {
--- a/pg/src/main/java/lupinvalve/pg/PgBackend.java
+++ b/pg/src/main/java/lupinvalve/pg/PgBackend.java
@@ -9,8 +9,8 @@
 import lupinvalve.core.Positions;
 import lupinvalve.core.Statement;
 import lupinvalve.log.Log;
-import lupinvalve.net.Framer;
 import lupinvalve.net.Dialer;
+import lupinvalve.net.Framer;
 import lupinvalve.net.Pool;
 import lupinvalve.upkeep.Shares;
 
@@ -18,6 +18,7 @@
 public final class PgBackend extends Pool {
     /** Values have 4 MiB at most; what is longer is taken for spoilt. */
     private static final int ROW_MOST = (4 << 20) + 64, ANSWER_MOST = ROW_MOST + (32 << 10);
+
     private static final byte[] PROBE = PgMessages.texts('Q', "SHOW vitals");
     private final byte[] startup;
     /** Bytes of long answers that are held whole. */
@@ -29,7 +30,13 @@
     }
 
     /** How far an answer has come. */
-    private enum At { START, HEAD, ROW, COMPLETE, FAILED }
+    private enum At {
+        START,
+        HEAD,
+        ROW,
+        COMPLETE,
+        FAILED
+    }
 
     private static final class PgConn extends Conn {
         private List<byte[]> answer = new ArrayList<>(3);
@@ -39,6 +46,7 @@
         private byte[] row;
         /** What is still to come of a row in pieces, and whether it is passed on meanwhile. */
         private int left;
+
         private boolean passing;
         private int kept;
         private long position = Routing.NO_POSITION;
@@ -157,7 +165,7 @@
     /** Before the first request; gives whether the message may stand there. */
     private boolean greeting(PgConn c, byte[] message) {
         switch (message[0]) {
-            case 'R', 'S', 'K', 'N' -> { }
+            case 'R', 'S', 'K', 'N' -> {}
             case 'E' -> c.error = ending(message);
             case 'Z' -> greeted(c);
             default -> {
@@ -169,15 +177,16 @@
 
     /** Takes a message of an answer: T, D, C or an error, then Z. Gives whether it may stand there. */
     private boolean answered(PgConn c, byte[] message) {
-        At next = switch (message[0]) {
-            case 'S', 'N' -> c.at;
-            case 'T' -> c.at == At.START ? At.HEAD : null;
-            case 'D' -> c.at == At.HEAD ? At.ROW : null;
-            case 'C' -> c.at == At.HEAD || c.at == At.ROW ? At.COMPLETE : null;
-            case 'E' -> c.at == At.COMPLETE || c.at == At.FAILED ? null : At.FAILED;
-            case 'Z' -> c.at == At.COMPLETE || c.at == At.FAILED ? c.at : null;
-            default -> null;
-        };
+        At next =
+                switch (message[0]) {
+                    case 'S', 'N' -> c.at;
+                    case 'T' -> c.at == At.START ? At.HEAD : null;
+                    case 'D' -> c.at == At.HEAD ? At.ROW : null;
+                    case 'C' -> c.at == At.HEAD || c.at == At.ROW ? At.COMPLETE : null;
+                    case 'E' -> c.at == At.COMPLETE || c.at == At.FAILED ? null : At.FAILED;
+                    case 'Z' -> c.at == At.COMPLETE || c.at == At.FAILED ? c.at : null;
+                    default -> null;
+                };
         if (next == null) {
             return false;
         }
@@ -191,7 +200,7 @@
             }
             case 'E' -> c.error = ending(message);
             case 'Z' -> ready(c);
-            default -> { }
+            default -> {}
         }
         return true;
     }
--- a/pg/src/main/java/lupinvalve/pg/PgFramer.java
+++ b/pg/src/main/java/lupinvalve/pg/PgFramer.java
@@ -15,6 +15,7 @@
     private static final int OTHER_MOST = 8192;
     /** A db node's row that is longer is cut into pieces as they come; the first holds its lengths. */
     static final int WHOLE_MOST = 64 << 10, ROW_HEAD = 11;
+
     private static final String FROM_CLIENTS = "QXSPBEDCFHdcfp", FROM_NODES = "TDCEZSNRK";
     private final int most;
     private final boolean client;
@@ -83,7 +84,6 @@
     }
 
     static int int32(byte[] bytes, int at) {
-        return (bytes[at] & 255) << 24 | (bytes[at + 1] & 255) << 16 | (bytes[at + 2] & 255) << 8
-                | bytes[at + 3] & 255;
+        return (bytes[at] & 255) << 24 | (bytes[at + 1] & 255) << 16 | (bytes[at + 2] & 255) << 8 | bytes[at + 3] & 255;
     }
 }
--- a/pg/src/main/java/lupinvalve/pg/PgFront.java
+++ b/pg/src/main/java/lupinvalve/pg/PgFront.java
@@ -27,6 +27,7 @@
     public static final String PROTOCOL = "pg";
     /** Values have been seen with 400 KB, which are 800 KB as hexadecimal digits. */
     private static final int MESSAGE_MOST = 1 << 20;
+
     private static final int PIPELINED_MOST = 64;
     /** Bytes of all statements that wait for their answers. */
     private static final long WAITING_MOST = 8 << 20;
@@ -40,9 +41,11 @@
     private static final int FILLER = 16 << 10;
     /** Connections past the bound that are still told so, and for how long they may stay. */
     private static final int EXTRA_MOST = 32;
+
     private static final long EXTRA_WAIT = 250_000, AGAIN = 20_000;
     /** Once the program ends, a client has so long to go on with what it has begun to send, or to read. */
     private static final long LAST_PATIENCE = 300_000;
+
     private final Pooler pooler;
     private final Slots<Client> clients;
     private final Slots<Reply> replies;
@@ -52,6 +55,7 @@
     private final Map<Link, Boolean> extra = new IdentityHashMap<>();
     /** Whose requests a cancel names, by process number and secret key, which each connection is told. */
     private final Map<Long, Client> byKey = new HashMap<>();
+
     private final SecureRandom random = new SecureRandom();
     private final ClientEnds ends;
     private long waiting, unsent;
@@ -66,6 +70,7 @@
         boolean parts;
         /** Why the connection ends once all that is due has been answered; null where it goes on. */
         EndReason last;
+
         final ArrayDeque<Reply> due = new ArrayDeque<>();
 
         Client(Link link, long openedAt) {
@@ -82,9 +87,14 @@
         byte[][] bytes;
         /** Of a long answer: where it comes from, and what waits for the answers before it. */
         Backend.Source source;
+
         final ArrayDeque<byte[]> pieces = new ArrayDeque<>(0);
-        /** How much of its row has yet to come, whether any of it has been written, and whether it broke off and is being filled up. */
+        /**
+         * How much of its row has yet to come, whether any of it has been written, and whether it broke off and is
+         * being filled up.
+         */
         long rowLeft;
+
         boolean begun, isFilling;
         /** What is counted of it as long as it has not been written. */
         long unsent;
@@ -98,7 +108,8 @@
     public PgFront(Pooler pooler, int clientsMost) {
         this.pooler = pooler;
         clients = new Slots<>(Spare.places(clientsMost));
-        spare = new Spare<>(pooler.loop(), clients, clientsMost, pooler.settings().limits().openMost(), this::retire);
+        spare = new Spare<>(
+                pooler.loop(), clients, clientsMost, pooler.settings().limits().openMost(), this::retire);
         replies = new Slots<>(clientsMost * 8);
         ends = new ClientEnds(pooler.loop());
     }
@@ -157,7 +168,10 @@
         client.link.finish();
     }
 
-    /** Asks for the end of a connection on which nothing is due; {@link #closed} follows, unless its client has begun to use it. */
+    /**
+     * Asks for the end of a connection on which nothing is due; {@link #closed} follows, unless its client has begun to
+     * use it.
+     */
     private boolean retire(Client client, long patience, EndReason reason) {
         return client.due.isEmpty() && client.link.retire(patience, reason);
     }
@@ -215,12 +229,19 @@
         }
     }
 
-    /** Tells a connection past the bound so: once, and for each statement that has been read with its startup or behind it. */
+    /**
+     * Tells a connection past the bound so: once, and for each statement that has been read with its startup or behind
+     * it.
+     */
     private void refuse(Link link, List<byte[]> messages) {
         long statements = messages.stream().filter(message -> message[0] == 'Q').count();
         boolean told = extra.put(link, true);
         for (long left = Math.max(statements, told ? 0 : 1); left > 0; left--) {
-            link.write(PgMessages.error("FATAL", "53300", "too many clients", advice(pooler.settings().limits().maxRetryAfterMicros())));
+            link.write(PgMessages.error(
+                    "FATAL",
+                    "53300",
+                    "too many clients",
+                    advice(pooler.settings().limits().maxRetryAfterMicros())));
         }
         // Where more has been read it is told next, and refused as well.
         if (link.finishIfAllTold()) {
@@ -235,7 +256,8 @@
             client.link.write(PgMessages.NO);
         } else if (code == PgFramer.CANCEL_REQUEST) {
             Client named = message.length == 16
-                    ? byKey.get((long) PgFramer.int32(message, 8) << 32 | PgFramer.int32(message, 12) & 0xFFFFFFFFL) : null;
+                    ? byKey.get((long) PgFramer.int32(message, 8) << 32 | PgFramer.int32(message, 12) & 0xFFFFFFFFL)
+                    : null;
             end(client, EndReason.CANCEL_REQUEST);
             if (named != null) {
                 cancel(named);
@@ -247,10 +269,14 @@
             client.welcomed = true;
             client.key = (long) ++numbers << 32 | random.nextInt() & 0xFFFFFFFFL;
             byKey.put(client.key, client);
-            client.link.write(PgMessages.AUTHENTICATED, PgMessages.key(client.key), PgMessages.texts('S', "server_version", "15.0"),
+            client.link.write(
+                    PgMessages.AUTHENTICATED,
+                    PgMessages.key(client.key),
+                    PgMessages.texts('S', "server_version", "15.0"),
                     PgMessages.texts('S', "client_encoding", "UTF8"),
                     PgMessages.texts('S', "standard_conforming_strings", "on"),
-                    PgMessages.texts('S', "integer_datetimes", "on"), PgMessages.READY);
+                    PgMessages.texts('S', "integer_datetimes", "on"),
+                    PgMessages.READY);
         }
     }
 
@@ -299,7 +325,10 @@
         byte[] text = Arrays.copyOfRange(message, 5, message.length - 1);
         String word = firstWord(text);
         if (word.isEmpty() && !pooler.drain().welcomes()) {
-            answer(client, PgMessages.error("ERROR", "57P03", "draining: clients are sent away", null), PgMessages.READY);
+            answer(
+                    client,
+                    PgMessages.error("ERROR", "57P03", "draining: clients are sent away", null),
+                    PgMessages.READY);
         } else if (word.isEmpty()) {
             answer(client, PgMessages.EMPTY, PgMessages.READY);
         } else if (word.equals("SET") || word.equals("RESET") || word.equals("DISCARD")) {
@@ -412,8 +441,9 @@
     }
 
     /**
-     * Ends an answer whose row can't be finished by an error. What has been written of the row is first filled up to the length that it said of
-     * itself: the error voids it, and what is due behind it can be answered on the same connection.
+     * Ends an answer whose row can't be finished by an error. What has been written of the row is first filled up to
+     * the length that it said of itself: the error voids it, and what is due behind it can be answered on the same
+     * connection.
      */
     private void breakOff(Reply reply, byte[] error) {
         reply.pieces.clear();
--- a/pg/src/main/java/lupinvalve/pg/PgMessages.java
+++ b/pg/src/main/java/lupinvalve/pg/PgMessages.java
@@ -48,7 +48,8 @@
 
     /** An ErrorResponse; {@code detail} may be null. */
     static byte[] error(String severity, String code, String text, String detail) {
-        return detail == null ? texts('E', "S" + severity, "V" + severity, "C" + code, "M" + text, "")
+        return detail == null
+                ? texts('E', "S" + severity, "V" + severity, "C" + code, "M" + text, "")
                 : texts('E', "S" + severity, "V" + severity, "C" + code, "M" + text, "D" + detail, "");
     }
 
@@ -101,7 +102,8 @@
 
     /** Whether a row, or the first piece of one, says of itself what a row of one column and so many bytes does. */
     static boolean row(byte[] message, int length) {
-        return length >= PgFramer.ROW_HEAD && int16(message, 5) == 1
+        return length >= PgFramer.ROW_HEAD
+                && int16(message, 5) == 1
                 && Math.max(0, PgFramer.int32(message, 7)) == length - PgFramer.ROW_HEAD
                 && PgFramer.int32(message, 7) >= -1;
     }
@@ -112,7 +114,8 @@
         while (at < message.length && message[at] != 0) {
             at = end(message, at + 1);
         }
-        return at == message.length - 1 && (message[0] == 'N' || errorField(message, 'C').length() == 5);
+        return at == message.length - 1
+                && (message[0] == 'N' || errorField(message, 'C').length() == 5);
     }
 
     private static int int16(byte[] bytes, int at) {
--- a/rehearsal/src/main/java/lupinvalve/rehearsal/ClientScript.java
+++ b/rehearsal/src/main/java/lupinvalve/rehearsal/ClientScript.java
@@ -34,7 +34,10 @@
     /** The startup message. */
     public static byte[] hello() {
         byte[] names = "user\0api\0database\0ledger\0\0".getBytes(UTF_8);
-        return java.nio.ByteBuffer.allocate(8 + names.length).putInt(8 + names.length).putInt(3 << 16).put(names)
+        return java.nio.ByteBuffer.allocate(8 + names.length)
+                .putInt(8 + names.length)
+                .putInt(3 << 16)
+                .put(names)
                 .array();
     }
 
@@ -67,7 +70,8 @@
                 ? "INSERT INTO rows (handle, blob) VALUES ('k" + asked % 20 + "', '\\x9f') RETURNING blob"
                 : "SELECT blob FROM rows WHERE handle = 'k" + asked % 20 + "'";
         byte[] text = (head + " /* id=" + name + "-" + asked++ + ",c=" + kind.name() + ",t=a,d="
-                + kind.deadlineMicros() / 1000 + ",cluster=1 */\0").getBytes(UTF_8);
+                        + kind.deadlineMicros() / 1000 + ",cluster=1 */\0")
+                .getBytes(UTF_8);
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(text.length + 5);
         DataOutputStream out = new DataOutputStream(bytes);
         out.write('Q');
--- a/rehearsal/src/main/java/lupinvalve/rehearsal/StandIns.java
+++ b/rehearsal/src/main/java/lupinvalve/rehearsal/StandIns.java
@@ -27,8 +27,11 @@
         StringBuilder members = new StringBuilder();
         for (String rank : List.of("source", "copy")) {
             int port = serve((in, out) -> node(in, out, rank.equals("source")));
-            members.append(members.length() == 0 ? "" : ",").append("{\"id\":\"").append(rank)
-                    .append("\",\"host_port\":\"127.0.0.1:").append(port)
+            members.append(members.length() == 0 ? "" : ",")
+                    .append("{\"id\":\"")
+                    .append(rank)
+                    .append("\",\"host_port\":\"127.0.0.1:")
+                    .append(port)
                     .append("\",\"cell\":1,\"phase\":\"in_service\",\"up_since_ms\":0}");
         }
         list = "{\"revision\":1,\"complete\":true,\"members\":[" + members + "]}\n";
@@ -36,12 +39,14 @@
 
     /** Starts discovery and gives its address. */
     public String discovery() throws IOException {
-        return "127.0.0.1:" + serve((in, out) -> {
-            out.write(("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(list.length())
-                    + "\r\n" + list + "\r\n").getBytes(UTF_8));
-            // The watch stays open until its reader ends it.
-            in.readAllBytes();
-        });
+        return "127.0.0.1:"
+                + serve((in, out) -> {
+                    out.write(("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+                                    + Integer.toHexString(list.length()) + "\r\n" + list + "\r\n")
+                            .getBytes(UTF_8));
+                    // The watch stays open until its reader ends it.
+                    in.readAllBytes();
+                });
     }
 
     private int serve(Speaker speaker) throws IOException {
@@ -65,13 +70,15 @@
     }
 
     private static void thread(Work work) {
-        Thread thread = new Thread(() -> {
-            try {
-                work.run();
-            } catch (IOException e) {
-                Log.debug("stand-in: %s", e.getMessage());
-            }
-        }, "stand-in");
+        Thread thread = new Thread(
+                () -> {
+                    try {
+                        work.run();
+                    } catch (IOException e) {
+                        Log.debug("stand-in: %s", e.getMessage());
+                    }
+                },
+                "stand-in");
         thread.setDaemon(true);
         thread.start();
     }
--- a/rig/src/main/java/lupinvalve/cli/PointLauncher.java
+++ b/rig/src/main/java/lupinvalve/cli/PointLauncher.java
@@ -29,7 +29,9 @@
     public static void main(String[] args) throws Exception {
         PointLauncher launcher = new PointLauncher();
         try {
-            new CmdLineParser(launcher).parseArgument(Arrays.stream(args).filter(a -> !a.equals("serve")).toList());
+            new CmdLineParser(launcher)
+                    .parseArgument(
+                            Arrays.stream(args).filter(a -> !a.equals("serve")).toList());
         } catch (CmdLineException e) {
             System.err.println("launcher: " + e.getMessage());
             System.exit(2);
--- a/rig/src/main/java/lupinvalve/replication/PointSeams.java
+++ b/rig/src/main/java/lupinvalve/replication/PointSeams.java
@@ -14,20 +14,21 @@
 public final class PointSeams implements Group.Seams {
     /** The exit code of a process that ended itself at its point. */
     public static final int ENDED = 137;
+
     private final Points points = new Points();
     private final FileChannel course;
     private Points.At due;
     private boolean last;
 
     /**
-     * @param at the point and its fault, or null. Real processes meet their points in no fixed order: where the fault does not fit
-     *     the point, it comes at the next one that it fits.
+     * @param at the point and its fault, or null. Real processes meet their points in no fixed order: where the fault
+     *     does not fit the point, it comes at the next one that it fits.
      * @param course is appended the kind of each point met, one character each; null for none
      */
     public PointSeams(Points.At at, Path course) throws IOException {
         due = at;
-        this.course = course == null ? null
-                : FileChannel.open(course, StandardOpenOption.CREATE, StandardOpenOption.APPEND);
+        this.course =
+                course == null ? null : FileChannel.open(course, StandardOpenOption.CREATE, StandardOpenOption.APPEND);
         points.count(true);
     }
 
@@ -63,7 +64,12 @@
     /** Stands still until somebody lets it go on. */
     private static void stop() {
         try {
-            new ProcessBuilder("kill", "-STOP", Long.toString(ProcessHandle.current().pid())).start().waitFor();
+            new ProcessBuilder(
+                            "kill",
+                            "-STOP",
+                            Long.toString(ProcessHandle.current().pid()))
+                    .start()
+                    .waitFor();
         } catch (IOException e) {
             Log.error("stop: %s", e.getMessage());
         } catch (InterruptedException e) {
