--- a/rig/src/main/java/lupinvalve/rig/AuditDrill.java
+++ b/rig/src/main/java/lupinvalve/rig/AuditDrill.java
@@ -19,9 +19,10 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What a drill's poolers acted on, judged by what stand-in db nodes saw: an operator takes db nodes out by strict calls and calls
- * them back, others put configurations strictly, and faults part poolers from the group meanwhile. After a strict call's answer
- * no statement may reach the db node that it took out; and what the audit answers must agree with what was told when.
+ * What a drill's poolers acted on, judged by what stand-in db nodes saw: an operator takes db nodes out by strict calls
+ * and calls them back, others put configurations strictly, and faults part poolers from the group meanwhile. After a
+ * strict call's answer no statement may reach the db node that it took out; and what the audit answers must agree with
+ * what was told when.
  */
 public final class AuditDrill implements DrillWatcher {
     private static final long CALL_MILLIS = 9_000, HELD_MILLIS = 400, FAULT_LASTS = 4_000, CLOCKS = 60;
@@ -38,8 +39,11 @@
     private final List<String> findings = new ArrayList<>();
     private final List<Put> puts = new ArrayList<>();
     private final List<Fenced> fences = new ArrayList<>();
-    private final AtomicInteger late = new AtomicInteger(), returned = new AtomicInteger(), numbers = new AtomicInteger(),
-            strictHolds = new AtomicInteger(), unsure = new AtomicInteger();
+    private final AtomicInteger late = new AtomicInteger(),
+            returned = new AtomicInteger(),
+            numbers = new AtomicInteger(),
+            strictHolds = new AtomicInteger(),
+            unsure = new AtomicInteger();
     private final Histogram strict = new ConcurrentHistogram(60_000_000, 3);
     private final List<Thread> threads = new ArrayList<>();
     private volatile boolean over;
@@ -62,7 +66,8 @@
         Long since = heldSince.get(node);
         if (since != null) {
             late.incrementAndGet();
-            found(pooler + " sent to " + node + " " + (at - since) + " ms after the strict call that took it out was answered");
+            found(pooler + " sent to " + node + " " + (at - since)
+                    + " ms after the strict call that took it out was answered");
         }
     }
 
@@ -135,11 +140,15 @@
         String document = "{\"mysql\":{\"user\":\"a" + numbers.incrementAndGet() + "\"}}";
         long asked = System.currentTimeMillis();
         long began = System.nanoTime();
-        Client.Said said = ask(client, "put", false, fields(now.text()).getOrDefault("revision", "0"), document, "strict");
+        Client.Said said =
+                ask(client, "put", false, fields(now.text()).getOrDefault("revision", "0"), document, "strict");
         if (said.code() == Messages.Code.OK) {
             strict.recordValue((System.nanoTime() - began) / 1000);
-            puts.add(new Put(fields(said.text()).get("revision") + "-"
-                    + lupinvalve.ledger.Ledger.digest(document.getBytes(StandardCharsets.UTF_8)), asked, System.currentTimeMillis()));
+            puts.add(new Put(
+                    fields(said.text()).get("revision") + "-"
+                            + lupinvalve.ledger.Ledger.digest(document.getBytes(StandardCharsets.UTF_8)),
+                    asked,
+                    System.currentTimeMillis()));
         } else if (said.code() == Messages.Code.UNKNOWN) {
             unsure.incrementAndGet();
         }
@@ -216,8 +225,8 @@
                 found(pooler + " acted on " + put.version() + " " + (put.asked() - from) + " ms before it was put");
             } else if (of > revision && known && to > put.answered() + CLOCKS) {
                 wrong++;
-                found(pooler + " acted on " + acted.get("version") + " " + (to - put.answered()) + " ms after " + put.version()
-                        + " was done");
+                found(pooler + " acted on " + acted.get("version") + " " + (to - put.answered()) + " ms after "
+                        + put.version() + " was done");
             } else if (of > revision && last && end > put.answered() + FAULT_LASTS) {
                 wrong++;
                 found(pooler + " still acts on " + acted.get("version") + ", " + put.version() + " was done long ago");
@@ -230,9 +239,14 @@
         int all = 0;
         for (Fenced one : fences) {
             long at = one.at() - begun;
-            boolean touched = course.stream().anyMatch(s -> (s.who().equals(one.pooler()) || s.to().equals(one.pooler())
-                    || s.who().equals(Step.ALL) || s.to().equals(Step.ALL) || s.who().equals(Step.LEADER) && s.to().isEmpty())
-                    && s.atMillis() - 500 <= at && at <= s.atMillis() + s.forMillis() + FAULT_LASTS);
+            boolean touched = course.stream()
+                    .anyMatch(s -> (s.who().equals(one.pooler())
+                                    || s.to().equals(one.pooler())
+                                    || s.who().equals(Step.ALL)
+                                    || s.to().equals(Step.ALL)
+                                    || s.who().equals(Step.LEADER) && s.to().isEmpty())
+                            && s.atMillis() - 500 <= at
+                            && at <= s.atMillis() + s.forMillis() + FAULT_LASTS);
             if (!touched) {
                 all++;
                 found(one.pooler() + " was fenced at " + at + " ms with no fault at it");
@@ -249,11 +263,27 @@
     /** One JSON object; times in milliseconds. */
     public String json(int poolers, long seed, int decisions) {
         int untouched = falseFences();
-        return String.format(Locale.ROOT, "{\"poolers\":%d,\"seed\":%d,\"versions\":%d,\"strict_puts\":%d,\"strict_holds\":%d,"
-                + "\"unsure\":%d,\"decisions\":%d,\"late_decisions\":%d,\"audit_wrong\":%d,\"audit_unknown_ms\":%d,"
-                + "\"chain_breaks\":%d,\"fenced\":%d,\"returned\":%d,\"strict_p50_ms\":%.0f,\"strict_p99_ms\":%.0f,"
-                + "\"false_fences\":%d}", poolers, seed, numbers.get(), puts.size(), strictHolds.get(), unsure.get(), decisions,
-                late.get(), wrong, unknown, breaks, fences.size(), returned.get(), strict.getValueAtPercentile(50) / 1000.0,
-                strict.getValueAtPercentile(99) / 1000.0, untouched);
+        return String.format(
+                Locale.ROOT,
+                "{\"poolers\":%d,\"seed\":%d,\"versions\":%d,\"strict_puts\":%d,\"strict_holds\":%d,"
+                        + "\"unsure\":%d,\"decisions\":%d,\"late_decisions\":%d,\"audit_wrong\":%d,\"audit_unknown_ms\":%d,"
+                        + "\"chain_breaks\":%d,\"fenced\":%d,\"returned\":%d,\"strict_p50_ms\":%.0f,\"strict_p99_ms\":%.0f,"
+                        + "\"false_fences\":%d}",
+                poolers,
+                seed,
+                numbers.get(),
+                puts.size(),
+                strictHolds.get(),
+                unsure.get(),
+                decisions,
+                late.get(),
+                wrong,
+                unknown,
+                breaks,
+                fences.size(),
+                returned.get(),
+                strict.getValueAtPercentile(50) / 1000.0,
+                strict.getValueAtPercentile(99) / 1000.0,
+                untouched);
     }
 }
--- a/rig/src/main/java/lupinvalve/rig/Book.java
+++ b/rig/src/main/java/lupinvalve/rig/Book.java
@@ -6,14 +6,16 @@
 import java.util.Map;
 
 /**
- * What clients asked, what they were told, and what db nodes saw, with the verdict on it: each request one final answer, no
- * write run twice, nothing told as served that did not run, nothing told as refused that did. Without I/O; times are in
- * milliseconds of one clock.
+ * What clients asked, what they were told, and what db nodes saw, with the verdict on it: each request one final
+ * answer, no write run twice, nothing told as served that did not run, nothing told as refused that did. Without I/O;
+ * times are in milliseconds of one clock.
  */
 public final class Book {
     /** How a request ended for its client. */
     public enum Ending {
-        SERVED, REFUSED, FAILED,
+        SERVED,
+        REFUSED,
+        FAILED,
         /** The connection ended in order, after the request had been sent, without a whole answer. */
         ENDED,
         /** The connection was reset: whoever had not read the request says so by that. */
@@ -22,7 +24,9 @@
         SILENT,
         /** The client has gone without waiting for one. */
         LEFT,
-        /** It never was on a connection that was accepted, or the connection's end was there before the request was out. */
+        /**
+         * It never was on a connection that was accepted, or the connection's end was there before the request was out.
+         */
         NOT_TAKEN
     }
 
@@ -88,15 +92,18 @@
     }
 
     private boolean excused(Asked one) {
-        return downs.getOrDefault(one.pooler, List.of()).stream().anyMatch(d -> d.from() <= one.endedAt && one.at <= d.to());
+        return downs.getOrDefault(one.pooler, List.of()).stream()
+                .anyMatch(d -> d.from() <= one.endedAt && one.at <= d.to());
     }
 
     /**
-     * Whether it was taken and has no whole answer. A connection that ends in order says that all was answered, whether or not the request
-     * was forwarded; under a reset only what a db node ran is known to have been read.
+     * Whether it was taken and has no whole answer. A connection that ends in order says that all was answered, whether
+     * or not the request was forwarded; under a reset only what a db node ran is known to have been read.
      */
     private static boolean isUnanswered(Asked one) {
-        return one.ending == null || one.ending == Ending.SILENT || one.ending == Ending.ENDED
+        return one.ending == null
+                || one.ending == Ending.SILENT
+                || one.ending == Ending.ENDED
                 || (one.ending == Ending.RESET || one.ending == Ending.NOT_TAKEN) && one.runs > 0;
     }
 
@@ -130,8 +137,8 @@
             if (isUnanswered(one) && !excused(one)) {
                 unanswered++;
                 endedInOrder += one.ending == Ending.ENDED ? 1 : 0;
-                all.add(id + " at " + one.at + " by " + one.pooler + " had no answer: " + one.ending + " at " + one.endedAt
-                        + ", ran " + one.runs + " times");
+                all.add(id + " at " + one.at + " by " + one.pooler + " had no answer: " + one.ending + " at "
+                        + one.endedAt + ", ran " + one.runs + " times");
             }
         }
         return new Verdict(asked.size(), endings, lost, doubled, unanswered, endedInOrder, refusedRan, stale, all);
@@ -142,8 +149,16 @@
      *
      * @param endedInOrder those of the unanswered whose connection ended in order
      */
-    public record Verdict(int requests, Map<Ending, Integer> endings, int lost, int doubled, int unanswered, int endedInOrder,
-            int refusedRan, int stale, List<String> findings) {
+    public record Verdict(
+            int requests,
+            Map<Ending, Integer> endings,
+            int lost,
+            int doubled,
+            int unanswered,
+            int endedInOrder,
+            int refusedRan,
+            int stale,
+            List<String> findings) {
         public int count(Ending ending) {
             return endings.getOrDefault(ending, 0);
         }
--- a/rig/src/main/java/lupinvalve/rig/CallQueue.java
+++ b/rig/src/main/java/lupinvalve/rig/CallQueue.java
@@ -5,9 +5,10 @@
 import java.util.Random;
 
 /**
- * What an overloaded discovery makes of each call. It works through the calls of all callers one after another, those of callers
- * that have given up too; some it refuses, some it resets, some it answers just as they are given up. Of one pooler's calls at most
- * three in a row fail: the next is answered ahead of the queue. Without I/O; times are in milliseconds of one clock.
+ * What an overloaded discovery makes of each call. It works through the calls of all callers one after another, those
+ * of callers that have given up too; some it refuses, some it resets, some it answers just as they are given up. Of one
+ * pooler's calls at most three in a row fail: the next is answered ahead of the queue. Without I/O; times are in
+ * milliseconds of one clock.
  */
 class CallQueue {
     /** So many calls in a row may fail for one pooler, whatever its process. */
@@ -16,9 +17,11 @@
     static final long IN_TIME = 1_000;
     /** When poolers give a call up, and how near to that an answer is that crosses with it. */
     static final long GIVEN_UP = 1_200, CROSSES_WITHIN = 15;
+
     private static final int WORK_LEAST = 80, WORK_SPREAD = 270;
     /** Calls of others that came since the last one, and the longest wait in the queue. */
     private static final int OTHERS_MOST = 2, WAIT_MOST = 2_500;
+
     private static final int ANSWERED_FIRST_MOST = 900;
 
     /** How a call ends. */
--- a/rig/src/main/java/lupinvalve/rig/ClientHabits.java
+++ b/rig/src/main/java/lupinvalve/rig/ClientHabits.java
@@ -2,7 +2,10 @@
 
 import java.util.Random;
 
-/** How a client of a drill uses its connection: how much it asks at once, how long it rests, how fast it reads. Drawn; without I/O. */
+/**
+ * How a client of a drill uses its connection: how much it asks at once, how long it rests, how fast it reads. Drawn;
+ * without I/O.
+ */
 final class ClientHabits {
     /** Of how many kinds of clients one is drawn. */
     enum Kind {
--- a/rig/src/main/java/lupinvalve/rig/DaemonLog.java
+++ b/rig/src/main/java/lupinvalve/rig/DaemonLog.java
@@ -8,9 +8,12 @@
     /** That a configuration can't be used is what a half written file is told as. */
     private static final Pattern FAULT = Pattern.compile("ERROR (?!configuration:).*|Exception in thread.*");
     /** Ends that are the pooler's own choice: nothing may be due on them. */
-    private static final String OWN_CHOICE = "(?:to make room|it said nothing|too many clients|clients are sent away|a long answer broke off)";
-    private static final Pattern OWED = Pattern.compile("client \\S+ ended: " + OWN_CHOICE + "; open \\d+ ms, \\d+ requests due"
-            + "|\\d+ " + OWN_CHOICE + " \\(open \\d+ to \\d+ ms, [1-9]\\d* requests due\\)");
+    private static final String OWN_CHOICE =
+            "(?:to make room|it said nothing|too many clients|clients are sent away|a long answer broke off)";
+
+    private static final Pattern OWED =
+            Pattern.compile("client \\S+ ended: " + OWN_CHOICE + "; open \\d+ ms, \\d+ requests due" + "|\\d+ "
+                    + OWN_CHOICE + " \\(open \\d+ to \\d+ ms, [1-9]\\d* requests due\\)");
 
     private DaemonLog() {}
 
@@ -20,7 +23,10 @@
         return found != null ? found : owed(line);
     }
 
-    /** The part of a line that tells of a connection which the pooler ended by its own choice with something due, or null. */
+    /**
+     * The part of a line that tells of a connection which the pooler ended by its own choice with something due, or
+     * null.
+     */
     static String owed(String line) {
         return find(OWED, line);
     }
--- a/rig/src/main/java/lupinvalve/rig/DaemonProcess.java
+++ b/rig/src/main/java/lupinvalve/rig/DaemonProcess.java
@@ -24,10 +24,12 @@
     private final Consumer<String> lines;
     /** The class that is started; the program's own unless a launcher stands before it. */
     private final List<String> main = new ArrayList<>(List.of("lupinvalve.cli.Main"));
+
     private final Map<String, String> environment = new TreeMap<>();
     private int heapMegabytes = 64;
     /** The cores that it is held to, as taskset names them; null for all. */
     private String cores;
+
     private Process process;
     private boolean paused;
     private boolean debugs;
@@ -91,15 +93,23 @@
 
     private void signal(String which) throws IOException, InterruptedException {
         if (runs()) {
-            new ProcessBuilder("kill", "-" + which, Long.toString(process.pid())).start().waitFor();
+            new ProcessBuilder("kill", "-" + which, Long.toString(process.pid()))
+                    .start()
+                    .waitFor();
         }
     }
 
     public void start() throws IOException {
         startedAt = System.nanoTime();
         List<String> command = new ArrayList<>(cores == null ? List.of() : List.of("taskset", "-c", cores));
-        command.addAll(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                "-Xmx" + heapMegabytes + "m", "-Xss256k", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-XX:-UsePerfData", "-cp",
+        command.addAll(List.of(
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-Xmx" + heapMegabytes + "m",
+                "-Xss256k",
+                "-XX:+UseSerialGC",
+                "-XX:TieredStopAtLevel=1",
+                "-XX:-UsePerfData",
+                "-cp",
                 System.getProperty("java.class.path")));
         command.addAll(main);
         command.addAll(List.of("serve", "--config", config.toString(), "--operator", operator.toString()));
@@ -114,7 +124,8 @@
     }
 
     private void read(Process from) throws IOException {
-        try (BufferedReader in = new BufferedReader(new InputStreamReader(from.getInputStream(), StandardCharsets.UTF_8))) {
+        try (BufferedReader in =
+                new BufferedReader(new InputStreamReader(from.getInputStream(), StandardCharsets.UTF_8))) {
             for (String line = in.readLine(); line != null; line = in.readLine()) {
                 Files.writeString(said, line + "\n", StandardOpenOption.CREATE, StandardOpenOption.APPEND);
                 lines.accept(line);
@@ -168,8 +179,8 @@
     }
 
     /**
-     * SIGHUP, SIGTERM and both once more in series, then SIGKILL as early as the platform may send it; what was wrong with its end, or
-     * null.
+     * SIGHUP, SIGTERM and both once more in series, then SIGKILL as early as the platform may send it; what was wrong
+     * with its end, or null.
      *
      * @param killMillis from the first SIGTERM to SIGKILL
      */
--- a/rig/src/main/java/lupinvalve/rig/DbNodes.java
+++ b/rig/src/main/java/lupinvalve/rig/DbNodes.java
@@ -30,8 +30,7 @@
         void ran(DbNode node, String pooler, Map<String, String> fields, boolean write);
 
         /** The same as it came, before anything was made of it; its first byte at a Unix time in milliseconds. */
-        default void came(DbNode node, String pooler, Map<String, String> fields, long at) {
-        }
+        default void came(DbNode node, String pooler, Map<String, String> fields, long at) {}
     }
 
     /** One stand-in: a port for each pooler, so that it is known who asks. */
--- a/rig/src/main/java/lupinvalve/rig/DiscoveryCall.java
+++ b/rig/src/main/java/lupinvalve/rig/DiscoveryCall.java
@@ -13,10 +13,14 @@
 
 /** One call that a pooler made to discovery, and what can be said to it. */
 final class DiscoveryCall implements Closeable {
-    /** How long is listened for the caller's end: it is there at once on loopback, but a wait of 0 would be one for ever. */
+    /**
+     * How long is listened for the caller's end: it is there at once on loopback, but a wait of 0 would be one for
+     * ever.
+     */
     private static final int LISTEN_MILLIS = 1;
     /** Whether it asks to be told of changes too. */
     final boolean follows;
+
     private final Socket socket;
     private final OutputStream out;
 
@@ -67,7 +71,8 @@
 
     /** Says no. */
     void refuse() throws IOException {
-        out.write("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n".getBytes(US_ASCII));
+        out.write("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
+                .getBytes(US_ASCII));
         close();
     }
 
--- a/rig/src/main/java/lupinvalve/rig/DrainNotice.java
+++ b/rig/src/main/java/lupinvalve/rig/DrainNotice.java
@@ -4,13 +4,16 @@
 import java.util.List;
 
 /**
- * When one pooler counts as told that one db node drains: at discovery's first answer that says so, or six seconds after discovery
- * had the change, whichever comes first, whatever calls failed, were refused or given up. A process that is started meanwhile
- * learns from answers of its own, but the six seconds run on: a start does not set them back. Without I/O; times are in
- * milliseconds of one clock.
+ * When one pooler counts as told that one db node drains: at discovery's first answer that says so, or six seconds
+ * after discovery had the change, whichever comes first, whatever calls failed, were refused or given up. A process
+ * that is started meanwhile learns from answers of its own, but the six seconds run on: a start does not set them back.
+ * Without I/O; times are in milliseconds of one clock.
  */
 final class DrainNotice {
-    /** So long after discovery had a change it binds, told or not; and so long after a watch fell silent, what that missed. */
+    /**
+     * So long after discovery had a change it binds, told or not; and so long after a watch fell silent, what that
+     * missed.
+     */
     static final long TOLD_AT_LATEST = 6_000;
     /** Stands for a time that never comes. */
     static final long NEVER = Long.MAX_VALUE;
@@ -51,7 +54,8 @@
     /**
      * A drain begins.
      *
-     * @param silentSince when the pooler's watch fell silent, with none answered since, or {@link #NEVER} where it did not
+     * @param silentSince when the pooler's watch fell silent, with none answered since, or {@link #NEVER} where it did
+     *     not
      */
     DrainNotice(long begunAt, long silentSince) {
         limit = begunAt + TOLD_AT_LATEST;
--- a/rig/src/main/java/lupinvalve/rig/Drains.java
+++ b/rig/src/main/java/lupinvalve/rig/Drains.java
@@ -7,8 +7,8 @@
 import java.util.TreeMap;
 
 /**
- * All drains of a drill, and what each pooler was told of them by when: each goes to {@link Timing} once it has ended. Drains of one
- * db node that overlap are one. Without I/O; times are in milliseconds of one clock.
+ * All drains of a drill, and what each pooler was told of them by when: each goes to {@link Timing} once it has ended.
+ * Drains of one db node that overlap are one. Without I/O; times are in milliseconds of one clock.
  */
 final class Drains {
     private final Collection<String> poolers;
@@ -17,6 +17,7 @@
     private final Map<String, Integer> depths = new HashMap<>();
     /** By db node, then by pooler. */
     private final Map<String, Map<String, DrainNotice>> open = new TreeMap<>();
+
     private final Map<String, Long> silentSince = new HashMap<>();
 
     /** @param poolers names of all, which may still grow */
@@ -40,8 +41,8 @@
     synchronized boolean ended(String node, long at) {
         boolean last = depths.merge(node, -1, Integer::sum) == 0;
         if (last) {
-            open.remove(node).forEach((pooler, notice) -> notice.ended(at).forEach(told ->
-                    timing.drained(pooler, node, told)));
+            open.remove(node)
+                    .forEach((pooler, notice) -> notice.ended(at).forEach(told -> timing.drained(pooler, node, told)));
         }
         return last;
     }
--- a/rig/src/main/java/lupinvalve/rig/Drill.java
+++ b/rig/src/main/java/lupinvalve/rig/Drill.java
@@ -23,18 +23,24 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Real daemons on loopback with stand-in db nodes and discovery, a proxy on each pair, operators and clients throughout, and
- * the faults of a scenario between them. Then all is mended, and what everybody saw is judged.
+ * Real daemons on loopback with stand-in db nodes and discovery, a proxy on each pair, operators and clients
+ * throughout, and the faults of a scenario between them. Then all is mended, and what everybody saw is judged.
  */
 public final class Drill implements Closeable {
     private static final long STOOD = 2_000;
-    private static final List<SystemFaults.Kind> CALLS = List.of(SystemFaults.Kind.ACCEPT, SystemFaults.Kind.SOCKET, SystemFaults.Kind.CONNECT,
-            SystemFaults.Kind.EPOLL, SystemFaults.Kind.SHORT);
+    private static final List<SystemFaults.Kind> CALLS = List.of(
+            SystemFaults.Kind.ACCEPT,
+            SystemFaults.Kind.SOCKET,
+            SystemFaults.Kind.CONNECT,
+            SystemFaults.Kind.EPOLL,
+            SystemFaults.Kind.SHORT);
     private static final List<String> ZONES = List.of("east", "west");
     private static final int OPERATORS = 3, CLIENTS = 3, WITHIN_SECONDS = 30;
     /** How long a pooler that stood still owes nothing: what it held has run out by then. */
     private static final long WOKEN = 3_000;
-    /** The platform may send SIGKILL so long after SIGTERM and the longest deadline, which counts as so much at most. */
+    /**
+     * The platform may send SIGKILL so long after SIGTERM and the longest deadline, which counts as so much at most.
+     */
     private static final long KILL_AFTER_DEADLINE = 700, LONGEST_DEADLINE = 3_000;
 
     /**
@@ -44,8 +50,15 @@
      * @param paceMillis how long each operator rests between two calls
      * @param audit what the poolers' files say of it: off, serve or fence
      */
-    public record Setting(Scenario scenario, Path config, long seed, boolean lyingDisks, PrintStream log,
-            List<String> launcher, long paceMillis, String audit) {}
+    public record Setting(
+            Scenario scenario,
+            Path config,
+            long seed,
+            boolean lyingDisks,
+            PrintStream log,
+            List<String> launcher,
+            long paceMillis,
+            String audit) {}
 
     /** One pooler with all that leads to it and from it. */
     private final class Pooler {
@@ -76,7 +89,8 @@
                 ways.put(node.id, way);
                 addresses.put(node.id, "127.0.0.1:" + way.port());
             }
-            list = new NodeList(name, nodes.all(), addresses, ZONES, discoveryQueue, new DrainTold(name, drains, discoveryLog));
+            list = new NodeList(
+                    name, nodes.all(), addresses, ZONES, discoveryQueue, new DrainTold(name, drains, discoveryLog));
         }
 
         private void said(String line) {
@@ -108,7 +122,8 @@
             }
             PoolerFiles.Place place = new PoolerFiles.Place(name, number, poolers.size(), pg, discoveryPort());
             String platform = PoolerFiles.platform(Files.readString(setting.config()), place, ZONES, list.entries());
-            process.files(socketsMost == 0 ? platform : PoolerFiles.withSockets(platform, socketsMost),
+            process.files(
+                    socketsMost == 0 ? platform : PoolerFiles.withSockets(platform, socketsMost),
                     PoolerFiles.operator(place, folder.resolve(name), setting.audit(), members));
         }
 
@@ -175,13 +190,14 @@
     private final List<Step> course = new ArrayList<>();
     private final List<String> unclean = new CopyOnWriteArrayList<>();
     private final GroupLog group;
-    private volatile DrillWatcher watcher = new DrillWatcher() { };
+    private volatile DrillWatcher watcher = new DrillWatcher() {};
     private volatile boolean over;
     private final Path faultLibrary;
     private final long killMillis;
     private int variedClients;
     /** What each pooler is told of its sockets; 0 for what the platform's file says. */
     private int socketsMost;
+
     private final Crowd crowd = new Crowd();
     private final Stall stall = new Stall(() -> over);
 
@@ -190,12 +206,15 @@
         this.setting = setting;
         Scenario scenario = setting.scenario();
         faultLibrary = scenario.steps().stream().anyMatch(step -> step.kind().ofSystem()) ? faultLibrary() : null;
-        Routing.Settings settings = NodeConfig.read(setting.config(), null).site().settings();
+        Routing.Settings settings =
+                NodeConfig.read(setting.config(), null).site().settings();
         killMillis = killMillis(settings);
         timing = new Timing(rules(settings));
-        drains = new Drains(IntStream.range(0, scenario.poolers()).mapToObj(i -> "p" + i).toList(), timing);
+        drains = new Drains(
+                IntStream.range(0, scenario.poolers()).mapToObj(i -> "p" + i).toList(), timing);
         discoveryQueue = new CallQueue(setting.seed());
-        nodes = new DbNodes(scenario.groups(), new Arrivals(book, timing, (node, pooler, at) -> watcher.ran(node, pooler, at)));
+        nodes = new DbNodes(
+                scenario.groups(), new Arrivals(book, timing, (node, pooler, at) -> watcher.ran(node, pooler, at)));
         // Held until the proxies have theirs.
         try (Scratch.Ports ports = new Scratch.Ports(2 * scenario.poolers())) {
             for (int i = 0; i < scenario.poolers(); i++) {
@@ -223,14 +242,22 @@
 
     /** When the platform may send SIGKILL at the earliest, in milliseconds from SIGTERM. */
     static long killMillis(Routing.Settings settings) {
-        long longest = settings.classes().stream().mapToLong(Routing.RequestClass::deadlineMicros).max().orElse(0) / 1000;
+        long longest = settings.classes().stream()
+                        .mapToLong(Routing.RequestClass::deadlineMicros)
+                        .max()
+                        .orElse(0)
+                / 1000;
         return Math.min(longest, LONGEST_DEADLINE) + KILL_AFTER_DEADLINE;
     }
 
     /** What the settings allow in time. */
     static Timing.Rules rules(Routing.Settings settings) {
         Routing.Rules rules = settings.rules();
-        return new Timing.Rules(rules.drainGraceMicros() / 1000, rules.coldShare(), rules.warmUpMicros() / 1000, rules.overloadMultiple(),
+        return new Timing.Rules(
+                rules.drainGraceMicros() / 1000,
+                rules.coldShare(),
+                rules.warmUpMicros() / 1000,
+                rules.overloadMultiple(),
                 rules.overloadMicros() / 1000);
     }
 
@@ -258,8 +285,8 @@
     }
 
     /**
-     * Has each pooler meet so many clients more that ask several things at once, rest and read slowly, with so many sockets that room is made of
-     * connections at rest; before {@link #start}.
+     * Has each pooler meet so many clients more that ask several things at once, rest and read slowly, with so many
+     * sockets that room is made of connections at rest; before {@link #start}.
      */
     public void variedClients(int count, int sockets) throws IOException {
         variedClients = count;
@@ -307,8 +334,18 @@
         operators.start(OPERATORS, setting.paceMillis());
         for (Pooler pooler : poolers) {
             if (setting.scenario().groups() > 0) {
-                clients.start(pooler.name, pooler.pg, ClientHabits.Kind.STEADY, CLIENTS, setting.seed() * 131 + pooler.number);
-                clients.start(pooler.name, pooler.pg, ClientHabits.Kind.VARIED, variedClients, setting.seed() * 137 + pooler.number);
+                clients.start(
+                        pooler.name,
+                        pooler.pg,
+                        ClientHabits.Kind.STEADY,
+                        CLIENTS,
+                        setting.seed() * 131 + pooler.number);
+                clients.start(
+                        pooler.name,
+                        pooler.pg,
+                        ClientHabits.Kind.VARIED,
+                        variedClients,
+                        setting.seed() * 137 + pooler.number);
             }
         }
     }
@@ -339,7 +376,8 @@
 
     /** Plays the scenario's steps at their times, each undone in its time, and brings all back. */
     public void play() throws IOException, InterruptedException {
-        PriorityQueue<Due> due = new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::order));
+        PriorityQueue<Due> due =
+                new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::order));
         setting.scenario().steps().forEach(step -> due.add(new Due(step.atMillis(), due.size(), step, false)));
         long begun = System.nanoTime();
         while (!due.isEmpty()) {
@@ -358,7 +396,8 @@
                 // Others that took long, as an end does, may have held it up: it lasts its time all the same.
                 long from = Math.max(next.at(), TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - begun));
                 act(step, true);
-                due.add(new Due(from + step.forMillis(), setting.scenario().steps().size() + next.order(), step, true));
+                due.add(new Due(
+                        from + step.forMillis(), setting.scenario().steps().size() + next.order(), step, true));
             }
         }
         mend();
@@ -509,7 +548,10 @@
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
         while (System.nanoTime() < end) {
             int tried = operators.tried();
-            Await.until("commits go on", WITHIN_SECONDS, () -> operators.served() && operators.tried() > tried + 5 && group.leader() != null);
+            Await.until(
+                    "commits go on",
+                    WITHIN_SECONDS,
+                    () -> operators.served() && operators.tried() > tried + 5 && group.leader() != null);
             Pooler one = pooler(group.leader());
             if (!one.process.runs()) {
                 continue;
@@ -518,7 +560,10 @@
             one.kill();
             Await.until("a new leader serves", WITHIN_SECONDS, operators::served);
             one.start();
-            Await.until("caught up", WITHIN_SECONDS, () -> group.adopted(one.name) >= operators.checker.acknowledged() * 9L / 10);
+            Await.until(
+                    "caught up",
+                    WITHIN_SECONDS,
+                    () -> group.adopted(one.name) >= operators.checker.acknowledged() * 9L / 10);
             Thread.sleep(300);
         }
         mend();
@@ -540,7 +585,8 @@
         }
         long end = last;
         try {
-            Await.until("all act on the last revision", WITHIN_SECONDS, () -> poolers.stream().allMatch(p -> group.adopted(p.name) >= end));
+            Await.until("all act on the last revision", WITHIN_SECONDS, () -> poolers.stream()
+                    .allMatch(p -> group.adopted(p.name) >= end));
         } catch (IOException e) {
             unclean.add(e.getMessage());
         }
@@ -551,9 +597,10 @@
                 unclean.add(wrong);
             }
         }
-        DrillResult.Course played = new DrillResult.Course(poolers.size(), setting.seed(), done, discoveryQueue.counts(),
-                stall.longestMillis(), unclean);
-        DrillResult.Group seen = new DrillResult.Group(operators, operators.checker.lost(last), group.elections(), recoveries);
+        DrillResult.Course played = new DrillResult.Course(
+                poolers.size(), setting.seed(), done, discoveryQueue.counts(), stall.longestMillis(), unclean);
+        DrillResult.Group seen =
+                new DrillResult.Group(operators, operators.checker.lost(last), group.elections(), recoveries);
         return new DrillResult(played, book.verdict(), timing.verdict(), seen);
     }
 
--- a/rig/src/main/java/lupinvalve/rig/DrillResult.java
+++ b/rig/src/main/java/lupinvalve/rig/DrillResult.java
@@ -17,7 +17,13 @@
      * @param stallMillis how long the rig got no processor at a time
      * @param unclean what went wrong with the daemons themselves
      */
-    record Course(int poolers, long seed, Map<Step.Kind, Integer> done, CallQueue.Counts calls, long stallMillis, List<String> unclean) {}
+    record Course(
+            int poolers,
+            long seed,
+            Map<Step.Kind, Integer> done,
+            CallQueue.Counts calls,
+            long stallMillis,
+            List<String> unclean) {}
 
     /**
      * What operators saw of the group.
@@ -43,7 +49,11 @@
 
     /** Whether nothing was found wrong. */
     public boolean good() {
-        return requests.good() && times.good() && divergent.isEmpty() && group.lostPuts() == 0 && course.unclean().isEmpty();
+        return requests.good()
+                && times.good()
+                && divergent.isEmpty()
+                && group.lostPuts() == 0
+                && course.unclean().isEmpty();
     }
 
     /** How many requests clients made. */
@@ -70,40 +80,83 @@
     }
 
     private String played() {
-        return String.format(Locale.ROOT, "\"poolers\":%d,\"seed\":%d,\"kills\":%d,\"cuts\":%d,\"one_way_cuts\":%d,"
-                + "\"flaps\":%d,\"slow_links\":%d,\"half_open\":%d,\"pauses\":%d,\"restarts\":%d,\"reloads\":%d,\"node_faults\":%d",
-                course.poolers(), course.seed(), count(Step.Kind.KILL, Step.Kind.POWER), count(Step.Kind.CUT),
-                count(Step.Kind.CUT_THERE), count(Step.Kind.FLAP), count(Step.Kind.SLOW, Step.Kind.LIMIT, Step.Kind.LOSSY),
-                count(Step.Kind.HALF_OPEN), count(Step.Kind.PAUSE), count(Step.Kind.RESTART), count(Step.Kind.RELOAD),
+        return String.format(
+                Locale.ROOT,
+                "\"poolers\":%d,\"seed\":%d,\"kills\":%d,\"cuts\":%d,\"one_way_cuts\":%d,"
+                        + "\"flaps\":%d,\"slow_links\":%d,\"half_open\":%d,\"pauses\":%d,\"restarts\":%d,\"reloads\":%d,\"node_faults\":%d",
+                course.poolers(),
+                course.seed(),
+                count(Step.Kind.KILL, Step.Kind.POWER),
+                count(Step.Kind.CUT),
+                count(Step.Kind.CUT_THERE),
+                count(Step.Kind.FLAP),
+                count(Step.Kind.SLOW, Step.Kind.LIMIT, Step.Kind.LOSSY),
+                count(Step.Kind.HALF_OPEN),
+                count(Step.Kind.PAUSE),
+                count(Step.Kind.RESTART),
+                count(Step.Kind.RELOAD),
                 count(Step.Kind.NODE_KILL, Step.Kind.NODE_PAUSE, Step.Kind.NODE_SLOW));
     }
 
     private String answers() {
-        return String.format(Locale.ROOT, "\"requests\":%d,\"served\":%d,\"refused\":%d,\"failed\":%d,\"lost\":%d,\"doubled\":%d,"
-                + "\"divergent\":%d,\"unanswered\":%d,\"ended_in_order\":%d,\"reset\":%d,\"refused_ran\":%d,\"stale\":%d,\"left\":%d",
+        return String.format(
+                Locale.ROOT,
+                "\"requests\":%d,\"served\":%d,\"refused\":%d,\"failed\":%d,\"lost\":%d,\"doubled\":%d,"
+                        + "\"divergent\":%d,\"unanswered\":%d,\"ended_in_order\":%d,\"reset\":%d,\"refused_ran\":%d,\"stale\":%d,\"left\":%d",
                 requests.requests(),
-                requests.count(Book.Ending.SERVED), requests.count(Book.Ending.REFUSED), requests.count(Book.Ending.FAILED),
-                requests.lost() + group.lostPuts(), requests.doubled(), divergent.size(), requests.unanswered(),
-                requests.endedInOrder(), requests.count(Book.Ending.RESET), requests.refusedRan(), requests.stale(), requests.count(Book.Ending.LEFT));
+                requests.count(Book.Ending.SERVED),
+                requests.count(Book.Ending.REFUSED),
+                requests.count(Book.Ending.FAILED),
+                requests.lost() + group.lostPuts(),
+                requests.doubled(),
+                divergent.size(),
+                requests.unanswered(),
+                requests.endedInOrder(),
+                requests.count(Book.Ending.RESET),
+                requests.refusedRan(),
+                requests.stale(),
+                requests.count(Book.Ending.LEFT));
     }
 
     private String timed() {
-        return String.format(Locale.ROOT, "\"late_after_departure\":%d,\"late_after_drain\":%d,\"late_unanswered\":%d,"
-                + "\"late_starting\":%d,\"late_silent\":%d,\"rig_stall_max_ms\":%d,\"cold_overrun\":%d,\"restarts_timed\":%d,"
-                + "\"not_ready_10s\":%d,\"drains\":%d,\"silences\":%d,\"overloads\":%d,\"overload_calls\":%d,"
-                + "\"overload_calls_failed\":%d", times.lateAfterDeparture(), times.lateAfterDrain(), times.lateUnanswered(),
-                times.lateStarting(), times.lateSilent(), course.stallMillis(),
-                times.coldOverrun(), times.restarts(), times.notReady(), count(Step.Kind.NODE_DRAIN),
-                count(Step.Kind.LIST_SILENT), count(Step.Kind.OVERLOAD), course.calls().calls(), course.calls().failed());
+        return String.format(
+                Locale.ROOT,
+                "\"late_after_departure\":%d,\"late_after_drain\":%d,\"late_unanswered\":%d,"
+                        + "\"late_starting\":%d,\"late_silent\":%d,\"rig_stall_max_ms\":%d,\"cold_overrun\":%d,\"restarts_timed\":%d,"
+                        + "\"not_ready_10s\":%d,\"drains\":%d,\"silences\":%d,\"overloads\":%d,\"overload_calls\":%d,"
+                        + "\"overload_calls_failed\":%d",
+                times.lateAfterDeparture(),
+                times.lateAfterDrain(),
+                times.lateUnanswered(),
+                times.lateStarting(),
+                times.lateSilent(),
+                course.stallMillis(),
+                times.coldOverrun(),
+                times.restarts(),
+                times.notReady(),
+                count(Step.Kind.NODE_DRAIN),
+                count(Step.Kind.LIST_SILENT),
+                count(Step.Kind.OVERLOAD),
+                course.calls().calls(),
+                course.calls().failed());
     }
 
     private String members() {
         StoreClients operators = group.operators();
-        return String.format(Locale.ROOT, "\"unclean\":%d,\"acknowledged\":%d,\"elections\":%d,\"failovers\":%d,"
-                + "\"failover_p50_ms\":%.0f,\"failover_p99_ms\":%.0f,\"commit_p50_ms\":%.1f,\"commit_p99_ms\":%.1f,"
-                + "\"recovery_p99_ms\":%.0f", course.unclean().size(), operators.checker.acknowledged(), group.elections(),
-                operators.failovers.getTotalCount(), ms(operators.failovers, 50), ms(operators.failovers, 99),
-                ms(operators.commits, 50), ms(operators.commits, 99), ms(group.recoveries(), 99));
+        return String.format(
+                Locale.ROOT,
+                "\"unclean\":%d,\"acknowledged\":%d,\"elections\":%d,\"failovers\":%d,"
+                        + "\"failover_p50_ms\":%.0f,\"failover_p99_ms\":%.0f,\"commit_p50_ms\":%.1f,\"commit_p99_ms\":%.1f,"
+                        + "\"recovery_p99_ms\":%.0f",
+                course.unclean().size(),
+                operators.checker.acknowledged(),
+                group.elections(),
+                operators.failovers.getTotalCount(),
+                ms(operators.failovers, 50),
+                ms(operators.failovers, 99),
+                ms(operators.commits, 50),
+                ms(operators.commits, 99),
+                ms(group.recoveries(), 99));
     }
 
     private static double ms(Histogram of, double percentile) {
--- a/rig/src/main/java/lupinvalve/rig/FaultProxy.java
+++ b/rig/src/main/java/lupinvalve/rig/FaultProxy.java
@@ -18,6 +18,7 @@
 public final class FaultProxy implements Closeable {
     /** A whole zone's poolers may dial at once. */
     private static final int BACKLOG = 1024;
+
     private static final long STACK = 256 << 10;
 
     /** Sees the bytes of one direction of one connection that were passed on. */
@@ -37,18 +38,20 @@
         thread.setDaemon(true);
         return thread;
     });
+
     private final ServerSocket server = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
     private final Taps taps;
     private final InetSocketAddress to;
     private final List<Socket> sockets = new CopyOnWriteArrayList<>();
     /** Bytes of the one who dials, and those of the one dialled, that are swallowed. */
     private volatile boolean cutThere, cutBack;
+
     private volatile boolean gone;
     private volatile long delayMillis;
     private volatile double breaks, bytesPerSecond = Double.POSITIVE_INFINITY;
 
     public FaultProxy(int port) throws IOException {
-        this(port, there -> (bytes, count) -> { });
+        this(port, there -> (bytes, count) -> {});
     }
 
     /** The same; what it passes on is seen by these. */
--- a/rig/src/main/java/lupinvalve/rig/FleetDrill.java
+++ b/rig/src/main/java/lupinvalve/rig/FleetDrill.java
@@ -17,17 +17,19 @@
 import lupinvalve.config.NodeConfig;
 
 /**
- * Up to some forty poolers without a store, which are killed together, started, told to end, started and given their configuration anew
- * within one run, while clients go on using their connections and come back at once. The processes may be held to a few cores, on which
- * they contend with each other.
+ * Up to some forty poolers without a store, which are killed together, started, told to end, started and given their
+ * configuration anew within one run, while clients go on using their connections and come back at once. The processes
+ * may be held to a few cores, on which they contend with each other.
  */
 public final class FleetDrill implements Closeable {
     /** How long clients ask between two of the things that strike the fleet. */
     private static final long SERVE_MILLIS = 3_000;
+
     private static final int DOWN_LEAST = 300, DOWN_SPREAD = 500;
     private static final int START_SECONDS = 120, END_SECONDS = 60;
     /** Of ten poolers so many are killed together, and so many told to end. */
     private static final int KILLED_OF_TEN = 7, ENDED_OF_TEN = 5;
+
     private static final List<String> ZONES = List.of("east", "west");
 
     /**
@@ -37,7 +39,8 @@
      * @param sockets what each pooler is told of its descriptors
      * @param cores to how many cores all poolers are held together; 0 for all there are
      */
-    public record Setting(int poolers, int groups, Path config, long seed, int clients, int sockets, int cores, PrintStream log) {}
+    public record Setting(
+            int poolers, int groups, Path config, long seed, int clients, int sockets, int cores, PrintStream log) {}
 
     private final class Pooler {
         final String name;
@@ -101,12 +104,14 @@
     public FleetDrill(Setting setting) throws IOException {
         this.setting = setting;
         random = new Random(setting.seed());
-        Routing.Settings settings = NodeConfig.read(setting.config(), null).site().settings();
+        Routing.Settings settings =
+                NodeConfig.read(setting.config(), null).site().settings();
         killMillis = Drill.killMillis(settings);
         timing = new Timing(Drill.rules(settings));
-        drains = new Drains(IntStream.range(0, setting.poolers()).mapToObj(i -> "p" + i).toList(), timing);
+        drains = new Drains(
+                IntStream.range(0, setting.poolers()).mapToObj(i -> "p" + i).toList(), timing);
         queue = new CallQueue(setting.seed());
-        nodes = new DbNodes(setting.groups(), new Arrivals(book, timing, (node, pooler, at) -> { }));
+        nodes = new DbNodes(setting.groups(), new Arrivals(book, timing, (node, pooler, at) -> {}));
         try (Scratch.Ports ports = new Scratch.Ports(setting.poolers())) {
             for (int i = 0; i < setting.poolers(); i++) {
                 poolers.add(new Pooler(i, ports.get(i)));
@@ -136,12 +141,21 @@
         }
         for (Pooler pooler : poolers) {
             int steady = setting.clients() / 4;
-            clients.start(pooler.name, pooler.port, ClientHabits.Kind.STEADY, steady, setting.seed() * 131 + pooler.port);
-            clients.start(pooler.name, pooler.port, ClientHabits.Kind.VARIED, setting.clients() - steady, setting.seed() * 137 + pooler.port);
+            clients.start(
+                    pooler.name, pooler.port, ClientHabits.Kind.STEADY, steady, setting.seed() * 131 + pooler.port);
+            clients.start(
+                    pooler.name,
+                    pooler.port,
+                    ClientHabits.Kind.VARIED,
+                    setting.clients() - steady,
+                    setting.seed() * 137 + pooler.port);
         }
     }
 
-    /** Strikes the fleet: kills, ends and configurations, each of many poolers at once, with db nodes that drain meanwhile. */
+    /**
+     * Strikes the fleet: kills, ends and configurations, each of many poolers at once, with db nodes that drain
+     * meanwhile.
+     */
     public void play() throws IOException, InterruptedException {
         DbNodes.DbNode leaving = nodes.all().get(random.nextInt(nodes.all().size()));
         serve("clients ask");
--- a/rig/src/main/java/lupinvalve/rig/GroupLog.java
+++ b/rig/src/main/java/lupinvalve/rig/GroupLog.java
@@ -7,9 +7,12 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** What the daemons' logs tell of the group: who leads, on which revision each member acts, and which point went wrong. */
+/**
+ * What the daemons' logs tell of the group: who leads, on which revision each member acts, and which point went wrong.
+ */
 final class GroupLog {
-    private static final Pattern ADOPTED = Pattern.compile("store: adopted revision (\\d+), change \\d+, digest ([0-9a-f]+)");
+    private static final Pattern ADOPTED =
+            Pattern.compile("store: adopted revision (\\d+), change \\d+, digest ([0-9a-f]+)");
     private static final Pattern LEADS = Pattern.compile("store: (\\S+)/\\S+ leads, term (\\d+)");
     private static final Pattern POINT = Pattern.compile(" point \\d+ at [A-Z]+: [A-Z_]+$");
     private static final String STOPPED = ": STOPPED";
--- a/rig/src/main/java/lupinvalve/rig/LinkFaults.java
+++ b/rig/src/main/java/lupinvalve/rig/LinkFaults.java
@@ -9,6 +9,7 @@
 final class LinkFaults {
     /** By pooler, then by whom it dials. */
     private final Map<String, Map<String, FaultProxy>> ways;
+
     private final Timing timing;
 
     LinkFaults(Map<String, Map<String, FaultProxy>> ways, Timing timing) {
@@ -55,7 +56,9 @@
     private void flap(Step step, Set<String> ends) {
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(step.forMillis());
         Threads.start("flap", () -> {
-            for (boolean cut = false; System.nanoTime() < end - TimeUnit.MILLISECONDS.toNanos((long) step.amount()); cut = !cut) {
+            for (boolean cut = false;
+                    System.nanoTime() < end - TimeUnit.MILLISECONDS.toNanos((long) step.amount());
+                    cut = !cut) {
                 Thread.sleep((long) step.amount() / 2);
                 for (String other : ends) {
                     both(step, other, cut);
--- a/rig/src/main/java/lupinvalve/rig/LongValues.java
+++ b/rig/src/main/java/lupinvalve/rig/LongValues.java
@@ -3,7 +3,10 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Values of the stand-in db nodes: the position that was seen, followed by as many bytes as the statement's key asks for. Without I/O. */
+/**
+ * Values of the stand-in db nodes: the position that was seen, followed by as many bytes as the statement's key asks
+ * for. Without I/O.
+ */
 final class LongValues {
     private static final Pattern KEY = Pattern.compile("handle = 'long-(\\d{1,7})'");
     private static final char END = ':';
--- a/rig/src/main/java/lupinvalve/rig/NodeList.java
+++ b/rig/src/main/java/lupinvalve/rig/NodeList.java
@@ -48,7 +48,13 @@
      * @param addresses of db nodes as this pooler reaches them
      * @param queue of all poolers' calls
      */
-    NodeList(String pooler, List<DbNodes.DbNode> nodes, Map<String, String> addresses, List<String> zones, CallQueue queue, Told told)
+    NodeList(
+            String pooler,
+            List<DbNodes.DbNode> nodes,
+            Map<String, String> addresses,
+            List<String> zones,
+            CallQueue queue,
+            Told told)
             throws IOException {
         this.pooler = pooler;
         this.queue = queue;
@@ -75,8 +81,10 @@
     }
 
     private String entry(DbNodes.DbNode node) {
-        return "{\"id\":\"" + node.id + "\",\"host_port\":\"" + addresses.get(node.id) + "\",\"locality\":\"" + zones.get(node.zone)
-                + "\",\"cell\":" + node.group + ",\"phase\":\"" + (draining.contains(node.id) ? "terminating" : "in_service")
+        return "{\"id\":\"" + node.id + "\",\"host_port\":\"" + addresses.get(node.id) + "\",\"locality\":\""
+                + zones.get(node.zone)
+                + "\",\"cell\":" + node.group + ",\"phase\":\""
+                + (draining.contains(node.id) ? "terminating" : "in_service")
                 + "\",\"size\":1.0,\"up_since_ms\":" + node.startedAt() + "}";
     }
 
--- a/rig/src/main/java/lupinvalve/rig/PointPlay.java
+++ b/rig/src/main/java/lupinvalve/rig/PointPlay.java
@@ -16,13 +16,15 @@
 import lupinvalve.replication.PointSeams;
 
 /**
- * Three real daemons found a group and agree on configurations, while the first of them, started by the launcher, has a fault
- * at one of its numbered points; then it starts again as it ships, and all must come to one history with nothing lost.
+ * Three real daemons found a group and agree on configurations, while the first of them, started by the launcher, has a
+ * fault at one of its numbered points; then it starts again as it ships, and all must come to one history with nothing
+ * lost.
  */
 public final class PointPlay {
     /** What a real process can be made to do at a point. */
-    private static final Set<Fault> FAULTS = EnumSet.of(Fault.DIE_BEFORE, Fault.DIE_AFTER, Fault.TORN, Fault.FAIL, Fault.LOST,
-            Fault.STOPPED);
+    private static final Set<Fault> FAULTS =
+            EnumSet.of(Fault.DIE_BEFORE, Fault.DIE_AFTER, Fault.TORN, Fault.FAIL, Fault.LOST, Fault.STOPPED);
+
     private static final int MEMBERS = 3;
     private static final long PUTS_MILLIS = 1_500, PACE_MILLIS = 150;
     private static final String LAUNCHER = "lupinvalve.cli.PointLauncher";
@@ -60,7 +62,9 @@
 
     /** Each fault that fits at each point of a course. */
     public static List<At> all(List<Kind> course) {
-        return Points.all(course).stream().filter(at -> FAULTS.contains(at.fault())).toList();
+        return Points.all(course).stream()
+                .filter(at -> FAULTS.contains(at.fault()))
+                .toList();
     }
 
     /** Plays with one fault at one point. */
@@ -68,9 +72,17 @@
         return play(config, seed, at, List.of(LAUNCHER, "--at", at.toString()));
     }
 
-    private static Played play(Path config, long seed, At at, List<String> launcher) throws IOException, InterruptedException {
-        Drill drill = new Drill(new Drill.Setting(new Scenario(MEMBERS, 0, List.of()), config, seed, false,
-                new PrintStream(OutputStream.nullOutputStream()), launcher, PACE_MILLIS, "serve"));
+    private static Played play(Path config, long seed, At at, List<String> launcher)
+            throws IOException, InterruptedException {
+        Drill drill = new Drill(new Drill.Setting(
+                new Scenario(MEMBERS, 0, List.of()),
+                config,
+                seed,
+                false,
+                new PrintStream(OutputStream.nullOutputStream()),
+                launcher,
+                PACE_MILLIS,
+                "serve"));
         List<String> findings = new ArrayList<>();
         String json = "";
         try {
--- a/rig/src/main/java/lupinvalve/rig/PoolerFiles.java
+++ b/rig/src/main/java/lupinvalve/rig/PoolerFiles.java
@@ -40,17 +40,21 @@
      * @param members addresses of the group's members as this one reaches them, its own among them
      */
     static String operator(Place place, Path folder, String audit, Map<String, String> members) {
-        String listed = members.entrySet().stream().map(member -> "\"" + member.getKey() + "\":\"" + member.getValue() + "\"")
+        String listed = members.entrySet().stream()
+                .map(member -> "\"" + member.getKey() + "\":\"" + member.getValue() + "\"")
                 .collect(Collectors.joining(","));
-        return "{\"store\":{\"cluster\":\"" + StoreClients.CLUSTER + "\",\"name\":\"" + place.name() + "\",\"folder\":\"" + folder
-                + "\",\"audit\":\"" + audit + "\",\"listen\":\"" + members.get(place.name()) + "\",\"members\":{" + listed + "}}}";
+        return "{\"store\":{\"cluster\":\"" + StoreClients.CLUSTER + "\",\"name\":\"" + place.name()
+                + "\",\"folder\":\"" + folder + "\",\"audit\":\"" + audit + "\",\"listen\":\""
+                + members.get(place.name()) + "\",\"members\":{" + listed + "}}}";
     }
 
     /** Leaves what a disk that lied about its forces would have kept. */
     static void forget(Path folder) throws IOException {
         try (Stream<Path> files = Files.list(folder)) {
-            Path last = files.filter(f -> f.getFileName().toString().startsWith("history")).sorted()
-                    .reduce((a, b) -> b).orElse(null);
+            Path last = files.filter(f -> f.getFileName().toString().startsWith("history"))
+                    .sorted()
+                    .reduce((a, b) -> b)
+                    .orElse(null);
             if (last != null) {
                 try (FileChannel channel = FileChannel.open(last, StandardOpenOption.WRITE)) {
                     channel.truncate(channel.size() / 2);
--- a/rig/src/main/java/lupinvalve/rig/Release.java
+++ b/rig/src/main/java/lupinvalve/rig/Release.java
@@ -7,8 +7,8 @@
 import java.util.stream.IntStream;
 
 /**
- * Draws a release that overloads discovery: at least half of the poolers are killed and started again together, discovery has too many
- * callers meanwhile, and db nodes drain during that and soon after. Without I/O.
+ * Draws a release that overloads discovery: at least half of the poolers are killed and started again together,
+ * discovery has too many callers meanwhile, and db nodes drain during that and soon after. Without I/O.
  */
 final class Release {
     private static final int EVERY = 15_000, SHORTEST = 4_000;
@@ -28,7 +28,9 @@
     private Release(int poolers, int groups, long millis, long seed) {
         this.poolers = poolers;
         random = new Random(seed ^ OWN);
-        nodes = new ArrayList<>(IntStream.range(0, groups * Scenario.MEMBERS).mapToObj(i -> "n" + i).toList());
+        nodes = new ArrayList<>(IntStream.range(0, groups * Scenario.MEMBERS)
+                .mapToObj(i -> "n" + i)
+                .toList());
         end = millis;
     }
 
@@ -44,7 +46,8 @@
     private void one(long at) {
         long over = Math.min(end, at + OVERLOAD_LEAST + random.nextInt(OVERLOAD_SPREAD));
         steps.add(new Step(at, Step.Kind.OVERLOAD, Step.ALL, "", 0, over - at));
-        List<String> names = new ArrayList<>(IntStream.range(0, poolers).mapToObj(i -> "p" + i).toList());
+        List<String> names = new ArrayList<>(
+                IntStream.range(0, poolers).mapToObj(i -> "p" + i).toList());
         Collections.shuffle(names, random);
         int least = (poolers + 1) / 2;
         int down = DOWN_LEAST + random.nextInt(DOWN_SPREAD);
--- a/rig/src/main/java/lupinvalve/rig/RevisionChecker.java
+++ b/rig/src/main/java/lupinvalve/rig/RevisionChecker.java
@@ -7,8 +7,8 @@
 
 /**
  * Checks what clients and members saw of one configuration whose revisions count up. No I/O. With revisions, reads are
- * linearizable where no call that began after another had ended saw less than that one: a put must have come to more,
- * a read to as much; and where each revision has one content, whoever tells of it.
+ * linearizable where no call that began after another had ended saw less than that one: a put must have come to more, a
+ * read to as much; and where each revision has one content, whoever tells of it.
  */
 public final class RevisionChecker {
     private record Call(long began, long ended, long revision, boolean put) {}
@@ -54,8 +54,9 @@
 
     /** Acknowledged puts that the end does not know of. */
     public synchronized int lost(long last) {
-        return (int) acknowledged.entrySet().stream().filter(one -> one.getKey() > last
-                || !one.getValue().equals(contents.get(one.getKey()))).count();
+        return (int) acknowledged.entrySet().stream()
+                .filter(one -> one.getKey() > last || !one.getValue().equals(contents.get(one.getKey())))
+                .count();
     }
 
     /** What members or clients saw that does not fit one history. */
--- a/rig/src/main/java/lupinvalve/rig/Scenario.java
+++ b/rig/src/main/java/lupinvalve/rig/Scenario.java
@@ -13,8 +13,8 @@
 import java.util.Random;
 
 /**
- * What faults come when: read from a file's text, or drawn from a seed, and written again as what was done. Without I/O of
- * its own.
+ * What faults come when: read from a file's text, or drawn from a seed, and written again as what was done. Without I/O
+ * of its own.
  *
  * @param poolers how many poolers, p0 on
  * @param groups how many db sets, each of three db nodes: n0 to n2, n3 to n5 and so on
@@ -22,15 +22,21 @@
 public record Scenario(int poolers, int groups, List<Step> steps) {
     /** Db nodes of a set. */
     public static final int MEMBERS = 3;
+
     private static final int POOLERS_LEAST = 3, POOLERS_MOST = 9, GROUPS_MOST = 4;
     private static final long LONGEST = 3_600_000;
     /** By how many seconds a wall clock is stepped. */
     private static final double[] CLOCK_STEPS = {-3_600, -5, -0.5, 0.5, 5, 3_600};
+
     private static final JsonFactory JSON = new JsonFactory();
 
     /** Checks the whole; throws IllegalArgumentException with the field and its value. */
     public Scenario {
-        check(poolers >= POOLERS_LEAST && poolers <= POOLERS_MOST, "poolers", poolers, POOLERS_LEAST + " to " + POOLERS_MOST);
+        check(
+                poolers >= POOLERS_LEAST && poolers <= POOLERS_MOST,
+                "poolers",
+                poolers,
+                POOLERS_LEAST + " to " + POOLERS_MOST);
         check(groups >= 0 && groups <= GROUPS_MOST, "groups", groups, "0 to " + GROUPS_MOST);
         steps = steps.stream().sorted(Comparator.comparingLong(Step::atMillis)).toList();
         for (int i = 0; i < steps.size(); i++) {
@@ -38,15 +44,29 @@
             String at = "steps[" + i + "].";
             check(s.atMillis() >= 0 && s.atMillis() <= LONGEST, at + "at_ms", s.atMillis(), "0 to " + LONGEST);
             check(s.forMillis() >= 0 && s.forMillis() <= LONGEST, at + "for_ms", s.forMillis(), "0 to " + LONGEST);
-            boolean whoIs = s.kind().ofNode() ? isNode(s.who(), groups) : isPooler(s.who(), poolers) || s.who().equals(Step.LEADER)
-                    || s.kind().ofAll() && s.who().equals(Step.ALL);
+            boolean whoIs = s.kind().ofNode()
+                    ? isNode(s.who(), groups)
+                    : isPooler(s.who(), poolers)
+                            || s.who().equals(Step.LEADER)
+                            || s.kind().ofAll() && s.who().equals(Step.ALL);
             check(whoIs, at + "who", s.who(), s.kind().ofNode() ? "a db node" : "a pooler, or " + Step.LEADER);
-            boolean toIs = s.kind().between ? isPooler(s.to(), poolers) || isNode(s.to(), groups) || s.to().equals(Step.ALL)
+            boolean toIs = s.kind().between
+                    ? isPooler(s.to(), poolers) || isNode(s.to(), groups) || s.to().equals(Step.ALL)
                     : s.to().isEmpty();
-            check(toIs && !s.to().equals(s.who()), at + "to", s.to(), s.kind().between
-                    ? "another pooler, a db node, or " + Step.ALL : "none, as this kind has no other end");
-            check(s.kind().measured ? s.amount() > 0 || s.kind() == Step.Kind.CLOCK && s.amount() != 0 : s.amount() == 0, at + "amount", s.amount(), s.kind().measured
-                    ? "over 0" : "none, as this kind has none");
+            check(
+                    toIs && !s.to().equals(s.who()),
+                    at + "to",
+                    s.to(),
+                    s.kind().between
+                            ? "another pooler, a db node, or " + Step.ALL
+                            : "none, as this kind has no other end");
+            check(
+                    s.kind().measured
+                            ? s.amount() > 0 || s.kind() == Step.Kind.CLOCK && s.amount() != 0
+                            : s.amount() == 0,
+                    at + "amount",
+                    s.amount(),
+                    s.kind().measured ? "over 0" : "none, as this kind has none");
             check(s.kind() != Step.Kind.LOSSY || s.amount() <= 1, at + "amount", s.amount(), "a part, at most 1");
         }
     }
@@ -91,7 +111,8 @@
             }
             return new Scenario(poolers, groups, steps);
         } catch (IOException | IllegalArgumentException e) {
-            throw new IOException("scenario " + file + ": " + String.valueOf(e.getMessage()).split("\n")[0], e);
+            throw new IOException(
+                    "scenario " + file + ": " + String.valueOf(e.getMessage()).split("\n")[0], e);
         }
     }
 
@@ -134,7 +155,11 @@
     }
 
     private static String names() {
-        return String.join(", ", java.util.Arrays.stream(Step.Kind.values()).map(k -> k.name().toLowerCase(Locale.ROOT)).toList());
+        return String.join(
+                ", ",
+                java.util.Arrays.stream(Step.Kind.values())
+                        .map(k -> k.name().toLowerCase(Locale.ROOT))
+                        .toList());
     }
 
     private static long whole(JsonParser in, String field) throws IOException {
@@ -143,7 +168,11 @@
     }
 
     private static void wants(JsonParser in, JsonToken is, JsonToken wanted, String field) throws IOException {
-        check(is == wanted, field, is == null ? "empty" : in.getText(), wanted == JsonToken.START_ARRAY ? "an array" : "an object");
+        check(
+                is == wanted,
+                field,
+                is == null ? "empty" : in.getText(),
+                wanted == JsonToken.START_ARRAY ? "an array" : "an object");
     }
 
     /** The same in the file's form, a step a line. */
@@ -182,8 +211,15 @@
     /** Weights of the kinds in a draw; the mix of all holds one-way cuts and flapping links as cases of their own. */
     public enum Mix {
         /** The group's own connections and processes alone. */
-        STORE(Step.Kind.KILL, Step.Kind.KILL, Step.Kind.PAUSE, Step.Kind.RESTART, Step.Kind.CUT, Step.Kind.CUT_THERE,
-                Step.Kind.CUT, Step.Kind.POWER),
+        STORE(
+                Step.Kind.KILL,
+                Step.Kind.KILL,
+                Step.Kind.PAUSE,
+                Step.Kind.RESTART,
+                Step.Kind.CUT,
+                Step.Kind.CUT_THERE,
+                Step.Kind.CUT,
+                Step.Kind.POWER),
         /** Cuts that one side alone notices. */
         ONE_WAY(Step.Kind.CUT_THERE),
         /** What separates a pooler from the group: for the audit. */
@@ -191,15 +227,59 @@
         /** Links that come and go. */
         FLAPPING(Step.Kind.FLAP),
         /** All there is. */
-        ALL(Step.Kind.KILL, Step.Kind.KILL, Step.Kind.PAUSE, Step.Kind.PAUSE, Step.Kind.RESTART, Step.Kind.RESTART, Step.Kind.RELOAD, Step.Kind.CUT,
-                Step.Kind.CUT_THERE, Step.Kind.CUT_THERE, Step.Kind.FLAP, Step.Kind.SLOW, Step.Kind.LOSSY, Step.Kind.LIMIT, Step.Kind.HALF_OPEN,
-                Step.Kind.NODE_KILL, Step.Kind.NODE_PAUSE, Step.Kind.NODE_SLOW, Step.Kind.POWER),
-        /** Ends that are crossed by others: poolers told to end, silent lists, db nodes that drain or come back cold; and releases. */
-        CROSSING(Step.Kind.RESTART, Step.Kind.RESTART, Step.Kind.KILL, Step.Kind.RELOAD, Step.Kind.LIST_SILENT, Step.Kind.LIST_SILENT,
-                Step.Kind.NODE_DRAIN, Step.Kind.NODE_DRAIN, Step.Kind.NODE_KILL, Step.Kind.NODE_SLOW),
-        /** Signals in series with early kills, clocks, calls and crowds beside drains, silent lists, dead db nodes and a release. */
-        SOAK(Step.Kind.SIGNALS, Step.Kind.SIGNALS, Step.Kind.KILL, Step.Kind.RELOAD, Step.Kind.CLOCK, Step.Kind.CALLS, Step.Kind.CALLS,
-                Step.Kind.CROWD, Step.Kind.LIST_SILENT, Step.Kind.NODE_DRAIN, Step.Kind.NODE_DRAIN, Step.Kind.NODE_KILL, Step.Kind.NODE_SLOW,
+        ALL(
+                Step.Kind.KILL,
+                Step.Kind.KILL,
+                Step.Kind.PAUSE,
+                Step.Kind.PAUSE,
+                Step.Kind.RESTART,
+                Step.Kind.RESTART,
+                Step.Kind.RELOAD,
+                Step.Kind.CUT,
+                Step.Kind.CUT_THERE,
+                Step.Kind.CUT_THERE,
+                Step.Kind.FLAP,
+                Step.Kind.SLOW,
+                Step.Kind.LOSSY,
+                Step.Kind.LIMIT,
+                Step.Kind.HALF_OPEN,
+                Step.Kind.NODE_KILL,
+                Step.Kind.NODE_PAUSE,
+                Step.Kind.NODE_SLOW,
+                Step.Kind.POWER),
+        /**
+         * Ends that are crossed by others: poolers told to end, silent lists, db nodes that drain or come back cold;
+         * and releases.
+         */
+        CROSSING(
+                Step.Kind.RESTART,
+                Step.Kind.RESTART,
+                Step.Kind.KILL,
+                Step.Kind.RELOAD,
+                Step.Kind.LIST_SILENT,
+                Step.Kind.LIST_SILENT,
+                Step.Kind.NODE_DRAIN,
+                Step.Kind.NODE_DRAIN,
+                Step.Kind.NODE_KILL,
+                Step.Kind.NODE_SLOW),
+        /**
+         * Signals in series with early kills, clocks, calls and crowds beside drains, silent lists, dead db nodes and a
+         * release.
+         */
+        SOAK(
+                Step.Kind.SIGNALS,
+                Step.Kind.SIGNALS,
+                Step.Kind.KILL,
+                Step.Kind.RELOAD,
+                Step.Kind.CLOCK,
+                Step.Kind.CALLS,
+                Step.Kind.CALLS,
+                Step.Kind.CROWD,
+                Step.Kind.LIST_SILENT,
+                Step.Kind.NODE_DRAIN,
+                Step.Kind.NODE_DRAIN,
+                Step.Kind.NODE_KILL,
+                Step.Kind.NODE_SLOW,
                 Step.Kind.PAUSE);
 
         private final Step.Kind[] kinds;
@@ -210,8 +290,8 @@
     }
 
     /**
-     * Faults for so long, drawn by a seed; all end before it is over, and a minority of the poolers is down at a time but at a loss of
-     * power and in a release.
+     * Faults for so long, drawn by a seed; all end before it is over, and a minority of the poolers is down at a time
+     * but at a loss of power and in a release.
      */
     public static Scenario draw(Mix mix, int poolers, int groups, long millis, long seed) {
         Random random = new Random(seed);
@@ -222,9 +302,11 @@
             int one = random.nextInt(poolers);
             long until = Math.min(millis, at + 500 + random.nextInt(kind == Step.Kind.POWER ? 500 : 3500));
             long now = at;
-            boolean spare = java.util.Arrays.stream(downUntil).filter(d -> d > now).count() + 1 <= (poolers - 1) / 2;
+            boolean spare =
+                    java.util.Arrays.stream(downUntil).filter(d -> d > now).count() + 1 <= (poolers - 1) / 2;
             boolean up = downUntil[one] <= at;
-            if (kind.ofNode() && groups == 0 || (kind.downs() || kind.ends()) && !(spare && up)
+            if (kind.ofNode() && groups == 0
+                    || (kind.downs() || kind.ends()) && !(spare && up)
                     || kind == Step.Kind.POWER && !spare) {
                 continue;
             }
@@ -234,9 +316,11 @@
                 java.util.Arrays.fill(downUntil, until + 3_000);
                 steps.add(new Step(at, kind, Step.ALL, "", 0, until - at));
             } else if (kind.ofNode()) {
-                steps.add(new Step(at, kind, "n" + random.nextInt(groups * MEMBERS), "", amount(kind, random), until - at));
+                steps.add(new Step(
+                        at, kind, "n" + random.nextInt(groups * MEMBERS), "", amount(kind, random), until - at));
             } else if (kind.between) {
-                steps.add(new Step(at, kind, "p" + one, other(random, poolers, groups, one), amount(kind, random), until - at));
+                steps.add(new Step(
+                        at, kind, "p" + one, other(random, poolers, groups, one), amount(kind, random), until - at));
             } else if (kind.measured) {
                 steps.add(new Step(at, kind, "p" + one, "", amount(kind, random), until - at));
             } else {
--- a/rig/src/main/java/lupinvalve/rig/Scratch.java
+++ b/rig/src/main/java/lupinvalve/rig/Scratch.java
@@ -20,12 +20,14 @@
     private Scratch() {}
 
     /**
-     * So many different ports, which nobody else is given until it is closed. They lie below those that the system gives to
-     * whoever does not ask for one, and this program gives none twice: what is let go before its user takes it stays free.
+     * So many different ports, which nobody else is given until it is closed. They lie below those that the system
+     * gives to whoever does not ask for one, and this program gives none twice: what is let go before its user takes it
+     * stays free.
      */
     public static final class Ports implements Closeable {
         private static final int FIRST = 12_000, LAST = 30_000;
-        private static final AtomicInteger NEXT = new AtomicInteger((int) (ProcessHandle.current().pid() * 97 % (LAST - FIRST)));
+        private static final AtomicInteger NEXT =
+                new AtomicInteger((int) (ProcessHandle.current().pid() * 97 % (LAST - FIRST)));
         private final List<ServerSocket> held = new ArrayList<>();
 
         public Ports(int count) throws IOException {
--- a/rig/src/main/java/lupinvalve/rig/SqlClients.java
+++ b/rig/src/main/java/lupinvalve/rig/SqlClients.java
@@ -15,6 +15,7 @@
     private static final long AGAIN_MILLIS = 3;
     /** Who asks again at once after a refusal keeps the machine busy with nothing else. */
     private static final long AFTER_REFUSAL_MILLIS = 100;
+
     private static final int WRITE_ONE_IN = 4;
     private static final String REFUSED = "53300", DRAINING = "57P03";
     private final Book book;
@@ -98,7 +99,8 @@
             Book.Ending rest = Book.Ending.NOT_TAKEN;
             try {
                 connection.send(asked.stream().map(Asked::text).toList());
-                // An end that is there right after the write may have been there before it; answers that came ahead of it count.
+                // An end that is there right after the write may have been there before it; answers that came ahead of
+                // it count.
                 if (!connection.hasEnded()) {
                     rest = Book.Ending.ENDED;
                     int leaves = habits.leavesAfter();
@@ -136,7 +138,10 @@
             throw new EOFException();
         }
 
-        /** @param mayBeLong one long value a turn: who takes seconds for what he asked at once holds the pooler's end until it is killed */
+        /**
+         * @param mayBeLong one long value a turn: who takes seconds for what he asked at once holds the pooler's end
+         *     until it is killed
+         */
         private Asked next(boolean mayBeLong) {
             String id = "q" + numbers.incrementAndGet();
             boolean write = habits.random().nextInt(WRITE_ONE_IN) == 0;
@@ -144,9 +149,12 @@
             int longValue = write || !mayBeLong ? 0 : habits.longValue();
             long token = own ? after : 0;
             String key = longValue > 0 ? LongValues.key(longValue) : "s" + group;
-            String text = (write ? "INSERT INTO rows (handle, blob) VALUES ('" + key + "', '\\x9f') RETURNING blob"
-                    : "SELECT blob FROM rows WHERE handle = '" + key + "'") + " /* id=" + id + ",c="
-                    + (write ? "pickup-booking" : own ? "own-order-view" : "bag-status") + ",t=almaty-branch,d=" + DEADLINE
+            String text = (write
+                            ? "INSERT INTO rows (handle, blob) VALUES ('" + key + "', '\\x9f') RETURNING blob"
+                            : "SELECT blob FROM rows WHERE handle = '" + key + "'")
+                    + " /* id=" + id + ",c="
+                    + (write ? "pickup-booking" : own ? "own-order-view" : "bag-status") + ",t=almaty-branch,d="
+                    + DEADLINE
                     + ",cluster=" + group + (token > 0 ? ",after=" + token : "") + " */";
             return new Asked(id, text, write, own, token, longValue);
         }
--- a/rig/src/main/java/lupinvalve/rig/SqlConnection.java
+++ b/rig/src/main/java/lupinvalve/rig/SqlConnection.java
@@ -16,8 +16,8 @@
 import java.util.List;
 
 /**
- * A client's connection to a pooler. An end in order is an {@link EOFException}, a reset any other {@link IOException}, an answer that does not
- * come a {@link java.net.SocketTimeoutException}.
+ * A client's connection to a pooler. An end in order is an {@link EOFException}, a reset any other {@link IOException},
+ * an answer that does not come a {@link java.net.SocketTimeoutException}.
  */
 final class SqlConnection implements Closeable {
     private static final int CONNECT_MILLIS = 1_000;
@@ -94,8 +94,8 @@
     }
 
     /**
-     * Whether the connection's end, in order or by a reset, has come by now; what has come before it is kept. Asked right after a write, a yes
-     * says that the end may have been there before what was written.
+     * Whether the connection's end, in order or by a reset, has come by now; what has come before it is kept. Asked
+     * right after a write, a yes says that the end may have been there before what was written.
      */
     boolean hasEnded() throws IOException {
         channel.configureBlocking(false);
--- a/rig/src/main/java/lupinvalve/rig/Stall.java
+++ b/rig/src/main/java/lupinvalve/rig/Stall.java
@@ -4,8 +4,8 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * How long this process got no processor at a time: a machine that is that busy makes the daemons late too. It excuses nothing, and
- * stands beside the counters.
+ * How long this process got no processor at a time: a machine that is that busy makes the daemons late too. It excuses
+ * nothing, and stands beside the counters.
  */
 final class Stall {
     private static final long STEP = 5;
--- a/rig/src/main/java/lupinvalve/rig/Step.java
+++ b/rig/src/main/java/lupinvalve/rig/Step.java
@@ -62,7 +62,10 @@
         NODE_DRAIN(false, false),
         /** The pooler's open watches say nothing more; new calls are answered. */
         LIST_SILENT(false, false),
-        /** Discovery has too many callers: it resets all watches, works through calls slowly, and fails up to three in a row. */
+        /**
+         * Discovery has too many callers: it resets all watches, works through calls slowly, and fails up to three in a
+         * row.
+         */
         OVERLOAD(false, false);
 
         /** Whether it strikes a connection. */
@@ -101,13 +104,13 @@
         }
     }
 
-    private static final Set<Kind> NODES = EnumSet.of(Kind.NODE_KILL, Kind.NODE_PAUSE, Kind.NODE_SLOW,
-            Kind.NODE_DRAIN);
+    private static final Set<Kind> NODES = EnumSet.of(Kind.NODE_KILL, Kind.NODE_PAUSE, Kind.NODE_SLOW, Kind.NODE_DRAIN);
     private static final Set<Kind> DOWNS = EnumSet.of(Kind.KILL, Kind.PAUSE);
 
     @Override
     public String toString() {
-        return atMillis + " ms: " + kind.name().toLowerCase(java.util.Locale.ROOT) + " " + who + (to.isEmpty() ? "" : " to " + to)
-                + (kind.measured ? " by " + amount : "") + " for " + forMillis + " ms";
+        return atMillis + " ms: " + kind.name().toLowerCase(java.util.Locale.ROOT) + " " + who
+                + (to.isEmpty() ? "" : " to " + to) + (kind.measured ? " by " + amount : "") + " for " + forMillis
+                + " ms";
     }
 }
--- a/rig/src/main/java/lupinvalve/rig/StoreClients.java
+++ b/rig/src/main/java/lupinvalve/rig/StoreClients.java
@@ -24,7 +24,8 @@
     private static final long CALL_MILLIS = 4_000, QUIET_SECONDS = 1;
     static final String CLUSTER = "drill";
     final RevisionChecker checker = new RevisionChecker();
-    final Histogram commits = new ConcurrentHistogram(60_000_000, 3), failovers = new ConcurrentHistogram(60_000_000, 3);
+    final Histogram commits = new ConcurrentHistogram(60_000_000, 3),
+            failovers = new ConcurrentHistogram(60_000_000, 3);
     private final Map<String, String> places;
     private final long seed;
     private final List<Thread> threads = new ArrayList<>();
@@ -81,10 +82,11 @@
     }
 
     private void put(Client client, long expected) throws IOException {
-        byte[] document = ("{\"mysql\":{\"user\":\"u" + numbers.incrementAndGet() + "\"}}").getBytes(StandardCharsets.UTF_8);
+        byte[] document =
+                ("{\"mysql\":{\"user\":\"u" + numbers.incrementAndGet() + "\"}}").getBytes(StandardCharsets.UTF_8);
         long began = System.nanoTime();
-        Client.Said said = client.ask("put", List.of(Long.toString(expected).getBytes(StandardCharsets.UTF_8), document),
-                false, CALL_MILLIS);
+        Client.Said said = client.ask(
+                "put", List.of(Long.toString(expected).getBytes(StandardCharsets.UTF_8), document), false, CALL_MILLIS);
         long ended = System.nanoTime();
         if (said.code() == Messages.Code.OK) {
             checker.put(began, ended, Long.parseLong(fields(said.text()).get("revision")), Ledger.digest(document));
--- a/rig/src/main/java/lupinvalve/rig/SystemFaults.java
+++ b/rig/src/main/java/lupinvalve/rig/SystemFaults.java
@@ -13,8 +13,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Faults of the system for one process: a wall clock that is stepped, and calls that fail in ways that Linux documents. A library
- * built from {@code faults.c} stands before the C library's own calls (LD_PRELOAD) and reads from a mapped file what is to fail.
+ * Faults of the system for one process: a wall clock that is stepped, and calls that fail in ways that Linux documents.
+ * A library built from {@code faults.c} stands before the C library's own calls (LD_PRELOAD) and reads from a mapped
+ * file what is to fail.
  */
 public final class SystemFaults {
     /** What can be made to go wrong; the order is that of the words in {@code faults.c}. */
@@ -55,7 +56,10 @@
         Path library = folder.resolve("faults.so");
         Process compiler;
         try {
-            compiler = new ProcessBuilder("cc", "-shared", "-fPIC", "-O1", "-o", library.toString(), source.toString(), "-ldl").inheritIO().start();
+            compiler = new ProcessBuilder(
+                            "cc", "-shared", "-fPIC", "-O1", "-o", library.toString(), source.toString(), "-ldl")
+                    .inheritIO()
+                    .start();
         } catch (IOException e) {
             return null;
         }
@@ -67,7 +71,8 @@
 
     /** The faults of one process, none at first, kept in a file of its own. */
     public static SystemFaults of(Path library, Path control) throws IOException {
-        try (FileChannel file = FileChannel.open(control, StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE)) {
+        try (FileChannel file = FileChannel.open(
+                control, StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE)) {
             MappedByteBuffer words = file.map(FileChannel.MapMode.READ_WRITE, 0, WORDS * (long) Long.BYTES);
             words.order(ByteOrder.nativeOrder());
             return new SystemFaults(library, control, words);
--- a/rig/src/main/java/lupinvalve/rig/Timing.java
+++ b/rig/src/main/java/lupinvalve/rig/Timing.java
@@ -8,12 +8,15 @@
 import java.util.TreeMap;
 
 /**
- * When what came to db nodes, against what poolers had been told by then: departures of clients, drains, starts of cold db nodes; and
- * how soon restarted poolers took clients. Without I/O; times are in milliseconds of one clock.
+ * When what came to db nodes, against what poolers had been told by then: departures of clients, drains, starts of cold
+ * db nodes; and how soon restarted poolers took clients. Without I/O; times are in milliseconds of one clock.
  */
 public final class Timing {
-    /** An attempt may begin so long after its client has gone, and after a drain was told; time limits are 50 ms longer. */
+    /**
+     * An attempt may begin so long after its client has gone, and after a drain was told; time limits are 50 ms longer.
+     */
     private static final long DEPARTED = 150, SLACK = 50;
+
     private static final long READY = 10_000;
     /** How long what has been said keeps counting after a connection was disturbed. */
     private static final long SETTLES = 1_000;
@@ -84,8 +87,11 @@
     }
 
     private boolean excused(Came one, long since) {
-        return disturbed.stream().anyMatch(d -> (d.pooler == null || d.pooler.equals(one.pooler))
-                && (d.node == null || d.node.equals(one.node)) && d.from <= one.at && d.to >= since);
+        return disturbed.stream()
+                .anyMatch(d -> (d.pooler == null || d.pooler.equals(one.pooler))
+                        && (d.node == null || d.node.equals(one.node))
+                        && d.from <= one.at
+                        && d.to >= since);
     }
 
     private static String by(DrainNotice.Basis basis) {
@@ -99,25 +105,37 @@
     /** Whether a pooler's process that sent had not had its 6 s since its own start. */
     private boolean starting(Came one) {
         long grace = DrainNotice.TOLD_AT_LATEST + rules.drainMillis() + SLACK;
-        return poolerStarts.getOrDefault(one.pooler, List.of()).stream().anyMatch(start -> start <= one.at && one.at <= start + grace);
+        return poolerStarts.getOrDefault(one.pooler, List.of()).stream()
+                .anyMatch(start -> start <= one.at && one.at <= start + grace);
     }
 
     private boolean lateAfter(Drained drained, Came one) {
         Span drain = drained.span;
-        return drain.pooler.equals(one.pooler) && one.at > drain.from + rules.drainMillis() + SLACK && one.at < drain.to
+        return drain.pooler.equals(one.pooler)
+                && one.at > drain.from + rules.drainMillis() + SLACK
+                && one.at < drain.to
                 && !excused(one, drain.from);
     }
 
     /**
      * What was found.
      *
-     * @param lateUnanswered those of the late after a drain whose process had not been answered yet when the 6 s had passed
+     * @param lateUnanswered those of the late after a drain whose process had not been answered yet when the 6 s had
+     *     passed
      * @param lateStarting those of them whose process had been started less than 6 s before, and the grace
      * @param lateSilent those of the unanswered whose watch had fallen silent before the drain
      * @param restarts all that were timed
      */
-    public record Verdict(int lateAfterDeparture, int lateAfterDrain, int lateUnanswered, int lateStarting, int lateSilent, int coldOverrun,
-            int restarts, int notReady, List<String> findings) {
+    public record Verdict(
+            int lateAfterDeparture,
+            int lateAfterDrain,
+            int lateUnanswered,
+            int lateStarting,
+            int lateSilent,
+            int coldOverrun,
+            int restarts,
+            int notReady,
+            List<String> findings) {
         public boolean good() {
             return lateAfterDeparture + lateAfterDrain + coldOverrun == 0 && notReady * 10 <= restarts;
         }
@@ -138,15 +156,17 @@
                         + " ms after its client had gone, at " + one.at);
             }
             Optional<Drained> late = drains.getOrDefault(one.node, List.of()).stream()
-                    .filter(drain -> lateAfter(drain, one)).findFirst();
+                    .filter(drain -> lateAfter(drain, one))
+                    .findFirst();
             if (late.isPresent()) {
                 drained++;
                 boolean answered = late.get().basis == DrainNotice.Basis.ANSWERED;
                 unanswered += answered ? 0 : 1;
                 silent += late.get().basis == DrainNotice.Basis.SILENCE ? 1 : 0;
                 starting += answered || !starting(one) ? 0 : 1;
-                findings.add(one.id + " came to " + one.node + " by " + one.pooler + " " + (one.at - late.get().span.from)
-                        + " ms after its drain was told" + by(late.get().basis) + ", at " + one.at);
+                findings.add(
+                        one.id + " came to " + one.node + " by " + one.pooler + " " + (one.at - late.get().span.from)
+                                + " ms after its drain was told" + by(late.get().basis) + ", at " + one.at);
             }
         }
         int overrun = overrun(findings);
@@ -162,20 +182,28 @@
         int overrun = 0;
         for (Map.Entry<String, List<Long>> node : starts.entrySet()) {
             for (long start : node.getValue()) {
-                for (long to = start + rules.windowMillis(); to < start + rules.rampMillis(); to += rules.windowMillis() / 4) {
+                for (long to = start + rules.windowMillis();
+                        to < start + rules.rampMillis();
+                        to += rules.windowMillis() / 4) {
                     long from = to - rules.windowMillis();
                     long end = to;
                     Map<String, Long> counts = new HashMap<>();
-                    came.stream().filter(c -> c.at >= from && c.at < end).forEach(c -> counts.merge(c.node, 1L, Long::sum));
+                    came.stream()
+                            .filter(c -> c.at >= from && c.at < end)
+                            .forEach(c -> counts.merge(c.node, 1L, Long::sum));
                     long sent = counts.getOrDefault(node.getKey(), 0L);
-                    long most = counts.entrySet().stream().filter(c -> !c.getKey().equals(node.getKey())).mapToLong(Map.Entry::getValue)
-                            .max().orElse(0);
-                    double warmth = Math.min(1, rules.coldShare() + (1 - rules.coldShare()) * (to - start) / rules.rampMillis());
+                    long most = counts.entrySet().stream()
+                            .filter(c -> !c.getKey().equals(node.getKey()))
+                            .mapToLong(Map.Entry::getValue)
+                            .max()
+                            .orElse(0);
+                    double warmth = Math.min(
+                            1, rules.coldShare() + (1 - rules.coldShare()) * (to - start) / rules.rampMillis());
                     double bears = rules.multiple() * warmth * most;
                     if (sent > bears + 2 * Math.sqrt(bears) + 2) {
                         overrun++;
-                        findings.add(node.getKey() + " was sent " + sent + " in " + rules.windowMillis() + " ms, " + (to - start)
-                                + " ms after its start, and bears " + Math.round(bears));
+                        findings.add(node.getKey() + " was sent " + sent + " in " + rules.windowMillis() + " ms, "
+                                + (to - start) + " ms after its start, and bears " + Math.round(bears));
                         break;
                     }
                 }
--- a/rig/src/test/java/lupinvalve/rig/CallQueueTest.java
+++ b/rig/src/test/java/lupinvalve/rig/CallQueueTest.java
@@ -11,7 +11,9 @@
 import lupinvalve.rig.CallQueue.Fate;
 import org.junit.jupiter.api.Test;
 
-/** An overloaded discovery is slow, fails in each way there is, and never more than three calls in a row for one pooler. */
+/**
+ * An overloaded discovery is slow, fails in each way there is, and never more than three calls in a row for one pooler.
+ */
 class CallQueueTest {
     private static boolean fails(Fate fate, long calledAt) {
         return fate.ending() != Ending.ANSWERED || fate.at() > calledAt + 1_000;
@@ -92,7 +94,9 @@
             }
         }
         assertEquals(EnumSet.allOf(Ending.class), endings);
-        assertTrue(answered > 200 && crossing > 50 && late > 50, answered + " in time, " + crossing + " crossing, " + late + " late");
+        assertTrue(
+                answered > 200 && crossing > 50 && late > 50,
+                answered + " in time, " + crossing + " crossing, " + late + " late");
         assertEquals(1_000, queue.counts().calls());
         assertEquals(1_000 - answered, queue.counts().failed());
     }
--- a/rig/src/test/java/lupinvalve/rig/DrainNoticeTest.java
+++ b/rig/src/test/java/lupinvalve/rig/DrainNoticeTest.java
@@ -56,7 +56,8 @@
         DrainNotice late = notice();
         late.started(DRAIN + 7_000);
         late.answered(DRAIN + 7_500);
-        assertEquals(List.of(new Told(DRAIN + 6_000, DRAIN + 7_000, Basis.LIMIT), new Told(DRAIN + 6_000, END, Basis.LIMIT)),
+        assertEquals(
+                List.of(new Told(DRAIN + 6_000, DRAIN + 7_000, Basis.LIMIT), new Told(DRAIN + 6_000, END, Basis.LIMIT)),
                 late.ended(END));
     }
 
@@ -66,13 +67,17 @@
         notice.answered(DRAIN + 1);
         notice.started(DRAIN + 2_000);
         notice.answered(DRAIN + 2_700);
-        assertEquals(List.of(new Told(DRAIN + 1, DRAIN + 2_000, Basis.ANSWERED), new Told(DRAIN + 2_700, END, Basis.ANSWERED)),
+        assertEquals(
+                List.of(
+                        new Told(DRAIN + 1, DRAIN + 2_000, Basis.ANSWERED),
+                        new Told(DRAIN + 2_700, END, Basis.ANSWERED)),
                 notice.ended(END));
     }
 
     @Test
     void aSilentWatchTellsSixSecondsAfterItFellSilent() {
-        assertEquals(List.of(new Told(DRAIN + 4_000, END, Basis.SILENCE)), new DrainNotice(DRAIN, DRAIN - 2_000).ended(END));
+        assertEquals(
+                List.of(new Told(DRAIN + 4_000, END, Basis.SILENCE)), new DrainNotice(DRAIN, DRAIN - 2_000).ended(END));
         assertEquals(List.of(new Told(DRAIN, END, Basis.SILENCE)), new DrainNotice(DRAIN, DRAIN - 20_000).ended(END));
         DrainNotice answered = new DrainNotice(DRAIN, DRAIN - 2_000);
         answered.answered(DRAIN + 700);
--- a/rig/src/test/java/lupinvalve/rig/FaultProxyTest.java
+++ b/rig/src/test/java/lupinvalve/rig/FaultProxyTest.java
@@ -28,7 +28,9 @@
             while (true) {
                 Socket socket = echo.accept();
                 Threads.start("echo", () -> {
-                    for (int b = socket.getInputStream().read(); b >= 0; b = socket.getInputStream().read()) {
+                    for (int b = socket.getInputStream().read();
+                            b >= 0;
+                            b = socket.getInputStream().read()) {
                         heard.add(b);
                         socket.getOutputStream().write(b);
                     }
--- a/rig/src/test/java/lupinvalve/rig/FleetDrillTest.java
+++ b/rig/src/test/java/lupinvalve/rig/FleetDrillTest.java
@@ -14,7 +14,14 @@
 
     @Test
     void aFleetOnContendedCoresAnswersAllThatItTakes() throws Exception {
-        FleetDrill.Setting setting = new FleetDrill.Setting(POOLERS, GROUPS, Path.of("example/config.json"), 77, CLIENTS, SOCKETS, CORES,
+        FleetDrill.Setting setting = new FleetDrill.Setting(
+                POOLERS,
+                GROUPS,
+                Path.of("example/config.json"),
+                77,
+                CLIENTS,
+                SOCKETS,
+                CORES,
                 new PrintStream(System.out));
         try (FleetDrill drill = new FleetDrill(setting)) {
             drill.start();
--- a/rig/src/test/java/lupinvalve/rig/InForce.java
+++ b/rig/src/test/java/lupinvalve/rig/InForce.java
@@ -8,7 +8,10 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Judges by subscribers' logs whether each revision was in force in time, or its pooler fenced. Without I/O; times in milliseconds. */
+/**
+ * Judges by subscribers' logs whether each revision was in force in time, or its pooler fenced. Without I/O; times in
+ * milliseconds.
+ */
 final class InForce {
     static final long BOUND = 6_000;
     private static final Pattern ADOPTED = Pattern.compile("store: adopted revision (\\d+), change");
@@ -74,8 +77,8 @@
                 accepted.tailMap(one.revision(), false).forEach((revision, at) -> {
                     long late = end - Math.max(one.at(), at + BOUND);
                     if (one.may() && late > 0) {
-                        findings.add(who + " acted on revision " + one.revision() + " for " + late + " ms, though " + revision
-                                + " was to be in force");
+                        findings.add(who + " acted on revision " + one.revision() + " for " + late + " ms, though "
+                                + revision + " was to be in force");
                     }
                 });
             }
--- a/rig/src/test/java/lupinvalve/rig/NodeListTest.java
+++ b/rig/src/test/java/lupinvalve/rig/NodeListTest.java
@@ -38,8 +38,13 @@
 
     @BeforeEach
     void starts() throws IOException {
-        nodes = new DbNodes(1, (node, pooler, fields, write) -> { });
-        list = new NodeList("p0", nodes.all(), Map.of("n0", "127.0.0.1:1", "n1", "127.0.0.1:2", "n2", "127.0.0.1:3"), List.of("east", "west"), queue,
+        nodes = new DbNodes(1, (node, pooler, fields, write) -> {});
+        list = new NodeList(
+                "p0",
+                nodes.all(),
+                Map.of("n0", "127.0.0.1:1", "n1", "127.0.0.1:2", "n2", "127.0.0.1:3"),
+                List.of("east", "west"),
+                queue,
                 new NodeList.Told() {
                     @Override
                     public void answered(List<String> draining, long at) {
@@ -84,7 +89,9 @@
         StringBuilder text = new StringBuilder();
         byte[] bytes = new byte[4096];
         try {
-            for (int count = from.getInputStream().read(bytes); count >= 0; count = from.getInputStream().read(bytes)) {
+            for (int count = from.getInputStream().read(bytes);
+                    count >= 0;
+                    count = from.getInputStream().read(bytes)) {
                 text.append(new String(bytes, 0, count, US_ASCII));
             }
         } catch (SocketException e) {
--- a/rig/src/test/java/lupinvalve/rig/ProcessesTest.java
+++ b/rig/src/test/java/lupinvalve/rig/ProcessesTest.java
@@ -11,11 +11,16 @@
 import lupinvalve.faults.Points;
 import org.junit.jupiter.api.Test;
 
-/** Three processes of the program as it ships, with faults between them, and one that ends itself at a numbered point. */
+/**
+ * Three processes of the program as it ships, with faults between them, and one that ends itself at a numbered point.
+ */
 class ProcessesTest {
     private static final Path CONFIG = Path.of("example/config.json");
 
-    /** One of each of those that must never leave a mark: a leader's end, a one-way cut, a flapping link, a pause, a node's end. */
+    /**
+     * One of each of those that must never leave a mark: a leader's end, a one-way cut, a flapping link, a pause, a
+     * node's end.
+     */
     private static final List<Step> STEPS = List.of(
             new Step(200, Step.Kind.KILL, Step.LEADER, "", 0, 900),
             new Step(600, Step.Kind.FLAP, "p1", "n0", 200, 900),
@@ -27,8 +32,15 @@
 
     @Test
     void threeProcessesComeThroughWithNothingLostDoubledOrUnanswered() throws Exception {
-        try (Drill drill = new Drill(new Drill.Setting(new Scenario(3, 2, STEPS), CONFIG, 7, false,
-                new PrintStream(OutputStream.nullOutputStream()), List.of(), 5, "off"))) {
+        try (Drill drill = new Drill(new Drill.Setting(
+                new Scenario(3, 2, STEPS),
+                CONFIG,
+                7,
+                false,
+                new PrintStream(OutputStream.nullOutputStream()),
+                List.of(),
+                5,
+                "off"))) {
             drill.start();
             drill.play();
             DrillResult result = drill.judge(true);
@@ -39,9 +51,18 @@
 
     @Test
     void aPoolerThatHearsOfDrainsLateIsSeen() throws Exception {
-        List<Step> drains = List.of(new Step(100, Step.Kind.NODE_DRAIN, "n1", "", 0, 1_200), new Step(1_800, Step.Kind.NODE_DRAIN, "n2", "", 0, 1_200));
-        try (Drill drill = new Drill(new Drill.Setting(new Scenario(3, 1, drains), CONFIG, 7, false,
-                new PrintStream(OutputStream.nullOutputStream()), List.of(), 5, "off"))) {
+        List<Step> drains = List.of(
+                new Step(100, Step.Kind.NODE_DRAIN, "n1", "", 0, 1_200),
+                new Step(1_800, Step.Kind.NODE_DRAIN, "n2", "", 0, 1_200));
+        try (Drill drill = new Drill(new Drill.Setting(
+                new Scenario(3, 1, drains),
+                CONFIG,
+                7,
+                false,
+                new PrintStream(OutputStream.nullOutputStream()),
+                List.of(),
+                5,
+                "off"))) {
             drill.lateLists("p1", 500);
             drill.start();
             drill.play();
@@ -49,7 +70,9 @@
             assertFalse(result.good(), result.json());
             assertFalse(result.json().contains("\"late_after_drain\":0,"), result.json());
             for (String finding : result.findings()) {
-                assertTrue(finding.matches("q\\d+ came to n[12] by p1 \\d+ ms after its drain was told, at \\d+"), finding);
+                assertTrue(
+                        finding.matches("q\\d+ came to n[12] by p1 \\d+ ms after its drain was told, at \\d+"),
+                        finding);
             }
         }
     }
--- a/rig/src/test/java/lupinvalve/rig/ReleaseTest.java
+++ b/rig/src/test/java/lupinvalve/rig/ReleaseTest.java
@@ -6,7 +6,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Each crossing drill long enough has a release: half of the poolers or more at once, an overload, and drains in and after it. */
+/**
+ * Each crossing drill long enough has a release: half of the poolers or more at once, an overload, and drains in and
+ * after it.
+ */
 class ReleaseTest {
     private static List<Step> of(List<Step> steps, Step.Kind kind) {
         return steps.stream().filter(s -> s.kind() == kind).toList();
@@ -39,7 +42,10 @@
             List<Step> drains = of(steps, Step.Kind.NODE_DRAIN);
             assertEquals(3, drains.stream().map(Step::who).distinct().count());
             long over = overload.atMillis() + overload.forMillis();
-            assertTrue(drains.get(0).atMillis() >= overload.atMillis() && drains.get(0).atMillis() < over, steps.toString());
+            assertTrue(
+                    drains.get(0).atMillis() >= overload.atMillis()
+                            && drains.get(0).atMillis() < over,
+                    steps.toString());
             assertTrue(drains.get(0).forMillis() > 6_300, steps.toString());
             assertTrue(drains.get(2).atMillis() >= over && drains.get(2).atMillis() < over + 1_000, steps.toString());
         }
@@ -58,7 +64,11 @@
     @Test
     void theOtherFaultsOfASeedStayWhatTheyWere() {
         Scenario drawn = Scenario.draw(Scenario.Mix.CROSSING, 4, 2, 12_000, 15);
-        assertEquals(new Step(741, Step.Kind.KILL, "p0", "", 0, 2_267), drawn.steps().stream()
-                .filter(s -> s.kind() == Step.Kind.KILL && s.atMillis() == 741).findFirst().orElseThrow());
+        assertEquals(
+                new Step(741, Step.Kind.KILL, "p0", "", 0, 2_267),
+                drawn.steps().stream()
+                        .filter(s -> s.kind() == Step.Kind.KILL && s.atMillis() == 741)
+                        .findFirst()
+                        .orElseThrow());
     }
 }
--- a/rig/src/test/java/lupinvalve/rig/RevisionCheckerTest.java
+++ b/rig/src/test/java/lupinvalve/rig/RevisionCheckerTest.java
@@ -30,8 +30,14 @@
         checker.read(25, 26, 2, "b");
         checker.put(27, 29, 2, "x");
         checker.adopted("m1", 1, "z");
-        assertEquals(List.of("revision 2 was acknowledged to two", "revision 2 is b, and x to a client",
-                "revision 1 is a, and z to m1", "a read saw 0 after 1", "a put came to 2 after 2"), checker.divergent());
+        assertEquals(
+                List.of(
+                        "revision 2 was acknowledged to two",
+                        "revision 2 is b, and x to a client",
+                        "revision 1 is a, and z to m1",
+                        "a read saw 0 after 1",
+                        "a put came to 2 after 2"),
+                checker.divergent());
         assertEquals(1, checker.lost(1));
     }
 }
--- a/rig/src/test/java/lupinvalve/rig/SoakTest.java
+++ b/rig/src/test/java/lupinvalve/rig/SoakTest.java
@@ -22,11 +22,13 @@
     private static final int SECONDS = 8;
     /** More clients than a pooler with so few sockets keeps connections for. */
     private static final int CLIENTS = 40, SOCKETS = 96;
+
     @TempDir
     private Path folder;
 
     private static Drill drill(Scenario scenario, long seed) throws Exception {
-        return new Drill(new Drill.Setting(scenario, CONFIG, seed, false, new PrintStream(System.out), List.of(), 5, "off"));
+        return new Drill(
+                new Drill.Setting(scenario, CONFIG, seed, false, new PrintStream(System.out), List.of(), 5, "off"));
     }
 
     @Test
@@ -52,14 +54,26 @@
         faults.set(SystemFaults.Kind.ACCEPT, 2);
         faults.set(SystemFaults.Kind.CONNECT, 4);
         Path source = folder.resolve("Probe.java");
-        Files.writeString(source, String.join("\n", "public class Probe {", "  public static void main(String[] args) throws Exception {",
-                "    System.out.println(\"clock \" + System.currentTimeMillis());",
-                "    try (var server = java.nio.channels.ServerSocketChannel.open().bind(new java.net.InetSocketAddress(\"127.0.0.1\", 0))) {",
-                "      for (int i = 0; i < 8; i++) {",
-                "        try (var client = java.nio.channels.SocketChannel.open(server.getLocalAddress())) {",
-                "          server.accept().close();", "        } catch (java.io.IOException e) {",
-                "          System.out.println(\"failed \" + e.getMessage());", "        }", "      }", "    }", "  }", "}"));
-        ProcessBuilder command = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), source.toString())
+        Files.writeString(
+                source,
+                String.join(
+                        "\n",
+                        "public class Probe {",
+                        "  public static void main(String[] args) throws Exception {",
+                        "    System.out.println(\"clock \" + System.currentTimeMillis());",
+                        "    try (var server = java.nio.channels.ServerSocketChannel.open().bind(new java.net.InetSocketAddress(\"127.0.0.1\", 0))) {",
+                        "      for (int i = 0; i < 8; i++) {",
+                        "        try (var client = java.nio.channels.SocketChannel.open(server.getLocalAddress())) {",
+                        "          server.accept().close();",
+                        "        } catch (java.io.IOException e) {",
+                        "          System.out.println(\"failed \" + e.getMessage());",
+                        "        }",
+                        "      }",
+                        "    }",
+                        "  }",
+                        "}"));
+        ProcessBuilder command = new ProcessBuilder(
+                        Path.of(System.getProperty("java.home"), "bin", "java").toString(), source.toString())
                 .redirectErrorStream(true);
         command.environment().putAll(faults.environment());
         Process process = command.start();
@@ -67,9 +81,15 @@
         assertTrue(process.waitFor(20, TimeUnit.SECONDS));
         long clock = Long.parseLong(said.remove(0).substring("clock ".length()));
         assertTrue(Math.abs(System.currentTimeMillis() - 3_600_000 - clock) < 60_000, "clock " + clock);
-        assertTrue(faults.count(SystemFaults.Kind.ACCEPT) > 0 && faults.count(SystemFaults.Kind.CONNECT) > 0, said.toString());
+        assertTrue(
+                faults.count(SystemFaults.Kind.ACCEPT) > 0 && faults.count(SystemFaults.Kind.CONNECT) > 0,
+                said.toString());
         // The JDK itself accepts again after ECONNABORTED.
-        assertEquals(Set.of("failed Too many open files in system", "failed No buffer space available", "failed Network is unreachable"),
+        assertEquals(
+                Set.of(
+                        "failed Too many open files in system",
+                        "failed No buffer space available",
+                        "failed Network is unreachable"),
                 Set.copyOf(said));
     }
 
--- a/rig/src/test/java/lupinvalve/rig/SubscribersTest.java
+++ b/rig/src/test/java/lupinvalve/rig/SubscribersTest.java
@@ -22,12 +22,15 @@
     private static final List<String> MEMBERS = List.of("c0", "c1", "c2");
     private static final List<String> SUBSCRIBERS = List.of("s0", "s1");
     private static final long AWAIT_SECONDS = 40;
+
     @TempDir
     private Path folder;
+
     private final InForce book = new InForce();
     private final Map<String, DaemonProcess> processes = new TreeMap<>();
     /** From a subscriber to a member. */
     private final Map<String, FaultProxy> ways = new TreeMap<>();
+
     private final Map<String, String> places = new TreeMap<>();
     private long revision;
 
@@ -52,14 +55,20 @@
             }
             for (String subscriber : SUBSCRIBERS) {
                 for (String member : MEMBERS) {
-                    ways.put(subscriber + ">" + member, new FaultProxy(Integer.parseInt(places.get(member).substring(10))));
+                    ways.put(
+                            subscriber + ">" + member,
+                            new FaultProxy(Integer.parseInt(places.get(member).substring(10))));
                 }
             }
             for (int i = 0; i < all.size(); i++) {
                 String name = all.get(i);
-                DaemonProcess process = new DaemonProcess(name, folder, line -> book.line(name, line, System.currentTimeMillis()));
-                process.files(platform.replace("\"name\": \"n0\"", "\"name\": \"" + name + "\"")
-                        .replace("127.0.0.1:5432", "127.0.0.1:" + ports.get(i)).replace("127.0.0.1:8500", "127.0.0.1:1"), store(name));
+                DaemonProcess process =
+                        new DaemonProcess(name, folder, line -> book.line(name, line, System.currentTimeMillis()));
+                process.files(
+                        platform.replace("\"name\": \"n0\"", "\"name\": \"" + name + "\"")
+                                .replace("127.0.0.1:5432", "127.0.0.1:" + ports.get(i))
+                                .replace("127.0.0.1:8500", "127.0.0.1:1"),
+                        store(name));
                 processes.put(name, process);
             }
         }
@@ -72,11 +81,15 @@
         boolean member = MEMBERS.contains(name);
         StringBuilder addresses = new StringBuilder();
         for (String other : MEMBERS) {
-            String at = member ? places.get(other) : "127.0.0.1:" + ways.get(name + ">" + other).port();
+            String at = member
+                    ? places.get(other)
+                    : "127.0.0.1:" + ways.get(name + ">" + other).port();
             addresses.append(addresses.isEmpty() ? "" : ",").append("\"" + other + "\":\"" + at + "\"");
         }
-        return "{\"store\":{\"cluster\":\"plant\",\"name\":\"" + name + "\",\"folder\":\"" + folder.resolve(name + "-state")
-                + "\",\"audit\":\"fence\"," + (member ? "\"listen\":\"" + places.get(name) + "\"" : "\"role\":\"subscriber\"")
+        return "{\"store\":{\"cluster\":\"plant\",\"name\":\"" + name + "\",\"folder\":\""
+                + folder.resolve(name + "-state")
+                + "\",\"audit\":\"fence\","
+                + (member ? "\"listen\":\"" + places.get(name) + "\"" : "\"role\":\"subscriber\"")
                 + ",\"members\":{" + addresses + "}}}";
     }
 
@@ -102,7 +115,8 @@
     private void put(String standing) throws Exception {
         Map<String, String> asked = new TreeMap<>(places);
         asked.remove(standing);
-        List<byte[]> arguments = List.of(Long.toString(revision).getBytes(StandardCharsets.UTF_8),
+        List<byte[]> arguments = List.of(
+                Long.toString(revision).getBytes(StandardCharsets.UTF_8),
                 ("{\"mysql\":{\"user\":\"user-" + revision + "\"}}").getBytes(StandardCharsets.UTF_8));
         Client.Said said = new Client("plant", asked, null).ask("put", arguments, false, 30_000);
         if (said.code() != Messages.Code.OK) {
--- a/rig/src/test/java/lupinvalve/rig/TimingTest.java
+++ b/rig/src/test/java/lupinvalve/rig/TimingTest.java
@@ -59,7 +59,8 @@
         for (int i = 0; i < 431; i++) {
             timing.came("n0", "p" + i % 30, "c" + i, 10_000 + i * 3);
         }
-        assertEquals(0, timing.verdict().coldOverrun(), timing.verdict().findings().toString());
+        assertEquals(
+                0, timing.verdict().coldOverrun(), timing.verdict().findings().toString());
         for (int i = 0; i < 40; i++) {
             timing.came("n0", "p" + i % 30, "d" + i, 11_000 + i * 3);
         }
--- a/scale/src/main/java/lupinvalve/scale/Budgets.java
+++ b/scale/src/main/java/lupinvalve/scale/Budgets.java
@@ -9,6 +9,7 @@
     static final long IN_FORCE_MILLIS = 6_000;
     /** Of a core, for control, at a pooler. */
     static final double CONTROL_CPU_CORE = 0.029;
+
     static final double CONTROL_MEGABYTES = 128;
     static final double CONTROL_BYTES_PER_SECOND = 18_000;
     static final double CHANGES_A_DAY = 3_800;
--- a/scale/src/main/java/lupinvalve/scale/Daemons.java
+++ b/scale/src/main/java/lupinvalve/scale/Daemons.java
@@ -63,7 +63,8 @@
         for (int i = 0; i < Topology.MEMBERS; i++) {
             Map<String, String> places = links.forMember(i);
             places.put(Topology.member(i), "127.0.0.1:" + memberPorts.get(i));
-            DaemonProcess member = process(Topology.member(i), "127.0.0.1:" + memberPorts.get(i), places, null, MEMBER_HEAP);
+            DaemonProcess member =
+                    process(Topology.member(i), "127.0.0.1:" + memberPorts.get(i), places, null, MEMBER_HEAP);
             members.add(member);
             member.start();
         }
@@ -74,7 +75,8 @@
         try (Scratch.Ports ports = new Scratch.Ports(count)) {
             for (int i = 0; i < count; i++) {
                 String listen = design == Design.MEMBERS ? "127.0.0.1:" + ports.get(i) : null;
-                daemons.add(process(Topology.daemon(i), listen, links.forPooler(Topology.ZONES + i), design, DAEMON_HEAP));
+                daemons.add(
+                        process(Topology.daemon(i), listen, links.forPooler(Topology.ZONES + i), design, DAEMON_HEAP));
             }
         }
         for (DaemonProcess daemon : daemons) {
@@ -83,21 +85,29 @@
         }
     }
 
-    private DaemonProcess process(String name, String listen, Map<String, String> places, Design design, int heap) throws IOException {
+    private DaemonProcess process(String name, String listen, Map<String, String> places, Design design, int heap)
+            throws IOException {
         DaemonProcess process = new DaemonProcess(name, folder, line -> heard(name, line));
         process.heap(heap);
         int front;
         try (Scratch.Ports ports = new Scratch.Ports(1)) {
             front = ports.get(0);
         }
-        String platform = Files.readString(config).replace("\"name\": \"n0\"", "\"name\": \"" + name + "\"")
-                .replace("127.0.0.1:5432", "127.0.0.1:" + front).replaceFirst("\"discovery\": \"[^\"]*\",", "");
-        String members = places.entrySet().stream().map(one -> "\"" + one.getKey() + "\":\"" + one.getValue() + "\"")
+        String platform = Files.readString(config)
+                .replace("\"name\": \"n0\"", "\"name\": \"" + name + "\"")
+                .replace("127.0.0.1:5432", "127.0.0.1:" + front)
+                .replaceFirst("\"discovery\": \"[^\"]*\",", "");
+        String members = places.entrySet().stream()
+                .map(one -> "\"" + one.getKey() + "\":\"" + one.getValue() + "\"")
                 .collect(Collectors.joining(","));
-        process.files(platform, "{\"store\":{\"cluster\":\"" + CLUSTER + "\",\"name\":\"" + name + "\",\"folder\":\""
-                + folder.resolve(name) + "\",\"audit\":\"fence\","
-                + (design == Design.SUBSCRIPTIONS ? "\"role\":\"subscriber\"," : "\"listen\":\"" + listen + "\",")
-                + "\"members\":{" + members + "}}}");
+        process.files(
+                platform,
+                "{\"store\":{\"cluster\":\"" + CLUSTER + "\",\"name\":\"" + name + "\",\"folder\":\""
+                        + folder.resolve(name) + "\",\"audit\":\"fence\","
+                        + (design == Design.SUBSCRIPTIONS
+                                ? "\"role\":\"subscriber\","
+                                : "\"listen\":\"" + listen + "\",")
+                        + "\"members\":{" + members + "}}}");
         return process;
     }
 
--- a/scale/src/main/java/lupinvalve/scale/Design.java
+++ b/scale/src/main/java/lupinvalve/scale/Design.java
@@ -9,16 +9,28 @@
     MEMBERS {
         @Override
         OpenPlane open(HostCommand command, String cluster) throws IOException {
-            return OpenPlane.member(new OperatorConfig.Store(cluster, command.pooler(), java.nio.file.Path.of(command.folder()),
-                    command.listen(), command.members(), null, 0, OperatorConfig.Audit.FENCE));
+            return OpenPlane.member(new OperatorConfig.Store(
+                    cluster,
+                    command.pooler(),
+                    java.nio.file.Path.of(command.folder()),
+                    command.listen(),
+                    command.members(),
+                    null,
+                    0,
+                    OperatorConfig.Audit.FENCE));
         }
     },
     /** Poolers follow one of the control members and are none themselves. */
     SUBSCRIPTIONS {
         @Override
         OpenPlane open(HostCommand command, String cluster) throws IOException {
-            return OpenPlane.subscriber(OperatorConfig.Store.subscriber(cluster, command.pooler(),
-                    java.nio.file.Path.of(command.folder()), command.members(), null, OperatorConfig.Audit.FENCE));
+            return OpenPlane.subscriber(OperatorConfig.Store.subscriber(
+                    cluster,
+                    command.pooler(),
+                    java.nio.file.Path.of(command.folder()),
+                    command.members(),
+                    null,
+                    OperatorConfig.Audit.FENCE));
         }
     };
 
--- a/scale/src/main/java/lupinvalve/scale/FaultCourse.java
+++ b/scale/src/main/java/lupinvalve/scale/FaultCourse.java
@@ -33,7 +33,8 @@
 
     private record Step(String name, Fault fault) {}
 
-    FaultCourse(Daemons daemons, Links links, Fleet fleet, Operator operator, Load load, Progress progress, int seconds) {
+    FaultCourse(
+            Daemons daemons, Links links, Fleet fleet, Operator operator, Load load, Progress progress, int seconds) {
         this.daemons = daemons;
         this.links = links;
         this.fleet = fleet;
@@ -45,11 +46,16 @@
 
     /** Plays all faults until a time; what does not fit in it comes late, but comes. */
     void play(long untilNanos) throws IOException, InterruptedException {
-        List<Step> steps = List.of(new Step("a primary changes", this::told), new Step("a rack restarts", this::rack),
-                new Step("the leader is killed", this::leaderKilled), new Step("a slow tenth", this::slowTenth),
-                new Step("a region hears nothing", () -> cut(false, true)), new Step("a region is cut off", () -> cut(true, true)),
+        List<Step> steps = List.of(
+                new Step("a primary changes", this::told),
+                new Step("a rack restarts", this::rack),
+                new Step("the leader is killed", this::leaderKilled),
+                new Step("a slow tenth", this::slowTenth),
+                new Step("a region hears nothing", () -> cut(false, true)),
+                new Step("a region is cut off", () -> cut(true, true)),
                 new Step("a zone restarts", () -> herdReadyMs = load.herd(zone(fleet, 1))),
-                new Step("a follower stands still", this::followerStands), new Step("the leader stands still", this::leaderStands),
+                new Step("a follower stands still", this::followerStands),
+                new Step("the leader stands still", this::leaderStands),
                 new Step("a follower is killed", this::followerKilled),
                 new Step("a region restarts", () -> regionReadyMs = load.herd(region(1))));
         long begun = System.nanoTime();
@@ -77,11 +83,17 @@
 
     /** A zone's poolers. */
     static List<Integer> zone(Fleet fleet, int zone) {
-        return IntStream.range(0, fleet.size()).filter(i -> Topology.zone(i) == zone).boxed().toList();
+        return IntStream.range(0, fleet.size())
+                .filter(i -> Topology.zone(i) == zone)
+                .boxed()
+                .toList();
     }
 
     private List<Integer> region(int region) {
-        return IntStream.range(0, fleet.size()).filter(i -> Topology.region(i) == region).boxed().toList();
+        return IntStream.range(0, fleet.size())
+                .filter(i -> Topology.region(i) == region)
+                .boxed()
+                .toList();
     }
 
     private int leader() {
--- a/scale/src/main/java/lupinvalve/scale/Fits.java
+++ b/scale/src/main/java/lupinvalve/scale/Fits.java
@@ -32,7 +32,8 @@
         return fits;
     }
 
-    private static Collection<List<SlopesFile.Run>> grouped(Collection<SlopesFile.Run> runs, Function<SlopesFile.Run, Integer> fixed) {
+    private static Collection<List<SlopesFile.Run>> grouped(
+            Collection<SlopesFile.Run> runs, Function<SlopesFile.Run, Integer> fixed) {
         Map<String, List<SlopesFile.Run>> groups = new TreeMap<>();
         for (SlopesFile.Run run : runs) {
             String key = run.design() + " " + run.load() + " " + run.trial() + " " + fixed.apply(run);
@@ -58,7 +59,8 @@
         return fits;
     }
 
-    private static SlopesFile.Fit fit(List<SlopesFile.Run> runs, String metric, ToIntFunction<SlopesFile.Run> size, boolean perPooler) {
+    private static SlopesFile.Fit fit(
+            List<SlopesFile.Run> runs, String metric, ToIntFunction<SlopesFile.Run> size, boolean perPooler) {
         SimpleRegression line = new SimpleRegression();
         TreeSet<Integer> sizes = new TreeSet<>();
         for (SlopesFile.Run run : runs) {
@@ -73,9 +75,18 @@
         }
         SlopesFile.Run one = runs.get(0);
         double residual = Math.sqrt(line.getSumSquaredErrors() / line.getN());
-        return new SlopesFile.Fit(one.design(), metric, perPooler ? "pooler" : "database", one.load(),
-                perPooler ? null : one.poolers(), perPooler ? one.databases() : null, one.trial(), rounded(line.getSlope()),
-                rounded(line.getIntercept()), rounded(residual), (int) line.getN());
+        return new SlopesFile.Fit(
+                one.design(),
+                metric,
+                perPooler ? "pooler" : "database",
+                one.load(),
+                perPooler ? null : one.poolers(),
+                perPooler ? one.databases() : null,
+                one.trial(),
+                rounded(line.getSlope()),
+                rounded(line.getIntercept()),
+                rounded(residual),
+                (int) line.getN());
     }
 
     /** To so many digits that count. */
@@ -83,6 +94,8 @@
         if (value == 0 || Double.isNaN(value) || Double.isInfinite(value)) {
             return 0;
         }
-        return new java.math.BigDecimal(value).round(new java.math.MathContext(DIGITS)).doubleValue();
+        return new java.math.BigDecimal(value)
+                .round(new java.math.MathContext(DIGITS))
+                .doubleValue();
     }
 }
--- a/scale/src/main/java/lupinvalve/scale/Fleet.java
+++ b/scale/src/main/java/lupinvalve/scale/Fleet.java
@@ -24,6 +24,7 @@
     private static final int FAILURES_MOST = 50;
     /** In memory where the system has a place for that: poolers have a disk each, and these would share one. */
     private static final Path MEMORY = Path.of("/dev/shm");
+
     private final Path disks;
     private final Design design;
     private final Links links;
@@ -103,18 +104,28 @@
         String name = Topology.pooler(pooler);
         Path own = disks.resolve(name);
         Files.createDirectories(own);
-        host(pooler).tell(new HostCommand(HostCommand.What.START, name, own.toString(),
-                design == Design.MEMBERS ? "127.0.0.1:" + ports.get(pooler) : null, links.forPooler(pooler)));
+        host(pooler)
+                .tell(new HostCommand(
+                        HostCommand.What.START,
+                        name,
+                        own.toString(),
+                        design == Design.MEMBERS ? "127.0.0.1:" + ports.get(pooler) : null,
+                        links.forPooler(pooler)));
     }
 
     /** Stops all of these at once and waits until they have. */
     void stop(Collection<Integer> poolers) throws IOException, InterruptedException {
         poolers.forEach(one -> host(one).tell(HostCommand.stop(Topology.pooler(one))));
-        await("poolers stop", STOP_SECONDS, () -> poolers.stream().noneMatch(one -> alive.getOrDefault(Topology.pooler(one), false)));
+        await("poolers stop", STOP_SECONDS, () -> poolers.stream()
+                .noneMatch(one -> alive.getOrDefault(Topology.pooler(one), false)));
     }
 
-    /** Stops these at once, starts them again at once and gives how long it took until the last acted on a revision, in ms. */
-    double herd(Collection<Integer> poolers, long revision, long withinSeconds) throws IOException, InterruptedException {
+    /**
+     * Stops these at once, starts them again at once and gives how long it took until the last acted on a revision, in
+     * ms.
+     */
+    double herd(Collection<Integer> poolers, long revision, long withinSeconds)
+            throws IOException, InterruptedException {
         stop(poolers);
         long begun = System.nanoTime();
         for (int one : poolers) {
@@ -129,7 +140,8 @@
     }
 
     /** Waits until these may act, on this revision or a later one. */
-    void awaitReady(Collection<Integer> poolers, long revision, long withinSeconds) throws IOException, InterruptedException {
+    void awaitReady(Collection<Integer> poolers, long revision, long withinSeconds)
+            throws IOException, InterruptedException {
         List<Integer> left = new ArrayList<>(poolers);
         try {
             await("poolers act on revision " + revision, withinSeconds, () -> {
@@ -140,8 +152,10 @@
                 return left.isEmpty();
             });
         } catch (IOException e) {
-            throw new IOException(e.getMessage() + ": " + left.size() + " of " + poolers.size() + " left, the first "
-                    + Topology.pooler(left.get(0)) + (failures.isEmpty() ? "" : "; " + failures.get(0)), e);
+            throw new IOException(
+                    e.getMessage() + ": " + left.size() + " of " + poolers.size() + " left, the first "
+                            + Topology.pooler(left.get(0)) + (failures.isEmpty() ? "" : "; " + failures.get(0)),
+                    e);
         }
     }
 
@@ -151,7 +165,8 @@
                 .allMatch(one -> !one.getValue() || holds.getOrDefault(one.getKey(), 0) == count));
     }
 
-    private static void await(String what, long withinSeconds, BooleanSupplier holds) throws IOException, InterruptedException {
+    private static void await(String what, long withinSeconds, BooleanSupplier holds)
+            throws IOException, InterruptedException {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(withinSeconds);
         while (!holds.getAsBoolean()) {
             if (System.nanoTime() > end) {
--- a/scale/src/main/java/lupinvalve/scale/FrameMeter.java
+++ b/scale/src/main/java/lupinvalve/scale/FrameMeter.java
@@ -10,7 +10,14 @@
     private static final int LENGTH_BYTES = 4;
 
     /** Kinds of messages in the order of the wire's numbers; what is newer than this list is OTHER. */
-    enum Kind { HELLO, RAFT, CALL, ANSWER, BEAT, OTHER }
+    enum Kind {
+        HELLO,
+        RAFT,
+        CALL,
+        ANSWER,
+        BEAT,
+        OTHER
+    }
 
     /** Messages and bytes of both directions so far. */
     record Sums(long messages, long bytes) {
--- a/scale/src/main/java/lupinvalve/scale/History.java
+++ b/scale/src/main/java/lupinvalve/scale/History.java
@@ -7,8 +7,8 @@
 import lupinvalve.rig.RevisionChecker;
 
 /**
- * Judges whether all acted on one history that a majority accepted: one content a revision, nothing acknowledged is lost, and
- * nothing is acted on that the group does not know of at the end. Without I/O.
+ * Judges whether all acted on one history that a majority accepted: one content a revision, nothing acknowledged is
+ * lost, and nothing is acted on that the group does not know of at the end. Without I/O.
  */
 final class History {
     private final RevisionChecker revisions = new RevisionChecker();
--- a/scale/src/main/java/lupinvalve/scale/HollowHost.java
+++ b/scale/src/main/java/lupinvalve/scale/HollowHost.java
@@ -16,7 +16,10 @@
 import lupinvalve.log.Log;
 import lupinvalve.net.Net;
 
-/** A process of many hollow poolers: hears commands on its standard input, tells events on its output, ends with its input. */
+/**
+ * A process of many hollow poolers: hears commands on its standard input, tells events on its output, ends with its
+ * input.
+ */
 public final class HollowHost {
     private static final int WORKERS = 16;
     private static final int OPENINGS_MOST = 50;
@@ -43,7 +46,8 @@
     /** Arguments: the design's word and the cluster's name; the variable SCALE_LOG may name a level of the log. */
     public static void main(String[] args) throws IOException, InterruptedException {
         Log.least(Log.Level.valueOf(System.getenv().getOrDefault("SCALE_LOG", "ERROR")));
-        PrintStream out = new PrintStream(new java.io.FileOutputStream(java.io.FileDescriptor.out), false, StandardCharsets.UTF_8);
+        PrintStream out = new PrintStream(
+                new java.io.FileOutputStream(java.io.FileDescriptor.out), false, StandardCharsets.UTF_8);
         HollowHost host = new HollowHost(Design.valueOf(args[0].toUpperCase(java.util.Locale.ROOT)), args[1], out);
         host.serve(new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8)));
         System.exit(0);
--- a/scale/src/main/java/lupinvalve/scale/HollowPooler.java
+++ b/scale/src/main/java/lupinvalve/scale/HollowPooler.java
@@ -11,7 +11,9 @@
 import lupinvalve.net.Net;
 import lupinvalve.replication.Group;
 
-/** A pooler without fronts and db nodes: the daemon's control code, which reads each configuration as the daemon does. */
+/**
+ * A pooler without fronts and db nodes: the daemon's control code, which reads each configuration as the daemon does.
+ */
 final class HollowPooler implements Group.Pooler {
     private final String name;
     private final OpenPlane open;
@@ -45,7 +47,8 @@
     void look() {
         long end = open.leaseEndNanos().getAsLong();
         boolean now = open.plane().mayAct();
-        // On a busy machine a look may come long after a lease has ended, and after the next one has begun, which counts from its request.
+        // On a busy machine a look may come long after a lease has ended, and after the next one has begun, which
+        // counts from its request.
         boolean lapsed = may && end != Long.MAX_VALUE && end - LEASE_NANOS > leaseEnd;
         if (may && (!now || lapsed)) {
             events.accept(HostEvent.may(name, false, lapsed ? leaseEnd : end));
--- a/scale/src/main/java/lupinvalve/scale/HostCommand.java
+++ b/scale/src/main/java/lupinvalve/scale/HostCommand.java
@@ -10,7 +10,12 @@
  */
 record HostCommand(What what, String pooler, String folder, String listen, Map<String, String> members) {
     /** What is to be done. */
-    enum What { START, STOP, REPORT, END }
+    enum What {
+        START,
+        STOP,
+        REPORT,
+        END
+    }
 
     static HostCommand stop(String pooler) {
         return new HostCommand(What.STOP, pooler, null, null, null);
--- a/scale/src/main/java/lupinvalve/scale/HostEvent.java
+++ b/scale/src/main/java/lupinvalve/scale/HostEvent.java
@@ -6,9 +6,26 @@
  * @param atNanos by the machine's monotonic clock, which all its processes share
  * @param holds how many holds the pooler knows of
  */
-record HostEvent(What what, String pooler, long atNanos, Long revision, String digest, Integer holds, String why, HostReport report) {
+record HostEvent(
+        What what,
+        String pooler,
+        long atNanos,
+        Long revision,
+        String digest,
+        Integer holds,
+        String why,
+        HostReport report) {
     /** What happened. */
-    enum What { STARTED, STOPPED, ADOPTED, MAY_ACT, MAY_NOT, HOLDS, FAILED, REPORT }
+    enum What {
+        STARTED,
+        STOPPED,
+        ADOPTED,
+        MAY_ACT,
+        MAY_NOT,
+        HOLDS,
+        FAILED,
+        REPORT
+    }
 
     static HostEvent of(What what, String pooler) {
         return new HostEvent(what, pooler, System.nanoTime(), null, null, null, null, null);
@@ -16,7 +33,15 @@
 
     /** @param atNanos when it was so, if that was before now */
     static HostEvent may(String pooler, boolean now, long atNanos) {
-        return new HostEvent(now ? What.MAY_ACT : What.MAY_NOT, pooler, Math.min(atNanos, System.nanoTime()), null, null, null, null, null);
+        return new HostEvent(
+                now ? What.MAY_ACT : What.MAY_NOT,
+                pooler,
+                Math.min(atNanos, System.nanoTime()),
+                null,
+                null,
+                null,
+                null,
+                null);
     }
 
     static HostEvent adopted(String pooler, long revision, String digest) {
--- a/scale/src/main/java/lupinvalve/scale/HostProcess.java
+++ b/scale/src/main/java/lupinvalve/scale/HostProcess.java
@@ -28,12 +28,22 @@
      * @param errors a file for what it writes on standard error
      * @param events hears what its poolers tell
      */
-    HostProcess(Design design, String cluster, int heapMegabytes, Path errors, Consumer<HostEvent> events) throws IOException {
+    HostProcess(Design design, String cluster, int heapMegabytes, Path errors, Consumer<HostEvent> events)
+            throws IOException {
         this.events = events;
-        process = new ProcessBuilder(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                "-Xmx" + heapMegabytes + "m", "-Xss256k", "-XX:+UseSerialGC", "-XX:-UsePerfData",
-                "-cp", System.getProperty("java.class.path"), HollowHost.class.getName(), design.word(), cluster))
-                .redirectError(errors.toFile()).start();
+        process = new ProcessBuilder(List.of(
+                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                        "-Xmx" + heapMegabytes + "m",
+                        "-Xss256k",
+                        "-XX:+UseSerialGC",
+                        "-XX:-UsePerfData",
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        HollowHost.class.getName(),
+                        design.word(),
+                        cluster))
+                .redirectError(errors.toFile())
+                .start();
         commands = new PrintStream(process.getOutputStream(), true, StandardCharsets.UTF_8);
         Thread reader = new Thread(this::read, "host " + process.pid());
         reader.setDaemon(true);
@@ -41,7 +51,8 @@
     }
 
     private void read() {
-        try (BufferedReader in = new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))) {
+        try (BufferedReader in =
+                new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))) {
             for (String line = in.readLine(); line != null; line = in.readLine()) {
                 HostEvent event = Json.MAPPER.readValue(line, HostEvent.class);
                 if (event.what() == HostEvent.What.REPORT) {
--- a/scale/src/main/java/lupinvalve/scale/HostReport.java
+++ b/scale/src/main/java/lupinvalve/scale/HostReport.java
@@ -5,9 +5,16 @@
  *
  * @param heapBytes in use after a collection
  */
-record HostReport(long cpuNanos, long rssBytes, long heapBytes, int poolers, long bytesOut, long bytesIn, long messagesOut) {
+record HostReport(
+        long cpuNanos, long rssBytes, long heapBytes, int poolers, long bytesOut, long bytesIn, long messagesOut) {
     HostReport plus(HostReport other) {
-        return new HostReport(cpuNanos + other.cpuNanos, rssBytes + other.rssBytes, heapBytes + other.heapBytes,
-                poolers + other.poolers, bytesOut + other.bytesOut, bytesIn + other.bytesIn, messagesOut + other.messagesOut);
+        return new HostReport(
+                cpuNanos + other.cpuNanos,
+                rssBytes + other.rssBytes,
+                heapBytes + other.heapBytes,
+                poolers + other.poolers,
+                bytesOut + other.bytesOut,
+                bytesIn + other.bytesIn,
+                messagesOut + other.messagesOut);
     }
 }
--- a/scale/src/main/java/lupinvalve/scale/InForce.java
+++ b/scale/src/main/java/lupinvalve/scale/InForce.java
@@ -9,8 +9,8 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Judges how soon acknowledged changes were in force at each pooler, and whether whoever lacked one in time had lost the right to
- * act. Without I/O.
+ * Judges how soon acknowledged changes were in force at each pooler, and whether whoever lacked one in time had lost
+ * the right to act. Without I/O.
  */
 final class InForce {
     private static final int FINDINGS_MOST = 20;
@@ -21,7 +21,8 @@
     /**
      * What came out.
      *
-     * @param latencies microseconds from acknowledged to in force, of pairs of a change and a pooler that ran and might act throughout
+     * @param latencies microseconds from acknowledged to in force, of pairs of a change and a pooler that ran and might
+     *     act throughout
      * @param fenced pairs in which the pooler had lost the right to act before the change was in force
      * @param unfencedLate pairs in which it acted on an older version after the limit
      * @param unleasedOldNanos how long poolers did that, in all
@@ -44,7 +45,8 @@
      *
      * @param endNanos what comes later is not looked at
      */
-    static Verdict judge(Collection<Acknowledged> changes, Map<String, PoolerCourse> poolers, long limitMillis, long endNanos) {
+    static Verdict judge(
+            Collection<Acknowledged> changes, Map<String, PoolerCourse> poolers, long limitMillis, long endNanos) {
         InForce judge = new InForce(limitMillis);
         TreeMap<Long, Acknowledged> inOrder = new TreeMap<>();
         changes.forEach(one -> inOrder.put(one.atNanos(), one));
@@ -91,7 +93,10 @@
     private void old(List<PoolerCourse.Stretch> stretches, TreeMap<Long, Acknowledged> changes, long end) {
         for (PoolerCourse.Stretch one : stretches) {
             if (one.alive() && one.may()) {
-                Acknowledged replaced = changes.values().stream().filter(c -> c.revision() > one.revision()).findFirst().orElse(null);
+                Acknowledged replaced = changes.values().stream()
+                        .filter(c -> c.revision() > one.revision())
+                        .findFirst()
+                        .orElse(null);
                 long from = replaced == null ? end : Math.max(one.from(), replaced.atNanos() + limitNanos);
                 unleasedOldNanos += Math.max(0, Math.min(one.to(), end) - from);
             }
--- a/scale/src/main/java/lupinvalve/scale/Json.java
+++ b/scale/src/main/java/lupinvalve/scale/Json.java
@@ -1,9 +1,9 @@
 package lupinvalve.scale;
 
+import com.fasterxml.jackson.annotation.JsonInclude;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.PropertyNamingStrategies;
-import com.fasterxml.jackson.annotation.JsonInclude;
 import java.io.UncheckedIOException;
 
 /** Records as JSON, one line each. */
--- a/scale/src/main/java/lupinvalve/scale/Links.java
+++ b/scale/src/main/java/lupinvalve/scale/Links.java
@@ -10,8 +10,8 @@
 import lupinvalve.rig.FaultProxy;
 
 /**
- * Proxies before the control members: from each zone's poolers, the slow tenth of a zone apart, and from each other member. So links
- * of a zone, a region or the slow tenth can be slowed or cut, and what passes is counted.
+ * Proxies before the control members: from each zone's poolers, the slow tenth of a zone apart, and from each other
+ * member. So links of a zone, a region or the slow tenth can be slowed or cut, and what passes is counted.
  */
 final class Links implements Closeable {
     /** Who dials: a zone's poolers, its slow tenth, or the member in a region. */
@@ -49,7 +49,9 @@
         for (Link link : links) {
             From from = link.from();
             if (!from.member() && from.zone() == Topology.zone(pooler) && from.slow() == Topology.slow(pooler)) {
-                places.put(Topology.member(link.toMember()), "127.0.0.1:" + link.proxy().port());
+                places.put(
+                        Topology.member(link.toMember()),
+                        "127.0.0.1:" + link.proxy().port());
             }
         }
         return places;
@@ -60,13 +62,17 @@
         Map<String, String> places = new TreeMap<>();
         for (Link link : links) {
             if (link.from().member() && link.from().region() == member) {
-                places.put(Topology.member(link.toMember()), "127.0.0.1:" + link.proxy().port());
+                places.put(
+                        Topology.member(link.toMember()),
+                        "127.0.0.1:" + link.proxy().port());
             }
         }
         return places;
     }
 
-    /** Swallows what goes between a region and the others: what the region sends, what it is sent, or both; or no more. */
+    /**
+     * Swallows what goes between a region and the others: what the region sends, what it is sent, or both; or no more.
+     */
     void cutRegion(int region, boolean sent, boolean received) {
         for (Link link : links) {
             boolean fromThere = link.from().region() == region;
@@ -81,12 +87,14 @@
 
     /** What the slow tenth of poolers sends and is sent comes so much later. */
     void slowTenth(long millis) {
-        links.stream().filter(link -> link.from().slow()).forEach(link -> link.proxy().slow(millis));
+        links.stream().filter(link -> link.from().slow()).forEach(link -> link.proxy()
+                .slow(millis));
     }
 
     /** Each link between regions takes so long each way. */
     void slowRegions(long millis) {
-        links.stream().filter(link -> link.from().region() != link.toMember()).forEach(link -> link.proxy().slow(millis));
+        links.stream().filter(link -> link.from().region() != link.toMember()).forEach(link -> link.proxy()
+                .slow(millis));
     }
 
     /** What has gone between poolers and members. */
@@ -109,14 +117,18 @@
 
     /** What has gone to and from a member, whoever dialled. */
     FrameMeter.Sums ofMember(int member) {
-        return sum(links.stream().filter(link -> link.toMember() == member
-                || link.from().member() && link.from().region() == member).toList());
+        return sum(links.stream()
+                .filter(link -> link.toMember() == member
+                        || link.from().member() && link.from().region() == member)
+                .toList());
     }
 
     /** What has gone between members. */
     FrameMeter.Sums betweenMembers(int member) {
-        return sum(links.stream().filter(link -> link.from().member() && (link.toMember() == member
-                || link.from().region() == member)).toList());
+        return sum(links.stream()
+                .filter(link -> link.from().member()
+                        && (link.toMember() == member || link.from().region() == member))
+                .toList());
     }
 
     private static FrameMeter.Sums sum(List<Link> of) {
--- a/scale/src/main/java/lupinvalve/scale/Load.java
+++ b/scale/src/main/java/lupinvalve/scale/Load.java
@@ -15,7 +15,9 @@
 final class Load implements Closeable {
     /** What is done to the poolers. */
     enum Kind {
-        CHANGES, RESTARTS, MIXED;
+        CHANGES,
+        RESTARTS,
+        MIXED;
 
         String word() {
             return name().toLowerCase(java.util.Locale.ROOT);
@@ -77,7 +79,10 @@
         }
     }
 
-    /** Restarts these at once; gives how long it took until the last was ready, in ms, or null where not all were in time. */
+    /**
+     * Restarts these at once; gives how long it took until the last was ready, in ms, or null where not all were in
+     * time.
+     */
     Double herd(List<Integer> poolers) throws InterruptedException {
         List<Integer> mine = poolers.stream().filter(one -> take(List.of(one))).toList();
         try {
@@ -118,15 +123,17 @@
     }
 
     private void run(String name, Work work) {
-        Thread thread = new Thread(() -> {
-            try {
-                work.run();
-            } catch (IOException | RuntimeException e) {
-                failures.add(name + ": " + e.getMessage());
-            } catch (InterruptedException e) {
-                Thread.currentThread().interrupt();
-            }
-        }, name);
+        Thread thread = new Thread(
+                () -> {
+                    try {
+                        work.run();
+                    } catch (IOException | RuntimeException e) {
+                        failures.add(name + ": " + e.getMessage());
+                    } catch (InterruptedException e) {
+                        Thread.currentThread().interrupt();
+                    }
+                },
+                name);
         thread.setDaemon(true);
         threads.add(thread);
         thread.start();
--- a/scale/src/main/java/lupinvalve/scale/Metrics.java
+++ b/scale/src/main/java/lupinvalve/scale/Metrics.java
@@ -5,8 +5,9 @@
 import com.fasterxml.jackson.databind.annotation.JsonNaming;
 
 /**
- * What one run measured. Times in milliseconds, processor time as a part of one core, sizes in bytes or megabytes; null where it was
- * not measured. "Control" is the mean hollow pooler, its host's process counted whole; "idle" is before the load begins.
+ * What one run measured. Times in milliseconds, processor time as a part of one core, sizes in bytes or megabytes; null
+ * where it was not measured. "Control" is the mean hollow pooler, its host's process counted whole; "idle" is before
+ * the load begins.
  *
  * @param controlBytesPerS both ways
  * @param leaderBytesPerS both ways, at the member that leads
@@ -19,9 +20,37 @@
  */
 @JsonNaming(PropertyNamingStrategies.SnakeCaseStrategy.class)
 @JsonInclude(JsonInclude.Include.NON_NULL)
-record Metrics(Double inForceP50Ms, Double inForceP99Ms, Double inForceMaxMs, Double realInForceMaxMs, Double controlCpuCore,
-        Double controlBytesPerS, Double controlBytesInPerS, Double controlBytesOutPerS, Double controlMessagesPerS, Double controlRssMb,
-        Double controlHeapMb, Double idleCpuCore, Double idleBytesPerS, Double leaderCpuCore, Double leaderIdleCpuCore,
-        Double leaderBytesPerS, Double leaderMessagesPerS, Double leaderRssMb, Double memberCpuCore, Double realRssMb, Long logBytes,
-        Long snapshotBytes, Double herdReadyMs, Double rackReadyMs, Double regionReadyMs, Double joinMs, Double joinMaxMs, Double toldMs,
-        Double putP50Ms, Double putP99Ms, Double failoverMs, Double unleasedOldMs, Long documentBytes) {}
+record Metrics(
+        Double inForceP50Ms,
+        Double inForceP99Ms,
+        Double inForceMaxMs,
+        Double realInForceMaxMs,
+        Double controlCpuCore,
+        Double controlBytesPerS,
+        Double controlBytesInPerS,
+        Double controlBytesOutPerS,
+        Double controlMessagesPerS,
+        Double controlRssMb,
+        Double controlHeapMb,
+        Double idleCpuCore,
+        Double idleBytesPerS,
+        Double leaderCpuCore,
+        Double leaderIdleCpuCore,
+        Double leaderBytesPerS,
+        Double leaderMessagesPerS,
+        Double leaderRssMb,
+        Double memberCpuCore,
+        Double realRssMb,
+        Long logBytes,
+        Long snapshotBytes,
+        Double herdReadyMs,
+        Double rackReadyMs,
+        Double regionReadyMs,
+        Double joinMs,
+        Double joinMaxMs,
+        Double toldMs,
+        Double putP50Ms,
+        Double putP99Ms,
+        Double failoverMs,
+        Double unleasedOldMs,
+        Long documentBytes) {}
--- a/scale/src/main/java/lupinvalve/scale/OpenPlane.java
+++ b/scale/src/main/java/lupinvalve/scale/OpenPlane.java
@@ -13,7 +13,8 @@
 /**
  * A pooler's control plane as the daemon opens it, with ways to its traffic and its lease.
  *
- * @param leaseEndNanos when its last lease ends, by the machine's monotonic clock; the far future where it does not tell
+ * @param leaseEndNanos when its last lease ends, by the machine's monotonic clock; the far future where it does not
+ *     tell
  */
 record OpenPlane(ControlPlane plane, Supplier<Net.Traffic> traffic, LongSupplier leaseEndNanos) {
     static OpenPlane member(OperatorConfig.Store store) throws IOException {
@@ -23,9 +24,12 @@
 
     static OpenPlane subscriber(OperatorConfig.Store store) throws IOException {
         Subscriber subscriber = new Subscriber(store);
-        return new OpenPlane(subscriber, () -> {
-            Subscriber.Traffic traffic = subscriber.traffic();
-            return new Net.Traffic(traffic.bytesOut(), traffic.bytesIn(), traffic.calls());
-        }, () -> TimeUnit.MICROSECONDS.toNanos(subscriber.leaseEndMicros()));
+        return new OpenPlane(
+                subscriber,
+                () -> {
+                    Subscriber.Traffic traffic = subscriber.traffic();
+                    return new Net.Traffic(traffic.bytesOut(), traffic.bytesIn(), traffic.calls());
+                },
+                () -> TimeUnit.MICROSECONDS.toNanos(subscriber.leaseEndMicros()));
     }
 }
--- a/scale/src/main/java/lupinvalve/scale/PoolerCourse.java
+++ b/scale/src/main/java/lupinvalve/scale/PoolerCourse.java
@@ -5,7 +5,8 @@
 import java.util.List;
 
 /**
- * What one pooler acted on and when it might, from what it told. Without I/O; times are nanoseconds of the machine's monotonic clock.
+ * What one pooler acted on and when it might, from what it told. Without I/O; times are nanoseconds of the machine's
+ * monotonic clock.
  */
 final class PoolerCourse {
     /** One stretch of time in which nothing of it changed; the last one has no end, which is Long.MAX_VALUE. */
--- a/scale/src/main/java/lupinvalve/scale/ProcessCounters.java
+++ b/scale/src/main/java/lupinvalve/scale/ProcessCounters.java
@@ -10,6 +10,7 @@
     private static final long NANOS_A_TICK = 10_000_000;
     /** Fields after the command's name in a process's stat: its time as a program and in the system. */
     private static final int USER_TIME = 11;
+
     private static final int SYSTEM_TIME = 12;
     private static final long KILO = 1024;
 
@@ -53,7 +54,8 @@
     static long fileBytes(Path folder, String prefix) throws IOException {
         long sum = 0;
         try (Stream<Path> files = Files.list(folder)) {
-            for (Path file : files.filter(f -> f.getFileName().toString().startsWith(prefix)).toList()) {
+            for (Path file : files.filter(f -> f.getFileName().toString().startsWith(prefix))
+                    .toList()) {
                 sum += Files.exists(file) ? Files.size(file) : 0;
             }
         }
--- a/scale/src/main/java/lupinvalve/scale/RunResult.java
+++ b/scale/src/main/java/lupinvalve/scale/RunResult.java
@@ -10,8 +10,18 @@
  * @param fenced pairs of a change and a pooler that had lost the right to act before it was in force there
  * @param kinds messages and bytes a second between poolers and members, of all poolers together, by kind
  */
-record RunResult(RunSpec spec, Metrics metrics, int changes, int restarts, int divergent, int lost, long unfencedLate, long fenced,
-        List<String> over, List<String> findings, Map<FrameMeter.Kind, FrameMeter.Sums> kinds) {
+record RunResult(
+        RunSpec spec,
+        Metrics metrics,
+        int changes,
+        int restarts,
+        int divergent,
+        int lost,
+        long unfencedLate,
+        long fenced,
+        List<String> over,
+        List<String> findings,
+        Map<FrameMeter.Kind, FrameMeter.Sums> kinds) {
     boolean good() {
         return over.isEmpty() && divergent == 0 && lost == 0 && unfencedLate == 0;
     }
--- a/scale/src/main/java/lupinvalve/scale/RunSpec.java
+++ b/scale/src/main/java/lupinvalve/scale/RunSpec.java
@@ -10,11 +10,33 @@
  * @param regionDelayMillis each way between regions
  * @param config a platform's file that the daemons' are made from
  */
-record RunSpec(Design design, Load.Kind load, int poolers, int databases, int daemons, int seconds, long seed, double changeFactor,
-        double restartFactor, int regionDelayMillis, Path config, boolean keep) {
+record RunSpec(
+        Design design,
+        Load.Kind load,
+        int poolers,
+        int databases,
+        int daemons,
+        int seconds,
+        long seed,
+        double changeFactor,
+        double restartFactor,
+        int regionDelayMillis,
+        Path config,
+        boolean keep) {
     RunSpec sized(Load.Kind kind, int size, int entries) {
-        return new RunSpec(design, kind, size, entries, daemons, seconds, seed, changeFactor, restartFactor, regionDelayMillis,
-                config, keep);
+        return new RunSpec(
+                design,
+                kind,
+                size,
+                entries,
+                daemons,
+                seconds,
+                seed,
+                changeFactor,
+                restartFactor,
+                regionDelayMillis,
+                config,
+                keep);
     }
 
     double changesPerSecond() {
--- a/scale/src/main/java/lupinvalve/scale/Scale.java
+++ b/scale/src/main/java/lupinvalve/scale/Scale.java
@@ -8,8 +8,11 @@
 public final class Scale {
     private Scale() {}
 
-    /** Runs what the options say and gives the exit code: 0 where all is within its budget and nothing was found wrong. */
-    public static int run(ScaleOptions options, PrintStream out) throws IOException, InterruptedException, ScaleOptions.BadValue {
+    /**
+     * Runs what the options say and gives the exit code: 0 where all is within its budget and nothing was found wrong.
+     */
+    public static int run(ScaleOptions options, PrintStream out)
+            throws IOException, InterruptedException, ScaleOptions.BadValue {
         options.check();
         if (options.slopes != null) {
             return new Slopes(options, out).run();
@@ -23,8 +26,15 @@
             out.println(result.json());
             return result.good() ? 0 : 1;
         } catch (IOException e) {
-            out.println(Json.line(Map.of("poolers", options.poolers, "databases", options.databases, "seed", options.seed,
-                    "failed", String.valueOf(e.getMessage()))));
+            out.println(Json.line(Map.of(
+                    "poolers",
+                    options.poolers,
+                    "databases",
+                    options.databases,
+                    "seed",
+                    options.seed,
+                    "failed",
+                    String.valueOf(e.getMessage()))));
             return 1;
         }
     }
--- a/scale/src/main/java/lupinvalve/scale/ScaleOptions.java
+++ b/scale/src/main/java/lupinvalve/scale/ScaleOptions.java
@@ -86,13 +86,18 @@
         factor("--change-factor", changeFactor);
         factor("--restart-factor", restartFactor);
         one("--design", design, Arrays.stream(Design.values()).map(Design::word).toList());
-        one("--load", load, Arrays.stream(Load.Kind.values()).map(Load.Kind::word).toList());
+        one(
+                "--load",
+                load,
+                Arrays.stream(Load.Kind.values()).map(Load.Kind::word).toList());
         list("--sizes", sizes, 1, POOLERS_MOST);
         list("--documents", documents, 0, DATABASES_MOST);
         if (!Files.isReadable(config)) {
             throw new BadValue("--config", config, "it can't be read");
         }
-        if (slopes != null && (Files.isDirectory(slopes) || !Files.isDirectory(slopes.toAbsolutePath().getParent()))) {
+        if (slopes != null
+                && (Files.isDirectory(slopes)
+                        || !Files.isDirectory(slopes.toAbsolutePath().getParent()))) {
             throw new BadValue("--slopes", slopes, "a file in a folder that is there is possible");
         }
     }
@@ -117,7 +122,8 @@
 
     private static int[] list(String option, String value, int least, int most) throws BadValue {
         try {
-            int[] numbers = Arrays.stream(value.split(",")).mapToInt(Integer::parseInt).toArray();
+            int[] numbers =
+                    Arrays.stream(value.split(",")).mapToInt(Integer::parseInt).toArray();
             for (int number : numbers) {
                 within(option, number, least, most);
             }
@@ -145,7 +151,18 @@
 
     /** The run that these describe. */
     RunSpec spec() {
-        return new RunSpec(design(), load(), poolers, databases, daemons, seconds, seed, changeFactor, restartFactor, regionDelay,
-                config, keep);
+        return new RunSpec(
+                design(),
+                load(),
+                poolers,
+                databases,
+                daemons,
+                seconds,
+                seed,
+                changeFactor,
+                restartFactor,
+                regionDelay,
+                config,
+                keep);
     }
 }
--- a/scale/src/main/java/lupinvalve/scale/ScaleRun.java
+++ b/scale/src/main/java/lupinvalve/scale/ScaleRun.java
@@ -12,9 +12,9 @@
 import java.util.concurrent.TimeUnit;
 import lupinvalve.rig.DaemonProcess;
 import lupinvalve.rig.Scratch;
+import org.HdrHistogram.Histogram;
 import org.apache.commons.math3.random.RandomGenerator;
 import org.apache.commons.math3.random.Well19937c;
-import org.HdrHistogram.Histogram;
 
 /** One run: brings all up, measures it at rest and under its load, lets it settle, and judges what everybody told. */
 final class ScaleRun implements Closeable {
@@ -28,6 +28,7 @@
     private static final double MEGABYTE = 1 << 20;
     /** How many poolers start at once while all are brought up. */
     private static final int START_AT_ONCE = 60;
+
     private final RunSpec spec;
     private final Progress progress;
     private final Path folder = Files.createTempDirectory("scale");
@@ -74,7 +75,8 @@
         up();
         progress.say("all are up; at rest");
         Measured before = measure();
-        Thread.sleep(Math.max(IDLE_MILLIS_LEAST, Math.min(IDLE_MILLIS_MOST, TimeUnit.SECONDS.toMillis(spec.seconds()) / IDLE_SHARE)));
+        Thread.sleep(Math.max(
+                IDLE_MILLIS_LEAST, Math.min(IDLE_MILLIS_MOST, TimeUnit.SECONDS.toMillis(spec.seconds()) / IDLE_SHARE)));
         Measured rested = measure();
         progress.say("load begins");
         watch.reset();
@@ -89,7 +91,11 @@
     }
 
     /** Counters at one moment. */
-    private record Measured(long atNanos, HostReport hosts, FrameMeter.Sums proxied, Map<FrameMeter.Kind, FrameMeter.Sums> kinds,
+    private record Measured(
+            long atNanos,
+            HostReport hosts,
+            FrameMeter.Sums proxied,
+            Map<FrameMeter.Kind, FrameMeter.Sums> kinds,
             MemberWatch.Spent leader) {
         double seconds(Measured since) {
             return (atNanos - since.atNanos) / 1e9;
@@ -97,11 +103,12 @@
     }
 
     /** Counters before and after the rest, at the end of the load, and what members spent under it. */
-    private record Measurements(Measured before, Measured rested, Measured end, MemberWatch.Spent leading,
-            MemberWatch.Spent following) {}
+    private record Measurements(
+            Measured before, Measured rested, Measured end, MemberWatch.Spent leading, MemberWatch.Spent following) {}
 
     private Measured measure() throws IOException, InterruptedException {
-        return new Measured(System.nanoTime(), fleet.report(), links.ofPoolers(), links.ofPoolersByKind(), watch.leading());
+        return new Measured(
+                System.nanoTime(), fleet.report(), links.ofPoolers(), links.ofPoolersByKind(), watch.leading());
     }
 
     // ---- bringing up ----
@@ -149,7 +156,8 @@
                 operator.add(Topology.pooler(one), ADD_SECONDS);
                 fleet.awaitReady(List.of(one), operator.revision(), ADD_SECONDS);
             } catch (IOException e) {
-                throw new IOException("with " + (Topology.MEMBERS + spec.daemons() + one) + " members: " + e.getMessage(), e);
+                throw new IOException(
+                        "with " + (Topology.MEMBERS + spec.daemons() + one) + " members: " + e.getMessage(), e);
             }
             joins.add((System.nanoTime() - begun) / 1e6);
             progress.say(Topology.pooler(one) + " is a member");
@@ -205,32 +213,75 @@
         if (!load.failures().isEmpty()) {
             over.add("load");
         }
-        return new RunResult(spec, metrics, changes.size(), load.restarts(), divergent, history.lost(),
-                hollow.unfencedLate() + real.unfencedLate(), hollow.fenced() + real.fenced(), over, findings, kinds(measured));
+        return new RunResult(
+                spec,
+                metrics,
+                changes.size(),
+                load.restarts(),
+                divergent,
+                history.lost(),
+                hollow.unfencedLate() + real.unfencedLate(),
+                hollow.fenced() + real.fenced(),
+                over,
+                findings,
+                kinds(measured));
     }
 
     private Metrics metrics(Measurements m, InForce.Verdict hollow, InForce.Verdict real) throws IOException {
         double seconds = m.end().seconds(m.rested());
-        Traffic traffic = Traffic.between(spec, m.rested().hosts(), m.end().hosts(), m.rested().proxied(), m.end().proxied());
-        Traffic idle = Traffic.between(spec, m.before().hosts(), m.rested().hosts(), m.before().proxied(), m.rested().proxied());
+        Traffic traffic = Traffic.between(
+                spec,
+                m.rested().hosts(),
+                m.end().hosts(),
+                m.rested().proxied(),
+                m.end().proxied());
+        Traffic idle = Traffic.between(
+                spec,
+                m.before().hosts(),
+                m.rested().hosts(),
+                m.before().proxied(),
+                m.rested().proxied());
         double idleSeconds = m.rested().seconds(m.before());
         HostReport hosts = m.end().hosts();
-        FaultCourse.Times times = faults == null ? new FaultCourse.Times(null, null, herdReadyMs, null, null) : faults.times();
+        FaultCourse.Times times =
+                faults == null ? new FaultCourse.Times(null, null, herdReadyMs, null, null) : faults.times();
         Histogram joined = joined();
         int leader = Math.max(0, daemons.leader());
         MemberWatch.Spent rest = m.rested().leader();
-        return new Metrics(percentile(hollow.latencies(), 50), percentile(hollow.latencies(), 99), percentile(hollow.latencies(), 100),
-                percentile(real.latencies(), 100), cpu(m.rested(), m.end()), traffic.bytes() / seconds / spec.poolers(),
-                traffic.bytesIn() / seconds / spec.poolers(), traffic.bytesOut() / seconds / spec.poolers(),
-                traffic.messages() / seconds / spec.poolers(), hosts.rssBytes() / MEGABYTE / spec.poolers(),
-                hosts.heapBytes() / MEGABYTE / spec.poolers(), cpu(m.before(), m.rested()),
-                idle.bytes() / idleSeconds / spec.poolers(), m.leading().cpuCore(), rest.cpuCore(),
-                m.leading().bytesPerSecond() + traffic.unproxied() / seconds, m.leading().messagesPerSecond(), watch.leaderMegabytes(),
-                m.following().cpuCore(), realMegabytes(), ProcessCounters.fileBytes(daemons.memberFolder(leader), "history-"),
-                ProcessCounters.fileBytes(daemons.memberFolder(leader), "snapshot-"), times.herdReadyMs(), times.rackReadyMs(),
-                times.regionReadyMs(), percentile(joined, 50), percentile(joined, 100), times.toldMs(),
-                percentile(operator.puts(), 50), percentile(operator.puts(), 99), times.failoverMs(),
-                (hollow.unleasedOldNanos() + real.unleasedOldNanos()) / 1e6, (long) documentBytes);
+        return new Metrics(
+                percentile(hollow.latencies(), 50),
+                percentile(hollow.latencies(), 99),
+                percentile(hollow.latencies(), 100),
+                percentile(real.latencies(), 100),
+                cpu(m.rested(), m.end()),
+                traffic.bytes() / seconds / spec.poolers(),
+                traffic.bytesIn() / seconds / spec.poolers(),
+                traffic.bytesOut() / seconds / spec.poolers(),
+                traffic.messages() / seconds / spec.poolers(),
+                hosts.rssBytes() / MEGABYTE / spec.poolers(),
+                hosts.heapBytes() / MEGABYTE / spec.poolers(),
+                cpu(m.before(), m.rested()),
+                idle.bytes() / idleSeconds / spec.poolers(),
+                m.leading().cpuCore(),
+                rest.cpuCore(),
+                m.leading().bytesPerSecond() + traffic.unproxied() / seconds,
+                m.leading().messagesPerSecond(),
+                watch.leaderMegabytes(),
+                m.following().cpuCore(),
+                realMegabytes(),
+                ProcessCounters.fileBytes(daemons.memberFolder(leader), "history-"),
+                ProcessCounters.fileBytes(daemons.memberFolder(leader), "snapshot-"),
+                times.herdReadyMs(),
+                times.rackReadyMs(),
+                times.regionReadyMs(),
+                percentile(joined, 50),
+                percentile(joined, 100),
+                times.toldMs(),
+                percentile(operator.puts(), 50),
+                percentile(operator.puts(), 99),
+                times.failoverMs(),
+                (hollow.unleasedOldNanos() + real.unleasedOldNanos()) / 1e6,
+                (long) documentBytes);
     }
 
     /** Single restarts, or where there were none how long each took to become a member. */
@@ -250,7 +301,11 @@
         if (daemons.poolers().isEmpty()) {
             return null;
         }
-        return daemons.poolers().stream().mapToLong(one -> ProcessCounters.residentBytes(one.pid())).average().orElse(0) / MEGABYTE;
+        return daemons.poolers().stream()
+                        .mapToLong(one -> ProcessCounters.residentBytes(one.pid()))
+                        .average()
+                        .orElse(0)
+                / MEGABYTE;
     }
 
     private static Double percentile(Histogram micros, double percentile) {
@@ -262,7 +317,9 @@
         double seconds = m.end().seconds(m.rested());
         m.end().kinds().forEach((kind, sums) -> {
             FrameMeter.Sums more = sums.minus(m.rested().kinds().get(kind));
-            kinds.put(kind, new FrameMeter.Sums(Math.round(more.messages() / seconds), Math.round(more.bytes() / seconds)));
+            kinds.put(
+                    kind,
+                    new FrameMeter.Sums(Math.round(more.messages() / seconds), Math.round(more.bytes() / seconds)));
         });
         return kinds;
     }
--- a/scale/src/main/java/lupinvalve/scale/SlopesFile.java
+++ b/scale/src/main/java/lupinvalve/scale/SlopesFile.java
@@ -24,9 +24,26 @@
      * @param unfencedLate pairs of a change and a pooler that acted on an older version past the limit
      */
     @JsonIgnoreProperties(ignoreUnknown = true)
-    record Run(String design, String load, int poolers, int databases, int daemons, int seconds, long seed, double changeFactor,
-            double restartFactor, String commit, String trial, String failed, Integer changes, Integer restarts, Integer divergent,
-            Integer lost, Long unfencedLate, List<String> over, Map<String, Double> metrics) {
+    record Run(
+            String design,
+            String load,
+            int poolers,
+            int databases,
+            int daemons,
+            int seconds,
+            long seed,
+            double changeFactor,
+            double restartFactor,
+            String commit,
+            String trial,
+            String failed,
+            Integer changes,
+            Integer restarts,
+            Integer divergent,
+            Integer lost,
+            Long unfencedLate,
+            List<String> over,
+            Map<String, Double> metrics) {
         /** Runs of the same of which the last one counts for the fits. */
         String key() {
             return design + " " + load + " " + poolers + " " + databases + " " + trial;
@@ -42,8 +59,18 @@
      * @param residual root of the mean square of what the line misses
      */
     @JsonIgnoreProperties(ignoreUnknown = true)
-    record Fit(String design, String metric, String per, String load, Integer poolers, Integer databases, String trial, double slope,
-            double intercept, double residual, int points) {}
+    record Fit(
+            String design,
+            String metric,
+            String per,
+            String load,
+            Integer poolers,
+            Integer databases,
+            String trial,
+            double slope,
+            double intercept,
+            double residual,
+            int points) {}
 
     /** Reads a file, or begins one. */
     static SlopesFile read(Path file) throws IOException {
@@ -62,8 +89,13 @@
 
     /** One line a run and a fit, so that differences can be read. */
     void write(Path file) throws IOException {
-        StringBuilder text = new StringBuilder("{\"machine\":").append(Json.line(machine)).append(",\n\"commit\":")
-                .append(Json.line(commit)).append(",\n\"note\":").append(Json.line(note)).append(",\n\"runs\":[\n");
+        StringBuilder text = new StringBuilder("{\"machine\":")
+                .append(Json.line(machine))
+                .append(",\n\"commit\":")
+                .append(Json.line(commit))
+                .append(",\n\"note\":")
+                .append(Json.line(note))
+                .append(",\n\"runs\":[\n");
         lines(text, runs);
         text.append("],\n\"fits\":[\n");
         lines(text, fits);
--- a/scale/src/main/java/lupinvalve/scale/Traffic.java
+++ b/scale/src/main/java/lupinvalve/scale/Traffic.java
@@ -4,14 +4,16 @@
  * What poolers and members exchanged in a while, all poolers together.
  *
  * @param messages both ways
- * @param unproxied bytes that went past the proxies: members dial poolers that are members themselves, and these each other
+ * @param unproxied bytes that went past the proxies: members dial poolers that are members themselves, and these each
+ *     other
  */
 record Traffic(long bytes, long bytesIn, long bytesOut, long messages, long unproxied) {
     /**
-     * Of counters at its beginning and end. Poolers that are members count at their own sockets; those that only dial are counted by
-     * the proxies that they dial through.
+     * Of counters at its beginning and end. Poolers that are members count at their own sockets; those that only dial
+     * are counted by the proxies that they dial through.
      */
-    static Traffic between(RunSpec spec, HostReport from, HostReport to, FrameMeter.Sums proxiedFrom, FrameMeter.Sums proxiedTo) {
+    static Traffic between(
+            RunSpec spec, HostReport from, HostReport to, FrameMeter.Sums proxiedFrom, FrameMeter.Sums proxiedTo) {
         long in = to.bytesIn() - from.bytesIn();
         long out = to.bytesOut() - from.bytesOut();
         FrameMeter.Sums proxied = proxiedTo.minus(proxiedFrom);
--- a/scale/src/test/java/lupinvalve/scale/BudgetsTest.java
+++ b/scale/src/test/java/lupinvalve/scale/BudgetsTest.java
@@ -12,8 +12,15 @@
         return Json.MAPPER.convertValue(figures, Metrics.class);
     }
 
-    private static final Map<String, Double> WELL = Map.of("in_force_max_ms", 6_000.0, "control_cpu_core", 0.029,
-            "control_bytes_per_s", 18_000.0, "control_rss_mb", 128.0);
+    private static final Map<String, Double> WELL = Map.of(
+            "in_force_max_ms",
+            6_000.0,
+            "control_cpu_core",
+            0.029,
+            "control_bytes_per_s",
+            18_000.0,
+            "control_rss_mb",
+            128.0);
 
     private static List<String> over(String name, double value) {
         Map<String, Double> figures = new java.util.HashMap<>(WELL);
--- a/scale/src/test/java/lupinvalve/scale/DocumentsTest.java
+++ b/scale/src/test/java/lupinvalve/scale/DocumentsTest.java
@@ -21,7 +21,8 @@
         assertTrue(first.length / 1_200 >= 150 && first.length / 1_200 <= 220, first.length + " bytes");
         List<Database> before = OperatorConfig.read(first).databases();
         for (int i = 0; i < 20; i++) {
-            List<Database> now = new ArrayList<>(OperatorConfig.read(documents.next()).databases());
+            List<Database> now =
+                    new ArrayList<>(OperatorConfig.read(documents.next()).databases());
             assertEquals(1_200, now.size());
             List<Database> other = new ArrayList<>(now);
             other.removeAll(before);
--- a/scale/src/test/java/lupinvalve/scale/FitsTest.java
+++ b/scale/src/test/java/lupinvalve/scale/FitsTest.java
@@ -14,14 +14,36 @@
     private Path folder;
 
     private static SlopesFile.Run run(int poolers, int databases, Double cpu, String failed) {
-        return new SlopesFile.Run("members", "changes", poolers, databases, 2, 40, 7, 20, 100, "abc", null, failed, 1, 0, 0, 0, 0L,
-                List.of(), cpu == null ? null : Map.of("leader_cpu_core", cpu));
+        return new SlopesFile.Run(
+                "members",
+                "changes",
+                poolers,
+                databases,
+                2,
+                40,
+                7,
+                20,
+                100,
+                "abc",
+                null,
+                failed,
+                1,
+                0,
+                0,
+                0,
+                0L,
+                List.of(),
+                cpu == null ? null : Map.of("leader_cpu_core", cpu));
     }
 
     @Test
     void theLineOfThreePointsIsKnown() {
-        List<SlopesFile.Fit> fits = Fits.of(List.of(run(10, 100, 9.0, null), run(10, 100, 1.0, null), run(20, 100, 2.0, null),
-                run(30, 100, 3.3, null), run(40, 100, null, "did not come up")));
+        List<SlopesFile.Fit> fits = Fits.of(List.of(
+                run(10, 100, 9.0, null),
+                run(10, 100, 1.0, null),
+                run(20, 100, 2.0, null),
+                run(30, 100, 3.3, null),
+                run(40, 100, null, "did not come up")));
         assertEquals(1, fits.size());
         SlopesFile.Fit fit = fits.get(0);
         assertEquals("pooler", fit.per());
@@ -34,7 +56,8 @@
 
     @Test
     void documentsAreFittedAtTheSamePoolers() {
-        List<SlopesFile.Fit> fits = Fits.of(List.of(run(10, 100, 1.0, null), run(10, 400, 4.0, null), run(20, 1200, 5.0, null)));
+        List<SlopesFile.Fit> fits =
+                Fits.of(List.of(run(10, 100, 1.0, null), run(10, 400, 4.0, null), run(20, 1200, 5.0, null)));
         assertEquals(1, fits.size());
         assertEquals("database", fits.get(0).per());
         assertEquals(0.01, fits.get(0).slope(), 1e-9);
--- a/scale/src/test/java/lupinvalve/scale/FrameMeterTest.java
+++ b/scale/src/test/java/lupinvalve/scale/FrameMeterTest.java
@@ -9,8 +9,16 @@
 /** Frames are counted by kind however the bytes are cut. */
 class FrameMeterTest {
     private static byte[] frames() {
-        return ByteBuffer.allocate(9 + 5 + 6).putInt(5).put((byte) 1).put(new byte[4]).putInt(1).put((byte) 4).putInt(2).put((byte) 9)
-                .put((byte) 0).array();
+        return ByteBuffer.allocate(9 + 5 + 6)
+                .putInt(5)
+                .put((byte) 1)
+                .put(new byte[4])
+                .putInt(1)
+                .put((byte) 4)
+                .putInt(2)
+                .put((byte) 9)
+                .put((byte) 0)
+                .array();
     }
 
     @Test
--- a/scale/src/test/java/lupinvalve/scale/HollowPoolerTest.java
+++ b/scale/src/test/java/lupinvalve/scale/HollowPoolerTest.java
@@ -18,8 +18,8 @@
     private final AtomicBoolean may = new AtomicBoolean();
     private final AtomicLong end = new AtomicLong();
     private final List<HostEvent> events = new ArrayList<>();
-    private final HollowPooler pooler = new HollowPooler("h1", new OpenPlane(new Plane(), () -> new Net.Traffic(0, 0, 0), end::get),
-            events::add);
+    private final HollowPooler pooler =
+            new HollowPooler("h1", new OpenPlane(new Plane(), () -> new Net.Traffic(0, 0, 0), end::get), events::add);
 
     private final class Plane implements ControlPlane {
         @Override
@@ -81,7 +81,8 @@
         long next = now - TimeUnit.SECONDS.toNanos(1);
         look(true, first);
         look(true, next);
-        assertEquals(List.of(HostEvent.What.MAY_ACT, HostEvent.What.MAY_NOT, HostEvent.What.MAY_ACT),
+        assertEquals(
+                List.of(HostEvent.What.MAY_ACT, HostEvent.What.MAY_NOT, HostEvent.What.MAY_ACT),
                 events.stream().map(HostEvent::what).toList());
         assertEquals(first, events.get(1).atNanos());
         assertEquals(next - TimeUnit.SECONDS.toNanos(2), events.get(2).atNanos());
@@ -95,7 +96,9 @@
         look(true, first);
         look(true, next);
         look(false, next);
-        assertEquals(List.of(HostEvent.What.MAY_ACT, HostEvent.What.MAY_NOT), events.stream().map(HostEvent::what).toList());
+        assertEquals(
+                List.of(HostEvent.What.MAY_ACT, HostEvent.What.MAY_NOT),
+                events.stream().map(HostEvent::what).toList());
         assertEquals(next, events.get(1).atNanos());
     }
 }
--- a/scale/src/test/java/lupinvalve/scale/ProcessCountersTest.java
+++ b/scale/src/test/java/lupinvalve/scale/ProcessCountersTest.java
@@ -15,7 +15,8 @@
 
     @Test
     void timesAreFoundBehindANameWithSpaces() {
-        assertEquals(42_000_000_0L, ProcessCounters.cpuNanos("71 (a b) c) S 1 1 1 0 -1 4194560 9 0 0 0 30 12 0 0 20 0"));
+        assertEquals(
+                42_000_000_0L, ProcessCounters.cpuNanos("71 (a b) c) S 1 1 1 0 -1 4194560 9 0 0 0 30 12 0 0 20 0"));
         assertEquals(-1, ProcessCounters.cpuNanos(Long.MAX_VALUE));
     }
 
--- a/scale/src/test/java/lupinvalve/scale/ScaleRunTest.java
+++ b/scale/src/test/java/lupinvalve/scale/ScaleRunTest.java
@@ -11,7 +11,8 @@
 class ScaleRunTest {
     private static final Path CONFIG = Path.of("example/config.json");
 
-    private static RunResult run(Design design, Load.Kind load, int poolers, int daemons, int seconds) throws Exception {
+    private static RunResult run(Design design, Load.Kind load, int poolers, int daemons, int seconds)
+            throws Exception {
         RunSpec spec = new RunSpec(design, load, poolers, 100, daemons, seconds, 7, 40, 200, 0, CONFIG, false);
         try (ScaleRun run = new ScaleRun(spec, new Progress(true))) {
             return run.run();
--- a/simwire/src/main/java/lupinvalve/wire/BatchReader.java
+++ b/simwire/src/main/java/lupinvalve/wire/BatchReader.java
@@ -95,9 +95,13 @@
                 return;
             }
             case "ROSTER_CHANGE" -> event = listNews(at);
-            case "CALL" -> event = new Routing.Request(at.text("rid"), (int) at.whole("cls"),
-                    at.flagOr("resent", false), at.textOrNull("sess"),
-                    (long) Math.ceil(at.numberOr("last_write_ms", 0) * 1000), (int) at.number("group_no"),
+            case "CALL" -> event = new Routing.Request(
+                    at.text("rid"),
+                    (int) at.whole("cls"),
+                    at.flagOr("resent", false),
+                    at.textOrNull("sess"),
+                    (long) Math.ceil(at.numberOr("last_write_ms", 0) * 1000),
+                    (int) at.number("group_no"),
                     at.whole("expires_in_us"));
             case "CANCELLED_BY_CLIENT" -> event = new Routing.ClientGone(at.text("rid"));
             case "OUTCOME" -> event = outcome(at, origins.getOrDefault(who, 0L));
@@ -111,13 +115,14 @@
     }
 
     private Routing.Members listNews(Fields at) {
-        Routing.ListForm form = switch (at.text("form")) {
-            case "update" -> Routing.ListForm.UPDATE;
-            case "replace" -> Routing.ListForm.FULL;
-            case "restored" -> Routing.ListForm.RESTORED;
-            case "unavailable" -> Routing.ListForm.UNAVAILABLE;
-            default -> throw at.wrong("form", "is none of update, replace, restored, unavailable");
-        };
+        Routing.ListForm form =
+                switch (at.text("form")) {
+                    case "update" -> Routing.ListForm.UPDATE;
+                    case "replace" -> Routing.ListForm.FULL;
+                    case "restored" -> Routing.ListForm.RESTORED;
+                    case "unavailable" -> Routing.ListForm.UNAVAILABLE;
+                    default -> throw at.wrong("form", "is none of update, replace, restored, unavailable");
+                };
         if (form == Routing.ListForm.UNAVAILABLE) {
             return new Routing.Members(form, List.of());
         }
@@ -132,14 +137,19 @@
         List<Routing.Member> members = new ArrayList<>();
         for (Object line : at.array("lines")) {
             Fields entry = at.inner("lines", line);
-            Routing.Health health = switch (entry.text("health")) {
-                case "live" -> Routing.Health.LIVE;
-                case "quiescing" -> Routing.Health.DRAINING;
-                case "dead" -> Routing.Health.GONE;
-                default -> throw entry.wrong("health", "is none of live, quiescing, dead");
-            };
-            members.add(new Routing.Member(entry.text("node"), (int) entry.whole("db"),
-                    (int) entry.wholeOr("dc", 0), health, entry.numberOr("primary", 0) == 1,
+            Routing.Health health =
+                    switch (entry.text("health")) {
+                        case "live" -> Routing.Health.LIVE;
+                        case "quiescing" -> Routing.Health.DRAINING;
+                        case "dead" -> Routing.Health.GONE;
+                        default -> throw entry.wrong("health", "is none of live, quiescing, dead");
+                    };
+            members.add(new Routing.Member(
+                    entry.text("node"),
+                    (int) entry.whole("db"),
+                    (int) entry.wholeOr("dc", 0),
+                    health,
+                    entry.numberOr("primary", 0) == 1,
                     entry.wholeOr("born_us", 0)));
         }
         return members;
@@ -148,14 +158,21 @@
     private static Routing.Outcome outcome(Fields at, long origin) {
         long stamp = at.wholeOr("stamp", 0);
         long place = stamp >> 2;
-        Routing.Role role = switch ((int) (stamp & 3)) {
-            case 1 -> Routing.Role.PRIMARY;
-            case 2 -> Routing.Role.REPLICA;
-            default -> Routing.Role.UNKNOWN;
-        };
-        return new Routing.Outcome(at.text("rid"), (int) at.whole("seq_no"), at.text("node"), ending(at),
-                at.whole("elapsed_us"), at.flagOr("closed", false),
-                place == 0 ? Routing.NO_POSITION : origin + place * 1000, role);
+        Routing.Role role =
+                switch ((int) (stamp & 3)) {
+                    case 1 -> Routing.Role.PRIMARY;
+                    case 2 -> Routing.Role.REPLICA;
+                    default -> Routing.Role.UNKNOWN;
+                };
+        return new Routing.Outcome(
+                at.text("rid"),
+                (int) at.whole("seq_no"),
+                at.text("node"),
+                ending(at),
+                at.whole("elapsed_us"),
+                at.flagOr("closed", false),
+                place == 0 ? Routing.NO_POSITION : origin + place * 1000,
+                role);
     }
 
     private static Routing.Probed probed(Fields at, long origin) {
@@ -208,7 +225,8 @@
                 return in.getText();
             case VALUE_NUMBER_INT:
                 return in.getNumberType() == JsonParser.NumberType.BIG_INTEGER
-                        ? (Object) in.getDoubleValue() : (Object) in.getLongValue();
+                        ? (Object) in.getDoubleValue()
+                        : (Object) in.getLongValue();
             case VALUE_NUMBER_FLOAT:
                 return in.getDoubleValue();
             case VALUE_TRUE:
--- a/simwire/src/main/java/lupinvalve/wire/Fields.java
+++ b/simwire/src/main/java/lupinvalve/wire/Fields.java
@@ -15,8 +15,8 @@
 
     WireException wrong(String name, String what) {
         Object value = values.get(name);
-        return new WireException("message " + where + ": field " + name + " " + what
-                + (value == null ? "" : ": " + shown(value)));
+        return new WireException(
+                "message " + where + ": field " + name + " " + what + (value == null ? "" : ": " + shown(value)));
     }
 
     /** A value in a complaint: on one line, and not for ever. */
@@ -83,7 +83,9 @@
 
     List<Object> array(String name) {
         if (needed(name) instanceof List<?> list) {
-            return List.copyOf(list.stream().map(item -> item == null ? (Object) "" : (Object) item).toList());
+            return List.copyOf(list.stream()
+                    .map(item -> item == null ? (Object) "" : (Object) item)
+                    .toList());
         }
         throw wrong(name, "is not an array");
     }
--- a/simwire/src/main/java/lupinvalve/wire/SettingsReader.java
+++ b/simwire/src/main/java/lupinvalve/wire/SettingsReader.java
@@ -15,18 +15,41 @@
      *
      * @param connectMicros a connection not up within this time is given up
      * @param keepaliveMicros an idle connection is closed by the db node after this time
-     * @param ratePerSecond requests that one pooler may expect: the tenants' shares, over all poolers; 0 where none says
+     * @param ratePerSecond requests that one pooler may expect: the tenants' shares, over all poolers; 0 where none
+     *     says
      */
-    public record Site(Routing.Settings settings, long connectMicros, long keepaliveMicros, List<String> zones,
+    public record Site(
+            Routing.Settings settings,
+            long connectMicros,
+            long keepaliveMicros,
+            List<String> zones,
             double ratePerSecond) {
         /** The same with at most so many requests open. */
         public Site withOpen(long most) {
             Routing.Settings s = settings;
             Routing.Limits l = s.limits();
-            return new Site(new Routing.Settings(s.self(), s.routers(), s.zone(), s.mustSubscribe(), s.classes(),
-                    new Routing.Limits(l.attempts(), l.parallelAttempts(), l.cancel(), l.probe(), l.retryAfter(),
-                            l.maxRetryAfterMicros(), Math.min(l.openMost(), most)), s.rules(), s.replication(), s.crossingPrice()),
-                    connectMicros, keepaliveMicros, zones, ratePerSecond);
+            return new Site(
+                    new Routing.Settings(
+                            s.self(),
+                            s.routers(),
+                            s.zone(),
+                            s.mustSubscribe(),
+                            s.classes(),
+                            new Routing.Limits(
+                                    l.attempts(),
+                                    l.parallelAttempts(),
+                                    l.cancel(),
+                                    l.probe(),
+                                    l.retryAfter(),
+                                    l.maxRetryAfterMicros(),
+                                    Math.min(l.openMost(), most)),
+                            s.rules(),
+                            s.replication(),
+                            s.crossingPrice()),
+                    connectMicros,
+                    keepaliveMicros,
+                    zones,
+                    ratePerSecond);
         }
     }
 
@@ -41,7 +64,11 @@
             rate += env.inner("projects", project).numberOr("quota_per_s", 0);
         }
         Routing.Settings settings = read(env);
-        return new Site(settings, time(limits, "connect_timeout_us", 250_000), time(limits, "keepalive_us", 15_000_000), zones,
+        return new Site(
+                settings,
+                time(limits, "connect_timeout_us", 250_000),
+                time(limits, "keepalive_us", 15_000_000),
+                zones,
                 rate / settings.routers());
     }
 
@@ -63,16 +90,28 @@
         Fields rules = env.object("guarantees");
         Fields family = env.object("specifics");
         try {
-            return new Routing.Settings(count(env.whole("me")), count(env.whole("n_instances")),
-                    count(env.wholeOr("zone", 0)), env.text("registry_mode").equals("subscribe"),
+            return new Routing.Settings(
+                    count(env.whole("me")),
+                    count(env.whole("n_instances")),
+                    count(env.wholeOr("zone", 0)),
+                    env.text("registry_mode").equals("subscribe"),
                     classes(env, family),
-                    new Routing.Limits(count(limits.whole("attempts_cap")), limits.flagOr("parallel_tries", false),
-                            limits.flagOr("may_cancel", false), limits.flagOr("may_probe", false),
-                            limits.flagOr("retry_after", false), limits.wholeOr("max_retry_after_us", 0),
+                    new Routing.Limits(
+                            count(limits.whole("attempts_cap")),
+                            limits.flagOr("parallel_tries", false),
+                            limits.flagOr("may_cancel", false),
+                            limits.flagOr("may_probe", false),
+                            limits.flagOr("retry_after", false),
+                            limits.wholeOr("max_retry_after_us", 0),
                             limits.wholeOr("max_open", Integer.MAX_VALUE)),
-                    new Routing.Rules(rules.wholeOr("answer_slack_us", 0), rules.whole("stop_sending_within_us"),
-                            rules.wholeOr("ask_within_us", 0), rules.number("cold_from"),
-                            rules.whole("ramp_time_us"), rules.number("fall_multiple"), rules.whole("fall_us")),
+                    new Routing.Rules(
+                            rules.wholeOr("answer_slack_us", 0),
+                            rules.whole("stop_sending_within_us"),
+                            rules.wholeOr("ask_within_us", 0),
+                            rules.number("cold_from"),
+                            rules.whole("ramp_time_us"),
+                            rules.number("fall_multiple"),
+                            rules.whole("fall_us")),
                     new Routing.Replication(check(family), family.wholeOr("wait_us", 0), tokens(family)),
                     env.has("prices") ? env.object("prices").numberOr("cross_zone", 0) : 0);
         } catch (IllegalArgumentException e) {
@@ -94,9 +133,16 @@
             if (!(bound instanceof Number number)) {
                 throw family.wrong("oldest_data_us", "holds an entry that is not a number");
             }
-            classes.add(new Routing.RequestClass(entry.text("name"), access(family, reads.get(i)),
-                    number.longValue(), effect(entry), scope(entry), entry.wholeOr("key_ttl_us", 0),
-                    entry.whole("aim_us"), entry.whole("deadline_us"), entry.numberOr("worth", 1),
+            classes.add(new Routing.RequestClass(
+                    entry.text("name"),
+                    access(family, reads.get(i)),
+                    number.longValue(),
+                    effect(entry),
+                    scope(entry),
+                    entry.wholeOr("key_ttl_us", 0),
+                    entry.whole("aim_us"),
+                    entry.whole("deadline_us"),
+                    entry.numberOr("worth", 1),
                     entry.numberOr("late_value", 0)));
         }
         return classes;
--- a/simwire/src/test/java/lupinvalve/wire/HostTest.java
+++ b/simwire/src/test/java/lupinvalve/wire/HostTest.java
@@ -45,7 +45,8 @@
 
     @Test
     void aRequestIsSentToTheListedMember() throws IOException {
-        String[] replies = run(batch(1_000_000, UP, LIST) + batch(1_002_000, CALL)).split("\n");
+        String[] replies =
+                run(batch(1_000_000, UP, LIST) + batch(1_002_000, CALL)).split("\n");
         assertEquals(2, replies.length);
         assertTrue(replies[0].contains("\"msg\":\"TAIL\""));
         assertTrue(replies[1].contains("{\"msg\":\"CALL_OUT\",\"who\":3,\"rid\":\"00000000000000aa\""), replies[1]);
@@ -61,7 +62,8 @@
 
     @Test
     void instancesAreForgottenWhenDown() {
-        WireException e = assertThrows(WireException.class,
+        WireException e = assertThrows(
+                WireException.class,
                 () -> run(batch(1, UP, LIST) + batch(2, "{\"msg\":\"DOWN\",\"who\":3}") + batch(3, CALL)));
         assertTrue(e.getMessage().contains("who"));
     }
--- a/subscription/src/main/java/lupinvalve/subscription/BlockIndex.java
+++ b/subscription/src/main/java/lupinvalve/subscription/BlockIndex.java
@@ -10,6 +10,7 @@
     static final int BLOCK = 24;
     /** Blocks of the same hash that are looked at, and those that are kept. */
     private static final int LOOKED_AT = 8;
+
     private static final int FACTOR = 0x01000193;
 
     /** A part of the new text that stands in the old one. */
--- a/subscription/src/main/java/lupinvalve/subscription/DocumentDelta.java
+++ b/subscription/src/main/java/lupinvalve/subscription/DocumentDelta.java
@@ -43,7 +43,8 @@
             last = next;
             at = next.at() + next.length();
         }
-        pieces.add(new Piece(last.from(), last.length(), Arrays.copyOfRange(after, last.at() + last.length(), after.length)));
+        pieces.add(new Piece(
+                last.from(), last.length(), Arrays.copyOfRange(after, last.at() + last.length(), after.length)));
         return new DocumentDelta(pieces);
     }
 
@@ -52,7 +53,8 @@
         ByteArrayOutputStream after = new ByteArrayOutputStream(before.length);
         for (Piece piece : pieces) {
             if (piece.from() < 0 || piece.length() < 0 || (long) piece.from() + piece.length() > before.length) {
-                throw new IOException("a difference that takes " + piece.length() + " bytes from " + piece.from() + " of " + before.length);
+                throw new IOException("a difference that takes " + piece.length() + " bytes from " + piece.from()
+                        + " of " + before.length);
             }
             if ((long) after.size() + piece.length() + piece.bytes().length > Ledger.DOCUMENT_MOST) {
                 throw new IOException("a difference that comes to more than " + Ledger.DOCUMENT_MOST + " bytes");
