--- a/subscription/src/main/java/lupinvalve/subscription/FollowAnswer.java
+++ b/subscription/src/main/java/lupinvalve/subscription/FollowAnswer.java
@@ -12,15 +12,23 @@
 /**
  * What a member answers a subscriber.
  *
- * @param leaseMicros for how long it may act on what it said it acts on, counted from when this was granted; 0 for not at all
+ * @param leaseMicros for how long it may act on what it said it acts on, counted from when this was granted; 0 for not
+ *     at all
  * @param heldMicros how long the member had the request before it granted that, by the member's clock
  * @param why no lease was granted, or empty
- * @param index up to which change of the agreed history this answer and all before it are whole; 0 where something is left out
+ * @param index up to which change of the agreed history this answer and all before it are whole; 0 where something is
+ *     left out
  * @param comeBackMillis when to ask again; 0 for at once
  * @param news of the document
  * @param holds all of the operators' holds where they are others than the subscriber has, or null
  */
-public record FollowAnswer(long leaseMicros, long heldMicros, String why, long index, int comeBackMillis, News news,
+public record FollowAnswer(
+        long leaseMicros,
+        long heldMicros,
+        String why,
+        long index,
+        int comeBackMillis,
+        News news,
         Map<Change.Holding, Ledger.Held> holds) {
     private static final int COME_BACK_MOST = 60_000;
 
@@ -49,12 +57,24 @@
 
     /** The bytes for the wire. */
     public byte[] write() {
-        Cbor.Out out = new Cbor.Out().number(leaseMicros).number(heldMicros).text(why).number(index).number(comeBackMillis);
+        Cbor.Out out = new Cbor.Out()
+                .number(leaseMicros)
+                .number(heldMicros)
+                .text(why)
+                .number(index)
+                .number(comeBackMillis);
         if (news instanceof News.Whole whole) {
             Ledger.Document document = whole.document();
-            out.number(WHOLE).number(document.revision()).number(document.index()).text(document.digest()).bytes(document.content());
+            out.number(WHOLE)
+                    .number(document.revision())
+                    .number(document.index())
+                    .text(document.digest())
+                    .bytes(document.content());
         } else if (news instanceof News.Differences differences) {
-            out.number(DIFFERENCES).number(differences.revision()).number(differences.index()).text(differences.digest())
+            out.number(DIFFERENCES)
+                    .number(differences.revision())
+                    .number(differences.index())
+                    .text(differences.digest())
                     .number(differences.steps().size());
             differences.steps().forEach(step -> step.write(out));
         } else {
@@ -99,8 +119,11 @@
     /** Holds as the wire and a subscriber's file have them. */
     public static void write(Cbor.Out out, Map<Change.Holding, Ledger.Held> holds) {
         out.number(holds.size());
-        new TreeMap<>(holds).forEach((holding, held) -> out.number(holding.kind().ordinal()).text(holding.name()).text(held.why())
-                .number(held.atMicros()));
+        new TreeMap<>(holds)
+                .forEach((holding, held) -> out.number(holding.kind().ordinal())
+                        .text(holding.name())
+                        .text(held.why())
+                        .number(held.atMicros()));
     }
 
     /** Reads what {@link #write(Cbor.Out, Map)} wrote. */
--- a/subscription/src/main/java/lupinvalve/subscription/FollowRequest.java
+++ b/subscription/src/main/java/lupinvalve/subscription/FollowRequest.java
@@ -15,7 +15,14 @@
  * @param whole whether it wants the whole document, as what it came to by differences was wrong
  * @param objection why it can't act on the document that it holds, or empty
  */
-public record FollowRequest(int version, long index, long revision, String digest, String holds, boolean lease, boolean whole,
+public record FollowRequest(
+        int version,
+        long index,
+        long revision,
+        String digest,
+        String holds,
+        boolean lease,
+        boolean whole,
         String objection) {
     /** What this program speaks. */
     public static final int VERSION = 1;
@@ -28,8 +35,16 @@
 
     /** The bytes for the wire; the version comes first in every version. */
     public byte[] write() {
-        return new Cbor.Out().number(version).number(index).number(revision).text(digest).text(holds).flag(lease).flag(whole)
-                .text(objection).done();
+        return new Cbor.Out()
+                .number(version)
+                .number(index)
+                .number(revision)
+                .text(digest)
+                .text(holds)
+                .flag(lease)
+                .flag(whole)
+                .text(objection)
+                .done();
     }
 
     /** Throws a {@link Newer} where another program asks in a way that this one does not know. */
@@ -39,7 +54,8 @@
         if (version != VERSION) {
             throw new Newer(version);
         }
-        return new FollowRequest(version, in.number(), in.number(), in.text(), in.text(), in.flag(), in.flag(), in.text());
+        return new FollowRequest(
+                version, in.number(), in.number(), in.text(), in.text(), in.flag(), in.flag(), in.text());
     }
 
     /** A request of a version that this program does not speak. */
--- a/subscription/src/main/java/lupinvalve/subscription/FollowSchedule.java
+++ b/subscription/src/main/java/lupinvalve/subscription/FollowSchedule.java
@@ -7,8 +7,9 @@
 import java.util.Random;
 
 /**
- * Which member a subscriber follows, and when it tries the next. Each name has its own order of members, so that members carry about
- * the same number; after a round in which none would do it waits, twice as long each time. Times in microseconds.
+ * Which member a subscriber follows, and when it tries the next. Each name has its own order of members, so that
+ * members carry about the same number; after a round in which none would do it waits, twice as long each time. Times in
+ * microseconds.
  */
 public final class FollowSchedule {
     /** Pauses after a round without success. */
@@ -19,7 +20,10 @@
     public static final long GREETING = 700_000, GREETING_MOST = 3_000_000;
     /** A lease that is granted for less comes from a member that is losing its own: another one may do better. */
     public static final long MOVE_BELOW = 600_000;
-    /** When one that follows another member than its first tries that again: at the earliest, and spread over as much again. */
+    /**
+     * When one that follows another member than its first tries that again: at the earliest, and spread over as much
+     * again.
+     */
     public static final long HOME = 60_000_000;
     /** How long a member may answer without granting a lease before another one is tried; twice as long each time. */
     public static final long DENIED = 5_000_000, DENIED_MOST = 60_000_000;
@@ -35,7 +39,8 @@
     /** @param seed of the pauses */
     public FollowSchedule(String subscriber, Collection<String> members, long seed) {
         order = new ArrayList<>(members);
-        order.sort(Comparator.comparingLong((String member) -> mixed(subscriber + "/" + member)).thenComparing(member -> member));
+        order.sort(Comparator.comparingLong((String member) -> mixed(subscriber + "/" + member))
+                .thenComparing(member -> member));
         random = new Random(seed);
     }
 
@@ -59,7 +64,10 @@
         return order.get(0);
     }
 
-    /** The member would not do; {@link #member} is another one from now on, to be tried after the pause that is returned. */
+    /**
+     * The member would not do; {@link #member} is another one from now on, to be tried after the pause that is
+     * returned.
+     */
     public long failed(long nowMicros) {
         if (at == 0) {
             awaySince = nowMicros + (long) (HOME * random.nextDouble());
@@ -101,7 +109,8 @@
     }
 
     /**
-     * How long an answer may take: the longer the more often members would not do, as one that is busy is not helped by calls anew.
+     * How long an answer may take: the longer the more often members would not do, as one that is busy is not helped by
+     * calls anew.
      *
      * @param patient whether a whole document may be on its way, or there is no lease that might run out
      */
--- a/subscription/src/main/java/lupinvalve/subscription/FollowService.java
+++ b/subscription/src/main/java/lupinvalve/subscription/FollowService.java
@@ -6,10 +6,16 @@
 import lupinvalve.ledger.Change;
 import lupinvalve.ledger.Ledger;
 
-/** What a member answers its subscribers: news, leases, and when to come back. Times are of its monotonic clock, in microseconds. */
+/**
+ * What a member answers its subscribers: news, leases, and when to come back. Times are of its monotonic clock, in
+ * microseconds.
+ */
 public final class FollowService {
-    /** How long a request may wait for news: a lease lasts for a request that is lost and another one at another member. */
+    /**
+     * How long a request may wait for news: a lease lasts for a request that is lost and another one at another member.
+     */
     public static final long HOLD = 500_000;
+
     private final boolean leases;
     private final String noLeases;
     private final RevisionHistory history = new RevisionHistory();
@@ -27,7 +33,8 @@
     }
 
     /**
-     * What this member has applied; what is older than what it had applied before, as after its disk has failed, changes nothing.
+     * What this member has applied; what is older than what it had applied before, as after its disk has failed,
+     * changes nothing.
      *
      * @param document the one that holds, or null
      * @param index the change by which document or holds became this
@@ -55,7 +62,10 @@
         table.right(untilMicros, leadersChanged, nowMicros);
     }
 
-    /** Whether this member may grant nothing, though it grants leases at other times: a subscriber does better elsewhere. */
+    /**
+     * Whether this member may grant nothing, though it grants leases at other times: a subscriber does better
+     * elsewhere.
+     */
     public boolean powerless(long nowMicros) {
         return leases && table.rightLeft(nowMicros) <= 0;
     }
@@ -73,8 +83,11 @@
     /** The document; where the subscriber is ahead of this member there is nothing to tell it. */
     private boolean newer(FollowRequest request) {
         Ledger.Document document = history.current();
-        return document != null && (request.whole() || request.revision() < document.revision()
-                || request.revision() == document.revision() && !document.digest().equals(request.digest()));
+        return document != null
+                && (request.whole()
+                        || request.revision() < document.revision()
+                        || request.revision() == document.revision()
+                                && !document.digest().equals(request.digest()));
     }
 
     /** A subscriber has asked. */
@@ -88,9 +101,11 @@
      * @param heldMicros since when its request is here
      */
     public FollowAnswer answer(String subscriber, FollowRequest request, long heldMicros, long nowMicros) {
-        SubscriberTable.Granted lease = !request.lease() ? new SubscriberTable.Granted(0, "")
-                : leases ? table.renew(subscriber, request.index(), request.objection(), nowMicros)
-                : new SubscriberTable.Granted(0, noLeases);
+        SubscriberTable.Granted lease = !request.lease()
+                ? new SubscriberTable.Granted(0, "")
+                : leases
+                        ? table.renew(subscriber, request.index(), request.objection(), nowMicros)
+                        : new SubscriberTable.Granted(0, noLeases);
         FollowAnswer.News news = new FollowAnswer.News.None();
         int comeBack = 0;
         boolean ahead = request.index() > applied;
@@ -99,8 +114,14 @@
             comeBack = news == null ? wholes.comeBackMillis(nowMicros) : 0;
         }
         Map<Change.Holding, Ledger.Held> told = ahead || holdsDigest.equals(request.holds()) ? null : holds;
-        return new FollowAnswer(lease.lengthMicros(), heldMicros, lease.why(), news == null ? 0 : applied, comeBack,
-                news == null ? new FollowAnswer.News.None() : news, told);
+        return new FollowAnswer(
+                lease.lengthMicros(),
+                heldMicros,
+                lease.why(),
+                news == null ? 0 : applied,
+                comeBack,
+                news == null ? new FollowAnswer.News.None() : news,
+                told);
     }
 
     /** The document by the shortest way; null where a whole one can't go out now. */
@@ -110,7 +131,9 @@
         if (steps != null) {
             return new FollowAnswer.News.Differences(document.revision(), document.index(), document.digest(), steps);
         }
-        return wholes.admit(subscriber, document.content().length, nowMicros) ? new FollowAnswer.News.Whole(document) : null;
+        return wholes.admit(subscriber, document.content().length, nowMicros)
+                ? new FollowAnswer.News.Whole(document)
+                : null;
     }
 
     /** Up to which change this member's subscribers act, see {@link SubscriberTable#floor}. */
--- a/subscription/src/main/java/lupinvalve/subscription/FollowState.java
+++ b/subscription/src/main/java/lupinvalve/subscription/FollowState.java
@@ -9,8 +9,8 @@
 import lupinvalve.ledger.Ledger;
 
 /**
- * A subscriber's side: what it holds, what its pooler acts on, until when that may act, and what it asks next. It never goes back
- * behind what it has heard of, whichever member answers. Times are of one monotonic clock, in microseconds.
+ * A subscriber's side: what it holds, what its pooler acts on, until when that may act, and what it asks next. It never
+ * goes back behind what it has heard of, whichever member answers. Times are of one monotonic clock, in microseconds.
  */
 public final class FollowState {
     /** What is kept for a restart: the document, or null, and the holds, and up to which change they were whole. */
@@ -56,8 +56,15 @@
 
     /** What to ask with. */
     public FollowRequest request() {
-        return new FollowRequest(FollowRequest.VERSION, acting, document == null ? 0 : document.revision(),
-                document == null ? "" : document.digest(), holdsDigest, wantsLease, whole, adoption.unreadable());
+        return new FollowRequest(
+                FollowRequest.VERSION,
+                acting,
+                document == null ? 0 : document.revision(),
+                document == null ? "" : document.digest(),
+                holdsDigest,
+                wantsLease,
+                whole,
+                adoption.unreadable());
     }
 
     /**
@@ -124,7 +131,9 @@
     }
 
     private Ledger.Document adopt(Function<byte[], String> objections) {
-        return adoption.accepted(document, objections.apply(document.content())) == Adoption.Verdict.ADOPT ? document : null;
+        return adoption.accepted(document, objections.apply(document.content())) == Adoption.Verdict.ADOPT
+                ? document
+                : null;
     }
 
     /** Up to which change all was heard so far. */
--- a/subscription/src/main/java/lupinvalve/subscription/RevisionHistory.java
+++ b/subscription/src/main/java/lupinvalve/subscription/RevisionHistory.java
@@ -23,7 +23,8 @@
             return;
         }
         if (current != null && next.revision() == current.revision() + 1) {
-            Step step = new Step(current.revision(), current.digest(), DocumentDelta.between(current.content(), next.content()));
+            Step step = new Step(
+                    current.revision(), current.digest(), DocumentDelta.between(current.content(), next.content()));
             steps.addLast(step);
             bytes += step.delta().size();
         } else {
@@ -42,7 +43,10 @@
         return current;
     }
 
-    /** What leads from a revision with a content to the one that holds, oldest first; null where the whole is to be sent. */
+    /**
+     * What leads from a revision with a content to the one that holds, oldest first; null where the whole is to be
+     * sent.
+     */
     public List<DocumentDelta> since(long revision, String digest) {
         List<DocumentDelta> out = new ArrayList<>();
         long size = 0;
--- a/subscription/src/main/java/lupinvalve/subscription/SubscriberTable.java
+++ b/subscription/src/main/java/lupinvalve/subscription/SubscriberTable.java
@@ -6,9 +6,10 @@
 import lupinvalve.audit.Lease;
 
 /**
- * A member's subscribers: who acts on what, and until when each may. A member grants nothing past the end of its own right to act, and
- * that comes with what the leader had applied when it was confirmed; so each change is known here, or the right has ended, at the
- * latest a lease's length after a majority accepted it. The member's monotonic clock, in microseconds.
+ * A member's subscribers: who acts on what, and until when each may. A member grants nothing past the end of its own
+ * right to act, and that comes with what the leader had applied when it was confirmed; so each change is known here, or
+ * the right has ended, at the latest a lease's length after a majority accepted it. The member's monotonic clock, in
+ * microseconds.
  */
 public final class SubscriberTable {
     /** How long one that has a lease may take to act on a change that is known here before it gets no further one. */
@@ -29,7 +30,10 @@
     private final long earlierLifeUntil;
     private long newest, wanted, rightUntil = Long.MIN_VALUE;
 
-    /** @param nowMicros the start: leases that this member granted before it are not known here, and may last for a while */
+    /**
+     * @param nowMicros the start: leases that this member granted before it are not known here, and may last for a
+     *     while
+     */
     public SubscriberTable(long nowMicros) {
         earlierLifeUntil = nowMicros + (long) (Lease.LENGTH * (1 + Lease.DRIFT));
     }
@@ -79,12 +83,14 @@
             return new Granted(0, "this member has no lease itself");
         }
         Held one = held.computeIfAbsent(subscriber, s -> new Held());
-        // One that holds none here, or has gone back by a restart, may have been passed over when a strict change was called done.
+        // One that holds none here, or has gone back by a restart, may have been passed over when a strict change was
+        // called done.
         boolean renews = nowMicros < one.until && acting >= one.acting;
         one.acting = acting;
         long least = renews ? due(nowMicros) : newest;
         if (acting < least) {
-            return new Granted(0, objection.isEmpty() ? "acts on change " + acting + ", " + least + " is wanted" : objection);
+            return new Granted(
+                    0, objection.isEmpty() ? "acts on change " + acting + ", " + least + " is wanted" : objection);
         }
         long length = Math.min(Lease.LENGTH, left);
         one.until = Math.max(one.until, nowMicros + length);
@@ -98,8 +104,8 @@
     }
 
     /**
-     * Up to which change all act that may act by a lease of this member's, itself not counted: a strict change beyond it is not done.
-     * Nothing is known of it until the leases have ended that were granted before this member's start.
+     * Up to which change all act that may act by a lease of this member's, itself not counted: a strict change beyond
+     * it is not done. Nothing is known of it until the leases have ended that were granted before this member's start.
      *
      * @param applied what the member has applied itself: whoever comes later must act on that
      */
--- a/subscription/src/main/java/lupinvalve/subscription/WholeDocuments.java
+++ b/subscription/src/main/java/lupinvalve/subscription/WholeDocuments.java
@@ -4,14 +4,15 @@
 import java.util.Map;
 
 /**
- * How many whole documents a member sends at once: so many bytes that nobody has confirmed yet, and at least one document. Who has to
- * wait is told when to come back, the later the more wait.
+ * How many whole documents a member sends at once: so many bytes that nobody has confirmed yet, and at least one
+ * document. Who has to wait is told when to come back, the later the more wait.
  */
 public final class WholeDocuments {
     /** Bytes under way at most, and how long an unconfirmed one counts. */
     static final long BYTES_MOST = 8 << 20, COUNTS = 2_000_000;
     /** What those that come back are spread over: one a step, up to the most. */
     static final int STEP_MILLIS = 5, SOON_MILLIS = 50, LATE_MILLIS = 1_000;
+
     private static final long TURN = 1_000_000;
 
     private record Sent(int bytes, long atMicros) {}
--- a/subscription/src/test/java/lupinvalve/subscription/DecisionsTest.java
+++ b/subscription/src/test/java/lupinvalve/subscription/DecisionsTest.java
@@ -29,8 +29,15 @@
     }
 
     private static FollowRequest request(long index, Ledger.Document holding) {
-        return new FollowRequest(FollowRequest.VERSION, index, holding == null ? 0 : holding.revision(),
-                holding == null ? "" : holding.digest(), FollowAnswer.digest(Map.of()), true, false, "");
+        return new FollowRequest(
+                FollowRequest.VERSION,
+                index,
+                holding == null ? 0 : holding.revision(),
+                holding == null ? "" : holding.digest(),
+                FollowAnswer.digest(Map.of()),
+                true,
+                false,
+                "");
     }
 
     @Test
@@ -76,7 +83,8 @@
 
     private static String entry(int i, int value) {
         return "{\"name\":\"db-" + i + "\",\"address\":\"10.0." + i / 256 + "." + i % 256 + ":" + value
-                + "\",\"locality\":\"zone-" + i % 7 + "\",\"weight\":" + value % 100 + ",\"owner\":\"team-" + value % 40 + "\"},";
+                + "\",\"locality\":\"zone-" + i % 7 + "\",\"weight\":" + value % 100 + ",\"owner\":\"team-" + value % 40
+                + "\"},";
     }
 
     private static byte[] document(String[] entries) {
@@ -100,7 +108,8 @@
             history.accepted(document(revision, "x".repeat(2_000) + revision));
         }
         assertNull(history.since(1, first.digest()), "too long ago");
-        Ledger.Document last = document(RevisionHistory.STEPS_MOST + 1, "x".repeat(2_000) + (RevisionHistory.STEPS_MOST + 1));
+        Ledger.Document last =
+                document(RevisionHistory.STEPS_MOST + 1, "x".repeat(2_000) + (RevisionHistory.STEPS_MOST + 1));
         assertEquals(1, history.since(last.revision(), last.digest()).size());
         assertNull(history.since(last.revision(), "another content"));
         history.accepted(first);
@@ -116,15 +125,20 @@
         FollowRequest request = new FollowRequest(FollowRequest.VERSION, 7, 2, "d", "h", true, false, "o");
         assertEquals(request, FollowRequest.read(request.write()));
         FollowRequest newer = new FollowRequest(FollowRequest.VERSION + 1, 7, 2, "d", "h", true, false, "o");
-        assertEquals("version 2 of following is asked for; this member speaks 1",
-                assertThrows(FollowRequest.Newer.class, () -> FollowRequest.read(newer.write())).getMessage());
+        assertEquals(
+                "version 2 of following is asked for; this member speaks 1",
+                assertThrows(FollowRequest.Newer.class, () -> FollowRequest.read(newer.write()))
+                        .getMessage());
         Map<Change.Holding, Ledger.Held> holds = new TreeMap<>();
         holds.put(new Change.Holding(Change.Kind.POOLER, "p"), new Ledger.Held("w", 5));
         FollowAnswer answer = new FollowAnswer(1, 2, "why", 3, 4, new FollowAnswer.News.None(), holds);
         assertEquals(answer, FollowAnswer.read(answer.write()));
         Ledger.Document whole = document(3, "{}");
-        FollowAnswer all = FollowAnswer.read(new FollowAnswer(1, 2, "", 3, 4, new FollowAnswer.News.Whole(whole), null).write());
-        assertArrayEquals(whole.content(), ((FollowAnswer.News.Whole) all.news()).document().content());
+        FollowAnswer all =
+                FollowAnswer.read(new FollowAnswer(1, 2, "", 3, 4, new FollowAnswer.News.Whole(whole), null).write());
+        assertArrayEquals(
+                whole.content(),
+                ((FollowAnswer.News.Whole) all.news()).document().content());
     }
 
     @Test
@@ -139,12 +153,17 @@
         assertTrue(table.renew("s", 5, "", 200 + SubscriberTable.CATCH_UP - 1).lengthMicros() > 0);
         SubscriberTable.Granted late = table.renew("s", 5, "", 200 + SubscriberTable.CATCH_UP);
         assertEquals(new SubscriberTable.Granted(0, "acts on change 5, 9 is wanted"), late);
-        assertEquals("can't", table.renew("s", 5, "can't", 200 + SubscriberTable.CATCH_UP).why());
+        assertEquals(
+                "can't",
+                table.renew("s", 5, "can't", 200 + SubscriberTable.CATCH_UP).why());
         assertEquals(0, table.renew("new", 8, "", 300).lengthMicros(), "one without a lease may have been passed over");
         assertFalse(table.mayBeLetIn("new", 8, 300));
         assertTrue(table.mayBeLetIn("new", 9, 300));
-        assertTrue(table.renew("s", 9, "", 300 + SubscriberTable.CATCH_UP).lengthMicros() > 0, "it comes back by acting on it");
-        assertEquals(0, table.renew("s", 8, "", 400 + SubscriberTable.CATCH_UP).lengthMicros(), "one that has gone back");
+        assertTrue(
+                table.renew("s", 9, "", 300 + SubscriberTable.CATCH_UP).lengthMicros() > 0,
+                "it comes back by acting on it");
+        assertEquals(
+                0, table.renew("s", 8, "", 400 + SubscriberTable.CATCH_UP).lengthMicros(), "one that has gone back");
     }
 
     @Test
@@ -261,7 +280,10 @@
         assertEquals(Lease.end(granted, Lease.LENGTH), state.until());
         // A member that says it had the request for longer than it was away is not believed.
         FollowState other = new FollowState(true, FollowState.Kept.NOTHING, 0);
-        other.heard(new FollowAnswer(60_000_000, 90_000_000, "", 1, 0, new FollowAnswer.News.None(), null), 1_000_000, 1_450_000,
+        other.heard(
+                new FollowAnswer(60_000_000, 90_000_000, "", 1, 0, new FollowAnswer.News.None(), null),
+                1_000_000,
+                1_450_000,
                 content -> null);
         assertEquals(Lease.end(1_450_000, Lease.LENGTH), other.until());
     }
@@ -281,6 +303,8 @@
         service.applied(one, Map.of(), 10, 0);
         assertFalse(service.hasNews(request(20, two)), "an older state, as after a disk's failure, changes nothing");
         assertTrue(service.powerless(0));
-        assertEquals("off", new FollowService("off", 0).answer("s", request(0, null), 0, 0).why());
+        assertEquals(
+                "off",
+                new FollowService("off", 0).answer("s", request(0, null), 0, 0).why());
     }
 }
--- a/subscription/src/test/java/lupinvalve/subscription/SpoiltAnswer.java
+++ b/subscription/src/test/java/lupinvalve/subscription/SpoiltAnswer.java
@@ -18,12 +18,19 @@
     static FollowAnswer of(FollowAnswer answer, Ledger.Document core, boolean fits) {
         FollowAnswer.News.Differences told = (FollowAnswer.News.Differences) answer.news();
         List<DocumentDelta> steps = new ArrayList<>(told.steps());
-        List<DocumentDelta.Piece> pieces = new ArrayList<>(steps.remove(steps.size() - 1).pieces());
+        List<DocumentDelta.Piece> pieces =
+                new ArrayList<>(steps.remove(steps.size() - 1).pieces());
         pieces.add(new DocumentDelta.Piece(0, 0, new byte[] {'?'}));
         steps.add(new DocumentDelta(pieces));
         String digest = fits ? outcome(core, steps) : told.digest();
-        return new FollowAnswer(answer.leaseMicros(), answer.heldMicros(), answer.why(), answer.index(), answer.comeBackMillis(),
-                new FollowAnswer.News.Differences(told.revision(), told.index(), digest, steps), answer.holds());
+        return new FollowAnswer(
+                answer.leaseMicros(),
+                answer.heldMicros(),
+                answer.why(),
+                answer.index(),
+                answer.comeBackMillis(),
+                new FollowAnswer.News.Differences(told.revision(), told.index(), digest, steps),
+                answer.holds());
     }
 
     private static String outcome(Ledger.Document core, List<DocumentDelta> steps) {
--- a/subscription/src/test/java/lupinvalve/subscription/SubscriptionSimulationTest.java
+++ b/subscription/src/test/java/lupinvalve/subscription/SubscriptionSimulationTest.java
@@ -10,7 +10,10 @@
 import lupinvalve.audit.Lease;
 import org.junit.jupiter.api.Test;
 
-/** Drawn courses of faults in virtual time: nobody acts on what is old or was never accepted, and all are well soon after. */
+/**
+ * Drawn courses of faults in virtual time: nobody acts on what is old or was never accepted, and all are well soon
+ * after.
+ */
 class SubscriptionSimulationTest {
     private static final long SECOND = 1_000_000, LASTS = 14 * SECOND, QUIET = 10 * SECOND;
     private static final int COURSES = 1_000, SUBSCRIBERS = 8, LARGE_COURSES = 6, LARGE = 200;
@@ -73,9 +76,14 @@
             latest = Math.max(latest, world.latestMicros);
         }
         assertEquals(Set.of(), findings);
-        // A lease's length until the member knows, the time to catch up, a lease's length again; with clocks that drift.
-        assertTrue(latest > 3 * SECOND && latest < 2 * Lease.LENGTH * (1 + 2 * Lease.DRIFT) + SubscriberTable.CATCH_UP, latest + " us");
-        assertTrue(adopted > 50_000 && strict > 1_000 && wrong > 100, adopted + " taken up, " + strict + " strict, " + wrong + " wrong");
+        // A lease's length until the member knows, the time to catch up, a lease's length again; with clocks that
+        // drift.
+        assertTrue(
+                latest > 3 * SECOND && latest < 2 * Lease.LENGTH * (1 + 2 * Lease.DRIFT) + SubscriberTable.CATCH_UP,
+                latest + " us");
+        assertTrue(
+                adopted > 50_000 && strict > 1_000 && wrong > 100,
+                adopted + " taken up, " + strict + " strict, " + wrong + " wrong");
     }
 
     /** Whether one of the first courses shows what is planted. */
@@ -91,9 +99,14 @@
     @Test
     void theCheckerBitesOnWhatIsPlanted() {
         assertTrue(found(SubscriptionWorld.Planted.LEASE_FROM_ANSWER, "strict"), "a lease counted from its answer");
-        assertTrue(found(SubscriptionWorld.Planted.DIGEST_UNCHECKED, "nobody accepted"), "a digest that is not checked");
-        assertTrue(found(SubscriptionWorld.Planted.GRANTS_PAST_ITS_OWN, "late"), "a member that grants past its own lease");
-        assertTrue(found(SubscriptionWorld.Planted.LEADERS_CHANGE_UNHEARD, "late"), "a member that does not hear what the leader has");
+        assertTrue(
+                found(SubscriptionWorld.Planted.DIGEST_UNCHECKED, "nobody accepted"), "a digest that is not checked");
+        assertTrue(
+                found(SubscriptionWorld.Planted.GRANTS_PAST_ITS_OWN, "late"),
+                "a member that grants past its own lease");
+        assertTrue(
+                found(SubscriptionWorld.Planted.LEADERS_CHANGE_UNHEARD, "late"),
+                "a member that does not hear what the leader has");
         assertTrue(found(SubscriptionWorld.Planted.LET_IN_BEHIND, "strict"), "one let in that acts on less");
     }
 }
--- a/subscription/src/test/java/lupinvalve/subscription/SubscriptionWorld.java
+++ b/subscription/src/test/java/lupinvalve/subscription/SubscriptionWorld.java
@@ -6,7 +6,6 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
-import java.util.Random;
 import java.util.Set;
 import lupinvalve.audit.Lease;
 import lupinvalve.audit.Leases;
@@ -14,15 +13,24 @@
 import lupinvalve.ledger.Ledger;
 
 /**
- * Three members and their subscribers in virtual time, with clocks that drift, messages that come late or never, cuts in one way,
- * processes that stand and restarts. Of the log only what it promises is played: an order of accepted changes that each leader has whole.
+ * Three members and their subscribers in virtual time, with clocks that drift, messages that come late or never, cuts
+ * in one way, processes that stand and restarts. Of the log only what it promises is played: an order of accepted
+ * changes that each leader has whole.
  */
 final class SubscriptionWorld extends VirtualProcesses {
     /** What is broken on purpose, to see the checker bite. */
-    enum Planted { NONE, LEASE_FROM_ANSWER, DIGEST_UNCHECKED, GRANTS_PAST_ITS_OWN, LEADERS_CHANGE_UNHEARD, LET_IN_BEHIND }
+    enum Planted {
+        NONE,
+        LEASE_FROM_ANSWER,
+        DIGEST_UNCHECKED,
+        GRANTS_PAST_ITS_OWN,
+        LEADERS_CHANGE_UNHEARD,
+        LET_IN_BEHIND
+    }
 
     /** In force everywhere within this, or fenced. */
     static final long BOUND = 6_000_000;
+
     private static final Change.Holding HELD = new Change.Holding(Change.Kind.NODE, "n");
     private static final int MEMBERS = 3;
 
@@ -88,7 +96,8 @@
 
         /** Takes up what the leader's log has, unless it can't hear of it. */
         private void follow() {
-            boolean hears = this == leader || !lags && leader.runs && leader.standsUntil <= now && !cuts.contains(leader.name + ">" + name);
+            boolean hears = this == leader
+                    || !lags && leader.runs && leader.standsUntil <= now && !cuts.contains(leader.name + ">" + name);
             if (hears && taken < history.size()) {
                 taken = history.size();
                 apply();
@@ -100,7 +109,8 @@
             if (taken > 0) {
                 Accepted last = history.get(taken - 1);
                 // Each document by itself, so that there are differences.
-                history.subList(0, taken).forEach(one -> service.applied(one.document(), holds(one.hold()), one.index(), clock()));
+                history.subList(0, taken)
+                        .forEach(one -> service.applied(one.document(), holds(one.hold()), one.index(), clock()));
                 applied = Math.max(applied, last.index());
             }
             for (String who : new ArrayList<>(waiting.keySet())) {
@@ -155,8 +165,10 @@
             if (granted.lengthMicros() > 0) {
                 lease.granted(askedAt, granted.lengthMicros());
                 long beyond = planted == Planted.GRANTS_PAST_ITS_OWN ? 20_000_000 : 0;
-                service.right(Lease.end(askedAt, granted.lengthMicros()) + beyond,
-                        planted == Planted.LEADERS_CHANGE_UNHEARD ? 0 : told, clock());
+                service.right(
+                        Lease.end(askedAt, granted.lengthMicros()) + beyond,
+                        planted == Planted.LEADERS_CHANGE_UNHEARD ? 0 : told,
+                        clock());
             }
         }
 
@@ -164,13 +176,25 @@
         void asks(Subscriber from, FollowRequest request, java.util.function.Consumer<FollowAnswer> answer) {
             service.asked(from.name);
             long since = clock();
-            FollowRequest said = planted != Planted.LET_IN_BEHIND ? request : new FollowRequest(request.version(), Long.MAX_VALUE,
-                    request.revision(), request.digest(), request.holds(), request.lease(), request.whole(), request.objection());
+            FollowRequest said = planted != Planted.LET_IN_BEHIND
+                    ? request
+                    : new FollowRequest(
+                            request.version(),
+                            Long.MAX_VALUE,
+                            request.revision(),
+                            request.digest(),
+                            request.holds(),
+                            request.lease(),
+                            request.whole(),
+                            request.objection());
             Runnable respond = () -> {
-                FollowAnswer made = service.powerless(clock()) ? null : service.answer(from.name, said, clock() - since, clock());
+                FollowAnswer made =
+                        service.powerless(clock()) ? null : service.answer(from.name, said, clock() - since, clock());
                 send(this, from, () -> answer.accept(made));
             };
-            if (service.hasNews(request) || service.powerless(clock()) || service.mayBeLetIn(from.name, request, clock())) {
+            if (service.hasNews(request)
+                    || service.powerless(clock())
+                    || service.mayBeLetIn(from.name, request, clock())) {
                 respond.run();
                 return;
             }
@@ -185,8 +209,13 @@
     }
 
     private boolean majority(Member of) {
-        long with = members.stream().filter(one -> one == of || one.runs && one.standsUntil <= now
-                && !cuts.contains(of.name + ">" + one.name) && !cuts.contains(one.name + ">" + of.name)).count();
+        long with = members.stream()
+                .filter(one -> one == of
+                        || one.runs
+                                && one.standsUntil <= now
+                                && !cuts.contains(of.name + ">" + one.name)
+                                && !cuts.contains(one.name + ">" + of.name))
+                .count();
         return of.runs && of.standsUntil <= now && with > MEMBERS / 2;
     }
 
@@ -194,7 +223,10 @@
         return number == 0 ? Map.of() : Map.of(HELD, new Ledger.Held("hold " + number, number));
     }
 
-    /** A change of the document or of a hold, where the leader can get it accepted; strict ones are followed to their end. */
+    /**
+     * A change of the document or of a hold, where the leader can get it accepted; strict ones are followed to their
+     * end.
+     */
     void change(boolean hold, boolean strict) {
         if (!majority(leader)) {
             return;
@@ -204,7 +236,8 @@
         Ledger.Document document = last.document();
         if (!hold || document == null) {
             long revision = document == null ? 1 : document.revision() + 1;
-            String text = "{\"databases\":\"" + "x".repeat(300) + "\",\"revision\":" + revision + ",\"seed\":" + random.nextInt(1000) + "}";
+            String text = "{\"databases\":\"" + "x".repeat(300) + "\",\"revision\":" + revision + ",\"seed\":"
+                    + random.nextInt(1000) + "}";
             byte[] content = text.getBytes(StandardCharsets.UTF_8);
             document = new Ledger.Document(revision, index, Ledger.digest(content), content);
             digests.put(revision, document.digest());
@@ -238,7 +271,8 @@
 
     /** Another member leads, one that a majority reaches; it has all that was accepted. */
     void leaderMoves() {
-        List<Member> fit = members.stream().filter(one -> one != leader && majority(one)).toList();
+        List<Member> fit =
+                members.stream().filter(one -> one != leader && majority(one)).toList();
         if (!fit.isEmpty()) {
             leader = fit.get(random.nextInt(fit.size()));
             leader.leases = null;
@@ -265,7 +299,8 @@
 
         void begin() {
             state = new FollowState(true, disk, clock());
-            schedule = new FollowSchedule(name, members.stream().map(one -> one.name).toList(), random.nextLong());
+            schedule = new FollowSchedule(
+                    name, members.stream().map(one -> one.name).toList(), random.nextLong());
             core = state.begin(document -> null);
             coreHold = number(state.holds());
             coreFrom = 0;
@@ -297,11 +332,14 @@
                     });
                     return;
                 }
-                send(this, to, () -> send(to, this, () -> {
-                    if (mine == link) {
-                        ask(to, mine);
-                    }
-                }));
+                send(
+                        this,
+                        to,
+                        () -> send(to, this, () -> {
+                            if (mine == link) {
+                                ask(to, mine);
+                            }
+                        }));
             });
         }
 
@@ -320,25 +358,38 @@
                 }
             });
             int of = to.life;
-            send(this, to, () -> to.asks(this, request, answer -> {
-                if (mine != link || to.life != of) {
-                    return;
-                }
-                done[0] = true;
-                if (answer == null) {
-                    connect(schedule.failed(clock()));
-                } else {
-                    heard(answer, askedAt, to, mine);
-                }
-            }));
+            send(
+                    this,
+                    to,
+                    () -> to.asks(this, request, answer -> {
+                        if (mine != link || to.life != of) {
+                            return;
+                        }
+                        done[0] = true;
+                        if (answer == null) {
+                            connect(schedule.failed(clock()));
+                        } else {
+                            heard(answer, askedAt, to, mine);
+                        }
+                    }));
         }
 
         private void heard(FollowAnswer sent, long askedAt, Member to, int mine) {
             FollowAnswer answer = corrupted(sent);
             FollowState.Heard news;
             if (planted == Planted.LEASE_FROM_ANSWER) {
-                news = state.heard(new FollowAnswer(answer.leaseMicros(), 0, answer.why(), answer.index(), answer.comeBackMillis(),
-                        answer.news(), answer.holds()), clock(), clock(), document -> null);
+                news = state.heard(
+                        new FollowAnswer(
+                                answer.leaseMicros(),
+                                0,
+                                answer.why(),
+                                answer.index(),
+                                answer.comeBackMillis(),
+                                answer.news(),
+                                answer.holds()),
+                        clock(),
+                        clock(),
+                        document -> null);
             } else {
                 news = state.heard(answer, askedAt, clock(), document -> null);
             }
@@ -385,8 +436,10 @@
             }
             for (int i = history.size() - 1; i >= 0; i--) {
                 Accepted one = history.get(i);
-                boolean acts = coreHold >= one.hold() && (one.document() == null || core != null
-                        && core.revision() >= one.document().revision());
+                boolean acts = coreHold >= one.hold()
+                        && (one.document() == null
+                                || core != null
+                                        && core.revision() >= one.document().revision());
                 if (acts) {
                     // So it does on all before.
                     return;
@@ -396,7 +449,8 @@
                     findings.add("late: " + name + " acts on less than change " + one.index());
                 }
                 if (mustActOn >= one.index()) {
-                    findings.add("strict: " + name + " acts on less than change " + one.index() + ", which was called done");
+                    findings.add(
+                            "strict: " + name + " acts on less than change " + one.index() + ", which was called done");
                 }
             }
         }
@@ -495,9 +549,18 @@
 
     /** Who does not act, with a lease, on the last change. */
     List<String> unwell() {
-        return subscribers.stream().filter(one -> !history.isEmpty() && (!one.state.holds(one.clock()) || one.core == null
-                || one.core.revision() < history.get(history.size() - 1).document().revision()
-                || one.coreHold < history.get(history.size() - 1).hold())).map(one -> one.name).toList();
+        return subscribers.stream()
+                .filter(one -> !history.isEmpty()
+                        && (!one.state.holds(one.clock())
+                                || one.core == null
+                                || one.core.revision()
+                                        < history.get(history.size() - 1)
+                                                .document()
+                                                .revision()
+                                || one.coreHold
+                                        < history.get(history.size() - 1).hold()))
+                .map(one -> one.name)
+                .toList();
     }
 
     Set<String> findings() {
--- a/subscription/src/test/java/lupinvalve/subscription/VirtualProcesses.java
+++ b/subscription/src/test/java/lupinvalve/subscription/VirtualProcesses.java
@@ -5,7 +5,10 @@
 import java.util.Random;
 import java.util.Set;
 
-/** Processes in virtual time: each with a clock that drifts, a life, and ways to the others that may be late or cut for one direction. */
+/**
+ * Processes in virtual time: each with a clock that drifts, a life, and ways to the others that may be late or cut for
+ * one direction.
+ */
 abstract class VirtualProcesses {
     private static final double RATE_MOST = 0.0024;
 
@@ -42,6 +45,7 @@
     private final PriorityQueue<Event> events = new PriorityQueue<>();
     /** Ways that swallow messages, as {@code from>to}. */
     final Set<String> cuts = new HashSet<>();
+
     long now;
     private long order;
 
--- a/upkeep/src/main/java/lupinvalve/upkeep/Drain.java
+++ b/upkeep/src/main/java/lupinvalve/upkeep/Drain.java
@@ -1,13 +1,14 @@
 package lupinvalve.upkeep;
 
 /**
- * Whether clients are sent away, and how far that has come. The front that deals out connections asks by the empty query;
- * 0.2 s after a no it brings no new ones, while clients go on using those that they have until these are ended. No I/O, no
- * clock.
+ * Whether clients are sent away, and how far that has come. The front that deals out connections asks by the empty
+ * query; 0.2 s after a no it brings no new ones, while clients go on using those that they have until these are ended.
+ * No I/O, no clock.
  */
 public final class Drain {
     /** From the call until connections are ended: the front asks every 0.1 s, and stops 0.2 s after a no. */
     public static final long ENDS_AFTER = 500_000;
+
     private long since = Long.MAX_VALUE, heldSince = Long.MAX_VALUE;
     private boolean leaving;
 
--- a/upkeep/src/main/java/lupinvalve/upkeep/Figures.java
+++ b/upkeep/src/main/java/lupinvalve/upkeep/Figures.java
@@ -10,12 +10,18 @@
  */
 public final class Figures {
     /** How a request ended for its client. */
-    public enum End { SERVED, REFUSED, FAILED }
+    public enum End {
+        SERVED,
+        REFUSED,
+        FAILED
+    }
 
     private static final int ENDS = End.values().length;
     private final List<String> classes;
     private final AtomicLongArray ended;
-    private final AtomicLong attempts = new AtomicLong(), inFlight = new AtomicLong(), known = new AtomicLong(),
+    private final AtomicLong attempts = new AtomicLong(),
+            inFlight = new AtomicLong(),
+            known = new AtomicLong(),
             excluded = new AtomicLong();
 
     public Figures(List<String> classes) {
@@ -52,12 +58,22 @@
         for (int i = 0; i < classes.size(); i++) {
             for (End how : End.values()) {
                 String name = how == End.SERVED ? ".served=" : how == End.REFUSED ? ".refused=" : ".failed=";
-                out.append("edge_node.requests.").append(classes.get(i)).append(name).append(count(i, how)).append('\n');
+                out.append("edge_node.requests.")
+                        .append(classes.get(i))
+                        .append(name)
+                        .append(count(i, how))
+                        .append('\n');
             }
         }
-        return out.append("edge_node.attempts=").append(attempts.get())
-                .append("\nedge_node.in_flight=").append(inFlight.get())
-                .append("\nedge_node.servers_known=").append(known.get())
-                .append("\nedge_node.servers_excluded=").append(excluded.get()).append('\n').toString();
+        return out.append("edge_node.attempts=")
+                .append(attempts.get())
+                .append("\nedge_node.in_flight=")
+                .append(inFlight.get())
+                .append("\nedge_node.servers_known=")
+                .append(known.get())
+                .append("\nedge_node.servers_excluded=")
+                .append(excluded.get())
+                .append('\n')
+                .toString();
     }
 }
--- a/upkeep/src/main/java/lupinvalve/upkeep/Maintenance.java
+++ b/upkeep/src/main/java/lupinvalve/upkeep/Maintenance.java
@@ -12,17 +12,21 @@
 /**
  * Which db nodes operators have taken out, and when they called back those that they had. It decides what the router
  * hears of a listed db node: one that is out is told as gone whatever discovery lists meanwhile, one that was called
- * back as started at that call, since operators restart what they take out and a cold one may be given only so much.
- * No I/O, no clock. Not safe for use by several threads.
+ * back as started at that call, since operators restart what they take out and a cold one may be given only so much. No
+ * I/O, no clock. Not safe for use by several threads.
  */
 public final class Maintenance {
     /** Ids held at most; each comes from an operator's hand. */
     static final int MOST = 1000;
-    /** For how long an id that has left the list is still somebody's: a db node that restarts is off the list meanwhile. */
+    /**
+     * For how long an id that has left the list is still somebody's: a db node that restarts is off the list meanwhile.
+     */
     static final long REMEMBERED = 600_000_000;
+
     private final long warmUpMicros;
     /** When ids left the list, the longest ago first. */
     private final LinkedHashMap<String, Long> left = new LinkedHashMap<>();
+
     private final Set<String> out = new TreeSet<>();
     private final Map<String, Long> back = new HashMap<>();
 
@@ -119,11 +123,12 @@
     /** What the router is told of a listed db node. */
     public Routing.Member told(Routing.Member m) {
         if (out.contains(m.node())) {
-            return new Routing.Member(m.node(), m.group(), m.zone(), Routing.Health.GONE, m.listedPrimary(),
-                    m.bornMicros());
+            return new Routing.Member(
+                    m.node(), m.group(), m.zone(), Routing.Health.GONE, m.listedPrimary(), m.bornMicros());
         }
         Long at = back.get(m.node());
-        return at == null || at <= m.bornMicros() ? m : new Routing.Member(m.node(), m.group(), m.zone(), m.health(),
-                m.listedPrimary(), at);
+        return at == null || at <= m.bornMicros()
+                ? m
+                : new Routing.Member(m.node(), m.group(), m.zone(), m.health(), m.listedPrimary(), at);
     }
 }
--- a/upkeep/src/main/java/lupinvalve/upkeep/Shares.java
+++ b/upkeep/src/main/java/lupinvalve/upkeep/Shares.java
@@ -2,13 +2,16 @@
 
 /**
  * How budgets are shared: that of memory between long answers while their clients read, and that of connections between
- * the two processes of an upgrade. What a client has not read stays with the db node's machine, so one that reads nothing
- * holds its share and no more. No I/O.
+ * the two processes of an upgrade. What a client has not read stays with the db node's machine, so one that reads
+ * nothing holds its share and no more. No I/O.
  */
 public final class Shares {
     /** What all long answers may hold together: an eighth of the least heap that a pooler is given (40 MB). */
     static final long BUDGET = 5 << 20;
-    /** Below the first a share costs more calls to the system than it saves memory; above the second it speeds up nobody. */
+    /**
+     * Below the first a share costs more calls to the system than it saves memory; above the second it speeds up
+     * nobody.
+     */
     static final long LEAST = 8 << 10, MOST = 128 << 10;
 
     /** What answers that must be held whole may take together: they can't wait elsewhere, so one too many fails. */
--- a/upkeep/src/test/java/lupinvalve/upkeep/MaintenanceTest.java
+++ b/upkeep/src/test/java/lupinvalve/upkeep/MaintenanceTest.java
@@ -29,7 +29,9 @@
     void whatIsOutIsGoneWhateverIsListed() {
         order(true, "a", NOW);
         for (Routing.Health listed : Routing.Health.values()) {
-            assertEquals(Routing.Health.GONE, maintenance.told(member("a", listed, NOW + 5)).health());
+            assertEquals(
+                    Routing.Health.GONE,
+                    maintenance.told(member("a", listed, NOW + 5)).health());
         }
         Routing.Member other = member("b", Routing.Health.LIVE, 7);
         assertSame(other, maintenance.told(other));
@@ -44,10 +46,13 @@
         assertEquals(Routing.Health.LIVE, told.health());
         assertEquals(NOW + 2, told.bornMicros());
         // One that starts once more is as cold as discovery says.
-        assertEquals(NOW + 3, maintenance.told(member("a", Routing.Health.LIVE, NOW + 3)).bornMicros());
+        assertEquals(
+                NOW + 3,
+                maintenance.told(member("a", Routing.Health.LIVE, NOW + 3)).bornMicros());
         // A second call back changes nothing, least of all the time.
         order(false, "a", NOW + 9);
-        assertEquals(NOW + 2, maintenance.told(member("a", Routing.Health.LIVE, 0)).bornMicros());
+        assertEquals(
+                NOW + 2, maintenance.told(member("a", Routing.Health.LIVE, 0)).bornMicros());
     }
 
     @Test
