--- a/routing/src/test/java/lupinvalve/routing/RulesWorld.java
+++ b/routing/src/test/java/lupinvalve/routing/RulesWorld.java
@@ -7,15 +7,6 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
-import lupinvalve.routing.Routing.Access;
-import lupinvalve.routing.Routing.Effect;
-import lupinvalve.routing.Routing.Ending;
-import lupinvalve.routing.Routing.FreshnessCheck;
-import lupinvalve.routing.Routing.Health;
-import lupinvalve.routing.Routing.KeyScope;
-import lupinvalve.routing.Routing.ListForm;
-import lupinvalve.routing.Routing.Role;
-import lupinvalve.routing.Routing.TokenSource;
 
 /**
  * A small world in virtual time: db nodes with cores, queues, warmth, positions and roles, and clients. It draws all of
@@ -51,7 +42,7 @@
         int busy, life;
         boolean up = true, listedPrimary;
         long born, position, lag, toldLeaving = Long.MAX_VALUE;
-        Health listed = Health.LIVE;
+        EndpointState listed = EndpointState.LIVE;
         final List<Long> sentWhileCold = new ArrayList<>();
 
         Box(String id, int group, int zone) {
@@ -65,7 +56,7 @@
 
         double warmth() {
             double age = (double) (now - born) / rules.warmUpMicros();
-            return born == 0 ? 1 : Math.min(1, rules.coldShare() + (1 - rules.coldShare()) * age);
+            return born == 0 ? 1 : Math.min(1, rules.initialCapacityRatio() + (1 - rules.initialCapacityRatio()) * age);
         }
 
         boolean primary() {
@@ -78,8 +69,8 @@
             return position;
         }
 
-        Routing.Member member() {
-            return new Routing.Member(id, group, zone, listed, listedPrimary, born);
+        Endpoint member() {
+            return new Endpoint(id, group, zone, listed, listedPrimary, born);
         }
     }
 
@@ -119,12 +110,12 @@
     private final Map<String, Box> boxes = new HashMap<>();
     private final List<Box> all = new ArrayList<>();
     private final Map<String, Call> calls = new HashMap<>();
-    private final List<Routing.RequestClass> classes = new ArrayList<>();
+    private final List<RequestClass> classes = new ArrayList<>();
     private final Box[] primaries;
     private final Map<String, Boolean> toldReplica = new HashMap<>();
-    private final Routing.Rules rules;
-    private final Routing.Limits limits;
-    private final Routing.Replication replication;
+    private final RouterSettings.Rules rules;
+    private final RouterSettings.SiteLimits limits;
+    private final RouterSettings.Replication replication;
     private final int zones, groups;
     private final double rate, work;
     private final long length;
@@ -140,7 +131,7 @@
         double scale = Math.pow(10, random.nextDouble() * 1.5 - 1);
         work = 100 * MS * scale;
         drawClasses(scale);
-        rules = new Routing.Rules(
+        rules = new RouterSettings.Rules(
                 20 * MS,
                 (250 + random.nextInt(2000)) * MS,
                 10 * SECOND,
@@ -148,7 +139,7 @@
                 (2 + random.nextInt(17)) * SECOND,
                 2 + 3 * random.nextDouble(),
                 (1000 + random.nextInt(2500)) * MS);
-        limits = new Routing.Limits(
+        limits = new RouterSettings.SiteLimits(
                 1 + random.nextInt(8),
                 random.nextBoolean(),
                 true,
@@ -156,8 +147,10 @@
                 random.nextBoolean(),
                 500 * MS,
                 200 + random.nextInt(2000));
-        replication = new Routing.Replication(
-                FreshnessCheck.values()[random.nextInt(3)], random.nextInt(60) * MS, TokenSource.CARRIED);
+        replication = new RouterSettings.Replication(
+                RouterSettings.FreshnessCheck.values()[random.nextInt(3)],
+                random.nextInt(60) * MS,
+                RouterSettings.TokenSource.CARRIED);
         primaries = new Box[groups];
         double capacity = 0;
         for (int g = 0; g < groups; g++) {
@@ -180,7 +173,7 @@
             int self = i;
             routers.add(new Router(
                     seed * 1000 + i,
-                    new Routing.Settings(
+                    new RouterSettings(
                             i, count, random.nextInt(zones), true, classes, limits, rules, replication, price),
                     now,
                     action -> act(self, action)));
@@ -190,15 +183,18 @@
     private void drawClasses(double scale) {
         int count = 2 + random.nextInt(4);
         for (int i = 0; i < count; i++) {
-            Access access = i == 0 ? Access.WRITE : Access.values()[1 + random.nextInt(4)];
-            Effect effect = access == Access.WRITE ? Effect.values()[1 + random.nextInt(2)] : Effect.SAFE;
-            long aim = (long) ((300 + random.nextInt(900)) * MS * scale * (access == Access.ANY ? 4 : 1));
-            classes.add(new Routing.RequestClass(
+            RequestClass.Access access =
+                    i == 0 ? RequestClass.Access.WRITE : RequestClass.Access.values()[1 + random.nextInt(4)];
+            RequestClass.Effect effect = access == RequestClass.Access.WRITE
+                    ? RequestClass.Effect.values()[1 + random.nextInt(2)]
+                    : RequestClass.Effect.SAFE;
+            long aim = (long) ((300 + random.nextInt(900)) * MS * scale * (access == RequestClass.Access.ANY ? 4 : 1));
+            classes.add(new RequestClass(
                     "c" + i,
                     access,
                     (long) (aim * 2 * random.nextDouble()) + 50 * MS,
                     effect,
-                    KeyScope.GROUP,
+                    RequestClass.KeyScope.GROUP,
                     3 * SECOND,
                     aim,
                     aim * (2 + random.nextInt(4)),
@@ -220,10 +216,10 @@
     }
 
     void run() {
-        List<Routing.Member> members = all.stream().map(Box::member).toList();
+        List<Endpoint> members = all.stream().map(Box::member).toList();
         for (int i = 0; i < routers.size(); i++) {
-            give(i, new Routing.Members(ListForm.RESTORED, members));
-            give(i, new Routing.Members(ListForm.FULL, members));
+            give(i, new RouterEvent.EndpointUpdate(ListForm.RESTORED, members));
+            give(i, new RouterEvent.EndpointUpdate(ListForm.FULL, members));
         }
         for (int i = 0; i < 4; i++) {
             in((long) (length * (0.15 + 0.6 * random.nextDouble())), this::trouble);
@@ -241,7 +237,7 @@
         calls.values().forEach(c -> broken.add("answer: none for " + c.id));
     }
 
-    private void give(int router, Routing.Event event) {
+    private void give(int router, RouterEvent event) {
         routers.get(router).handle(now, event, action -> act(router, action));
     }
 
@@ -254,14 +250,14 @@
         c.cls = random.nextInt(classes.size());
         c.group = random.nextInt(groups);
         c.id = Integer.toString(asked++, 36);
-        Routing.RequestClass kind = classes.get(c.cls);
+        RequestClass kind = classes.get(c.cls);
         long wait = (long) (kind.deadlineMicros() * (0.4 + 0.6 * random.nextDouble()));
         long since = random.nextBoolean() ? 0 : (1 + random.nextInt(900)) * MS;
         c.came = now;
         c.expires = now + wait;
-        c.needs = kind.access() == Access.STRONG
+        c.needs = kind.access() == RequestClass.Access.STRONG
                 ? now
-                : kind.access() == Access.SESSION && since > 0 ? now - since : Long.MIN_VALUE;
+                : kind.access() == RequestClass.Access.SESSION && since > 0 ? now - since : Long.MIN_VALUE;
         calls.put(c.id, c);
         // Whoever keeps no answer rule is found by this: the final one is due with a little slack.
         in(wait + rules.answerSlackMicros() + MS, () -> {
@@ -271,7 +267,9 @@
             }
         });
         in((long) (-Math.log(1 - random.nextDouble()) / rate * SECOND), this::arrive);
-        give(c.router, new Routing.Request(c.id, c.cls, false, "s" + random.nextInt(50), since, c.group, wait));
+        give(
+                c.router,
+                new RouterEvent.RequestArrived(c.id, c.cls, false, "s" + random.nextInt(50), since, c.group, wait));
     }
 
     private void end(Call c) {
@@ -281,54 +279,58 @@
 
     // ---- what routers do ----
 
-    private void act(int router, Routing.Action action) {
-        if (action instanceof Routing.Send send) {
+    private void act(int router, RouterAction action) {
+        if (action instanceof RouterAction.StartAttempt send) {
             send(router, send);
-        } else if (action instanceof Routing.Refuse refuse) {
+        } else if (action instanceof RouterAction.Reject refuse) {
             Call c = calls.get(refuse.id());
             if (c == null || planted == Planted.ANSWER_KEPT_BACK && random.nextInt(4) == 0) {
                 return;
             }
-            Routing.RequestClass kind = classes.get(c.cls);
-            if (c.out != null || c.mayHaveRunSince != Long.MAX_VALUE && kind.effect() != Effect.SAFE) {
+            RequestClass kind = classes.get(c.cls);
+            if (c.out != null || c.mayHaveRunSince != Long.MAX_VALUE && kind.effect() != RequestClass.Effect.SAFE) {
                 broken.add("effect: refused though it may have run: " + c.id);
             }
             refused++;
             end(c);
-        } else if (action instanceof Routing.Fail fail) {
+        } else if (action instanceof RouterAction.Fail fail) {
             Call c = calls.get(fail.id());
             if (c != null) {
                 failed++;
                 end(c);
             }
-        } else if (action instanceof Routing.Probe probe) {
+        } else if (action instanceof RouterAction.CheckHealth probe) {
             Box b = boxes.get(probe.node());
             in(
                     2 * MS,
                     () -> give(
                             router,
                             b.up
-                                    ? new Routing.Probed(
+                                    ? new RouterEvent.HealthCheckEnded(
                                             b.id,
-                                            Ending.SERVED,
+                                            AttemptOutcome.SERVED,
                                             2 * MS,
                                             b.at(),
-                                            b.primary() ? Role.PRIMARY : Role.REPLICA)
-                                    : new Routing.Probed(
-                                            b.id, Ending.NOT_CONNECTED, 2 * MS, Routing.NO_POSITION, Role.UNKNOWN)));
-        } else if (action instanceof Routing.SetTimer timer) {
-            in(timer.delayMicros(), () -> give(router, new Routing.TimerFired(timer.handle())));
-        } else if (action instanceof Routing.Subscribe && random.nextInt(4) == 0) {
-            in(50 * MS, () -> give(router, new Routing.Members(ListForm.UNAVAILABLE, List.of())));
-        } else if (action instanceof Routing.Cancel cancel) {
+                                            b.primary() ? ServerRole.PRIMARY : ServerRole.REPLICA)
+                                    : new RouterEvent.HealthCheckEnded(
+                                            b.id,
+                                            AttemptOutcome.NOT_CONNECTED,
+                                            2 * MS,
+                                            LogPosition.UNKNOWN,
+                                            ServerRole.UNKNOWN)));
+        } else if (action instanceof RouterAction.SetTimer timer) {
+            in(timer.delayMicros(), () -> give(router, new RouterEvent.TimerFired(timer.handle())));
+        } else if (action instanceof RouterAction.WatchEndpoints && random.nextInt(4) == 0) {
+            in(50 * MS, () -> give(router, new RouterEvent.EndpointUpdate(ListForm.UNAVAILABLE, List.of())));
+        } else if (action instanceof RouterAction.CancelAttempt cancel) {
             Call c = calls.get(cancel.id());
             if (c != null && c.out != null) {
-                over(c.out, Ending.CANCELLED);
+                over(c.out, AttemptOutcome.CANCELLED);
             }
         }
     }
 
-    private void send(int router, Routing.Send send) {
+    private void send(int router, RouterAction.StartAttempt send) {
         Call c = calls.get(send.id());
         Box b = boxes.get(send.node());
         if (c == null || c.router != router) {
@@ -345,7 +347,7 @@
         Work w = new Work(c, c.tries - 1, b);
         c.out = w;
         long timeout = Math.min(c.expires - now, send.timeoutMicros() > 0 ? send.timeoutMicros() : Long.MAX_VALUE);
-        in(timeout, () -> over(w, Ending.TIMED_OUT));
+        in(timeout, () -> over(w, AttemptOutcome.TIMED_OUT));
         if (cold(b)) {
             b.sentWhileCold.add(now);
             checkCold(b);
@@ -358,9 +360,10 @@
         for (Box b : all) {
             boolean fits =
                     switch (planted) {
-                        case READ_FROM_ANY_REPLICA -> classes.get(c.cls).access() == Access.SESSION && !b.primary();
+                        case READ_FROM_ANY_REPLICA -> classes.get(c.cls).access() == RequestClass.Access.SESSION
+                                && !b.primary();
                         case COLD_ONE_FLOODED -> cold(b);
-                        default -> b.listed == Health.DRAINING;
+                        default -> b.listed == EndpointState.DRAINING;
                     };
             if (b.group == c.group && fits) {
                 return b;
@@ -370,23 +373,28 @@
     }
 
     private void check(Call c, Box b) {
-        Routing.RequestClass kind = classes.get(c.cls);
-        if (b.group != c.group || c.out != null || c.tries >= limits.attempts()) {
+        RequestClass kind = classes.get(c.cls);
+        if (b.group != c.group || c.out != null || c.tries >= limits.maxAttempts()) {
             broken.add("effect: another group, a second at a time, or one too many: " + c.id);
         }
         boolean mayHaveRun = c.mayHaveRunSince != Long.MAX_VALUE;
         if (mayHaveRun
-                && (kind.effect() == Effect.UNSAFE
-                        || kind.effect() == Effect.KEYED && now >= c.mayHaveRunSince + kind.keyTtlMicros())) {
+                && (kind.effect() == RequestClass.Effect.UNSAFE
+                        || kind.effect() == RequestClass.Effect.KEYED
+                                && now >= c.mayHaveRunSince + kind.keyTtlMicros())) {
             broken.add("effect: a repeat that may run twice: " + c.id);
         }
-        if (b.listed != Health.LIVE && now > b.toldLeaving + rules.drainGraceMicros()) {
+        if (b.listed != EndpointState.LIVE && now > b.toldLeaving + rules.drainGraceMicros()) {
             broken.add("drain: " + b.id + " was told to leave " + (now - b.toldLeaving) / MS + " ms ago");
         }
-        long need = kind.access() == Access.BOUNDED ? now - kind.boundMicros() : c.needs;
-        boolean read = kind.access() != Access.WRITE && kind.access() != Access.ANY;
+        long need = kind.access() == RequestClass.Access.BOUNDED ? now - kind.maxStalenessMicros() : c.needs;
+        boolean read = kind.access() != RequestClass.Access.WRITE && kind.access() != RequestClass.Access.ANY;
         boolean excused = !toldReplica.getOrDefault(c.router + b.id, Boolean.TRUE);
-        if (read && replication.check() == FreshnessCheck.SILENT && b.at() < need && !b.primary() && !excused) {
+        if (read
+                && replication.check() == RouterSettings.FreshnessCheck.SILENT
+                && b.at() < need
+                && !b.primary()
+                && !excused) {
             broken.add("stale: " + c.id + " at " + b.id + ", behind by " + (need - b.at()) / MS + " ms");
         }
     }
@@ -416,16 +424,18 @@
             return;
         }
         if (!b.up || b.life != w.life) {
-            over(w, Ending.NOT_CONNECTED);
+            over(w, AttemptOutcome.NOT_CONNECTED);
             return;
         }
-        Routing.RequestClass kind = classes.get(w.call.cls);
-        long need = kind.access() == Access.BOUNDED ? w.sent - kind.boundMicros() : w.call.needs;
-        boolean behind = replication.check() != FreshnessCheck.SILENT && kind.access() != Access.ANY && b.at() < need;
-        if (kind.access() == Access.WRITE ? !b.primary() : behind && !b.primary()) {
-            over(w, Ending.MISSED);
+        RequestClass kind = classes.get(w.call.cls);
+        long need = kind.access() == RequestClass.Access.BOUNDED ? w.sent - kind.maxStalenessMicros() : w.call.needs;
+        boolean behind = replication.check() != RouterSettings.FreshnessCheck.SILENT
+                && kind.access() != RequestClass.Access.ANY
+                && b.at() < need;
+        if (kind.access() == RequestClass.Access.WRITE ? !b.primary() : behind && !b.primary()) {
+            over(w, AttemptOutcome.MISSED);
         } else if (b.queue.size() > 40 * b.cores) {
-            over(w, Ending.TURNED_BACK);
+            over(w, AttemptOutcome.REJECTED);
         } else {
             b.queue.add(w);
             begin(b);
@@ -444,7 +454,7 @@
                     // One in a hundred answers gets lost, as on the users' worst days, and one is an error.
                     int luck = random.nextInt(100);
                     if (luck > 0) {
-                        over(w, luck == 1 ? Ending.ERROR : Ending.SERVED);
+                        over(w, luck == 1 ? AttemptOutcome.ERROR : AttemptOutcome.SERVED);
                     }
                     begin(b);
                 }
@@ -452,7 +462,7 @@
         }
     }
 
-    private void over(Work w, Ending ending) {
+    private void over(Work w, AttemptOutcome ending) {
         if (w.over) {
             return;
         }
@@ -462,31 +472,33 @@
             c.mayHaveRunSince = Math.min(c.mayHaveRunSince, w.sent);
         }
         c.out = c.out == w ? null : c.out;
-        boolean told = ending == Ending.SERVED
-                || ending == Ending.MISSED
-                || ending == Ending.TURNED_BACK
-                || ending == Ending.ERROR;
-        Role role = !told ? Role.UNKNOWN : w.box.primary() ? Role.PRIMARY : Role.REPLICA;
+        boolean told = ending == AttemptOutcome.SERVED
+                || ending == AttemptOutcome.MISSED
+                || ending == AttemptOutcome.REJECTED
+                || ending == AttemptOutcome.ERROR;
+        ServerRole role = !told ? ServerRole.UNKNOWN : w.box.primary() ? ServerRole.PRIMARY : ServerRole.REPLICA;
         if (told) {
-            toldReplica.put(c.router + w.box.id, role == Role.REPLICA);
+            toldReplica.put(c.router + w.box.id, role == ServerRole.REPLICA);
         }
-        boolean done = ending == Ending.SERVED && !c.over;
+        boolean done = ending == AttemptOutcome.SERVED && !c.over;
         if (done) {
             served++;
             end(c);
         }
         // A router that takes what may have run for what never did.
-        Ending heard = planted == Planted.REPEATED_WRITE && ending == Ending.TIMED_OUT ? Ending.NOT_CONNECTED : ending;
+        AttemptOutcome heard = planted == Planted.REPEATED_WRITE && ending == AttemptOutcome.TIMED_OUT
+                ? AttemptOutcome.NOT_CONNECTED
+                : ending;
         give(
                 c.router,
-                new Routing.Outcome(
+                new RouterEvent.AttemptEnded(
                         c.id,
                         w.number,
                         w.box.id,
                         heard,
                         now - w.sent,
                         c.over,
-                        told ? w.box.at() : Routing.NO_POSITION,
+                        told ? w.box.at() : LogPosition.UNKNOWN,
                         role));
     }
 
@@ -517,7 +529,7 @@
         b.busy = 0;
         List<Work> lost = new ArrayList<>(b.queue);
         b.queue.clear();
-        lost.forEach(w -> over(w, Ending.BROKEN));
+        lost.forEach(w -> over(w, AttemptOutcome.BROKEN));
         if (b.primary()) {
             in(SECOND, () -> elect(b));
         }
@@ -531,25 +543,25 @@
     }
 
     private void drain(Box b) {
-        tell(b, Health.DRAINING);
+        tell(b, EndpointState.DRAINING);
         if (b.primary()) {
             in(500 * MS, () -> elect(b));
         }
-        in(rules.drainGraceMicros() + 3 * SECOND, () -> tell(b, Health.LIVE));
+        in(rules.drainGraceMicros() + 3 * SECOND, () -> tell(b, EndpointState.LIVE));
     }
 
     private void elect(Box old) {
         all.stream()
-                .filter(x -> x.group == old.group && x != old && x.up && x.listed == Health.LIVE)
+                .filter(x -> x.group == old.group && x != old && x.up && x.listed == EndpointState.LIVE)
                 .findFirst()
                 .ifPresent(next -> primaries[old.group] = next);
     }
 
-    private void tell(Box b, Health health) {
-        b.toldLeaving = health == Health.LIVE ? Long.MAX_VALUE : Math.min(b.toldLeaving, now);
+    private void tell(Box b, EndpointState health) {
+        b.toldLeaving = health == EndpointState.LIVE ? Long.MAX_VALUE : Math.min(b.toldLeaving, now);
         b.listed = health;
         for (int i = 0; i < routers.size(); i++) {
-            give(i, new Routing.Members(ListForm.UPDATE, List.of(b.member())));
+            give(i, new RouterEvent.EndpointUpdate(ListForm.UPDATE, List.of(b.member())));
         }
     }
 }
--- a/simulator/src/main/java/lupinvalve/simulator/BatchReader.java
+++ b/simulator/src/main/java/lupinvalve/simulator/BatchReader.java
@@ -10,18 +10,25 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import lupinvalve.routing.Routing;
+import lupinvalve.routing.AttemptOutcome;
+import lupinvalve.routing.Endpoint;
+import lupinvalve.routing.EndpointState;
+import lupinvalve.routing.ListForm;
+import lupinvalve.routing.LogPosition;
+import lupinvalve.routing.RouterEvent;
+import lupinvalve.routing.RouterSettings;
+import lupinvalve.routing.ServerRole;
 
-/** Reads batches of the wire into {@link Routing} events. Keeps only what the wire itself refers back to. */
+/** Reads batches of the wire into {@link RouterEvent}s. Keeps only what the wire itself refers back to. */
 final class BatchReader {
     /** One batch: its clock and its events in order. */
     record Batch(long timeMicros, List<Addressed> news) {}
 
     /** An event for one router; {@code settings} is set for a start and {@code down} for an end. */
-    record Addressed(int who, Routing.Event event, long seed, Routing.Settings settings, boolean down) {}
+    record Addressed(int who, RouterEvent event, long seed, RouterSettings settings, boolean down) {}
 
     private static final JsonFactory JSON = new JsonFactory();
-    private final Map<Long, List<Routing.Member>> lists = new HashMap<>();
+    private final Map<Long, List<Endpoint>> lists = new HashMap<>();
     private final Map<Integer, Long> origins = new HashMap<>();
 
     Batch read(byte[] line, int length) {
@@ -80,7 +87,7 @@
             return;
         }
         int who = (int) at.whole("who");
-        Routing.Event event = null;
+        RouterEvent event = null;
         switch (kind) {
             case "UP" -> {
                 Fields env = at.object("env");
@@ -95,7 +102,7 @@
                 return;
             }
             case "ROSTER_CHANGE" -> event = listNews(at);
-            case "CALL" -> event = new Routing.Request(
+            case "CALL" -> event = new RouterEvent.RequestArrived(
                     at.text("rid"),
                     (int) at.whole("cls"),
                     at.flagOr("resent", false),
@@ -103,48 +110,48 @@
                     (long) Math.ceil(at.numberOr("last_write_ms", 0) * 1000),
                     (int) at.number("group_no"),
                     at.whole("expires_in_us"));
-            case "CANCELLED_BY_CLIENT" -> event = new Routing.ClientGone(at.text("rid"));
+            case "CANCELLED_BY_CLIENT" -> event = new RouterEvent.ClientDisconnected(at.text("rid"));
             case "OUTCOME" -> event = outcome(at, origins.getOrDefault(who, 0L));
             case "PROBED" -> event = probed(at, origins.getOrDefault(who, 0L));
-            case "WAKEUP" -> event = new Routing.TimerFired(at.whole("handle"));
-            case "HEARD" -> event = new Routing.PeerMessage((int) at.whole("author"), at.text("data"));
-            case "UNDER_WAY" -> event = new Routing.Streaming(at.text("rid"), (int) at.whole("seq_no"));
+            case "WAKEUP" -> event = new RouterEvent.TimerFired(at.whole("handle"));
+            case "HEARD" -> event = new RouterEvent.PeerMessage((int) at.whole("author"), at.text("data"));
+            case "UNDER_WAY" -> event = new RouterEvent.AnswerStarted(at.text("rid"), (int) at.whole("seq_no"));
             default -> throw new WireException("message " + kind + ": field msg names no known message");
         }
         news.add(new Addressed(who, event, 0, null, false));
     }
 
-    private Routing.Members listNews(Fields at) {
-        Routing.ListForm form =
+    private RouterEvent.EndpointUpdate listNews(Fields at) {
+        ListForm form =
                 switch (at.text("form")) {
-                    case "update" -> Routing.ListForm.UPDATE;
-                    case "replace" -> Routing.ListForm.FULL;
-                    case "restored" -> Routing.ListForm.RESTORED;
-                    case "unavailable" -> Routing.ListForm.UNAVAILABLE;
+                    case "update" -> ListForm.UPDATE;
+                    case "replace" -> ListForm.FULL;
+                    case "restored" -> ListForm.RESTORED;
+                    case "unavailable" -> ListForm.UNAVAILABLE;
                     default -> throw at.wrong("form", "is none of update, replace, restored, unavailable");
                 };
-        if (form == Routing.ListForm.UNAVAILABLE) {
-            return new Routing.Members(form, List.of());
+        if (form == ListForm.UNAVAILABLE) {
+            return new RouterEvent.EndpointUpdate(form, List.of());
         }
-        List<Routing.Member> members = lists.get(at.whole("list"));
+        List<Endpoint> members = lists.get(at.whole("list"));
         if (members == null) {
             throw at.wrong("list", "names no list defined before");
         }
-        return new Routing.Members(form, members);
+        return new RouterEvent.EndpointUpdate(form, members);
     }
 
-    private static List<Routing.Member> members(Fields at) {
-        List<Routing.Member> members = new ArrayList<>();
+    private static List<Endpoint> members(Fields at) {
+        List<Endpoint> members = new ArrayList<>();
         for (Object line : at.array("lines")) {
             Fields entry = at.inner("lines", line);
-            Routing.Health health =
+            EndpointState health =
                     switch (entry.text("health")) {
-                        case "live" -> Routing.Health.LIVE;
-                        case "quiescing" -> Routing.Health.DRAINING;
-                        case "dead" -> Routing.Health.GONE;
+                        case "live" -> EndpointState.LIVE;
+                        case "quiescing" -> EndpointState.DRAINING;
+                        case "dead" -> EndpointState.DEPARTED;
                         default -> throw entry.wrong("health", "is none of live, quiescing, dead");
                     };
-            members.add(new Routing.Member(
+            members.add(new Endpoint(
                     entry.text("node"),
                     (int) entry.whole("db"),
                     (int) entry.wholeOr("dc", 0),
@@ -155,48 +162,48 @@
         return members;
     }
 
-    private static Routing.Outcome outcome(Fields at, long origin) {
+    private static RouterEvent.AttemptEnded outcome(Fields at, long origin) {
         long stamp = at.wholeOr("stamp", 0);
         long place = stamp >> 2;
-        Routing.Role role =
+        ServerRole role =
                 switch ((int) (stamp & 3)) {
-                    case 1 -> Routing.Role.PRIMARY;
-                    case 2 -> Routing.Role.REPLICA;
-                    default -> Routing.Role.UNKNOWN;
+                    case 1 -> ServerRole.PRIMARY;
+                    case 2 -> ServerRole.REPLICA;
+                    default -> ServerRole.UNKNOWN;
                 };
-        return new Routing.Outcome(
+        return new RouterEvent.AttemptEnded(
                 at.text("rid"),
                 (int) at.whole("seq_no"),
                 at.text("node"),
                 ending(at),
                 at.whole("elapsed_us"),
                 at.flagOr("closed", false),
-                place == 0 ? Routing.NO_POSITION : origin + place * 1000,
+                place == 0 ? LogPosition.UNKNOWN : origin + place * 1000,
                 role);
     }
 
-    private static Routing.Probed probed(Fields at, long origin) {
+    private static RouterEvent.HealthCheckEnded probed(Fields at, long origin) {
         List<Object> stats = at.arrayOrEmpty("server_stats");
-        long position = Routing.NO_POSITION;
-        Routing.Role role = Routing.Role.UNKNOWN;
+        long position = LogPosition.UNKNOWN;
+        ServerRole role = ServerRole.UNKNOWN;
         if (stats.size() > 1 && stats.get(0) instanceof Number x0 && stats.get(1) instanceof Number x1) {
             position = origin + (long) Math.floor(x0.doubleValue() * 1_000_000);
-            role = x1.doubleValue() == 1 ? Routing.Role.PRIMARY : Routing.Role.REPLICA;
+            role = x1.doubleValue() == 1 ? ServerRole.PRIMARY : ServerRole.REPLICA;
         }
-        return new Routing.Probed(at.text("node"), ending(at), at.whole("elapsed_us"), position, role);
+        return new RouterEvent.HealthCheckEnded(at.text("node"), ending(at), at.whole("elapsed_us"), position, role);
     }
 
-    private static Routing.Ending ending(Fields at) {
+    private static AttemptOutcome ending(Fields at) {
         return switch (at.text("ending")) {
-            case "done" -> Routing.Ending.SERVED;
-            case "err" -> Routing.Ending.ERROR;
-            case "busy" -> Routing.Ending.TURNED_BACK;
-            case "etimedout" -> Routing.Ending.TIMED_OUT;
-            case "econnrefused" -> Routing.Ending.NOT_CONNECTED;
-            case "econnreset" -> Routing.Ending.BROKEN;
-            case "ecanceled" -> Routing.Ending.CANCELLED;
-            case "skipped" -> Routing.Ending.NOT_SENT;
-            case "enoent" -> Routing.Ending.MISSED;
+            case "done" -> AttemptOutcome.SERVED;
+            case "err" -> AttemptOutcome.ERROR;
+            case "busy" -> AttemptOutcome.REJECTED;
+            case "etimedout" -> AttemptOutcome.TIMED_OUT;
+            case "econnrefused" -> AttemptOutcome.NOT_CONNECTED;
+            case "econnreset" -> AttemptOutcome.BROKEN;
+            case "ecanceled" -> AttemptOutcome.CANCELLED;
+            case "skipped" -> AttemptOutcome.NOT_SENT;
+            case "enoent" -> AttemptOutcome.MISSED;
             default -> throw at.wrong("ending", "is no known ending");
         };
     }
--- a/simulator/src/main/java/lupinvalve/simulator/ReplyWriter.java
+++ b/simulator/src/main/java/lupinvalve/simulator/ReplyWriter.java
@@ -6,10 +6,10 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.util.function.Consumer;
-import lupinvalve.routing.Routing;
+import lupinvalve.routing.RouterAction;
 
 /** Writes the actions of one batch in the wire's words. */
-final class ReplyWriter implements Consumer<Routing.Action> {
+final class ReplyWriter implements Consumer<RouterAction> {
     private static final JsonFactory JSON = new JsonFactory();
     private final ByteArrayOutputStream bytes = new ByteArrayOutputStream(512);
     private final JsonGenerator out;
@@ -31,7 +31,7 @@
     }
 
     @Override
-    public void accept(Routing.Action action) {
+    public void accept(RouterAction action) {
         try {
             write(action);
         } catch (IOException e) {
@@ -39,43 +39,43 @@
         }
     }
 
-    private void write(Routing.Action action) throws IOException {
-        if (action instanceof Routing.Send send) {
+    private void write(RouterAction action) throws IOException {
+        if (action instanceof RouterAction.StartAttempt send) {
             begin("CALL_OUT");
             out.writeStringField("rid", send.id());
             out.writeNumberField("allow_for_us", send.timeoutMicros());
             out.writeStringField("node", send.node());
-        } else if (action instanceof Routing.Refuse refuse) {
+        } else if (action instanceof RouterAction.Reject refuse) {
             begin("TURN_AWAY");
             out.writeStringField("rid", refuse.id());
             out.writeNumberField("stay_away_us", refuse.retryAfterMicros());
-        } else if (action instanceof Routing.Fail fail) {
+        } else if (action instanceof RouterAction.Fail fail) {
             begin("END_FAILED");
             out.writeStringField("rid", fail.id());
-        } else if (action instanceof Routing.Cancel cancel) {
+        } else if (action instanceof RouterAction.CancelAttempt cancel) {
             begin("UNDO_SEND");
             out.writeStringField("rid", cancel.id());
             out.writeNumberField("seq_no", cancel.attempt());
-        } else if (action instanceof Routing.Probe probe) {
+        } else if (action instanceof RouterAction.CheckHealth probe) {
             begin("POLL");
             out.writeStringField("node", probe.node());
-        } else if (action instanceof Routing.CloseIdle close) {
+        } else if (action instanceof RouterAction.CloseIdleConnections close) {
             begin("RELEASE");
             out.writeStringField("node", close.node());
-        } else if (action instanceof Routing.Tell tell) {
+        } else if (action instanceof RouterAction.SendPeerMessage tell) {
             begin("SAY");
             out.writeNumberField("addressee", tell.to());
             out.writeStringField("data", tell.text());
-        } else if (action instanceof Routing.Subscribe subscribe) {
+        } else if (action instanceof RouterAction.WatchEndpoints subscribe) {
             begin("TAIL");
             out.writeBooleanField("active", subscribe.active());
-        } else if (action instanceof Routing.FetchList) {
+        } else if (action instanceof RouterAction.FetchEndpoints) {
             begin("REFRESH");
-        } else if (action instanceof Routing.SetTimer timer) {
+        } else if (action instanceof RouterAction.SetTimer timer) {
             begin("WAKE_AT");
             out.writeNumberField("delay_us", timer.delayMicros());
             out.writeNumberField("handle", timer.handle());
-        } else if (action instanceof Routing.Note note) {
+        } else if (action instanceof RouterAction.LogMessage note) {
             begin("JOURNAL_LINE");
             out.writeStringField("text", note.text());
         }
--- a/simulator/src/main/java/lupinvalve/simulator/SettingsReader.java
+++ b/simulator/src/main/java/lupinvalve/simulator/SettingsReader.java
@@ -4,7 +4,8 @@
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
-import lupinvalve.routing.Routing;
+import lupinvalve.routing.RequestClass;
+import lupinvalve.routing.RouterSettings;
 
 /** Reads the settings of a start; unknown ones are skipped. */
 public final class SettingsReader {
@@ -19,33 +20,33 @@
      *     says
      */
     public record Site(
-            Routing.Settings settings,
+            RouterSettings settings,
             long connectMicros,
             long keepaliveMicros,
             List<String> zones,
             double ratePerSecond) {
         /** The same with at most so many requests open. */
         public Site withOpen(long most) {
-            Routing.Settings s = settings;
-            Routing.Limits l = s.limits();
+            RouterSettings s = settings;
+            RouterSettings.SiteLimits l = s.limits();
             return new Site(
-                    new Routing.Settings(
-                            s.self(),
-                            s.routers(),
+                    new RouterSettings(
+                            s.instanceIndex(),
+                            s.instanceCount(),
                             s.zone(),
                             s.mustSubscribe(),
                             s.classes(),
-                            new Routing.Limits(
-                                    l.attempts(),
+                            new RouterSettings.SiteLimits(
+                                    l.maxAttempts(),
                                     l.parallelAttempts(),
                                     l.cancel(),
                                     l.probe(),
                                     l.retryAfter(),
                                     l.maxRetryAfterMicros(),
-                                    Math.min(l.openMost(), most)),
+                                    Math.min(l.maxOpenRequests(), most)),
                             s.rules(),
                             s.replication(),
-                            s.crossingPrice()),
+                            s.crossZonePrice()),
                     connectMicros,
                     keepaliveMicros,
                     zones,
@@ -63,13 +64,13 @@
         for (Object project : env.arrayOrEmpty("projects")) {
             rate += env.inner("projects", project).numberOr("quota_per_s", 0);
         }
-        Routing.Settings settings = read(env);
+        RouterSettings settings = read(env);
         return new Site(
                 settings,
                 time(limits, "connect_timeout_us", 250_000),
                 time(limits, "keepalive_us", 15_000_000),
                 zones,
-                rate / settings.routers());
+                rate / settings.instanceCount());
     }
 
     private static long time(Fields limits, String name, long other) {
@@ -85,18 +86,18 @@
         return (int) Math.max(Integer.MIN_VALUE, Math.min(Integer.MAX_VALUE, value));
     }
 
-    static Routing.Settings read(Fields env) {
+    static RouterSettings read(Fields env) {
         Fields limits = env.object("ceilings");
         Fields rules = env.object("guarantees");
         Fields family = env.object("specifics");
         try {
-            return new Routing.Settings(
+            return new RouterSettings(
                     count(env.whole("me")),
                     count(env.whole("n_instances")),
                     count(env.wholeOr("zone", 0)),
                     env.text("registry_mode").equals("subscribe"),
                     classes(env, family),
-                    new Routing.Limits(
+                    new RouterSettings.SiteLimits(
                             count(limits.whole("attempts_cap")),
                             limits.flagOr("parallel_tries", false),
                             limits.flagOr("may_cancel", false),
@@ -104,7 +105,7 @@
                             limits.flagOr("retry_after", false),
                             limits.wholeOr("max_retry_after_us", 0),
                             limits.wholeOr("max_open", Integer.MAX_VALUE)),
-                    new Routing.Rules(
+                    new RouterSettings.Rules(
                             rules.wholeOr("answer_slack_us", 0),
                             rules.whole("stop_sending_within_us"),
                             rules.wholeOr("ask_within_us", 0),
@@ -112,15 +113,15 @@
                             rules.whole("ramp_time_us"),
                             rules.number("fall_multiple"),
                             rules.whole("fall_us")),
-                    new Routing.Replication(check(family), family.wholeOr("wait_us", 0), tokens(family)),
+                    new RouterSettings.Replication(check(family), family.wholeOr("wait_us", 0), tokens(family)),
                     env.has("prices") ? env.object("prices").numberOr("cross_zone", 0) : 0);
         } catch (IllegalArgumentException e) {
             throw new WireException("message UP env: " + e.getMessage());
         }
     }
 
-    private static List<Routing.RequestClass> classes(Fields env, Fields family) {
-        List<Routing.RequestClass> classes = new ArrayList<>();
+    private static List<RequestClass> classes(Fields env, Fields family) {
+        List<RequestClass> classes = new ArrayList<>();
         List<Object> reads = family.array("class_read");
         List<Object> bounds = family.arrayOrEmpty("oldest_data_us");
         List<Object> entries = env.array("classes");
@@ -133,7 +134,7 @@
             if (!(bound instanceof Number number)) {
                 throw family.wrong("oldest_data_us", "holds an entry that is not a number");
             }
-            classes.add(new Routing.RequestClass(
+            classes.add(new RequestClass(
                     entry.text("name"),
                     access(family, reads.get(i)),
                     number.longValue(),
@@ -148,49 +149,49 @@
         return classes;
     }
 
-    private static Routing.Access access(Fields family, Object word) {
+    private static RequestClass.Access access(Fields family, Object word) {
         return switch (String.valueOf(word)) {
-            case "mutate" -> Routing.Access.WRITE;
-            case "strong" -> Routing.Access.STRONG;
-            case "causal" -> Routing.Access.SESSION;
-            case "lag_bound" -> Routing.Access.BOUNDED;
-            case "eventual" -> Routing.Access.ANY;
+            case "mutate" -> RequestClass.Access.WRITE;
+            case "strong" -> RequestClass.Access.STRONG;
+            case "causal" -> RequestClass.Access.SESSION;
+            case "lag_bound" -> RequestClass.Access.BOUNDED;
+            case "eventual" -> RequestClass.Access.ANY;
             default -> throw family.wrong("class_read", "holds an unknown kind of read");
         };
     }
 
-    private static Routing.Effect effect(Fields entry) {
+    private static RequestClass.Effect effect(Fields entry) {
         return switch (entry.text("effect")) {
-            case "safe" -> Routing.Effect.SAFE;
-            case "keyed" -> Routing.Effect.KEYED;
-            case "unsafe" -> Routing.Effect.UNSAFE;
+            case "safe" -> RequestClass.Effect.SAFE;
+            case "keyed" -> RequestClass.Effect.KEYED;
+            case "unsafe" -> RequestClass.Effect.UNSAFE;
             default -> throw entry.wrong("effect", "is none of safe, keyed, unsafe");
         };
     }
 
-    private static Routing.KeyScope scope(Fields entry) {
+    private static RequestClass.KeyScope scope(Fields entry) {
         String word = entry.textOrNull("group");
         return switch (word == null ? "all" : word) {
-            case "all" -> Routing.KeyScope.ALL;
-            case "zone" -> Routing.KeyScope.ZONE;
-            case "cell" -> Routing.KeyScope.GROUP;
+            case "all" -> RequestClass.KeyScope.ALL;
+            case "zone" -> RequestClass.KeyScope.ZONE;
+            case "cell" -> RequestClass.KeyScope.GROUP;
             default -> throw entry.wrong("group", "is none of all, zone, cell");
         };
     }
 
-    private static Routing.FreshnessCheck check(Fields family) {
+    private static RouterSettings.FreshnessCheck check(Fields family) {
         return switch (family.text("server_checks")) {
-            case "silent" -> Routing.FreshnessCheck.SILENT;
-            case "bounce" -> Routing.FreshnessCheck.BOUNCE;
-            case "await" -> Routing.FreshnessCheck.AWAIT;
+            case "silent" -> RouterSettings.FreshnessCheck.SILENT;
+            case "bounce" -> RouterSettings.FreshnessCheck.BOUNCE;
+            case "await" -> RouterSettings.FreshnessCheck.AWAIT;
             default -> throw family.wrong("server_checks", "is none of silent, bounce, await");
         };
     }
 
-    private static Routing.TokenSource tokens(Fields family) {
+    private static RouterSettings.TokenSource tokens(Fields family) {
         return switch (family.text("session_marks")) {
-            case "brought" -> Routing.TokenSource.CARRIED;
-            case "kept" -> Routing.TokenSource.REMEMBERED;
+            case "brought" -> RouterSettings.TokenSource.CARRIED;
+            case "kept" -> RouterSettings.TokenSource.REMEMBERED;
             default -> throw family.wrong("session_marks", "is neither brought nor kept");
         };
     }
--- a/statemachine/src/main/java/lupinvalve/statemachine/Change.java
+++ b/statemachine/src/main/java/lupinvalve/statemachine/Change.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import lupinvalve.routing.Routing;
+import lupinvalve.routing.Endpoint;
 
 /** One step of the agreed history. What time it was is in the change: members must come to the same state. */
 public sealed interface Change {
@@ -22,8 +22,8 @@
         }
     }
 
-    /** A db node as a pooler last knew it; {@code position} is {@link Routing#NO_POSITION} where none was told. */
-    record Listed(Routing.Member member, Map<String, String> addresses, long position) {
+    /** A db node as a pooler last knew it; {@code position} is {@link LogPosition#UNKNOWN} where none was told. */
+    record Listed(Endpoint member, Map<String, String> addresses, long position) {
         public Listed {
             addresses = Map.copyOf(addresses);
         }
--- a/statemachine/src/main/java/lupinvalve/statemachine/Encoding.java
+++ b/statemachine/src/main/java/lupinvalve/statemachine/Encoding.java
@@ -6,7 +6,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import lupinvalve.routing.Routing;
+import lupinvalve.routing.Endpoint;
+import lupinvalve.routing.EndpointState;
 
 /** Changes and snapshots as bytes. The first number says which change; snapshots begin with the format's version. */
 public final class Encoding {
@@ -98,13 +99,13 @@
     private static void listing(Cbor.Out out, Change.Listing listing) {
         out.number(listing.revision()).number(listing.nodes().size());
         for (Change.Listed listed : listing.nodes()) {
-            Routing.Member m = listed.member();
+            Endpoint m = listed.member();
             out.text(m.node())
                     .number(m.group())
                     .number(m.zone())
-                    .number(m.health().ordinal())
+                    .number(m.state().ordinal())
                     .flag(m.listedPrimary())
-                    .number(m.bornMicros())
+                    .number(m.startedAtMicros())
                     .number(listed.position())
                     .number(listed.addresses().size());
             new TreeMap<>(listed.addresses())
@@ -116,9 +117,9 @@
         long revision = in.number();
         int count = in.count(Ledger.LISTED_MOST);
         List<Change.Listed> nodes = new ArrayList<>();
-        Routing.Health[] healths = Routing.Health.values();
+        EndpointState[] healths = EndpointState.values();
         for (int i = 0; i < count; i++) {
-            Routing.Member m = new Routing.Member(
+            Endpoint m = new Endpoint(
                     in.text(),
                     (int) in.number(),
                     (int) in.number(),
--- a/statemachine/src/test/java/lupinvalve/statemachine/LedgerTest.java
+++ b/statemachine/src/test/java/lupinvalve/statemachine/LedgerTest.java
@@ -13,7 +13,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
-import lupinvalve.routing.Routing;
+import lupinvalve.routing.Endpoint;
+import lupinvalve.routing.EndpointState;
+import lupinvalve.routing.LogPosition;
 import org.junit.jupiter.api.Test;
 
 class LedgerTest {
@@ -37,9 +39,9 @@
             case 4 -> new Change.Listing(
                     random.nextInt(50),
                     List.of(new Change.Listed(
-                            new Routing.Member("db-1", 1, 0, Routing.Health.DRAINING, random.nextBoolean(), now),
+                            new Endpoint("db-1", 1, 0, EndpointState.DRAINING, random.nextBoolean(), now),
                             Map.of("pg", "127.0.0.1:1", "mysql", "127.0.0.1:2"),
-                            random.nextBoolean() ? Routing.NO_POSITION : now)));
+                            random.nextBoolean() ? LogPosition.UNKNOWN : now)));
             case 5 -> new Change.Place(
                     "m" + random.nextInt(3), random.nextInt(3) == 0 ? "" : "10.0.0.1:" + random.nextInt(9));
             default -> new Change.Nothing();
--- a/warmup/src/main/java/lupinvalve/warmup/ClientScript.java
+++ b/warmup/src/main/java/lupinvalve/warmup/ClientScript.java
@@ -9,11 +9,11 @@
 import java.util.concurrent.CountDownLatch;
 import lupinvalve.log.Log;
 import lupinvalve.net.Memory;
-import lupinvalve.routing.Routing;
+import lupinvalve.routing.RequestClass;
 
 /** A client that asks one thing after another, reads and writes of all classes in turn. */
 public final class ClientScript implements Memory.Peer {
-    private final List<Routing.RequestClass> classes;
+    private final List<RequestClass> classes;
     private final String name;
     private final int most;
     private final CountDownLatch left;
@@ -24,7 +24,7 @@
      * @param most how many requests it makes
      * @param left counts answers down
      */
-    public ClientScript(List<Routing.RequestClass> classes, String name, int most, CountDownLatch left) {
+    public ClientScript(List<RequestClass> classes, String name, int most, CountDownLatch left) {
         this.classes = classes;
         this.name = name;
         this.most = most;
@@ -65,8 +65,8 @@
     }
 
     private byte[] query() throws IOException {
-        Routing.RequestClass kind = classes.get(asked % classes.size());
-        String head = kind.access() == Routing.Access.WRITE
+        RequestClass kind = classes.get(asked % classes.size());
+        String head = kind.access() == RequestClass.Access.WRITE
                 ? "INSERT INTO rows (handle, blob) VALUES ('k" + asked % 20 + "', '\\x9f') RETURNING blob"
                 : "SELECT blob FROM rows WHERE handle = 'k" + asked % 20 + "'";
         byte[] text = (head + " /* id=" + name + "-" + asked++ + ",c=" + kind.name() + ",t=a,d="
