--- a/capacity/src/main/java/lupinvalve/capacity/PositionFigures.java
+++ b/capacity/src/main/java/lupinvalve/capacity/PositionFigures.java
@@ -29,7 +29,7 @@
                 Unit.BYTES_PER_SECOND,
                 Basis.COMPUTED,
                 "`tokens = carried`",
-                "core/Marks.java"));
+                "core/SessionTokens.java"));
         Setting roaming = Setting.ALMATY;
         double least = d.statementsPerSecond() * roaming.writeShare() * roaming.roamsLeast();
         out.addAll(
--- a/capacity/src/main/java/lupinvalve/capacity/StateFigures.java
+++ b/capacity/src/main/java/lupinvalve/capacity/StateFigures.java
@@ -42,7 +42,7 @@
                         Unit.CORES,
                         Basis.COMPUTED,
                         "`lab store-cost`, docs/replicated-log.md: an upper bound",
-                        "core/Loop.java"),
+                        "core/EventLoop.java"),
                 Figure.of(
                                 "control member: poolers that follow it, where all three are up",
                                 watched,
--- a/capacity/src/test/java/lupinvalve/capacity/CodeFactsTest.java
+++ b/capacity/src/test/java/lupinvalve/capacity/CodeFactsTest.java
@@ -89,7 +89,7 @@
         String list = "{\"revision\":1,\"complete\":true,\"members\":[" + entry + "]}";
         ListReader.Listed read =
                 new ListReader(List.of("region-1-zone-b"), null).read(list.getBytes(UTF_8), 0, list.length());
-        assertEquals(EndpointState.LIVE, read.entries().get(0).member().state());
+        assertEquals(EndpointState.LIVE, read.entries().get(0).endpoint().state());
         assertEquals(CodeFacts.LIST_ENTRY, entry.length() + 1, "entry and comma");
     }
 }
--- a/config/src/test/java/lupinvalve/config/NodeConfigTest.java
+++ b/config/src/test/java/lupinvalve/config/NodeConfigTest.java
@@ -51,7 +51,7 @@
                         "\"members\": [{\"id\": \"s-1\", \"host_port\": \"127.0.0.1:1\", \"locality\": \"south\","
                                 + " \"cell\": 1, \"phase\": \"in_service\", \"up_since_ms\": 0}]");
         NodeConfig config = NodeConfig.read(Files.writeString(folder.resolve("config.json"), text), null);
-        assertEquals(1, config.known().entries().get(0).member().zone());
+        assertEquals(1, config.known().entries().get(0).endpoint().zone());
     }
 
     @Test
--- a/core/src/main/java/lupinvalve/core/Backend.java
+++ b/core/src/main/java/lupinvalve/core/Backend.java
@@ -1,31 +1,32 @@
 package lupinvalve.core;
 
-/** Carries attempts and probes to db nodes over one protocol. Called by the core thread. */
+/** Carries attempts and health checks to db nodes over one protocol. Called by the core thread. */
 public interface Backend {
-    /** Where an answer that is passed on in pieces comes from. */
-    interface Source {
-        /** Whether reading it waits; the core thread may call it with either, any number of times. */
-        void hold(boolean wait);
+    /** The connection that a streamed answer comes from. */
+    interface StreamSource {
+        /** Stops or resumes reading from it; for the core thread, may be called with either any number of times. */
+        void pauseReading(boolean paused);
     }
 
     /**
-     * Starts an attempt; its end comes through {@link Pooler#ended}.
+     * Starts an attempt; its end comes through {@link Pooler#attemptEnded}.
      *
-     * @param statement what the protocol's front made of the request
-     * @param waitMicros how long the pooler will wait
-     * @param wantedMicros for how long the db node may begin it, which it is told
+     * @param attempt handle of the attempt
+     * @param statement what the protocol's frontend made of the request
+     * @param timeoutMicros how long the pooler will wait
+     * @param startWithinMicros for how long the db node may start it, which it is notified of
      */
-    void send(long attempt, String node, String address, Object statement, long waitMicros, long wantedMicros);
+    void send(long attempt, String node, String address, Object statement, long timeoutMicros, long startWithinMicros);
 
-    /** Stops waiting for an attempt and closes its connection; true where its request may have left. */
+    /** Stops waiting for an attempt and closes its connection; true where its request may have been sent. */
     boolean abandon(long attempt);
 
     /** Whether the attempt waits for its connection: nothing of it has been handed to a socket. */
-    boolean waits(long attempt);
+    boolean isAwaitingConnection(long attempt);
 
-    /** Asks a db node for its report; the end comes through {@link Pooler#probed}. */
-    void probe(String node, String address);
+    /** Requests a db node's load report; the end comes through {@link Pooler#healthCheckEnded}. */
+    void checkHealth(String node, String address);
 
     /** Closes idle connections to a db node. */
-    void closeIdle(String node);
+    void closeIdleConnections(String node);
 }
--- /dev/null
+++ b/core/src/main/java/lupinvalve/core/EndpointListDiff.java
@@ -0,0 +1,55 @@
+package lupinvalve.core;
+
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.List;
+import java.util.Locale;
+import java.util.Map;
+import lupinvalve.routing.Endpoint;
+
+/** Describes in a few words what an endpoint list event changes, for the log. Without I/O. */
+final class EndpointListDiff {
+    private static final int NAMED_COUNT = 8;
+
+    private EndpointListDiff() {}
+
+    /**
+     * The db nodes that change, a few of them by name.
+     *
+     * @param current the endpoint list so far, by id
+     * @param next the endpoints that the event names
+     * @param unlisted ids that a complete list names no longer
+     */
+    static String describe(
+            Map<String, DiscoveredEndpoint> current, Collection<DiscoveredEndpoint> next, Collection<String> unlisted) {
+        List<String> changes = new ArrayList<>();
+        for (DiscoveredEndpoint discovered : next) {
+            String change = change(current.get(discovered.endpoint().node()), discovered);
+            if (change != null) {
+                changes.add(discovered.endpoint().node() + " " + change);
+            }
+        }
+        unlisted.forEach(node -> changes.add(node + " unlisted"));
+        if (changes.isEmpty()) {
+            return "nothing changed";
+        }
+        String named = String.join(", ", changes.subList(0, Math.min(NAMED_COUNT, changes.size())));
+        return changes.size() > NAMED_COUNT ? named + " and " + (changes.size() - NAMED_COUNT) + " more" : named;
+    }
+
+    /** What changes of one db node, or null. */
+    private static String change(DiscoveredEndpoint current, DiscoveredEndpoint next) {
+        Endpoint endpoint = next.endpoint();
+        String state = endpoint.state().name().toLowerCase(Locale.ROOT);
+        if (current == null) {
+            return "new " + state;
+        }
+        if (current.endpoint().state() != endpoint.state()) {
+            return state;
+        }
+        if (current.endpoint().startedAtMicros() != endpoint.startedAtMicros()) {
+            return "restarted";
+        }
+        return current.addresses().equals(next.addresses()) ? null : "moved";
+    }
+}
--- a/core/src/main/java/lupinvalve/core/Positions.java
+++ b/core/src/main/java/lupinvalve/core/LogPositionParser.java
@@ -5,29 +5,30 @@
 import lupinvalve.log.RepeatedWarnings;
 import lupinvalve.routing.LogPosition;
 
-/** Positions of the replication log as db nodes word them: Unix time in some unit. */
-public final class Positions {
+/** Parses log positions as db nodes write them: Unix time in some unit. Any thread. */
+public final class LogPositionParser {
     private static final Pattern NUMBER = Pattern.compile("[0-9]{1,15}(\\.[0-9]{1,12})?");
     /** A commit is rounded up, and clocks agree; what lies further ahead is no position. */
-    private static final long AHEAD = 1_000_000;
+    private static final long MAX_AHEAD_MICROS = 1_000_000;
 
     private static final RepeatedWarnings IMPOSSIBLE = new RepeatedWarnings();
 
-    private Positions() {}
+    private LogPositionParser() {}
 
     /**
-     * Reads a position. Guards against figures that can't be one: a position never goes back, so a spoilt one that lies
-     * in the future would make its db node look fresh for good.
+     * Parses a position. Rejects figures that can't be one: a position never goes back, so a corrupt one that lies in
+     * the future would make its db node look fresh for good.
      *
      * @param digits how many decimal places the unit lies before microseconds
+     * @param nowMicros Unix time
      * @return microseconds, or {@link LogPosition#UNKNOWN}
      */
-    public static long read(String text, int digits, long now) {
+    public static long parse(String text, int digits, long nowMicros) {
         if (!NUMBER.matcher(text).matches()) {
             return LogPosition.UNKNOWN;
         }
         long micros = new BigDecimal(text).movePointRight(digits).longValue();
-        if (micros > now + AHEAD) {
+        if (micros > nowMicros + MAX_AHEAD_MICROS) {
             IMPOSSIBLE.warn(
                     "a db node's position lies over 1 s ahead of this machine's wall clock and is not taken: spoilt, or one of the clocks is wrong");
             return LogPosition.UNKNOWN;
--- a/core/src/main/java/lupinvalve/core/Pooler.java
+++ b/core/src/main/java/lupinvalve/core/Pooler.java
@@ -6,12 +6,14 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.function.BooleanSupplier;
 import lupinvalve.log.Log;
-import lupinvalve.maintenance.Drain;
-import lupinvalve.maintenance.Figures;
-import lupinvalve.maintenance.Maintenance;
+import lupinvalve.maintenance.ClientDrain;
+import lupinvalve.maintenance.DrainCommands;
+import lupinvalve.maintenance.DrainedEndpoints;
+import lupinvalve.maintenance.Metrics;
 import lupinvalve.routing.AttemptOutcome;
 import lupinvalve.routing.Endpoint;
 import lupinvalve.routing.EndpointState;
@@ -40,63 +42,10 @@
     /** How long what happens to requests is counted before the log tells of it. */
     private static final long SUMMARY_PERIOD = 5_000_000;
 
-    /**
-     * What a front asks.
-     *
-     * @param id the client's name for it, which no other open request has
-     * @param afterMicros position that a read must see, carried by the client; 0 for none
-     * @param arrivedMicros when its last byte came
-     * @param expiresMicros when the client stops waiting
-     * @param protocol name of the backend that can carry the statement
-     */
-    public record Ask(
-            String id,
-            int classIndex,
-            boolean repeated,
-            String session,
-            long afterMicros,
-            int group,
-            long arrivedMicros,
-            long expiresMicros,
-            String protocol,
-            Object statement) {
-        /** How long the client said that it would wait. */
-        long waitMicros() {
-            return expiresMicros - arrivedMicros;
-        }
-    }
-
-    /** A db node as it is known here; its role is the one that it has shown. */
-    public record Known(Directory.Entry entry, long position) {}
-
-    /**
-     * One process of a db node. A restart, another address, or a return to the list make another one of the same id;
-     * connections belong to the one that they were opened to.
-     */
-    public static final class Instance {
-        private final Map<String, String> addresses;
-        private final long bornMicros;
-
-        private Instance(Directory.Entry entry) {
-            addresses = entry.addresses();
-            bornMicros = entry.member().startedAtMicros();
-        }
-
-        private boolean is(Directory.Entry entry) {
-            return addresses.equals(entry.addresses())
-                    && bornMicros >= entry.member().startedAtMicros();
-        }
-
-        /** Whether a connection to this one leads to the other: a restart binds those that were opened before it. */
-        private boolean leadsTo(Instance other, long openedAt) {
-            return this == other || other != null && addresses.equals(other.addresses) && openedAt >= other.bornMicros;
-        }
-    }
-
     private static final class Held {
-        final Front front;
+        final Frontend front;
         final long ticket;
-        final Ask ask;
+        final ClientRequest ask;
         final long expires;
         String id;
         long handle, token;
@@ -104,13 +53,13 @@
         long firstSent;
         Attempt out;
         boolean answered, served;
-        Deadlines.Deadline overtime;
+        TimerQueue.Timer overtime;
         /** The attempt whose answer is being passed on, and the pieces so far. */
         Attempt passing;
 
         long pieces;
 
-        Held(Front front, long ticket, Ask ask, long expires) {
+        Held(Frontend front, long ticket, ClientRequest ask, long expires) {
             this.front = front;
             this.ticket = ticket;
             this.ask = ask;
@@ -124,7 +73,7 @@
         final String node;
         final long sentAt;
         long handle;
-        Deadlines.Deadline timeout;
+        TimerQueue.Timer timeout;
 
         Attempt(Held of, int number, String node, long sentAt) {
             this.of = of;
@@ -134,59 +83,59 @@
         }
     }
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final RouterSettings settings;
     private final Map<String, Backend> backends = new java.util.LinkedHashMap<>();
     /** The list as discovery tells it, and the processes of those of its db nodes that may be used. */
-    private final Map<String, Directory.Entry> listing = new HashMap<>();
+    private final Map<String, DiscoveredEndpoint> listing = new HashMap<>();
 
-    private final Map<String, Instance> instances = new HashMap<>();
+    private final Map<String, EndpointInstance> instances = new HashMap<>();
     /** Since when db nodes that are still listed have been told as leaving. */
     private final Map<String, Long> leaving = new HashMap<>();
 
-    private final Maintenance maintenance;
-    private final Map<String, Maintenance.Orders> ordersBy = new HashMap<>();
-    private final Drain drain = new Drain();
-    private final Figures figures;
-    private final FirstWord firstWord = new FirstWord();
+    private final DrainedEndpoints maintenance;
+    private final Map<String, DrainCommands> ordersBy = new HashMap<>();
+    private final ClientDrain drain = new ClientDrain();
+    private final Metrics figures;
+    private final DiscoveryReadiness firstWord = new DiscoveryReadiness();
     /** Whether this pooler may act on what it knows; null where that right can't end. */
     private BooleanSupplier fence;
 
     private final Map<String, Held> byId = new HashMap<>();
     private final Set<String> named = new HashSet<>();
-    private final Slots<Held> requests = new Slots<>(MOST);
-    private final Slots<Attempt> attempts = new Slots<>(MOST);
+    private final HandleTable<Held> requests = new HandleTable<>(MOST);
+    private final HandleTable<Attempt> attempts = new HandleTable<>(MOST);
     private final ArrayDeque<RouterEvent> events = new ArrayDeque<>();
-    private Directory directory;
-    private Marks marks = Marks.NONE;
+    private EndpointDiscovery directory;
+    private SessionTokens marks = SessionTokens.NONE;
     private Router router;
     private final RequestSummary summary = new RequestSummary();
     private boolean summaryDue;
     private boolean handling;
     private long lastAnswer = Long.MAX_VALUE;
 
-    public Pooler(Loop loop, RouterSettings settings) {
+    public Pooler(EventLoop loop, RouterSettings settings) {
         this.loop = loop;
         this.settings = settings;
-        maintenance = new Maintenance(settings.rules().warmUpMicros());
+        maintenance = new DrainedEndpoints(settings.rules().warmUpMicros());
         figures =
-                new Figures(settings.classes().stream().map(RequestClass::name).toList());
+                new Metrics(settings.classes().stream().map(RequestClass::name).toList());
     }
 
-    public Drain drain() {
+    public ClientDrain clientDrain() {
         return drain;
     }
 
-    public Figures figures() {
+    public Metrics metrics() {
         return figures;
     }
 
     /** Discovery's first word to this process, or its refusal; from any thread. */
-    public FirstWord firstWord() {
+    public DiscoveryReadiness discoveryReadiness() {
         return firstWord;
     }
 
-    public Loop loop() {
+    public EventLoop loop() {
         return loop;
     }
 
@@ -195,11 +144,11 @@
     }
 
     /** Adds a protocol to db nodes; before {@link #start}. */
-    public void backend(String protocol, Backend backend) {
+    public void addBackend(String protocol, Backend backend) {
         backends.put(protocol, backend);
     }
 
-    public void directory(Directory source) {
+    public void discovery(EndpointDiscovery source) {
         directory = source;
     }
 
@@ -215,15 +164,15 @@
         return fence != null && !fence.getAsBoolean();
     }
 
-    public void marks(Marks memory) {
+    public void sessionTokens(SessionTokens memory) {
         marks = memory;
     }
 
     /** Starts the router; the list it had last comes first, as restored. */
-    public void start(long seed, List<Directory.Entry> known) {
+    public void start(long seed, List<DiscoveredEndpoint> known) {
         List<RouterAction> first = new ArrayList<>();
         router = new Router(seed, settings, loop.now(), first::add);
-        listed(new Directory.News(ListForm.RESTORED, known));
+        onEndpointListEvent(new EndpointListEvent(ListForm.RESTORED, known));
         first.forEach(this::perform);
     }
 
@@ -231,14 +180,14 @@
      * Publishes, from now on, the figures that follow from time as well as from events. Only for poolers that operators
      * can ask: those of a fleet each pay for what nobody reads. Once started; core thread only.
      */
-    public void count() {
+    public void publishMetrics() {
         int avoided = 0;
-        for (Directory.Entry entry : listing.values()) {
-            String node = entry.member().node();
-            avoided += maintenance.isOut(node) || router.avoids(node) ? 1 : 0;
+        for (DiscoveredEndpoint entry : listing.values()) {
+            String node = entry.endpoint().node();
+            avoided += maintenance.isDrained(node) || router.avoids(node) ? 1 : 0;
         }
-        figures.servers(listing.size(), avoided);
-        loop.after(COUNT_PACE, this::count);
+        figures.setServers(listing.size(), avoided);
+        loop.after(COUNT_PACE, this::publishMetrics);
     }
 
     // ---- what happens ----
@@ -247,26 +196,26 @@
      * Whether a request of this name is open. Guards it against strangers: another with its name is not sent on, since
      * db nodes would take the two for one.
      */
-    public boolean named(String id) {
+    public boolean hasOpenRequest(String id) {
         return named.contains(id);
     }
 
     /** Takes a request; its ticket returns with the one final answer. Gives a handle for {@link #gone}. */
-    public long request(Front front, long ticket, Ask ask) {
-        if (requests.full() || fenced()) {
-            figures.ended(ask.classIndex(), Figures.End.REFUSED);
-            front.refused(ticket, settings.limits().maxRetryAfterMicros());
-            return -1;
+    public long submit(Frontend front, long ticket, ClientRequest ask) {
+        if (requests.isFull() || fenced()) {
+            figures.requestEnded(ask.classIndex(), Metrics.Result.REJECTED);
+            front.rejected(ticket, settings.limits().maxRetryAfterMicros());
+            return HandleTable.NO_HANDLE;
         }
-        Held held = new Held(front, ticket, ask, Math.min(ask.expiresMicros(), lastAnswer));
+        Held held = new Held(front, ticket, ask, Math.min(ask.expiresAtMicros(), lastAnswer));
         held.handle = requests.put(held);
         held.id = Long.toHexString(held.handle);
         byId.put(held.id, held);
         named.add(ask.id());
-        figures.inFlight(requests.size());
+        figures.setInFlight(requests.size());
         long now = loop.now();
         long left = held.expires - now;
-        long after = ask.afterMicros();
+        long after = ask.tokenMicros();
         long marked = ask.session() == null ? 0 : marks.lastCommit(ask.session());
         if (marked > after && access(held) == RequestClass.Access.SESSION) {
             held.token = marked;
@@ -280,20 +229,20 @@
                 new RouterEvent.RequestArrived(
                         held.id,
                         ask.classIndex(),
-                        ask.repeated(),
+                        ask.retry(),
                         ask.session(),
                         age,
                         ask.group(),
                         left,
-                        ask.waitMicros()));
+                        ask.timeoutMicros()));
         return held.handle;
     }
 
     /** The client of a request has gone. */
-    public void gone(long handle) {
+    public void clientDisconnected(long handle) {
         Held held = requests.get(handle);
         if (held != null && held.passing != null) {
-            attempts.free(held.passing.handle);
+            attempts.remove(held.passing.handle);
             backends.get(held.ask.protocol()).abandon(held.passing.handle);
             close(held, "left", null);
         } else if (held != null && !held.answered) {
@@ -310,40 +259,33 @@
 
     /** Takes back an attempt that waits for its connection, of a request that is over. */
     private void withdraw(Held held) {
-        if (held.out != null && backends.get(held.ask.protocol()).waits(held.out.handle)) {
+        if (held.out != null && backends.get(held.ask.protocol()).isAwaitingConnection(held.out.handle)) {
             abandon(held.out, AttemptOutcome.CANCELLED);
         }
     }
 
-    /** What is to be done with a long answer that has begun to come. */
-    public enum Pass {
-        ON,
-        KEEP,
-        DROP
-    }
-
     /**
      * A long answer has begun to come. Where it is passed on, the router hears that the request was served: an answer
      * counts from its first bytes, and how long its client takes for the rest tells nothing of the db node.
      */
-    public Pass begins(long handle, Object first, Backend.Source source) {
+    public StreamDecision answerStarted(long handle, Object first, Backend.StreamSource source) {
         Attempt a = attempts.get(handle);
         if (a == null || a.of.answered || a.of.passing != null) {
-            return Pass.DROP;
+            return StreamDecision.DROP;
         }
         Held held = a.of;
         // What an answer tells at its end must be known first where it decides: whether the read is fresh enough, or
         // which token the session gets where this pooler keeps it.
         boolean keepsToken =
-                marks != Marks.NONE || settings.replication().tokens() == RouterSettings.TokenSource.REMEMBERED;
+                marks != SessionTokens.NONE || settings.replication().tokens() == RouterSettings.TokenSource.REMEMBERED;
         if (held.token > 0 || keepsToken && access(held) == RequestClass.Access.WRITE) {
-            return Pass.KEEP;
+            return StreamDecision.BUFFER;
         }
         held.passing = a;
-        loop.drop(a.timeout);
-        loop.drop(held.overtime);
+        loop.cancel(a.timeout);
+        loop.cancel(held.overtime);
         watch(held, 0);
-        held.front.begins(held.ticket, first, source);
+        held.front.answerStarted(held.ticket, first, source);
         if (!held.answered) {
             feed(new RouterEvent.AttemptEnded(
                     held.id,
@@ -355,15 +297,15 @@
                     LogPosition.UNKNOWN,
                     ServerRole.UNKNOWN));
         }
-        return Pass.ON;
+        return StreamDecision.PASS_ON;
     }
 
     /** A further piece of an answer that is passed on. */
-    public void more(long handle, byte[] piece) {
+    public void answerChunk(long handle, byte[] piece) {
         Attempt a = attempts.get(handle);
         if (a != null && a.of.passing == a) {
             a.of.pieces++;
-            a.of.front.more(a.of.ticket, piece);
+            a.of.front.answerChunk(a.of.ticket, piece);
         }
     }
 
@@ -381,21 +323,21 @@
 
     private void passed(Held held, AttemptOutcome ending, Object rest, long position, ServerRole role) {
         boolean whole = ending == AttemptOutcome.SERVED;
-        close(held, whole ? "served" : "cut", whole ? Figures.End.SERVED : Figures.End.FAILED);
+        close(held, whole ? "served" : "cut", whole ? Metrics.Result.SERVED : Metrics.Result.FAILED);
         if (whole) {
             held.front.served(held.ticket, rest, position, role);
         } else {
-            held.front.cut(held.ticket);
+            held.front.answerAborted(held.ticket);
         }
     }
 
     /** An attempt has ended. The first served one is the request's final answer. */
-    public void ended(long handle, AttemptOutcome told, Object answer, long position, ServerRole role) {
-        Attempt a = attempts.free(handle);
+    public void attemptEnded(long handle, AttemptOutcome told, Object answer, long position, ServerRole role) {
+        Attempt a = attempts.remove(handle);
         if (a == null) {
             return;
         }
-        loop.drop(a.timeout);
+        loop.cancel(a.timeout);
         Held held = a.of;
         held.out = held.out == a ? null : held.out;
         if (held.passing == a) {
@@ -413,7 +355,7 @@
         if (ending == AttemptOutcome.SERVED) {
             Runnable serve = () -> {
                 if (!held.answered) {
-                    close(held, "served", Figures.End.SERVED);
+                    close(held, "served", Metrics.Result.SERVED);
                     held.front.served(held.ticket, answer, position, role);
                 }
             };
@@ -422,7 +364,7 @@
                     && position != LogPosition.UNKNOWN) {
                 // Its answer may wait until others know the token; the wait has a bound of its own.
                 held.served = true;
-                loop.drop(held.overtime);
+                loop.cancel(held.overtime);
                 marks.committed(held.ask.session(), position, serve);
             } else {
                 serve.run();
@@ -442,12 +384,13 @@
     }
 
     /** A probe has ended. */
-    public void probed(String node, AttemptOutcome ending, long elapsedMicros, long position, ServerRole role) {
+    public void healthCheckEnded(
+            String node, AttemptOutcome ending, long elapsedMicros, long position, ServerRole role) {
         feed(new RouterEvent.HealthCheckEnded(node, ending, elapsedMicros, position, role));
     }
 
     /** News of the list. */
-    public void listed(Directory.News news) {
+    public void onEndpointListEvent(EndpointListEvent news) {
         Set<String> unlisted = Set.of();
         boolean first = listing.isEmpty();
         if (news.form() == ListForm.UNAVAILABLE) {
@@ -455,56 +398,56 @@
         } else if (news.form() != ListForm.UPDATE) {
             // Each deploy brings new ids: those that have left must not pile up.
             Set<String> missing = new HashSet<>(listing.keySet());
-            news.entries().forEach(entry -> missing.remove(entry.member().node()));
+            news.endpoints().forEach(entry -> missing.remove(entry.endpoint().node()));
             for (String node : missing) {
-                maintenance.left(node, loop.now());
+                maintenance.endpointDeparted(node, loop.now());
                 listing.remove(node);
                 instances.remove(node);
             }
             unlisted = missing;
         }
         tellLog(news, first, unlisted);
-        for (Directory.Entry entry : news.entries()) {
-            if (entry.member().state() == EndpointState.DEPARTED) {
-                if (listing.remove(entry.member().node()) != null) {
-                    maintenance.left(entry.member().node(), loop.now());
+        for (DiscoveredEndpoint entry : news.endpoints()) {
+            if (entry.endpoint().state() == EndpointState.DEPARTED) {
+                if (listing.remove(entry.endpoint().node()) != null) {
+                    maintenance.endpointDeparted(entry.endpoint().node(), loop.now());
                 }
             } else {
-                listing.put(entry.member().node(), entry);
+                listing.put(entry.endpoint().node(), entry);
             }
         }
         tell(news);
-        unlisted.forEach(this::closeIdle);
+        unlisted.forEach(this::closeIdleConnections);
         if (news.form() == ListForm.FULL || news.form() == ListForm.UPDATE) {
-            firstWord.told();
+            firstWord.listReceived();
         }
     }
 
     /** Before the news is taken over. */
-    private void tellLog(Directory.News news, boolean first, Set<String> unlisted) {
+    private void tellLog(EndpointListEvent news, boolean first, Set<String> unlisted) {
         if (news.form() == ListForm.UNAVAILABLE) {
             return;
         }
-        String changes = first ? "the first" : ListChanges.text(listing, news.entries(), unlisted);
-        Log.info("list: %s of %d db nodes: %s", news.form(), news.entries().size(), changes);
+        String changes = first ? "the first" : EndpointListDiff.describe(listing, news.endpoints(), unlisted);
+        Log.info("list: %s of %d db nodes: %s", news.form(), news.endpoints().size(), changes);
     }
 
     /** Tells the router of entries as maintenance has them, and drops what leads to those that are gone. */
-    private void tell(Directory.News news) {
+    private void tell(EndpointListEvent news) {
         long now = loop.now();
         // What may have been told long ago has no time left; the same holds in the router's table.
         long told = Math.min(now, Math.max(now - settings.rules().drainGraceMicros(), news.notifiedSinceMicros()));
         List<Endpoint> members = new ArrayList<>();
         List<String> replaced = new ArrayList<>();
-        for (Directory.Entry entry : news.entries()) {
-            Endpoint m = maintenance.told(entry.member());
+        for (DiscoveredEndpoint entry : news.endpoints()) {
+            Endpoint m = maintenance.effective(entry.endpoint());
             members.add(m);
-            Instance known = instances.get(m.node());
+            EndpointInstance known = instances.get(m.node());
             if (m.state() == EndpointState.DEPARTED) {
                 instances.remove(m.node());
                 replaced.add(m.node());
-            } else if (known == null || !known.is(entry)) {
-                instances.put(m.node(), new Instance(entry));
+            } else if (known == null || !known.matches(entry)) {
+                instances.put(m.node(), new EndpointInstance(entry));
                 replaced.add(m.node());
             }
             if (m.state() == EndpointState.DRAINING) {
@@ -515,16 +458,16 @@
         }
         leaving.keySet().retainAll(instances.keySet());
         feed(now, new RouterEvent.EndpointUpdate(news.form(), members, told));
-        replaced.forEach(this::closeIdle);
+        replaced.forEach(this::closeIdleConnections);
     }
 
-    private void closeIdle(String node) {
-        backends.values().forEach(b -> b.closeIdle(node));
+    private void closeIdleConnections(String node) {
+        backends.values().forEach(b -> b.closeIdleConnections(node));
     }
 
     /** Why an operator's call to take a db node out or back can't be taken, or null. */
-    public String objection(boolean takeOut, String node) {
-        return maintenance.objection(takeOut, node, listing.containsKey(node), loop.now());
+    public Optional<String> drainRejection(boolean takeOut, String node) {
+        return maintenance.rejectionReason(takeOut, node, listing.containsKey(node), loop.now());
     }
 
     /**
@@ -532,68 +475,69 @@
      *
      * @param by which way they came: what is out by one of them is out
      */
-    public void maintain(String by, Maintenance.Orders orders) {
+    public void applyDrainCommands(String by, DrainCommands orders) {
         ordersBy.put(by, orders);
-        Maintenance.Orders all = ordersBy.values().stream().reduce(Maintenance.Orders.NONE, Maintenance.Orders::and);
-        List<Directory.Entry> changed = new ArrayList<>();
-        for (String node : maintenance.take(all, loop.now())) {
-            Log.info("db node %s: %s by hand", node, maintenance.isOut(node) ? "taken out" : "called back");
+        DrainCommands all = ordersBy.values().stream().reduce(DrainCommands.NONE, DrainCommands::union);
+        List<DiscoveredEndpoint> changed = new ArrayList<>();
+        for (String node : maintenance.apply(all, loop.now())) {
+            Log.info("db node %s: %s by hand", node, maintenance.isDrained(node) ? "taken out" : "called back");
             if (listing.containsKey(node)) {
                 changed.add(listing.get(node));
             }
         }
         if (router != null && !changed.isEmpty()) {
-            tell(new Directory.News(ListForm.UPDATE, changed));
+            tell(new EndpointListEvent(ListForm.UPDATE, changed));
         }
     }
 
     /** The program ends: requests that come from now on are answered by then. */
-    public void lastAnswer(long atMicros) {
+    public void answerBy(long atMicros) {
         lastAnswer = atMicros;
     }
 
     /**
-     * Whether what has waited for a connection to this process of a db node may no longer go out on it. When it was
-     * decided on, the process may not have been told to leave, its client was there, and the repeat or the age of data
-     * that it allows may have been in time; what counts is when the first byte goes out.
+     * Whether what has waited for a connection to this process of a db node may still go out on it. When it was decided
+     * on, the process may not have been told to leave, its client was there, and the repeat or the age of data that it
+     * allows may have been in time; what counts is when the first byte goes out.
      *
-     * @param attempt or -1 for a probe
+     * @param attempt or {@link HandleTable#NO_HANDLE} for a health check
      */
-    public boolean bars(String node, Instance opened, long openedAt, long attempt) {
+    public boolean maySend(String node, EndpointInstance opened, long openedAt, long attempt) {
         Long since = leaving.get(node);
         boolean closed = fenced()
-                || !leads(node, opened, openedAt)
+                || !isCurrentInstance(node, opened, openedAt)
                 || since != null && loop.now() >= since + settings.rules().drainGraceMicros() * 3 / 4;
         Attempt a = attempts.get(attempt);
-        return closed || a != null && (a.of.front.left(a.of.ticket) || !router.stands(a.of.id, loop.now()));
+        return !closed
+                && (a == null || !a.of.front.isClientDisconnected(a.of.ticket) && router.stands(a.of.id, loop.now()));
     }
 
     /**
      * Until when the first byte of what is decided now may go out to a db node: a departure that has been told
      * meanwhile binds by then, or one that is known.
      */
-    public long beginBy(String node) {
-        long known = Math.min(directory.knownUpTo(), leaving.getOrDefault(node, Long.MAX_VALUE));
+    public long latestStartMicros(String node) {
+        long known = Math.min(directory.knownUpToMicros(), leaving.getOrDefault(node, Long.MAX_VALUE));
         return known == Long.MAX_VALUE ? known : known + settings.rules().drainGraceMicros();
     }
 
     /** Whether a connection that was opened to a process of the db node leads to the one that the list names now. */
-    public boolean leads(String node, Instance opened, long openedAt) {
+    public boolean isCurrentInstance(String node, EndpointInstance opened, long openedAt) {
         return opened != null && opened.leadsTo(instances.get(node), openedAt);
     }
 
     /** The process that the list names under the id, or null. */
-    public Instance instance(String node) {
+    public EndpointInstance instance(String node) {
         return instances.get(node);
     }
 
     /** The list as it stands, with the roles and positions that db nodes have shown; after {@link #start}. */
-    public List<Known> known() {
-        List<Known> all = new ArrayList<>();
-        for (Directory.Entry entry : listing.values()) {
-            Endpoint m = entry.member();
-            all.add(new Known(
-                    new Directory.Entry(
+    public List<EndpointStatus> endpointStatuses() {
+        List<EndpointStatus> all = new ArrayList<>();
+        for (DiscoveredEndpoint entry : listing.values()) {
+            Endpoint m = entry.endpoint();
+            all.add(new EndpointStatus(
+                    new DiscoveredEndpoint(
                             new Endpoint(
                                     m.node(),
                                     m.group(),
@@ -604,21 +548,22 @@
                             entry.addresses()),
                     router.position(m.node())));
         }
-        all.sort(java.util.Comparator.comparing(known -> known.entry().member().node()));
+        all.sort(java.util.Comparator.comparing(
+                known -> known.discovered().endpoint().node()));
         return all;
     }
 
     /** Whether the list names the db node, and not as gone. */
-    public boolean lists(String node) {
+    public boolean isListed(String node) {
         return instances.containsKey(node);
     }
 
     /** Whether the list names any db node. */
-    public boolean knowsNodes() {
+    public boolean hasEndpoints() {
         return !listing.isEmpty();
     }
 
-    public int open() {
+    public int openRequests() {
         return requests.size();
     }
 
@@ -630,7 +575,7 @@
     private void overtime(Held held) {
         if (!held.answered) {
             Log.warn("request %s overdue: failed by the core", held.id);
-            close(held, "overdue", Figures.End.FAILED);
+            close(held, "overdue", Metrics.Result.FAILED);
             held.front.failed(held.ticket);
             feed(new RouterEvent.ClientDisconnected(held.id));
             withdraw(held);
@@ -638,28 +583,28 @@
     }
 
     /** @param end what its client is told; null where the client has left */
-    private void close(Held held, String how, Figures.End end) {
+    private void close(Held held, String how, Metrics.Result end) {
         if (Log.debugs()) {
             Log.debug(
                     "%s %s %s after %d us, group %d, %d attempts, first out after %d us, given %d us",
                     held.id,
                     settings.classes().get(held.ask.classIndex()).name(),
                     how,
-                    loop.now() - held.ask.arrivedMicros(),
+                    loop.now() - held.ask.arrivedAtMicros(),
                     held.ask.group(),
                     held.attempts,
-                    held.attempts == 0 ? -1 : held.firstSent - held.ask.arrivedMicros(),
-                    held.ask.waitMicros());
+                    held.attempts == 0 ? -1 : held.firstSent - held.ask.arrivedAtMicros(),
+                    held.ask.timeoutMicros());
         }
-        note(summary.request(how, end == Figures.End.SERVED));
+        note(summary.request(how, end == Metrics.Result.SERVED));
         held.answered = true;
-        loop.drop(held.overtime);
-        requests.free(held.handle);
+        loop.cancel(held.overtime);
+        requests.remove(held.handle);
         byId.remove(held.id);
         named.remove(held.ask.id());
-        figures.inFlight(requests.size());
+        figures.setInFlight(requests.size());
         if (end != null) {
-            figures.ended(held.ask.classIndex(), end);
+            figures.requestEnded(held.ask.classIndex(), end);
         }
     }
 
@@ -711,17 +656,17 @@
         } else if (action instanceof RouterAction.Reject refuse) {
             Held held = byId.get(refuse.id());
             if (held != null) {
-                close(held, "refused", Figures.End.REFUSED);
-                held.front.refused(held.ticket, refuse.retryAfterMicros());
+                close(held, "refused", Metrics.Result.REJECTED);
+                held.front.rejected(held.ticket, refuse.retryAfterMicros());
             }
         } else if (action instanceof RouterAction.Fail fail) {
             Held held = byId.get(fail.id());
             if (held != null) {
-                close(held, "failed", Figures.End.FAILED);
+                close(held, "failed", Metrics.Result.FAILED);
                 held.front.failed(held.ticket);
             }
         } else if (action instanceof RouterAction.CancelAttempt cancel) {
-            attempts.each(a -> {
+            attempts.forEach(a -> {
                 if (a.number == cancel.attempt() && a.of.id.equals(cancel.id())) {
                     abandon(a, AttemptOutcome.CANCELLED);
                 }
@@ -729,7 +674,7 @@
         } else if (action instanceof RouterAction.CheckHealth probe) {
             probe(probe.node());
         } else if (action instanceof RouterAction.CloseIdleConnections close) {
-            closeIdle(close.node());
+            closeIdleConnections(close.node());
         } else if (action instanceof RouterAction.WatchEndpoints subscribe) {
             directory.subscribe(subscribe.active());
         } else if (action instanceof RouterAction.FetchEndpoints) {
@@ -748,14 +693,14 @@
         if (number == 0 && held != null) {
             held.firstSent = now;
         }
-        boolean deserted = held != null && held.front.left(held.ticket);
+        boolean deserted = held != null && held.front.isClientDisconnected(held.ticket);
         if (deserted) {
             // The core has not come to its client's end yet, which may be long ago by then.
             leave(held);
         }
-        Instance instance = instances.get(send.node());
-        String address = held == null || instance == null ? null : instance.addresses.get(held.ask.protocol());
-        if (deserted || address == null || attempts.full() || fenced()) {
+        EndpointInstance instance = instances.get(send.node());
+        String address = held == null || instance == null ? null : instance.address(held.ask.protocol());
+        if (deserted || address == null || attempts.isFull() || fenced()) {
             feed(new RouterEvent.AttemptEnded(
                     send.id(),
                     number,
@@ -787,19 +732,18 @@
     /** What was never handed to a socket has not run, whatever ended the wait for it. */
     private void abandon(Attempt a, AttemptOutcome ending) {
         boolean left = backends.get(a.of.ask.protocol()).abandon(a.handle);
-        ended(a.handle, left ? ending : AttemptOutcome.NOT_SENT, null, LogPosition.UNKNOWN, ServerRole.UNKNOWN);
+        attemptEnded(a.handle, left ? ending : AttemptOutcome.NOT_SENT, null, LogPosition.UNKNOWN, ServerRole.UNKNOWN);
     }
 
     private void probe(String node) {
-        Instance instance = instances.get(node);
-        Map<String, String> known = instance == null ? Map.of() : instance.addresses;
+        EndpointInstance instance = instances.get(node);
         for (Map.Entry<String, Backend> backend : backends.entrySet()) {
-            String address = known.get(backend.getKey());
+            String address = instance == null ? null : instance.address(backend.getKey());
             if (address != null) {
-                backend.getValue().probe(node, address);
+                backend.getValue().checkHealth(node, address);
                 return;
             }
         }
-        probed(node, AttemptOutcome.NOT_SENT, 0, LogPosition.UNKNOWN, ServerRole.UNKNOWN);
+        healthCheckEnded(node, AttemptOutcome.NOT_SENT, 0, LogPosition.UNKNOWN, ServerRole.UNKNOWN);
     }
 }
--- a/core/src/main/java/lupinvalve/core/Marks.java
+++ b/core/src/main/java/lupinvalve/core/SessionTokens.java
@@ -1,9 +1,9 @@
 package lupinvalve.core;
 
-/** Remembers sessions' last commits beyond one connection. Called by the core thread. */
-public interface Marks {
+/** Session tokens that outlive a client connection: each session's last commit. Called by the core thread. */
+public interface SessionTokens {
     /** Remembers nothing: clients carry their tokens. */
-    Marks NONE = new Marks() {
+    SessionTokens NONE = new SessionTokens() {
         @Override
         public long lastCommit(String session) {
             return 0;
@@ -15,13 +15,13 @@
         }
     };
 
-    /** Position of the session's last commit known here, in Unix microseconds, or 0. */
+    /** Log position of the session's last commit known here, in Unix microseconds, or 0. */
     long lastCommit(String session);
 
-    /** A write of the session was committed at this position. */
+    /** A write of the session was committed at this log position. */
     void committed(String session, long position);
 
-    /** The same; {@code then} runs, on the core thread, once that is remembered as well as it is to be. */
+    /** The same; {@code then} runs, on the core thread, once the token is as durable as it is to be. */
     default void committed(String session, long position, Runnable then) {
         committed(session, position);
         then.run();
--- a/core/src/main/java/lupinvalve/core/Statement.java
+++ b/core/src/main/java/lupinvalve/core/Statement.java
@@ -14,15 +14,6 @@
  * bytes go on as they came; only the value of {@code d} is rewritten.
  */
 public final class Statement {
-    /** The statement says too little or something that can't be. */
-    public static final class Unclear extends Exception {
-        private static final long serialVersionUID = 1L;
-
-        public Unclear(String message) {
-            super(message);
-        }
-    }
-
     private static final Pattern NUMBER = Pattern.compile("[0-9]{1,15}");
     private static final int ID_MOST = 128;
     private final byte[] text;
@@ -119,32 +110,33 @@
      * @param session the session's key, or null to take the first quoted literal
      * @param carried what goes to the backend
      */
-    public Pooler.Ask ask(
+    public ClientRequest toRequest(
             List<RequestClass> classes, long arrivedMicros, String session, String protocol, Object carried)
-            throws Unclear {
+            throws InvalidStatementException {
         String name = fields.get("c");
         int index = 0;
         while (index < classes.size() && !classes.get(index).name().equals(name)) {
             index++;
         }
         if (index == classes.size()) {
-            throw new Unclear(name == null ? "field c, the class, is missing" : "field c names no class");
+            throw new InvalidStatementException(
+                    name == null ? "field c, the class, is missing" : "field c names no class");
         }
         String id = fields.get("id");
         if (id == null || id.isEmpty() || id.length() > ID_MOST) {
-            throw new Unclear("field id is missing or too long");
+            throw new InvalidStatementException("field id is missing or too long");
         }
         long wait = number("d");
         long group = number("cluster");
         if (wait <= 0) {
-            throw new Unclear("field d is missing or no time to wait");
+            throw new InvalidStatementException("field d is missing or no time to wait");
         }
         if (group < 0 || group > Integer.MAX_VALUE) {
-            throw new Unclear("field cluster is missing or no group");
+            throw new InvalidStatementException("field cluster is missing or no group");
         }
         // What a client claims to wait can't be longer than a class allows: it would hold its slot for ever.
         long most = Math.max(classes.get(index).deadlineMicros() / 1000, 1);
-        return new Pooler.Ask(
+        return new ClientRequest(
                 id,
                 index,
                 "1".equals(fields.get("r")),
@@ -158,13 +150,13 @@
     }
 
     /** A field's whole number, or -1 where it is missing. Nothing is guessed for one that is no such number. */
-    private long number(String name) throws Unclear {
+    private long number(String name) throws InvalidStatementException {
         String value = fields.get(name);
         if (value == null) {
             return -1;
         }
         if (!NUMBER.matcher(value).matches()) {
-            throw new Unclear("field " + name + " is no number");
+            throw new InvalidStatementException("field " + name + " is no number");
         }
         return Long.parseLong(value);
     }
--- a/core/src/test/java/lupinvalve/core/CoreTest.java
+++ b/core/src/test/java/lupinvalve/core/CoreTest.java
@@ -15,29 +15,29 @@
 class CoreTest {
     @Test
     void a_late_event_finds_nothing_once_its_slot_is_used_again() {
-        Slots<String> slots = new Slots<>(2);
-        long first = slots.put("first");
-        assertEquals("first", slots.free(first));
-        long second = slots.put("second");
-        assertNull(slots.get(first));
-        assertNull(slots.free(first));
-        assertEquals("second", slots.get(second));
-        slots.put("third");
-        assertTrue(slots.full());
-        assertThrows(IllegalStateException.class, () -> slots.put("fourth"));
+        HandleTable<String> table = new HandleTable<>(2);
+        long first = table.put("first");
+        assertEquals("first", table.remove(first));
+        long second = table.put("second");
+        assertNull(table.get(first));
+        assertNull(table.remove(first));
+        assertEquals("second", table.get(second));
+        table.put("third");
+        assertTrue(table.isFull());
+        assertThrows(IllegalStateException.class, () -> table.put("fourth"));
     }
 
     @Test
-    void deadlines_come_in_order_and_not_after_they_are_dropped() {
-        Deadlines deadlines = new Deadlines();
+    void timers_run_in_order_and_not_after_they_are_cancelled() {
+        TimerQueue timers = new TimerQueue();
         List<String> ran = new ArrayList<>();
-        deadlines.at(20, () -> ran.add("late"));
-        deadlines.at(10, () -> ran.add("first"));
-        Deadlines.Deadline dropped = deadlines.at(10, () -> ran.add("dropped"));
-        deadlines.at(10, () -> ran.add("second"));
-        deadlines.drop(dropped);
-        assertEquals(10, deadlines.next());
-        for (Runnable due = deadlines.due(15); due != null; due = deadlines.due(15)) {
+        timers.schedule(20, () -> ran.add("late"));
+        timers.schedule(10, () -> ran.add("first"));
+        TimerQueue.Timer cancelled = timers.schedule(10, () -> ran.add("cancelled"));
+        timers.schedule(10, () -> ran.add("second"));
+        timers.cancel(cancelled);
+        assertEquals(10, timers.nextAtMicros());
+        for (Runnable due = timers.pollDue(15); due != null; due = timers.pollDue(15)) {
             due.run();
         }
         assertEquals(List.of("first", "second"), ran);
@@ -45,20 +45,20 @@
 
     @Test
     void what_is_urgent_goes_before_all_that_waits_and_keeps_its_order() throws InterruptedException {
-        Loop loop = new Loop();
+        EventLoop loop = new EventLoop();
         List<String> ran = new java.util.concurrent.CopyOnWriteArrayList<>();
         java.util.concurrent.CountDownLatch over = new java.util.concurrent.CountDownLatch(1);
         loop.post(() -> ran.add("request"));
-        loop.post(() -> loop.urgent(() -> ran.add("told meanwhile")));
+        loop.post(() -> loop.postUrgent(() -> ran.add("told meanwhile")));
         loop.post(() -> ran.add("last request"));
         loop.post(over::countDown);
-        loop.urgent(() -> ran.add("told"));
-        loop.urgent(() -> ran.add("told again"));
+        loop.postUrgent(() -> ran.add("told"));
+        loop.postUrgent(() -> ran.add("told again"));
         loop.start();
         over.await();
         assertEquals(List.of("told", "told again", "request", "told meanwhile", "last request"), ran);
         java.util.concurrent.CountDownLatch woken = new java.util.concurrent.CountDownLatch(1);
-        loop.urgent(woken::countDown);
+        loop.postUrgent(woken::countDown);
         assertTrue(woken.await(10, java.util.concurrent.TimeUnit.SECONDS), "it wakes a thread that waits");
         loop.stop();
     }
--- a/core/src/test/java/lupinvalve/core/LogTextsTest.java
+++ b/core/src/test/java/lupinvalve/core/LogTextsTest.java
@@ -13,8 +13,8 @@
 
 /** What an on-call engineer reads of requests and of the list at the default level. */
 class LogTextsTest {
-    private static Directory.Entry entry(String id, EndpointState health, long born) {
-        return new Directory.Entry(new Endpoint(id, 1, 0, health, false, born), Map.of("pg", "127.0.0.1:1"));
+    private static DiscoveredEndpoint entry(String id, EndpointState health, long born) {
+        return new DiscoveredEndpoint(new Endpoint(id, 1, 0, health, false, born), Map.of("pg", "127.0.0.1:1"));
     }
 
     @Test
@@ -43,12 +43,12 @@
 
     @Test
     void changesOfTheListAreNamedUpToAFew() {
-        Map<String, Directory.Entry> before =
+        Map<String, DiscoveredEndpoint> before =
                 Map.of("s-1", entry("s-1", EndpointState.LIVE, 1), "s-2", entry("s-2", EndpointState.LIVE, 1));
-        assertEquals("nothing changed", ListChanges.text(before, before.values(), List.of()));
+        assertEquals("nothing changed", EndpointListDiff.describe(before, before.values(), List.of()));
         assertEquals(
                 "s-1 draining, s-2 restarted, s-3 new live, s-4 unlisted",
-                ListChanges.text(
+                EndpointListDiff.describe(
                         before,
                         List.of(
                                 entry("s-1", EndpointState.DRAINING, 1),
@@ -58,6 +58,6 @@
         List<String> gone = List.of("a", "b", "c", "d", "e", "f", "g", "h", "i", "j");
         assertEquals(
                 "a unlisted, b unlisted, c unlisted, d unlisted, e unlisted, f unlisted, g unlisted, h unlisted and 2 more",
-                ListChanges.text(Map.of(), List.of(), gone));
+                EndpointListDiff.describe(Map.of(), List.of(), gone));
     }
 }
--- a/daemon/src/main/java/lupinvalve/cli/Daemon.java
+++ b/daemon/src/main/java/lupinvalve/cli/Daemon.java
@@ -11,15 +11,16 @@
 import lupinvalve.admin.Door;
 import lupinvalve.config.NodeConfig;
 import lupinvalve.config.OperatorConfig;
-import lupinvalve.core.Directory;
-import lupinvalve.core.FirstWord;
-import lupinvalve.core.Loop;
+import lupinvalve.core.DiscoveredEndpoint;
+import lupinvalve.core.DiscoveryReadiness;
+import lupinvalve.core.EndpointDiscovery;
+import lupinvalve.core.EventLoop;
 import lupinvalve.core.Pooler;
 import lupinvalve.discovery.DnsDirectory;
 import lupinvalve.discovery.HttpDirectory;
 import lupinvalve.discovery.ListReader;
 import lupinvalve.log.Log;
-import lupinvalve.maintenance.Drain;
+import lupinvalve.maintenance.ClientDrain;
 import lupinvalve.mysql.MysqlBackend;
 import lupinvalve.mysql.MysqlFront;
 import lupinvalve.net.Addresses;
@@ -58,7 +59,7 @@
     private static final long FIRST_WORD_MILLIS = 4_000;
 
     private final NodeConfig config;
-    private final Loop loop = new Loop();
+    private final EventLoop loop = new EventLoop();
     private final Net net = new Net(loop);
     /**
      * For discovery alone, with a thread of its own: a departure binds 250 ms after it was told, and the moment after a
@@ -132,7 +133,7 @@
             mysqlNodes = new MysqlBackend(net, pooler, bounds, m.nodeUser(), m.nodePassword(), m.database());
             backend(MysqlFront.PROTOCOL, mysqlNodes);
         }
-        pooler.directory(directory());
+        pooler.discovery(directory());
         if (config.operator() != null) {
             // Poolers of other names may share the folder where it is no pooler's own.
             Path stem = folder == null
@@ -146,7 +147,7 @@
 
     private void backend(String protocol, Pool pool) {
         pools.add(pool);
-        pooler.backend(protocol, pool);
+        pooler.addBackend(protocol, pool);
     }
 
     private void endConnections() {
@@ -188,18 +189,18 @@
         if (operations != null) {
             operations.held(byGroup);
         }
-        pooler.drain().hold(byGroup, loop.now());
+        pooler.clientDrain().setDrainedByGroup(byGroup, loop.now());
         if (byGroup) {
-            loop.after(Drain.ENDS_AFTER, this::endConnections);
+            loop.after(ClientDrain.CLOSE_DELAY_MICROS, this::endConnections);
         }
     }
 
     /** Asks nobody, until it is known whom. */
-    private static final class Late implements Directory {
-        private Directory is;
+    private static final class Late implements EndpointDiscovery {
+        private EndpointDiscovery is;
         private boolean active, wanted;
 
-        void is(Directory known) {
+        void is(EndpointDiscovery known) {
             is = known;
             if (active) {
                 is.subscribe(true);
@@ -225,7 +226,7 @@
         }
     }
 
-    private Directory directory() {
+    private EndpointDiscovery directory() {
         Integer port = operator.mysql() == null ? null : operator.mysql().nodePort();
         if (operator.dnsSd() != null) {
             return dnsDirectory(operator.dnsSd());
@@ -338,8 +339,8 @@
             return;
         }
         long passed = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - askedNanos);
-        FirstWord.Outcome outcome = pooler.firstWord().await(FIRST_WORD_MILLIS - passed);
-        if (outcome != FirstWord.Outcome.TOLD) {
+        DiscoveryReadiness.Outcome outcome = pooler.discoveryReadiness().await(FIRST_WORD_MILLIS - passed);
+        if (outcome != DiscoveryReadiness.Outcome.LIST_RECEIVED) {
             Log.warn(
                     "discovery: %s after %d ms: %s serves from the list of its file, revision %d",
                     outcome,
@@ -382,13 +383,13 @@
     private void startCore() {
         loop.start();
         loop.post(() -> {
-            List<Directory.Entry> known = config.known().entries();
+            List<DiscoveredEndpoint> known = config.known().entries();
             pooler.start(config.seed(), known.isEmpty() && shared != null ? shared.entries() : known);
             if (shared != null) {
                 shared.follow();
             }
             if (operations != null) {
-                pooler.count();
+                pooler.publishMetrics();
             }
         });
     }
@@ -428,13 +429,13 @@
         loop.post(() -> {
             Log.info(
                     "ending%s: %d requests, %d clients",
-                    succeeded ? " after a successor's start" : "", pooler.open(), front.open());
+                    succeeded ? " after a successor's start" : "", pooler.openRequests(), front.open());
             long longest = 0;
             for (RequestClass kind : config.site().settings().classes()) {
                 longest = Math.max(longest, kind.deadlineMicros());
             }
             long left = Math.min(longest, LONGEST) + KILL - ANSWERED;
-            pooler.lastAnswer(loop.now() + left);
+            pooler.answerBy(loop.now() + left);
             if (operations != null) {
                 operations.serves(false);
             }
@@ -450,7 +451,7 @@
     }
 
     private void leave(Runnable then) {
-        pooler.drain().leave();
+        pooler.clientDrain().shutDown();
         listener.stop(() -> {
             endConnections();
             settle(then, 0);
@@ -467,7 +468,7 @@
     private void settle(Runnable then, int quiet) {
         // A connection that its front has ended may still have its last answer with MINA's thread, for as long as that
         // thread gets no time or the client does not read.
-        boolean over = pooler.open() == 0
+        boolean over = pooler.openRequests() == 0
                 && front.open() == 0
                 && (mysql == null || mysql.open() == 0)
                 && listener.open() == 0
--- a/daemon/src/main/java/lupinvalve/cli/Operations.java
+++ b/daemon/src/main/java/lupinvalve/cli/Operations.java
@@ -2,6 +2,7 @@
 
 import java.io.IOException;
 import java.nio.file.Path;
+import java.util.Optional;
 import java.util.concurrent.Executors;
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
@@ -12,8 +13,8 @@
 import lupinvalve.hotrestart.Incumbent;
 import lupinvalve.hotrestart.OrdersFile;
 import lupinvalve.log.Log;
-import lupinvalve.maintenance.Drain;
-import lupinvalve.maintenance.Maintenance.Orders;
+import lupinvalve.maintenance.ClientDrain;
+import lupinvalve.maintenance.DrainCommands;
 
 /**
  * Carries operators' calls to the core, and their orders to the file that both processes of an upgrade read. The core
@@ -40,7 +41,7 @@
     private int looks;
     private boolean accompanied;
     /** The worker's: the orders as they stand. */
-    private Orders orders = Orders.NONE;
+    private DrainCommands orders = DrainCommands.NONE;
 
     /**
      * @param stem path of the files that two processes share, without their endings; null for none
@@ -61,10 +62,10 @@
             return;
         }
         incumbent.starts();
-        Orders left = file.changed(orders);
+        DrainCommands left = file.changed(orders);
         if (left != null) {
             orders = left;
-            pooler.maintain(BY, left);
+            pooler.applyDrainCommands(BY, left);
         }
         worker.scheduleWithFixedDelay(this::look, LOOK_MILLIS, LOOK_MILLIS, TimeUnit.MILLISECONDS);
     }
@@ -97,10 +98,10 @@
             boolean now = accompanied;
             pooler.loop().post(() -> beside.accept(now));
         }
-        Orders other = file.changed(orders);
+        DrainCommands other = file.changed(orders);
         if (other != null) {
             orders = other;
-            pooler.loop().urgent(() -> pooler.maintain(BY, other));
+            pooler.loop().postUrgent(() -> pooler.applyDrainCommands(BY, other));
         }
     }
 
@@ -111,15 +112,15 @@
 
     @Override
     public String figures() {
-        return pooler.figures().text();
+        return pooler.metrics().format();
     }
 
     @Override
     public void maintain(boolean takeOut, String id, Consumer<String> objection) {
-        pooler.loop().urgent(() -> {
-            String why = pooler.objection(takeOut, id);
-            if (why != null) {
-                objection.accept(why);
+        pooler.loop().postUrgent(() -> {
+            Optional<String> rejection = pooler.drainRejection(takeOut, id);
+            if (rejection.isPresent()) {
+                objection.accept(rejection.get());
             } else {
                 worker.execute(
                         () -> order(held -> held.with(takeOut, id, pooler.loop().now()), objection));
@@ -128,7 +129,7 @@
     }
 
     /** The order is in the file before it holds, and holds before the yes. */
-    private void order(UnaryOperator<Orders> change, Consumer<String> objection) {
+    private void order(UnaryOperator<DrainCommands> change, Consumer<String> objection) {
         try {
             orders = file == null ? change.apply(orders) : file.change(orders, change);
         } catch (IOException | RuntimeException e) {
@@ -136,25 +137,25 @@
             objection.accept("the order can't be kept: " + e.getClass().getSimpleName());
             return;
         }
-        Orders now = orders;
-        pooler.loop().urgent(() -> {
-            pooler.maintain(BY, now);
+        DrainCommands now = orders;
+        pooler.loop().postUrgent(() -> {
+            pooler.applyDrainCommands(BY, now);
             objection.accept(null);
         });
     }
 
     @Override
     public void drain(boolean quiesce, Consumer<String> objection) {
-        pooler.loop().urgent(() -> {
-            Drain drain = pooler.drain();
-            if (drain.leaving()) {
+        pooler.loop().postUrgent(() -> {
+            ClientDrain drain = pooler.clientDrain();
+            if (drain.isShuttingDown()) {
                 objection.accept(quiesce ? null : "the program is ending");
                 return;
             }
             Log.info(quiesce ? "clients are sent away" : "clients are taken again");
             if (quiesce) {
                 drain.quiesce(pooler.loop().now());
-                pooler.loop().after(Drain.ENDS_AFTER, endConnections);
+                pooler.loop().after(ClientDrain.CLOSE_DELAY_MICROS, endConnections);
             } else {
                 drain.resume();
             }
--- a/daemon/src/main/java/lupinvalve/cli/Shared.java
+++ b/daemon/src/main/java/lupinvalve/cli/Shared.java
@@ -9,9 +9,10 @@
 import java.util.TreeSet;
 import java.util.function.Consumer;
 import lupinvalve.config.OperatorConfig;
-import lupinvalve.core.Directory;
+import lupinvalve.core.DiscoveredEndpoint;
+import lupinvalve.core.EndpointStatus;
 import lupinvalve.core.Pooler;
-import lupinvalve.maintenance.Maintenance.Orders;
+import lupinvalve.maintenance.DrainCommands;
 import lupinvalve.replication.ControlPlane;
 import lupinvalve.replication.Group;
 import lupinvalve.replication.Subscriber;
@@ -34,7 +35,7 @@
     private final String name;
     private final Consumer<byte[]> adopted;
     private final Consumer<Boolean> held;
-    private Orders orders = Orders.NONE;
+    private DrainCommands orders = DrainCommands.NONE;
     private List<Endpoint> told = List.of();
     private long toldAt;
 
@@ -59,7 +60,7 @@
                 : config.role() == OperatorConfig.Role.SUBSCRIBER ? new Subscriber(config) : new Group(config);
         known = plane.known();
         tokens = new Tokens(pooler.loop(), plane, config.waitMicros(), known.commits());
-        pooler.marks(tokens);
+        pooler.sessionTokens(tokens);
     }
 
     ControlPlane plane() {
@@ -72,10 +73,10 @@
     }
 
     /** The db nodes that were known last, for a start before discovery answers. */
-    List<Directory.Entry> entries() {
-        List<Directory.Entry> entries = new ArrayList<>();
+    List<DiscoveredEndpoint> entries() {
+        List<DiscoveredEndpoint> entries = new ArrayList<>();
         for (Change.Listed listed : known.nodes()) {
-            entries.add(new Directory.Entry(listed.member(), listed.addresses()));
+            entries.add(new DiscoveredEndpoint(listed.member(), listed.addresses()));
         }
         return entries;
     }
@@ -88,7 +89,7 @@
     void follow() {
         for (Change.Listed listed : known.nodes()) {
             if (listed.position() != LogPosition.UNKNOWN) {
-                pooler.probed(
+                pooler.healthCheckEnded(
                         listed.member().node(),
                         AttemptOutcome.SERVED,
                         0,
@@ -101,15 +102,16 @@
 
     /** The leader's pooler tells: one list for all is enough, and all poolers see the same db nodes. */
     private void look() {
-        List<Pooler.Known> nodes = pooler.known();
-        List<Endpoint> members = nodes.stream().map(one -> one.entry().member()).toList();
+        List<EndpointStatus> nodes = pooler.endpointStatuses();
+        List<Endpoint> members =
+                nodes.stream().map(one -> one.discovered().endpoint()).toList();
         long now = pooler.loop().now();
         if (plane.leads() && !nodes.isEmpty() && (!members.equals(told) || now - toldAt > REFRESH)) {
             told = members;
             toldAt = now;
             plane.listing(nodes.stream()
-                    .map(one ->
-                            new Change.Listed(one.entry().member(), one.entry().addresses(), one.position()))
+                    .map(one -> new Change.Listed(
+                            one.discovered().endpoint(), one.discovered().addresses(), one.position()))
                     .toList());
         }
         pooler.loop().after(LOOK, this::look);
@@ -142,14 +144,14 @@
         Set<String> out = new TreeSet<>();
         holds.keySet().stream().filter(one -> one.kind() == Change.Kind.NODE).forEach(one -> out.add(one.name()));
         boolean self = holds.containsKey(new Change.Holding(Change.Kind.POOLER, name));
-        pooler.loop().urgent(() -> {
-            Map<String, Long> back = new HashMap<>(orders.back());
+        pooler.loop().postUrgent(() -> {
+            Map<String, Long> back = new HashMap<>(orders.restoredAtMicros());
             back.keySet().removeAll(out);
-            orders.out().stream()
+            orders.drained().stream()
                     .filter(id -> !out.contains(id))
                     .forEach(id -> back.put(id, pooler.loop().now()));
-            orders = new Orders(out, back);
-            pooler.maintain(BY, orders);
+            orders = new DrainCommands(out, back);
+            pooler.applyDrainCommands(BY, orders);
             held.accept(self);
         });
     }
--- a/daemon/src/main/java/lupinvalve/cli/WarmUp.java
+++ b/daemon/src/main/java/lupinvalve/cli/WarmUp.java
@@ -6,8 +6,10 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import lupinvalve.config.NodeConfig;
-import lupinvalve.core.Directory;
-import lupinvalve.core.Loop;
+import lupinvalve.core.DiscoveredEndpoint;
+import lupinvalve.core.EndpointDiscovery;
+import lupinvalve.core.EndpointListEvent;
+import lupinvalve.core.EventLoop;
 import lupinvalve.core.Pooler;
 import lupinvalve.log.Log;
 import lupinvalve.net.Memory;
@@ -51,12 +53,12 @@
     }
 
     static int run(NodeConfig config, int requests) {
-        Loop loop = new Loop();
+        EventLoop loop = new EventLoop();
         Pooler pooler = new Pooler(loop, config.site().settings());
-        pooler.directory(new Silent());
+        pooler.discovery(new Silent());
         PgFront front = new PgFront(pooler, 16);
         Memory net = new Memory(loop, address -> new NodeScript(address.getPort() == PRIMARY));
-        pooler.backend(
+        pooler.addBackend(
                 PgFront.PROTOCOL,
                 new PgBackend(
                         net,
@@ -68,9 +70,9 @@
                                 config.site().connectMicros()),
                         "api",
                         "ledger"));
-        List<Directory.Entry> entries = new ArrayList<>();
+        List<DiscoveredEndpoint> entries = new ArrayList<>();
         for (int port : List.of(PRIMARY, REPLICA)) {
-            entries.add(new Directory.Entry(
+            entries.add(new DiscoveredEndpoint(
                     new Endpoint("n" + port, GROUP, 0, EndpointState.LIVE, port == PRIMARY, 0),
                     Map.of(PgFront.PROTOCOL, "127.0.0.1:" + port)));
         }
@@ -87,7 +89,7 @@
             loop.post(() -> Log.leastHere(Log.Level.ERROR));
             loop.post(() -> {
                 pooler.start(1, List.of());
-                pooler.listed(new Directory.News(ListForm.FULL, entries));
+                pooler.onEndpointListEvent(new EndpointListEvent(ListForm.FULL, entries));
                 for (ClientScript client : clients) {
                     net.connect(front.framer(), front, client, ClientScript.hello());
                 }
@@ -102,7 +104,7 @@
     }
 
     /** No news: the list is given once. */
-    private static final class Silent implements Directory {
+    private static final class Silent implements EndpointDiscovery {
         @Override
         public void subscribe(boolean active) {
             // Nothing to ask.
--- a/daemon/src/test/java/lupinvalve/cli/SubscriberTest.java
+++ b/daemon/src/test/java/lupinvalve/cli/SubscriberTest.java
@@ -17,7 +17,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.stream.IntStream;
 import lupinvalve.config.OperatorConfig;
-import lupinvalve.core.Loop;
+import lupinvalve.core.EventLoop;
 import lupinvalve.integration.World;
 import lupinvalve.net.Net;
 import lupinvalve.replication.Client;
@@ -45,7 +45,7 @@
     private final List<ControlPlane> subscribers = new ArrayList<>();
     private final Map<String, Ledger.Document> acting = new ConcurrentHashMap<>();
     private final Map<String, Map<Change.Holding, Ledger.Held>> holds = new ConcurrentHashMap<>();
-    private final Loop loop = new Loop("subscribers");
+    private final EventLoop loop = new EventLoop("subscribers");
     private final Net net = new Net(loop);
 
     @AfterEach
--- a/daemon/src/test/java/lupinvalve/discovery/DnsDirectoryTest.java
+++ b/daemon/src/test/java/lupinvalve/discovery/DnsDirectoryTest.java
@@ -12,8 +12,9 @@
 import java.util.Map;
 import java.util.concurrent.CopyOnWriteArrayList;
 import lupinvalve.config.NodeConfig;
-import lupinvalve.core.Directory;
-import lupinvalve.core.Loop;
+import lupinvalve.core.DiscoveredEndpoint;
+import lupinvalve.core.EndpointListEvent;
+import lupinvalve.core.EventLoop;
 import lupinvalve.core.Pooler;
 import lupinvalve.integration.World;
 import lupinvalve.log.Log;
@@ -89,8 +90,8 @@
         NameServer server = new NameServer();
         server.instance("s-1", 5432, "cell=3", "rank=source", "up_since_ms=7", "mysql=3307");
         server.instance("s-2", 5433, "Cell=3", "cell=4", "id=other", "phase=terminating");
-        List<Directory.News> told = new CopyOnWriteArrayList<>();
-        Loop loop = new Loop();
+        List<EndpointListEvent> told = new CopyOnWriteArrayList<>();
+        EventLoop loop = new EventLoop();
         loop.start();
         Pooler pooler =
                 new Pooler(
@@ -99,7 +100,7 @@
                                 .site()
                                 .settings()) {
                     @Override
-                    public void listed(Directory.News news) {
+                    public void onEndpointListEvent(EndpointListEvent news) {
                         told.add(news);
                     }
                 };
@@ -108,24 +109,24 @@
         loop.post(() -> directory.subscribe(true));
         World.await("first list", () -> told.size() == 1);
         assertEquals(
-                new Directory.News(
+                new EndpointListEvent(
                         ListForm.FULL,
                         List.of(
-                                new Directory.Entry(
+                                new DiscoveredEndpoint(
                                         new Endpoint("s-1", 3, 0, EndpointState.LIVE, true, 7000),
                                         Map.of("pg", "127.0.0.9:5432", "mysql", "127.0.0.9:3307")),
-                                new Directory.Entry(
+                                new DiscoveredEndpoint(
                                         new Endpoint("other", 3, 0, EndpointState.DRAINING, false, 0),
                                         Map.of("pg", "127.0.0.9:5433", "mysql", "127.0.0.9:3306")))),
                 told.get(0));
         server.instance("s-3", 5434, "cell=3");
         World.await("a change", () -> told.size() == 2);
-        assertEquals(3, told.get(1).entries().size());
+        assertEquals(3, told.get(1).endpoints().size());
         for (int code : new int[] {Rcode.SERVFAIL, Rcode.NXDOMAIN}) {
-            List<Directory.News> before = new ArrayList<>(told);
+            List<EndpointListEvent> before = new ArrayList<>(told);
             server.code = code;
             World.await("unavailable", () -> told.size() == before.size() + 1);
-            assertEquals(new Directory.News(ListForm.UNAVAILABLE, List.of()), told.get(before.size()));
+            assertEquals(new EndpointListEvent(ListForm.UNAVAILABLE, List.of()), told.get(before.size()));
             server.code = Rcode.NOERROR;
             loop.post(() -> directory.subscribe(true));
             World.await("back", () -> told.size() == before.size() + 2);
--- a/daemon/src/test/java/lupinvalve/discovery/HttpDirectoryTest.java
+++ b/daemon/src/test/java/lupinvalve/discovery/HttpDirectoryTest.java
@@ -21,8 +21,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
 import lupinvalve.config.NodeConfig;
-import lupinvalve.core.Directory;
-import lupinvalve.core.Loop;
+import lupinvalve.core.EndpointListEvent;
+import lupinvalve.core.EventLoop;
 import lupinvalve.core.Pooler;
 import lupinvalve.integration.World;
 import lupinvalve.net.HeldSockets;
@@ -41,8 +41,8 @@
     private static final long SECOND = 1_000_000_000L;
     private final ServerSocket server;
     private final BlockingQueue<Socket> calls = new LinkedBlockingQueue<>();
-    private final List<Directory.News> told = new CopyOnWriteArrayList<>();
-    private final Loop loop = new Loop();
+    private final List<EndpointListEvent> told = new CopyOnWriteArrayList<>();
+    private final EventLoop loop = new EventLoop();
     private final Net net = new Net(loop, true);
     private final Pooler pooler;
     private final HttpDirectory directory;
@@ -53,9 +53,9 @@
                 loop,
                 NodeConfig.read(Path.of("example/config.json"), null).site().settings()) {
             @Override
-            public void listed(Directory.News news) {
+            public void onEndpointListEvent(EndpointListEvent news) {
                 told.add(news);
-                super.listed(news);
+                super.onEndpointListEvent(news);
             }
         };
         directory = new HttpDirectory(
@@ -64,7 +64,7 @@
                 new InetSocketAddress("127.0.0.1", server.getLocalPort()),
                 new ListReader(List.of(), null),
                 5);
-        pooler.directory(directory);
+        pooler.discovery(directory);
     }
 
     @BeforeEach
@@ -136,7 +136,7 @@
 
     private boolean lists(String id) {
         try {
-            return onCore(() -> pooler.lists(id));
+            return onCore(() -> pooler.isListed(id));
         } catch (Exception e) {
             throw new IllegalStateException(e);
         }
@@ -312,7 +312,8 @@
         assertEquals(false, lists("x"));
         assertEquals(
                 EndpointState.LIVE,
-                onCore(() -> pooler.known().get(0).entry().member().state()));
+                onCore(() ->
+                        pooler.endpointStatuses().get(0).discovered().endpoint().state()));
     }
 
     @Test
@@ -420,7 +421,7 @@
                 new InetSocketAddress("127.0.0.1", other.getLocalPort()),
                 new ListReader(List.of(), null),
                 0);
-        empty.directory(asks);
+        empty.discovery(asks);
         loop.post(() -> empty.start(2, List.of()));
         Socket first = came.poll(10, TimeUnit.SECONDS);
         say(first, HEAD + chunk("\n"));
@@ -430,7 +431,7 @@
         say(second, HEAD + chunk(list(6, true, "a") + "\n"));
         World.await("listed", () -> {
             try {
-                return onCore(() -> empty.lists("a"));
+                return onCore(() -> empty.isListed("a"));
             } catch (Exception e) {
                 throw new IllegalStateException(e);
             }
@@ -467,7 +468,7 @@
     }
 
     /** The last news, once so much has been told. */
-    private Directory.News news(int count) throws Exception {
+    private EndpointListEvent news(int count) throws Exception {
         World.await("told", () -> told.size() >= count);
         assertEquals(count, told.size(), told.toString());
         return told.get(count - 1);
@@ -520,7 +521,7 @@
             say(watch, chunk(list(7, false, "-a") + "\n"));
             World.await("stood still", () -> System.nanoTime() - stands > SECOND / 5);
             CompletableFuture<Boolean> lists = new CompletableFuture<>();
-            loop.post(() -> lists.complete(pooler.lists("a")));
+            loop.post(() -> lists.complete(pooler.isListed("a")));
             World.await("decides, or waits for the news", () -> lists.isDone() || HeldSockets.isAwaited());
             sockets.letGo();
             assertEquals(false, lists.get(10, TimeUnit.SECONDS));
--- a/daemon/src/test/java/lupinvalve/net/ClientEndsTest.java
+++ b/daemon/src/test/java/lupinvalve/net/ClientEndsTest.java
@@ -7,13 +7,13 @@
 import java.io.PrintStream;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
-import lupinvalve.core.Loop;
+import lupinvalve.core.EventLoop;
 import lupinvalve.log.Log;
 import org.junit.jupiter.api.Test;
 
 /** What the log at the default level tells of clients' connections that have ended. */
 class ClientEndsTest {
-    private final Loop loop = new Loop();
+    private final EventLoop loop = new EventLoop();
     private final ClientEnds ends = new ClientEnds(loop);
     private final Link link = new Link(loop, (bytes, from, to, out) -> to, null);
 
--- a/daemon/src/test/java/lupinvalve/net/DroppedDialsTest.java
+++ b/daemon/src/test/java/lupinvalve/net/DroppedDialsTest.java
@@ -10,7 +10,7 @@
 import java.util.Random;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import lupinvalve.core.Loop;
+import lupinvalve.core.EventLoop;
 import org.junit.jupiter.api.Test;
 
 /** Whoever gives up connections that are being dialled can still dial afterwards. */
@@ -42,7 +42,7 @@
     }
 
     /** One user of the network: gives up some dials early or late, then dials once more. */
-    private record User(Loop loop, Net net, Opened last) {
+    private record User(EventLoop loop, Net net, Opened last) {
         void dial(InetSocketAddress to, long seed) {
             Random random = new Random(seed);
             loop.start();
@@ -65,7 +65,7 @@
             InetSocketAddress to = new InetSocketAddress(server.getInetAddress(), server.getLocalPort());
             List<User> users = new ArrayList<>();
             for (int i = 0; i < NETS; i++) {
-                Loop loop = new Loop("user");
+                EventLoop loop = new EventLoop("user");
                 users.add(new User(loop, new Net(loop), new Opened()));
             }
             for (int i = 0; i < NETS; i++) {
--- a/daemon/src/test/java/lupinvalve/net/HeldCore.java
+++ b/daemon/src/test/java/lupinvalve/net/HeldCore.java
@@ -19,8 +19,10 @@
 import java.util.function.Supplier;
 import java.util.function.UnaryOperator;
 import lupinvalve.config.NodeConfig;
-import lupinvalve.core.Directory;
-import lupinvalve.core.Loop;
+import lupinvalve.core.DiscoveredEndpoint;
+import lupinvalve.core.EndpointDiscovery;
+import lupinvalve.core.EndpointListEvent;
+import lupinvalve.core.EventLoop;
 import lupinvalve.core.Pooler;
 import lupinvalve.integration.DbNode;
 import lupinvalve.integration.World;
@@ -32,7 +34,7 @@
 
 /** A pooler on real sockets whose core can be held up at a point, and whose list is given by hand. */
 final class HeldCore implements Closeable {
-    final Loop loop = new Loop();
+    final EventLoop loop = new EventLoop();
     final Net net = new Net(loop);
     final List<Link> links = new CopyOnWriteArrayList<>();
     final PgBackend pool;
@@ -41,12 +43,12 @@
     private final PgFront front;
 
     /** @param settings changes the text of the example's configuration */
-    HeldCore(UnaryOperator<String> settings, Directory.Entry... entries) throws Exception {
+    HeldCore(UnaryOperator<String> settings, DiscoveredEndpoint... entries) throws Exception {
         Path file = Files.createTempFile("lupinvalve", ".json");
         Files.writeString(file, settings.apply(Files.readString(Path.of("example/config.json"))));
         pooler = new Pooler(loop, NodeConfig.read(file, null).site().settings());
         Files.delete(file);
-        pooler.directory(new Directory() {
+        pooler.discovery(new EndpointDiscovery() {
             @Override
             public void subscribe(boolean active) {
                 // The list is given by hand.
@@ -58,12 +60,12 @@
             }
 
             @Override
-            public long knownUpTo() {
+            public long knownUpToMicros() {
                 return loop.now();
             }
         });
         pool = new PgBackend(net, pooler, new Pool.Bounds(50, 5_000_000, 15_000_000, 250_000), "api", "ledger");
-        pooler.backend(PgFront.PROTOCOL, pool);
+        pooler.addBackend(PgFront.PROTOCOL, pool);
         front = new PgFront(pooler, 50);
         listener = net.listen(new InetSocketAddress("127.0.0.1", 0), session -> {
             Link link = new Link(loop, front.framer(), front);
@@ -74,39 +76,40 @@
         loop.post(() -> pooler.start(1, List.of(entries)));
     }
 
-    static Directory.Entry entry(DbNode node, String id, long bornMicros) {
-        return new Directory.Entry(
+    static DiscoveredEndpoint entry(DbNode node, String id, long bornMicros) {
+        return new DiscoveredEndpoint(
                 new Endpoint(id, 1, 0, EndpointState.LIVE, node.primary, bornMicros),
                 Map.of(PgFront.PROTOCOL, "127.0.0.1:" + node.port()));
     }
 
-    static Directory.Entry draining(DbNode node, String id) {
-        Directory.Entry live = entry(node, id, 0);
-        return new Directory.Entry(new Endpoint(id, 1, 0, EndpointState.DRAINING, node.primary, 0), live.addresses());
+    static DiscoveredEndpoint draining(DbNode node, String id) {
+        DiscoveredEndpoint live = entry(node, id, 0);
+        return new DiscoveredEndpoint(
+                new Endpoint(id, 1, 0, EndpointState.DRAINING, node.primary, 0), live.addresses());
     }
 
-    static Directory.Entry gone(String id) {
-        return new Directory.Entry(new Endpoint(id, 1, 0, EndpointState.DEPARTED, false, 0), Map.of());
+    static DiscoveredEndpoint gone(String id) {
+        return new DiscoveredEndpoint(new Endpoint(id, 1, 0, EndpointState.DEPARTED, false, 0), Map.of());
     }
 
-    void listed(Directory.Entry... entries) throws Exception {
+    void listed(DiscoveredEndpoint... entries) throws Exception {
         onCore(() -> {
-            pooler.listed(new Directory.News(ListForm.UPDATE, List.of(entries)));
+            pooler.onEndpointListEvent(new EndpointListEvent(ListForm.UPDATE, List.of(entries)));
             return null;
         });
     }
 
     /** The whole list, which may say what was told before. */
-    void listedWhole(Directory.Entry... entries) throws Exception {
+    void listedWhole(DiscoveredEndpoint... entries) throws Exception {
         onCore(() -> {
-            pooler.listed(new Directory.News(ListForm.FULL, List.of(entries)));
+            pooler.onEndpointListEvent(new EndpointListEvent(ListForm.FULL, List.of(entries)));
             return null;
         });
     }
 
     /** Requests that are open. */
     int requests() throws Exception {
-        return onCore(pooler::open);
+        return onCore(pooler::openRequests);
     }
 
     <T> T onCore(Supplier<T> asked) throws Exception {
--- a/daemon/src/test/java/lupinvalve/net/HeldLinkTest.java
+++ b/daemon/src/test/java/lupinvalve/net/HeldLinkTest.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.atomic.AtomicReference;
 import java.util.function.Consumer;
-import lupinvalve.core.Loop;
+import lupinvalve.core.EventLoop;
 import lupinvalve.integration.World;
 import org.apache.mina.core.buffer.IoBuffer;
 import org.apache.mina.core.session.DummySession;
@@ -53,7 +53,7 @@
 
     @Test
     void messagesThatAreNotWholeShareOneBudgetAndGiveItBack() throws Exception {
-        Loop loop = new Loop();
+        EventLoop loop = new EventLoop();
         loop.start();
         Room room = new Room(10_000);
         List<String> faults = new CopyOnWriteArrayList<>();
@@ -83,12 +83,12 @@
     }
 
     private interface Body {
-        void run(Loop loop, Net.Listener listener, Socket peer, Link link) throws Exception;
+        void run(EventLoop loop, Net.Listener listener, Socket peer, Link link) throws Exception;
     }
 
     /** A connection with a peer that reads nothing so far, and more written to it than the system takes. */
     private static void unread(Consumer<Link> before, Body body) throws Exception {
-        Loop loop = new Loop();
+        EventLoop loop = new EventLoop();
         Net net = new Net(loop);
         AtomicReference<Link> opened = new AtomicReference<>();
         Link.Events events = events(opened, new ArrayList<>());
--- a/daemon/src/test/java/lupinvalve/net/LateConnectionTest.java
+++ b/daemon/src/test/java/lupinvalve/net/LateConnectionTest.java
@@ -71,7 +71,7 @@
             replica.asOf = () -> stands;
             int seen = replica.seen.size();
             pooler.onCore(() -> {
-                pooler.pool.closeIdle("r");
+                pooler.pool.closeIdleConnections("r");
                 return null;
             });
             int met = replica.met.get();
--- a/daemon/src/test/java/lupinvalve/net/LinkFaultTest.java
+++ b/daemon/src/test/java/lupinvalve/net/LinkFaultTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import lupinvalve.core.Loop;
+import lupinvalve.core.EventLoop;
 import lupinvalve.log.Log;
 import org.junit.jupiter.api.AfterAll;
 import org.junit.jupiter.api.BeforeAll;
@@ -66,7 +66,7 @@
 
     private static void isReset(Framer framer, Front front, EndReason reason, boolean reads, int withinSeconds)
             throws Exception {
-        Loop loop = new Loop();
+        EventLoop loop = new EventLoop();
         loop.start();
         Net net = new Net(loop);
         Net.Listener listener = net.listen(new InetSocketAddress("127.0.0.1", 0), () -> framer, front);
--- a/daemon/src/test/java/lupinvalve/net/SmallFront.java
+++ b/daemon/src/test/java/lupinvalve/net/SmallFront.java
@@ -19,8 +19,8 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import lupinvalve.config.NodeConfig;
-import lupinvalve.core.Directory;
-import lupinvalve.core.Loop;
+import lupinvalve.core.EndpointDiscovery;
+import lupinvalve.core.EventLoop;
 import lupinvalve.core.Pooler;
 import lupinvalve.integration.World;
 import lupinvalve.mysql.MysqlFront;
@@ -39,7 +39,7 @@
     }
 
     final Protocol protocol;
-    final Loop loop = new Loop();
+    final EventLoop loop = new EventLoop();
     final Net net = new Net(loop);
     final List<Link> links = new CopyOnWriteArrayList<>();
     private final List<Integer> ports = new CopyOnWriteArrayList<>();
@@ -52,7 +52,7 @@
         Pooler pooler = new Pooler(
                 loop,
                 NodeConfig.read(Path.of("example/config.json"), null).site().settings());
-        pooler.directory(new Directory() {
+        pooler.discovery(new EndpointDiscovery() {
             @Override
             public void subscribe(boolean active) {
                 // No news here.
@@ -67,14 +67,14 @@
         if (protocol == Protocol.PG) {
             PgFront front = new PgFront(pooler, MOST);
             closeFront = () -> {
-                pooler.drain().leave();
+                pooler.clientDrain().shutDown();
                 front.close();
             };
             listener = net.listen(any, session -> link(session, front.framer(), front));
         } else {
             MysqlFront front = new MysqlFront(pooler, MOST, "portal", "towel");
             closeFront = () -> {
-                pooler.drain().leave();
+                pooler.clientDrain().shutDown();
                 front.close();
             };
             listener = net.listen(any, session -> link(session, front.framer(), front));
--- a/daemon/src/test/java/lupinvalve/net/SurplusTest.java
+++ b/daemon/src/test/java/lupinvalve/net/SurplusTest.java
@@ -11,8 +11,9 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
 import lupinvalve.config.NodeConfig;
-import lupinvalve.core.Directory;
-import lupinvalve.core.Loop;
+import lupinvalve.core.DiscoveredEndpoint;
+import lupinvalve.core.EndpointDiscovery;
+import lupinvalve.core.EventLoop;
 import lupinvalve.core.Pooler;
 import lupinvalve.core.Statement;
 import lupinvalve.pg.PgBackend;
@@ -27,7 +28,7 @@
 /** All poolers fill a db node's table together, so what one keeps there for its peaks must be little. */
 class SurplusTest {
     private static final long IDLE = 20_000_000;
-    private final Loop loop = new Loop();
+    private final EventLoop loop = new EventLoop();
     private PgBackend pool;
 
     private void open(int routers) throws Exception {
@@ -37,7 +38,7 @@
                 loop,
                 new RouterSettings(
                         0, routers, 0, s.mustSubscribe(), s.classes(), s.limits(), s.rules(), s.replication()));
-        pooler.directory(new Directory() {
+        pooler.discovery(new EndpointDiscovery() {
             @Override
             public void subscribe(boolean active) {
                 // The list is given below.
@@ -50,12 +51,12 @@
         });
         Memory net = new Memory(loop, address -> new NodeScript(true));
         pool = new PgBackend(net, pooler, new Pool.Bounds(50, 250_000, IDLE, 250_000), "api", "ledger");
-        pooler.backend(PgFront.PROTOCOL, pool);
+        pooler.addBackend(PgFront.PROTOCOL, pool);
         loop.start();
         loop.post(() -> {
             pooler.start(
                     1,
-                    List.of(new Directory.Entry(
+                    List.of(new DiscoveredEndpoint(
                             new Endpoint("n", 1, 0, EndpointState.LIVE, true, 0),
                             Map.of(PgFront.PROTOCOL, "127.0.0.1:1"))));
             for (int i = 0; i < 4; i++) {
--- a/discovery/src/main/java/lupinvalve/discovery/DnsDirectory.java
+++ b/discovery/src/main/java/lupinvalve/discovery/DnsDirectory.java
@@ -11,10 +11,12 @@
 import java.util.TreeSet;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
-import lupinvalve.core.Deadlines;
-import lupinvalve.core.Directory;
-import lupinvalve.core.Loop;
+import lupinvalve.core.DiscoveredEndpoint;
+import lupinvalve.core.EndpointDiscovery;
+import lupinvalve.core.EndpointListEvent;
+import lupinvalve.core.EventLoop;
 import lupinvalve.core.Pooler;
+import lupinvalve.core.TimerQueue;
 import lupinvalve.log.Log;
 import lupinvalve.routing.Endpoint;
 import lupinvalve.routing.EndpointState;
@@ -37,9 +39,9 @@
  * The list from DNS-SD records (RFC 6763): PTR names the instances, SRV where each is, TXT the rest. DNS tells no
  * changes, so it is asked again and again. A failed look-up is no empty list: what was held stays.
  */
-public final class DnsDirectory implements Directory {
+public final class DnsDirectory implements EndpointDiscovery {
     private final Pooler pooler;
-    private final Loop loop;
+    private final EventLoop loop;
     private volatile InetSocketAddress resolver;
     private volatile String service;
     private long pollMicros;
@@ -50,9 +52,9 @@
         thread.setDaemon(true);
         return thread;
     });
-    private List<Entry> told;
+    private List<DiscoveredEndpoint> told;
     private long subscription;
-    private Deadlines.Deadline next;
+    private TimerQueue.Timer next;
 
     /** @param mysqlPort port for MySQL where an instance's TXT record names none */
     public DnsDirectory(
@@ -81,7 +83,7 @@
     @Override
     public void subscribe(boolean active) {
         subscription++;
-        loop.drop(next);
+        loop.cancel(next);
         if (active) {
             told = null;
             ask(subscription);
@@ -96,29 +98,29 @@
 
     private void ask(long of) {
         asker.execute(() -> {
-            List<Entry> found = null;
+            List<DiscoveredEndpoint> found = null;
             try {
                 found = lookUp();
             } catch (IOException | RuntimeException e) {
                 Log.warn("dns-sd: %s", e.getMessage());
             }
-            List<Entry> entries = found;
+            List<DiscoveredEndpoint> entries = found;
             loop.post(() -> answered(of, entries));
         });
     }
 
-    private void answered(long of, List<Entry> entries) {
+    private void answered(long of, List<DiscoveredEndpoint> entries) {
         if (of >= 0 && of != subscription) {
             return;
         }
         if (entries == null) {
             subscription++;
-            pooler.listed(new News(ListForm.UNAVAILABLE, List.of()));
+            pooler.onEndpointListEvent(new EndpointListEvent(ListForm.UNAVAILABLE, List.of()));
             return;
         }
         if (!entries.equals(told)) {
             told = entries;
-            pooler.listed(new News(ListForm.FULL, entries));
+            pooler.onEndpointListEvent(new EndpointListEvent(ListForm.FULL, entries));
         }
         if (of >= 0) {
             next = loop.after(pollMicros, () -> ask(of));
@@ -127,10 +129,10 @@
 
     // ---- the asking thread ----
 
-    private List<Entry> lookUp() throws IOException {
+    private List<DiscoveredEndpoint> lookUp() throws IOException {
         Map<String, List<Record>> known = new HashMap<>();
         Name name = Name.fromString(service, Name.root);
-        List<Entry> entries = new ArrayList<>();
+        List<DiscoveredEndpoint> entries = new ArrayList<>();
         TreeSet<Name> instances = new TreeSet<>();
         for (Record record : records(name, Type.PTR, known)) {
             instances.add(((PTRRecord) record).getTarget());
@@ -198,7 +200,8 @@
         return pairs;
     }
 
-    private Entry entry(Name instance, SRVRecord place, String host, Map<String, String> pairs) throws IOException {
+    private DiscoveredEndpoint entry(Name instance, SRVRecord place, String host, Map<String, String> pairs)
+            throws IOException {
         try {
             EndpointState health =
                     switch (pairs.getOrDefault("phase", "in_service")) {
@@ -210,7 +213,7 @@
             String label = new String(
                     instance.getLabel(0), 1, instance.getLabel(0)[0] & 255, java.nio.charset.StandardCharsets.UTF_8);
             int mysql = Integer.parseInt(pairs.getOrDefault("mysql", Integer.toString(mysqlPort)));
-            return new Entry(
+            return new DiscoveredEndpoint(
                     new Endpoint(
                             pairs.getOrDefault("id", label),
                             Integer.parseInt(pairs.getOrDefault("cell", "0")),
--- a/discovery/src/main/java/lupinvalve/discovery/HttpDirectory.java
+++ b/discovery/src/main/java/lupinvalve/discovery/HttpDirectory.java
@@ -9,10 +9,11 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import lupinvalve.core.Deadlines;
-import lupinvalve.core.Directory;
-import lupinvalve.core.Loop;
+import lupinvalve.core.EndpointDiscovery;
+import lupinvalve.core.EndpointListEvent;
+import lupinvalve.core.EventLoop;
 import lupinvalve.core.Pooler;
+import lupinvalve.core.TimerQueue;
 import lupinvalve.log.Log;
 import lupinvalve.net.Framer;
 import lupinvalve.net.Link;
@@ -20,7 +21,7 @@
 import lupinvalve.routing.ListForm;
 
 /** The list over HTTP/1.1: whole on demand, and as a watch of changes. Core thread only. */
-public final class HttpDirectory implements Directory {
+public final class HttpDirectory implements EndpointDiscovery {
     /**
      * How long a call for the whole list may take until it is answered; discovery itself gives one up after a second.
      */
@@ -34,19 +35,19 @@
 
     private final Net net;
     private final Pooler pooler;
-    private final Loop loop;
+    private final EventLoop loop;
     private final ListReader reader;
     private InetSocketAddress address;
     private final WatchSchedule schedule;
     private final Map<Long, Call> watches = new HashMap<>();
-    private Deadlines.Deadline due;
+    private TimerQueue.Timer due;
     private long dueAt = Long.MAX_VALUE;
     private long revision;
     /** Calls begun so far; which of them told the revision held; with which of them its numbers last began anew. */
     private long calls, toldBy, numberedBy;
 
     private final long startedAt;
-    private long knownUpTo;
+    private long knownUpToMicros;
 
     public HttpDirectory(Net net, Pooler pooler, InetSocketAddress address, ListReader reader, long revision) {
         this.net = net;
@@ -57,8 +58,8 @@
         loop = pooler.loop();
         schedule = new WatchSchedule(new Watches());
         startedAt = loop.now();
-        knownUpTo = startedAt;
-        loop.beforeEach(this::look);
+        knownUpToMicros = startedAt;
+        loop.runBeforeEachTask(this::look);
     }
 
     /** What the schedule of watches wants done. */
@@ -75,7 +76,7 @@
 
         @Override
         public void unavailable() {
-            pooler.listed(new News(ListForm.UNAVAILABLE, List.of()));
+            pooler.onEndpointListEvent(new EndpointListEvent(ListForm.UNAVAILABLE, List.of()));
         }
     }
 
@@ -88,12 +89,12 @@
         long upTo = net.readUpTo(blind, CATCH_UP);
         long now = loop.now();
         // Where the wait was in vain service goes on; that has been logged.
-        knownUpTo = now - upTo > blind ? now : upTo;
+        knownUpToMicros = now - upTo > blind ? now : upTo;
     }
 
     @Override
-    public long knownUpTo() {
-        return knownUpTo;
+    public long knownUpToMicros() {
+        return knownUpToMicros;
     }
 
     @Override
@@ -106,7 +107,7 @@
     private void schedule() {
         long next = schedule.nextAt();
         if (next != dueAt) {
-            loop.drop(due);
+            loop.cancel(due);
             dueAt = next;
             due = next == Long.MAX_VALUE ? null : loop.after(next - loop.now(), this::due);
         }
@@ -157,7 +158,7 @@
         numberedBy = anew ? by.number : numberedBy;
         revision = listed.revision();
         toldBy = Math.max(toldBy, by.number);
-        pooler.listed(new News(
+        pooler.onEndpointListEvent(new EndpointListEvent(
                 listed.complete() ? ListForm.FULL : ListForm.UPDATE,
                 listed.entries(),
                 by.toldSince(listed.complete())));
@@ -184,7 +185,7 @@
         private final Chunks chunks = new Chunks();
         private final Link link;
         private final long number = ++calls, since = revision, begunAt = loop.now();
-        private Deadlines.Deadline patience;
+        private TimerQueue.Timer patience;
         private boolean bodied, chunked, over, told;
         private long length = -1, bodyBytes;
         /** When what is being taken was read, and when the word before it was; 0 where this is the first. */
@@ -203,7 +204,7 @@
 
         void end() {
             over = true;
-            loop.drop(patience);
+            loop.cancel(patience);
             link.drop();
         }
 
@@ -231,13 +232,13 @@
                     told ? "told" : "nothing told",
                     revision,
                     why);
-            pooler.firstWord().callFailed(loop.now() - begunAt);
+            pooler.discoveryReadiness().callFailed(loop.now() - begunAt);
             end();
             if (watching) {
                 schedule.failed(watch);
                 schedule();
             } else {
-                pooler.listed(new News(ListForm.UNAVAILABLE, List.of()));
+                pooler.onEndpointListEvent(new EndpointListEvent(ListForm.UNAVAILABLE, List.of()));
             }
         }
 
@@ -353,7 +354,7 @@
                 told = true;
             }
             // Where nothing was known before, a beat is no word: the list has to come first.
-            if (bytes.length > 0 && !objects.unfinished() && !over && (told || since > 0 || pooler.knowsNodes())) {
+            if (bytes.length > 0 && !objects.unfinished() && !over && (told || since > 0 || pooler.hasEndpoints())) {
                 spoke();
             }
             bodyBytes += bytes.length;
@@ -368,7 +369,7 @@
                 tell(this, body.toByteArray());
             } catch (IOException e) {
                 Log.warn("discovery: %s", e.getMessage());
-                pooler.listed(new News(ListForm.UNAVAILABLE, List.of()));
+                pooler.onEndpointListEvent(new EndpointListEvent(ListForm.UNAVAILABLE, List.of()));
             }
         }
     }
--- a/discovery/src/main/java/lupinvalve/discovery/ListReader.java
+++ b/discovery/src/main/java/lupinvalve/discovery/ListReader.java
@@ -8,14 +8,14 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import lupinvalve.core.Directory;
+import lupinvalve.core.DiscoveredEndpoint;
 import lupinvalve.routing.Endpoint;
 import lupinvalve.routing.EndpointState;
 
 /** Decodes lists in discovery's form, once, into the few values used. */
 public final class ListReader {
     /** A list or change with its version. */
-    public record Listed(long revision, boolean complete, List<Directory.Entry> entries) {}
+    public record Listed(long revision, boolean complete, List<DiscoveredEndpoint> entries) {}
 
     private static final JsonFactory JSON = new JsonFactory();
     private final Integer mysqlPort;
@@ -44,7 +44,7 @@
         }
         long revision = 0;
         boolean complete = false;
-        List<Directory.Entry> entries = new ArrayList<>();
+        List<DiscoveredEndpoint> entries = new ArrayList<>();
         while (in.nextToken() == JsonToken.FIELD_NAME) {
             String name = in.currentName();
             in.nextToken();
@@ -62,7 +62,7 @@
         return new Listed(revision, complete, entries);
     }
 
-    private Directory.Entry entry(JsonParser in) throws IOException {
+    private DiscoveredEndpoint entry(JsonParser in) throws IOException {
         String id = null;
         String address = null;
         String mysql = null;
@@ -96,7 +96,7 @@
                     case "terminated" -> EndpointState.DEPARTED;
                     default -> throw new IOException("list: phase " + phase);
                 };
-        return new Directory.Entry(
+        return new DiscoveredEndpoint(
                 new Endpoint(id, cell, zones.getOrDefault(zone, 0), health, primary, born), addresses(address, mysql));
     }
 
--- a/faultinjection/src/main/java/lupinvalve/faultinjection/HandOff.java
+++ b/faultinjection/src/main/java/lupinvalve/faultinjection/HandOff.java
@@ -12,7 +12,7 @@
 import lupinvalve.faultinjection.Points.Kind;
 import lupinvalve.hotrestart.OrdersFile;
 import lupinvalve.hotrestart.Shelf;
-import lupinvalve.maintenance.Maintenance.Orders;
+import lupinvalve.maintenance.DrainCommands;
 
 /**
  * An upgrade in which operators take db nodes out and call them back at both processes: each order that got a yes must
@@ -53,7 +53,7 @@
 
     private final class Process {
         private OrdersFile file = new OrdersFile(new Counted(), "p");
-        private Orders held = Orders.NONE;
+        private DrainCommands held = DrainCommands.NONE;
         private boolean ended;
 
         /** An operator's call. */
@@ -75,7 +75,7 @@
         /** Looks for the other process's orders. */
         void look() {
             try {
-                Orders other = ended ? null : file.changed(held);
+                DrainCommands other = ended ? null : file.changed(held);
                 held = other == null ? held : other;
             } catch (Ended e) {
                 ended = true;
@@ -86,7 +86,7 @@
         void back() {
             if (ended) {
                 ended = false;
-                held = Orders.NONE;
+                held = DrainCommands.NONE;
                 file = new OrdersFile(new Counted(), "p");
                 look();
             }
@@ -123,7 +123,7 @@
         process.look();
         if (!process.ended) {
             truth.forEach((id, out) -> {
-                if (out != null && process.held.out().contains(id) != out) {
+                if (out != null && process.held.drained().contains(id) != out) {
                     broken.add(who
                             + (out
                                     ? " uses " + id + ", which was taken out with a yes"
--- a/hotrestart/src/main/java/lupinvalve/hotrestart/OrdersFile.java
+++ b/hotrestart/src/main/java/lupinvalve/hotrestart/OrdersFile.java
@@ -16,7 +16,7 @@
 import java.util.Set;
 import java.util.function.UnaryOperator;
 import lupinvalve.log.Log;
-import lupinvalve.maintenance.Maintenance.Orders;
+import lupinvalve.maintenance.DrainCommands;
 
 /**
  * The operators' orders in a file that the two processes of an upgrade share. It is written whole beside the old one
@@ -49,7 +49,7 @@
      * What the file holds where it has changed since it was last read or written, else null. Of one that is spoilt,
      * what could be read stands beside what is held: a db node too many is out, and none that was taken out is used.
      */
-    public Orders changed(Orders held) {
+    public DrainCommands changed(DrainCommands held) {
         try {
             return news(held);
         } catch (IOException e) {
@@ -58,7 +58,7 @@
         }
     }
 
-    private Orders news(Orders held) throws IOException {
+    private DrainCommands news(DrainCommands held) throws IOException {
         byte[] bytes;
         try {
             bytes = shelf.size(file) > BYTES_MOST ? new byte[] {'!'} : shelf.read(file);
@@ -77,11 +77,11 @@
      * Makes a change to what the file holds; it is in the file when this returns. Where the file can't be read there is
      * no change: made to what is held here, it would undo what the other process wrote since.
      */
-    public Orders change(Orders held, UnaryOperator<Orders> change) throws IOException {
+    public DrainCommands change(DrainCommands held, UnaryOperator<DrainCommands> change) throws IOException {
         Closeable locked = shelf.lock(lock);
         try {
-            Orders other = news(held);
-            Orders next = change.apply(other == null ? held : other);
+            DrainCommands other = news(held);
+            DrainCommands next = change.apply(other == null ? held : other);
             byte[] bytes = bytes(next);
             shelf.write(beside, bytes);
             shelf.move(beside, file);
@@ -93,7 +93,7 @@
         }
     }
 
-    private Orders read(byte[] bytes, Orders held) {
+    private DrainCommands read(byte[] bytes, DrainCommands held) {
         Set<String> out = new HashSet<>();
         Map<String, Long> back = new HashMap<>();
         try (JsonParser in = JSON.createParser(bytes)) {
@@ -116,10 +116,10 @@
             }
             expect(in, in.currentToken() == JsonToken.END_OBJECT && in.nextToken() == null);
             reported = false;
-            return new Orders(out, back);
+            return new DrainCommands(out, back);
         } catch (IOException e) {
             report("is spoilt, what could be read is joined with what is held: " + e.getMessage());
-            return held.and(new Orders(out, Map.of()));
+            return held.union(new DrainCommands(out, Map.of()));
         }
     }
 
@@ -130,17 +130,17 @@
         }
     }
 
-    private static byte[] bytes(Orders orders) throws IOException {
+    private static byte[] bytes(DrainCommands orders) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (JsonGenerator out = JSON.createGenerator(bytes)) {
             out.writeStartObject();
             out.writeArrayFieldStart("out");
-            for (String id : orders.out()) {
+            for (String id : orders.drained()) {
                 out.writeString(id);
             }
             out.writeEndArray();
             out.writeObjectFieldStart("back");
-            for (Map.Entry<String, Long> e : orders.back().entrySet()) {
+            for (Map.Entry<String, Long> e : orders.restoredAtMicros().entrySet()) {
                 out.writeNumberField(e.getKey(), e.getValue());
             }
             out.writeEndObject();
--- a/hotrestart/src/test/java/lupinvalve/hotrestart/OrdersFileTest.java
+++ b/hotrestart/src/test/java/lupinvalve/hotrestart/OrdersFileTest.java
@@ -15,13 +15,13 @@
 import java.util.Map;
 import java.util.Set;
 import lupinvalve.log.Log;
-import lupinvalve.maintenance.Maintenance.Orders;
+import lupinvalve.maintenance.DrainCommands;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
 class OrdersFileTest {
-    private static final Orders HELD = new Orders(Set.of("s-9"), Map.of("s-8", 77L));
+    private static final DrainCommands HELD = new DrainCommands(Set.of("s-9"), Map.of("s-8", 77L));
 
     @TempDir
     private Path folder;
@@ -45,44 +45,44 @@
     void eachProcessReadsAndKeepsWhatTheOtherWrote() throws IOException {
         OrdersFile one = process();
         OrdersFile two = process();
-        assertNull(one.changed(Orders.NONE));
-        Orders first = one.change(Orders.NONE, held -> held.with(true, "s-1", 5));
+        assertNull(one.changed(DrainCommands.NONE));
+        DrainCommands first = one.change(DrainCommands.NONE, held -> held.with(true, "s-1", 5));
         assertNull(one.changed(first), "its own change is no news");
         // The second has not looked since: its change must not undo the first.
-        Orders both = two.change(Orders.NONE, held -> held.with(true, "s-2", 6));
-        assertEquals(Set.of("s-1", "s-2"), both.out());
+        DrainCommands both = two.change(DrainCommands.NONE, held -> held.with(true, "s-2", 6));
+        assertEquals(Set.of("s-1", "s-2"), both.drained());
         assertEquals(both, one.changed(first));
-        Orders back = two.change(both, held -> held.with(false, "s-1", 7));
-        assertEquals(new Orders(Set.of("s-2"), Map.of("s-1", 7L)), back);
+        DrainCommands back = two.change(both, held -> held.with(false, "s-1", 7));
+        assertEquals(new DrainCommands(Set.of("s-2"), Map.of("s-1", 7L)), back);
         assertEquals(back, one.changed(both));
-        assertEquals(back, process().changed(Orders.NONE), "one that starts reads it all");
+        assertEquals(back, process().changed(DrainCommands.NONE), "one that starts reads it all");
     }
 
     @Test
     void aFileCutAnywhereIsReportedAndBringsNothingBack() throws IOException {
-        Orders whole = process().change(Orders.NONE, held -> HELD.with(true, "s-1", 5));
+        DrainCommands whole = process().change(DrainCommands.NONE, held -> HELD.with(true, "s-1", 5));
         byte[] bytes = Files.readAllBytes(file());
         Log.to(new PrintStream(log, true));
         for (int length = 0; length < bytes.length; length++) {
             Files.write(file(), Arrays.copyOf(bytes, length));
             log.reset();
-            Orders read = process().changed(HELD);
+            DrainCommands read = process().changed(HELD);
             // An empty file is all that a process knows before it looks, so that one is no news.
-            Orders held = read == null ? HELD : read;
-            assertTrue(held.out().contains("s-9"), "cut at " + length);
+            DrainCommands held = read == null ? HELD : read;
+            assertTrue(held.drained().contains("s-9"), "cut at " + length);
             assertTrue(length == 0 || log.toString().contains("spoilt"), "cut at " + length);
-            assertTrue(whole.out().containsAll(held.out()) || length < bytes.length, "cut at " + length);
+            assertTrue(whole.drained().containsAll(held.drained()) || length < bytes.length, "cut at " + length);
         }
         Files.writeString(file(), "{\"out\":[\"s-1\"],\"back\":{}} more");
-        assertEquals(Set.of("s-1", "s-9"), process().changed(HELD).out());
+        assertEquals(Set.of("s-1", "s-9"), process().changed(HELD).drained());
         Files.write(file(), new byte[2 << 20]);
-        assertEquals(HELD.out(), process().changed(HELD).out());
+        assertEquals(HELD.drained(), process().changed(HELD).drained());
     }
 
     @Test
     void anOrderThatCantBeWrittenIsNotGiven() throws IOException {
         OrdersFile lost = new OrdersFile(folder.resolve("no such folder").resolve("p"));
-        assertThrows(IOException.class, () -> lost.change(Orders.NONE, held -> held.with(true, "s-1", 5)));
+        assertThrows(IOException.class, () -> lost.change(DrainCommands.NONE, held -> held.with(true, "s-1", 5)));
     }
 
     @Test
--- a/mysql/src/main/java/lupinvalve/mysql/MysqlBackend.java
+++ b/mysql/src/main/java/lupinvalve/mysql/MysqlBackend.java
@@ -14,8 +14,8 @@
 import java.util.List;
 import java.util.Map;
 import javax.crypto.Cipher;
+import lupinvalve.core.LogPositionParser;
 import lupinvalve.core.Pooler;
-import lupinvalve.core.Positions;
 import lupinvalve.log.Log;
 import lupinvalve.net.Dialer;
 import lupinvalve.net.Framer;
@@ -440,7 +440,7 @@
         String asOf = ok.tracked(Protocol.AS_OF);
         String rank = ok.tracked(Protocol.RANK);
         if (asOf != null) {
-            position = Positions.read(asOf, 3, loop.now());
+            position = LogPositionParser.parse(asOf, 3, loop.now());
         }
         if (rank != null) {
             role = rank.equals("source")
--- a/mysql/src/main/java/lupinvalve/mysql/MysqlFront.java
+++ b/mysql/src/main/java/lupinvalve/mysql/MysqlFront.java
@@ -6,9 +6,11 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import lupinvalve.core.Front;
+import lupinvalve.core.ClientRequest;
+import lupinvalve.core.Frontend;
+import lupinvalve.core.HandleTable;
+import lupinvalve.core.InvalidStatementException;
 import lupinvalve.core.Pooler;
-import lupinvalve.core.Slots;
 import lupinvalve.core.Statement;
 import lupinvalve.net.ClientEnds;
 import lupinvalve.net.EndReason;
@@ -21,7 +23,7 @@
  * Takes MySQL clients' connections and commands, and passes requests to the pooler and its answers back.
  * {@link MysqlLogin} does logins, {@link PreparedStatements} what needs no db node. Core thread only.
  */
-public final class MysqlFront implements Front, Link.Events {
+public final class MysqlFront implements Frontend, Link.Events {
     /** The name by which db nodes that speak this protocol are asked for. */
     public static final String PROTOCOL = "mysql";
 
@@ -46,7 +48,7 @@
     private static final int MALFORMED_PACKET = 1153;
     private final Pooler pooler;
     private final MysqlLogin login;
-    private final Slots<MysqlClient> clients;
+    private final HandleTable<MysqlClient> clients;
     private final Map<Link, MysqlClient> byLink = new IdentityHashMap<>();
     private final Spare<MysqlClient> spare;
     private final ClientEnds ends;
@@ -56,7 +58,7 @@
     public MysqlFront(Pooler pooler, int clientsMost, String user, String password) {
         this.pooler = pooler;
         login = new MysqlLogin(user, password);
-        clients = new Slots<>(Spare.places(clientsMost));
+        clients = new HandleTable<>(Spare.places(clientsMost));
         spare = new Spare<>(
                 pooler.loop(), clients, clientsMost, pooler.settings().limits().maxOpenRequests(), this::retire);
         ends = new ClientEnds(pooler.loop());
@@ -108,12 +110,12 @@
     private void forget(MysqlClient client, EndReason reason) {
         ends.ended(reason, client.link, client.waiting.size() + (client.busy ? 1 : 0));
         byLink.remove(client.link);
-        clients.free(client.slot);
+        clients.remove(client.slot);
         spare.gone(client);
         client.waiting.forEach(command -> waiting -= command.size());
         client.waiting.clear();
         if (client.busy) {
-            pooler.gone(client.request);
+            pooler.clientDisconnected(client.request);
         }
     }
 
@@ -264,17 +266,18 @@
             }
         }
         try {
-            Pooler.Ask ask = request.statement().ask(pooler.settings().classes(), atMicros, session, PROTOCOL, request);
-            if (pooler.named(ask.id())) {
-                throw new Statement.Unclear("field id names an open request");
+            ClientRequest ask =
+                    request.statement().toRequest(pooler.settings().classes(), atMicros, session, PROTOCOL, request);
+            if (pooler.hasOpenRequest(ask.id())) {
+                throw new InvalidStatementException("field id names an open request");
             }
             client.busy = true;
             client.request = -1;
-            long handle = pooler.request(this, client.slot, ask);
+            long handle = pooler.submit(this, client.slot, ask);
             if (client.busy) {
                 client.request = handle;
             }
-        } catch (Statement.Unclear e) {
+        } catch (InvalidStatementException e) {
             client.error(PARSE_ERROR, "42000", e.getMessage());
         }
     }
@@ -292,7 +295,7 @@
     }
 
     @Override
-    public void refused(long ticket, long retryAfterMicros) {
+    public void rejected(long ticket, long retryAfterMicros) {
         MysqlClient client = clients.get(ticket);
         if (client != null) {
             client.error(
@@ -313,7 +316,7 @@
     }
 
     @Override
-    public boolean left(long ticket) {
+    public boolean isClientDisconnected(long ticket) {
         MysqlClient client = clients.get(ticket);
         return client == null || client.link.left();
     }
@@ -360,7 +363,7 @@
 
     /** Whether connections end as soon as nothing is due on them. */
     private boolean ends() {
-        return pooler.drain().ends(pooler.loop().now());
+        return pooler.clientDrain().closesConnections(pooler.loop().now());
     }
 
     /** Ends a connection as clients are sent away, as soon as its client is not using it. */
@@ -379,7 +382,7 @@
 
     /** Connections end as soon as nothing is due on them, as long as the drain says so. */
     public void close() {
-        clients.each(this::part);
+        clients.forEach(this::part);
     }
 
     /** How many clients are connected. */
--- a/net/src/main/java/lupinvalve/net/ClientEnds.java
+++ b/net/src/main/java/lupinvalve/net/ClientEnds.java
@@ -3,7 +3,7 @@
 import java.util.EnumMap;
 import java.util.Map;
 import java.util.stream.Collectors;
-import lupinvalve.core.Loop;
+import lupinvalve.core.EventLoop;
 import lupinvalve.log.Log;
 
 /**
@@ -26,13 +26,13 @@
         }
     }
 
-    private final Loop loop;
+    private final EventLoop loop;
     /** Reasons that have been told of in this period, with what came since. */
     private final Map<EndReason, Count> repeats = new EnumMap<>(EndReason.class);
 
     private boolean isSummaryDue;
 
-    public ClientEnds(Loop loop) {
+    public ClientEnds(EventLoop loop) {
         this.loop = loop;
     }
 
--- a/net/src/main/java/lupinvalve/net/Link.java
+++ b/net/src/main/java/lupinvalve/net/Link.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.BooleanSupplier;
-import lupinvalve.core.Loop;
+import lupinvalve.core.EventLoop;
 import lupinvalve.log.Log;
 import lupinvalve.log.RepeatedWarnings;
 import org.apache.mina.core.RuntimeIoException;
@@ -57,7 +57,7 @@
 
     private static final RepeatedWarnings WARNINGS = new RepeatedWarnings();
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Room memory;
     private final boolean urgent;
     private final Framer framer;
@@ -109,12 +109,12 @@
     /** Whether the peer has so much to read that nothing is read from it. */
     private volatile boolean full;
 
-    Link(Loop loop, Framer framer, Events events) {
+    Link(EventLoop loop, Framer framer, Events events) {
         this(loop, framer, events, new Room(Long.MAX_VALUE), false);
     }
 
     /** @param urgent whether what happens goes before all that waits for the core */
-    Link(Loop loop, Framer framer, Events events, Room memory, boolean urgent) {
+    Link(EventLoop loop, Framer framer, Events events, Room memory, boolean urgent) {
         this.memory = memory;
         this.urgent = urgent;
         this.loop = loop;
@@ -213,7 +213,7 @@
 
     private void post(Runnable work) {
         if (urgent) {
-            loop.urgent(work);
+            loop.postUrgent(work);
         } else {
             loop.post(work);
         }
@@ -277,7 +277,7 @@
                 retiring = false;
                 endedBy = null;
             }
-            loop.waited(loop.now() - at);
+            loop.recordQueueDelay(loop.now() - at);
             if (behind && (!rest || !messages.isEmpty())) {
                 unfinishedSince = at;
             }
--- a/net/src/main/java/lupinvalve/net/Memory.java
+++ b/net/src/main/java/lupinvalve/net/Memory.java
@@ -2,7 +2,7 @@
 
 import java.net.InetSocketAddress;
 import java.util.function.Function;
-import lupinvalve.core.Loop;
+import lupinvalve.core.EventLoop;
 import org.apache.mina.core.buffer.IoBuffer;
 import org.apache.mina.core.filterchain.IoFilterAdapter;
 import org.apache.mina.core.session.DummySession;
@@ -20,11 +20,11 @@
         byte[] answer(byte[] written) throws Exception;
     }
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Function<InetSocketAddress, Peer> peers;
 
     /** @param peers gives the peer at an address, a new one for each connection */
-    public Memory(Loop loop, Function<InetSocketAddress, Peer> peers) {
+    public Memory(EventLoop loop, Function<InetSocketAddress, Peer> peers) {
         this.loop = loop;
         this.peers = peers;
     }
--- a/net/src/main/java/lupinvalve/net/Net.java
+++ b/net/src/main/java/lupinvalve/net/Net.java
@@ -21,7 +21,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.BooleanSupplier;
 import java.util.function.Function;
-import lupinvalve.core.Loop;
+import lupinvalve.core.EventLoop;
 import lupinvalve.log.Log;
 import lupinvalve.log.RepeatedWarnings;
 import org.apache.mina.core.buffer.IoBuffer;
@@ -50,7 +50,7 @@
     /** Of messages that are not whole: a third of the least heap that a pooler is given. */
     private static final long UNFINISHED_MOST = 14 << 20;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final boolean urgent;
     private volatile BooleanSupplier fence;
     private volatile int sessionsMost = Integer.MAX_VALUE;
@@ -77,17 +77,17 @@
     private final Security security;
     private final List<NioSocketAcceptor> acceptors = new CopyOnWriteArrayList<>();
 
-    public Net(Loop loop) {
+    public Net(EventLoop loop) {
         this(loop, false);
     }
 
     /** @param urgent whether what happens on its connections goes before all that waits for the core */
-    public Net(Loop loop, boolean urgent) {
+    public Net(EventLoop loop, boolean urgent) {
         this(loop, urgent, null);
     }
 
     /** @param security of all connections, or null for none */
-    public Net(Loop loop, boolean urgent, Security security) {
+    public Net(EventLoop loop, boolean urgent, Security security) {
         this.loop = loop;
         this.urgent = urgent;
         this.security = security;
--- a/net/src/main/java/lupinvalve/net/Outbound.java
+++ b/net/src/main/java/lupinvalve/net/Outbound.java
@@ -1,6 +1,6 @@
 package lupinvalve.net;
 
-import lupinvalve.core.Loop;
+import lupinvalve.core.EventLoop;
 import org.apache.mina.core.session.IoSession;
 
 /**
@@ -15,7 +15,7 @@
     /** How often that is looked at. */
     private static final long LOOK_MICROS = 3_000_000;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Runnable stalled;
     private IoSession session;
     private volatile Runnable room;
@@ -30,7 +30,7 @@
     private boolean isWatched;
 
     /** @param stalled ends the connection, as its peer takes nothing */
-    Outbound(Loop loop, Runnable stalled) {
+    Outbound(EventLoop loop, Runnable stalled) {
         this.loop = loop;
         this.stalled = stalled;
     }
--- a/net/src/main/java/lupinvalve/net/Pool.java
+++ b/net/src/main/java/lupinvalve/net/Pool.java
@@ -7,12 +7,13 @@
 import java.util.List;
 import java.util.Map;
 import lupinvalve.core.Backend;
-import lupinvalve.core.Deadlines;
-import lupinvalve.core.Loop;
+import lupinvalve.core.EndpointInstance;
+import lupinvalve.core.EventLoop;
+import lupinvalve.core.HandleTable;
 import lupinvalve.core.Pooler;
-import lupinvalve.core.Slots;
+import lupinvalve.core.TimerQueue;
 import lupinvalve.log.Log;
-import lupinvalve.maintenance.Shares;
+import lupinvalve.maintenance.ResourceBudgets;
 import lupinvalve.routing.AttemptOutcome;
 import lupinvalve.routing.LogPosition;
 import lupinvalve.routing.ServerRole;
@@ -22,7 +23,7 @@
  * thread only.
  */
 public abstract class Pool implements Backend {
-    /** What goes out on a connection: an attempt, or a probe where {@code attempt} is -1. */
+    /** What goes out on a connection: an attempt, or a probe without an attempt. */
     public static final class Job {
         public final long attempt;
         public final String node;
@@ -58,7 +59,7 @@
     public static class Conn {
         private final String node;
         /** The db node's process that it was opened to. */
-        private Pooler.Instance instance;
+        private EndpointInstance instance;
 
         private long openedAt, slot;
         private Link link;
@@ -68,7 +69,7 @@
         /** When it began to rest, and how long it had rested before its job; 0 where it is new. */
         private long restAt, rested;
 
-        private Deadlines.Deadline limit;
+        private TimerQueue.Timer limit;
 
         protected Conn(String node) {
             this.node = node;
@@ -119,8 +120,8 @@
     private final Dialer net;
     private final Bounds bounds;
     protected final Pooler pooler;
-    protected final Loop loop;
-    private final Slots<Conn> conns;
+    protected final EventLoop loop;
+    private final HandleTable<Conn> conns;
     private final Map<String, ArrayDeque<Conn>> idle = new HashMap<>();
     private final Map<Long, Conn> byAttempt = new HashMap<>();
     private final Trust trust;
@@ -133,7 +134,7 @@
         this.pooler = pooler;
         this.bounds = bounds;
         loop = pooler.loop();
-        conns = new Slots<>(bounds.connections());
+        conns = new HandleTable<>(bounds.connections());
         most = bounds.connections();
         trust = new Trust(bounds.idleMicros());
         surplus = Math.max(
@@ -182,10 +183,10 @@
             return;
         }
         conn.greeted = true;
-        loop.drop(conn.limit);
+        loop.cancel(conn.limit);
         if (conn.job == null) {
             rest(conn);
-        } else if (pooler.bars(conn.node, conn.instance, conn.openedAt, conn.job.attempt)) {
+        } else if (!pooler.maySend(conn.node, conn.instance, conn.openedAt, conn.job.attempt)) {
             // The request has not gone anywhere.
             Job job = conn.job;
             release(conn);
@@ -226,7 +227,7 @@
     /** Nothing more can be read from the connection: it is closed, and its job ends as if it had broken. */
     protected final void broken(Conn conn) {
         conn.link.drop();
-        loop.drop(conn.limit);
+        loop.cancel(conn.limit);
         forget(conn);
         // MINA may be writing the request right now, so it counts as out.
         lost(conn, conn.started);
@@ -241,8 +242,10 @@
     }
 
     @Override
-    public final void probe(String node, String address) {
-        take(new Job(-1, node, null, bounds.probeMicros(), bounds.probeMicros(), loop.now()), address);
+    public final void checkHealth(String node, String address) {
+        take(
+                new Job(HandleTable.NO_HANDLE, node, null, bounds.probeMicros(), bounds.probeMicros(), loop.now()),
+                address);
     }
 
     private void take(Job job, String address) {
@@ -251,7 +254,7 @@
         Conn conn = resting == null ? null : resting.peekLast();
         if (conn != null && loop.now() - conn.restAt > trust.micros) {
             // The others have rested longer still.
-            closeIdle(job.node);
+            closeIdleConnections(job.node);
             conn = null;
         } else if (conn != null) {
             resting.pollLast();
@@ -264,7 +267,7 @@
             tell(job, AttemptOutcome.NOT_SENT, null, LogPosition.UNKNOWN, ServerRole.UNKNOWN);
             return;
         }
-        loop.drop(conn.greeted ? conn.limit : null);
+        loop.cancel(conn.greeted ? conn.limit : null);
         conn.job = job;
         if (!job.probe()) {
             byAttempt.put(job.attempt, conn);
@@ -330,13 +333,13 @@
     }
 
     @Override
-    public final boolean waits(long attempt) {
+    public final boolean isAwaitingConnection(long attempt) {
         Conn conn = byAttempt.get(attempt);
         return conn != null && !conn.started;
     }
 
     @Override
-    public final void closeIdle(String node) {
+    public final void closeIdleConnections(String node) {
         ArrayDeque<Conn> resting = idle.remove(node);
         if (resting != null) {
             resting.forEach(this::end);
@@ -363,7 +366,7 @@
         if (conn.job != null) {
             byAttempt.remove(conn.job.attempt);
             if (conn.job.probe() && conn.greeted) {
-                loop.drop(conn.limit);
+                loop.cancel(conn.limit);
             }
         }
         conn.job = null;
@@ -373,14 +376,14 @@
 
     /** Another process of this pooler runs, or no longer: both keep within one limit on descriptors. */
     public final void beside(boolean another) {
-        most = Shares.connections(bounds.connections(), another);
+        most = ResourceBudgets.maxConnections(bounds.connections(), another);
         while (conns.size() > most && evict()) {
             // What rests goes first; what is busy is not ended for room.
         }
     }
 
     private void rest(Conn conn) {
-        if (!pooler.leads(conn.node, conn.instance, conn.openedAt)) {
+        if (!pooler.isCurrentInstance(conn.node, conn.instance, conn.openedAt)) {
             // It left, or another process took its id, while this connection was busy or on its way up.
             forget(conn);
             conn.link.drop();
@@ -405,13 +408,13 @@
     }
 
     private void end(Conn conn) {
-        loop.drop(conn.limit);
+        loop.cancel(conn.limit);
         forget(conn);
         conn.link.drop();
     }
 
     private void forget(Conn conn) {
-        conns.free(conn.slot);
+        conns.remove(conn.slot);
         ArrayDeque<Conn> resting = idle.get(conn.node);
         if (resting != null && resting.isEmpty()) {
             // Db nodes that have left leave nothing behind.
@@ -447,9 +450,9 @@
 
     private void tell(Job job, AttemptOutcome ending, Object answer, long position, ServerRole role) {
         if (job.probe()) {
-            pooler.probed(job.node, ending, loop.now() - job.startedAt, position, role);
+            pooler.healthCheckEnded(job.node, ending, loop.now() - job.startedAt, position, role);
         } else {
-            pooler.ended(job.attempt, ending, answer, position, role);
+            pooler.attemptEnded(job.attempt, ending, answer, position, role);
         }
     }
 
@@ -490,7 +493,7 @@
 
         @Override
         public void closed(Link link) {
-            loop.drop(conn.limit);
+            loop.cancel(conn.limit);
             forget(conn);
             lost(conn, conn.started && conn.link.mayHaveLeft(conn.before));
         }
@@ -501,8 +504,8 @@
         conn.started = true;
         conn.before = conn.link.handed();
         if (!conn.job.probe()) {
-            pooler.figures().attempted();
-            conn.link.beginBy(pooler.beginBy(conn.node));
+            pooler.metrics().attemptSent();
+            conn.link.beginBy(pooler.latestStartMicros(conn.node));
         }
     }
 
--- a/net/src/main/java/lupinvalve/net/Spare.java
+++ b/net/src/main/java/lupinvalve/net/Spare.java
@@ -6,9 +6,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import lupinvalve.core.Deadlines;
-import lupinvalve.core.Loop;
-import lupinvalve.core.Slots;
+import lupinvalve.core.EventLoop;
+import lupinvalve.core.HandleTable;
+import lupinvalve.core.TimerQueue;
 
 /**
  * Which clients' connections may be closed to make room, and which must be. Guards against clients that keep a
@@ -35,17 +35,17 @@
     /** After this a connection that could not be ended is tried again. */
     private static final long AGAIN = 20_000;
 
-    private final Loop loop;
-    private final Slots<C> clients;
+    private final EventLoop loop;
+    private final HandleTable<C> clients;
     private final int most;
     private final long allowed;
     private final Ends<C> close;
-    private final Map<C, Deadlines.Deadline> silent = new LinkedHashMap<>();
+    private final Map<C, TimerQueue.Timer> silent = new LinkedHashMap<>();
     private final Map<C, Long> resting = new LinkedHashMap<>();
     /** Those whose end has been asked for: they count as gone unless their clients use them. */
     private final Set<C> ending = new HashSet<>();
 
-    private Deadlines.Deadline again;
+    private TimerQueue.Timer again;
 
     /**
      * @param most connections that may be open at once; the table holds {@link #places} so that newcomers need not wait
@@ -53,7 +53,7 @@
      * @param allowed connections that clients can have for requests, whatever the table holds
      * @param close ends a connection
      */
-    public Spare(Loop loop, Slots<C> clients, int most, long allowed, Ends<C> close) {
+    public Spare(EventLoop loop, HandleTable<C> clients, int most, long allowed, Ends<C> close) {
         this.loop = loop;
         this.most = most;
         this.clients = clients;
@@ -107,7 +107,7 @@
 
     /** A whole command has come, so the connection is in use. */
     public void busy(C client) {
-        loop.drop(silent.remove(client));
+        loop.cancel(silent.remove(client));
         resting.remove(client);
         ending.remove(client);
     }
@@ -119,7 +119,7 @@
 
     /** Whether there is no place for a newcomer. */
     public boolean isFull() {
-        return size() >= most || clients.full();
+        return size() >= most || clients.isFull();
     }
 
     /** Nothing is due on the connection. */
--- a/pg/src/main/java/lupinvalve/pg/PgBackend.java
+++ b/pg/src/main/java/lupinvalve/pg/PgBackend.java
@@ -3,11 +3,11 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
+import lupinvalve.core.LogPositionParser;
 import lupinvalve.core.Pooler;
-import lupinvalve.core.Positions;
 import lupinvalve.core.Statement;
 import lupinvalve.log.Log;
-import lupinvalve.maintenance.Shares;
+import lupinvalve.maintenance.ResourceBudgets;
 import lupinvalve.net.Dialer;
 import lupinvalve.net.Framer;
 import lupinvalve.net.Pool;
@@ -124,8 +124,8 @@
         c.row = message;
         c.left = length - message.length;
         c.answer.add(message);
-        switch (pooler.begins(c.job().attempt, c.answer.toArray(new byte[0][]), wait -> held(c, wait))) {
-            case ON -> {
+        switch (pooler.answerStarted(c.job().attempt, c.answer.toArray(new byte[0][]), wait -> held(c, wait))) {
+            case PASS_ON -> {
                 c.passing = true;
                 c.answer.clear();
             }
@@ -133,7 +133,7 @@
                 return false;
             }
             default -> {
-                if (!Shares.keeps(kept, length)) {
+                if (!ResourceBudgets.canBuffer(kept, length)) {
                     Log.warn("no room for an answer of %d bytes that must be held whole", length);
                     return false;
                 }
@@ -156,7 +156,7 @@
     private boolean piece(PgConn c, byte[] piece) {
         c.left -= piece.length;
         if (c.passing) {
-            pooler.more(c.job().attempt, piece);
+            pooler.answerChunk(c.job().attempt, piece);
         } else {
             c.answer.add(piece);
         }
@@ -229,7 +229,7 @@
         if (name.equals("rank")) {
             c.role = role(value);
         } else {
-            c.position = Positions.read(value, 3, loop.now());
+            c.position = LogPositionParser.parse(value, 3, loop.now());
         }
     }
 
@@ -262,7 +262,7 @@
             String report = new String(c.row, 11, c.row.length - 11, java.nio.charset.StandardCharsets.UTF_8);
             for (String field : report.split(",")) {
                 if (field.startsWith("x0=")) {
-                    position = Positions.read(field.substring(3), 6, loop.now());
+                    position = LogPositionParser.parse(field.substring(3), 6, loop.now());
                 } else if (field.matches("x1=[01](\\.0+)?")) {
                     role = field.startsWith("x1=1") ? ServerRole.PRIMARY : ServerRole.REPLICA;
                 }
--- a/pg/src/main/java/lupinvalve/pg/PgFront.java
+++ b/pg/src/main/java/lupinvalve/pg/PgFront.java
@@ -8,13 +8,15 @@
 import java.util.List;
 import java.util.Map;
 import lupinvalve.core.Backend;
-import lupinvalve.core.Front;
+import lupinvalve.core.ClientRequest;
+import lupinvalve.core.Frontend;
+import lupinvalve.core.HandleTable;
+import lupinvalve.core.InvalidStatementException;
 import lupinvalve.core.Pooler;
-import lupinvalve.core.Slots;
 import lupinvalve.core.Statement;
 import lupinvalve.log.Log;
-import lupinvalve.maintenance.Figures;
-import lupinvalve.maintenance.Shares;
+import lupinvalve.maintenance.Metrics;
+import lupinvalve.maintenance.ResourceBudgets;
 import lupinvalve.net.ClientEnds;
 import lupinvalve.net.EndReason;
 import lupinvalve.net.Framer;
@@ -23,7 +25,7 @@
 import lupinvalve.routing.ServerRole;
 
 /** Speaks PostgreSQL's protocol to clients: simple queries, pipelined or not, answered in order. Core thread only. */
-public final class PgFront implements Front, Link.Events {
+public final class PgFront implements Frontend, Link.Events {
     public static final String PROTOCOL = "pg";
     /** Values have been seen with 400 KB, which are 800 KB as hexadecimal digits. */
     private static final int MESSAGE_MOST = 1 << 20;
@@ -47,8 +49,8 @@
     private static final long LAST_PATIENCE = 300_000;
 
     private final Pooler pooler;
-    private final Slots<Client> clients;
-    private final Slots<Reply> replies;
+    private final HandleTable<Client> clients;
+    private final HandleTable<Reply> replies;
     private final IdentityHashMap<Link, Client> byLink = new IdentityHashMap<>();
     private final Spare<Client> spare;
     /** Connections past the bound, and whether they have been told so. */
@@ -86,7 +88,7 @@
         int size;
         byte[][] bytes;
         /** Of a long answer: where it comes from, and what waits for the answers before it. */
-        Backend.Source source;
+        Backend.StreamSource source;
 
         final ArrayDeque<byte[]> pieces = new ArrayDeque<>(0);
         /**
@@ -107,10 +109,10 @@
     /** @param clientsMost connections held at once; those beyond are told 53300 */
     public PgFront(Pooler pooler, int clientsMost) {
         this.pooler = pooler;
-        clients = new Slots<>(Spare.places(clientsMost));
+        clients = new HandleTable<>(Spare.places(clientsMost));
         spare = new Spare<>(
                 pooler.loop(), clients, clientsMost, pooler.settings().limits().maxOpenRequests(), this::retire);
-        replies = new Slots<>(clientsMost * 8);
+        replies = new HandleTable<>(clientsMost * 8);
         ends = new ClientEnds(pooler.loop());
     }
 
@@ -138,7 +140,7 @@
 
     /** Whether connections end as soon as nothing is due on them. */
     private boolean ends() {
-        return pooler.drain().ends(pooler.loop().now());
+        return pooler.clientDrain().closesConnections(pooler.loop().now());
     }
 
     /** Ends a connection past the bound that has said nothing; one that has is told why by {@link #messages}. */
@@ -181,15 +183,15 @@
         byLink.remove(client.link);
         byKey.remove(client.key);
         spare.gone(client);
-        clients.free(client.slot);
+        clients.remove(client.slot);
         for (Reply reply : client.due) {
             unsent -= reply.unsent;
             if (reply.bytes == null) {
-                if (replies.free(reply.ticket) == null) {
+                if (replies.remove(reply.ticket) == null) {
                     continue;
                 }
                 over(reply);
-                pooler.gone(reply.request);
+                pooler.clientDisconnected(reply.request);
             }
         }
         client.due.clear();
@@ -286,7 +288,7 @@
         if (reply == null || reply.bytes != null || reply.isFilling) {
             return;
         }
-        pooler.gone(reply.request);
+        pooler.clientDisconnected(reply.request);
         byte[] error = PgMessages.error("ERROR", "57014", "canceled at its client's request", null);
         if (reply.source != null) {
             breakOff(reply, error);
@@ -324,7 +326,7 @@
         }
         byte[] text = Arrays.copyOfRange(message, 5, message.length - 1);
         String word = firstWord(text);
-        if (word.isEmpty() && !pooler.drain().welcomes()) {
+        if (word.isEmpty() && !pooler.clientDrain().acceptsClients()) {
             answer(
                     client,
                     PgMessages.error("ERROR", "57P03", "draining: clients are sent away", null),
@@ -340,12 +342,12 @@
 
     private void ask(Client client, Statement statement, long atMicros) {
         try {
-            Pooler.Ask ask = statement.ask(pooler.settings().classes(), atMicros, null, PROTOCOL, statement);
-            if (pooler.named(ask.id())) {
-                throw new Statement.Unclear("field id names an open request");
+            ClientRequest ask = statement.toRequest(pooler.settings().classes(), atMicros, null, PROTOCOL, statement);
+            if (pooler.hasOpenRequest(ask.id())) {
+                throw new InvalidStatementException("field id names an open request");
             }
-            if (client.due.size() >= PIPELINED_MOST || replies.full() || waiting + statement.size() > WAITING_MOST) {
-                pooler.figures().ended(ask.classIndex(), Figures.End.REFUSED);
+            if (client.due.size() >= PIPELINED_MOST || replies.isFull() || waiting + statement.size() > WAITING_MOST) {
+                pooler.metrics().requestEnded(ask.classIndex(), Metrics.Result.REJECTED);
                 answer(client, refusal(pooler.settings().limits().maxRetryAfterMicros()), PgMessages.READY);
                 return;
             }
@@ -354,8 +356,8 @@
             waiting += reply.size;
             client.due.add(reply);
             reply.ticket = replies.put(reply);
-            reply.request = pooler.request(this, reply.ticket, ask);
-        } catch (Statement.Unclear e) {
+            reply.request = pooler.submit(this, reply.ticket, ask);
+        } catch (InvalidStatementException e) {
             answer(client, PgMessages.error("ERROR", "42601", e.getMessage(), null), PgMessages.READY);
         }
     }
@@ -389,7 +391,7 @@
     }
 
     @Override
-    public void refused(long ticket, long retryAfterMicros) {
+    public void rejected(long ticket, long retryAfterMicros) {
         settle(ticket, refusal(retryAfterMicros));
     }
 
@@ -403,13 +405,13 @@
     }
 
     @Override
-    public boolean left(long ticket) {
+    public boolean isClientDisconnected(long ticket) {
         Reply reply = replies.get(ticket);
         return reply == null || reply.client.link.left();
     }
 
     @Override
-    public void begins(long ticket, Object first, Backend.Source source) {
+    public void answerStarted(long ticket, Object first, Backend.StreamSource source) {
         Reply reply = replies.get(ticket);
         if (reply != null) {
             reply.source = source;
@@ -423,7 +425,7 @@
     }
 
     @Override
-    public void more(long ticket, byte[] piece) {
+    public void answerChunk(long ticket, byte[] piece) {
         Reply reply = replies.get(ticket);
         if (reply != null && !reply.isFilling) {
             reply.rowLeft -= piece.length;
@@ -433,7 +435,7 @@
     }
 
     @Override
-    public void cut(long ticket) {
+    public void answerAborted(long ticket) {
         Reply reply = replies.get(ticket);
         if (reply != null && !reply.isFilling) {
             breakOff(reply, failure());
@@ -455,13 +457,13 @@
 
     private void fill(Reply reply, byte[] error) {
         Link link = reply.client.link;
-        while (reply.begun && reply.rowLeft > 0 && link.unread() <= Shares.bytes(streams)) {
+        while (reply.begun && reply.rowLeft > 0 && link.unread() <= ResourceBudgets.streamBufferBytes(streams)) {
             byte[] filler = new byte[(int) Math.min(FILLER, reply.rowLeft)];
             link.write(filler);
             reply.rowLeft -= filler.length;
         }
         if (reply.begun && reply.rowLeft > 0) {
-            link.whenRoom(Shares.bytes(streams) / 2, () -> {
+            link.whenRoom(ResourceBudgets.streamBufferBytes(streams) / 2, () -> {
                 if (replies.get(reply.ticket) == reply) {
                     fill(reply, error);
                 }
@@ -475,16 +477,16 @@
     private void pass(Reply reply) {
         Client client = reply.client;
         if (client.due.peek() != reply) {
-            reply.source.hold(true);
+            reply.source.pauseReading(true);
             return;
         }
         byte[][] pieces = reply.pieces.toArray(new byte[0][]);
         reply.pieces.clear();
         reply.begun |= pieces.length > 0;
         client.link.write(pieces);
-        long share = Shares.bytes(streams);
+        long share = ResourceBudgets.streamBufferBytes(streams);
         boolean full = client.link.unread() > share;
-        reply.source.hold(full);
+        reply.source.pauseReading(full);
         if (full) {
             client.link.whenRoom(share / 2, () -> {
                 if (replies.get(reply.ticket) == reply) {
@@ -500,7 +502,7 @@
     }
 
     private void settle(long ticket, byte[]... bytes) {
-        Reply reply = replies.free(ticket);
+        Reply reply = replies.remove(ticket);
         if (reply != null) {
             over(reply);
             long size = Arrays.stream(bytes).mapToLong(part -> part.length).sum();
@@ -573,7 +575,7 @@
 
     /** Connections end as soon as nothing is due on them, as long as the drain says so. */
     public void close() {
-        clients.each(this::part);
+        clients.forEach(this::part);
     }
 
     /** Connections that have not ended yet. */
--- a/replication/src/main/java/lupinvalve/replication/FollowLink.java
+++ b/replication/src/main/java/lupinvalve/replication/FollowLink.java
@@ -3,8 +3,8 @@
 import java.io.IOException;
 import java.util.List;
 import java.util.function.Consumer;
-import lupinvalve.core.Deadlines;
-import lupinvalve.core.Loop;
+import lupinvalve.core.EventLoop;
+import lupinvalve.core.TimerQueue;
 import lupinvalve.net.Addresses;
 import lupinvalve.net.Link;
 import lupinvalve.net.Net;
@@ -29,16 +29,16 @@
     /** Whom a connection is with and between whom it is. */
     record Way(String cluster, String own, String member, String address, boolean secured) {}
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Way way;
     private final Heard heard;
     private Link link;
     private boolean greeted, over;
     private long call;
     private Consumer<Messages.Answer> then;
-    private Deadlines.Deadline deadline;
+    private TimerQueue.Timer deadline;
 
-    FollowLink(Loop loop, Way way, Heard heard) {
+    FollowLink(EventLoop loop, Way way, Heard heard) {
         this.loop = loop;
         this.way = way;
         this.heard = heard;
@@ -78,7 +78,7 @@
     void drop() {
         if (!over) {
             over = true;
-            loop.drop(deadline);
+            loop.cancel(deadline);
             link.drop();
         }
     }
@@ -117,7 +117,7 @@
         } else if (kind == Messages.Kind.ANSWER) {
             Messages.Answer answer = Messages.Answer.read(body);
             if (then != null && answer.id() == call) {
-                loop.drop(deadline);
+                loop.cancel(deadline);
                 Consumer<Messages.Answer> now = then;
                 then = null;
                 now.accept(answer);
@@ -135,7 +135,7 @@
         if (way.secured()) {
             Tls.check(link, way.member());
         }
-        loop.drop(deadline);
+        loop.cancel(deadline);
         greeted = true;
         write(new Messages.Hello(way.cluster(), way.own(), "", null).write());
         heard.greeted(this);
--- a/replication/src/main/java/lupinvalve/replication/Group.java
+++ b/replication/src/main/java/lupinvalve/replication/Group.java
@@ -14,7 +14,8 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.function.Consumer;
 import lupinvalve.config.OperatorConfig;
-import lupinvalve.core.Loop;
+import lupinvalve.core.EventLoop;
+import lupinvalve.core.Pooler;
 import lupinvalve.log.Log;
 import lupinvalve.net.Addresses;
 import lupinvalve.net.Net;
@@ -67,7 +68,7 @@
     }
 
     private final OperatorConfig.Store config;
-    private final Loop loop = new Loop("store");
+    private final EventLoop loop = new EventLoop("store");
     private final Seams seams;
     private final Schedule schedule;
     private final Tls tls;
@@ -674,7 +675,7 @@
         return log;
     }
 
-    Loop loop() {
+    EventLoop loop() {
         return loop;
     }
 }
--- a/replication/src/main/java/lupinvalve/replication/Peers.java
+++ b/replication/src/main/java/lupinvalve/replication/Peers.java
@@ -10,8 +10,8 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import lupinvalve.core.Deadlines;
-import lupinvalve.core.Loop;
+import lupinvalve.core.EventLoop;
+import lupinvalve.core.TimerQueue;
 import lupinvalve.log.Log;
 import lupinvalve.net.Addresses;
 import lupinvalve.net.Link;
@@ -54,7 +54,7 @@
     }
 
     private final Net net;
-    private final Loop loop;
+    private final EventLoop loop;
     private final String cluster, name, address;
     private final Proof proof;
     private final Heard heard;
@@ -68,7 +68,7 @@
 
     Peers(
             Net net,
-            Loop loop,
+            EventLoop loop,
             String cluster,
             String name,
             String address,
@@ -214,7 +214,7 @@
         private Identity who;
         private String caller = "";
         private boolean greeted, over, follows;
-        private Deadlines.Deadline silence, beat;
+        private TimerQueue.Timer silence, beat;
 
         Conn(Link link, Dial dial) {
             this.link = link;
@@ -246,7 +246,7 @@
         }
 
         void messages(List<byte[]> messages) {
-            loop.drop(silence);
+            loop.cancel(silence);
             silence = loop.after(SILENCE, () -> broken("it has fallen silent"));
             try {
                 for (byte[] message : messages) {
@@ -349,8 +349,8 @@
                 return;
             }
             over = true;
-            loop.drop(silence);
-            loop.drop(beat);
+            loop.cancel(silence);
+            loop.cancel(beat);
             taken.remove(this);
             List<Conn> conns = who == null ? null : up.get(who);
             if (conns != null && conns.remove(this) && conns.isEmpty()) {
@@ -404,7 +404,7 @@
 
         @Override
         public void opened(Link link) {
-            loop.drop(conn.silence);
+            loop.cancel(conn.silence);
             conn.begin();
         }
 
--- a/replication/src/main/java/lupinvalve/replication/Schedule.java
+++ b/replication/src/main/java/lupinvalve/replication/Schedule.java
@@ -1,6 +1,6 @@
 package lupinvalve.replication;
 
-import lupinvalve.core.Loop;
+import lupinvalve.core.EventLoop;
 
 /** Where a member's work runs, one piece after another, and what time it is there. */
 public interface Schedule {
@@ -13,7 +13,7 @@
     void after(long micros, Runnable work);
 
     /** A thread of its own: forces of the disk would hold up the requests on the core's. */
-    static Schedule of(Loop loop) {
+    static Schedule of(EventLoop loop) {
         return new Schedule() {
             @Override
             public long now() {
--- a/replication/src/main/java/lupinvalve/replication/Subscriber.java
+++ b/replication/src/main/java/lupinvalve/replication/Subscriber.java
@@ -9,8 +9,8 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicLong;
 import lupinvalve.config.OperatorConfig;
-import lupinvalve.core.Deadlines;
-import lupinvalve.core.Loop;
+import lupinvalve.core.EventLoop;
+import lupinvalve.core.TimerQueue;
 import lupinvalve.log.Log;
 import lupinvalve.net.Addresses;
 import lupinvalve.net.Net;
@@ -33,7 +33,7 @@
     private static final int WRONG_MILLIS = 200;
 
     private final OperatorConfig.Store config;
-    private final Loop loop;
+    private final EventLoop loop;
     private final Net net;
     private final Tls tls;
     private final Disk disk;
@@ -55,7 +55,7 @@
 
     private boolean stopped, fenced;
     private long idleSince;
-    private Deadlines.Deadline leaseEnd;
+    private TimerQueue.Timer leaseEnd;
     private String said = "";
     private volatile Ledger.Document acting;
     private volatile long calls, wholes, differences, moves, acted;
@@ -67,7 +67,7 @@
     public Subscriber(OperatorConfig.Store config) throws IOException {
         this(
                 config,
-                new Loop("store"),
+                new EventLoop("store"),
                 null,
                 new FolderDisk(config.folder(), true),
                 DocumentKeeper.thread(),
@@ -83,12 +83,12 @@
      * @param disk keeps the last accepted document, written on the loop; closed by {@link #stop}
      * @param seed of its pauses
      */
-    public Subscriber(OperatorConfig.Store config, Loop loop, Net net, Disk disk, long seed) throws IOException {
+    public Subscriber(OperatorConfig.Store config, EventLoop loop, Net net, Disk disk, long seed) throws IOException {
         this(config, loop, net, disk, Runnable::run, seed, false);
     }
 
     private Subscriber(
-            OperatorConfig.Store config, Loop loop, Net net, Disk disk, Executor writes, long seed, boolean own)
+            OperatorConfig.Store config, EventLoop loop, Net net, Disk disk, Executor writes, long seed, boolean own)
             throws IOException {
         this.config = config;
         this.loop = loop;
@@ -339,7 +339,7 @@
                     "%s: %s",
                     of, fenced ? "fenced" + (state.shutOut().isEmpty() ? "" : ": " + state.shutOut()) : "returned");
         }
-        loop.drop(leaseEnd);
+        loop.cancel(leaseEnd);
         leaseEnd = left > 0 ? loop.after(left, this::look) : null;
     }
 
--- a/replication/src/main/java/lupinvalve/replication/Tokens.java
+++ b/replication/src/main/java/lupinvalve/replication/Tokens.java
@@ -1,8 +1,8 @@
 package lupinvalve.replication;
 
 import java.util.Map;
-import lupinvalve.core.Loop;
-import lupinvalve.core.Marks;
+import lupinvalve.core.EventLoop;
+import lupinvalve.core.SessionTokens;
 import lupinvalve.statemachine.Change;
 import lupinvalve.statemachine.Sessions;
 
@@ -10,14 +10,14 @@
  * Sessions' last commits on the core thread: this pooler's own at once, all others' once a majority holds them. A
  * booking's answer may wait for that, within a bound: its session then reads its own writes at any pooler.
  */
-public final class Tokens implements Marks {
-    private final Loop loop;
+public final class Tokens implements SessionTokens {
+    private final EventLoop loop;
     private final ControlPlane group;
     private final long waitMicros;
     private final Sessions sessions = new Sessions();
 
     /** @param known what was accepted before this start */
-    public Tokens(Loop loop, ControlPlane group, long waitMicros, Change.Commits known) {
+    public Tokens(EventLoop loop, ControlPlane group, long waitMicros, Change.Commits known) {
         this.loop = loop;
         this.group = group;
         this.waitMicros = waitMicros;
