--- a/admin/src/main/java/lupinvalve/admin/Door.java
+++ b/admin/src/main/java/lupinvalve/admin/AdminServer.java
@@ -25,20 +25,20 @@
  * The operators' address: one line a connection, and one answer. It has threads of its own, so that a call does not
  * stand behind what clients send. Guards the pooler against its callers: they are bounded in number, bytes and time.
  */
-public final class Door {
+public final class AdminServer {
     /** Callers at once; one more ends the one that has been here longest without a whole line. */
-    static final int CALLERS_MOST = 32;
+    static final int MAX_CONNECTIONS = 32;
 
     private static final int LINE_MOST = 256, BACKLOG = 64;
     /** How long a caller may take to say its line, and to read the answer. */
     private static final long LINE_WAIT_MILLIS = 3_000, READ_WAIT_MILLIS = 1_000;
 
-    private final ExecutorService threads = Executors.newCachedThreadPool(Door::thread);
-    private final ScheduledExecutorService clock = Executors.newSingleThreadScheduledExecutor(Door::thread);
+    private final ExecutorService threads = Executors.newCachedThreadPool(AdminServer::thread);
+    private final ScheduledExecutorService clock = Executors.newSingleThreadScheduledExecutor(AdminServer::thread);
     private final SimpleIoProcessorPool<NioSession> processor =
             new SimpleIoProcessorPool<>(NioProcessor.class, threads, 1, null);
     private final NioSocketAcceptor acceptor = new NioSocketAcceptor(threads, processor);
-    private final Calls calls;
+    private final AdminCommands calls;
     /** Who has not said a whole line yet, the longest here first. */
     private final Map<IoSession, Caller> unheard = new LinkedHashMap<>();
 
@@ -47,7 +47,7 @@
         Future<?> limit;
     }
 
-    public Door(Calls calls) {
+    public AdminServer(AdminCommands calls) {
         this.calls = calls;
     }
 
@@ -58,7 +58,7 @@
     }
 
     /** Opens the address. */
-    public void listen(InetSocketAddress address) throws IOException {
+    public void bind(InetSocketAddress address) throws IOException {
         acceptor.setReuseAddress(true);
         acceptor.setBacklog(BACKLOG);
         acceptor.getSessionConfig().setTcpNoDelay(true);
@@ -71,7 +71,7 @@
         return acceptor.getLocalAddress();
     }
 
-    public void stop() {
+    public void close() {
         threads.execute(() -> {
             acceptor.dispose(false);
             processor.dispose();
@@ -84,7 +84,7 @@
         caller.limit =
                 clock.schedule(() -> answer(session, "fail no line in time"), LINE_WAIT_MILLIS, TimeUnit.MILLISECONDS);
         unheard.put(session, caller);
-        if (unheard.size() > CALLERS_MOST) {
+        if (unheard.size() > MAX_CONNECTIONS) {
             Iterator<IoSession> eldest = unheard.keySet().iterator();
             answer(eldest.next(), "fail too many callers");
         }
@@ -100,7 +100,7 @@
             char c = (char) (bytes.get() & 255);
             if (c == '\n') {
                 forget(session);
-                calls.take(caller.line.toString(), text -> say(session, text));
+                calls.execute(caller.line.toString(), text -> say(session, text));
                 return;
             }
             caller.line.append(c);
--- a/audit/src/main/java/lupinvalve/audit/Entry.java
+++ b/audit/src/main/java/lupinvalve/audit/AuditEntry.java
@@ -18,19 +18,19 @@
  * @param errorMicros by how much that clock may be off
  * @param before digest of the entry before it in this life; empty for the first
  */
-public record Entry(
+public record AuditEntry(
         String pooler,
-        long life,
+        long incarnation,
         long number,
-        What what,
+        Event event,
         String version,
         long index,
         long atMicros,
         long errorMicros,
-        String why,
-        String before) {
+        String reason,
+        String previousDigest) {
     /** What was noted. */
-    public enum What {
+    public enum Event {
         STARTED,
         ENDED,
         /** It holds a version and may act on it from now on. */
@@ -49,41 +49,41 @@
         DROPPED
     }
 
-    private static final int TEXT_MOST = 300;
+    private static final int MAX_REASON_CHARS = 300;
 
-    public Entry {
-        why = why.length() > TEXT_MOST ? why.substring(0, TEXT_MOST) : why;
+    public AuditEntry {
+        reason = reason.length() > MAX_REASON_CHARS ? reason.substring(0, MAX_REASON_CHARS) : reason;
     }
 
-    public byte[] write() {
-        return new Cbor.Out()
+    public byte[] encode() {
+        return new Cbor.Writer()
                 .text(pooler)
-                .number(life)
+                .number(incarnation)
                 .number(number)
-                .number(what.ordinal())
+                .number(event.ordinal())
                 .text(version)
                 .number(index)
                 .number(atMicros)
                 .number(errorMicros)
-                .text(why)
-                .text(before)
-                .done();
+                .text(reason)
+                .text(previousDigest)
+                .toByteArray();
     }
 
-    public static Entry read(byte[] bytes) throws IOException {
-        Cbor.In in = new Cbor.In(bytes);
-        Entry entry = new Entry(
+    public static AuditEntry decode(byte[] bytes) throws IOException {
+        Cbor.Reader in = new Cbor.Reader(bytes);
+        AuditEntry entry = new AuditEntry(
                 in.text(),
                 in.number(),
                 in.number(),
-                What.values()[in.count(What.values().length - 1)],
+                Event.values()[in.count(Event.values().length - 1)],
                 in.text(),
                 in.number(),
                 in.number(),
                 in.number(),
                 in.text(),
                 in.text());
-        if (!in.ended()) {
+        if (!in.atEnd()) {
             throw new IOException("more than an entry");
         }
         return entry;
@@ -92,7 +92,7 @@
     /** What the next entry holds of this one. */
     public String digest() {
         try {
-            return HexFormat.of().formatHex(MessageDigest.getInstance("SHA-256").digest(write()), 0, 16);
+            return HexFormat.of().formatHex(MessageDigest.getInstance("SHA-256").digest(encode()), 0, 16);
         } catch (NoSuchAlgorithmException e) {
             throw new IllegalStateException(e);
         }
--- a/audit/src/main/java/lupinvalve/audit/Leases.java
+++ b/audit/src/main/java/lupinvalve/audit/LeaseManager.java
@@ -12,13 +12,13 @@
  * its reason; a minority at most, as a majority has accepted the change. No I/O; the leader's own monotonic clock, in
  * microseconds.
  */
-public final class Leases {
+public final class LeaseManager {
     /** How long a pooler may take to act on a strict change before it gets no further lease. */
-    public static final long CATCH_UP = 500_000;
+    public static final long CATCH_UP_MICROS = 500_000;
     /**
      * A pooler that was shut out is let in again only after it has been well for so long; the longer the more often.
      */
-    private static final long STEADY = 300_000, STEADY_MOST = 5_000_000;
+    private static final long READMISSION_MICROS = 300_000, MAX_READMISSION_MICROS = 5_000_000;
 
     private static final class Held {
         long until, acting, followers, wellSince = Long.MIN_VALUE;
@@ -27,11 +27,11 @@
     }
 
     /** What a renewal was answered: for how long, 0 where it was not granted, and then why. */
-    public record Granted(long lengthMicros, String why) {}
+    public record Renewal(long durationMicros, String reason) {}
 
     private final TreeMap<String, Held> held = new TreeMap<>();
     private final long electedUntil;
-    private long strict, strictSince;
+    private long requiredIndex, strictSince;
 
     /**
      * From when this member leads on.
@@ -39,20 +39,20 @@
      * @param nowMicros the leader before may have granted leases until now, which nobody here knows of
      * @param accepted the last change that may have been called done by a leader before: nobody is let act on less
      */
-    public Leases(long nowMicros, long accepted) {
-        electedUntil = nowMicros + past(Lease.LENGTH);
-        strict = accepted;
+    public LeaseManager(long nowMicros, long accepted) {
+        electedUntil = nowMicros + past(Lease.DURATION_MICROS);
+        requiredIndex = accepted;
         strictSince = Long.MIN_VALUE / 2;
     }
 
     private static long past(long lengthMicros) {
-        return (long) (lengthMicros * (1 + Lease.DRIFT)) + 1;
+        return (long) (lengthMicros * (1 + Lease.MAX_CLOCK_DRIFT_RATIO)) + 1;
     }
 
     /** A strict change was accepted: whoever acts on less is not granted any more once it had time to catch up. */
-    public void strict(long index, long nowMicros) {
-        if (index > strict) {
-            strict = index;
+    public void requireIndex(long index, long nowMicros) {
+        if (index > requiredIndex) {
+            requiredIndex = index;
             strictSince = nowMicros;
         }
     }
@@ -63,7 +63,7 @@
      * @param acting up to which change it acts on the agreed history
      * @param objection why it can't act on more, or empty
      */
-    public Granted renew(String pooler, long acting, String objection, long nowMicros) {
+    public Renewal renew(String pooler, long acting, String objection, long nowMicros) {
         return renew(pooler, acting, objection, Long.MAX_VALUE, nowMicros);
     }
 
@@ -73,37 +73,40 @@
      * @param followers up to which change those act that hold a lease of its own; they are waited for, and don't shut
      *     it out
      */
-    public Granted renew(String pooler, long acting, String objection, long followers, long nowMicros) {
+    public Renewal renew(String pooler, long acting, String objection, long followers, long nowMicros) {
         Held one = held.computeIfAbsent(pooler, p -> new Held());
         one.acting = acting;
         one.followers = followers;
         one.objection = objection;
         // One that holds none may have been passed over already when the change was called done.
-        boolean behind = acting < strict
-                && (nowMicros - strictSince > CATCH_UP || !objection.isEmpty() || nowMicros >= one.until);
+        boolean behind = acting < requiredIndex
+                && (nowMicros - strictSince > CATCH_UP_MICROS || !objection.isEmpty() || nowMicros >= one.until);
         if (behind) {
             // One that has just started has had no lease of late: it comes up to date, and is no case for watching.
-            if (one.shutOut.isEmpty() && one.until > nowMicros - Lease.LENGTH) {
+            if (one.shutOut.isEmpty() && one.until > nowMicros - Lease.DURATION_MICROS) {
                 one.times++;
             }
-            one.shutOut = objection.isEmpty() ? "acts on change " + acting + ", " + strict + " is wanted" : objection;
+            one.shutOut =
+                    objection.isEmpty() ? "acts on change " + acting + ", " + requiredIndex + " is wanted" : objection;
             one.wellSince = Long.MIN_VALUE;
-            return new Granted(0, one.shutOut);
+            return new Renewal(0, one.shutOut);
         }
         if (!one.shutOut.isEmpty()) {
             // Guards against one that is well for a moment again and again.
             one.wellSince = one.wellSince == Long.MIN_VALUE ? nowMicros : one.wellSince;
-            if (one.times > 0 && nowMicros - one.wellSince < Math.min(STEADY_MOST, STEADY << Math.min(one.times, 10))) {
-                return new Granted(0, "was shut out (" + one.shutOut + ") and is watched for a while");
+            if (one.times > 0
+                    && nowMicros - one.wellSince
+                            < Math.min(MAX_READMISSION_MICROS, READMISSION_MICROS << Math.min(one.times, 10))) {
+                return new Renewal(0, "was shut out (" + one.shutOut + ") and is watched for a while");
             }
             one.shutOut = "";
         }
-        one.until = Math.max(one.until, nowMicros + past(Lease.LENGTH));
-        return new Granted(Lease.LENGTH, "");
+        one.until = Math.max(one.until, nowMicros + past(Lease.DURATION_MICROS));
+        return new Renewal(Lease.DURATION_MICROS, "");
     }
 
     /** Who must still be waited for before a change can be called done: those that may act on less. */
-    public List<String> waitedFor(long index, Collection<String> poolers, long nowMicros) {
+    public List<String> pendingPoolers(long index, Collection<String> poolers, long nowMicros) {
         List<String> left = new ArrayList<>();
         for (String pooler : poolers) {
             Held one = held.get(pooler);
@@ -117,7 +120,7 @@
     }
 
     /** Those that may not act now, each with the reason. */
-    public Map<String, String> stragglers(Collection<String> poolers, long nowMicros) {
+    public Map<String, String> excludedPoolers(Collection<String> poolers, long nowMicros) {
         Map<String, String> out = new TreeMap<>();
         for (String pooler : poolers) {
             Held one = held.get(pooler);
--- /dev/null
+++ b/audit/src/test/java/lupinvalve/audit/AuditHistoryTest.java
@@ -0,0 +1,153 @@
+package lupinvalve.audit;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+class AuditHistoryTest {
+    private static final long S = 1_000_000;
+    private final List<AuditEntry> entries = new ArrayList<>();
+
+    private void life(String pooler, long start, Object... said) {
+        AuditJournal journal = new AuditJournal(pooler, start, 0);
+        entries.addAll(journal.add(AuditEntry.Event.STARTED, "", 0, start, ""));
+        for (int i = 0; i < said.length; i += 3) {
+            entries.addAll(
+                    journal.add((AuditEntry.Event) said[i], (String) said[i + 1], i, (Integer) said[i + 2] * S, ""));
+        }
+    }
+
+    private static String told(AuditHistory.VersionSpan one) {
+        return one.version() + " " + one.fromMicros() / S + "-"
+                + (one.toMicros() == Long.MAX_VALUE ? "?" : one.toMicros() / S) + (one.ended() ? "" : "?");
+    }
+
+    private List<String> of(String pooler) {
+        return new AuditHistory(entries)
+                .spansOf(pooler).stream().map(AuditHistoryTest::told).toList();
+    }
+
+    @Test
+    void oldAndNewMayBothBeActedOnBetweenTheTwoEntries() {
+        life(
+                "p",
+                0,
+                AuditEntry.Event.ADOPTED,
+                "1-a",
+                1,
+                AuditEntry.Event.CEASED_OTHERS,
+                "1-a",
+                2,
+                AuditEntry.Event.ADOPTED,
+                "2-b",
+                10,
+                AuditEntry.Event.CEASED_OTHERS,
+                "2-b",
+                11,
+                AuditEntry.Event.ENDED,
+                "2-b",
+                20);
+        assertEquals(List.of("1-a 1-11", "2-b 10-20"), of("p"));
+        AuditHistory course = new AuditHistory(entries);
+        assertEquals(List.of("1-a", "2-b"), course.coverageAt(10 * S + 1).get(0).versions());
+        assertTrue(course.coverageAt(10 * S + 1).get(0).certain());
+        assertEquals(List.of(), course.coverageAt(21 * S).get(0).versions());
+    }
+
+    @Test
+    void aFencedPoolerActsOnNothingUntilItReturns() {
+        life(
+                "p",
+                0,
+                AuditEntry.Event.ADOPTED,
+                "1-a",
+                1,
+                AuditEntry.Event.CEASED_OTHERS,
+                "1-a",
+                1,
+                AuditEntry.Event.FENCED,
+                "1-a",
+                5,
+                AuditEntry.Event.CUT_OFF,
+                "1-a",
+                6,
+                AuditEntry.Event.BACK,
+                "1-a",
+                7,
+                AuditEntry.Event.ADOPTED,
+                "2-b",
+                8,
+                AuditEntry.Event.CEASED_OTHERS,
+                "2-b",
+                8,
+                AuditEntry.Event.RETURNED,
+                "2-b",
+                9);
+        assertEquals(List.of("1-a 1-5", "2-b 9-??"), of("p"));
+    }
+
+    @Test
+    void whatADeadPoolerActedOnLastIsNotKnownFromItsLastWordOn() {
+        life("p", 0, AuditEntry.Event.ADOPTED, "1-a", 1, AuditEntry.Event.CEASED_OTHERS, "1-a", 1);
+        assertEquals(List.of("1-a 1-??"), of("p"));
+        AuditHistory course = new AuditHistory(entries);
+        assertTrue(course.coverageAt(2 * S).get(0).certain());
+        assertFalse(course.coverageAt(60 * S).get(0).certain());
+        assertEquals(
+                "no entry since " + S + " us", course.coverageAt(60 * S).get(0).reason());
+        assertEquals(List.of("1-a"), course.coverageAt(60 * S).get(0).versions(), "it may have");
+        life("p", 30 * S, AuditEntry.Event.ADOPTED, "2-b", 31);
+        assertEquals(List.of("1-a 1-30?", "2-b 31-??"), of("p"), "its next process ends what it may have done");
+    }
+
+    @Test
+    void entriesComeInAnyOrderAndTwiceAndOneThatIsMissingOrChangedShows() throws IOException {
+        life(
+                "p",
+                0,
+                AuditEntry.Event.ADOPTED,
+                "1-a",
+                1,
+                AuditEntry.Event.CEASED_OTHERS,
+                "1-a",
+                2,
+                AuditEntry.Event.ADOPTED,
+                "2-b",
+                3);
+        List<AuditEntry> whole = List.copyOf(entries);
+        java.util.Collections.reverse(entries);
+        entries.addAll(whole);
+        assertEquals(List.of(), new AuditHistory(entries).chainBreaks());
+        AuditEntry second = whole.get(1);
+        assertEquals(second, AuditEntry.decode(second.encode()));
+        List<AuditEntry> missing = new ArrayList<>(whole);
+        missing.remove(second);
+        assertEquals(List.of("p's entries 2 to 2 are missing"), new AuditHistory(missing).chainBreaks());
+        List<AuditEntry> changed = new ArrayList<>(missing);
+        changed.add(new AuditEntry(
+                "p", 0, 2, second.event(), "9-z", second.index(), second.atMicros(), 0, "", second.previousDigest()));
+        assertEquals(List.of("p's entry 3 does not follow from 2"), new AuditHistory(changed).chainBreaks());
+    }
+
+    @Test
+    void whatIsDroppedForWantOfRoomIsSummedUp() {
+        AuditJournal journal = new AuditJournal("p", 1, 0);
+        List<AuditEntry> all = new ArrayList<>();
+        for (int i = 0; i <= AuditJournal.MAX_ENTRIES; i++) {
+            all.addAll(journal.add(AuditEntry.Event.CUT_OFF, "", i, i, ""));
+        }
+        assertNull(AuditJournal.chainBreak(all));
+        AuditEntry summary = all.get(AuditJournal.MAX_ENTRIES);
+        assertEquals(AuditEntry.Event.DROPPED, summary.event());
+        assertEquals("2000 entries from 1 on, of 0 to 1999 us, 2000 of them not delivered", summary.reason());
+        assertEquals(2_002, journal.undelivered(10_000).size());
+        journal.markDelivered(summary.number());
+        assertEquals(1, journal.undelivered(10_000).size());
+    }
+}
--- a/audit/src/test/java/lupinvalve/audit/LeasesTest.java
+++ b/audit/src/test/java/lupinvalve/audit/LeaseManagerTest.java
@@ -11,87 +11,99 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-class LeasesTest {
+class LeaseManagerTest {
     private static final long MS = 1000, START = 1_000_000_000L;
 
     @Test
     void aLeaseCountsFromBeforeItWasAskedForAndEndsEarlyByTheDrift() {
         Lease lease = new Lease(START);
-        assertFalse(lease.holds(START));
-        lease.granted(START, Lease.LENGTH);
-        assertTrue(lease.holds(START + Lease.LENGTH - 11 * MS));
-        assertFalse(lease.holds(START + Lease.LENGTH - 10 * MS), "half a percent early");
-        lease.granted(START - 500 * MS, Lease.LENGTH);
-        assertTrue(lease.holds(START + Lease.LENGTH - 11 * MS), "an older grant takes nothing away");
+        assertFalse(lease.isValid(START));
+        lease.onGranted(START, Lease.DURATION_MICROS);
+        assertTrue(lease.isValid(START + Lease.DURATION_MICROS - 11 * MS));
+        assertFalse(lease.isValid(START + Lease.DURATION_MICROS - 10 * MS), "half a percent early");
+        lease.onGranted(START - 500 * MS, Lease.DURATION_MICROS);
+        assertTrue(lease.isValid(START + Lease.DURATION_MICROS - 11 * MS), "an older grant takes nothing away");
     }
 
     @Test
     void aStrictChangeIsDoneOnceAllActOnItOrTheirLeasesHaveEnded() {
-        Leases leases = new Leases(START, 0);
+        LeaseManager leases = new LeaseManager(START, 0);
         long later = START + 3_000 * MS;
         List<String> all = List.of("a", "b", "c");
         for (String pooler : all) {
-            assertEquals(Lease.LENGTH, leases.renew(pooler, 10, "", later).lengthMicros());
+            assertEquals(
+                    Lease.DURATION_MICROS, leases.renew(pooler, 10, "", later).durationMicros());
         }
-        leases.strict(11, later);
-        assertEquals(all, leases.waitedFor(11, all, later));
+        leases.requireIndex(11, later);
+        assertEquals(all, leases.pendingPoolers(11, all, later));
         leases.renew("a", 11, "", later + 100 * MS);
         leases.renew("b", 11, "", later + 200 * MS);
-        assertEquals(List.of("c"), leases.waitedFor(11, all, later + 200 * MS));
-        assertEquals(List.of("c"), leases.waitedFor(11, all, later + Lease.LENGTH + 9 * MS), "its clock may be slow");
-        assertEquals(List.of(), leases.waitedFor(11, all, later + Lease.LENGTH + 11 * MS));
+        assertEquals(List.of("c"), leases.pendingPoolers(11, all, later + 200 * MS));
+        assertEquals(
+                List.of("c"),
+                leases.pendingPoolers(11, all, later + Lease.DURATION_MICROS + 9 * MS),
+                "its clock may be slow");
+        assertEquals(List.of(), leases.pendingPoolers(11, all, later + Lease.DURATION_MICROS + 11 * MS));
         assertEquals(
                 Map.of("c", "not heard of, its lease has ended"),
-                leases.stragglers(all, later + Lease.LENGTH + 11 * MS));
+                leases.excludedPoolers(all, later + Lease.DURATION_MICROS + 11 * MS));
     }
 
     @Test
     void aNewLeaderWaitsForWhatTheOneBeforeMayHaveGranted() {
-        Leases leases = new Leases(START, 0);
-        assertEquals(List.of("a"), leases.waitedFor(5, List.of("a"), START + 1_900 * MS));
+        LeaseManager leases = new LeaseManager(START, 0);
+        assertEquals(List.of("a"), leases.pendingPoolers(5, List.of("a"), START + 1_900 * MS));
         leases.renew("a", 4, "", START + 100 * MS);
-        assertEquals(List.of("a"), leases.waitedFor(5, List.of("a"), START + 1_900 * MS));
-        assertEquals(List.of(), leases.waitedFor(5, List.of("b"), START + 2_011 * MS));
+        assertEquals(List.of("a"), leases.pendingPoolers(5, List.of("a"), START + 1_900 * MS));
+        assertEquals(List.of(), leases.pendingPoolers(5, List.of("b"), START + 2_011 * MS));
     }
 
     @Test
     void oneThatStaysBehindIsShutOutAndComesBackOnceItIsWellForAWhile() {
-        Leases leases = new Leases(START, 0);
+        LeaseManager leases = new LeaseManager(START, 0);
         leases.renew("a", 10, "", START);
-        leases.strict(11, START + MS);
-        assertTrue(leases.renew("a", 10, "", START + 400 * MS).lengthMicros() > 0, "it has time to catch up");
+        leases.requireIndex(11, START + MS);
+        assertTrue(leases.renew("a", 10, "", START + 400 * MS).durationMicros() > 0, "it has time to catch up");
         assertEquals(
                 "acts on change 10, 11 is wanted",
-                leases.renew("a", 10, "", START + 600 * MS).why());
-        assertEquals(0, leases.renew("a", 11, "", START + 700 * MS).lengthMicros(), "watched first");
-        assertEquals(Lease.LENGTH, leases.renew("a", 11, "", START + 1_400 * MS).lengthMicros());
-        leases.strict(12, START + 1_500 * MS);
+                leases.renew("a", 10, "", START + 600 * MS).reason());
+        assertEquals(0, leases.renew("a", 11, "", START + 700 * MS).durationMicros(), "watched first");
+        assertEquals(
+                Lease.DURATION_MICROS,
+                leases.renew("a", 11, "", START + 1_400 * MS).durationMicros());
+        leases.requireIndex(12, START + 1_500 * MS);
         assertEquals(
                 "it can't be read",
-                leases.renew("a", 11, "it can't be read", START + 1_600 * MS).why());
+                leases.renew("a", 11, "it can't be read", START + 1_600 * MS).reason());
         leases.renew("a", 12, "", START + 1_700 * MS);
-        assertEquals(0, leases.renew("a", 12, "", START + 2_500 * MS).lengthMicros(), "longer the second time");
-        assertEquals(Lease.LENGTH, leases.renew("a", 12, "", START + 3_000 * MS).lengthMicros());
+        assertEquals(0, leases.renew("a", 12, "", START + 2_500 * MS).durationMicros(), "longer the second time");
+        assertEquals(
+                Lease.DURATION_MICROS,
+                leases.renew("a", 12, "", START + 3_000 * MS).durationMicros());
     }
 
     @Test
     void oneThatWasPassedOverGetsNoLeaseForWhatHeldBefore() {
-        Leases leases = new Leases(START, 10);
+        LeaseManager leases = new LeaseManager(START, 10);
         assertEquals(
-                0, leases.renew("a", 9, "", START + MS).lengthMicros(), "the leader before may have called 10 done");
-        assertEquals(Lease.LENGTH, leases.renew("a", 10, "", START + 2 * MS).lengthMicros());
-        leases.strict(11, START + 5_000 * MS);
-        assertEquals(List.of(), leases.waitedFor(11, List.of("a"), START + 5_000 * MS), "its lease has ended long ago");
+                0, leases.renew("a", 9, "", START + MS).durationMicros(), "the leader before may have called 10 done");
         assertEquals(
-                0, leases.renew("a", 10, "", START + 5_100 * MS).lengthMicros(), "so it may not act on 10 any more");
+                Lease.DURATION_MICROS, leases.renew("a", 10, "", START + 2 * MS).durationMicros());
+        leases.requireIndex(11, START + 5_000 * MS);
+        assertEquals(
+                List.of(), leases.pendingPoolers(11, List.of("a"), START + 5_000 * MS), "its lease has ended long ago");
+        assertEquals(
+                0, leases.renew("a", 10, "", START + 5_100 * MS).durationMicros(), "so it may not act on 10 any more");
     }
 
     @Test
     void oneThatHasJustStartedIsNoStraggler() {
-        Leases leases = new Leases(START, 0);
-        leases.strict(11, START);
-        assertEquals(0, leases.renew("a", 0, "", START + 5_000 * MS).lengthMicros());
-        assertEquals(Lease.LENGTH, leases.renew("a", 11, "", START + 5_100 * MS).lengthMicros());
+        LeaseManager leases = new LeaseManager(START, 0);
+        leases.requireIndex(11, START);
+        assertEquals(0, leases.renew("a", 0, "", START + 5_000 * MS).durationMicros());
+        assertEquals(
+                Lease.DURATION_MICROS,
+                leases.renew("a", 11, "", START + 5_100 * MS).durationMicros());
     }
 
     /**
@@ -120,22 +132,22 @@
         names.forEach(name -> {
             leases.put(name, new Lease(START));
             acting.put(name, 1L);
-            rate.put(name, 1 + (random.nextDouble() - 0.5) * Lease.DRIFT);
+            rate.put(name, 1 + (random.nextDouble() - 0.5) * Lease.MAX_CLOCK_DRIFT_RATIO);
         });
         record Answer(long at, String name, long asked, long length) {}
         List<Answer> onTheWay = new ArrayList<>();
         List<String> wrong = new ArrayList<>();
-        Leases leader = new Leases(START, 0);
+        LeaseManager leader = new LeaseManager(START, 0);
         long index = 1;
         long done = 0;
         for (long now = START; now < START + 15_000 * MS; now += 50 * MS) {
             long at = now;
             if (random.nextInt(80) == 0) {
-                leader = new Leases(now, index);
+                leader = new LeaseManager(now, index);
             }
             if (random.nextInt(60) == 0) {
                 index++;
-                leader.strict(index, now);
+                leader.requireIndex(index, now);
             }
             for (String name : names) {
                 long own = (long) (START + (now - START) * rate.get(name));
@@ -144,24 +156,24 @@
                     acting.put(name, index);
                 }
                 if (reached && random.nextInt(4) == 0) {
-                    Leases.Granted granted = leader.renew(name, acting.get(name), "", now);
+                    LeaseManager.Renewal granted = leader.renew(name, acting.get(name), "", now);
                     long late = random.nextInt(5) == 0 ? random.nextInt(2500) * MS : 0;
-                    onTheWay.add(new Answer(now + late, name, own, granted.lengthMicros()));
+                    onTheWay.add(new Answer(now + late, name, own, granted.durationMicros()));
                 }
             }
             onTheWay.removeIf(answer -> {
                 if (answer.at() <= at && answer.length() > 0) {
                     long own = (long) (START + (at - START) * rate.get(answer.name()));
-                    leases.get(answer.name()).granted(fromAnswer ? own : answer.asked(), answer.length());
+                    leases.get(answer.name()).onGranted(fromAnswer ? own : answer.asked(), answer.length());
                 }
                 return answer.at() <= at;
             });
-            if (leader.waitedFor(index, names, now).isEmpty()) {
+            if (leader.pendingPoolers(index, names, now).isEmpty()) {
                 done = index;
             }
             for (String name : names) {
                 long own = (long) (START + (now - START) * rate.get(name));
-                if (leases.get(name).holds(own) && acting.get(name) < done) {
+                if (leases.get(name).isValid(own) && acting.get(name) < done) {
                     wrong.add(name + " acts on " + acting.get(name) + " after " + done + " was done");
                 }
             }
--- a/capacity/src/main/java/lupinvalve/capacity/CodeFacts.java
+++ b/capacity/src/main/java/lupinvalve/capacity/CodeFacts.java
@@ -27,7 +27,7 @@
     static final int CHANGES_PER_REPLACED = 4;
     /** Entries that a member notes for each configuration: adopted, ceased others. */
     static final int ENTRIES_PER_CHANGE = 2;
-    /** {@code Outbox.BUNDLE}. */
+    /** {@code SessionCommitBatcher.BATCH_DELAY_MICROS}. */
     static final double BUNDLE_SECONDS = 0.005;
 
     /** An {@code AppendEntriesRequest} without entries, and what it is answered. */
--- a/capacity/src/main/java/lupinvalve/capacity/ConfigurationFigures.java
+++ b/capacity/src/main/java/lupinvalve/capacity/ConfigurationFigures.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import lupinvalve.statemachine.Ledger;
+import lupinvalve.statemachine.ReplicatedState;
 
 /** What a document of all databases costs, sent whole and as differences. */
 final class ConfigurationFigures {
@@ -45,13 +45,13 @@
         out.add(new Figure(
                 "document of all databases",
                 document,
-                Ledger.DOCUMENT_MOST,
+                ReplicatedState.MAX_DOCUMENT_BYTES,
                 Unit.BYTES,
-                failsAt(document, Ledger.DOCUMENT_MOST),
+                failsAt(document, ReplicatedState.MAX_DOCUMENT_BYTES),
                 "databases",
                 basis == Basis.COMPUTED ? Basis.MEASURED : basis,
                 from,
-                "ledger/Ledger.java"));
+                "statemachine/ReplicatedState.java"));
         out.add(bytes("whole documents at a pooler, mean of the day", document, 1, basis));
         out.add(bytes("whole documents at a pooler, in busy hours", document, Assumptions.BUSY_FACTOR, Basis.GUESSED));
         out.add(Figure.plain(
--- a/capacity/src/main/java/lupinvalve/capacity/FailureTable.java
+++ b/capacity/src/main/java/lupinvalve/capacity/FailureTable.java
@@ -26,7 +26,7 @@
                         "spent meanwhile",
                         "in force again: members",
                         "subscriptions"));
-        String lease = Unit.SECONDS.words(Lease.LENGTH / MICROS);
+        String lease = Unit.SECONDS.words(Lease.DURATION_MICROS / MICROS);
         machine(table, lease);
         rack(table);
         zone(table);
--- a/capacity/src/main/java/lupinvalve/capacity/GroupFigures.java
+++ b/capacity/src/main/java/lupinvalve/capacity/GroupFigures.java
@@ -2,8 +2,8 @@
 
 import java.util.List;
 import lupinvalve.audit.Lease;
-import lupinvalve.statemachine.Identity;
-import lupinvalve.statemachine.Ledger;
+import lupinvalve.statemachine.MemberId;
+import lupinvalve.statemachine.ReplicatedState;
 
 /** What the group costs where each pooler is a member of it. */
 final class GroupFigures {
@@ -37,13 +37,13 @@
         return new Figure(
                 "members of one group",
                 d.poolers(),
-                Identity.MOST,
+                MemberId.MAX_MEMBERS,
                 Unit.COUNT,
-                Identity.MOST + 1,
+                MemberId.MAX_MEMBERS + 1,
                 "poolers",
                 Basis.COMPUTED,
-                "`Identity.MOST`",
-                "ledger/Membership.java");
+                "`MemberId.MAX_MEMBERS`",
+                "statemachine/MembershipChange.java");
     }
 
     private Figure taken() {
@@ -90,7 +90,7 @@
     }
 
     private double leaseBytes() {
-        return MICROS / Lease.RENEW * (CodeFacts.LEASE_CALL + CodeFacts.LEASE_ANSWER);
+        return MICROS / Lease.RENEW_INTERVAL_MICROS * (CodeFacts.LEASE_CALL + CodeFacts.LEASE_ANSWER);
     }
 
     private Figure leases() {
@@ -155,7 +155,8 @@
 
     private Figure leaderMessages() {
         double followers = d.poolers() - 1;
-        double each = 2 * (CodeFacts.HEARTBEATS_PER_SECOND + CodeFacts.CONFIRMS_PER_SECOND) + 2 * MICROS / Lease.RENEW;
+        double each = 2 * (CodeFacts.HEARTBEATS_PER_SECOND + CodeFacts.CONFIRMS_PER_SECOND)
+                + 2 * MICROS / Lease.RENEW_INTERVAL_MICROS;
         return Figure.plain(
                 "leader: heartbeats, confirmations, leases, both ways, at most",
                 followers * each,
@@ -183,12 +184,12 @@
         return Figure.inProportion(
                 "audit entries of one day, against those kept",
                 aDay,
-                Ledger.NOTED_MOST,
+                ReplicatedState.MAX_AUDIT_ENTRIES,
                 Unit.COUNT,
                 d.poolers(),
                 Basis.GUESSED,
-                "`Ledger.NOTED_MOST`; that a day is wanted is a guess",
-                "ledger/Ledger.java");
+                "`ReplicatedState.MAX_AUDIT_ENTRIES`; that a day is wanted is a guess",
+                "statemachine/ReplicatedState.java");
     }
 
     private Figure replaced() {
@@ -203,6 +204,6 @@
                 "replaced at once",
                 Basis.COMPUTED,
                 "4 changes each, `Questions.STEP`",
-                "ledger/Membership.java");
+                "statemachine/MembershipChange.java");
     }
 }
--- a/capacity/src/main/java/lupinvalve/capacity/PositionFigures.java
+++ b/capacity/src/main/java/lupinvalve/capacity/PositionFigures.java
@@ -2,11 +2,11 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import lupinvalve.statemachine.Sessions;
+import lupinvalve.statemachine.SessionTable;
 
 /** What it takes that sessions read their own writes at any pooler. */
 final class PositionFigures {
-    private static final double AGE_SECONDS = Sessions.AGE / 1e6;
+    private static final double AGE_SECONDS = SessionTable.MAX_AGE_MICROS / 1e6;
     private final Demand d;
 
     PositionFigures(Demand demand) {
@@ -52,7 +52,7 @@
                                 d.poolers(),
                                 Basis.COMPUTED,
                                 Past.LOG_PAGE + ", slowest run of 3 members",
-                                "ledger/Outbox.java")
+                                "statemachine/SessionCommitBatcher.java")
                         .in(scope),
                 Figure.inProportion(
                                 what + ": heard by each pooler",
@@ -76,7 +76,7 @@
                         d.poolers(),
                         Basis.COMPUTED,
                         Past.LOG_PAGE + "; a bundle counted as a change",
-                        "ledger/Outbox.java")
+                        "statemachine/SessionCommitBatcher.java")
                 .in(Figure.Scope.MEMBERS);
     }
 
@@ -87,12 +87,12 @@
         return Figure.inProportion(
                         "sessions that roam and wrote within 10 min, one a connection, least part",
                         writing,
-                        Sessions.MOST,
+                        SessionTable.MAX_SESSIONS,
                         Unit.COUNT,
                         d.poolers(),
                         Basis.GUESSED,
-                        "`Sessions.MOST`; one session a connection is a guess",
-                        "ledger/Sessions.java")
+                        "`SessionTable.MAX_SESSIONS`; one session a connection is a guess",
+                        "statemachine/SessionTable.java")
                 .in(Figure.Scope.OPTION);
     }
 
--- a/capacity/src/main/java/lupinvalve/capacity/RegionFigures.java
+++ b/capacity/src/main/java/lupinvalve/capacity/RegionFigures.java
@@ -32,15 +32,15 @@
                 "group/Replica.java"));
         out.add(Figure.of(
                 "a cut region's poolers may act with `fence`, at most",
-                Lease.LENGTH / MICROS,
+                Lease.DURATION_MICROS / MICROS,
                 d.inForceSeconds(),
                 Unit.SECONDS,
                 Basis.COMPUTED,
-                "`Lease.LENGTH`",
+                "`Lease.DURATION_MICROS`",
                 "audit/Lease.java"));
         out.add(Figure.plain(
                 "statements refused in the hour with `fence`",
-                d.statementsPerSecond() / d.regions() * (d.cutHours() * HOUR - Lease.LENGTH / MICROS),
+                d.statementsPerSecond() / d.regions() * (d.cutHours() * HOUR - Lease.DURATION_MICROS / MICROS),
                 Unit.COUNT,
                 Basis.COMPUTED,
                 "a third of the statements",
--- a/capacity/src/main/java/lupinvalve/capacity/SubscriptionFigures.java
+++ b/capacity/src/main/java/lupinvalve/capacity/SubscriptionFigures.java
@@ -44,7 +44,7 @@
                         "group/Followers.java"),
                 Figure.of(
                         "a change in force at a pooler, or its lease ended, at most, drift not counted",
-                        (2 * Lease.LENGTH + SubscriberTable.CATCH_UP) / MICROS,
+                        (2 * Lease.DURATION_MICROS + SubscriberTable.CATCH_UP) / MICROS,
                         d.inForceSeconds(),
                         Unit.SECONDS,
                         Basis.COMPUTED,
@@ -53,10 +53,10 @@
                 Figure.of(
                         "a request lost and one at another member, before a lease ends",
                         2 * FollowService.HOLD / MICROS,
-                        Lease.LENGTH / MICROS,
+                        Lease.DURATION_MICROS / MICROS,
                         Unit.SECONDS,
                         Basis.COMPUTED,
-                        "`FollowService.HOLD`, `Lease.LENGTH`",
+                        "`FollowService.HOLD`, `Lease.DURATION_MICROS`",
                         "subscription/FollowSchedule.java"));
         return all.stream().map(figure -> figure.in(Figure.Scope.SUBSCRIPTIONS)).toList();
     }
--- a/capacity/src/test/java/lupinvalve/capacity/CodeFactsTest.java
+++ b/capacity/src/test/java/lupinvalve/capacity/CodeFactsTest.java
@@ -35,7 +35,9 @@
         assertEquals(CodeFacts.TAKEN_MOST, constant(group + "Peers", "TAKEN_MOST"));
         assertEquals(CodeFacts.FOLLOWERS_MOST, constant(group + "Followers", "MOST"));
         assertEquals(CodeFacts.MEMBERSHIP_STEP_SECONDS, constant(group + "Questions", "STEP") / MICROS);
-        assertEquals(CodeFacts.BUNDLE_SECONDS, constant("lupinvalve.statemachine.Outbox", "BUNDLE") / MICROS);
+        assertEquals(
+                CodeFacts.BUNDLE_SECONDS,
+                constant("lupinvalve.statemachine.SessionCommitBatcher", "BATCH_DELAY_MICROS") / MICROS);
     }
 
     @Test
--- a/capacity/src/test/java/lupinvalve/replication/MessageSizes.java
+++ b/capacity/src/test/java/lupinvalve/replication/MessageSizes.java
@@ -7,11 +7,11 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import lupinvalve.audit.Entry;
+import lupinvalve.audit.AuditEntry;
 import lupinvalve.routing.Routing;
-import lupinvalve.statemachine.Change;
+import lupinvalve.statemachine.Command;
 import lupinvalve.statemachine.Encoding;
-import lupinvalve.statemachine.Identity;
+import lupinvalve.statemachine.MemberId;
 import lupinvalve.subscription.FollowAnswer;
 import lupinvalve.subscription.FollowRequest;
 
@@ -31,7 +31,7 @@
     private MessageSizes() {}
 
     private static Endpoint sender() {
-        return new Endpoint(new Identity(NAME, SegmentedLog.diskName()));
+        return new Endpoint(new MemberId(NAME, SegmentedLog.diskName()));
     }
 
     private static int sent(RaftMessage message) {
@@ -96,28 +96,38 @@
         for (int i = 0; i < MANY; i++) {
             positions.put("session-" + (1_000_000 + i), NOW + i);
         }
-        return Encoding.write(new Change.Commits(NOW, positions)).length / MANY;
+        return Encoding.write(new Command.SessionCommits(NOW, positions)).length / MANY;
     }
 
     /** The two entries that a member notes for one configuration. */
     public static int noted() {
         String version = "3800-0011223344556677";
-        Entry adopted = new Entry(
-                NAME, NOW, 17, Entry.What.ADOPTED, version, INDEX, NOW, 20_000, "", "00112233445566778899aabbccddeeff");
-        Entry ceased =
-                new Entry(NAME, NOW, 18, Entry.What.CEASED_OTHERS, version, INDEX, NOW, 20_000, "", adopted.digest());
-        return Encoding.write(new Change.Noted(NAME, NOW, 17, List.of(adopted.write(), ceased.write()))).length;
+        AuditEntry adopted = new AuditEntry(
+                NAME,
+                NOW,
+                17,
+                AuditEntry.Event.ADOPTED,
+                version,
+                INDEX,
+                NOW,
+                20_000,
+                "",
+                "00112233445566778899aabbccddeeff");
+        AuditEntry ceased = new AuditEntry(
+                NAME, NOW, 18, AuditEntry.Event.CEASED_OTHERS, version, INDEX, NOW, 20_000, "", adopted.digest());
+        return Encoding.write(new Command.AppendAudit(NAME, NOW, 17, List.of(adopted.encode(), ceased.encode())))
+                .length;
     }
 
     /** One db node in the group's list, by what a thousand take. */
     public static int listed() {
-        List<Change.Listed> nodes = new ArrayList<>();
+        List<Command.Endpoint> nodes = new ArrayList<>();
         for (int i = 0; i < MANY; i++) {
             Routing.Member member =
                     new Routing.Member("node-" + (1000 + i), i / 6, i % 7, Routing.Health.LIVE, i % 6 == 0, NOW);
-            nodes.add(new Change.Listed(member, Map.of("pg", "10.17.3." + i % 250 + ":5432"), NOW));
+            nodes.add(new Command.Endpoint(member, Map.of("pg", "10.17.3." + i % 250 + ":5432"), NOW));
         }
-        return Encoding.write(new Change.Listing(NOW, nodes)).length / MANY;
+        return Encoding.write(new Command.EndpointList(NOW, nodes)).length / MANY;
     }
 
     /** A word that only says that the connection stands. */
--- a/daemon/src/main/java/lupinvalve/cli/Daemon.java
+++ b/daemon/src/main/java/lupinvalve/cli/Daemon.java
@@ -7,8 +7,8 @@
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import lupinvalve.admin.Calls;
-import lupinvalve.admin.Door;
+import lupinvalve.admin.AdminCommands;
+import lupinvalve.admin.AdminServer;
 import lupinvalve.config.NodeConfig;
 import lupinvalve.config.OperatorConfig;
 import lupinvalve.core.Directory;
@@ -79,7 +79,7 @@
     private MysqlBackend mysqlNodes;
     private volatile Net.Listener mysqlListener;
     private Operations operations;
-    private Door door;
+    private AdminServer door;
     private final List<Pool> pools = new ArrayList<>();
     private Shared shared;
     private Late late;
@@ -140,7 +140,7 @@
                     : folder.resolve("lupinvalve-" + config.name().replaceAll("[^A-Za-z0-9_.-]", "_"));
             operations = new Operations(
                     pooler, stem, this::endConnections, another -> pools.forEach(pool -> pool.beside(another)));
-            door = new Door(new Calls(operations));
+            door = new AdminServer(new AdminCommands(operations));
         }
     }
 
@@ -296,7 +296,7 @@
     public void start() throws IOException, InterruptedException {
         if (door != null) {
             try {
-                door.listen(config.operator());
+                door.bind(config.operator());
             } catch (IOException e) {
                 throw new IOException("operator: " + config.operator() + " can't be listened on: " + e.getMessage(), e);
             }
@@ -504,7 +504,7 @@
     public void stop() {
         leaveGroup();
         if (door != null) {
-            door.stop();
+            door.close();
             operations.stop();
         }
         net.close();
--- a/daemon/src/main/java/lupinvalve/cli/Operations.java
+++ b/daemon/src/main/java/lupinvalve/cli/Operations.java
@@ -7,10 +7,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.function.UnaryOperator;
-import lupinvalve.admin.Calls;
+import lupinvalve.admin.AdminCommands;
 import lupinvalve.core.Pooler;
-import lupinvalve.hotrestart.Incumbent;
-import lupinvalve.hotrestart.OrdersFile;
+import lupinvalve.hotrestart.DrainCommandsFile;
+import lupinvalve.hotrestart.ProcessMarkers;
 import lupinvalve.log.Log;
 import lupinvalve.maintenance.Drain;
 import lupinvalve.maintenance.Maintenance.Orders;
@@ -19,7 +19,7 @@
  * Carries operators' calls to the core, and their orders to the file that both processes of an upgrade read. The core
  * decides; a thread of its own touches the disk.
  */
-final class Operations implements Calls.Pooler {
+final class Operations implements AdminCommands.Target {
     /** How often the other process's orders are looked for: they bind 250 ms after its yes. */
     private static final long LOOK_MILLIS = 80;
     /** How many looks later it is looked whether the other process runs. */
@@ -27,8 +27,8 @@
 
     private static final String BY = "call";
     private final Pooler pooler;
-    private final OrdersFile file;
-    private final Incumbent incumbent;
+    private final DrainCommandsFile file;
+    private final ProcessMarkers incumbent;
     private final Consumer<Boolean> beside;
     private final Runnable endConnections;
     private final ScheduledExecutorService worker = Executors.newSingleThreadScheduledExecutor(work -> {
@@ -50,9 +50,9 @@
     Operations(Pooler pooler, Path stem, Runnable endConnections, Consumer<Boolean> beside) {
         this.pooler = pooler;
         this.beside = beside;
-        incumbent = stem == null ? null : new Incumbent(stem);
+        incumbent = stem == null ? null : new ProcessMarkers(stem);
         this.endConnections = endConnections;
-        file = stem == null ? null : new OrdersFile(stem);
+        file = stem == null ? null : new DrainCommandsFile(stem);
     }
 
     /** Reads what an earlier process left, and goes on looking for what another one does. Before the core starts. */
@@ -60,8 +60,8 @@
         if (file == null) {
             return;
         }
-        incumbent.starts();
-        Orders left = file.changed(orders);
+        incumbent.markStarting();
+        Orders left = file.readIfChanged(orders);
         if (left != null) {
             orders = left;
             pooler.maintain(BY, left);
@@ -76,14 +76,14 @@
     /** Whether this process takes clients: not before its port is open, nor once it ends. */
     void serves(boolean takesClients) {
         if (takesClients && incumbent != null) {
-            incumbent.serves();
+            incumbent.markServing();
         }
         serving = takesClients;
     }
 
     /** Whether another process of this pooler serves. */
     boolean succeeded() {
-        return incumbent != null && incumbent.another();
+        return incumbent != null && incumbent.isSuperseded();
     }
 
     /** Whether the group holds this pooler. */
@@ -92,12 +92,12 @@
     }
 
     private void look() {
-        if (looks++ % LOOKS == 0 && incumbent.accompanied() != accompanied) {
+        if (looks++ % LOOKS == 0 && incumbent.isAnotherRunning() != accompanied) {
             accompanied = !accompanied;
             boolean now = accompanied;
             pooler.loop().post(() -> beside.accept(now));
         }
-        Orders other = file.changed(orders);
+        Orders other = file.readIfChanged(orders);
         if (other != null) {
             orders = other;
             pooler.loop().urgent(() -> pooler.maintain(BY, other));
@@ -105,17 +105,17 @@
     }
 
     @Override
-    public String unready() {
+    public String notReadyReason() {
         return !serving ? "not serving" : away ? "clients are sent away" : held ? "held by the group" : null;
     }
 
     @Override
-    public String figures() {
+    public String counters() {
         return pooler.figures().text();
     }
 
     @Override
-    public void maintain(boolean takeOut, String id, Consumer<String> objection) {
+    public void setNodeDrain(boolean takeOut, String id, Consumer<String> objection) {
         pooler.loop().urgent(() -> {
             String why = pooler.objection(takeOut, id);
             if (why != null) {
@@ -130,7 +130,7 @@
     /** The order is in the file before it holds, and holds before the yes. */
     private void order(UnaryOperator<Orders> change, Consumer<String> objection) {
         try {
-            orders = file == null ? change.apply(orders) : file.change(orders, change);
+            orders = file == null ? change.apply(orders) : file.update(orders, change);
         } catch (IOException | RuntimeException e) {
             Log.error("an order can't be kept: %s", e);
             objection.accept("the order can't be kept: " + e.getClass().getSimpleName());
@@ -144,7 +144,7 @@
     }
 
     @Override
-    public void drain(boolean quiesce, Consumer<String> objection) {
+    public void setPoolerDrain(boolean quiesce, Consumer<String> objection) {
         pooler.loop().urgent(() -> {
             Drain drain = pooler.drain();
             if (drain.leaving()) {
--- a/daemon/src/main/java/lupinvalve/cli/Shared.java
+++ b/daemon/src/main/java/lupinvalve/cli/Shared.java
@@ -17,8 +17,8 @@
 import lupinvalve.replication.Subscriber;
 import lupinvalve.replication.Tokens;
 import lupinvalve.routing.Routing;
-import lupinvalve.statemachine.Change;
-import lupinvalve.statemachine.Ledger;
+import lupinvalve.statemachine.Command;
+import lupinvalve.statemachine.ReplicatedState;
 
 /** What the group has accepted, brought to the core thread, and what the core knows brought to the group. */
 final class Shared implements Group.Pooler {
@@ -71,7 +71,7 @@
     /** The db nodes that were known last, for a start before discovery answers. */
     List<Directory.Entry> entries() {
         List<Directory.Entry> entries = new ArrayList<>();
-        for (Change.Listed listed : known.nodes()) {
+        for (Command.Endpoint listed : known.nodes()) {
             entries.add(new Directory.Entry(listed.member(), listed.addresses()));
         }
         return entries;
@@ -83,13 +83,13 @@
 
     /** Begins to tell the group of the list; core thread, once the pooler has started. */
     void follow() {
-        for (Change.Listed listed : known.nodes()) {
-            if (listed.position() != Routing.NO_POSITION) {
+        for (Command.Endpoint listed : known.nodes()) {
+            if (listed.logPosition() != Routing.NO_POSITION) {
                 pooler.probed(
                         listed.member().node(),
                         Routing.Ending.SERVED,
                         0,
-                        listed.position(),
+                        listed.logPosition(),
                         listed.member().listedPrimary() ? Routing.Role.PRIMARY : Routing.Role.REPLICA);
             }
         }
@@ -106,8 +106,8 @@
             told = members;
             toldAt = now;
             plane.listing(nodes.stream()
-                    .map(one ->
-                            new Change.Listed(one.entry().member(), one.entry().addresses(), one.position()))
+                    .map(one -> new Command.Endpoint(
+                            one.entry().member(), one.entry().addresses(), one.position()))
                     .toList());
         }
         pooler.loop().after(LOOK, this::look);
@@ -131,15 +131,17 @@
     }
 
     @Override
-    public void adopt(Ledger.Document document) {
+    public void adopt(ReplicatedState.Document document) {
         pooler.loop().post(() -> adopted.accept(document.content()));
     }
 
     @Override
-    public void holds(Map<Change.Holding, Ledger.Held> holds) {
+    public void holds(Map<Command.DrainTarget, ReplicatedState.Drain> holds) {
         Set<String> out = new TreeSet<>();
-        holds.keySet().stream().filter(one -> one.kind() == Change.Kind.NODE).forEach(one -> out.add(one.name()));
-        boolean self = holds.containsKey(new Change.Holding(Change.Kind.POOLER, name));
+        holds.keySet().stream()
+                .filter(one -> one.kind() == Command.TargetKind.NODE)
+                .forEach(one -> out.add(one.name()));
+        boolean self = holds.containsKey(new Command.DrainTarget(Command.TargetKind.POOLER, name));
         pooler.loop().urgent(() -> {
             Map<String, Long> back = new HashMap<>(orders.back());
             back.keySet().removeAll(out);
@@ -153,7 +155,7 @@
     }
 
     @Override
-    public void commits(Change.Commits commits) {
+    public void commits(Command.SessionCommits commits) {
         pooler.loop().post(() -> tokens.accepted(commits));
     }
 }
--- a/daemon/src/test/java/lupinvalve/cli/CallTest.java
+++ b/daemon/src/test/java/lupinvalve/cli/CallTest.java
@@ -8,35 +8,35 @@
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.util.function.Consumer;
-import lupinvalve.admin.Calls;
-import lupinvalve.admin.Door;
+import lupinvalve.admin.AdminCommands;
+import lupinvalve.admin.AdminServer;
 import org.junit.jupiter.api.Test;
 
 class CallTest {
     @Test
     void itPrintsTheAnswerAndExitsWithIt() throws Exception {
-        Door door = new Door(new Calls(new Calls.Pooler() {
+        AdminServer door = new AdminServer(new AdminCommands(new AdminCommands.Target() {
             @Override
-            public String unready() {
+            public String notReadyReason() {
                 return "not serving";
             }
 
             @Override
-            public String figures() {
+            public String counters() {
                 return "edge_node.in_flight=3\n";
             }
 
             @Override
-            public void maintain(boolean takeOut, String id, Consumer<String> objection) {
+            public void setNodeDrain(boolean takeOut, String id, Consumer<String> objection) {
                 objection.accept(takeOut && id.equals("s-1") ? null : "nobody has the id " + id);
             }
 
             @Override
-            public void drain(boolean quiesce, Consumer<String> objection) {
+            public void setPoolerDrain(boolean quiesce, Consumer<String> objection) {
                 objection.accept(null);
             }
         }));
-        door.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+        door.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
         try {
             String to = "127.0.0.1:" + door.address().getPort();
             said(1, "fail not serving\n", to, "health");
@@ -44,7 +44,7 @@
             said(0, "ok\n", to, "cordon", "s-1");
             said(1, "fail nobody has the id s-1\n", to, "uncordon", "s-1");
         } finally {
-            door.stop();
+            door.close();
         }
         ByteArrayOutputStream err = new ByteArrayOutputStream();
         assertEquals(1, Main.run(new String[] {"call", "--to", "nowhere", "health"}, new PrintStream(err)));
--- a/daemon/src/test/java/lupinvalve/cli/GroupTest.java
+++ b/daemon/src/test/java/lupinvalve/cli/GroupTest.java
@@ -27,8 +27,8 @@
 import lupinvalve.integration.World;
 import lupinvalve.log.Log;
 import lupinvalve.replication.Group;
-import lupinvalve.statemachine.Change;
-import lupinvalve.statemachine.Ledger;
+import lupinvalve.statemachine.Command;
+import lupinvalve.statemachine.ReplicatedState;
 import org.junit.jupiter.api.AfterAll;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeAll;
@@ -47,8 +47,8 @@
 
     private final Map<String, String> addresses = new TreeMap<>();
     private final Map<String, Group> groups = new HashMap<>();
-    private final Map<String, Ledger.Document> acting = new ConcurrentHashMap<>();
-    private final Map<String, Map<Change.Holding, Ledger.Held>> holds = new ConcurrentHashMap<>();
+    private final Map<String, ReplicatedState.Document> acting = new ConcurrentHashMap<>();
+    private final Map<String, Map<Command.DrainTarget, ReplicatedState.Drain>> holds = new ConcurrentHashMap<>();
     private final Map<String, Map<String, Long>> tokens = new ConcurrentHashMap<>();
 
     private OperatorConfig.Audit audit = OperatorConfig.Audit.OFF;
@@ -116,17 +116,17 @@
             }
 
             @Override
-            public void adopt(Ledger.Document document) {
+            public void adopt(ReplicatedState.Document document) {
                 acting.put(name, document);
             }
 
             @Override
-            public void holds(Map<Change.Holding, Ledger.Held> now) {
+            public void holds(Map<Command.DrainTarget, ReplicatedState.Drain> now) {
                 holds.put(name, now);
             }
 
             @Override
-            public void commits(Change.Commits commits) {
+            public void commits(Command.SessionCommits commits) {
                 tokens.computeIfAbsent(name, n -> new ConcurrentHashMap<>()).putAll(commits.positions());
             }
         });
@@ -205,7 +205,10 @@
         World.await("adopted by all", () -> acting.size() == 3);
         assertEquals(
                 1,
-                acting.values().stream().map(Ledger.Document::digest).distinct().count());
+                acting.values().stream()
+                        .map(ReplicatedState.Document::digest)
+                        .distinct()
+                        .count());
         assertTrue(store(a, "get").out().contains("document.mysql.password: ***"));
         assertTrue(store(a, "get", "--show-secrets").out().contains("document.mysql.password: towel"));
         assertEquals(0, store(a, "hold", "node", "db-7", "--why", "new disk").code());
--- a/daemon/src/test/java/lupinvalve/cli/SubscriberTest.java
+++ b/daemon/src/test/java/lupinvalve/cli/SubscriberTest.java
@@ -25,8 +25,8 @@
 import lupinvalve.replication.Group;
 import lupinvalve.replication.Messages;
 import lupinvalve.replication.Subscriber;
-import lupinvalve.statemachine.Change;
-import lupinvalve.statemachine.Ledger;
+import lupinvalve.statemachine.Command;
+import lupinvalve.statemachine.ReplicatedState;
 import lupinvalve.subscription.FollowSchedule;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
@@ -43,8 +43,8 @@
     private final Map<String, String> addresses = new TreeMap<>();
     private final Map<String, Group> groups = new HashMap<>();
     private final List<ControlPlane> subscribers = new ArrayList<>();
-    private final Map<String, Ledger.Document> acting = new ConcurrentHashMap<>();
-    private final Map<String, Map<Change.Holding, Ledger.Held>> holds = new ConcurrentHashMap<>();
+    private final Map<String, ReplicatedState.Document> acting = new ConcurrentHashMap<>();
+    private final Map<String, Map<Command.DrainTarget, ReplicatedState.Drain>> holds = new ConcurrentHashMap<>();
     private final Loop loop = new Loop("subscribers");
     private final Net net = new Net(loop);
 
@@ -64,17 +64,17 @@
             }
 
             @Override
-            public void adopt(Ledger.Document document) {
+            public void adopt(ReplicatedState.Document document) {
                 acting.put(name, document);
             }
 
             @Override
-            public void holds(Map<Change.Holding, Ledger.Held> now) {
+            public void holds(Map<Command.DrainTarget, ReplicatedState.Drain> now) {
                 holds.put(name, now);
             }
 
             @Override
-            public void commits(Change.Commits commits) {
+            public void commits(Command.SessionCommits commits) {
                 // Positions are of no matter here.
             }
         };
--- a/daemon/src/test/java/lupinvalve/replication/OldMemberTest.java
+++ b/daemon/src/test/java/lupinvalve/replication/OldMemberTest.java
@@ -21,10 +21,10 @@
 import lupinvalve.integration.World;
 import lupinvalve.log.Log;
 import lupinvalve.statemachine.Cbor;
-import lupinvalve.statemachine.Change;
-import lupinvalve.statemachine.Founding;
-import lupinvalve.statemachine.Identity;
-import lupinvalve.statemachine.Ledger;
+import lupinvalve.statemachine.ClusterBootstrap;
+import lupinvalve.statemachine.Command;
+import lupinvalve.statemachine.MemberId;
+import lupinvalve.statemachine.ReplicatedState;
 import lupinvalve.subscription.FollowAnswer;
 import lupinvalve.subscription.FollowRequest;
 import org.junit.jupiter.api.Test;
@@ -59,8 +59,8 @@
     private static void serve(
             Socket socket, String name, AtomicInteger calls, java.util.function.Function<Messages.Call, byte[]> answers)
             throws IOException {
-        Founding.Word word = new Founding.Word(
-                new Identity(name, "disk"), Founding.Phase.FOUNDED, Set.of(new Identity(name, "disk")));
+        ClusterBootstrap.Announcement word = new ClusterBootstrap.Announcement(
+                new MemberId(name, "disk"), ClusterBootstrap.Phase.BOOTSTRAPPED, Set.of(new MemberId(name, "disk")));
         socket.getOutputStream().write(new Messages.Hello("plant", name, "127.0.0.1:1", word).write());
         DataInputStream in = new DataInputStream(socket.getInputStream());
         while (true) {
@@ -77,15 +77,16 @@
     private static byte[] oldAnswer(Messages.Call call) {
         return Messages.message(
                 Messages.Kind.ANSWER,
-                new Cbor.Out()
+                new Cbor.Writer()
                         .number(call.id())
                         .number(Messages.Code.REFUSED.ordinal())
                         .text("no such call: " + call.name())
-                        .done());
+                        .toByteArray());
     }
 
     private static byte[] newAnswer(Messages.Call call) {
-        Ledger.Document document = new Ledger.Document(1, 1, Ledger.digest(DOCUMENT), DOCUMENT);
+        ReplicatedState.Document document =
+                new ReplicatedState.Document(1, 1, ReplicatedState.digest(DOCUMENT), DOCUMENT);
         byte[] content = new FollowAnswer(0, 0, "", 1, 20, new FollowAnswer.News.Whole(document), Map.of()).write();
         return new Messages.Answer(call.id(), Messages.Code.OK, "", content).write();
     }
@@ -95,7 +96,7 @@
         ByteArrayOutputStream lines = new ByteArrayOutputStream();
         AtomicInteger old = new AtomicInteger();
         AtomicInteger current = new AtomicInteger();
-        AtomicReference<Ledger.Document> acting = new AtomicReference<>();
+        AtomicReference<ReplicatedState.Document> acting = new AtomicReference<>();
         // Other tests' world makes the log quiet as it is set up: not after this one has made it loud.
         World.await("the world is there", () -> true);
         Log.Level before = Log.least();
@@ -128,7 +129,7 @@
         assertTrue(said.contains("store: follows b"), said);
     }
 
-    private static Group.Pooler pooler(AtomicReference<Ledger.Document> acting) {
+    private static Group.Pooler pooler(AtomicReference<ReplicatedState.Document> acting) {
         return new Group.Pooler() {
             @Override
             public String objection(byte[] document) {
@@ -136,17 +137,17 @@
             }
 
             @Override
-            public void adopt(Ledger.Document document) {
+            public void adopt(ReplicatedState.Document document) {
                 acting.set(document);
             }
 
             @Override
-            public void holds(Map<Change.Holding, Ledger.Held> holds) {
+            public void holds(Map<Command.DrainTarget, ReplicatedState.Drain> holds) {
                 // None are told.
             }
 
             @Override
-            public void commits(Change.Commits commits) {
+            public void commits(Command.SessionCommits commits) {
                 // Subscribers are told of none.
             }
         };
--- a/drills/src/main/java/lupinvalve/drills/AuditDrill.java
+++ b/drills/src/main/java/lupinvalve/drills/AuditDrill.java
@@ -146,7 +146,7 @@
             strict.recordValue((System.nanoTime() - began) / 1000);
             puts.add(new Put(
                     fields(said.text()).get("revision") + "-"
-                            + lupinvalve.statemachine.Ledger.digest(document.getBytes(StandardCharsets.UTF_8)),
+                            + lupinvalve.statemachine.ReplicatedState.digest(document.getBytes(StandardCharsets.UTF_8)),
                     asked,
                     System.currentTimeMillis()));
         } else if (said.code() == Messages.Code.UNKNOWN) {
--- a/drills/src/main/java/lupinvalve/drills/StoreClients.java
+++ b/drills/src/main/java/lupinvalve/drills/StoreClients.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import lupinvalve.replication.Client;
 import lupinvalve.replication.Messages;
-import lupinvalve.statemachine.Ledger;
+import lupinvalve.statemachine.ReplicatedState;
 import org.HdrHistogram.ConcurrentHistogram;
 import org.HdrHistogram.Histogram;
 
@@ -89,7 +89,11 @@
                 "put", List.of(Long.toString(expected).getBytes(StandardCharsets.UTF_8), document), false, CALL_MILLIS);
         long ended = System.nanoTime();
         if (said.code() == Messages.Code.OK) {
-            checker.put(began, ended, Long.parseLong(fields(said.text()).get("revision")), Ledger.digest(document));
+            checker.put(
+                    began,
+                    ended,
+                    Long.parseLong(fields(said.text()).get("revision")),
+                    ReplicatedState.digest(document));
             if (faultAt < began - TimeUnit.SECONDS.toNanos(QUIET_SECONDS)) {
                 commits.recordValue((ended - began) / 1000);
             }
--- a/faultinjection/src/main/java/lupinvalve/faultinjection/HandOff.java
+++ b/faultinjection/src/main/java/lupinvalve/faultinjection/HandOff.java
@@ -10,8 +10,8 @@
 import java.util.TreeMap;
 import lupinvalve.faultinjection.Points.Fault;
 import lupinvalve.faultinjection.Points.Kind;
-import lupinvalve.hotrestart.OrdersFile;
-import lupinvalve.hotrestart.Shelf;
+import lupinvalve.hotrestart.DrainCommandsFile;
+import lupinvalve.hotrestart.SharedDirectory;
 import lupinvalve.maintenance.Maintenance.Orders;
 
 /**
@@ -52,7 +52,7 @@
     }
 
     private final class Process {
-        private OrdersFile file = new OrdersFile(new Counted(), "p");
+        private DrainCommandsFile file = new DrainCommandsFile(new Counted(), "p");
         private Orders held = Orders.NONE;
         private boolean ended;
 
@@ -63,7 +63,7 @@
             }
             truth.put(id, null);
             try {
-                held = file.change(held, orders -> orders.with(out, id, now++));
+                held = file.update(held, orders -> orders.with(out, id, now++));
                 truth.put(id, out);
             } catch (IOException e) {
                 // A no: it may hold or not.
@@ -75,7 +75,7 @@
         /** Looks for the other process's orders. */
         void look() {
             try {
-                Orders other = ended ? null : file.changed(held);
+                Orders other = ended ? null : file.readIfChanged(held);
                 held = other == null ? held : other;
             } catch (Ended e) {
                 ended = true;
@@ -87,7 +87,7 @@
             if (ended) {
                 ended = false;
                 held = Orders.NONE;
-                file = new OrdersFile(new Counted(), "p");
+                file = new DrainCommandsFile(new Counted(), "p");
                 look();
             }
         }
@@ -135,7 +135,7 @@
     }
 
     /** One process's way to the folder, on which each call is a numbered point. */
-    private final class Counted implements Shelf {
+    private final class Counted implements SharedDirectory {
         private interface Step<T> {
             T go() throws IOException;
         }
--- a/faultinjection/src/main/java/lupinvalve/replication/Scenario.java
+++ b/faultinjection/src/main/java/lupinvalve/replication/Scenario.java
@@ -5,8 +5,8 @@
 import java.util.Set;
 import java.util.TreeSet;
 import java.util.concurrent.atomic.AtomicReference;
-import lupinvalve.statemachine.Identity;
-import lupinvalve.statemachine.Membership;
+import lupinvalve.statemachine.MemberId;
+import lupinvalve.statemachine.MembershipChange;
 
 /** What a group does while faults come; none of it waits for success, as a fault may have made that impossible. */
 public enum Scenario {
@@ -163,8 +163,8 @@
                 return sim.leader() != null && sim.leader().left == null;
             });
             Set<String> left = new TreeSet<>();
-            sim.each(m -> left.add(
-                    lupinvalve.statemachine.Ledger.digest(Simulation.document("{\"left\":" + m.number + "}"))));
+            sim.each(m -> left.add(lupinvalve.statemachine.ReplicatedState.digest(
+                    Simulation.document("{\"left\":" + m.number + "}"))));
             List<String> taken =
                     sim.history.values().stream().filter(left::contains).toList();
             if (taken.size() > 1
@@ -248,10 +248,10 @@
 
     /** Tries steps towards a change of members, so many times; whether the last step was taken. */
     static boolean wish(Simulation sim, boolean in, Simulation.Member who, int times) {
-        Membership.Wish wish = new Membership.Wish(in, who.identity.name());
-        AtomicReference<Membership.Step> step = new AtomicReference<>();
-        for (int i = 0; i < times && !(step.get() instanceof Membership.Step.Done); i++) {
-            Set<Identity> all = new TreeSet<>();
+        MembershipChange.Request wish = new MembershipChange.Request(in, who.identity.name());
+        AtomicReference<MembershipChange.Step> step = new AtomicReference<>();
+        for (int i = 0; i < times && !(step.get() instanceof MembershipChange.Step.Done); i++) {
+            Set<MemberId> all = new TreeSet<>();
             sim.each(m -> {
                 if (m.runs()) {
                     all.add(m.identity);
@@ -261,14 +261,14 @@
                 Replica leader = sim.leader().replica;
                 leader.report((fate, report) -> {
                     if (fate == Replica.Fate.DONE && Replica.leads(report)) {
-                        step.set(Membership.next(wish, Replica.view(report, all, all)));
+                        step.set(MembershipChange.nextStep(wish, Replica.view(report, all, all)));
                         leader.step(step.get(), report, (f, ok) -> {});
                     }
                 });
             }
             sim.run(100_000);
         }
-        return step.get() instanceof Membership.Step.Done;
+        return step.get() instanceof MembershipChange.Step.Done;
     }
 
     /** Which change of members the scenario is about; it is brought to its end before members are compared. */
--- a/faultinjection/src/main/java/lupinvalve/replication/Simulation.java
+++ b/faultinjection/src/main/java/lupinvalve/replication/Simulation.java
@@ -14,10 +14,10 @@
 import lupinvalve.faultinjection.Points;
 import lupinvalve.faultinjection.Points.Fault;
 import lupinvalve.faultinjection.Points.Kind;
-import lupinvalve.statemachine.Change;
-import lupinvalve.statemachine.Founding;
-import lupinvalve.statemachine.Identity;
-import lupinvalve.statemachine.Ledger;
+import lupinvalve.statemachine.ClusterBootstrap;
+import lupinvalve.statemachine.Command;
+import lupinvalve.statemachine.MemberId;
+import lupinvalve.statemachine.ReplicatedState;
 
 /**
  * Members, their disks and the network between them in virtual time: one seed, one course of events. Each step at which
@@ -35,7 +35,7 @@
     /** One member through all its lives. */
     final class Member {
         final int number;
-        final Identity identity;
+        final MemberId identity;
         MemoryDisk disk = new MemoryDisk();
         Replica replica;
         String stopped;
@@ -50,7 +50,7 @@
 
         Member(int number) {
             this.number = number;
-            identity = new Identity("m" + number, "d" + number);
+            identity = new MemberId("m" + number, "d" + number);
         }
 
         private final class Life implements Schedule {
@@ -130,7 +130,7 @@
 
         void start() throws IOException {
             started = true;
-            begin(SegmentedLog.open(access(), "sim", identity.name(), identity.disk()));
+            begin(SegmentedLog.open(access(), "sim", identity.name(), identity.diskId()));
         }
 
         /** Takes part again in the same life, as a member does whose disk is good again. */
@@ -147,10 +147,12 @@
 
         private void begin(SegmentedLog log) throws IOException {
             takeOver = new TakeOver(left == null ? null : new Left());
-            if (log.word().phase() == Founding.Phase.ALONE) {
+            if (log.word().phase() == ClusterBootstrap.Phase.UNBOUND) {
                 boolean founder = founders.contains(identity);
-                log.keep(new Founding.Word(
-                        identity, founder ? Founding.Phase.FOUNDED : Founding.Phase.NEWCOMER, founders));
+                log.keep(new ClusterBootstrap.Announcement(
+                        identity,
+                        founder ? ClusterBootstrap.Phase.BOOTSTRAPPED : ClusterBootstrap.Phase.JOINING,
+                        founders));
             }
             stopped = null;
             replica = new Replica(
@@ -161,7 +163,7 @@
                         private final int mine = life;
 
                         @Override
-                        public void send(Identity to, byte[] message) {
+                        public void send(MemberId to, byte[] message) {
                             if (mine != life) {
                                 return;
                             }
@@ -182,15 +184,16 @@
                         }
 
                         @Override
-                        public boolean reaches(Identity who) {
+                        public boolean reaches(MemberId who) {
                             return true;
                         }
                     },
                     new Random(random.nextLong()),
                     new Replica.Watcher() {
                         @Override
-                        public void applied(long index, Change change, Ledger.Outcome outcome) {
-                            if (change instanceof Change.Put && outcome.result() == Ledger.Result.DONE) {
+                        public void applied(long index, Command change, ReplicatedState.Outcome outcome) {
+                            if (change instanceof Command.PutDocument
+                                    && outcome.result() == ReplicatedState.Result.APPLIED) {
                                 adopt(replica.ledger().document());
                             }
                         }
@@ -247,7 +250,7 @@
             }
         }
 
-        private void adopt(Ledger.Document document) {
+        private void adopt(ReplicatedState.Document document) {
             String before = adopted.putIfAbsent(document.index(), document.digest());
             String agreed = history.putIfAbsent(document.index(), document.digest());
             if (agreed != null && !agreed.equals(document.digest())
@@ -273,7 +276,7 @@
     final TreeMap<Integer, Integer> leaders = new TreeMap<>();
     final Random random;
     final List<Member> members = new ArrayList<>();
-    final Set<Identity> founders = new TreeSet<>();
+    final Set<MemberId> founders = new TreeSet<>();
     final boolean[][] cut;
     final TreeMap<Long, String> history = new TreeMap<>();
     final List<String> faults = new ArrayList<>();
@@ -412,9 +415,9 @@
             }
             byte[] content = document("{\"n\":\"" + number++ + filler + "\"}");
             long expected = at.replica.ledger().revision();
-            at.replica.propose(new Change.Put(expected, content), (fate, outcome) -> {
-                if (fate == Replica.Fate.DONE && outcome.result() == Ledger.Result.DONE) {
-                    String other = acknowledged.putIfAbsent(outcome.revision(), Ledger.digest(content));
+            at.replica.propose(new Command.PutDocument(expected, content), (fate, outcome) -> {
+                if (fate == Replica.Fate.DONE && outcome.result() == ReplicatedState.Result.APPLIED) {
+                    String other = acknowledged.putIfAbsent(outcome.revision(), ReplicatedState.digest(content));
                     if (other != null) {
                         faults.add("revision " + outcome.revision() + " was acknowledged twice");
                     }
@@ -453,8 +456,9 @@
                                 : " does not run: " + member.stopped));
                 return;
             }
-            List<String> digests = new ArrayList<>(
-                    history.headMap(member.replica.ledger().applied(), true).values());
+            List<String> digests =
+                    new ArrayList<>(history.headMap(member.replica.ledger().appliedIndex(), true)
+                            .values());
             acknowledged.forEach((revision, digest) -> {
                 if (digests.size() < revision
                         || !digests.get((int) (revision - 1)).equals(digest)) {
--- a/faultinjection/src/test/java/lupinvalve/replication/AuditBookTest.java
+++ b/faultinjection/src/test/java/lupinvalve/replication/AuditBookTest.java
@@ -8,18 +8,18 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
-import lupinvalve.audit.Entry;
-import lupinvalve.audit.Journal;
-import lupinvalve.statemachine.Change;
+import lupinvalve.audit.AuditEntry;
+import lupinvalve.audit.AuditJournal;
+import lupinvalve.statemachine.Command;
 import org.junit.jupiter.api.Test;
 
 class AuditBookTest {
     private final MemoryDisk disk = new MemoryDisk();
 
-    private static List<Entry> entries(Change.Noted noted) throws IOException {
-        List<Entry> all = new ArrayList<>();
+    private static List<AuditEntry> entries(Command.AppendAudit noted) throws IOException {
+        List<AuditEntry> all = new ArrayList<>();
         for (byte[] entry : noted.entries()) {
-            all.add(Entry.read(entry));
+            all.add(AuditEntry.decode(entry));
         }
         return all;
     }
@@ -27,36 +27,37 @@
     @Test
     void whatWasForcedIsThereAfterACrashAndIsDeliveredLate() throws IOException {
         AuditBook first = new AuditBook(disk, "p", 1);
-        first.note(Entry.What.STARTED, "", 0, 10, "");
-        first.note(Entry.What.ADOPTED, "1-a", 1, 20, "");
+        first.note(AuditEntry.Event.STARTED, "", 0, 10, "");
+        first.note(AuditEntry.Event.ADOPTED, "1-a", 1, 20, "");
         first.delivered(first.due());
         assertNull(first.due());
-        first.note(Entry.What.CUT_OFF, "1-a", 1, 30, "");
+        first.note(AuditEntry.Event.CUT_OFF, "1-a", 1, 30, "");
         disk.crash(new Random(1));
         AuditBook next = new AuditBook(disk, "p", 2);
-        List<Entry> left = entries(next.due());
-        assertEquals(List.of(1L, 2L, 3L), left.stream().map(Entry::number).toList(), "which came through is not known");
-        assertNull(Journal.broken(left));
+        List<AuditEntry> left = entries(next.due());
+        assertEquals(
+                List.of(1L, 2L, 3L), left.stream().map(AuditEntry::number).toList(), "which came through is not known");
+        assertNull(AuditJournal.chainBreak(left));
         next.delivered(next.due());
-        next.note(Entry.What.STARTED, "", 1, 40, "");
-        assertEquals(2, entries(next.due()).get(0).life());
+        next.note(AuditEntry.Event.STARTED, "", 1, 40, "");
+        assertEquals(2, entries(next.due()).get(0).incarnation());
     }
 
     @Test
     void anEntryThatADiskDidNotTakeIsNotActedOnAndStillDelivered() throws IOException {
         AuditBook book = new AuditBook(disk, "p", 1);
-        book.note(Entry.What.STARTED, "", 0, 10, "");
+        book.note(AuditEntry.Event.STARTED, "", 0, 10, "");
         disk.room = 30;
-        assertThrows(IOException.class, () -> book.note(Entry.What.ADOPTED, "1-a", 1, 20, ""));
+        assertThrows(IOException.class, () -> book.note(AuditEntry.Event.ADOPTED, "1-a", 1, 20, ""));
         disk.room = Long.MAX_VALUE;
-        book.note(Entry.What.ADOPTED, "1-a", 1, 30, "");
-        assertNull(Journal.broken(entries(book.due())));
+        book.note(AuditEntry.Event.ADOPTED, "1-a", 1, 30, "");
+        assertNull(AuditJournal.chainBreak(entries(book.due())));
         assertEquals(3, book.due().entries().size());
         // On the disk stands what it took, each file whole but for its end.
-        List<Entry> kept = new ArrayList<>();
+        List<AuditEntry> kept = new ArrayList<>();
         for (String file : disk.names()) {
             kept.addAll(AuditBook.read(disk, file));
         }
-        assertEquals(List.of(1L, 3L), kept.stream().map(Entry::number).toList());
+        assertEquals(List.of(1L, 3L), kept.stream().map(AuditEntry::number).toList());
     }
 }
--- a/faultinjection/src/test/java/lupinvalve/replication/KeptDocumentTest.java
+++ b/faultinjection/src/test/java/lupinvalve/replication/KeptDocumentTest.java
@@ -13,8 +13,8 @@
 import java.util.Random;
 import java.util.TreeMap;
 import lupinvalve.faultinjection.Points;
-import lupinvalve.statemachine.Change;
-import lupinvalve.statemachine.Ledger;
+import lupinvalve.statemachine.Command;
+import lupinvalve.statemachine.ReplicatedState;
 import lupinvalve.subscription.FollowState;
 import org.junit.jupiter.api.Test;
 
@@ -26,8 +26,10 @@
     private static FollowState.Kept kept(long revision) {
         byte[] content = ("{\"revision\":" + revision + "}").getBytes(StandardCharsets.UTF_8);
         return new FollowState.Kept(
-                new Ledger.Document(revision, revision, Ledger.digest(content), content),
-                new TreeMap<>(Map.of(new Change.Holding(Change.Kind.NODE, "n" + revision), new Ledger.Held("why", 7))),
+                new ReplicatedState.Document(revision, revision, ReplicatedState.digest(content), content),
+                new TreeMap<>(Map.of(
+                        new Command.DrainTarget(Command.TargetKind.NODE, "n" + revision),
+                        new ReplicatedState.Drain("why", 7))),
                 revision);
     }
 
--- a/faultinjection/src/test/java/lupinvalve/replication/SegmentedLogTest.java
+++ b/faultinjection/src/test/java/lupinvalve/replication/SegmentedLogTest.java
@@ -10,15 +10,15 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.Set;
-import lupinvalve.statemachine.Change;
+import lupinvalve.statemachine.ClusterBootstrap;
+import lupinvalve.statemachine.Command;
 import lupinvalve.statemachine.Encoding;
-import lupinvalve.statemachine.Founding;
-import lupinvalve.statemachine.Identity;
-import lupinvalve.statemachine.Ledger;
+import lupinvalve.statemachine.MemberId;
+import lupinvalve.statemachine.ReplicatedState;
 import org.junit.jupiter.api.Test;
 
 class SegmentedLogTest {
-    private static final Identity ME = new Identity("a", "d1");
+    private static final MemberId ME = new MemberId("a", "d1");
     private final MemoryDisk disk = new MemoryDisk();
 
     private static SegmentedLog open(MemoryDisk from) throws IOException {
@@ -31,12 +31,12 @@
                 .setIndex(index)
                 .setTerm(term)
                 .setOperation(Encoding.write(
-                        new Change.Put(index - 1, ("{\"n\":" + index + "}").getBytes(StandardCharsets.UTF_8))))
+                        new Command.PutDocument(index - 1, ("{\"n\":" + index + "}").getBytes(StandardCharsets.UTF_8))))
                 .build();
     }
 
     private static void begin(SegmentedLog log) throws IOException {
-        log.keep(new Founding.Word(ME, Founding.Phase.FOUNDED, Set.of(ME)));
+        log.keep(new ClusterBootstrap.Announcement(ME, ClusterBootstrap.Phase.BOOTSTRAPPED, Set.of(ME)));
         log.persistAndFlushLocalEndpoint(Models.FACTORY
                 .createRaftEndpointPersistentStateBuilder()
                 .setLocalEndpoint(new Endpoint(ME))
@@ -129,7 +129,7 @@
         MemoryDisk newer = disk.copy();
         newer.put(
                 "identity",
-                Frames.frame(new lupinvalve.statemachine.Cbor.Out().number(2).done()));
+                Frames.frame(new lupinvalve.statemachine.Cbor.Writer().number(2).toByteArray()));
         assertEquals(
                 "identity: format 2; this program reads 1",
                 assertThrows(IOException.class, () -> open(newer)).getMessage());
@@ -149,7 +149,7 @@
     void termVoteMembersAndWhatWasAcceptedOutliveSegments() throws Exception {
         SegmentedLog log = written();
         log.accepted(12);
-        Ledger ledger = new Ledger();
+        ReplicatedState ledger = new ReplicatedState();
         for (int i = 1; i <= 15; i++) {
             ledger.apply(i, Encoding.read((byte[]) entry(i, 3).getOperation()));
         }
--- a/faultinjection/src/test/java/lupinvalve/replication/SimulationTest.java
+++ b/faultinjection/src/test/java/lupinvalve/replication/SimulationTest.java
@@ -12,9 +12,9 @@
 import java.util.concurrent.atomic.AtomicReference;
 import java.util.stream.IntStream;
 import lupinvalve.log.Log;
-import lupinvalve.statemachine.Change;
-import lupinvalve.statemachine.Ledger;
-import lupinvalve.statemachine.Membership;
+import lupinvalve.statemachine.Command;
+import lupinvalve.statemachine.MembershipChange;
+import lupinvalve.statemachine.ReplicatedState;
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
 
@@ -150,13 +150,15 @@
 
     private static Replica.Fate put(Simulation sim, Simulation.Member at, long expected, String text) {
         AtomicReference<Replica.Fate> got = new AtomicReference<>();
-        AtomicReference<Ledger.Outcome> outcome = new AtomicReference<>();
-        at.replica.propose(new Change.Put(expected, Simulation.document(text)), (fate, result) -> {
+        AtomicReference<ReplicatedState.Outcome> outcome = new AtomicReference<>();
+        at.replica.propose(new Command.PutDocument(expected, Simulation.document(text)), (fate, result) -> {
             outcome.set(result);
             got.set(fate);
         });
         sim.until(() -> got.get() != null);
-        return got.get() == Replica.Fate.DONE && outcome.get().result() != Ledger.Result.DONE ? null : got.get();
+        return got.get() == Replica.Fate.DONE && outcome.get().result() != ReplicatedState.Result.APPLIED
+                ? null
+                : got.get();
     }
 
     @Test
@@ -172,7 +174,8 @@
         });
         AtomicReference<Replica.Fate> lost = new AtomicReference<>();
         AtomicReference<Replica.Fate> read = new AtomicReference<>();
-        old.replica.propose(new Change.Put(1, Simulation.document("{\"a\":1}")), (fate, outcome) -> lost.set(fate));
+        old.replica.propose(
+                new Command.PutDocument(1, Simulation.document("{\"a\":1}")), (fate, outcome) -> lost.set(fate));
         old.replica.upToDate((fate, ok) -> read.set(fate));
         assertTrue(sim.until(() -> sim.members.stream().anyMatch(m -> m != old && m.replica.leads())));
         sim.run(2_000_000);
@@ -191,17 +194,21 @@
     @Test
     void ofTwoOperatorsWhoReplaceOneRevisionOneIsTurnedDown() throws IOException {
         Simulation sim = led(3, 0);
-        AtomicReference<Ledger.Outcome> first = new AtomicReference<>();
-        AtomicReference<Ledger.Outcome> second = new AtomicReference<>();
+        AtomicReference<ReplicatedState.Outcome> first = new AtomicReference<>();
+        AtomicReference<ReplicatedState.Outcome> second = new AtomicReference<>();
         sim.leader()
                 .replica
-                .propose(new Change.Put(0, Simulation.document("{\"a\":1}")), (f, outcome) -> first.set(outcome));
+                .propose(
+                        new Command.PutDocument(0, Simulation.document("{\"a\":1}")),
+                        (f, outcome) -> first.set(outcome));
         sim.leader()
                 .replica
-                .propose(new Change.Put(0, Simulation.document("{\"b\":1}")), (f, outcome) -> second.set(outcome));
+                .propose(
+                        new Command.PutDocument(0, Simulation.document("{\"b\":1}")),
+                        (f, outcome) -> second.set(outcome));
         sim.until(() -> first.get() != null && second.get() != null);
-        assertEquals(Ledger.Result.DONE, first.get().result());
-        assertEquals(Ledger.Result.CONFLICT, second.get().result());
+        assertEquals(ReplicatedState.Result.APPLIED, first.get().result());
+        assertEquals(ReplicatedState.Result.CONFLICT, second.get().result());
         assertEquals(1, second.get().revision());
     }
 
@@ -227,28 +234,28 @@
     }
 
     static void change(Simulation sim, boolean in, Simulation.Member who) {
-        Membership.Wish wish = new Membership.Wish(in, who.identity.name());
-        Set<lupinvalve.statemachine.Identity> all = new TreeSet<>();
+        MembershipChange.Request wish = new MembershipChange.Request(in, who.identity.name());
+        Set<lupinvalve.statemachine.MemberId> all = new TreeSet<>();
         sim.each(m -> {
             if (m.runs()) {
                 all.add(m.identity);
             }
         });
-        AtomicReference<Membership.Step> step = new AtomicReference<>();
+        AtomicReference<MembershipChange.Step> step = new AtomicReference<>();
         assertTrue(
                 sim.until(() -> {
                     if (sim.leader() != null) {
                         Replica leader = sim.leader().replica;
                         leader.report((fate, report) -> {
                             if (fate == Replica.Fate.DONE && Replica.leads(report)) {
-                                Membership.View view = Replica.view(report, all, all);
-                                step.set(Membership.next(wish, view));
+                                MembershipChange.GroupView view = Replica.view(report, all, all);
+                                step.set(MembershipChange.nextStep(wish, view));
                                 leader.step(step.get(), report, (f, ok) -> {});
                             }
                         });
                         sim.run(100_000);
                     }
-                    return step.get() instanceof Membership.Step.Done;
+                    return step.get() instanceof MembershipChange.Step.Done;
                 }),
                 String.valueOf(step.get()));
     }
@@ -301,7 +308,8 @@
         Simulation.Member old = sim.leader();
         old.pausedUntil = sim.now + 10_000_000;
         AtomicReference<Replica.Fate> late = new AtomicReference<>();
-        old.replica.propose(new Change.Put(0, Simulation.document("{\"old\":1}")), (fate, outcome) -> late.set(fate));
+        old.replica.propose(
+                new Command.PutDocument(0, Simulation.document("{\"old\":1}")), (fate, outcome) -> late.set(fate));
         assertTrue(sim.until(() -> sim.members.stream().anyMatch(m -> m != old && m.replica.leads())));
         Simulation.Member next = sim.members.stream()
                 .filter(m -> m != old && m.replica.leads())
--- a/hotrestart/src/main/java/lupinvalve/hotrestart/OrdersFile.java
+++ b/hotrestart/src/main/java/lupinvalve/hotrestart/DrainCommandsFile.java
@@ -22,23 +22,25 @@
  * The operators' orders in a file that the two processes of an upgrade share. It is written whole beside the old one
  * and renamed, under a lock, so a reader sees one state or the other. For one thread.
  */
-public final class OrdersFile {
+public final class DrainCommandsFile {
     private static final JsonFactory JSON = new JsonFactory();
     /** Longer than any file of ours: what is longer is not read. */
     private static final long BYTES_MOST = 1 << 20;
 
-    private final Shelf shelf;
+    private final SharedDirectory shelf;
     private final String file, beside, lock;
     private byte[] seen = {};
     private boolean reported;
 
     /** @param stem path of the files, without their endings */
-    public OrdersFile(Path stem) {
-        this(Shelf.of(stem.toAbsolutePath().getParent()), stem.getFileName().toString());
+    public DrainCommandsFile(Path stem) {
+        this(
+                SharedDirectory.atPath(stem.toAbsolutePath().getParent()),
+                stem.getFileName().toString());
     }
 
     /** @param name of the files on the shelf, without their endings */
-    public OrdersFile(Shelf shelf, String name) {
+    public DrainCommandsFile(SharedDirectory shelf, String name) {
         this.shelf = shelf;
         file = name + ".orders.json";
         beside = name + ".orders.new";
@@ -49,16 +51,16 @@
      * What the file holds where it has changed since it was last read or written, else null. Of one that is spoilt,
      * what could be read stands beside what is held: a db node too many is out, and none that was taken out is used.
      */
-    public Orders changed(Orders held) {
+    public Orders readIfChanged(Orders held) {
         try {
-            return news(held);
+            return readNewVersion(held);
         } catch (IOException e) {
             report("can't be read: " + e);
             return null;
         }
     }
 
-    private Orders news(Orders held) throws IOException {
+    private Orders readNewVersion(Orders held) throws IOException {
         byte[] bytes;
         try {
             bytes = shelf.size(file) > BYTES_MOST ? new byte[] {'!'} : shelf.read(file);
@@ -77,10 +79,10 @@
      * Makes a change to what the file holds; it is in the file when this returns. Where the file can't be read there is
      * no change: made to what is held here, it would undo what the other process wrote since.
      */
-    public Orders change(Orders held, UnaryOperator<Orders> change) throws IOException {
+    public Orders update(Orders held, UnaryOperator<Orders> change) throws IOException {
         Closeable locked = shelf.lock(lock);
         try {
-            Orders other = news(held);
+            Orders other = readNewVersion(held);
             Orders next = change.apply(other == null ? held : other);
             byte[] bytes = bytes(next);
             shelf.write(beside, bytes);
--- a/hotrestart/src/main/java/lupinvalve/hotrestart/Incumbent.java
+++ b/hotrestart/src/main/java/lupinvalve/hotrestart/ProcessMarkers.java
@@ -12,7 +12,7 @@
  * from them whether somebody else takes its clients, one that starts whether somebody serves them meanwhile, and both
  * whether they share the limits.
  */
-public final class Incumbent {
+public final class ProcessMarkers {
     private static final int BYTES_MOST = 64;
     private final Path stem, beside;
     private final long self = ProcessHandle.current().pid();
@@ -22,7 +22,7 @@
     private volatile boolean reported;
 
     /** @param stem path of the files, without their endings */
-    public Incumbent(Path stem) {
+    public ProcessMarkers(Path stem) {
         this.stem = stem;
         beside = file(".note." + self);
     }
@@ -32,23 +32,23 @@
     }
 
     /** Leaves the note that this process is starting. */
-    public void starts() {
+    public void markStarting() {
         predecessor = noted(".serving");
         note(".starting");
     }
 
     /** Leaves the note that this process serves from now on. */
-    public void serves() {
+    public void markServing() {
         note(".serving");
     }
 
     /** Whether another process, which runs, took up service last. */
-    public boolean another() {
+    public boolean isSuperseded() {
         return runs(noted(".serving"));
     }
 
     /** Whether another process runs, be it on its way up or on its way out. */
-    public boolean accompanied() {
+    public boolean isAnotherRunning() {
         return runs(noted(".starting")) || runs(predecessor);
     }
 
--- a/hotrestart/src/main/java/lupinvalve/hotrestart/Shelf.java
+++ b/hotrestart/src/main/java/lupinvalve/hotrestart/SharedDirectory.java
@@ -9,7 +9,7 @@
 import java.nio.file.StandardOpenOption;
 
 /** The folder that the two processes of an upgrade share: the system's, or a stand-in. */
-public interface Shelf {
+public interface SharedDirectory {
     /** How long a file is, in bytes; throws NoSuchFileException where there is none. */
     long size(String name) throws IOException;
 
@@ -25,8 +25,8 @@
     Closeable lock(String name) throws IOException;
 
     /** A folder of the system's. */
-    static Shelf of(Path folder) {
-        return new Shelf() {
+    static SharedDirectory atPath(Path folder) {
+        return new SharedDirectory() {
             @Override
             public long size(String name) throws IOException {
                 return Files.size(folder.resolve(name));
--- a/hotrestart/src/test/java/lupinvalve/hotrestart/OrdersFileTest.java
+++ b/hotrestart/src/test/java/lupinvalve/hotrestart/DrainCommandsFileTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-class OrdersFileTest {
+class DrainCommandsFileTest {
     private static final Orders HELD = new Orders(Set.of("s-9"), Map.of("s-8", 77L));
 
     @TempDir
@@ -28,8 +28,8 @@
 
     private final ByteArrayOutputStream log = new ByteArrayOutputStream();
 
-    private OrdersFile process() {
-        return new OrdersFile(folder.resolve("p"));
+    private DrainCommandsFile process() {
+        return new DrainCommandsFile(folder.resolve("p"));
     }
 
     private Path file() {
@@ -43,30 +43,30 @@
 
     @Test
     void eachProcessReadsAndKeepsWhatTheOtherWrote() throws IOException {
-        OrdersFile one = process();
-        OrdersFile two = process();
-        assertNull(one.changed(Orders.NONE));
-        Orders first = one.change(Orders.NONE, held -> held.with(true, "s-1", 5));
-        assertNull(one.changed(first), "its own change is no news");
+        DrainCommandsFile one = process();
+        DrainCommandsFile two = process();
+        assertNull(one.readIfChanged(Orders.NONE));
+        Orders first = one.update(Orders.NONE, held -> held.with(true, "s-1", 5));
+        assertNull(one.readIfChanged(first), "its own change is no news");
         // The second has not looked since: its change must not undo the first.
-        Orders both = two.change(Orders.NONE, held -> held.with(true, "s-2", 6));
+        Orders both = two.update(Orders.NONE, held -> held.with(true, "s-2", 6));
         assertEquals(Set.of("s-1", "s-2"), both.out());
-        assertEquals(both, one.changed(first));
-        Orders back = two.change(both, held -> held.with(false, "s-1", 7));
+        assertEquals(both, one.readIfChanged(first));
+        Orders back = two.update(both, held -> held.with(false, "s-1", 7));
         assertEquals(new Orders(Set.of("s-2"), Map.of("s-1", 7L)), back);
-        assertEquals(back, one.changed(both));
-        assertEquals(back, process().changed(Orders.NONE), "one that starts reads it all");
+        assertEquals(back, one.readIfChanged(both));
+        assertEquals(back, process().readIfChanged(Orders.NONE), "one that starts reads it all");
     }
 
     @Test
     void aFileCutAnywhereIsReportedAndBringsNothingBack() throws IOException {
-        Orders whole = process().change(Orders.NONE, held -> HELD.with(true, "s-1", 5));
+        Orders whole = process().update(Orders.NONE, held -> HELD.with(true, "s-1", 5));
         byte[] bytes = Files.readAllBytes(file());
         Log.to(new PrintStream(log, true));
         for (int length = 0; length < bytes.length; length++) {
             Files.write(file(), Arrays.copyOf(bytes, length));
             log.reset();
-            Orders read = process().changed(HELD);
+            Orders read = process().readIfChanged(HELD);
             // An empty file is all that a process knows before it looks, so that one is no news.
             Orders held = read == null ? HELD : read;
             assertTrue(held.out().contains("s-9"), "cut at " + length);
@@ -74,33 +74,34 @@
             assertTrue(whole.out().containsAll(held.out()) || length < bytes.length, "cut at " + length);
         }
         Files.writeString(file(), "{\"out\":[\"s-1\"],\"back\":{}} more");
-        assertEquals(Set.of("s-1", "s-9"), process().changed(HELD).out());
+        assertEquals(Set.of("s-1", "s-9"), process().readIfChanged(HELD).out());
         Files.write(file(), new byte[2 << 20]);
-        assertEquals(HELD.out(), process().changed(HELD).out());
+        assertEquals(HELD.out(), process().readIfChanged(HELD).out());
     }
 
     @Test
     void anOrderThatCantBeWrittenIsNotGiven() throws IOException {
-        OrdersFile lost = new OrdersFile(folder.resolve("no such folder").resolve("p"));
-        assertThrows(IOException.class, () -> lost.change(Orders.NONE, held -> held.with(true, "s-1", 5)));
+        DrainCommandsFile lost =
+                new DrainCommandsFile(folder.resolve("no such folder").resolve("p"));
+        assertThrows(IOException.class, () -> lost.update(Orders.NONE, held -> held.with(true, "s-1", 5)));
     }
 
     @Test
     void aNoteOfAProcessThatHasEndedOrCantBeReadNamesNobody() throws Exception {
         Path note = folder.resolve("p.serving");
-        Incumbent incumbent = new Incumbent(folder.resolve("p"));
-        assertFalse(incumbent.another());
-        incumbent.serves();
+        ProcessMarkers incumbent = new ProcessMarkers(folder.resolve("p"));
+        assertFalse(incumbent.isSuperseded());
+        incumbent.markServing();
         assertEquals(Long.toString(ProcessHandle.current().pid()), Files.readString(note));
-        assertFalse(incumbent.another(), "it is this process");
+        assertFalse(incumbent.isSuperseded(), "it is this process");
         Process other = new ProcessBuilder("sleep", "60").start();
         Files.writeString(note, Long.toString(other.pid()));
-        assertTrue(incumbent.another());
+        assertTrue(incumbent.isSuperseded());
         other.destroyForcibly().waitFor();
-        assertFalse(incumbent.another());
+        assertFalse(incumbent.isSuperseded());
         Log.to(new PrintStream(log, true));
         Files.writeString(note, "12x");
-        assertFalse(incumbent.another());
+        assertFalse(incumbent.isSuperseded());
         assertTrue(log.toString().contains("can't be read"));
     }
 
@@ -108,17 +109,17 @@
     void bothProcessesKnowOfEachOtherUntilOneHasEnded() throws Exception {
         Process old = new ProcessBuilder("sleep", "60").start();
         Files.writeString(folder.resolve("p.serving"), Long.toString(old.pid()));
-        Incumbent next = new Incumbent(folder.resolve("p"));
-        assertTrue(next.another());
-        next.starts();
-        next.serves();
-        assertTrue(!next.another() && next.accompanied(), "the old one is on its way out");
+        ProcessMarkers next = new ProcessMarkers(folder.resolve("p"));
+        assertTrue(next.isSuperseded());
+        next.markStarting();
+        next.markServing();
+        assertTrue(!next.isSuperseded() && next.isAnotherRunning(), "the old one is on its way out");
         old.destroyForcibly().waitFor();
-        assertFalse(next.accompanied());
+        assertFalse(next.isAnotherRunning());
         Process third = new ProcessBuilder("sleep", "60").start();
         Files.writeString(folder.resolve("p.starting"), Long.toString(third.pid()));
-        assertTrue(next.accompanied() && !next.another(), "one that has not said yes takes nobody's place");
+        assertTrue(next.isAnotherRunning() && !next.isSuperseded(), "one that has not said yes takes nobody's place");
         third.destroyForcibly().waitFor();
-        assertFalse(next.accompanied());
+        assertFalse(next.isAnotherRunning());
     }
 }
--- a/lab/src/main/java/lupinvalve/lab/StoreBench.java
+++ b/lab/src/main/java/lupinvalve/lab/StoreBench.java
@@ -19,9 +19,9 @@
 import lupinvalve.replication.Client;
 import lupinvalve.replication.Group;
 import lupinvalve.replication.Messages;
-import lupinvalve.statemachine.Change;
+import lupinvalve.statemachine.Command;
 import lupinvalve.statemachine.Encoding;
-import lupinvalve.statemachine.Ledger;
+import lupinvalve.statemachine.ReplicatedState;
 import org.HdrHistogram.ConcurrentHistogram;
 import org.HdrHistogram.Histogram;
 import org.kohsuke.args4j.Option;
@@ -52,17 +52,17 @@
         }
 
         @Override
-        public void adopt(Ledger.Document document) {
+        public void adopt(ReplicatedState.Document document) {
             // Nobody acts here.
         }
 
         @Override
-        public void holds(Map<Change.Holding, Ledger.Held> holds) {
+        public void holds(Map<Command.DrainTarget, ReplicatedState.Drain> holds) {
             // Likewise.
         }
 
         @Override
-        public void commits(Change.Commits commits) {
+        public void commits(Command.SessionCommits commits) {
             // Likewise.
         }
     }
@@ -178,7 +178,7 @@
             for (long n = number; System.nanoTime() < end || done.get() < least; n += CONNECTIONS) {
                 room.acquire();
                 long now = System.currentTimeMillis() * 1000;
-                byte[] change = Encoding.write(new Change.Commits(now, Map.of("session-" + n % SESSIONS, now)));
+                byte[] change = Encoding.write(new Command.SessionCommits(now, Map.of("session-" + n % SESSIONS, now)));
                 // Calls are numbered from 1 on; the answer may be here before the call returns.
                 sentAt.put(++calls, System.nanoTime());
                 session.send("propose", List.of(change));
--- a/replication/src/main/java/lupinvalve/replication/Acting.java
+++ b/replication/src/main/java/lupinvalve/replication/Acting.java
@@ -3,14 +3,14 @@
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
-import lupinvalve.audit.Entry;
+import lupinvalve.audit.AuditEntry;
 import lupinvalve.audit.Lease;
-import lupinvalve.audit.Leases;
+import lupinvalve.audit.LeaseManager;
 import lupinvalve.log.Log;
 import lupinvalve.statemachine.Cbor;
-import lupinvalve.statemachine.Change;
-import lupinvalve.statemachine.Identity;
-import lupinvalve.statemachine.Ledger;
+import lupinvalve.statemachine.Command;
+import lupinvalve.statemachine.MemberId;
+import lupinvalve.statemachine.ReplicatedState;
 
 /**
  * What this member acts on and for how long it may: its lease, its entries, and, while it leads, the leases of all. On
@@ -23,7 +23,7 @@
     interface Member {
         Replica replica();
 
-        Identity leader();
+        MemberId leader();
 
         /** Runs work, on the group's thread, once the pooler acts on all that it was told so far. */
         void reached(Runnable then);
@@ -32,13 +32,13 @@
         String objection();
 
         void call(
-                Identity whom,
+                MemberId whom,
                 String what,
                 List<byte[]> arguments,
                 long withinMicros,
                 java.util.function.Consumer<Messages.Answer> then);
 
-        void propose(Change change, java.util.function.Consumer<Boolean> accepted);
+        void propose(Command change, java.util.function.Consumer<Boolean> accepted);
 
         /** The last change that matters to poolers, as applied here. */
         long changed();
@@ -58,10 +58,10 @@
     private final boolean fences;
     private final AuditBook book;
     private final Lease lease;
-    private Leases leases;
+    private LeaseManager leases;
     private long acting, asked, confirmAsked, confirmed, delivered;
     private boolean confirming, delivering, fenced;
-    private Identity waiting;
+    private MemberId waiting;
     private String version = "", shutOut = "";
 
     Acting(Member member, String name, boolean fences, Disk disk, long lifeMicros) throws IOException {
@@ -71,9 +71,9 @@
         book = new AuditBook(disk, name, lifeMicros);
         lease = new Lease(clock());
         fenced = fences;
-        book.note(Entry.What.STARTED, "", 0, lifeMicros, "");
+        book.note(AuditEntry.Event.STARTED, "", 0, lifeMicros, "");
         if (fences) {
-            book.note(Entry.What.FENCED, "", 0, lifeMicros, "no lease yet");
+            book.note(AuditEntry.Event.FENCED, "", 0, lifeMicros, "no lease yet");
         }
     }
 
@@ -84,7 +84,7 @@
 
     /** Whether the pooler may act now; from any thread. */
     boolean holds() {
-        return !fences || lease.holds(clock());
+        return !fences || lease.isValid(clock());
     }
 
     // ---- entries ----
@@ -92,30 +92,30 @@
     /** A version is about to be acted on: noted and forced first. False where the disk failed: then it must not be. */
     boolean adopts(String next, long index, long nowMicros) {
         look(nowMicros);
-        return note(Entry.What.ADOPTED, next, index, nowMicros, "");
+        return note(AuditEntry.Event.ADOPTED, next, index, nowMicros, "");
     }
 
     /** The pooler acts on nothing but this version from now on. */
     void acts(String next, long index, long nowMicros) {
         look(nowMicros);
         version = next;
-        note(Entry.What.CEASED_OTHERS, next, index, nowMicros, "");
+        note(AuditEntry.Event.CEASED_OTHERS, next, index, nowMicros, "");
     }
 
     void refuses(String next, long index, long nowMicros, String why) {
-        note(Entry.What.REFUSED, next, index, nowMicros, why);
+        note(AuditEntry.Event.REFUSED, next, index, nowMicros, why);
     }
 
     void inTouch(boolean now, long nowMicros) {
-        note(now ? Entry.What.BACK : Entry.What.CUT_OFF, version, acting, nowMicros, "");
+        note(now ? AuditEntry.Event.BACK : AuditEntry.Event.CUT_OFF, version, acting, nowMicros, "");
     }
 
     void ends(long nowMicros) {
-        note(Entry.What.ENDED, version, acting, nowMicros, "");
+        note(AuditEntry.Event.ENDED, version, acting, nowMicros, "");
         book.close();
     }
 
-    private boolean note(Entry.What what, String of, long index, long nowMicros, String why) {
+    private boolean note(AuditEntry.Event what, String of, long index, long nowMicros, String why) {
         try {
             book.note(what, of, index, nowMicros, why);
             return true;
@@ -145,12 +145,12 @@
                 confirmed = now;
                 if (leases == null) {
                     // All that leaders before have called done is in the ledger by now.
-                    leases = new Leases(clock(), replica.ledger().applied());
+                    leases = new LeaseManager(clock(), replica.ledger().appliedIndex());
                 }
             });
         }
         if (replica != null) {
-            long upTo = replica.ledger().applied();
+            long upTo = replica.ledger().appliedIndex();
             member.reached(() -> acting = Math.max(acting, upTo));
         }
         renew(leads, now);
@@ -164,22 +164,25 @@
      */
     private void look(long nowMicros) {
         long now = clock();
-        if (fences && fenced == lease.holds(now)) {
+        if (fences && fenced == lease.isValid(now)) {
             fenced = !fenced;
             note(
-                    fenced ? Entry.What.FENCED : Entry.What.RETURNED,
+                    fenced ? AuditEntry.Event.FENCED : AuditEntry.Event.RETURNED,
                     version,
                     acting,
-                    fenced ? nowMicros - (now - lease.until()) : nowMicros,
+                    fenced ? nowMicros - (now - lease.untilMicros()) : nowMicros,
                     fenced ? shutOut : "");
         }
     }
 
     private void renew(boolean leads, long now) {
-        Identity leader = member.leader();
+        MemberId leader = member.leader();
         if (leader == null
                 || leader.equals(waiting)
-                || now - asked < (lease.until() - now > Lease.LENGTH / 2 ? Lease.RENEW : CONFIRM)) {
+                || now - asked
+                        < (lease.untilMicros() - now > Lease.DURATION_MICROS / 2
+                                ? Lease.RENEW_INTERVAL_MICROS
+                                : CONFIRM)) {
             return;
         }
         asked = now;
@@ -201,9 +204,12 @@
                     // One who leads no more may answer late; what it granted still counts from when it was asked.
                     waiting = leader.equals(waiting) ? null : waiting;
                     if (answer.code() == Messages.Code.OK) {
-                        granted(new Leases.Granted(Long.parseLong(answer.text()), ""), now, leadersChanged(answer));
+                        granted(
+                                new LeaseManager.Renewal(Long.parseLong(answer.text()), ""),
+                                now,
+                                leadersChanged(answer));
                     } else if (answer.code() == Messages.Code.REFUSED) {
-                        granted(new Leases.Granted(0, answer.text()), now, UNTOLD);
+                        granted(new LeaseManager.Renewal(0, answer.text()), now, UNTOLD);
                     }
                 });
     }
@@ -211,21 +217,21 @@
     /** A leader of an earlier version does not tell: then nothing can be granted to subscribers. */
     private static long leadersChanged(Messages.Answer answer) {
         try {
-            return answer.content().length == 0 ? UNTOLD : new Cbor.In(answer.content()).number();
+            return answer.content().length == 0 ? UNTOLD : new Cbor.Reader(answer.content()).number();
         } catch (IOException e) {
             return UNTOLD;
         }
     }
 
-    private void granted(Leases.Granted granted, long askedAt, long leadersChanged) {
-        if (granted.lengthMicros() > 0) {
-            lease.granted(askedAt, granted.lengthMicros());
+    private void granted(LeaseManager.Renewal granted, long askedAt, long leadersChanged) {
+        if (granted.durationMicros() > 0) {
+            lease.onGranted(askedAt, granted.durationMicros());
             if (leadersChanged != UNTOLD) {
-                member.right(Lease.end(askedAt, granted.lengthMicros()), leadersChanged);
+                member.right(Lease.endMicros(askedAt, granted.durationMicros()), leadersChanged);
             }
             shutOut = "";
-        } else if (!granted.why().isEmpty()) {
-            shutOut = granted.why();
+        } else if (!granted.reason().isEmpty()) {
+            shutOut = granted.reason();
         }
     }
 
@@ -233,20 +239,22 @@
      * The leader's answer to a request for a lease. Nothing is granted past what it could be sure of when a majority
      * last confirmed that it leads: a later leader counts its own wait from its election, which came after that.
      */
-    Leases.Granted grant(String pooler, long actsOn, String objection, long followersFloor) {
+    LeaseManager.Renewal grant(String pooler, long actsOn, String objection, long followersFloor) {
         long now = clock();
-        long left = leases == null ? 0 : confirmed + Lease.LENGTH - now;
+        long left = leases == null ? 0 : confirmed + Lease.DURATION_MICROS - now;
         if (left <= 0) {
-            return new Leases.Granted(0, "");
+            return new LeaseManager.Renewal(0, "");
         }
-        Leases.Granted granted = leases.renew(pooler, actsOn, objection, followersFloor, now);
-        return granted.lengthMicros() == 0 ? granted : new Leases.Granted(Math.min(left, granted.lengthMicros()), "");
+        LeaseManager.Renewal granted = leases.renew(pooler, actsOn, objection, followersFloor, now);
+        return granted.durationMicros() == 0
+                ? granted
+                : new LeaseManager.Renewal(Math.min(left, granted.durationMicros()), "");
     }
 
     /** The leader's: a strict change has been accepted. */
     void strict(long index) {
         if (leases != null) {
-            leases.strict(index, clock());
+            leases.requireIndex(index, clock());
         }
     }
 
@@ -256,18 +264,19 @@
      * know what others have granted since.
      */
     List<String> waitedFor(long index, List<String> poolers) {
-        return leases == null ? null : leases.waitedFor(index, poolers, confirmed);
+        return leases == null ? null : leases.pendingPoolers(index, poolers, confirmed);
     }
 
     /** The leader's: who may not act, with reasons. */
     java.util.Map<String, String> stragglers(List<String> poolers) {
-        return leases == null ? java.util.Map.of() : leases.stragglers(poolers, clock());
+        return leases == null ? java.util.Map.of() : leases.excludedPoolers(poolers, clock());
     }
 
     // ---- delivery ----
 
     private void deliver(long now) {
-        Change.Noted due = delivering || member.leader() == null || now - delivered < DELIVER ? null : book.due();
+        Command.AppendAudit due =
+                delivering || member.leader() == null || now - delivered < DELIVER ? null : book.due();
         if (due == null) {
             return;
         }
@@ -283,7 +292,7 @@
 
     /** What is told of it in the status: how long the lease has left, and what was said where it was not granted. */
     long leaseMicros() {
-        return Math.max(0, lease.until() - clock());
+        return Math.max(0, lease.untilMicros() - clock());
     }
 
     String shutOut() {
@@ -299,7 +308,7 @@
     }
 
     /** How a document is named as a version. */
-    static String version(Ledger.Document document) {
+    static String version(ReplicatedState.Document document) {
         return document.revision() + "-" + document.digest();
     }
 }
--- a/replication/src/main/java/lupinvalve/replication/AuditBook.java
+++ b/replication/src/main/java/lupinvalve/replication/AuditBook.java
@@ -3,10 +3,10 @@
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
-import lupinvalve.audit.Entry;
-import lupinvalve.audit.Journal;
+import lupinvalve.audit.AuditEntry;
+import lupinvalve.audit.AuditJournal;
 import lupinvalve.log.Log;
-import lupinvalve.statemachine.Change;
+import lupinvalve.statemachine.Command;
 
 /**
  * A member's entries on its own disk, one file for each life, each entry forced before it is acted on; and what of them
@@ -26,8 +26,8 @@
     /** Of this life's files: behind a write that failed nothing more is appended. */
     private int part;
 
-    private final Journal journal;
-    private final List<Change.Noted> earlier = new ArrayList<>();
+    private final AuditJournal journal;
+    private final List<Command.AppendAudit> earlier = new ArrayList<>();
     private Disk.Out out;
 
     /** @param lifeMicros when this process started, which names its file */
@@ -44,23 +44,23 @@
                 left(files.get(i));
             }
         }
-        journal = new Journal(pooler, lifeMicros, CLOCK_ERROR);
+        journal = new AuditJournal(pooler, lifeMicros, CLOCK_ERROR);
     }
 
     /** All entries of a file; a torn end is left out. */
-    static List<Entry> read(Disk disk, String file) throws IOException {
+    static List<AuditEntry> read(Disk disk, String file) throws IOException {
         List<byte[]> contents = new ArrayList<>();
         Frames.read(file, disk.read(file), true, contents);
-        List<Entry> entries = new ArrayList<>();
+        List<AuditEntry> entries = new ArrayList<>();
         for (byte[] content : contents) {
-            entries.add(Entry.read(content));
+            entries.add(AuditEntry.decode(content));
         }
         return entries;
     }
 
     private void left(String file) {
         try {
-            List<Entry> entries = read(disk, file);
+            List<AuditEntry> entries = read(disk, file);
             for (int from = 0; from < entries.size(); from += AT_ONCE) {
                 earlier.add(noted(entries.subList(from, Math.min(entries.size(), from + AT_ONCE))));
             }
@@ -69,24 +69,24 @@
         }
     }
 
-    private static Change.Noted noted(List<Entry> entries) {
-        Entry first = entries.get(0);
-        return new Change.Noted(
+    private static Command.AppendAudit noted(List<AuditEntry> entries) {
+        AuditEntry first = entries.get(0);
+        return new Command.AppendAudit(
                 first.pooler(),
-                first.life(),
+                first.incarnation(),
                 first.number(),
-                entries.stream().map(Entry::write).toList());
+                entries.stream().map(AuditEntry::encode).toList());
     }
 
     /** Notes something and forces it; where that fails, it must not be acted on. */
-    void note(Entry.What what, String version, long index, long nowMicros, String why) throws IOException {
-        List<Entry> added = journal.add(what, version, index, nowMicros, why);
+    void note(AuditEntry.Event what, String version, long index, long nowMicros, String why) throws IOException {
+        List<AuditEntry> added = journal.add(what, version, index, nowMicros, why);
         try {
             if (out == null) {
                 out = disk.create(name + (part == 0 ? "" : "-" + part));
             }
-            for (Entry entry : added) {
-                out.write(Frames.frame(entry.write()));
+            for (AuditEntry entry : added) {
+                out.write(Frames.frame(entry.encode()));
             }
             out.force();
         } catch (IOException e) {
@@ -101,11 +101,11 @@
     }
 
     /** What the group is to be told next, or null. */
-    Change.Noted due() {
+    Command.AppendAudit due() {
         if (!earlier.isEmpty()) {
             return earlier.get(0);
         }
-        List<Entry> due = journal.due(AT_ONCE);
+        List<AuditEntry> due = journal.undelivered(AT_ONCE);
         // A summary breaks the numbers' sequence: what follows goes apart.
         for (int i = 1; i < due.size(); i++) {
             if (due.get(i).number() != due.get(i - 1).number() + 1) {
@@ -116,9 +116,9 @@
     }
 
     /** The group holds it. */
-    void delivered(Change.Noted what) {
+    void delivered(Command.AppendAudit what) {
         if (!earlier.remove(what)) {
-            journal.delivered(what.first() + what.entries().size() - 1);
+            journal.markDelivered(what.firstNumber() + what.entries().size() - 1);
         }
     }
 
--- a/replication/src/main/java/lupinvalve/replication/Client.java
+++ b/replication/src/main/java/lupinvalve/replication/Client.java
@@ -54,7 +54,7 @@
 
     /** Reads a stopped member's audit entries, each life's apart, and says whether they are one chain. */
     public static String verifyAudit(java.nio.file.Path folder) throws IOException {
-        List<lupinvalve.audit.Entry> all = new ArrayList<>();
+        List<lupinvalve.audit.AuditEntry> all = new ArrayList<>();
         try (Disk disk = new FolderDisk(folder, false)) {
             for (String file : disk.names()) {
                 if (file.startsWith(AuditBook.FILE)) {
@@ -186,20 +186,20 @@
         }
         try (Disk disk = new FolderDisk(folder, true)) {
             SegmentedLog log = SegmentedLog.inspect(disk);
-            lupinvalve.statemachine.Ledger ledger = Replica.warm(log);
+            lupinvalve.statemachine.ReplicatedState ledger = Replica.warm(log);
             List<String> files = new ArrayList<>(disk.names());
             return Json.object(out -> {
-                out.writeStringField("member", log.word().who().toString());
-                out.writeStringField("phase", log.word().phase().name().toLowerCase(java.util.Locale.ROOT));
+                out.writeStringField("member", log.word().member().toString());
+                out.writeStringField("phase", log.word().phase().statusName());
                 out.writeNumberField("term", log.termNumber());
                 out.writeNumberField("last_change", log.lastIndex());
-                out.writeNumberField("accepted_change", ledger.applied());
+                out.writeNumberField("accepted_change", ledger.appliedIndex());
                 out.writeNumberField("revision", ledger.revision());
                 out.writeStringField(
                         "digest",
                         ledger.document() == null ? "" : ledger.document().digest());
                 out.writeNumberField("sessions", ledger.sessionCount());
-                out.writeNumberField("holds", ledger.holds().size());
+                out.writeNumberField("holds", ledger.drains().size());
                 out.writeNumberField("files", files.size());
                 if (ledger.document() != null) {
                     out.writeFieldName("document");
--- a/replication/src/main/java/lupinvalve/replication/ControlPlane.java
+++ b/replication/src/main/java/lupinvalve/replication/ControlPlane.java
@@ -2,8 +2,8 @@
 
 import java.io.IOException;
 import java.util.List;
-import lupinvalve.statemachine.Change;
-import lupinvalve.statemachine.Ledger;
+import lupinvalve.statemachine.Command;
+import lupinvalve.statemachine.ReplicatedState;
 
 /**
  * What a pooler has beside it that tells it the agreed configuration: a member of the group, or one that follows
@@ -15,7 +15,7 @@
      *
      * @param document null where none was accepted yet
      */
-    record Known(Ledger.Document document, List<Change.Listed> nodes, Change.Commits commits) {}
+    record Known(ReplicatedState.Document document, List<Command.Endpoint> nodes, Command.SessionCommits commits) {}
 
     /** Before {@link #start}. */
     Known known();
@@ -36,7 +36,7 @@
     void committed(String session, long position, Runnable then);
 
     /** The list of db nodes as this pooler has it. From any thread. */
-    void listing(List<Change.Listed> nodes);
+    void listing(List<Command.Endpoint> nodes);
 
     /** Keys and certificates as the files have them now; from any thread. Throws where they can't be used. */
     void reload() throws IOException;
--- a/replication/src/main/java/lupinvalve/replication/Endpoint.java
+++ b/replication/src/main/java/lupinvalve/replication/Endpoint.java
@@ -6,28 +6,28 @@
 import java.util.List;
 import java.util.Set;
 import java.util.TreeSet;
-import lupinvalve.statemachine.Identity;
+import lupinvalve.statemachine.MemberId;
 
 /** A member as the library names it. */
-record Endpoint(Identity identity) implements RaftEndpoint {
+record Endpoint(MemberId identity) implements RaftEndpoint {
     @Override
     public Object getId() {
         return identity;
     }
 
-    static Set<Identity> identities(Collection<RaftEndpoint> all) {
-        Set<Identity> identities = new TreeSet<>();
-        all.forEach(one -> identities.add((Identity) one.getId()));
+    static Set<MemberId> identities(Collection<RaftEndpoint> all) {
+        Set<MemberId> identities = new TreeSet<>();
+        all.forEach(one -> identities.add((MemberId) one.getId()));
         return identities;
     }
 
-    static List<RaftEndpoint> all(Collection<Identity> identities) {
+    static List<RaftEndpoint> all(Collection<MemberId> identities) {
         List<RaftEndpoint> all = new ArrayList<>();
         identities.forEach(one -> all.add(new Endpoint(one)));
         return all;
     }
 
-    static Identity of(RaftEndpoint endpoint) {
-        return (Identity) endpoint.getId();
+    static MemberId of(RaftEndpoint endpoint) {
+        return (MemberId) endpoint.getId();
     }
 }
--- a/replication/src/main/java/lupinvalve/replication/Followers.java
+++ b/replication/src/main/java/lupinvalve/replication/Followers.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import lupinvalve.config.OperatorConfig;
-import lupinvalve.statemachine.Change;
-import lupinvalve.statemachine.Ledger;
+import lupinvalve.statemachine.Command;
+import lupinvalve.statemachine.ReplicatedState;
 import lupinvalve.subscription.FollowAnswer;
 import lupinvalve.subscription.FollowRequest;
 import lupinvalve.subscription.FollowService;
@@ -34,7 +34,7 @@
     private long changed, calls, wholes, differences, bytes;
 
     /** @param warm what a majority has accepted, as far as is known before the start */
-    Followers(Group group, Ledger warm) {
+    Followers(Group group, ReplicatedState warm) {
         this.group = group;
         service = new FollowService(
                 group.config().audit() == OperatorConfig.Audit.OFF
@@ -58,19 +58,20 @@
     }
 
     /** A change has been applied here. */
-    void applied(Ledger ledger, Change change, Ledger.Outcome outcome) {
-        boolean matters =
-                change instanceof Change.Put || change instanceof Change.Hold || change instanceof Change.Release;
-        if (matters && outcome.result() == Ledger.Result.DONE) {
+    void applied(ReplicatedState ledger, Command change, ReplicatedState.Outcome outcome) {
+        boolean matters = change instanceof Command.PutDocument
+                || change instanceof Command.StartDrain
+                || change instanceof Command.EndDrain;
+        if (matters && outcome.result() == ReplicatedState.Result.APPLIED) {
             restored(ledger);
         }
-        service.appliedTo(ledger.applied());
+        service.appliedTo(ledger.appliedIndex());
     }
 
     /** What holds has been taken from a snapshot, or has changed. */
-    void restored(Ledger ledger) {
-        changed = Math.max(changed, ledger.applied());
-        service.applied(ledger.document(), ledger.holds(), ledger.applied(), Acting.clock());
+    void restored(ReplicatedState ledger) {
+        changed = Math.max(changed, ledger.appliedIndex());
+        service.applied(ledger.document(), ledger.drains(), ledger.appliedIndex(), Acting.clock());
         List<String> due = new ArrayList<>();
         waiting.forEach((who, one) -> {
             if (service.hasNews(one.request())) {
@@ -111,7 +112,7 @@
                     ? "this member takes no part any more: " + group.ended()
                     : "the group is not founded yet";
         }
-        if (group.adoption().cutOff()) {
+        if (group.adoption().isCutOff()) {
             return "cut off from the majority";
         }
         return service.powerless(Acting.clock()) ? "this member has no lease itself" : null;
--- a/replication/src/main/java/lupinvalve/replication/Group.java
+++ b/replication/src/main/java/lupinvalve/replication/Group.java
@@ -18,13 +18,13 @@
 import lupinvalve.log.Log;
 import lupinvalve.net.Addresses;
 import lupinvalve.net.Net;
-import lupinvalve.statemachine.Adoption;
-import lupinvalve.statemachine.Change;
+import lupinvalve.statemachine.ActiveConfiguration;
+import lupinvalve.statemachine.ClusterBootstrap;
+import lupinvalve.statemachine.Command;
 import lupinvalve.statemachine.Encoding;
-import lupinvalve.statemachine.Founding;
-import lupinvalve.statemachine.Identity;
-import lupinvalve.statemachine.Ledger;
-import lupinvalve.statemachine.Outbox;
+import lupinvalve.statemachine.MemberId;
+import lupinvalve.statemachine.ReplicatedState;
+import lupinvalve.statemachine.SessionCommitBatcher;
 
 /**
  * One member of the group with all that belongs to it: disk, connections, the founding, what operators ask, and what
@@ -57,13 +57,13 @@
         }
 
         /** A configuration that a majority has accepted is to be acted on. */
-        void adopt(Ledger.Document document);
+        void adopt(ReplicatedState.Document document);
 
         /** Operators' holds as they now stand. */
-        void holds(Map<Change.Holding, Ledger.Held> holds);
+        void holds(Map<Command.DrainTarget, ReplicatedState.Drain> holds);
 
         /** Sessions' commits of any pooler that a majority now holds. */
-        void commits(Change.Commits commits);
+        void commits(Command.SessionCommits commits);
     }
 
     private final OperatorConfig.Store config;
@@ -74,12 +74,12 @@
     private final Net net;
     private final Disk disk;
     private SegmentedLog log;
-    private final Ledger warm;
-    private final Adoption adoption;
-    private final Founding founding;
+    private final ReplicatedState warm;
+    private final ActiveConfiguration adoption;
+    private final ClusterBootstrap founding;
     private final Peers peers;
     private final Questions questions = new Questions(this);
-    private final Outbox outbox = new Outbox();
+    private final SessionCommitBatcher outbox = new SessionCommitBatcher();
     private final TreeMap<Long, List<Runnable>> held = new TreeMap<>();
     private final Map<String, String> addresses = new HashMap<>();
     private final AtomicBoolean ending = new AtomicBoolean();
@@ -87,7 +87,7 @@
     private Pooler pooler;
     private Replica replica;
     private String ended;
-    private Identity leader;
+    private MemberId leader;
     private String waitsFor = "";
     private boolean outboxTimer, stopped;
     private long reviveAt, reviveAfter = REVIVE;
@@ -155,8 +155,8 @@
                 ? null
                 : new Acting(new Acts(), config.name(), config.audit() == OperatorConfig.Audit.FENCE, disk, loop.now());
         followers = new Followers(this, warm);
-        adoption = new Adoption(loop.now());
-        founding = new Founding(log.word(), config.members().keySet());
+        adoption = new ActiveConfiguration(loop.now());
+        founding = new ClusterBootstrap(log.word(), config.members().keySet());
         peers = new Peers(
                 net,
                 loop,
@@ -173,13 +173,13 @@
     }
 
     /** What was accepted as far as this member knows by itself; before {@link #start}. */
-    public Ledger warm() {
+    public ReplicatedState warm() {
         return warm;
     }
 
     @Override
     public Known known() {
-        return new Known(warm.document(), warm.listing().nodes(), Encoding.commits(warm));
+        return new Known(warm.document(), warm.endpointList().endpoints(), Encoding.commits(warm));
     }
 
     /** Begins to take part; {@code beside} hears first what was accepted before. */
@@ -192,7 +192,7 @@
             if (warm.document() != null) {
                 adopt(warm.document());
             }
-            pooler.holds(warm.holds());
+            pooler.holds(warm.drains());
             config.members().forEach(peers::place);
             settle();
             tick();
@@ -272,29 +272,29 @@
 
     private final Replica.Sending sending = new Replica.Sending() {
         @Override
-        public void send(Identity to, byte[] message) {
+        public void send(MemberId to, byte[] message) {
             if (seams.passes(true)) {
                 peers.send(to, message);
             }
         }
 
         @Override
-        public boolean reaches(Identity who) {
+        public boolean reaches(MemberId who) {
             return peers.reaches(who);
         }
     };
 
     private final class Hearing implements Peers.Heard {
         @Override
-        public void word(Founding.Word word, String address) {
-            addresses.put(word.who().name(), address);
-            founding.heard(word);
+        public void word(ClusterBootstrap.Announcement word, String address) {
+            addresses.put(word.member().name(), address);
+            founding.onAnnouncement(word);
             settle();
         }
 
         @Override
-        public void lost(Identity who) {
-            founding.lost(who.name());
+        public void lost(MemberId who) {
+            founding.onDisconnected(who.name());
             addresses.remove(who.name());
         }
 
@@ -318,7 +318,7 @@
         }
 
         @Override
-        public Identity leader() {
+        public MemberId leader() {
             return leader;
         }
 
@@ -329,17 +329,17 @@
 
         @Override
         public String objection() {
-            return ended != null ? ended : adoption.unreadable();
+            return ended != null ? ended : adoption.unreadableReason();
         }
 
         @Override
         public void call(
-                Identity whom, String what, List<byte[]> arguments, long withinMicros, Consumer<Messages.Answer> then) {
+                MemberId whom, String what, List<byte[]> arguments, long withinMicros, Consumer<Messages.Answer> then) {
             peers.call(whom, what, arguments, withinMicros, then);
         }
 
         @Override
-        public void propose(Change change, Consumer<Boolean> accepted) {
+        public void propose(Command change, Consumer<Boolean> accepted) {
             if (replica == null || leader == null || ended != null) {
                 accepted.accept(false);
             } else {
@@ -370,10 +370,10 @@
                 log.keep(founding.own());
                 Log.info(
                         "store: %s %s",
-                        log.word().who(),
+                        log.word().member(),
                         switch (log.word().phase()) {
                             case BOUND -> "is bound to found the group";
-                            case FOUNDED -> "has founded the group";
+                            case BOOTSTRAPPED -> "has founded the group";
                             default -> "is no member yet: it waits for `store add " + config.name() + "`";
                         });
                 peers.say(log.word());
@@ -382,8 +382,8 @@
             end(Replica.DISK);
             return;
         }
-        Founding.Phase phase = log.word().phase();
-        boolean grouped = phase == Founding.Phase.FOUNDED || phase == Founding.Phase.NEWCOMER;
+        ClusterBootstrap.Phase phase = log.word().phase();
+        boolean grouped = phase == ClusterBootstrap.Phase.BOOTSTRAPPED || phase == ClusterBootstrap.Phase.JOINING;
         if (grouped && replica == null && ended == null && !stopped) {
             replica = new Replica(schedule, log, log.word().founders(), sending, new Random(), new Watching());
             replica.start();
@@ -392,19 +392,19 @@
 
     private final class Watching implements Replica.Watcher {
         @Override
-        public void applied(long index, Change change, Ledger.Outcome outcome) {
+        public void applied(long index, Command change, ReplicatedState.Outcome outcome) {
             if (replica == null) {
                 // A node that has been left; the next one comes to it as well.
                 return;
             }
             followers.applied(replica.ledger(), change, outcome);
-            if (change instanceof Change.Put && outcome.result() == Ledger.Result.DONE) {
+            if (change instanceof Command.PutDocument && outcome.result() == ReplicatedState.Result.APPLIED) {
                 adopt(replica.ledger().document());
-            } else if (change instanceof Change.Hold || change instanceof Change.Release) {
-                pooler.holds(replica.ledger().holds());
-            } else if (change instanceof Change.Commits commits) {
+            } else if (change instanceof Command.StartDrain || change instanceof Command.EndDrain) {
+                pooler.holds(replica.ledger().drains());
+            } else if (change instanceof Command.SessionCommits commits) {
                 pooler.commits(commits);
-            } else if (change instanceof Change.Place place) {
+            } else if (change instanceof Command.SetMemberAddress place) {
                 place(place.member(), place.address());
             }
         }
@@ -414,14 +414,14 @@
             if (replica == null) {
                 return;
             }
-            Ledger ledger = replica.ledger();
+            ReplicatedState ledger = replica.ledger();
             followers.restored(ledger);
             if (ledger.document() != null) {
                 adopt(ledger.document());
             }
-            pooler.holds(ledger.holds());
+            pooler.holds(ledger.drains());
             pooler.commits(Encoding.commits(ledger));
-            ledger.places().forEach(Group.this::place);
+            ledger.memberAddresses().forEach(Group.this::place);
         }
 
         @Override
@@ -437,14 +437,14 @@
         }
     }
 
-    private void adopt(Ledger.Document document) {
+    private void adopt(ReplicatedState.Document document) {
         String objection = pooler.objection(document.content());
-        Ledger.Document before = adoption.running();
-        switch (adoption.accepted(document, objection)) {
-            case ADOPT -> {
+        ReplicatedState.Document before = adoption.active();
+        switch (adoption.onCommitted(document, objection)) {
+            case ACTIVATE -> {
                 String version = Acting.version(document);
                 if (acting != null && !acting.adopts(version, document.index(), loop.now())) {
-                    adoption.back(before);
+                    adoption.revertTo(before);
                     if (replica != null) {
                         replica.end(Replica.DISK);
                     }
@@ -460,9 +460,9 @@
                 }
             }
             case UNREADABLE -> {
-                Log.error("store: %s", adoption.acting());
+                Log.error("store: %s", adoption.describe());
                 if (acting != null) {
-                    acting.refuses(Acting.version(document), document.index(), loop.now(), adoption.unreadable());
+                    acting.refuses(Acting.version(document), document.index(), loop.now(), adoption.unreadableReason());
                 }
             }
             default -> {
@@ -477,7 +477,7 @@
             leading = false;
             reviveAt = loop.now() + reviveAfter;
             if (!stopped) {
-                Log.error("store: takes no part any more: %s; %s", why, adoption.acting());
+                Log.error("store: takes no part any more: %s; %s", why, adoption.describe());
             }
         }
     }
@@ -486,24 +486,24 @@
         if (stopped) {
             return;
         }
-        Identity now = replica == null ? null : replica.leader();
+        MemberId now = replica == null ? null : replica.leader();
         if (now != null && !now.equals(leader)) {
             Log.info("store: %s leads, term %s", now, replica.term());
         }
         leader = now;
         revive();
         leading = replica != null && replica.leads();
-        String line = adoption.touch(leader != null, loop.now());
+        String line = adoption.onQuorumContact(leader != null, loop.now());
         if (line != null) {
             Log.warn("store: %s", line);
             if (acting != null) {
-                acting.inTouch(!adoption.cutOff(), loop.now());
+                acting.inTouch(!adoption.isCutOff(), loop.now());
             }
         }
-        Founding.Phase phase = log.word().phase();
-        if (phase == Founding.Phase.ALONE || phase == Founding.Phase.BOUND) {
-            if (!founding.wanting().equals(waitsFor)) {
-                waitsFor = founding.wanting();
+        ClusterBootstrap.Phase phase = log.word().phase();
+        if (phase == ClusterBootstrap.Phase.UNBOUND || phase == ClusterBootstrap.Phase.BOUND) {
+            if (!founding.pendingReason().equals(waitsFor)) {
+                waitsFor = founding.pendingReason();
                 Log.info("store: the group is not founded yet: %s", waitsFor);
             }
         } else if (leading) {
@@ -547,11 +547,11 @@
 
     /** Where newcomers are reached must be known to all. */
     private void announce() {
-        Map<String, String> known = replica.ledger().places();
-        for (Identity who : peers.connected()) {
+        Map<String, String> known = replica.ledger().memberAddresses();
+        for (MemberId who : peers.connected()) {
             String at = addresses.get(who.name());
             if (at != null && !config.members().containsKey(who.name()) && !at.equals(known.get(who.name()))) {
-                replica.propose(new Change.Place(who.name(), at), (fate, outcome) -> {});
+                replica.propose(new Command.SetMemberAddress(who.name(), at), (fate, outcome) -> {});
                 return;
             }
         }
@@ -573,7 +573,7 @@
     }
 
     private void pump() {
-        long due = outbox.dueAt();
+        long due = outbox.nextBatchMicros();
         if (due == Long.MAX_VALUE || stopped) {
             return;
         }
@@ -590,9 +590,9 @@
         if (replica == null || leader == null || ended != null) {
             return;
         }
-        Change.Commits bundle = outbox.next(loop.now());
+        Command.SessionCommits bundle = outbox.nextBatch(loop.now());
         propose(bundle, accepted -> {
-            long upTo = outbox.answered(accepted, loop.now());
+            long upTo = outbox.onBatchAnswered(accepted, loop.now());
             Map<Long, List<Runnable>> done = held.headMap(upTo, true);
             done.values().forEach(all -> {
                 heldCount -= all.size();
@@ -605,15 +605,15 @@
 
     /** The list of db nodes as this pooler has it; the leader's goes to all. From any thread. */
     @Override
-    public void listing(List<Change.Listed> nodes) {
+    public void listing(List<Command.Endpoint> nodes) {
         loop.post(() -> {
             if (leading) {
-                replica.propose(new Change.Listing(loop.now(), nodes), (fate, outcome) -> {});
+                replica.propose(new Command.EndpointList(loop.now(), nodes), (fate, outcome) -> {});
             }
         });
     }
 
-    private void propose(Change change, Consumer<Boolean> accepted) {
+    private void propose(Command change, Consumer<Boolean> accepted) {
         if (replica.leads()) {
             replica.propose(change, (fate, outcome) -> accepted.accept(fate == Replica.Fate.DONE));
         } else {
@@ -637,11 +637,11 @@
         return ended;
     }
 
-    Founding founding() {
+    ClusterBootstrap founding() {
         return founding;
     }
 
-    Identity leader() {
+    MemberId leader() {
         return leader;
     }
 
@@ -662,7 +662,7 @@
         return acting;
     }
 
-    Adoption adoption() {
+    ActiveConfiguration adoption() {
         return adoption;
     }
 
--- a/replication/src/main/java/lupinvalve/replication/IdentityFile.java
+++ b/replication/src/main/java/lupinvalve/replication/IdentityFile.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import lupinvalve.statemachine.Cbor;
-import lupinvalve.statemachine.Founding;
+import lupinvalve.statemachine.ClusterBootstrap;
 
 /** The file that says whose folder it is, and how far the founding of the member's group is. */
 final class IdentityFile {
@@ -14,32 +14,32 @@
     private IdentityFile() {}
 
     /** Reads it; fails where it is not that of this cluster and member. Either is not looked at where it is null. */
-    static Founding.Word read(Disk disk, String cluster, String member) throws IOException {
+    static ClusterBootstrap.Announcement read(Disk disk, String cluster, String member) throws IOException {
         List<byte[]> contents = new ArrayList<>();
         Frames.read(NAME, disk.read(NAME), false, contents);
         if (contents.size() != 1) {
             throw new Frames.Damaged(NAME + ": " + contents.size() + " records in place of one");
         }
-        Cbor.In in = new Cbor.In(contents.get(0));
+        Cbor.Reader in = new Cbor.Reader(contents.get(0));
         long format = in.number();
         if (format != FORMAT) {
             throw new IOException(NAME + ": format " + format + "; this program reads " + FORMAT);
         }
         String of = in.text();
-        Founding.Word word = Founding.Word.read(in);
+        ClusterBootstrap.Announcement word = ClusterBootstrap.Announcement.read(in);
         if (cluster != null && !of.equals(cluster)) {
             throw new IOException(NAME + ": of the cluster " + of + ", not of " + cluster);
         }
-        if (member != null && !word.who().name().equals(member)) {
-            throw new IOException(NAME + ": of the member " + word.who().name() + ", not of " + member);
+        if (member != null && !word.member().name().equals(member)) {
+            throw new IOException(NAME + ": of the member " + word.member().name() + ", not of " + member);
         }
         return word;
     }
 
     /** Puts it in the place of the one before. */
-    static void write(Disk disk, String cluster, Founding.Word word) throws IOException {
-        Cbor.Out out = new Cbor.Out().number(FORMAT).text(cluster);
+    static void write(Disk disk, String cluster, ClusterBootstrap.Announcement word) throws IOException {
+        Cbor.Writer out = new Cbor.Writer().number(FORMAT).text(cluster);
         word.write(out);
-        disk.replace(NAME, Frames.frame(out.done()));
+        disk.replace(NAME, Frames.frame(out.toByteArray()));
     }
 }
--- a/replication/src/main/java/lupinvalve/replication/KeptDocument.java
+++ b/replication/src/main/java/lupinvalve/replication/KeptDocument.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import java.util.Map;
 import lupinvalve.statemachine.Cbor;
-import lupinvalve.statemachine.Change;
-import lupinvalve.statemachine.Ledger;
+import lupinvalve.statemachine.Command;
+import lupinvalve.statemachine.ReplicatedState;
 import lupinvalve.subscription.FollowAnswer;
 import lupinvalve.subscription.FollowState;
 
@@ -24,9 +24,9 @@
     private KeptDocument() {}
 
     static void write(Disk disk, String cluster, FollowState.Kept kept) throws IOException {
-        Cbor.Out out = new Cbor.Out().number(VERSION).text(cluster).number(kept.index());
+        Cbor.Writer out = new Cbor.Writer().number(VERSION).text(cluster).number(kept.index());
         FollowAnswer.write(out, kept.holds());
-        Ledger.Document document = kept.document();
+        ReplicatedState.Document document = kept.document();
         out.flag(document != null);
         if (document != null) {
             out.number(document.revision())
@@ -34,7 +34,7 @@
                     .text(document.digest())
                     .bytes(document.content());
         }
-        disk.replace(FILE, Frames.frame(out.done()));
+        disk.replace(FILE, Frames.frame(out.toByteArray()));
     }
 
     /** What was kept, or nothing where there is no file; throws where the file is not what was written. */
@@ -47,7 +47,7 @@
         if (records.size() != 1) {
             throw new IOException(FILE + ": " + records.size() + " records in place of one");
         }
-        Cbor.In in = new Cbor.In(records.get(0));
+        Cbor.Reader in = new Cbor.Reader(records.get(0));
         long version = in.number();
         if (version != VERSION) {
             throw new IOException(FILE + ": version " + version + "; this program knows " + VERSION);
@@ -57,10 +57,10 @@
             throw new IOException(FILE + ": of the cluster " + of);
         }
         long index = in.number();
-        Map<Change.Holding, Ledger.Held> holds = FollowAnswer.holds(in);
-        Ledger.Document document =
-                in.flag() ? new Ledger.Document(in.number(), in.number(), in.text(), in.bytes()) : null;
-        if (document != null && !Ledger.digest(document.content()).equals(document.digest())) {
+        Map<Command.DrainTarget, ReplicatedState.Drain> holds = FollowAnswer.holds(in);
+        ReplicatedState.Document document =
+                in.flag() ? new ReplicatedState.Document(in.number(), in.number(), in.text(), in.bytes()) : null;
+        if (document != null && !ReplicatedState.digest(document.content()).equals(document.digest())) {
             throw new IOException(FILE + ": the document's digest is wrong");
         }
         return new FollowState.Kept(document, holds, index);
--- a/replication/src/main/java/lupinvalve/replication/Messages.java
+++ b/replication/src/main/java/lupinvalve/replication/Messages.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import lupinvalve.net.Framer;
 import lupinvalve.statemachine.Cbor;
-import lupinvalve.statemachine.Founding;
+import lupinvalve.statemachine.ClusterBootstrap;
 
 /** The store's own wire: a length, a kind, and CBOR. */
 public final class Messages implements Framer {
@@ -42,9 +42,9 @@
      *
      * @param word null for an operator
      */
-    record Hello(String cluster, String name, String address, Founding.Word word) {
+    record Hello(String cluster, String name, String address, ClusterBootstrap.Announcement word) {
         byte[] write() {
-            Cbor.Out out = new Cbor.Out()
+            Cbor.Writer out = new Cbor.Writer()
                     .number(VERSION)
                     .text(cluster)
                     .text(name)
@@ -53,29 +53,30 @@
             if (word != null) {
                 word.write(out);
             }
-            return message(Kind.HELLO, out.done());
+            return message(Kind.HELLO, out.toByteArray());
         }
 
         static Hello read(byte[] body) throws IOException {
-            Cbor.In in = new Cbor.In(body);
+            Cbor.Reader in = new Cbor.Reader(body);
             long version = in.number();
             if (version != VERSION) {
                 throw new IOException("version " + version + " of the store's wire; this program speaks " + VERSION);
             }
-            return new Hello(in.text(), in.text(), in.text(), in.flag() ? Founding.Word.read(in) : null);
+            return new Hello(
+                    in.text(), in.text(), in.text(), in.flag() ? ClusterBootstrap.Announcement.read(in) : null);
         }
     }
 
     /** Something asked of a member. */
     public record Call(long id, String name, List<byte[]> arguments) {
         byte[] write() {
-            Cbor.Out out = new Cbor.Out().number(id).text(name).number(arguments.size());
+            Cbor.Writer out = new Cbor.Writer().number(id).text(name).number(arguments.size());
             arguments.forEach(out::bytes);
-            return message(Kind.CALL, out.done());
+            return message(Kind.CALL, out.toByteArray());
         }
 
         static Call read(byte[] body) throws IOException {
-            Cbor.In in = new Cbor.In(body);
+            Cbor.Reader in = new Cbor.Reader(body);
             long id = in.number();
             String name = in.text();
             List<byte[]> arguments = new ArrayList<>();
@@ -97,14 +98,15 @@
         }
 
         byte[] write() {
-            Cbor.Out out = new Cbor.Out().number(id).number(code.ordinal()).text(text);
-            return message(Kind.ANSWER, (content.length == 0 ? out : out.bytes(content)).done());
+            Cbor.Writer out =
+                    new Cbor.Writer().number(id).number(code.ordinal()).text(text);
+            return message(Kind.ANSWER, (content.length == 0 ? out : out.bytes(content)).toByteArray());
         }
 
         static Answer read(byte[] body) throws IOException {
-            Cbor.In in = new Cbor.In(body);
+            Cbor.Reader in = new Cbor.Reader(body);
             return new Answer(
-                    in.number(), Code.values()[in.count(Code.values().length - 1)], in.text(), in.bytesIfAny());
+                    in.number(), Code.values()[in.count(Code.values().length - 1)], in.text(), in.bytesOrEmpty());
         }
     }
 
--- a/replication/src/main/java/lupinvalve/replication/Models.java
+++ b/replication/src/main/java/lupinvalve/replication/Models.java
@@ -24,7 +24,7 @@
 import java.util.Collection;
 import java.util.List;
 import lupinvalve.statemachine.Cbor;
-import lupinvalve.statemachine.Identity;
+import lupinvalve.statemachine.MemberId;
 
 /** The library's messages and log entries as CBOR. Changes are bytes already and go in as they are. */
 final class Models {
@@ -35,34 +35,34 @@
 
     // ---- parts ----
 
-    private static Cbor.Out endpoint(Cbor.Out out, RaftEndpoint endpoint) {
-        Identity identity = Endpoint.of(endpoint);
-        return out.text(identity.name()).text(identity.disk());
+    private static Cbor.Writer endpoint(Cbor.Writer out, RaftEndpoint endpoint) {
+        MemberId identity = Endpoint.of(endpoint);
+        return out.text(identity.name()).text(identity.diskId());
     }
 
-    private static Endpoint endpoint(Cbor.In in) throws IOException {
-        return new Endpoint(new Identity(in.text(), in.text()));
+    private static Endpoint endpoint(Cbor.Reader in) throws IOException {
+        return new Endpoint(new MemberId(in.text(), in.text()));
     }
 
-    static Cbor.Out endpoints(Cbor.Out out, Collection<RaftEndpoint> all) {
+    static Cbor.Writer endpoints(Cbor.Writer out, Collection<RaftEndpoint> all) {
         out.number(all.size());
         all.forEach(one -> endpoint(out, one));
         return out;
     }
 
-    static List<RaftEndpoint> endpoints(Cbor.In in) throws IOException {
+    static List<RaftEndpoint> endpoints(Cbor.Reader in) throws IOException {
         List<RaftEndpoint> all = new ArrayList<>();
-        for (int left = in.count(4 * Identity.MOST); left > 0; left--) {
+        for (int left = in.count(4 * MemberId.MAX_MEMBERS); left > 0; left--) {
             all.add(endpoint(in));
         }
         return all;
     }
 
-    static Cbor.Out view(Cbor.Out out, RaftGroupMembersView view) {
+    static Cbor.Writer view(Cbor.Writer out, RaftGroupMembersView view) {
         return endpoints(endpoints(out.number(view.getLogIndex()), view.getMembers()), view.getVotingMembers());
     }
 
-    static RaftGroupMembersView view(Cbor.In in) throws IOException {
+    static RaftGroupMembersView view(Cbor.Reader in) throws IOException {
         return FACTORY.createRaftGroupMembersViewBuilder()
                 .setLogIndex(in.number())
                 .setMembers(endpoints(in))
@@ -70,7 +70,7 @@
                 .build();
     }
 
-    private static void operation(Cbor.Out out, Object operation) {
+    private static void operation(Cbor.Writer out, Object operation) {
         if (operation instanceof byte[] change) {
             out.number(0).bytes(change);
         } else if (operation instanceof UpdateRaftGroupMembersOp op) {
@@ -81,7 +81,7 @@
         }
     }
 
-    private static Object operation(Cbor.In in) throws IOException {
+    private static Object operation(Cbor.Reader in) throws IOException {
         if (in.count(1) == 0) {
             return in.bytes();
         }
@@ -93,12 +93,12 @@
                 .build();
     }
 
-    static Cbor.Out entry(Cbor.Out out, LogEntry entry) {
+    static Cbor.Writer entry(Cbor.Writer out, LogEntry entry) {
         operation(out.number(entry.getIndex()).number(entry.getTerm()), entry.getOperation());
         return out;
     }
 
-    static LogEntry entry(Cbor.In in) throws IOException {
+    static LogEntry entry(Cbor.Reader in) throws IOException {
         return FACTORY.createLogEntryBuilder()
                 .setIndex(in.number())
                 .setTerm((int) in.number())
@@ -106,7 +106,7 @@
                 .build();
     }
 
-    static Cbor.Out chunk(Cbor.Out out, SnapshotChunk chunk) {
+    static Cbor.Writer chunk(Cbor.Writer out, SnapshotChunk chunk) {
         out.number(chunk.getIndex())
                 .number(chunk.getTerm())
                 .number(chunk.getSnapshotChunkIndex())
@@ -114,7 +114,7 @@
         return view(out, chunk.getGroupMembersView()).bytes((byte[]) chunk.getOperation());
     }
 
-    static SnapshotChunk chunk(Cbor.In in) throws IOException {
+    static SnapshotChunk chunk(Cbor.Reader in) throws IOException {
         return FACTORY.createSnapshotChunkBuilder()
                 .setIndex(in.number())
                 .setTerm((int) in.number())
@@ -129,7 +129,7 @@
 
     /** The group's name is not sent: who is connected is of the same cluster. */
     static byte[] write(RaftMessage message) {
-        Cbor.Out out = new Cbor.Out();
+        Cbor.Writer out = new Cbor.Writer();
         if (message instanceof AppendEntriesRequest m) {
             begin(out, 1, m)
                     .number(m.getPreviousLogTerm())
@@ -184,15 +184,15 @@
         } else {
             throw new IllegalArgumentException("a message of " + message.getClass());
         }
-        return out.done();
+        return out.toByteArray();
     }
 
-    private static Cbor.Out begin(Cbor.Out out, int kind, RaftMessage message) {
+    private static Cbor.Writer begin(Cbor.Writer out, int kind, RaftMessage message) {
         return endpoint(out.number(kind), message.getSender()).number(message.getTerm());
     }
 
     static RaftMessage read(Object group, byte[] bytes) throws IOException {
-        Cbor.In in = new Cbor.In(bytes);
+        Cbor.Reader in = new Cbor.Reader(bytes);
         int kind = in.count(100);
         RaftEndpoint sender = endpoint(in);
         int term = (int) in.number();
--- a/replication/src/main/java/lupinvalve/replication/Peers.java
+++ b/replication/src/main/java/lupinvalve/replication/Peers.java
@@ -16,8 +16,8 @@
 import lupinvalve.net.Addresses;
 import lupinvalve.net.Link;
 import lupinvalve.net.Net;
-import lupinvalve.statemachine.Founding;
-import lupinvalve.statemachine.Identity;
+import lupinvalve.statemachine.ClusterBootstrap;
+import lupinvalve.statemachine.MemberId;
 
 /**
  * The connections between members, and those of operators. Each member dials all others that it knows an address of; of
@@ -43,9 +43,9 @@
 
     /** Hears what comes. */
     interface Heard {
-        void word(Founding.Word word, String address);
+        void word(ClusterBootstrap.Announcement word, String address);
 
-        void lost(Identity who);
+        void lost(MemberId who);
 
         void raft(byte[] message) throws IOException;
 
@@ -60,8 +60,8 @@
     private final Heard heard;
     private final Map<String, Dial> dials = new TreeMap<>();
     private final Set<Conn> taken = new HashSet<>();
-    private final Map<Identity, List<Conn>> up = new HashMap<>();
-    private Founding.Word word;
+    private final Map<MemberId, List<Conn>> up = new HashMap<>();
+    private ClusterBootstrap.Announcement word;
     private Net.Listener listener;
     private boolean stopped;
     private long callNumber;
@@ -72,7 +72,7 @@
             String cluster,
             String name,
             String address,
-            Founding.Word word,
+            ClusterBootstrap.Announcement word,
             Proof proof,
             Heard heard) {
         this.net = net;
@@ -149,18 +149,18 @@
     }
 
     /** Says something else of itself from now on. */
-    void say(Founding.Word next) {
+    void say(ClusterBootstrap.Announcement next) {
         word = next;
         up.values().forEach(conns -> conns.forEach(Conn::hello));
     }
 
     /** Who is connected. */
-    Set<Identity> connected() {
+    Set<MemberId> connected() {
         return new TreeSet<>(up.keySet());
     }
 
     @Override
-    public void send(Identity to, byte[] message) {
+    public void send(MemberId to, byte[] message) {
         List<Conn> conns = up.get(to);
         if (conns != null) {
             conns.get(0).link.write(Messages.message(Messages.Kind.RAFT, message));
@@ -168,13 +168,13 @@
     }
 
     @Override
-    public boolean reaches(Identity who) {
+    public boolean reaches(MemberId who) {
         return up.containsKey(who);
     }
 
     /** Asks another member; there is an answer within the time in any case. */
     void call(
-            Identity whom,
+            MemberId whom,
             String what,
             List<byte[]> arguments,
             long withinMicros,
@@ -211,7 +211,7 @@
         final Link link;
         final Dial dial;
         final Map<Long, java.util.function.Consumer<Messages.Answer>> calls = new HashMap<>();
-        private Identity who;
+        private MemberId who;
         private String caller = "";
         private boolean greeted, over, follows;
         private Deadlines.Deadline silence, beat;
@@ -292,7 +292,7 @@
                 throw new IOException(hello.name() + " is of the cluster " + hello.cluster());
             }
             boolean member = hello.word() != null;
-            if (member && !hello.word().who().name().equals(hello.name())
+            if (member && !hello.word().member().name().equals(hello.name())
                     || hello.name().equals(name) && member) {
                 throw new IOException(hello.name() + " is not its own name, or this member's");
             }
@@ -308,7 +308,7 @@
             if (!member) {
                 return;
             }
-            Identity is = hello.word().who();
+            MemberId is = hello.word().member();
             if (who != null && !who.equals(is)) {
                 throw new IOException(hello.name() + " has changed its disk");
             }
--- a/replication/src/main/java/lupinvalve/replication/Questions.java
+++ b/replication/src/main/java/lupinvalve/replication/Questions.java
@@ -11,15 +11,15 @@
 import java.util.TreeSet;
 import java.util.function.Consumer;
 import java.util.function.Function;
-import lupinvalve.audit.Leases;
+import lupinvalve.audit.LeaseManager;
 import lupinvalve.log.Log;
 import lupinvalve.statemachine.Cbor;
-import lupinvalve.statemachine.Change;
+import lupinvalve.statemachine.ClusterBootstrap;
+import lupinvalve.statemachine.Command;
 import lupinvalve.statemachine.Encoding;
-import lupinvalve.statemachine.Founding;
-import lupinvalve.statemachine.Identity;
-import lupinvalve.statemachine.Ledger;
-import lupinvalve.statemachine.Membership;
+import lupinvalve.statemachine.MemberId;
+import lupinvalve.statemachine.MembershipChange;
+import lupinvalve.statemachine.ReplicatedState;
 
 /** What operators and other members ask of this one, and what they are told. On the group's thread. */
 final class Questions {
@@ -57,7 +57,7 @@
                         group.ended() != null
                                 ? "this member takes no part any more: " + group.ended()
                                 : "the group is not founded yet: "
-                                        + group.founding().wanting()));
+                                        + group.founding().pendingReason()));
             } else if (group.replica().leads()) {
                 lead(call, answer);
             } else if (group.leader() == null || call.name().startsWith(">")) {
@@ -89,19 +89,19 @@
             case "put" -> put(call, answer);
             case "hold" -> group.replica()
                     .propose(
-                            new Change.Hold(
+                            new Command.StartDrain(
                                     holding(call),
                                     argument(call, 2),
                                     group.loop().now()),
                             taken(call, strict(call, 3, answer)));
             case "release" -> group.replica()
-                    .propose(new Change.Release(holding(call)), taken(call, strict(call, 2, answer)));
+                    .propose(new Command.EndDrain(holding(call)), taken(call, strict(call, 2, answer)));
             case "lease" -> lease(call, answer);
             case "audit" -> audit(call, answer);
             case "holds" -> group.replica().upToDate(told(call, answer, ok -> holds()));
             case "members" -> group.replica().report(told(call, answer, this::members));
             case "add", "remove" -> change(
-                    new Membership.Wish(name.equals("add"), argument(call, 0)),
+                    new MembershipChange.Request(name.equals("add"), argument(call, 0)),
                     group.loop().now() + MEMBERS_WITHIN,
                     (code, text) -> answer.accept(new Messages.Answer(call.id(), code, text)));
             case "snapshot" -> group.replica()
@@ -118,12 +118,13 @@
         }
     }
 
-    private static Change.Holding holding(Messages.Call call) throws IOException {
+    private static Command.DrainTarget holding(Messages.Call call) throws IOException {
         String kind = argument(call, 0);
         if (!kind.equals("node") && !kind.equals("pooler")) {
             throw new IOException("what is held is a node or a group.pooler(), not a " + kind);
         }
-        return new Change.Holding(kind.equals("node") ? Change.Kind.NODE : Change.Kind.POOLER, argument(call, 1));
+        return new Command.DrainTarget(
+                kind.equals("node") ? Command.TargetKind.NODE : Command.TargetKind.POOLER, argument(call, 1));
     }
 
     private static Messages.Code code(Replica.Fate fate) {
@@ -148,19 +149,19 @@
                 call.id(), code(fate), fate == Replica.Fate.DONE ? text.apply(result) : words(fate)));
     }
 
-    private Replica.Then<Ledger.Outcome> taken(Messages.Call call, Consumer<Messages.Answer> answer) {
+    private Replica.Then<ReplicatedState.Outcome> taken(Messages.Call call, Consumer<Messages.Answer> answer) {
         return (fate, outcome) -> {
             Messages.Code code = code(fate);
             String text = fate == Replica.Fate.DONE ? "{}" : words(fate);
-            if (fate == Replica.Fate.DONE && outcome.result() == Ledger.Result.CONFLICT) {
+            if (fate == Replica.Fate.DONE && outcome.result() == ReplicatedState.Result.CONFLICT) {
                 code = Messages.Code.CONFLICT;
                 text = "revision " + outcome.revision() + " holds by now";
-            } else if (fate == Replica.Fate.DONE && outcome.result() == Ledger.Result.TOO_MUCH) {
+            } else if (fate == Replica.Fate.DONE && outcome.result() == ReplicatedState.Result.LIMIT_EXCEEDED) {
                 code = Messages.Code.REFUSED;
                 text = "too long, or too many of them";
             } else if (fate == Replica.Fate.DONE) {
                 text = Json.object(out -> {
-                    out.writeBooleanField("changed", outcome.result() == Ledger.Result.DONE);
+                    out.writeBooleanField("changed", outcome.result() == ReplicatedState.Result.APPLIED);
                     out.writeNumberField("revision", outcome.revision());
                 });
             }
@@ -173,7 +174,7 @@
         byte[] document = call.arguments().get(1);
         // Checked whole before it is proposed: what a majority accepts is a configuration that can be acted on.
         String objection = group.pooler().objection(document);
-        Ledger.Document holds = group.replica().ledger().document();
+        ReplicatedState.Document holds = group.replica().ledger().document();
         if (objection == null) {
             objection = group.pooler().refusal(holds == null ? null : holds.content(), document);
         }
@@ -181,25 +182,25 @@
             answer.accept(new Messages.Answer(call.id(), Messages.Code.REFUSED, objection));
             return;
         }
-        group.replica().propose(new Change.Put(expected, document), taken(call, strict(call, 2, answer)));
+        group.replica().propose(new Command.PutDocument(expected, document), taken(call, strict(call, 2, answer)));
     }
 
     /** Another member asks for a lease, or this one's own operator sees why there is none. */
     private void lease(Messages.Call call, Consumer<Messages.Answer> answer) throws IOException {
         // A member of an earlier version has no subscribers.
         long followersFloor = call.arguments().size() > 3 ? Long.parseLong(argument(call, 3)) : Long.MAX_VALUE;
-        Leases.Granted granted = group.acting() == null
-                ? new Leases.Granted(0, "audit is off at the leader")
+        LeaseManager.Renewal granted = group.acting() == null
+                ? new LeaseManager.Renewal(0, "audit is off at the leader")
                 : group.acting()
                         .grant(argument(call, 0), Long.parseLong(argument(call, 1)), argument(call, 2), followersFloor);
-        Messages.Code code = granted.lengthMicros() > 0
+        Messages.Code code = granted.durationMicros() > 0
                 ? Messages.Code.OK
-                : granted.why().isEmpty() ? Messages.Code.AGAIN : Messages.Code.REFUSED;
+                : granted.reason().isEmpty() ? Messages.Code.AGAIN : Messages.Code.REFUSED;
         answer.accept(new Messages.Answer(
                 call.id(),
                 code,
-                granted.lengthMicros() > 0 ? Long.toString(granted.lengthMicros()) : granted.why(),
-                new Cbor.Out().number(group.followers().changed()).done()));
+                granted.durationMicros() > 0 ? Long.toString(granted.durationMicros()) : granted.reason(),
+                new Cbor.Writer().number(group.followers().changed()).toByteArray()));
     }
 
     private void audit(Messages.Call call, Consumer<Messages.Answer> answer) throws IOException {
@@ -222,8 +223,10 @@
                         fate != Replica.Fate.DONE
                                 ? words(fate)
                                 : AuditAnswers.answer(
-                                        AuditAnswers.course(
-                                                group.replica().ledger().noted().values()),
+                                        AuditAnswers.course(group.replica()
+                                                .ledger()
+                                                .auditEntries()
+                                                .values()),
                                         question)));
             } catch (IOException e) {
                 answer.accept(new Messages.Answer(call.id(), Messages.Code.REFUSED, e.getMessage()));
@@ -246,7 +249,7 @@
     }
 
     private List<String> voters(RaftNodeReport report) {
-        return view(report).voting().stream().map(Identity::name).toList();
+        return view(report).voters().stream().map(MemberId::name).toList();
     }
 
     /**
@@ -267,7 +270,7 @@
                 answer.accept(done);
                 return;
             }
-            long index = group.replica().ledger().applied();
+            long index = group.replica().ledger().appliedIndex();
             group.acting().strict(index);
             settle(done, index, asked, List.of(), answer);
         };
@@ -298,7 +301,7 @@
     }
 
     private String document(Messages.Call call) {
-        Ledger.Document document = group.replica().ledger().document();
+        ReplicatedState.Document document = group.replica().ledger().document();
         boolean bare = !call.arguments().isEmpty() && call.arguments().get(0).length > 0;
         return Json.object(out -> {
             out.writeNumberField("revision", group.replica().ledger().revision());
@@ -314,13 +317,13 @@
     private String holds() {
         return Json.object(out -> {
             out.writeArrayFieldStart("holds");
-            for (Map.Entry<Change.Holding, Ledger.Held> hold :
-                    group.replica().ledger().holds().entrySet()) {
+            for (Map.Entry<Command.DrainTarget, ReplicatedState.Drain> hold :
+                    group.replica().ledger().drains().entrySet()) {
                 out.writeStartObject();
-                out.writeStringField("kind", hold.getKey().kind() == Change.Kind.NODE ? "node" : "pooler");
+                out.writeStringField("kind", hold.getKey().kind() == Command.TargetKind.NODE ? "node" : "pooler");
                 out.writeStringField("name", hold.getKey().name());
-                out.writeStringField("why", hold.getValue().why());
-                out.writeNumberField("at_ms", hold.getValue().atMicros() / 1000);
+                out.writeStringField("why", hold.getValue().reason());
+                out.writeNumberField("at_ms", hold.getValue().sinceMicros() / 1000);
                 out.writeEndObject();
             }
             out.writeEndArray();
@@ -332,31 +335,31 @@
     }
 
     private void members(JsonGenerator out, RaftNodeReport report) throws IOException {
-        Membership.View view = view(report);
-        Set<Identity> all = new TreeSet<>(view.voting());
-        all.addAll(view.learning());
-        all.addAll(view.strangers());
+        MembershipChange.GroupView view = view(report);
+        Set<MemberId> all = new TreeSet<>(view.voters());
+        all.addAll(view.learners());
+        all.addAll(view.nonMembers());
         out.writeArrayFieldStart("members");
-        for (Identity one : all) {
+        for (MemberId one : all) {
             out.writeStartObject();
             out.writeStringField("name", one.name());
-            out.writeStringField("disk", one.disk());
+            out.writeStringField("disk", one.diskId());
             out.writeStringField(
                     "part",
-                    view.voting().contains(one) ? "votes" : view.learning().contains(one) ? "learns" : "none");
+                    view.voters().contains(one) ? "votes" : view.learners().contains(one) ? "learns" : "none");
             out.writeBooleanField("leads", one.equals(group.leader()));
-            out.writeBooleanField("in_reach", view.inReach().contains(one));
+            out.writeBooleanField("in_reach", view.reachable().contains(one));
             out.writeEndObject();
         }
         out.writeEndArray();
     }
 
-    private Membership.View view(RaftNodeReport report) {
-        Set<Identity> connected = group.peers().connected();
-        Set<Identity> strangers = new TreeSet<>(connected);
-        Membership.View view = Replica.view(report, strangers, connected);
-        strangers.removeAll(view.voting());
-        strangers.removeAll(view.learning());
+    private MembershipChange.GroupView view(RaftNodeReport report) {
+        Set<MemberId> connected = group.peers().connected();
+        Set<MemberId> strangers = new TreeSet<>(connected);
+        MembershipChange.GroupView view = Replica.view(report, strangers, connected);
+        strangers.removeAll(view.voters());
+        strangers.removeAll(view.learners());
         return view;
     }
 
@@ -365,7 +368,7 @@
     }
 
     /** One step after another until the group has the member, or not. */
-    private void change(Membership.Wish wish, long until, Told then) {
+    private void change(MembershipChange.Request wish, long until, Told then) {
         group.replica().report((fate, report) -> {
             if (fate != Replica.Fate.DONE) {
                 then.done(code(fate), words(fate));
@@ -374,24 +377,24 @@
                 then.done(Messages.Code.AGAIN, "the leader changes");
                 return;
             }
-            Membership.Step next = Membership.next(wish, view(report));
-            if (next instanceof Membership.Step.Done) {
+            MembershipChange.Step next = MembershipChange.nextStep(wish, view(report));
+            if (next instanceof MembershipChange.Step.Done) {
                 forgetPlace(wish);
                 then.done(Messages.Code.OK, members(report));
-            } else if (next instanceof Membership.Step.Refused refused) {
-                then.done(Messages.Code.REFUSED, refused.why());
+            } else if (next instanceof MembershipChange.Step.Rejected refused) {
+                then.done(Messages.Code.REFUSED, refused.reason());
             } else if (group.loop().now() > until) {
                 then.done(
                         Messages.Code.AGAIN,
-                        next instanceof Membership.Step.Wait wait
-                                ? wait.what()
+                        next instanceof MembershipChange.Step.Wait wait
+                                ? wait.reason()
                                 : "it takes longer; ask again to go on");
-            } else if (next instanceof Membership.Step.Wait) {
+            } else if (next instanceof MembershipChange.Step.Wait) {
                 group.loop().after(STEP, () -> change(wish, until, then));
             } else {
                 Log.info("store: %s", next);
                 group.replica().step(next, report, (stepFate, ok) -> {
-                    if (next instanceof Membership.Step.HandOver) {
+                    if (next instanceof MembershipChange.Step.TransferLeadership) {
                         then.done(Messages.Code.AGAIN, "another member leads now; ask again to go on");
                     } else {
                         // Whether it was taken shows in what the group looks like next.
@@ -402,9 +405,9 @@
         });
     }
 
-    private void forgetPlace(Membership.Wish wish) {
-        if (!wish.in() && group.replica().ledger().places().containsKey(wish.name())) {
-            group.replica().propose(new Change.Place(wish.name(), ""), (fate, outcome) -> {});
+    private void forgetPlace(MembershipChange.Request wish) {
+        if (!wish.add() && group.replica().ledger().memberAddresses().containsKey(wish.name())) {
+            group.replica().propose(new Command.SetMemberAddress(wish.name(), ""), (fate, outcome) -> {});
         }
     }
 
@@ -417,30 +420,31 @@
     }
 
     private void status(JsonGenerator out, RaftNodeReport report) throws IOException {
-        Ledger ledger = group.replica() == null ? group.warm() : group.replica().ledger();
-        Ledger.Document running = group.adoption().running();
+        ReplicatedState ledger =
+                group.replica() == null ? group.warm() : group.replica().ledger();
+        ReplicatedState.Document running = group.adoption().active();
         out.writeStringField("cluster", group.config().cluster());
         out.writeStringField("name", group.config().name());
-        out.writeStringField("disk", group.log().word().who().disk());
-        out.writeStringField("phase", group.log().word().phase().name().toLowerCase(java.util.Locale.ROOT));
+        out.writeStringField("disk", group.log().word().member().diskId());
+        out.writeStringField("phase", group.log().word().phase().statusName());
         out.writeStringField(
                 "leader", group.leader() == null ? "" : group.leader().name());
         out.writeBooleanField("leads", group.leads());
-        out.writeBooleanField("cut_off", group.adoption().cutOff());
+        out.writeBooleanField("cut_off", group.adoption().isCutOff());
         out.writeStringField(
                 "acting",
                 group.ended() != null
                         ? "takes no part any more: " + group.ended() + "; "
-                                + group.adoption().acting()
-                        : group.log().word().phase() == Founding.Phase.ALONE
-                                        || group.log().word().phase() == Founding.Phase.BOUND
+                                + group.adoption().describe()
+                        : group.log().word().phase() == ClusterBootstrap.Phase.UNBOUND
+                                        || group.log().word().phase() == ClusterBootstrap.Phase.BOUND
                                 ? "the group is not founded yet: "
-                                        + group.founding().wanting()
-                                : group.adoption().acting());
+                                        + group.founding().pendingReason()
+                                : group.adoption().describe());
         out.writeNumberField("revision", running == null ? 0 : running.revision());
         out.writeStringField("digest", running == null ? "" : running.digest());
         out.writeNumberField("adopted_change", running == null ? 0 : running.index());
-        out.writeNumberField("applied_change", ledger.applied());
+        out.writeNumberField("applied_change", ledger.appliedIndex());
         if (group.acting() != null) {
             out.writeNumberField("acting_change", group.acting().acting());
             out.writeNumberField("lease_ms", group.acting().leaseMicros() / 1000);
@@ -448,8 +452,8 @@
         }
         group.followers().status(out);
         out.writeNumberField("sessions", ledger.sessionCount());
-        out.writeNumberField("holds", ledger.holds().size());
-        out.writeNumberField("listed_nodes", ledger.listing().nodes().size());
+        out.writeNumberField("holds", ledger.drains().size());
+        out.writeNumberField("listed_nodes", ledger.endpointList().endpoints().size());
         out.writeNumberField("history_bytes", group.log().historyBytes());
         out.writeNumberField("snapshot_bytes", group.log().snapshotBytes());
         if (report != null) {
--- a/replication/src/main/java/lupinvalve/replication/RecordBatch.java
+++ b/replication/src/main/java/lupinvalve/replication/RecordBatch.java
@@ -14,10 +14,10 @@
     private int records;
 
     /** Adds what is written. */
-    void add(Consumer<Cbor.Out> record) {
-        Cbor.Out out = new Cbor.Out();
+    void add(Consumer<Cbor.Writer> record) {
+        Cbor.Writer out = new Cbor.Writer();
         record.accept(out);
-        pending.writeBytes(out.done());
+        pending.writeBytes(out.toByteArray());
         records++;
     }
 
@@ -28,7 +28,7 @@
     /** All records as one frame of a file. */
     byte[] frame() throws IOException {
         ByteArrayOutputStream content = new ByteArrayOutputStream(pending.size() + Long.BYTES);
-        content.writeBytes(new Cbor.Out().number(records).done());
+        content.writeBytes(new Cbor.Writer().number(records).toByteArray());
         pending.writeTo(content);
         return Frames.frame(content.toByteArray());
     }
--- a/replication/src/main/java/lupinvalve/replication/Replica.java
+++ b/replication/src/main/java/lupinvalve/replication/Replica.java
@@ -32,12 +32,12 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 import lupinvalve.log.Log;
-import lupinvalve.statemachine.Change;
-import lupinvalve.statemachine.Compaction;
+import lupinvalve.statemachine.Command;
+import lupinvalve.statemachine.CompactionPolicy;
 import lupinvalve.statemachine.Encoding;
-import lupinvalve.statemachine.Identity;
-import lupinvalve.statemachine.Ledger;
-import lupinvalve.statemachine.Membership;
+import lupinvalve.statemachine.MemberId;
+import lupinvalve.statemachine.MembershipChange;
+import lupinvalve.statemachine.ReplicatedState;
 
 /**
  * One member's part in the group's history: the library's node, fed with messages and the disk, and the ledger that it
@@ -61,14 +61,14 @@
 
     /** Carries messages to other members; what can't be carried is dropped. */
     interface Sending {
-        void send(Identity to, byte[] message);
+        void send(MemberId to, byte[] message);
 
-        boolean reaches(Identity who);
+        boolean reaches(MemberId who);
     }
 
     /** Hears what was accepted, in order. */
     interface Watcher {
-        void applied(long index, Change change, Ledger.Outcome outcome);
+        void applied(long index, Command change, ReplicatedState.Outcome outcome);
 
         /** The state is another one, without the changes that led to it. */
         void restored();
@@ -98,8 +98,8 @@
     private final SegmentedLog log;
     private final Sending sending;
     private final Watcher watcher;
-    private final Ledger ledger = new Ledger();
-    private final Identity self;
+    private final ReplicatedState ledger = new ReplicatedState();
+    private final MemberId self;
     private final RaftNode node;
     private final Mends mends;
     private boolean snapshotting, ended;
@@ -109,7 +109,7 @@
     Replica(
             Schedule schedule,
             SegmentedLog log,
-            Set<Identity> founders,
+            Set<MemberId> founders,
             Sending sending,
             Random random,
             Watcher watcher) {
@@ -117,7 +117,7 @@
         this.log = log;
         this.sending = sending;
         this.watcher = watcher;
-        self = log.word().who();
+        self = log.word().member();
         pace = new Pace(schedule);
         RaftNode.RaftNodeBuilder builder = RaftNode.newBuilder()
                 .setGroupId(GROUP)
@@ -174,7 +174,7 @@
         schedule.post(pace::stop);
     }
 
-    Ledger ledger() {
+    ReplicatedState ledger() {
         return ledger;
     }
 
@@ -202,7 +202,7 @@
             if (operation instanceof Question) {
                 return null;
             }
-            Change change;
+            Command change;
             try {
                 change = Encoding.read((byte[]) operation);
             } catch (IOException e) {
@@ -211,10 +211,10 @@
                 schedule.post(() -> end("change " + index + " is of a later version"));
                 throw new IllegalStateException(e);
             }
-            Ledger.Outcome outcome = ledger.apply(index, change);
+            ReplicatedState.Outcome outcome = ledger.apply(index, change);
             try {
                 log.accepted(index);
-                if (change instanceof Change.Put) {
+                if (change instanceof Command.PutDocument) {
                     // It is acted on from now on, so that a restart without the others must know of it.
                     log.flush();
                 }
@@ -224,7 +224,7 @@
             }
             watcher.applied(index, change, outcome);
             keptBytes = Math.min(keptBytes, log.historyBytes());
-            if (!snapshotting && Compaction.due(log.historyBytes(), keptBytes, log.snapshotBytes())) {
+            if (!snapshotting && CompactionPolicy.isDue(log.historyBytes(), keptBytes, log.snapshotBytes())) {
                 snapshotting = true;
                 schedule.post(() -> node.takeSnapshot().whenComplete((report, failure) -> {
                     snapshotting = false;
@@ -255,7 +255,7 @@
 
         @Override
         public Object getNewTermOperation() {
-            return Encoding.write(new Change.Nothing());
+            return Encoding.write(new Command.NoOp());
         }
     }
 
@@ -272,7 +272,7 @@
     }
 
     /** The leader as far as is known here, or null. */
-    Identity leader() {
+    MemberId leader() {
         RaftEndpoint leader = node.getTerm().getLeaderEndpoint();
         return leader == null || ended ? null : Endpoint.of(leader);
     }
@@ -317,7 +317,7 @@
                 }));
     }
 
-    void propose(Change change, Then<Ledger.Outcome> then) {
+    void propose(Command change, Then<ReplicatedState.Outcome> then) {
         answer(() -> node.replicate(Encoding.write(change)), then);
     }
 
@@ -335,17 +335,17 @@
     }
 
     /** The group as this member sees it as its leader; whether it is must be asked apart. */
-    static Membership.View view(RaftNodeReport report, Set<Identity> strangers, Set<Identity> inReach) {
-        Set<Identity> voting = Endpoint.identities(report.getCommittedMembers().getVotingMembers());
-        Set<Identity> learning =
+    static MembershipChange.GroupView view(RaftNodeReport report, Set<MemberId> strangers, Set<MemberId> inReach) {
+        Set<MemberId> voting = Endpoint.identities(report.getCommittedMembers().getVotingMembers());
+        Set<MemberId> learning =
                 Endpoint.identities(report.getCommittedMembers().getMembers());
         learning.removeAll(voting);
-        Identity self = Endpoint.of(report.getEndpoint());
-        Set<Identity> reached = new TreeSet<>(inReach);
+        MemberId self = Endpoint.of(report.getEndpoint());
+        Set<MemberId> reached = new TreeSet<>(inReach);
         reached.add(self);
-        Map<Identity, Long> matching = new HashMap<>();
+        Map<MemberId, Long> matching = new HashMap<>();
         report.getLog().getFollowerMatchIndices().forEach((one, index) -> matching.put(Endpoint.of(one), index));
-        return new Membership.View(
+        return new MembershipChange.GroupView(
                 self,
                 voting,
                 learning,
@@ -357,19 +357,19 @@
     }
 
     /** Takes a step that membership decided on. */
-    void step(Membership.Step step, RaftNodeReport report, Then<Object> then) {
-        if (step instanceof Membership.Step.Learn learn) {
-            change(learn.who(), MembershipChangeMode.ADD_LEARNER, report, then);
-        } else if (step instanceof Membership.Step.Promote promote) {
-            change(promote.who(), MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER, report, then);
-        } else if (step instanceof Membership.Step.Remove remove) {
-            change(remove.who(), MembershipChangeMode.REMOVE_MEMBER, report, then);
-        } else if (step instanceof Membership.Step.HandOver over) {
-            answer(() -> node.transferLeadership(new Endpoint(over.to())), then);
+    void step(MembershipChange.Step step, RaftNodeReport report, Then<Object> then) {
+        if (step instanceof MembershipChange.Step.AddLearner learn) {
+            change(learn.member(), MembershipChangeMode.ADD_LEARNER, report, then);
+        } else if (step instanceof MembershipChange.Step.PromoteToVoter promote) {
+            change(promote.member(), MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER, report, then);
+        } else if (step instanceof MembershipChange.Step.RemoveMember remove) {
+            change(remove.member(), MembershipChangeMode.REMOVE_MEMBER, report, then);
+        } else if (step instanceof MembershipChange.Step.TransferLeadership over) {
+            answer(() -> node.transferLeadership(new Endpoint(over.successor())), then);
         }
     }
 
-    private void change(Identity who, MembershipChangeMode mode, RaftNodeReport report, Then<Object> then) {
+    private void change(MemberId who, MembershipChangeMode mode, RaftNodeReport report, Then<Object> then) {
         answer(
                 () -> node.changeMembership(
                         new Endpoint(who), mode, report.getCommittedMembers().getLogIndex()),
@@ -381,8 +381,8 @@
     }
 
     /** What was accepted as far as this member's own disk tells: the state to start from before others are heard. */
-    static Ledger warm(SegmentedLog log) throws IOException {
-        Ledger ledger = new Ledger();
+    static ReplicatedState warm(SegmentedLog log) throws IOException {
+        ReplicatedState ledger = new ReplicatedState();
         List<byte[]> pieces = log.snapshotPieces();
         if (!pieces.isEmpty()) {
             Encoding.restore(ledger, pieces);
--- a/replication/src/main/java/lupinvalve/replication/SegmentHead.java
+++ b/replication/src/main/java/lupinvalve/replication/SegmentHead.java
@@ -29,7 +29,7 @@
     }
 
     /** Reads a term and the vote in it. */
-    static RaftTermPersistentState readTerm(Cbor.In in) throws IOException {
+    static RaftTermPersistentState readTerm(Cbor.Reader in) throws IOException {
         int number = (int) in.number();
         return termAndVote(number, Models.endpoints(in));
     }
@@ -43,13 +43,13 @@
     }
 
     /** Writes the term and the vote as a record. */
-    void writeTerm(Cbor.Out out) {
+    void writeTerm(Cbor.Writer out) {
         List<RaftEndpoint> voted = term.getVotedFor() == null ? List.of() : List.of(term.getVotedFor());
         Models.endpoints(out.number(RecordKind.TERM).number(term.getTerm()), voted);
     }
 
     /** Reads who the member itself is. */
-    static RaftEndpointPersistentState readSelf(Cbor.In in) throws IOException {
+    static RaftEndpointPersistentState readSelf(Cbor.Reader in) throws IOException {
         return Models.FACTORY
                 .createRaftEndpointPersistentStateBuilder()
                 .setLocalEndpoint(Models.endpoints(in).get(0))
@@ -58,18 +58,18 @@
     }
 
     /** Writes who the member itself is, as a record. */
-    void writeSelf(Cbor.Out out) {
+    void writeSelf(Cbor.Writer out) {
         Models.endpoints(out.number(RecordKind.SELF), List.of(self.getLocalEndpoint()))
                 .flag(self.isVoting());
     }
 
     /** Writes the group's first members as a record. */
-    void writeFounders(Cbor.Out out) {
+    void writeFounders(Cbor.Writer out) {
         Models.view(out.number(RecordKind.FOUNDERS), founders);
     }
 
     /** Writes up to which index changes are accepted, as a record. */
-    void writeCommitted(Cbor.Out out) {
+    void writeCommitted(Cbor.Writer out) {
         out.number(RecordKind.COMMITTED).number(committed);
     }
 }
