--- a/replication/src/main/java/lupinvalve/replication/SegmentedLog.java
+++ b/replication/src/main/java/lupinvalve/replication/SegmentedLog.java
@@ -18,8 +18,8 @@
 import java.util.function.Consumer;
 import lupinvalve.log.Log;
 import lupinvalve.statemachine.Cbor;
-import lupinvalve.statemachine.Founding;
-import lupinvalve.statemachine.Identity;
+import lupinvalve.statemachine.ClusterBootstrap;
+import lupinvalve.statemachine.MemberId;
 
 /**
  * A member's memory on disk: the history in segments, snapshots in files of their own, and whose folder it is. Changes
@@ -42,7 +42,7 @@
     private final StoredHistory stored = new StoredHistory(head);
     private final RecordBatch batch = new RecordBatch();
     private final TreeMap<Long, ClosedSegment> closed = new TreeMap<>();
-    private Founding.Word word;
+    private ClusterBootstrap.Announcement word;
     private Disk.Out segment;
     private long number;
     /** The highest index of an entry in the segment that is being written, and that segment's size. */
@@ -82,7 +82,8 @@
         if (names.contains(IdentityFile.NAME)) {
             log.word = IdentityFile.read(disk, cluster, name);
         } else if (names.stream().noneMatch(SegmentedLog::holdsHistory)) {
-            log.keep(new Founding.Word(new Identity(name, diskName), Founding.Phase.ALONE, Set.of()));
+            log.keep(new ClusterBootstrap.Announcement(
+                    new MemberId(name, diskName), ClusterBootstrap.Phase.UNBOUND, Set.of()));
         } else {
             throw new Frames.Damaged(IdentityFile.NAME + " is missing beside " + names.get(0));
         }
@@ -123,7 +124,7 @@
     }
 
     /** Keeps what this member says of itself, before it says so. */
-    void keep(Founding.Word said) throws IOException {
+    void keep(ClusterBootstrap.Announcement said) throws IOException {
         check();
         try {
             IdentityFile.write(disk, cluster, said);
@@ -134,7 +135,7 @@
     }
 
     /** What this member says of itself. */
-    Founding.Word word() {
+    ClusterBootstrap.Announcement word() {
         return word;
     }
 
@@ -225,7 +226,7 @@
         return e;
     }
 
-    private void add(Consumer<Cbor.Out> record) throws IOException {
+    private void add(Consumer<Cbor.Writer> record) throws IOException {
         check();
         batch.add(record);
     }
--- a/replication/src/main/java/lupinvalve/replication/SnapshotFiles.java
+++ b/replication/src/main/java/lupinvalve/replication/SnapshotFiles.java
@@ -73,7 +73,7 @@
         Frames.read(name, file, true, contents);
         TreeMap<Integer, SnapshotChunk> chunks = new TreeMap<>();
         for (byte[] content : contents) {
-            SnapshotChunk chunk = Models.chunk(new Cbor.In(content));
+            SnapshotChunk chunk = Models.chunk(new Cbor.Reader(content));
             chunks.put(chunk.getSnapshotChunkIndex(), chunk);
         }
         if (chunks.isEmpty() || chunks.size() < chunks.firstEntry().getValue().getSnapshotChunkCount()) {
@@ -100,7 +100,7 @@
             pieces.clear();
             out = disk.create(NumberedFile.name(KIND, index));
         }
-        byte[] frame = Frames.frame(Models.chunk(new Cbor.Out(), chunk).done());
+        byte[] frame = Frames.frame(Models.chunk(new Cbor.Writer(), chunk).toByteArray());
         out.write(frame);
         sizes.merge(index, (long) frame.length, Long::sum);
         unforced = true;
--- a/replication/src/main/java/lupinvalve/replication/StoredHistory.java
+++ b/replication/src/main/java/lupinvalve/replication/StoredHistory.java
@@ -25,7 +25,7 @@
     /** Reads the records of one flush; gives the highest index of an entry among them, at least the one given. */
     long readRecords(String segment, byte[] content, long highestBefore) throws IOException {
         long highest = highestBefore;
-        Cbor.In in = new Cbor.In(content);
+        Cbor.Reader in = new Cbor.Reader(content);
         for (int left = in.count(Integer.MAX_VALUE); left > 0; left--) {
             int kind = in.count(RecordKind.MOST);
             switch (kind) {
@@ -41,7 +41,7 @@
         return highest;
     }
 
-    private long readEntry(String segment, Cbor.In in) throws IOException {
+    private long readEntry(String segment, Cbor.Reader in) throws IOException {
         LogEntry entry = Models.entry(in);
         if (!entries.isEmpty() && entry.getIndex() <= entries.lastKey()) {
             throw new Frames.Damaged(segment + ": change " + entry.getIndex() + " follows " + entries.lastKey());
--- a/replication/src/main/java/lupinvalve/replication/Subscriber.java
+++ b/replication/src/main/java/lupinvalve/replication/Subscriber.java
@@ -14,8 +14,8 @@
 import lupinvalve.log.Log;
 import lupinvalve.net.Addresses;
 import lupinvalve.net.Net;
-import lupinvalve.statemachine.Change;
-import lupinvalve.statemachine.Ledger;
+import lupinvalve.statemachine.Command;
+import lupinvalve.statemachine.ReplicatedState;
 import lupinvalve.subscription.FollowAnswer;
 import lupinvalve.subscription.FollowRequest;
 import lupinvalve.subscription.FollowSchedule;
@@ -57,7 +57,7 @@
     private long idleSince;
     private Deadlines.Deadline leaseEnd;
     private String said = "";
-    private volatile Ledger.Document acting;
+    private volatile ReplicatedState.Document acting;
     private volatile long calls, wholes, differences, moves, acted;
 
     /**
@@ -131,7 +131,7 @@
 
     @Override
     public Known known() {
-        return new Known(kept.document(), List.of(), new Change.Commits(0, java.util.Map.of()));
+        return new Known(kept.document(), List.of(), new Command.SessionCommits(0, java.util.Map.of()));
     }
 
     @Override
@@ -141,7 +141,7 @@
             loop.start();
         }
         loop.post(() -> {
-            Ledger.Document document = state.begin(pooler::objection);
+            ReplicatedState.Document document = state.begin(pooler::objection);
             if (document != null) {
                 adopt(document);
             }
@@ -231,7 +231,7 @@
             return;
         }
         boolean greeted = link != null && link.greeted();
-        String line = state.adoption().touch(greeted && link.asks(), Acting.clock());
+        String line = state.adoption().onQuorumContact(greeted && link.asks(), Acting.clock());
         if (line != null) {
             Log.warn("%s: %s", of, line);
         }
@@ -289,8 +289,8 @@
         }
         if (news.adopt() != null) {
             adopt(news.adopt());
-        } else if (!state.adoption().unreadable().isEmpty()) {
-            say("serves on, " + state.adoption().acting());
+        } else if (!state.adoption().unreadableReason().isEmpty()) {
+            say("serves on, " + state.adoption().describe());
         }
         if (news.holds() != null) {
             pooler.holds(news.holds());
@@ -314,7 +314,7 @@
     /** Whether the member that answered will do. */
     private void judge(FollowAnswer answer) {
         boolean wanted = config.audit() != OperatorConfig.Audit.OFF
-                && state.adoption().unreadable().isEmpty();
+                && state.adoption().unreadableReason().isEmpty();
         if (answer.leaseMicros() > 0 && answer.leaseMicros() < FollowSchedule.MOVE_BELOW) {
             move(link.member() + ": it is losing its own lease");
         } else if (wanted && answer.leaseMicros() == 0 && schedule.denied(Acting.clock())) {
@@ -343,7 +343,7 @@
         leaseEnd = left > 0 ? loop.after(left, this::look) : null;
     }
 
-    private void adopt(Ledger.Document document) {
+    private void adopt(ReplicatedState.Document document) {
         Log.info(
                 "%s: adopted revision %s, change %s, digest %s",
                 of, document.revision(), document.index(), document.digest());
@@ -375,13 +375,13 @@
 
     /** Which revision the pooler beside acts on, 0 for none. */
     public long actingRevision() {
-        Ledger.Document now = acting;
+        ReplicatedState.Document now = acting;
         return now == null ? 0 : now.revision();
     }
 
     /** The digest of what it acts on, empty for none. */
     public String actingDigest() {
-        Ledger.Document now = acting;
+        ReplicatedState.Document now = acting;
         return now == null ? "" : now.digest();
     }
 
@@ -419,7 +419,7 @@
     }
 
     @Override
-    public void listing(List<Change.Listed> nodes) {
+    public void listing(List<Command.Endpoint> nodes) {
         // Members tell of the list.
     }
 
--- a/replication/src/main/java/lupinvalve/replication/TakeOver.java
+++ b/replication/src/main/java/lupinvalve/replication/TakeOver.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 import java.util.function.BiConsumer;
 import java.util.function.Predicate;
-import lupinvalve.statemachine.Change;
+import lupinvalve.statemachine.Command;
 
 /** Brings what an earlier store left at this member into the group once the member leads. Without I/O of its own. */
 final class TakeOver {
@@ -44,7 +44,7 @@
             return;
         }
         replica.propose(
-                new Change.Put(0, what.document()),
+                new Command.PutDocument(0, what.document()),
                 (fate, outcome) -> left = fate == Replica.Fate.DONE && what.done() ? null : what);
     }
 }
--- a/replication/src/main/java/lupinvalve/replication/Tokens.java
+++ b/replication/src/main/java/lupinvalve/replication/Tokens.java
@@ -3,8 +3,8 @@
 import java.util.Map;
 import lupinvalve.core.Loop;
 import lupinvalve.core.Marks;
-import lupinvalve.statemachine.Change;
-import lupinvalve.statemachine.Sessions;
+import lupinvalve.statemachine.Command;
+import lupinvalve.statemachine.SessionTable;
 
 /**
  * Sessions' last commits on the core thread: this pooler's own at once, all others' once a majority holds them. A
@@ -14,29 +14,29 @@
     private final Loop loop;
     private final ControlPlane group;
     private final long waitMicros;
-    private final Sessions sessions = new Sessions();
+    private final SessionTable sessions = new SessionTable();
 
     /** @param known what was accepted before this start */
-    public Tokens(Loop loop, ControlPlane group, long waitMicros, Change.Commits known) {
+    public Tokens(Loop loop, ControlPlane group, long waitMicros, Command.SessionCommits known) {
         this.loop = loop;
         this.group = group;
         this.waitMicros = waitMicros;
-        sessions.take(known.atMicros(), known.positions());
+        sessions.apply(known.atMicros(), known.positions());
     }
 
     /** Commits that a majority holds; core thread. */
-    public void accepted(Change.Commits commits) {
-        sessions.take(commits.atMicros(), commits.positions());
+    public void accepted(Command.SessionCommits commits) {
+        sessions.apply(commits.atMicros(), commits.positions());
     }
 
     @Override
     public long lastCommit(String session) {
-        return sessions.last(session);
+        return sessions.lastCommit(session);
     }
 
     @Override
     public void committed(String session, long position) {
-        sessions.take(loop.now(), Map.of(session, position));
+        sessions.apply(loop.now(), Map.of(session, position));
         group.committed(session, position, null);
     }
 
@@ -47,7 +47,7 @@
             then.run();
             return;
         }
-        sessions.take(loop.now(), Map.of(session, position));
+        sessions.apply(loop.now(), Map.of(session, position));
         // Whichever comes first: the second time changes nothing.
         group.committed(session, position, () -> loop.post(then));
         loop.after(waitMicros, then);
--- a/scale/src/main/java/lupinvalve/scale/HollowPooler.java
+++ b/scale/src/main/java/lupinvalve/scale/HollowPooler.java
@@ -8,8 +8,8 @@
 import lupinvalve.config.OperatorConfig;
 import lupinvalve.net.Net;
 import lupinvalve.replication.Group;
-import lupinvalve.statemachine.Change;
-import lupinvalve.statemachine.Ledger;
+import lupinvalve.statemachine.Command;
+import lupinvalve.statemachine.ReplicatedState;
 
 /**
  * A pooler without fronts and db nodes: the daemon's control code, which reads each configuration as the daemon does.
@@ -18,7 +18,7 @@
     private final String name;
     private final OpenPlane open;
     private final Consumer<HostEvent> events;
-    private static final long LEASE_NANOS = TimeUnit.MICROSECONDS.toNanos(Lease.LENGTH);
+    private static final long LEASE_NANOS = TimeUnit.MICROSECONDS.toNanos(Lease.DURATION_MICROS);
     private boolean may;
     /** At the last look. */
     private long leaseEnd;
@@ -71,7 +71,7 @@
     }
 
     @Override
-    public void adopt(Ledger.Document document) {
+    public void adopt(ReplicatedState.Document document) {
         try {
             // What the daemon does on its core thread.
             OperatorConfig.NONE.accepted(document.content());
@@ -82,12 +82,12 @@
     }
 
     @Override
-    public void holds(Map<Change.Holding, Ledger.Held> holds) {
+    public void holds(Map<Command.DrainTarget, ReplicatedState.Drain> holds) {
         events.accept(HostEvent.holds(name, holds.size()));
     }
 
     @Override
-    public void commits(Change.Commits commits) {
+    public void commits(Command.SessionCommits commits) {
         // Sessions are none of a hollow pooler's.
     }
 }
--- a/scale/src/main/java/lupinvalve/scale/Operator.java
+++ b/scale/src/main/java/lupinvalve/scale/Operator.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.TimeUnit;
 import lupinvalve.replication.Client;
 import lupinvalve.replication.Messages;
-import lupinvalve.statemachine.Ledger;
+import lupinvalve.statemachine.ReplicatedState;
 import org.HdrHistogram.Histogram;
 
 /** The one who puts configurations at the control members, and what was acknowledged. One thread at a time. */
@@ -49,7 +49,7 @@
         if (unsure && !read()) {
             return false;
         }
-        String digest = Ledger.digest(document);
+        String digest = ReplicatedState.digest(document);
         history.proposed(revision + 1, digest);
         long began = System.nanoTime();
         Client.Said said = client().ask("put", List.of(bytes(Long.toString(revision)), document), false, CALL_MILLIS);
--- a/scale/src/test/java/lupinvalve/scale/HollowPoolerTest.java
+++ b/scale/src/test/java/lupinvalve/scale/HollowPoolerTest.java
@@ -10,7 +10,7 @@
 import lupinvalve.net.Net;
 import lupinvalve.replication.ControlPlane;
 import lupinvalve.replication.Group;
-import lupinvalve.statemachine.Change;
+import lupinvalve.statemachine.Command;
 import org.junit.jupiter.api.Test;
 
 /** What a hollow pooler tells of its right to act is right also where nobody looked for a while. */
@@ -53,7 +53,7 @@
         }
 
         @Override
-        public void listing(List<Change.Listed> nodes) {
+        public void listing(List<Command.Endpoint> nodes) {
             // No list.
         }
 
--- a/statemachine/src/main/java/lupinvalve/statemachine/Cbor.java
+++ b/statemachine/src/main/java/lupinvalve/statemachine/Cbor.java
@@ -15,11 +15,11 @@
     private Cbor() {}
 
     /** Writes values; what went wrong in memory is a fault of the program. */
-    public static final class Out {
+    public static final class Writer {
         private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         private final CBORGenerator to;
 
-        public Out() {
+        public Writer() {
             try {
                 to = FACTORY.createGenerator(bytes);
             } catch (IOException e) {
@@ -31,7 +31,7 @@
             void run() throws IOException;
         }
 
-        private Out write(Write write) {
+        private Writer write(Write write) {
             try {
                 write.run();
             } catch (IOException e) {
@@ -40,33 +40,33 @@
             return this;
         }
 
-        public Out number(long n) {
+        public Writer number(long n) {
             return write(() -> to.writeNumber(n));
         }
 
-        public Out text(String s) {
+        public Writer text(String s) {
             return write(() -> to.writeString(s));
         }
 
-        public Out bytes(byte[] b) {
+        public Writer bytes(byte[] b) {
             return write(() -> to.writeBinary(b));
         }
 
-        public Out flag(boolean b) {
+        public Writer flag(boolean b) {
             return write(() -> to.writeBoolean(b));
         }
 
-        public byte[] done() {
+        public byte[] toByteArray() {
             write(to::close);
             return bytes.toByteArray();
         }
     }
 
     /** Reads values; throws where another kind stands, or none. */
-    public static final class In {
+    public static final class Reader {
         private final CBORParser from;
 
-        public In(byte[] bytes) throws IOException {
+        public Reader(byte[] bytes) throws IOException {
             from = FACTORY.createParser(bytes);
         }
 
@@ -110,7 +110,7 @@
         }
 
         /** Bytes, or none where all has been read. */
-        public byte[] bytesIfAny() throws IOException {
+        public byte[] bytesOrEmpty() throws IOException {
             JsonToken token = from.nextToken();
             if (token != null && token != JsonToken.VALUE_EMBEDDED_OBJECT) {
                 throw new IOException("CBOR: " + token + " in place of bytes or the end");
@@ -119,7 +119,7 @@
         }
 
         /** Whether all has been read. */
-        public boolean ended() throws IOException {
+        public boolean atEnd() throws IOException {
             return from.nextToken() == null;
         }
     }
--- a/statemachine/src/main/java/lupinvalve/statemachine/Compaction.java
+++ b/statemachine/src/main/java/lupinvalve/statemachine/CompactionPolicy.java
@@ -1,11 +1,11 @@
 package lupinvalve.statemachine;
 
 /** Decides when the history is cut: what is on disk stays within twice the state that it leads to. */
-public final class Compaction {
+public final class CompactionPolicy {
     /** Below this much history a cut is not worth its writing. */
-    public static final long LEAST = 512 << 10;
+    public static final long MIN_HISTORY_BYTES = 512 << 10;
 
-    private Compaction() {}
+    private CompactionPolicy() {}
 
     /**
      * @param historyBytes of changes on disk
@@ -13,7 +13,7 @@
      *     well
      * @param stateBytes of the last snapshot
      */
-    public static boolean due(long historyBytes, long keptBytes, long stateBytes) {
-        return historyBytes - keptBytes > Math.max(LEAST, stateBytes);
+    public static boolean isDue(long historyBytes, long keptBytes, long stateBytes) {
+        return historyBytes - keptBytes > Math.max(MIN_HISTORY_BYTES, stateBytes);
     }
 }
--- a/statemachine/src/main/java/lupinvalve/statemachine/Sessions.java
+++ b/statemachine/src/main/java/lupinvalve/statemachine/SessionTable.java
@@ -9,9 +9,9 @@
  * Sessions' last commits, by age. A commit older than {@link #AGE} binds nothing: no db node that serves is so far
  * behind. Of more than {@link #MOST} the oldest go first.
  */
-public final class Sessions {
-    public static final long AGE = 600_000_000;
-    public static final int MOST = 50_000;
+public final class SessionTable {
+    public static final long MAX_AGE_MICROS = 600_000_000;
+    public static final int MAX_SESSIONS = 50_000;
 
     private record Aged(long position, String session) implements Comparable<Aged> {
         @Override
@@ -21,53 +21,53 @@
         }
     }
 
-    private final Map<String, Long> last = new HashMap<>();
+    private final Map<String, Long> lastCommit = new HashMap<>();
     private final TreeSet<Aged> byAge = new TreeSet<>();
-    private long latest;
+    private long latestMicros;
 
     /** Position of the session's last commit, or 0. */
-    public long last(String session) {
-        return last.getOrDefault(session, 0L);
+    public long lastCommit(String session) {
+        return lastCommit.getOrDefault(session, 0L);
     }
 
     public int size() {
-        return last.size();
+        return lastCommit.size();
     }
 
     /** Takes commits as of a time; what has grown too old by the latest time taken so far goes. */
-    public void take(long atMicros, Map<String, Long> positions) {
-        latest = Math.max(latest, atMicros);
+    public void apply(long atMicros, Map<String, Long> positions) {
+        latestMicros = Math.max(latestMicros, atMicros);
         positions.forEach(this::put);
-        long oldest = latest - AGE;
-        while (!byAge.isEmpty() && (byAge.size() > MOST || byAge.first().position() < oldest)) {
-            last.remove(byAge.pollFirst().session());
+        long oldest = latestMicros - MAX_AGE_MICROS;
+        while (!byAge.isEmpty() && (byAge.size() > MAX_SESSIONS || byAge.first().position() < oldest)) {
+            lastCommit.remove(byAge.pollFirst().session());
         }
     }
 
     private void put(String session, long position) {
-        Long before = last.get(session);
-        if (before != null && before >= position || position < latest - AGE) {
+        Long before = lastCommit.get(session);
+        if (before != null && before >= position || position < latestMicros - MAX_AGE_MICROS) {
             return;
         }
         if (before != null) {
             byAge.remove(new Aged(before, session));
         }
-        last.put(session, position);
+        lastCommit.put(session, position);
         byAge.add(new Aged(position, session));
     }
 
-    long latest() {
-        return latest;
+    long latestMicros() {
+        return latestMicros;
     }
 
     /** All that is held, the oldest first: the same order wherever the same is held. */
-    void each(ObjLongConsumer<String> to) {
+    void forEachOldestFirst(ObjLongConsumer<String> to) {
         byAge.forEach(aged -> to.accept(aged.session(), aged.position()));
     }
 
     void clear() {
-        last.clear();
+        lastCommit.clear();
         byAge.clear();
-        latest = 0;
+        latestMicros = 0;
     }
 }
--- a/statemachine/src/test/java/lupinvalve/statemachine/LedgerTest.java
+++ b/statemachine/src/test/java/lupinvalve/statemachine/ReplicatedStateTest.java
@@ -16,37 +16,38 @@
 import lupinvalve.routing.Routing;
 import org.junit.jupiter.api.Test;
 
-class LedgerTest {
+class ReplicatedStateTest {
     private static byte[] bytes(String text) {
         return text.getBytes(StandardCharsets.UTF_8);
     }
 
-    private static Change any(Random random, long now) {
-        Change.Holding held = new Change.Holding(Change.Kind.values()[random.nextInt(2)], "x" + random.nextInt(4));
+    private static Command any(Random random, long now) {
+        Command.DrainTarget held =
+                new Command.DrainTarget(Command.TargetKind.values()[random.nextInt(2)], "x" + random.nextInt(4));
         return switch (random.nextInt(7)) {
-            case 0 -> new Change.Put(random.nextInt(4), bytes("{\"n\":" + random.nextInt() + "}"));
-            case 1 -> new Change.Hold(held, "why " + random.nextInt(9), now);
-            case 2 -> new Change.Release(held);
+            case 0 -> new Command.PutDocument(random.nextInt(4), bytes("{\"n\":" + random.nextInt() + "}"));
+            case 1 -> new Command.StartDrain(held, "why " + random.nextInt(9), now);
+            case 2 -> new Command.EndDrain(held);
             case 3 -> {
                 Map<String, Long> positions = new HashMap<>();
                 for (int i = random.nextInt(20); i > 0; i--) {
                     positions.put("s" + random.nextInt(300), now - random.nextInt(900_000_000));
                 }
-                yield new Change.Commits(now, positions);
+                yield new Command.SessionCommits(now, positions);
             }
-            case 4 -> new Change.Listing(
+            case 4 -> new Command.EndpointList(
                     random.nextInt(50),
-                    List.of(new Change.Listed(
+                    List.of(new Command.Endpoint(
                             new Routing.Member("db-1", 1, 0, Routing.Health.DRAINING, random.nextBoolean(), now),
                             Map.of("pg", "127.0.0.1:1", "mysql", "127.0.0.1:2"),
                             random.nextBoolean() ? Routing.NO_POSITION : now)));
-            case 5 -> new Change.Place(
+            case 5 -> new Command.SetMemberAddress(
                     "m" + random.nextInt(3), random.nextInt(3) == 0 ? "" : "10.0.0.1:" + random.nextInt(9));
-            default -> new Change.Nothing();
+            default -> new Command.NoOp();
         };
     }
 
-    private static List<String> state(Ledger ledger) {
+    private static List<String> state(ReplicatedState ledger) {
         return Encoding.snapshot(ledger).stream().map(Arrays::toString).toList();
     }
 
@@ -54,18 +55,18 @@
     void changesAndSnapshotsComeBackAsTheyWereAndLeadToTheSame() throws Exception {
         for (int seed = 0; seed < 60; seed++) {
             Random random = new Random(seed);
-            Ledger one = new Ledger();
-            Ledger read = new Ledger();
-            Ledger resumed = new Ledger();
+            ReplicatedState one = new ReplicatedState();
+            ReplicatedState read = new ReplicatedState();
+            ReplicatedState resumed = new ReplicatedState();
             for (int i = 1; i < 150; i++) {
-                Change change = any(random, 1_000_000_000L + i * 20_000_000L);
+                Command change = any(random, 1_000_000_000L + i * 20_000_000L);
                 byte[] written = Encoding.write(change);
                 assertArrayEquals(written, Encoding.write(Encoding.read(written)));
-                Ledger.Outcome outcome = one.apply(i, change);
+                ReplicatedState.Outcome outcome = one.apply(i, change);
                 assertEquals(outcome, read.apply(i, Encoding.read(written)));
                 assertEquals(outcome, resumed.apply(i, change));
                 if (random.nextInt(10) == 0) {
-                    Ledger next = new Ledger();
+                    ReplicatedState next = new ReplicatedState();
                     Encoding.restore(next, Encoding.snapshot(resumed));
                     resumed = next;
                 }
@@ -77,57 +78,64 @@
 
     @Test
     void aConfigurationReplacesOnlyTheRevisionThatWasMeant() {
-        Ledger ledger = new Ledger();
+        ReplicatedState ledger = new ReplicatedState();
         assertNull(ledger.document());
-        assertEquals(new Ledger.Outcome(Ledger.Result.CONFLICT, 0), ledger.apply(1, new Change.Put(1, bytes("a"))));
-        assertEquals(new Ledger.Outcome(Ledger.Result.DONE, 1), ledger.apply(2, new Change.Put(0, bytes("a"))));
-        assertEquals(new Ledger.Outcome(Ledger.Result.CONFLICT, 1), ledger.apply(3, new Change.Put(0, bytes("b"))));
         assertEquals(
-                new Ledger.Outcome(Ledger.Result.TOO_MUCH, 1),
-                ledger.apply(4, new Change.Put(1, new byte[Ledger.DOCUMENT_MOST + 1])));
+                new ReplicatedState.Outcome(ReplicatedState.Result.CONFLICT, 0),
+                ledger.apply(1, new Command.PutDocument(1, bytes("a"))));
+        assertEquals(
+                new ReplicatedState.Outcome(ReplicatedState.Result.APPLIED, 1),
+                ledger.apply(2, new Command.PutDocument(0, bytes("a"))));
+        assertEquals(
+                new ReplicatedState.Outcome(ReplicatedState.Result.CONFLICT, 1),
+                ledger.apply(3, new Command.PutDocument(0, bytes("b"))));
+        assertEquals(
+                new ReplicatedState.Outcome(ReplicatedState.Result.LIMIT_EXCEEDED, 1),
+                ledger.apply(4, new Command.PutDocument(1, new byte[ReplicatedState.MAX_DOCUMENT_BYTES + 1])));
         assertEquals(2, ledger.document().index());
-        assertEquals(Ledger.digest(bytes("a")), ledger.document().digest());
+        assertEquals(ReplicatedState.digest(bytes("a")), ledger.document().digest());
     }
 
     @Test
     void sessionsAreBoundedAndAge() {
-        Sessions sessions = new Sessions();
+        SessionTable sessions = new SessionTable();
         Map<String, Long> many = new HashMap<>();
-        for (int i = 0; i < Sessions.MOST + 100; i++) {
+        for (int i = 0; i < SessionTable.MAX_SESSIONS + 100; i++) {
             many.put("s" + i, 1_000_000_000L + i);
         }
-        sessions.take(1_000_000_000L, many);
-        assertEquals(Sessions.MOST, sessions.size());
-        assertEquals(0, sessions.last("s99"));
-        assertEquals(1_000_000_100L, sessions.last("s100"));
-        sessions.take(1_000_000_000L, Map.of("s100", 5L));
-        assertEquals(1_000_000_100L, sessions.last("s100"), "a commit never goes back");
-        sessions.take(1_000_000_200L + Sessions.AGE, Map.of());
-        assertEquals(0, sessions.last("s199"));
-        assertEquals(1_000_000_200L, sessions.last("s200"));
+        sessions.apply(1_000_000_000L, many);
+        assertEquals(SessionTable.MAX_SESSIONS, sessions.size());
+        assertEquals(0, sessions.lastCommit("s99"));
+        assertEquals(1_000_000_100L, sessions.lastCommit("s100"));
+        sessions.apply(1_000_000_000L, Map.of("s100", 5L));
+        assertEquals(1_000_000_100L, sessions.lastCommit("s100"), "a commit never goes back");
+        sessions.apply(1_000_000_200L + SessionTable.MAX_AGE_MICROS, Map.of());
+        assertEquals(0, sessions.lastCommit("s199"));
+        assertEquals(1_000_000_200L, sessions.lastCommit("s200"));
     }
 
     @Test
     void whatIsNoChangeIsTurnedDown() {
-        byte[] put = Encoding.write(new Change.Put(0, bytes("{}")));
+        byte[] put = Encoding.write(new Command.PutDocument(0, bytes("{}")));
         assertThrows(IOException.class, () -> Encoding.read(Arrays.copyOf(put, put.length - 1)));
         assertThrows(IOException.class, () -> Encoding.read(new byte[] {23}));
         assertThrows(IOException.class, () -> Encoding.read(Arrays.copyOf(put, put.length + 1)));
         assertThrows(
                 IOException.class,
                 () -> Encoding.restore(
-                        new Ledger(), List.of(new Cbor.Out().number(2).done())));
+                        new ReplicatedState(),
+                        List.of(new Cbor.Writer().number(2).toByteArray())));
     }
 
     @Test
     void aBundleIsOutUntilItIsAnsweredAndNothingIsForgotten() {
         for (int seed = 0; seed < 200; seed++) {
             Random random = new Random(seed);
-            Outbox outbox = new Outbox();
+            SessionCommitBatcher outbox = new SessionCommitBatcher();
             Map<String, Long> wanted = new HashMap<>();
             Map<String, Long> accepted = new HashMap<>();
             List<Map.Entry<Long, Map.Entry<String, Long>>> numbers = new ArrayList<>();
-            Change.Commits out = null;
+            Command.SessionCommits out = null;
             long done = 0;
             for (long now = 0; now < 40_000_000 || outbox.size() > 0; now += 1000 + random.nextInt(300_000)) {
                 if (now < 40_000_000) {
@@ -136,13 +144,13 @@
                     numbers.add(Map.entry(outbox.add(session, now, now), Map.entry(session, now)));
                 }
                 if (out == null) {
-                    out = outbox.next(now);
+                    out = outbox.nextBatch(now);
                 } else {
                     boolean taken = random.nextInt(3) > 0;
                     if (taken) {
                         out.positions().forEach((s, p) -> accepted.merge(s, p, Math::max));
                     }
-                    done = Math.max(done, outbox.answered(taken, now));
+                    done = Math.max(done, outbox.onBatchAnswered(taken, now));
                     out = null;
                 }
                 for (Map.Entry<Long, Map.Entry<String, Long>> number : numbers) {
@@ -164,27 +172,32 @@
 
     @Test
     void historyIsCutOnceItOutweighsTheState() {
-        assertEquals(false, Compaction.due(Compaction.LEAST, 0, 0));
-        assertEquals(true, Compaction.due(Compaction.LEAST + 1, 0, 0));
-        assertEquals(false, Compaction.due(3_000_000, 0, 3_000_000));
-        assertEquals(false, Compaction.due(4_000_000, 2_000_000, 3_000_000));
+        assertEquals(false, CompactionPolicy.isDue(CompactionPolicy.MIN_HISTORY_BYTES, 0, 0));
+        assertEquals(true, CompactionPolicy.isDue(CompactionPolicy.MIN_HISTORY_BYTES + 1, 0, 0));
+        assertEquals(false, CompactionPolicy.isDue(3_000_000, 0, 3_000_000));
+        assertEquals(false, CompactionPolicy.isDue(4_000_000, 2_000_000, 3_000_000));
     }
 
     @Test
     void cutOffAPoolerGoesOnWithWhatItHasAndSaysSoOnce() {
-        Adoption adoption = new Adoption(0);
-        assertEquals("no configuration was accepted yet; what needs one is not served", adoption.acting());
-        Ledger.Document first = new Ledger.Document(1, 5, "d1", bytes("{}"));
-        assertEquals(Adoption.Verdict.ADOPT, adoption.accepted(first, null));
-        assertEquals(Adoption.Verdict.KNOWN, adoption.accepted(first, null));
+        ActiveConfiguration adoption = new ActiveConfiguration(0);
+        assertEquals("no configuration was accepted yet; what needs one is not served", adoption.describe());
+        ReplicatedState.Document first = new ReplicatedState.Document(1, 5, "d1", bytes("{}"));
+        assertEquals(ActiveConfiguration.Verdict.ACTIVATE, adoption.onCommitted(first, null));
+        assertEquals(ActiveConfiguration.Verdict.NOT_NEWER, adoption.onCommitted(first, null));
+        assertEquals(
+                ActiveConfiguration.Verdict.UNREADABLE,
+                adoption.onCommitted(new ReplicatedState.Document(2, 6, "d2", bytes("?")), "strange"));
+        assertEquals(first, adoption.active());
+        assertEquals("serving with revision 1 (d1); revision 2 can't be used: strange", adoption.describe());
+        assertNull(adoption.onQuorumContact(false, ActiveConfiguration.CUT_OFF_GRACE_MICROS - 1));
+        assertEquals(
+                "cut off from the majority: " + adoption.describe(),
+                adoption.onQuorumContact(false, ActiveConfiguration.CUT_OFF_GRACE_MICROS));
+        assertNull(adoption.onQuorumContact(false, ActiveConfiguration.CUT_OFF_GRACE_MICROS + 1));
         assertEquals(
-                Adoption.Verdict.UNREADABLE, adoption.accepted(new Ledger.Document(2, 6, "d2", bytes("?")), "strange"));
-        assertEquals(first, adoption.running());
-        assertEquals("serving with revision 1 (d1); revision 2 can't be used: strange", adoption.acting());
-        assertNull(adoption.touch(false, Adoption.GRACE - 1));
-        assertEquals("cut off from the majority: " + adoption.acting(), adoption.touch(false, Adoption.GRACE));
-        assertNull(adoption.touch(false, Adoption.GRACE + 1));
-        assertEquals("in touch with the majority again", adoption.touch(true, Adoption.GRACE + 2));
-        assertNull(adoption.touch(true, Adoption.GRACE + 3));
+                "in touch with the majority again",
+                adoption.onQuorumContact(true, ActiveConfiguration.CUT_OFF_GRACE_MICROS + 2));
+        assertNull(adoption.onQuorumContact(true, ActiveConfiguration.CUT_OFF_GRACE_MICROS + 3));
     }
 }
--- a/subscription/src/main/java/lupinvalve/subscription/DocumentDelta.java
+++ b/subscription/src/main/java/lupinvalve/subscription/DocumentDelta.java
@@ -6,7 +6,7 @@
 import java.util.Arrays;
 import java.util.List;
 import lupinvalve.statemachine.Cbor;
-import lupinvalve.statemachine.Ledger;
+import lupinvalve.statemachine.ReplicatedState;
 
 /** How one text of bytes comes from another: pieces of the old one, each followed by bytes of the new one. */
 public record DocumentDelta(List<Piece> pieces) {
@@ -56,8 +56,9 @@
                 throw new IOException("a difference that takes " + piece.length() + " bytes from " + piece.from()
                         + " of " + before.length);
             }
-            if ((long) after.size() + piece.length() + piece.bytes().length > Ledger.DOCUMENT_MOST) {
-                throw new IOException("a difference that comes to more than " + Ledger.DOCUMENT_MOST + " bytes");
+            if ((long) after.size() + piece.length() + piece.bytes().length > ReplicatedState.MAX_DOCUMENT_BYTES) {
+                throw new IOException(
+                        "a difference that comes to more than " + ReplicatedState.MAX_DOCUMENT_BYTES + " bytes");
             }
             after.write(before, piece.from(), piece.length());
             after.write(piece.bytes());
@@ -70,12 +71,12 @@
         return pieces.stream().mapToInt(piece -> FRAME + piece.bytes().length).sum();
     }
 
-    void write(Cbor.Out out) {
+    void write(Cbor.Writer out) {
         out.number(pieces.size());
         pieces.forEach(piece -> out.number(piece.from()).number(piece.length()).bytes(piece.bytes()));
     }
 
-    static DocumentDelta read(Cbor.In in) throws IOException {
+    static DocumentDelta read(Cbor.Reader in) throws IOException {
         List<Piece> pieces = new ArrayList<>();
         for (int left = in.count(PIECES_MOST); left > 0; left--) {
             pieces.add(new Piece(in.count(Integer.MAX_VALUE), in.count(Integer.MAX_VALUE), in.bytes()));
--- a/subscription/src/main/java/lupinvalve/subscription/FollowAnswer.java
+++ b/subscription/src/main/java/lupinvalve/subscription/FollowAnswer.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 import java.util.TreeMap;
 import lupinvalve.statemachine.Cbor;
-import lupinvalve.statemachine.Change;
-import lupinvalve.statemachine.Ledger;
+import lupinvalve.statemachine.Command;
+import lupinvalve.statemachine.ReplicatedState;
 
 /**
  * What a member answers a subscriber.
@@ -29,7 +29,7 @@
         long index,
         int comeBackMillis,
         News news,
-        Map<Change.Holding, Ledger.Held> holds) {
+        Map<Command.DrainTarget, ReplicatedState.Drain> holds) {
     private static final int COME_BACK_MOST = 60_000;
 
     /** What is told of the document. */
@@ -38,7 +38,7 @@
         record None() implements News {}
 
         /** All of it. */
-        record Whole(Ledger.Document document) implements News {}
+        record Whole(ReplicatedState.Document document) implements News {}
 
         /**
          * What leads to it from what the subscriber holds.
@@ -57,14 +57,14 @@
 
     /** The bytes for the wire. */
     public byte[] write() {
-        Cbor.Out out = new Cbor.Out()
+        Cbor.Writer out = new Cbor.Writer()
                 .number(leaseMicros)
                 .number(heldMicros)
                 .text(why)
                 .number(index)
                 .number(comeBackMillis);
         if (news instanceof News.Whole whole) {
-            Ledger.Document document = whole.document();
+            ReplicatedState.Document document = whole.document();
             out.number(WHOLE)
                     .number(document.revision())
                     .number(document.index())
@@ -84,11 +84,11 @@
         if (holds != null) {
             write(out, holds);
         }
-        return out.done();
+        return out.toByteArray();
     }
 
     public static FollowAnswer read(byte[] bytes) throws IOException {
-        Cbor.In in = new Cbor.In(bytes);
+        Cbor.Reader in = new Cbor.Reader(bytes);
         long lease = in.number();
         long held = in.number();
         String why = in.text();
@@ -98,7 +98,7 @@
         return new FollowAnswer(lease, held, why, index, comeBack, news, in.flag() ? holds(in) : null);
     }
 
-    private static News news(Cbor.In in) throws IOException {
+    private static News news(Cbor.Reader in) throws IOException {
         int kind = in.count(DIFFERENCES);
         if (kind == NONE) {
             return new News.None();
@@ -107,7 +107,7 @@
         long index = in.number();
         String digest = in.text();
         if (kind == WHOLE) {
-            return new News.Whole(new Ledger.Document(revision, index, digest, in.bytes()));
+            return new News.Whole(new ReplicatedState.Document(revision, index, digest, in.bytes()));
         }
         List<DocumentDelta> steps = new ArrayList<>();
         for (int left = in.count(RevisionHistory.STEPS_MOST); left > 0; left--) {
@@ -117,30 +117,30 @@
     }
 
     /** Holds as the wire and a subscriber's file have them. */
-    public static void write(Cbor.Out out, Map<Change.Holding, Ledger.Held> holds) {
+    public static void write(Cbor.Writer out, Map<Command.DrainTarget, ReplicatedState.Drain> holds) {
         out.number(holds.size());
         new TreeMap<>(holds)
                 .forEach((holding, held) -> out.number(holding.kind().ordinal())
                         .text(holding.name())
-                        .text(held.why())
-                        .number(held.atMicros()));
+                        .text(held.reason())
+                        .number(held.sinceMicros()));
     }
 
     /** Reads what {@link #write(Cbor.Out, Map)} wrote. */
-    public static Map<Change.Holding, Ledger.Held> holds(Cbor.In in) throws IOException {
-        Map<Change.Holding, Ledger.Held> holds = new TreeMap<>();
-        for (int left = in.count(Ledger.HOLDS_MOST); left > 0; left--) {
-            Change.Kind kind = Change.Kind.values()[in.count(Change.Kind.values().length - 1)];
-            Change.Holding holding = new Change.Holding(kind, in.text());
-            holds.put(holding, new Ledger.Held(in.text(), in.number()));
+    public static Map<Command.DrainTarget, ReplicatedState.Drain> holds(Cbor.Reader in) throws IOException {
+        Map<Command.DrainTarget, ReplicatedState.Drain> holds = new TreeMap<>();
+        for (int left = in.count(ReplicatedState.MAX_DRAINS); left > 0; left--) {
+            Command.TargetKind kind = Command.TargetKind.values()[in.count(Command.TargetKind.values().length - 1)];
+            Command.DrainTarget holding = new Command.DrainTarget(kind, in.text());
+            holds.put(holding, new ReplicatedState.Drain(in.text(), in.number()));
         }
         return holds;
     }
 
     /** What names holds in a request. */
-    public static String digest(Map<Change.Holding, Ledger.Held> holds) {
-        Cbor.Out out = new Cbor.Out();
+    public static String digest(Map<Command.DrainTarget, ReplicatedState.Drain> holds) {
+        Cbor.Writer out = new Cbor.Writer();
         write(out, holds);
-        return Ledger.digest(out.done());
+        return ReplicatedState.digest(out.toByteArray());
     }
 }
--- a/subscription/src/main/java/lupinvalve/subscription/FollowRequest.java
+++ b/subscription/src/main/java/lupinvalve/subscription/FollowRequest.java
@@ -35,7 +35,7 @@
 
     /** The bytes for the wire; the version comes first in every version. */
     public byte[] write() {
-        return new Cbor.Out()
+        return new Cbor.Writer()
                 .number(version)
                 .number(index)
                 .number(revision)
@@ -44,12 +44,12 @@
                 .flag(lease)
                 .flag(whole)
                 .text(objection)
-                .done();
+                .toByteArray();
     }
 
     /** Throws a {@link Newer} where another program asks in a way that this one does not know. */
     public static FollowRequest read(byte[] bytes) throws IOException {
-        Cbor.In in = new Cbor.In(bytes);
+        Cbor.Reader in = new Cbor.Reader(bytes);
         int version = in.count(Integer.MAX_VALUE);
         if (version != VERSION) {
             throw new Newer(version);
--- a/subscription/src/main/java/lupinvalve/subscription/FollowService.java
+++ b/subscription/src/main/java/lupinvalve/subscription/FollowService.java
@@ -3,8 +3,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import lupinvalve.statemachine.Change;
-import lupinvalve.statemachine.Ledger;
+import lupinvalve.statemachine.Command;
+import lupinvalve.statemachine.ReplicatedState;
 
 /**
  * What a member answers its subscribers: news, leases, and when to come back. Times are of its monotonic clock, in
@@ -21,7 +21,7 @@
     private final RevisionHistory history = new RevisionHistory();
     private final SubscriberTable table;
     private final WholeDocuments wholes = new WholeDocuments();
-    private Map<Change.Holding, Ledger.Held> holds = Map.of();
+    private Map<Command.DrainTarget, ReplicatedState.Drain> holds = Map.of();
     private String holdsDigest = FollowAnswer.digest(Map.of());
     private long applied;
 
@@ -39,7 +39,11 @@
      * @param document the one that holds, or null
      * @param index the change by which document or holds became this
      */
-    public void applied(Ledger.Document document, Map<Change.Holding, Ledger.Held> held, long index, long nowMicros) {
+    public void applied(
+            ReplicatedState.Document document,
+            Map<Command.DrainTarget, ReplicatedState.Drain> held,
+            long index,
+            long nowMicros) {
         table.known(index, nowMicros);
         if (index < applied) {
             return;
@@ -82,7 +86,7 @@
 
     /** The document; where the subscriber is ahead of this member there is nothing to tell it. */
     private boolean newer(FollowRequest request) {
-        Ledger.Document document = history.current();
+        ReplicatedState.Document document = history.current();
         return document != null
                 && (request.whole()
                         || request.revision() < document.revision()
@@ -113,7 +117,8 @@
             news = news(subscriber, request, nowMicros);
             comeBack = news == null ? wholes.comeBackMillis(nowMicros) : 0;
         }
-        Map<Change.Holding, Ledger.Held> told = ahead || holdsDigest.equals(request.holds()) ? null : holds;
+        Map<Command.DrainTarget, ReplicatedState.Drain> told =
+                ahead || holdsDigest.equals(request.holds()) ? null : holds;
         return new FollowAnswer(
                 lease.lengthMicros(),
                 heldMicros,
@@ -126,7 +131,7 @@
 
     /** The document by the shortest way; null where a whole one can't go out now. */
     private FollowAnswer.News news(String subscriber, FollowRequest request, long nowMicros) {
-        Ledger.Document document = history.current();
+        ReplicatedState.Document document = history.current();
         List<DocumentDelta> steps = request.whole() ? null : history.since(request.revision(), request.digest());
         if (steps != null) {
             return new FollowAnswer.News.Differences(document.revision(), document.index(), document.digest(), steps);
--- a/subscription/src/main/java/lupinvalve/subscription/FollowState.java
+++ b/subscription/src/main/java/lupinvalve/subscription/FollowState.java
@@ -4,9 +4,9 @@
 import java.util.Map;
 import java.util.function.Function;
 import lupinvalve.audit.Lease;
-import lupinvalve.statemachine.Adoption;
-import lupinvalve.statemachine.Change;
-import lupinvalve.statemachine.Ledger;
+import lupinvalve.statemachine.ActiveConfiguration;
+import lupinvalve.statemachine.Command;
+import lupinvalve.statemachine.ReplicatedState;
 
 /**
  * A subscriber's side: what it holds, what its pooler acts on, until when that may act, and what it asks next. It never
@@ -14,7 +14,8 @@
  */
 public final class FollowState {
     /** What is kept for a restart: the document, or null, and the holds, and up to which change they were whole. */
-    public record Kept(Ledger.Document document, Map<Change.Holding, Ledger.Held> holds, long index) {
+    public record Kept(
+            ReplicatedState.Document document, Map<Command.DrainTarget, ReplicatedState.Drain> holds, long index) {
         /** Nothing was accepted yet. */
         public static final Kept NOTHING = new Kept(null, Map.of(), 0);
     }
@@ -26,13 +27,14 @@
      * @param holds operators' holds as they now stand, or null where they have not changed
      * @param wrong what did not fit in the answer, or empty: the whole is asked for
      */
-    public record Heard(Ledger.Document adopt, Map<Change.Holding, Ledger.Held> holds, String wrong) {}
+    public record Heard(
+            ReplicatedState.Document adopt, Map<Command.DrainTarget, ReplicatedState.Drain> holds, String wrong) {}
 
     private final boolean wantsLease;
     private final Lease lease;
-    private final Adoption adoption;
-    private Ledger.Document document;
-    private Map<Change.Holding, Ledger.Held> holds;
+    private final ActiveConfiguration adoption;
+    private ReplicatedState.Document document;
+    private Map<Command.DrainTarget, ReplicatedState.Drain> holds;
     private String holdsDigest, shutOut = "";
     private long acting, pending;
     private boolean whole;
@@ -41,7 +43,7 @@
     public FollowState(boolean wantsLease, Kept kept, long nowMicros) {
         this.wantsLease = wantsLease;
         lease = new Lease(nowMicros);
-        adoption = new Adoption(nowMicros);
+        adoption = new ActiveConfiguration(nowMicros);
         document = kept.document();
         holds = kept.holds();
         holdsDigest = kept.index() == 0 ? "" : FollowAnswer.digest(holds);
@@ -50,7 +52,7 @@
     }
 
     /** Acts on what was kept as far as this version can; the same as for a document that was heard. */
-    public Ledger.Document begin(Function<byte[], String> objections) {
+    public ReplicatedState.Document begin(Function<byte[], String> objections) {
         return document == null ? null : adopt(objections);
     }
 
@@ -64,7 +66,7 @@
                 holdsDigest,
                 wantsLease,
                 whole,
-                adoption.unreadable());
+                adoption.unreadableReason());
     }
 
     /**
@@ -79,12 +81,12 @@
             // A member that is behind: what it tells is old.
             return new Heard(null, null, "");
         }
-        Map<Change.Holding, Ledger.Held> nextHolds = answer.holds();
+        Map<Command.DrainTarget, ReplicatedState.Drain> nextHolds = answer.holds();
         if (nextHolds != null) {
             holds = nextHolds;
             holdsDigest = FollowAnswer.digest(holds);
         }
-        Ledger.Document adopt = null;
+        ReplicatedState.Document adopt = null;
         if (!(answer.news() instanceof FollowAnswer.News.None)) {
             try {
                 document = told(answer.news());
@@ -95,7 +97,7 @@
             }
             adopt = adopt(objections);
         }
-        if (answer.index() != 0 && adoption.unreadable().isEmpty()) {
+        if (answer.index() != 0 && adoption.unreadableReason().isEmpty()) {
             pending = answer.index();
         }
         return new Heard(adopt, nextHolds, "");
@@ -108,12 +110,12 @@
         }
         shutOut = "";
         // The member had the request at the earliest when it was sent, and granted this so much later by its clock.
-        long held = (long) (Math.max(0, answer.heldMicros()) * (1 - Lease.DRIFT));
-        lease.granted(Math.min(nowMicros, askedMicros + held), Math.min(Lease.LENGTH, answer.leaseMicros()));
+        long held = (long) (Math.max(0, answer.heldMicros()) * (1 - Lease.MAX_CLOCK_DRIFT_RATIO));
+        lease.onGranted(Math.min(nowMicros, askedMicros + held), Math.min(Lease.DURATION_MICROS, answer.leaseMicros()));
     }
 
-    private Ledger.Document told(FollowAnswer.News news) throws IOException {
-        Ledger.Document next;
+    private ReplicatedState.Document told(FollowAnswer.News news) throws IOException {
+        ReplicatedState.Document next;
         if (news instanceof FollowAnswer.News.Whole all) {
             next = all.document();
         } else {
@@ -122,16 +124,18 @@
             for (DocumentDelta step : differences.steps()) {
                 content = step.apply(content);
             }
-            next = new Ledger.Document(differences.revision(), differences.index(), differences.digest(), content);
+            next = new ReplicatedState.Document(
+                    differences.revision(), differences.index(), differences.digest(), content);
         }
-        if (!Ledger.digest(next.content()).equals(next.digest())) {
+        if (!ReplicatedState.digest(next.content()).equals(next.digest())) {
             throw new IOException("revision " + next.revision() + " comes to another digest than " + next.digest());
         }
         return next;
     }
 
-    private Ledger.Document adopt(Function<byte[], String> objections) {
-        return adoption.accepted(document, objections.apply(document.content())) == Adoption.Verdict.ADOPT
+    private ReplicatedState.Document adopt(Function<byte[], String> objections) {
+        return adoption.onCommitted(document, objections.apply(document.content()))
+                        == ActiveConfiguration.Verdict.ACTIVATE
                 ? document
                 : null;
     }
@@ -148,17 +152,17 @@
 
     /** What is to be kept for a restart. */
     public Kept kept() {
-        return new Kept(adoption.running(), holds, adoption.unreadable().isEmpty() ? pending : acting);
+        return new Kept(adoption.active(), holds, adoption.unreadableReason().isEmpty() ? pending : acting);
     }
 
     /** Whether the pooler may act, where it needs a lease for that; from any thread. */
     public boolean holds(long nowMicros) {
-        return lease.holds(nowMicros);
+        return lease.isValid(nowMicros);
     }
 
     /** When the right to act ends, or has ended. */
     public long until() {
-        return lease.until();
+        return lease.untilMicros();
     }
 
     /** Why the last lease was not granted, or empty. */
@@ -172,12 +176,12 @@
     }
 
     /** Operators' holds as they were heard of last. */
-    public Map<Change.Holding, Ledger.Held> holds() {
+    public Map<Command.DrainTarget, ReplicatedState.Drain> holds() {
         return holds;
     }
 
     /** What is acted on, in words and by revision. */
-    public Adoption adoption() {
+    public ActiveConfiguration adoption() {
         return adoption;
     }
 }
--- a/subscription/src/main/java/lupinvalve/subscription/RevisionHistory.java
+++ b/subscription/src/main/java/lupinvalve/subscription/RevisionHistory.java
@@ -3,7 +3,7 @@
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
-import lupinvalve.statemachine.Ledger;
+import lupinvalve.statemachine.ReplicatedState;
 
 /** The document that holds and the differences that led to it, as many as are worth keeping. */
 public final class RevisionHistory {
@@ -15,10 +15,10 @@
 
     private final ArrayDeque<Step> steps = new ArrayDeque<>();
     private long bytes;
-    private Ledger.Document current;
+    private ReplicatedState.Document current;
 
     /** A majority has accepted a document. An older one, or the same again, changes nothing. */
-    public void accepted(Ledger.Document next) {
+    public void accepted(ReplicatedState.Document next) {
         if (next == null || current != null && next.revision() <= current.revision()) {
             return;
         }
@@ -39,7 +39,7 @@
     }
 
     /** The document that holds, or null. */
-    public Ledger.Document current() {
+    public ReplicatedState.Document current() {
         return current;
     }
 
--- a/subscription/src/main/java/lupinvalve/subscription/SubscriberTable.java
+++ b/subscription/src/main/java/lupinvalve/subscription/SubscriberTable.java
@@ -35,7 +35,7 @@
      *     while
      */
     public SubscriberTable(long nowMicros) {
-        earlierLifeUntil = nowMicros + (long) (Lease.LENGTH * (1 + Lease.DRIFT));
+        earlierLifeUntil = nowMicros + (long) (Lease.DURATION_MICROS * (1 + Lease.MAX_CLOCK_DRIFT_RATIO));
     }
 
     /** There is a change that subscribers must act on: applied here, or told of by the leader. */
@@ -92,7 +92,7 @@
             return new Granted(
                     0, objection.isEmpty() ? "acts on change " + acting + ", " + least + " is wanted" : objection);
         }
-        long length = Math.min(Lease.LENGTH, left);
+        long length = Math.min(Lease.DURATION_MICROS, left);
         one.until = Math.max(one.until, nowMicros + length);
         return new Granted(length, "");
     }
--- a/subscription/src/test/java/lupinvalve/subscription/DecisionsTest.java
+++ b/subscription/src/test/java/lupinvalve/subscription/DecisionsTest.java
@@ -15,20 +15,20 @@
 import java.util.Random;
 import java.util.TreeMap;
 import lupinvalve.audit.Lease;
-import lupinvalve.statemachine.Change;
-import lupinvalve.statemachine.Ledger;
+import lupinvalve.statemachine.Command;
+import lupinvalve.statemachine.ReplicatedState;
 import org.junit.jupiter.api.Test;
 
 /** What members and subscribers decide, each by itself. */
 class DecisionsTest {
     private static final List<String> MEMBERS = List.of("a", "b", "c");
 
-    private static Ledger.Document document(long revision, String text) {
+    private static ReplicatedState.Document document(long revision, String text) {
         byte[] content = text.getBytes(StandardCharsets.UTF_8);
-        return new Ledger.Document(revision, revision * 10, Ledger.digest(content), content);
+        return new ReplicatedState.Document(revision, revision * 10, ReplicatedState.digest(content), content);
     }
 
-    private static FollowRequest request(long index, Ledger.Document holding) {
+    private static FollowRequest request(long index, ReplicatedState.Document holding) {
         return new FollowRequest(
                 FollowRequest.VERSION,
                 index,
@@ -53,7 +53,7 @@
         refused(new DocumentDelta.Piece(3, 3, new byte[0]), 5);
         refused(new DocumentDelta.Piece(Integer.MAX_VALUE, Integer.MAX_VALUE, new byte[0]), 5);
         refused(new DocumentDelta.Piece(-1, 1, new byte[0]), 5);
-        refused(new DocumentDelta.Piece(0, 1, new byte[Ledger.DOCUMENT_MOST]), 5);
+        refused(new DocumentDelta.Piece(0, 1, new byte[ReplicatedState.MAX_DOCUMENT_BYTES]), 5);
     }
 
     private static void refused(DocumentDelta.Piece piece, int length) {
@@ -102,13 +102,13 @@
     @Test
     void aHistoryIsBoundedAndGivesUpWhereRevisionsWerePassedOver() {
         RevisionHistory history = new RevisionHistory();
-        Ledger.Document first = document(1, "x".repeat(2_000) + "1");
+        ReplicatedState.Document first = document(1, "x".repeat(2_000) + "1");
         history.accepted(first);
         for (int revision = 2; revision <= RevisionHistory.STEPS_MOST + 2; revision++) {
             history.accepted(document(revision, "x".repeat(2_000) + revision));
         }
         assertNull(history.since(1, first.digest()), "too long ago");
-        Ledger.Document last =
+        ReplicatedState.Document last =
                 document(RevisionHistory.STEPS_MOST + 1, "x".repeat(2_000) + (RevisionHistory.STEPS_MOST + 1));
         assertEquals(1, history.since(last.revision(), last.digest()).size());
         assertNull(history.since(last.revision(), "another content"));
@@ -129,11 +129,11 @@
                 "version 2 of following is asked for; this member speaks 1",
                 assertThrows(FollowRequest.Newer.class, () -> FollowRequest.read(newer.write()))
                         .getMessage());
-        Map<Change.Holding, Ledger.Held> holds = new TreeMap<>();
-        holds.put(new Change.Holding(Change.Kind.POOLER, "p"), new Ledger.Held("w", 5));
+        Map<Command.DrainTarget, ReplicatedState.Drain> holds = new TreeMap<>();
+        holds.put(new Command.DrainTarget(Command.TargetKind.POOLER, "p"), new ReplicatedState.Drain("w", 5));
         FollowAnswer answer = new FollowAnswer(1, 2, "why", 3, 4, new FollowAnswer.News.None(), holds);
         assertEquals(answer, FollowAnswer.read(answer.write()));
-        Ledger.Document whole = document(3, "{}");
+        ReplicatedState.Document whole = document(3, "{}");
         FollowAnswer all =
                 FollowAnswer.read(new FollowAnswer(1, 2, "", 3, 4, new FollowAnswer.News.Whole(whole), null).write());
         assertArrayEquals(
@@ -148,7 +148,7 @@
         table.right(1_500_000, 5, 0);
         assertEquals(1_500_000, table.renew("s", 5, "", 0).lengthMicros());
         table.right(10_000_000, 5, 100);
-        assertEquals(Lease.LENGTH, table.renew("s", 5, "", 100).lengthMicros());
+        assertEquals(Lease.DURATION_MICROS, table.renew("s", 5, "", 100).lengthMicros());
         table.known(9, 200);
         assertTrue(table.renew("s", 5, "", 200 + SubscriberTable.CATCH_UP - 1).lengthMicros() > 0);
         SubscriberTable.Granted late = table.renew("s", 5, "", 200 + SubscriberTable.CATCH_UP);
@@ -246,8 +246,8 @@
     @Test
     void aSubscriberNeverGoesBackAndAsksForTheWholeWhereADifferenceIsWrong() {
         FollowState state = new FollowState(true, FollowState.Kept.NOTHING, 0);
-        Ledger.Document one = document(1, "{\"a\":1}");
-        Ledger.Document two = document(2, "{\"a\":2}");
+        ReplicatedState.Document one = document(1, "{\"a\":1}");
+        ReplicatedState.Document two = document(2, "{\"a\":2}");
         FollowAnswer whole = new FollowAnswer(0, 0, "", 10, 0, new FollowAnswer.News.Whole(one), Map.of());
         assertEquals(one, state.heard(whole, 0, 0, content -> null).adopt());
         assertEquals(0, state.acting(), "until its pooler acts on it");
@@ -262,7 +262,7 @@
         state.acted(state.heardUpTo());
         assertNull(state.heard(whole, 0, 0, content -> null).adopt(), "a member that is behind");
         assertEquals(2, state.request().revision());
-        Ledger.Document unreadable = document(3, "{\"new\":1}");
+        ReplicatedState.Document unreadable = document(3, "{\"new\":1}");
         FollowAnswer next = new FollowAnswer(0, 0, "", 30, 0, new FollowAnswer.News.Whole(unreadable), null);
         assertNull(state.heard(next, 0, 0, content -> "unknown").adopt());
         state.acted(state.heardUpTo());
@@ -274,10 +274,11 @@
     @Test
     void aLeaseCountsFromWhenTheMemberGrantedItAtTheEarliest() {
         FollowState state = new FollowState(true, FollowState.Kept.NOTHING, 0);
-        long granted = 1_000_000 + (long) (400_000 * (1 - Lease.DRIFT));
-        FollowAnswer answer = new FollowAnswer(Lease.LENGTH, 400_000, "", 1, 0, new FollowAnswer.News.None(), null);
+        long granted = 1_000_000 + (long) (400_000 * (1 - Lease.MAX_CLOCK_DRIFT_RATIO));
+        FollowAnswer answer =
+                new FollowAnswer(Lease.DURATION_MICROS, 400_000, "", 1, 0, new FollowAnswer.News.None(), null);
         state.heard(answer, 1_000_000, 1_450_000, content -> null);
-        assertEquals(Lease.end(granted, Lease.LENGTH), state.until());
+        assertEquals(Lease.endMicros(granted, Lease.DURATION_MICROS), state.until());
         // A member that says it had the request for longer than it was away is not believed.
         FollowState other = new FollowState(true, FollowState.Kept.NOTHING, 0);
         other.heard(
@@ -285,14 +286,14 @@
                 1_000_000,
                 1_450_000,
                 content -> null);
-        assertEquals(Lease.end(1_450_000, Lease.LENGTH), other.until());
+        assertEquals(Lease.endMicros(1_450_000, Lease.DURATION_MICROS), other.until());
     }
 
     @Test
     void aServiceTellsTheShortestWayAndHoldsARequestThatHasAll() {
         FollowService service = new FollowService("", 0);
-        Ledger.Document one = document(1, "x".repeat(500) + 1);
-        Ledger.Document two = document(2, "x".repeat(500) + 2);
+        ReplicatedState.Document one = document(1, "x".repeat(500) + 1);
+        ReplicatedState.Document two = document(2, "x".repeat(500) + 2);
         service.applied(one, Map.of(), 10, 0);
         service.applied(two, Map.of(), 20, 0);
         assertFalse(service.hasNews(request(20, two)));
--- a/subscription/src/test/java/lupinvalve/subscription/SpoiltAnswer.java
+++ b/subscription/src/test/java/lupinvalve/subscription/SpoiltAnswer.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
-import lupinvalve.statemachine.Ledger;
+import lupinvalve.statemachine.ReplicatedState;
 
 /** A difference that comes to something else, as where member and subscriber started from different contents. */
 final class SpoiltAnswer {
@@ -15,7 +15,7 @@
      * @param core what they start from
      * @param fits whether its digest is what comes out, as if nobody checked it
      */
-    static FollowAnswer of(FollowAnswer answer, Ledger.Document core, boolean fits) {
+    static FollowAnswer of(FollowAnswer answer, ReplicatedState.Document core, boolean fits) {
         FollowAnswer.News.Differences told = (FollowAnswer.News.Differences) answer.news();
         List<DocumentDelta> steps = new ArrayList<>(told.steps());
         List<DocumentDelta.Piece> pieces =
@@ -33,7 +33,7 @@
                 answer.holds());
     }
 
-    private static String outcome(Ledger.Document core, List<DocumentDelta> steps) {
+    private static String outcome(ReplicatedState.Document core, List<DocumentDelta> steps) {
         byte[] content = core == null ? new byte[0] : core.content();
         try {
             for (DocumentDelta step : steps) {
@@ -42,6 +42,6 @@
         } catch (IOException e) {
             return "none";
         }
-        return Ledger.digest(content);
+        return ReplicatedState.digest(content);
     }
 }
--- a/subscription/src/test/java/lupinvalve/subscription/SubscriptionSimulationTest.java
+++ b/subscription/src/test/java/lupinvalve/subscription/SubscriptionSimulationTest.java
@@ -79,7 +79,10 @@
         // A lease's length until the member knows, the time to catch up, a lease's length again; with clocks that
         // drift.
         assertTrue(
-                latest > 3 * SECOND && latest < 2 * Lease.LENGTH * (1 + 2 * Lease.DRIFT) + SubscriberTable.CATCH_UP,
+                latest > 3 * SECOND
+                        && latest
+                                < 2 * Lease.DURATION_MICROS * (1 + 2 * Lease.MAX_CLOCK_DRIFT_RATIO)
+                                        + SubscriberTable.CATCH_UP,
                 latest + " us");
         assertTrue(
                 adopted > 50_000 && strict > 1_000 && wrong > 100,
--- a/subscription/src/test/java/lupinvalve/subscription/SubscriptionWorld.java
+++ b/subscription/src/test/java/lupinvalve/subscription/SubscriptionWorld.java
@@ -8,9 +8,9 @@
 import java.util.Map;
 import java.util.Set;
 import lupinvalve.audit.Lease;
-import lupinvalve.audit.Leases;
-import lupinvalve.statemachine.Change;
-import lupinvalve.statemachine.Ledger;
+import lupinvalve.audit.LeaseManager;
+import lupinvalve.statemachine.Command;
+import lupinvalve.statemachine.ReplicatedState;
 
 /**
  * Three members and their subscribers in virtual time, with clocks that drift, messages that come late or never, cuts
@@ -31,11 +31,11 @@
     /** In force everywhere within this, or fenced. */
     static final long BOUND = 6_000_000;
 
-    private static final Change.Holding HELD = new Change.Holding(Change.Kind.NODE, "n");
+    private static final Command.DrainTarget HELD = new Command.DrainTarget(Command.TargetKind.NODE, "n");
     private static final int MEMBERS = 3;
 
     /** One of the accepted changes: the revision and the hold's number after it. */
-    private record Accepted(long index, long atMicros, Ledger.Document document, int hold) {}
+    private record Accepted(long index, long atMicros, ReplicatedState.Document document, int hold) {}
 
     private final Planted planted;
     private final List<Accepted> history = new ArrayList<>();
@@ -70,7 +70,7 @@
     private final class Member extends Process {
         FollowService service;
         Lease lease;
-        Leases leases;
+        LeaseManager leases;
         long applied, confirmed;
         int taken;
         boolean lags;
@@ -126,7 +126,7 @@
                 after(delay(), () -> {
                     if (leader == this && majority(this)) {
                         confirmed = askedAt;
-                        leases = leases == null ? new Leases(clock(), applied) : leases;
+                        leases = leases == null ? new LeaseManager(clock(), applied) : leases;
                     }
                 });
             } else if (leader != this && random.nextDouble() < 0.3) {
@@ -144,7 +144,7 @@
                 granted(grant(name, applied, floor), askedAt, applied);
             } else {
                 send(this, to, () -> {
-                    Leases.Granted granted = to.grant(name, applied, floor);
+                    LeaseManager.Renewal granted = to.grant(name, applied, floor);
                     long told = to.applied;
                     to.after(0, () -> send(to, this, () -> granted(granted, askedAt, told)));
                 });
@@ -152,21 +152,21 @@
             after(300_000, this::renew);
         }
 
-        private Leases.Granted grant(String who, long acting, long floor) {
-            long left = leases == null ? 0 : confirmed + Lease.LENGTH - clock();
+        private LeaseManager.Renewal grant(String who, long acting, long floor) {
+            long left = leases == null ? 0 : confirmed + Lease.DURATION_MICROS - clock();
             if (left <= 0) {
-                return new Leases.Granted(0, "");
+                return new LeaseManager.Renewal(0, "");
             }
-            Leases.Granted granted = leases.renew(who, acting, "", floor, clock());
-            return new Leases.Granted(Math.min(left, granted.lengthMicros()), granted.why());
+            LeaseManager.Renewal granted = leases.renew(who, acting, "", floor, clock());
+            return new LeaseManager.Renewal(Math.min(left, granted.durationMicros()), granted.reason());
         }
 
-        private void granted(Leases.Granted granted, long askedAt, long told) {
-            if (granted.lengthMicros() > 0) {
-                lease.granted(askedAt, granted.lengthMicros());
+        private void granted(LeaseManager.Renewal granted, long askedAt, long told) {
+            if (granted.durationMicros() > 0) {
+                lease.onGranted(askedAt, granted.durationMicros());
                 long beyond = planted == Planted.GRANTS_PAST_ITS_OWN ? 20_000_000 : 0;
                 service.right(
-                        Lease.end(askedAt, granted.lengthMicros()) + beyond,
+                        Lease.endMicros(askedAt, granted.durationMicros()) + beyond,
                         planted == Planted.LEADERS_CHANGE_UNHEARD ? 0 : told,
                         clock());
             }
@@ -219,8 +219,8 @@
         return of.runs && of.standsUntil <= now && with > MEMBERS / 2;
     }
 
-    private static Map<Change.Holding, Ledger.Held> holds(int number) {
-        return number == 0 ? Map.of() : Map.of(HELD, new Ledger.Held("hold " + number, number));
+    private static Map<Command.DrainTarget, ReplicatedState.Drain> holds(int number) {
+        return number == 0 ? Map.of() : Map.of(HELD, new ReplicatedState.Drain("hold " + number, number));
     }
 
     /**
@@ -233,13 +233,13 @@
         }
         Accepted last = history.isEmpty() ? new Accepted(0, 0, null, 0) : history.get(history.size() - 1);
         index += 1 + random.nextInt(5);
-        Ledger.Document document = last.document();
+        ReplicatedState.Document document = last.document();
         if (!hold || document == null) {
             long revision = document == null ? 1 : document.revision() + 1;
             String text = "{\"databases\":\"" + "x".repeat(300) + "\",\"revision\":" + revision + ",\"seed\":"
                     + random.nextInt(1000) + "}";
             byte[] content = text.getBytes(StandardCharsets.UTF_8);
-            document = new Ledger.Document(revision, index, Ledger.digest(content), content);
+            document = new ReplicatedState.Document(revision, index, ReplicatedState.digest(content), content);
             digests.put(revision, document.digest());
         }
         Accepted next = new Accepted(index, now, document, hold ? last.hold() + 1 : last.hold());
@@ -248,18 +248,18 @@
         by.taken = history.size();
         by.apply();
         if (strict && by.leases != null) {
-            by.leases.strict(index, by.clock());
-            Leases mine = by.leases;
+            by.leases.requireIndex(index, by.clock());
+            LeaseManager mine = by.leases;
             by.after(20_000, () -> settle(by, mine, next));
         }
     }
 
-    private void settle(Member by, Leases leases, Accepted change) {
+    private void settle(Member by, LeaseManager leases, Accepted change) {
         if (by.leases != leases) {
             return;
         }
         List<String> names = members.stream().map(one -> one.name).toList();
-        if (!leases.waitedFor(change.index(), names, by.confirmed).isEmpty()) {
+        if (!leases.pendingPoolers(change.index(), names, by.confirmed).isEmpty()) {
             by.after(20_000, () -> settle(by, leases, change));
             return;
         }
@@ -289,7 +289,7 @@
         private FollowState state;
         private FollowSchedule schedule;
         private int link, coreHold;
-        private Ledger.Document core;
+        private ReplicatedState.Document core;
         private long coreFrom, mustActOn;
         private boolean asking;
 
@@ -307,8 +307,8 @@
             connect(0);
         }
 
-        private int number(Map<Change.Holding, Ledger.Held> holds) {
-            return holds.isEmpty() ? 0 : (int) holds.get(HELD).atMicros();
+        private int number(Map<Command.DrainTarget, ReplicatedState.Drain> holds) {
+            return holds.isEmpty() ? 0 : (int) holds.get(HELD).sinceMicros();
         }
 
         private void connect(long pause) {
@@ -401,8 +401,8 @@
             long upTo = state.heardUpTo();
             long takes = random.nextDouble() < 0.97 ? 1_000 : (long) (random.nextDouble() * 600_000);
             coreFrom = Math.max(coreFrom, now + takes);
-            Ledger.Document adopt = news.adopt();
-            Map<Change.Holding, Ledger.Held> holds = news.holds();
+            ReplicatedState.Document adopt = news.adopt();
+            Map<Command.DrainTarget, ReplicatedState.Drain> holds = news.holds();
             after(coreFrom - now, () -> {
                 core = adopt != null ? adopt : core;
                 coreHold = holds != null ? number(holds) : coreHold;
