--- a/capacity/src/test/java/lupinvalve/replication/MessageSizes.java
+++ b/capacity/src/test/java/lupinvalve/replication/MessageSizes.java
@@ -10,7 +10,7 @@
 import lupinvalve.audit.AuditEntry;
 import lupinvalve.routing.Routing;
 import lupinvalve.statemachine.Command;
-import lupinvalve.statemachine.Encoding;
+import lupinvalve.statemachine.CommandCodec;
 import lupinvalve.statemachine.MemberId;
 import lupinvalve.subscription.FollowAnswer;
 import lupinvalve.subscription.FollowRequest;
@@ -96,7 +96,7 @@
         for (int i = 0; i < MANY; i++) {
             positions.put("session-" + (1_000_000 + i), NOW + i);
         }
-        return Encoding.write(new Command.SessionCommits(NOW, positions)).length / MANY;
+        return CommandCodec.encode(new Command.SessionCommits(NOW, positions)).length / MANY;
     }
 
     /** The two entries that a member notes for one configuration. */
@@ -115,7 +115,7 @@
                 "00112233445566778899aabbccddeeff");
         AuditEntry ceased = new AuditEntry(
                 NAME, NOW, 18, AuditEntry.Event.CEASED_OTHERS, version, INDEX, NOW, 20_000, "", adopted.digest());
-        return Encoding.write(new Command.AppendAudit(NAME, NOW, 17, List.of(adopted.encode(), ceased.encode())))
+        return CommandCodec.encode(new Command.AppendAudit(NAME, NOW, 17, List.of(adopted.encode(), ceased.encode())))
                 .length;
     }
 
@@ -127,7 +127,7 @@
                     new Routing.Member("node-" + (1000 + i), i / 6, i % 7, Routing.Health.LIVE, i % 6 == 0, NOW);
             nodes.add(new Command.Endpoint(member, Map.of("pg", "10.17.3." + i % 250 + ":5432"), NOW));
         }
-        return Encoding.write(new Command.EndpointList(NOW, nodes)).length / MANY;
+        return CommandCodec.encode(new Command.EndpointList(NOW, nodes)).length / MANY;
     }
 
     /** A word that only says that the connection stands. */
--- a/faultinjection/src/test/java/lupinvalve/replication/SegmentedLogTest.java
+++ b/faultinjection/src/test/java/lupinvalve/replication/SegmentedLogTest.java
@@ -12,9 +12,10 @@
 import java.util.Set;
 import lupinvalve.statemachine.ClusterBootstrap;
 import lupinvalve.statemachine.Command;
-import lupinvalve.statemachine.Encoding;
+import lupinvalve.statemachine.CommandCodec;
 import lupinvalve.statemachine.MemberId;
 import lupinvalve.statemachine.ReplicatedState;
+import lupinvalve.statemachine.SnapshotCodec;
 import org.junit.jupiter.api.Test;
 
 class SegmentedLogTest {
@@ -30,7 +31,7 @@
                 .createLogEntryBuilder()
                 .setIndex(index)
                 .setTerm(term)
-                .setOperation(Encoding.write(
+                .setOperation(CommandCodec.encode(
                         new Command.PutDocument(index - 1, ("{\"n\":" + index + "}").getBytes(StandardCharsets.UTF_8))))
                 .build();
     }
@@ -151,9 +152,9 @@
         log.accepted(12);
         ReplicatedState ledger = new ReplicatedState();
         for (int i = 1; i <= 15; i++) {
-            ledger.apply(i, Encoding.read((byte[]) entry(i, 3).getOperation()));
+            ledger.apply(i, CommandCodec.decode((byte[]) entry(i, 3).getOperation()));
         }
-        List<byte[]> pieces = Encoding.snapshot(ledger);
+        List<byte[]> pieces = SnapshotCodec.encode(ledger);
         for (int i = 0; i < pieces.size(); i++) {
             log.persistSnapshotChunk(Models.FACTORY
                     .createSnapshotChunkBuilder()
--- a/lab/src/main/java/lupinvalve/lab/StoreBench.java
+++ b/lab/src/main/java/lupinvalve/lab/StoreBench.java
@@ -20,7 +20,7 @@
 import lupinvalve.replication.Group;
 import lupinvalve.replication.Messages;
 import lupinvalve.statemachine.Command;
-import lupinvalve.statemachine.Encoding;
+import lupinvalve.statemachine.CommandCodec;
 import lupinvalve.statemachine.ReplicatedState;
 import org.HdrHistogram.ConcurrentHistogram;
 import org.HdrHistogram.Histogram;
@@ -178,7 +178,8 @@
             for (long n = number; System.nanoTime() < end || done.get() < least; n += CONNECTIONS) {
                 room.acquire();
                 long now = System.currentTimeMillis() * 1000;
-                byte[] change = Encoding.write(new Command.SessionCommits(now, Map.of("session-" + n % SESSIONS, now)));
+                byte[] change =
+                        CommandCodec.encode(new Command.SessionCommits(now, Map.of("session-" + n % SESSIONS, now)));
                 // Calls are numbered from 1 on; the answer may be here before the call returns.
                 sentAt.put(++calls, System.nanoTime());
                 session.send("propose", List.of(change));
--- a/replication/src/main/java/lupinvalve/replication/Group.java
+++ b/replication/src/main/java/lupinvalve/replication/Group.java
@@ -21,7 +21,7 @@
 import lupinvalve.statemachine.ActiveConfiguration;
 import lupinvalve.statemachine.ClusterBootstrap;
 import lupinvalve.statemachine.Command;
-import lupinvalve.statemachine.Encoding;
+import lupinvalve.statemachine.CommandCodec;
 import lupinvalve.statemachine.MemberId;
 import lupinvalve.statemachine.ReplicatedState;
 import lupinvalve.statemachine.SessionCommitBatcher;
@@ -179,7 +179,7 @@
 
     @Override
     public Known known() {
-        return new Known(warm.document(), warm.endpointList().endpoints(), Encoding.commits(warm));
+        return new Known(warm.document(), warm.endpointList().endpoints(), warm.sessionCommits());
     }
 
     /** Begins to take part; {@code beside} hears first what was accepted before. */
@@ -420,7 +420,7 @@
                 adopt(ledger.document());
             }
             pooler.holds(ledger.drains());
-            pooler.commits(Encoding.commits(ledger));
+            pooler.commits(ledger.sessionCommits());
             ledger.memberAddresses().forEach(Group.this::place);
         }
 
@@ -620,7 +620,7 @@
             peers.call(
                     leader,
                     "propose",
-                    List.of(Encoding.write(change)),
+                    List.of(CommandCodec.encode(change)),
                     Questions.FORWARDED,
                     answer -> accepted.accept(answer.code() == Messages.Code.OK));
         }
--- a/replication/src/main/java/lupinvalve/replication/Questions.java
+++ b/replication/src/main/java/lupinvalve/replication/Questions.java
@@ -16,7 +16,7 @@
 import lupinvalve.statemachine.Cbor;
 import lupinvalve.statemachine.ClusterBootstrap;
 import lupinvalve.statemachine.Command;
-import lupinvalve.statemachine.Encoding;
+import lupinvalve.statemachine.CommandCodec;
 import lupinvalve.statemachine.MemberId;
 import lupinvalve.statemachine.MembershipChange;
 import lupinvalve.statemachine.ReplicatedState;
@@ -84,7 +84,7 @@
         String name = call.name().startsWith(">") ? call.name().substring(1) : call.name();
         switch (name) {
             case "propose" -> group.replica()
-                    .propose(Encoding.read(call.arguments().get(0)), told(call, answer, outcome -> "{}"));
+                    .propose(CommandCodec.decode(call.arguments().get(0)), told(call, answer, outcome -> "{}"));
             case "get" -> group.replica().upToDate(told(call, answer, ok -> document(call)));
             case "put" -> put(call, answer);
             case "hold" -> group.replica()
--- a/replication/src/main/java/lupinvalve/replication/Replica.java
+++ b/replication/src/main/java/lupinvalve/replication/Replica.java
@@ -33,11 +33,12 @@
 import java.util.function.Supplier;
 import lupinvalve.log.Log;
 import lupinvalve.statemachine.Command;
+import lupinvalve.statemachine.CommandCodec;
 import lupinvalve.statemachine.CompactionPolicy;
-import lupinvalve.statemachine.Encoding;
 import lupinvalve.statemachine.MemberId;
 import lupinvalve.statemachine.MembershipChange;
 import lupinvalve.statemachine.ReplicatedState;
+import lupinvalve.statemachine.SnapshotCodec;
 
 /**
  * One member's part in the group's history: the library's node, fed with messages and the disk, and the ledger that it
@@ -204,7 +205,7 @@
             }
             Command change;
             try {
-                change = Encoding.read((byte[]) operation);
+                change = CommandCodec.decode((byte[]) operation);
             } catch (IOException e) {
                 // To pass it over would be to hold another state than those who can read it.
                 Log.error("store: change %s can't be read: %s", index, e.getMessage());
@@ -236,13 +237,13 @@
 
         @Override
         public void takeSnapshot(long index, Consumer<Object> pieces) {
-            Encoding.snapshot(ledger).forEach(pieces);
+            SnapshotCodec.encode(ledger).forEach(pieces);
         }
 
         @Override
         public void installSnapshot(long index, List<Object> pieces) {
             try {
-                Encoding.restore(
+                SnapshotCodec.restore(
                         ledger, pieces.stream().map(piece -> (byte[]) piece).toList());
                 log.accepted(index);
             } catch (IOException e) {
@@ -255,7 +256,7 @@
 
         @Override
         public Object getNewTermOperation() {
-            return Encoding.write(new Command.NoOp());
+            return CommandCodec.encode(new Command.NoOp());
         }
     }
 
@@ -318,7 +319,7 @@
     }
 
     void propose(Command change, Then<ReplicatedState.Outcome> then) {
-        answer(() -> node.replicate(Encoding.write(change)), then);
+        answer(() -> node.replicate(CommandCodec.encode(change)), then);
     }
 
     /** Answers once the ledger here holds all that was accepted anywhere before the question. */
@@ -385,12 +386,12 @@
         ReplicatedState ledger = new ReplicatedState();
         List<byte[]> pieces = log.snapshotPieces();
         if (!pieces.isEmpty()) {
-            Encoding.restore(ledger, pieces);
+            SnapshotCodec.restore(ledger, pieces);
         }
         Collection<LogEntry> accepted = log.accepted().values();
         for (LogEntry entry : accepted) {
             if (entry.getOperation() instanceof byte[] change) {
-                ledger.apply(entry.getIndex(), Encoding.read(change));
+                ledger.apply(entry.getIndex(), CommandCodec.decode(change));
             }
         }
         return ledger;
--- a/statemachine/src/main/java/lupinvalve/statemachine/Cbor.java
+++ b/statemachine/src/main/java/lupinvalve/statemachine/Cbor.java
@@ -8,20 +8,21 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 
-/** Values one after another in CBOR (RFC 8949; a sequence as in RFC 8742), as files and the wire have them. */
+/** Codec for CBOR sequences (RFC 8949, RFC 8742), the form of values in files and on the wire. */
 public final class Cbor {
     private static final CBORFactory FACTORY = new CBORFactory();
 
     private Cbor() {}
 
-    /** Writes values; what went wrong in memory is a fault of the program. */
+    /** Writes a sequence to memory. Not thread-safe. */
     public static final class Writer {
         private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        private final CBORGenerator to;
+        private final CBORGenerator generator;
 
+        /** Starts an empty sequence. */
         public Writer() {
             try {
-                to = FACTORY.createGenerator(bytes);
+                generator = FACTORY.createGenerator(bytes);
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
@@ -31,6 +32,7 @@
             void run() throws IOException;
         }
 
+        /** A failed write to memory is a fault of the program. */
         private Writer write(Write write) {
             try {
                 write.run();
@@ -40,87 +42,115 @@
             return this;
         }
 
-        public Writer number(long n) {
-            return write(() -> to.writeNumber(n));
+        /** Appends an integer. */
+        public Writer number(long value) {
+            return write(() -> generator.writeNumber(value));
         }
 
-        public Writer text(String s) {
-            return write(() -> to.writeString(s));
+        /** Appends a string. */
+        public Writer text(String value) {
+            return write(() -> generator.writeString(value));
         }
 
-        public Writer bytes(byte[] b) {
-            return write(() -> to.writeBinary(b));
+        /** Appends a byte string. */
+        public Writer bytes(byte[] value) {
+            return write(() -> generator.writeBinary(value));
         }
 
-        public Writer flag(boolean b) {
-            return write(() -> to.writeBoolean(b));
+        /** Appends a boolean. */
+        public Writer flag(boolean value) {
+            return write(() -> generator.writeBoolean(value));
         }
 
+        /** The whole sequence; nothing can be appended afterwards. */
         public byte[] toByteArray() {
-            write(to::close);
+            write(generator::close);
             return bytes.toByteArray();
         }
     }
 
-    /** Reads values; throws where another kind stands, or none. */
+    /**
+     * Reads a sequence value by value. Not thread-safe. Each method throws {@link DecodingException} where the next
+     * value is of another kind or missing, and another {@link IOException} where the bytes are no CBOR.
+     */
     public static final class Reader {
-        private final CBORParser from;
+        private final CBORParser parser;
+        private int valueNumber;
 
+        /** Starts before the first value. */
         public Reader(byte[] bytes) throws IOException {
-            from = FACTORY.createParser(bytes);
+            parser = FACTORY.createParser(bytes);
         }
 
-        private void next(JsonToken wanted) throws IOException {
-            JsonToken token = from.nextToken();
-            if (token != wanted) {
-                throw new IOException("CBOR: " + token + " in place of " + wanted);
+        private JsonToken next() throws IOException {
+            valueNumber++;
+            return parser.nextToken();
+        }
+
+        private void expect(JsonToken expected) throws IOException {
+            JsonToken token = next();
+            if (token != expected) {
+                throw unexpected(token, expected.toString());
             }
         }
 
+        private DecodingException unexpected(JsonToken token, String expected) {
+            return problem(token + " in place of " + expected);
+        }
+
+        private DecodingException problem(String what) {
+            return new DecodingException(
+                    what, valueNumber, parser.currentLocation().getByteOffset());
+        }
+
+        /** An integer. */
         public long number() throws IOException {
-            next(JsonToken.VALUE_NUMBER_INT);
-            return from.getLongValue();
+            expect(JsonToken.VALUE_NUMBER_INT);
+            return parser.getLongValue();
         }
 
-        /** A number of things that follow. */
-        public int count(int most) throws IOException {
-            long n = number();
-            if (n < 0 || n > most) {
-                throw new IOException("CBOR: a count of " + n);
+        /** The number of items that follow, or an ordinal; throws also where it is negative or above {@code max}. */
+        public int count(int max) throws IOException {
+            long count = number();
+            if (count < 0 || count > max) {
+                throw problem("a count of " + count + " where " + max + " is the most");
             }
-            return (int) n;
+            return (int) count;
         }
 
+        /** A string. */
         public String text() throws IOException {
-            next(JsonToken.VALUE_STRING);
-            return from.getText();
+            expect(JsonToken.VALUE_STRING);
+            return parser.getText();
         }
 
+        /** A byte string. */
         public byte[] bytes() throws IOException {
-            next(JsonToken.VALUE_EMBEDDED_OBJECT);
-            return from.getBinaryValue();
+            expect(JsonToken.VALUE_EMBEDDED_OBJECT);
+            return parser.getBinaryValue();
         }
 
+        /** A boolean. */
         public boolean flag() throws IOException {
-            JsonToken token = from.nextToken();
+            JsonToken token = next();
             if (token != JsonToken.VALUE_TRUE && token != JsonToken.VALUE_FALSE) {
-                throw new IOException("CBOR: " + token + " in place of a truth value");
+                throw unexpected(token, "a boolean");
             }
             return token == JsonToken.VALUE_TRUE;
         }
 
-        /** Bytes, or none where all has been read. */
+        /** A byte string, or an empty array at the end of the sequence. */
         public byte[] bytesOrEmpty() throws IOException {
-            JsonToken token = from.nextToken();
+            JsonToken token = next();
             if (token != null && token != JsonToken.VALUE_EMBEDDED_OBJECT) {
-                throw new IOException("CBOR: " + token + " in place of bytes or the end");
+                throw unexpected(token, "bytes or the end");
             }
-            return token == null ? new byte[0] : from.getBinaryValue();
+            return token == null ? new byte[0] : parser.getBinaryValue();
         }
 
-        /** Whether all has been read. */
+        /** Whether the sequence has ended; otherwise one value is skipped. */
         public boolean atEnd() throws IOException {
-            return from.nextToken() == null;
+            return next() == null;
         }
     }
 }
--- a/statemachine/src/main/java/lupinvalve/statemachine/ReplicatedState.java
+++ b/statemachine/src/main/java/lupinvalve/statemachine/ReplicatedState.java
@@ -3,6 +3,7 @@
 import java.security.MessageDigest;
 import java.security.NoSuchAlgorithmException;
 import java.util.Collections;
+import java.util.HashMap;
 import java.util.HexFormat;
 import java.util.Iterator;
 import java.util.LinkedHashMap;
@@ -11,86 +12,110 @@
 import java.util.TreeMap;
 
 /**
- * The agreed state: what the changes, one after another, come to. Deterministic: members that have applied the same
- * changes hold the same, whatever their clocks and versions say. Not safe for use by several threads.
+ * The replicated state machine: the state that the log's commands, one after another, come to. Deterministic: members
+ * that have applied the same commands have the same state, whatever their clocks and versions. Not thread-safe.
  */
 public final class ReplicatedState {
-    /** Bounds of what operators and poolers may put in. */
-    public static final int MAX_DOCUMENT_BYTES = 1 << 20,
-            MAX_DRAINS = 1000,
-            MAX_NAME_CHARS = 200,
-            MAX_ENDPOINTS = 4096,
-            MAX_MEMBER_ADDRESSES = 64,
-            MAX_AUDIT_ENTRIES = 20_000,
-            MAX_AUDIT_ENTRIES_PER_COMMAND = 200,
-            MAX_AUDIT_ENTRY_BYTES = 2_000;
-
-    /** How a change was taken. */
+    /** Size of a configuration document at most. */
+    public static final int MAX_DOCUMENT_BYTES = 1 << 20;
+    /** Drains under way at once at most. */
+    public static final int MAX_DRAINS = 1000;
+    /** Length of a name, an address or a drain's reason at most. */
+    public static final int MAX_NAME_CHARS = 200;
+    /** Db nodes in the endpoint list at most. */
+    public static final int MAX_ENDPOINTS = 4096;
+    /** Members with an address at most. */
+    public static final int MAX_MEMBER_ADDRESSES = 64;
+    /** Audit entries retained at most; the oldest go first. */
+    public static final int MAX_AUDIT_ENTRIES = 20_000;
+    /** Audit entries of one command at most. */
+    public static final int MAX_AUDIT_ENTRIES_PER_COMMAND = 200;
+    /** Size of an audit entry at most. */
+    public static final int MAX_AUDIT_ENTRY_BYTES = 2_000;
+
+    /** What became of a command. */
     public enum Result {
+        /** The state has changed. */
         APPLIED,
+        /** The state was so already. */
         UNCHANGED,
+        /** The configuration document has another revision than expected. */
         CONFLICT,
+        /** One of the bounds above would be exceeded. */
         LIMIT_EXCEEDED
     }
 
-    /** @param revision the configuration's, after the change */
+    /** @param revision of the configuration document, after the command */
     public record Outcome(Result result, long revision) {}
 
     /**
-     * The configuration that a majority has accepted.
+     * A committed configuration document.
      *
-     * @param index which change it was
+     * @param revision counts up by one with each document
+     * @param index of the log entry that put it
+     * @param digest names the content in logs, see {@link ReplicatedState#digest}
      */
     public record Document(long revision, long index, String digest, byte[] content) {}
 
-    /** Why and when something was held. */
+    /**
+     * A drain that operators started.
+     *
+     * @param sinceMicros Unix time
+     */
     public record Drain(String reason, long sinceMicros) {}
 
+    /** All of the state but the sessions, as a snapshot has it. */
+    record Contents(
+            long appliedIndex,
+            Document document,
+            Map<Command.DrainTarget, Drain> drains,
+            Map<String, String> memberAddresses,
+            Command.EndpointList endpointList,
+            Map<String, byte[]> auditEntries) {}
+
     private long appliedIndex;
     private Document document;
     private final TreeMap<Command.DrainTarget, Drain> drains = new TreeMap<>();
     private final TreeMap<String, String> memberAddresses = new TreeMap<>();
     private final SessionTable sessions = new SessionTable();
-    /** By pooler, life and number; those that came first go first once there are too many. */
+    /** By pooler, incarnation and number, in the order of arrival. */
     private final LinkedHashMap<String, byte[]> auditEntries = new LinkedHashMap<>();
 
     private Command.EndpointList endpointList = new Command.EndpointList(0, List.of());
 
-    /** Takes the change with the given index of the history. */
-    public Outcome apply(long index, Command change) {
+    /**
+     * Applies a committed command.
+     *
+     * @param index of its log entry
+     */
+    public Outcome apply(long index, Command command) {
         appliedIndex = index;
-        Result result = take(index, change);
+        Result result = dispatch(index, command);
         return new Outcome(result, revision());
     }
 
-    private Result take(long index, Command change) {
-        if (change instanceof Command.PutDocument put) {
-            return put(index, put);
-        } else if (change instanceof Command.StartDrain hold) {
-            return hold(hold);
-        } else if (change instanceof Command.EndDrain release) {
-            return drains.remove(release.target()) == null ? Result.UNCHANGED : Result.APPLIED;
-        } else if (change instanceof Command.SessionCommits commits) {
+    private Result dispatch(long index, Command command) {
+        if (command instanceof Command.PutDocument put) {
+            return putDocument(index, put);
+        } else if (command instanceof Command.StartDrain start) {
+            return startDrain(start);
+        } else if (command instanceof Command.EndDrain end) {
+            return drains.remove(end.target()) == null ? Result.UNCHANGED : Result.APPLIED;
+        } else if (command instanceof Command.SessionCommits commits) {
             sessions.apply(commits.atMicros(), commits.positions());
-        } else if (change instanceof Command.EndpointList next) {
-            if (next.revision() <= endpointList.revision()) {
-                return Result.UNCHANGED;
-            }
-            if (next.endpoints().size() > MAX_ENDPOINTS) {
-                return Result.LIMIT_EXCEEDED;
-            }
-            endpointList = next;
-        } else if (change instanceof Command.AppendAudit news) {
-            return note(news);
-        } else if (change instanceof Command.SetMemberAddress place) {
-            return place(place);
+            return Result.APPLIED;
+        } else if (command instanceof Command.EndpointList list) {
+            return setEndpointList(list);
+        } else if (command instanceof Command.AppendAudit append) {
+            return appendAudit(append);
+        } else if (command instanceof Command.SetMemberAddress set) {
+            return setMemberAddress(set);
         } else {
             return Result.UNCHANGED;
         }
-        return Result.APPLIED;
     }
 
-    private Result put(long index, Command.PutDocument put) {
+    private Result putDocument(long index, Command.PutDocument put) {
         if (put.expectedRevision() != revision()) {
             return Result.CONFLICT;
         }
@@ -101,28 +126,39 @@
         return Result.APPLIED;
     }
 
-    private Result hold(Command.StartDrain hold) {
-        if (drains.containsKey(hold.target())) {
+    private Result startDrain(Command.StartDrain start) {
+        if (drains.containsKey(start.target())) {
             return Result.UNCHANGED;
         }
         if (drains.size() >= MAX_DRAINS
-                || hold.target().name().length() > MAX_NAME_CHARS
-                || hold.reason().length() > MAX_NAME_CHARS) {
+                || start.target().name().length() > MAX_NAME_CHARS
+                || start.reason().length() > MAX_NAME_CHARS) {
             return Result.LIMIT_EXCEEDED;
         }
-        drains.put(hold.target(), new Drain(hold.reason(), hold.atMicros()));
+        drains.put(start.target(), new Drain(start.reason(), start.atMicros()));
         return Result.APPLIED;
     }
 
-    private Result note(Command.AppendAudit news) {
-        if (news.entries().size() > MAX_AUDIT_ENTRIES_PER_COMMAND
-                || news.pooler().length() > MAX_NAME_CHARS
-                || news.entries().stream().anyMatch(entry -> entry.length > MAX_AUDIT_ENTRY_BYTES)) {
+    private Result setEndpointList(Command.EndpointList list) {
+        if (list.revision() <= endpointList.revision()) {
+            return Result.UNCHANGED;
+        }
+        if (list.endpoints().size() > MAX_ENDPOINTS) {
             return Result.LIMIT_EXCEEDED;
         }
-        long number = news.firstNumber();
-        for (byte[] entry : news.entries()) {
-            auditEntries.putIfAbsent(news.pooler() + "/" + news.incarnation() + "/" + number++, entry);
+        endpointList = list;
+        return Result.APPLIED;
+    }
+
+    private Result appendAudit(Command.AppendAudit append) {
+        if (append.entries().size() > MAX_AUDIT_ENTRIES_PER_COMMAND
+                || append.pooler().length() > MAX_NAME_CHARS
+                || append.entries().stream().anyMatch(entry -> entry.length > MAX_AUDIT_ENTRY_BYTES)) {
+            return Result.LIMIT_EXCEEDED;
+        }
+        long number = append.firstNumber();
+        for (byte[] entry : append.entries()) {
+            auditEntries.putIfAbsent(append.pooler() + "/" + append.incarnation() + "/" + number++, entry);
         }
         Iterator<byte[]> eldest = auditEntries.values().iterator();
         while (auditEntries.size() > MAX_AUDIT_ENTRIES) {
@@ -132,83 +168,88 @@
         return Result.APPLIED;
     }
 
-    /** What poolers noted of themselves, by pooler, life and number, in the order in which it came. */
-    public Map<String, byte[]> auditEntries() {
-        return Collections.unmodifiableMap(auditEntries);
-    }
-
-    private Result place(Command.SetMemberAddress place) {
-        if (place.address().equals(memberAddresses.get(place.member()))) {
+    private Result setMemberAddress(Command.SetMemberAddress set) {
+        if (set.address().equals(memberAddresses.get(set.member()))) {
             return Result.UNCHANGED;
         }
-        if (place.address().isEmpty()) {
-            return memberAddresses.remove(place.member()) == null ? Result.UNCHANGED : Result.APPLIED;
+        if (set.address().isEmpty()) {
+            return memberAddresses.remove(set.member()) == null ? Result.UNCHANGED : Result.APPLIED;
         }
-        if (memberAddresses.size() >= MAX_MEMBER_ADDRESSES && !memberAddresses.containsKey(place.member())
-                || place.member().length() > MAX_NAME_CHARS
-                || place.address().length() > MAX_NAME_CHARS) {
+        if (memberAddresses.size() >= MAX_MEMBER_ADDRESSES && !memberAddresses.containsKey(set.member())
+                || set.member().length() > MAX_NAME_CHARS
+                || set.address().length() > MAX_NAME_CHARS) {
             return Result.LIMIT_EXCEEDED;
         }
-        memberAddresses.put(place.member(), place.address());
+        memberAddresses.put(set.member(), set.address());
         return Result.APPLIED;
     }
 
-    /** Which change was applied last. */
+    /** Index of the log entry that was applied last. */
     public long appliedIndex() {
         return appliedIndex;
     }
 
-    /** The configuration that holds, or null. */
+    /** The current configuration document, or null. */
     public Document document() {
         return document;
     }
 
-    /** The configuration's revision, or 0. */
+    /** The current configuration document's revision, or 0. */
     public long revision() {
         return document == null ? 0 : document.revision();
     }
 
+    /** Drains under way; a copy. */
     public Map<Command.DrainTarget, Drain> drains() {
         return new TreeMap<>(drains);
     }
 
+    /** Where each member is reached, by the member's name; a copy. */
     public Map<String, String> memberAddresses() {
         return new TreeMap<>(memberAddresses);
     }
 
+    /** The db nodes as the newest list has them. */
     public Command.EndpointList endpointList() {
         return endpointList;
     }
 
+    /** Audit entries by "pooler/incarnation/number", in the order of arrival; a view. */
+    public Map<String, byte[]> auditEntries() {
+        return Collections.unmodifiableMap(auditEntries);
+    }
+
+    /** How many sessions have a commit that still counts. */
     public int sessionCount() {
         return sessions.size();
     }
 
+    /** All sessions' commits as one command. */
+    public Command.SessionCommits sessionCommits() {
+        Map<String, Long> positions = new HashMap<>();
+        sessions.forEachOldestFirst(positions::put);
+        return new Command.SessionCommits(sessions.latestMicros(), positions);
+    }
+
     SessionTable sessions() {
         return sessions;
     }
 
-    /** Becomes what a snapshot says. */
-    void restore(
-            long index,
-            Document accepted,
-            Map<Command.DrainTarget, Drain> held,
-            Map<String, String> placed,
-            Command.EndpointList listed,
-            Map<String, byte[]> notes) {
+    /** Replaces the whole state; there are no sessions afterwards. */
+    void restore(Contents contents) {
         auditEntries.clear();
-        auditEntries.putAll(notes);
-        appliedIndex = index;
-        document = accepted;
+        auditEntries.putAll(contents.auditEntries());
+        appliedIndex = contents.appliedIndex();
+        document = contents.document();
         drains.clear();
-        drains.putAll(held);
+        drains.putAll(contents.drains());
         memberAddresses.clear();
-        memberAddresses.putAll(placed);
-        endpointList = listed;
+        memberAddresses.putAll(contents.memberAddresses());
+        endpointList = contents.endpointList();
         sessions.clear();
     }
 
-    /** What names a document's content in logs: the beginning of its SHA-256. */
+    /** Names a document's content in logs: the first 8 bytes of its SHA-256, in hex. */
     public static String digest(byte[] content) {
         try {
             return HexFormat.of().formatHex(MessageDigest.getInstance("SHA-256").digest(content), 0, 8);
--- /dev/null
+++ b/statemachine/src/main/java/lupinvalve/statemachine/SnapshotCodec.java
@@ -0,0 +1,146 @@
+package lupinvalve.statemachine;
+
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+
+/**
+ * Snapshots of {@link ReplicatedState} as chunks of bytes. The first chunk begins with the format's version and has all
+ * but audit entries and sessions; chunks of audit entries follow, then chunks of sessions.
+ */
+public final class SnapshotCodec {
+    /** Keeps a chunk well under the largest message of the wire. */
+    private static final int MAX_ITEMS_PER_CHUNK = 4000;
+
+    private static final int FORMAT = 1;
+    /** Written only where there are audit entries, so that older programs read all other snapshots. */
+    private static final int FORMAT_WITH_AUDIT = 2;
+
+    private SnapshotCodec() {}
+
+    /** Encodes the whole state. */
+    public static List<byte[]> encode(ReplicatedState state) {
+        List<byte[]> auditChunks = auditChunks(state);
+        List<byte[]> chunks = new ArrayList<>();
+        chunks.add(head(state, auditChunks.size()));
+        chunks.addAll(auditChunks);
+        addSessionChunks(state, chunks);
+        return chunks;
+    }
+
+    private static byte[] head(ReplicatedState state, int auditChunkCount) {
+        Cbor.Writer out = new Cbor.Writer()
+                .number(auditChunkCount == 0 ? FORMAT : FORMAT_WITH_AUDIT)
+                .number(state.appliedIndex())
+                .number(state.sessions().latestMicros());
+        ReplicatedState.Document document = state.document();
+        out.flag(document != null);
+        if (document != null) {
+            out.number(document.revision()).number(document.index()).bytes(document.content());
+        }
+        out.number(state.drains().size());
+        state.drains().forEach((target, drain) -> {
+            CommandCodec.writeTarget(out, target);
+            out.text(drain.reason()).number(drain.sinceMicros());
+        });
+        out.number(state.memberAddresses().size());
+        state.memberAddresses().forEach((member, address) -> out.text(member).text(address));
+        CommandCodec.writeEndpointList(out, state.endpointList());
+        if (auditChunkCount > 0) {
+            out.number(auditChunkCount);
+        }
+        return out.toByteArray();
+    }
+
+    private static List<byte[]> auditChunks(ReplicatedState state) {
+        List<byte[]> chunks = new ArrayList<>();
+        List<Map.Entry<String, byte[]>> all = List.copyOf(state.auditEntries().entrySet());
+        for (int from = 0; from < all.size(); from += MAX_ITEMS_PER_CHUNK) {
+            List<Map.Entry<String, byte[]>> some = all.subList(from, Math.min(all.size(), from + MAX_ITEMS_PER_CHUNK));
+            Cbor.Writer out = new Cbor.Writer().number(some.size());
+            some.forEach(entry -> out.text(entry.getKey()).bytes(entry.getValue()));
+            chunks.add(out.toByteArray());
+        }
+        return chunks;
+    }
+
+    private static void addSessionChunks(ReplicatedState state, List<byte[]> chunks) {
+        Map<String, Long> some = new LinkedHashMap<>();
+        state.sessions().forEachOldestFirst((session, position) -> {
+            some.put(session, position);
+            if (some.size() == MAX_ITEMS_PER_CHUNK) {
+                chunks.add(sessionChunk(some));
+                some.clear();
+            }
+        });
+        if (!some.isEmpty()) {
+            chunks.add(sessionChunk(some));
+        }
+    }
+
+    private static byte[] sessionChunk(Map<String, Long> positions) {
+        Cbor.Writer out = new Cbor.Writer();
+        CommandCodec.writePositions(out, positions);
+        return out.toByteArray();
+    }
+
+    /** Replaces a state by a snapshot's; throws {@link DecodingException} where the chunks are no such snapshot. */
+    public static void restore(ReplicatedState state, List<byte[]> chunks) throws IOException {
+        Cbor.Reader in = new Cbor.Reader(chunks.get(0));
+        long format = in.number();
+        if (format != FORMAT && format != FORMAT_WITH_AUDIT) {
+            throw new DecodingException(
+                    "a snapshot of format " + format + "; this program reads " + FORMAT + " and " + FORMAT_WITH_AUDIT);
+        }
+        long index = in.number();
+        long latestMicros = in.number();
+        ReplicatedState.Document document = in.flag() ? readDocument(in) : null;
+        Map<Command.DrainTarget, ReplicatedState.Drain> drains = readDrains(in);
+        Map<String, String> memberAddresses = readMemberAddresses(in);
+        Command.EndpointList endpointList = CommandCodec.readEndpointList(in);
+        int auditChunkCount = format == FORMAT_WITH_AUDIT ? in.count(chunks.size() - 1) : 0;
+        Map<String, byte[]> auditEntries = readAuditChunks(chunks.subList(1, 1 + auditChunkCount));
+        state.restore(
+                new ReplicatedState.Contents(index, document, drains, memberAddresses, endpointList, auditEntries));
+        for (byte[] chunk : chunks.subList(1 + auditChunkCount, chunks.size())) {
+            state.sessions().apply(latestMicros, CommandCodec.readPositions(new Cbor.Reader(chunk)));
+        }
+    }
+
+    private static ReplicatedState.Document readDocument(Cbor.Reader in) throws IOException {
+        long revision = in.number();
+        long index = in.number();
+        byte[] content = in.bytes();
+        return new ReplicatedState.Document(revision, index, ReplicatedState.digest(content), content);
+    }
+
+    private static Map<Command.DrainTarget, ReplicatedState.Drain> readDrains(Cbor.Reader in) throws IOException {
+        Map<Command.DrainTarget, ReplicatedState.Drain> drains = new HashMap<>();
+        for (int left = in.count(ReplicatedState.MAX_DRAINS); left > 0; left--) {
+            drains.put(CommandCodec.readTarget(in), new ReplicatedState.Drain(in.text(), in.number()));
+        }
+        return drains;
+    }
+
+    private static Map<String, String> readMemberAddresses(Cbor.Reader in) throws IOException {
+        Map<String, String> addresses = new HashMap<>();
+        for (int left = in.count(ReplicatedState.MAX_MEMBER_ADDRESSES); left > 0; left--) {
+            addresses.put(in.text(), in.text());
+        }
+        return addresses;
+    }
+
+    private static Map<String, byte[]> readAuditChunks(List<byte[]> chunks) throws IOException {
+        Map<String, byte[]> entries = new LinkedHashMap<>();
+        for (byte[] chunk : chunks) {
+            Cbor.Reader in = new Cbor.Reader(chunk);
+            for (int left = in.count(MAX_ITEMS_PER_CHUNK); left > 0; left--) {
+                entries.put(in.text(), in.bytes());
+            }
+        }
+        return entries;
+    }
+}
--- a/statemachine/src/test/java/lupinvalve/statemachine/ReplicatedStateTest.java
+++ b/statemachine/src/test/java/lupinvalve/statemachine/ReplicatedStateTest.java
@@ -48,7 +48,7 @@
     }
 
     private static List<String> state(ReplicatedState ledger) {
-        return Encoding.snapshot(ledger).stream().map(Arrays::toString).toList();
+        return SnapshotCodec.encode(ledger).stream().map(Arrays::toString).toList();
     }
 
     @Test
@@ -60,14 +60,14 @@
             ReplicatedState resumed = new ReplicatedState();
             for (int i = 1; i < 150; i++) {
                 Command change = any(random, 1_000_000_000L + i * 20_000_000L);
-                byte[] written = Encoding.write(change);
-                assertArrayEquals(written, Encoding.write(Encoding.read(written)));
+                byte[] written = CommandCodec.encode(change);
+                assertArrayEquals(written, CommandCodec.encode(CommandCodec.decode(written)));
                 ReplicatedState.Outcome outcome = one.apply(i, change);
-                assertEquals(outcome, read.apply(i, Encoding.read(written)));
+                assertEquals(outcome, read.apply(i, CommandCodec.decode(written)));
                 assertEquals(outcome, resumed.apply(i, change));
                 if (random.nextInt(10) == 0) {
                     ReplicatedState next = new ReplicatedState();
-                    Encoding.restore(next, Encoding.snapshot(resumed));
+                    SnapshotCodec.restore(next, SnapshotCodec.encode(resumed));
                     resumed = next;
                 }
             }
@@ -116,13 +116,13 @@
 
     @Test
     void whatIsNoChangeIsTurnedDown() {
-        byte[] put = Encoding.write(new Command.PutDocument(0, bytes("{}")));
-        assertThrows(IOException.class, () -> Encoding.read(Arrays.copyOf(put, put.length - 1)));
-        assertThrows(IOException.class, () -> Encoding.read(new byte[] {23}));
-        assertThrows(IOException.class, () -> Encoding.read(Arrays.copyOf(put, put.length + 1)));
+        byte[] put = CommandCodec.encode(new Command.PutDocument(0, bytes("{}")));
+        assertThrows(IOException.class, () -> CommandCodec.decode(Arrays.copyOf(put, put.length - 1)));
+        assertThrows(IOException.class, () -> CommandCodec.decode(new byte[] {23}));
+        assertThrows(IOException.class, () -> CommandCodec.decode(Arrays.copyOf(put, put.length + 1)));
         assertThrows(
                 IOException.class,
-                () -> Encoding.restore(
+                () -> SnapshotCodec.restore(
                         new ReplicatedState(),
                         List.of(new Cbor.Writer().number(2).toByteArray())));
     }
