--- a/capacity/src/main/java/lupinvalve/capacity/ConfigurationFigures.java
+++ b/capacity/src/main/java/lupinvalve/capacity/ConfigurationFigures.java
@@ -85,7 +85,7 @@
                 Unit.BYTES,
                 basis,
                 from,
-                "group/SegmentedLog.java"));
+                "replication/SegmentedLog.java"));
         return out;
     }
 
@@ -106,7 +106,7 @@
                 "databases",
                 known,
                 from,
-                difference ? "subscription/DocumentDelta.java" : "group/Replica.java",
+                difference ? "subscription/DocumentDelta.java" : "replication/RaftReplica.java",
                 difference ? Figure.Scope.SUBSCRIPTIONS : Figure.Scope.MEMBERS);
     }
 
@@ -121,6 +121,6 @@
                 "databases",
                 basis,
                 from,
-                "group/Replica.java");
+                "replication/RaftReplica.java");
     }
 }
--- a/capacity/src/main/java/lupinvalve/capacity/GroupFigures.java
+++ b/capacity/src/main/java/lupinvalve/capacity/GroupFigures.java
@@ -53,8 +53,8 @@
                 CodeFacts.TAKEN_MOST,
                 Unit.COUNT,
                 Basis.COMPUTED,
-                "`Peers.TAKEN_MOST`",
-                "group/Peers.java");
+                "`PeerConnections.TAKEN_MOST`",
+                "replication/PeerConnections.java");
     }
 
     private double heartbeatBytes() {
@@ -70,7 +70,7 @@
                 Unit.BYTES_PER_SECOND,
                 Basis.COMPUTED,
                 "20 a second, " + SIZES,
-                "group/Replica.java, Pace.java");
+                "replication/RaftReplica.java, AcceleratedExecutor.java");
     }
 
     private double beatBytes() {
@@ -86,7 +86,7 @@
                 d.poolers(),
                 Basis.COMPUTED,
                 "each dials each, 2 a second, " + SIZES,
-                "group/Peers.java");
+                "replication/PeerConnections.java");
     }
 
     private double leaseBytes() {
@@ -118,7 +118,7 @@
                 d.poolers(),
                 basis,
                 "two entries a change, " + SIZES,
-                "group/AuditBook.java");
+                "replication/AuditLog.java");
     }
 
     private double listingBytes() {
@@ -162,7 +162,7 @@
                 Unit.PER_SECOND,
                 Basis.COMPUTED,
                 "paces alone",
-                "group/Replica.java, Acting.java");
+                "replication/RaftReplica.java, LeaseHolder.java");
     }
 
     private Figure leaderBytes() {
@@ -175,7 +175,7 @@
                 d.poolers(),
                 Basis.GUESSED,
                 "paces, sizes; the link is a guess",
-                "group/Replica.java");
+                "replication/RaftReplica.java");
     }
 
     private Figure kept() {
@@ -202,7 +202,7 @@
                 failsAt,
                 "replaced at once",
                 Basis.COMPUTED,
-                "4 changes each, `Questions.STEP`",
+                "4 changes each, `RequestHandler.STEP`",
                 "ledger/Membership.java");
     }
 }
--- a/capacity/src/main/java/lupinvalve/capacity/PositionFigures.java
+++ b/capacity/src/main/java/lupinvalve/capacity/PositionFigures.java
@@ -62,7 +62,7 @@
                                 d.poolers(),
                                 Basis.COMPUTED,
                                 "`CodeFactsTest`",
-                                "group/Tokens.java")
+                                "replication/SessionTokens.java")
                         .in(scope));
     }
 
--- a/capacity/src/main/java/lupinvalve/capacity/RegionFigures.java
+++ b/capacity/src/main/java/lupinvalve/capacity/RegionFigures.java
@@ -29,7 +29,7 @@
                 Unit.SECONDS,
                 Basis.GUESSED,
                 "one way there and back",
-                "group/Replica.java"));
+                "replication/RaftReplica.java"));
         out.add(Figure.of(
                 "a cut region's poolers may act with `fence`, at most",
                 Lease.LENGTH / MICROS,
@@ -86,7 +86,7 @@
                 Unit.SECONDS,
                 Basis.COMPUTED,
                 Past.DRILL_PAGE + ", regions apart not run",
-                "group/Replica.java"));
+                "replication/RaftReplica.java"));
         return out;
     }
 }
--- a/capacity/src/main/java/lupinvalve/capacity/StateFigures.java
+++ b/capacity/src/main/java/lupinvalve/capacity/StateFigures.java
@@ -27,7 +27,7 @@
                         Unit.BYTES,
                         basis,
                         "deploy/run.sh has 40 MB",
-                        "group/Subscriber.java"),
+                        "replication/Subscriber.java"),
                 Figure.plain(
                         "pooler: clients' connections",
                         d.connections() / d.poolers(),
@@ -50,7 +50,7 @@
                                 Unit.COUNT,
                                 Basis.COMPUTED,
                                 "`Followers.MOST`",
-                                "group/Followers.java")
+                                "replication/Followers.java")
                         .in(Figure.Scope.SUBSCRIPTIONS),
                 Figure.of(
                                 "control member: poolers that follow the last of three",
@@ -59,7 +59,7 @@
                                 Unit.COUNT,
                                 Basis.COMPUTED,
                                 "`Followers.MOST`",
-                                "group/Followers.java")
+                                "replication/Followers.java")
                         .in(Figure.Scope.SUBSCRIPTIONS),
                 Figure.plain(
                         "db node: statements",
@@ -74,6 +74,6 @@
                         Unit.BYTES,
                         basis,
                         "each put is a whole document",
-                        "group/Client.java"));
+                        "replication/GroupClient.java"));
     }
 }
--- a/capacity/src/main/java/lupinvalve/capacity/SubscriptionFigures.java
+++ b/capacity/src/main/java/lupinvalve/capacity/SubscriptionFigures.java
@@ -33,7 +33,7 @@
                         Unit.PER_SECOND,
                         Basis.COMPUTED,
                         SIZES,
-                        "group/Followers.java"),
+                        "replication/Followers.java"),
                 Figure.of(
                         "all 910 at the last of three, bytes",
                         bytes * d.poolers(),
@@ -41,7 +41,7 @@
                         Unit.BYTES_PER_SECOND,
                         Basis.GUESSED,
                         SIZES + "; the link is a guess",
-                        "group/Followers.java"),
+                        "replication/Followers.java"),
                 Figure.of(
                         "a change in force at a pooler, or its lease ended, at most, drift not counted",
                         (2 * Lease.LENGTH + SubscriberTable.CATCH_UP) / MICROS,
--- a/capacity/src/test/java/lupinvalve/capacity/CodeFactsTest.java
+++ b/capacity/src/test/java/lupinvalve/capacity/CodeFactsTest.java
@@ -29,12 +29,13 @@
         String group = "lupinvalve.replication.";
         assertEquals(
                 CodeFacts.HEARTBEATS_PER_SECOND,
-                constant(group + "Pace", "FACTOR") / constant(group + "Replica", "HEARTBEAT_SECONDS"));
-        assertEquals(CodeFacts.CONFIRMS_PER_SECOND, MICROS / constant(group + "Acting", "CONFIRM"));
-        assertEquals(CodeFacts.BEATS_PER_SECOND, MICROS / constant(group + "Peers", "BEAT"));
-        assertEquals(CodeFacts.TAKEN_MOST, constant(group + "Peers", "TAKEN_MOST"));
+                constant(group + "AcceleratedExecutor", "FACTOR")
+                        / constant(group + "RaftReplica", "HEARTBEAT_SECONDS"));
+        assertEquals(CodeFacts.CONFIRMS_PER_SECOND, MICROS / constant(group + "LeaseHolder", "CONFIRM"));
+        assertEquals(CodeFacts.BEATS_PER_SECOND, MICROS / constant(group + "PeerConnections", "BEAT"));
+        assertEquals(CodeFacts.TAKEN_MOST, constant(group + "PeerConnections", "TAKEN_MOST"));
         assertEquals(CodeFacts.FOLLOWERS_MOST, constant(group + "Followers", "MOST"));
-        assertEquals(CodeFacts.MEMBERSHIP_STEP_SECONDS, constant(group + "Questions", "STEP") / MICROS);
+        assertEquals(CodeFacts.MEMBERSHIP_STEP_SECONDS, constant(group + "RequestHandler", "STEP") / MICROS);
         assertEquals(CodeFacts.BUNDLE_SECONDS, constant("lupinvalve.statemachine.Outbox", "BUNDLE") / MICROS);
     }
 
--- a/capacity/src/test/java/lupinvalve/replication/MessageSizes.java
+++ b/capacity/src/test/java/lupinvalve/replication/MessageSizes.java
@@ -30,18 +30,18 @@
 
     private MessageSizes() {}
 
-    private static Endpoint sender() {
-        return new Endpoint(new Identity(NAME, SegmentedLog.diskName()));
+    private static MemberEndpoint sender() {
+        return new MemberEndpoint(new Identity(NAME, SegmentedLog.diskName()));
     }
 
     private static int sent(RaftMessage message) {
-        return Messages.message(Messages.Kind.RAFT, Models.write(message)).length;
+        return WireMessages.message(WireMessages.Kind.RAFT, RaftCodec.write(message)).length;
     }
 
     /** A leader's word without changes. */
     public static int heartbeat() {
-        var message = Models.FACTORY.createAppendEntriesRequestBuilder();
-        message.setGroupId(Replica.GROUP).setSender(sender()).setTerm(TERM);
+        var message = RaftCodec.FACTORY.createAppendEntriesRequestBuilder();
+        message.setGroupId(RaftReplica.GROUP).setSender(sender()).setTerm(TERM);
         message.setPreviousLogTerm(TERM)
                 .setPreviousLogIndex(INDEX)
                 .setCommitIndex(INDEX)
@@ -53,8 +53,8 @@
 
     /** A follower's answer to it. */
     public static int heartbeatAnswer() {
-        var message = Models.FACTORY.createAppendEntriesSuccessResponseBuilder();
-        message.setGroupId(Replica.GROUP).setSender(sender()).setTerm(TERM);
+        var message = RaftCodec.FACTORY.createAppendEntriesSuccessResponseBuilder();
+        message.setGroupId(RaftReplica.GROUP).setSender(sender()).setTerm(TERM);
         return sent(message.setLastLogIndex(INDEX)
                 .setQuerySequenceNumber(QUERY)
                 .setFlowControlSequenceNumber(QUERY)
@@ -63,7 +63,7 @@
 
     /** A call for a lease. */
     public static int leaseCall() {
-        return new Messages.Call(
+        return new WireMessages.Request(
                         INDEX,
                         "lease",
                         List.of(NAME.getBytes(UTF_8), Long.toString(INDEX).getBytes(UTF_8), new byte[0]))
@@ -73,7 +73,7 @@
 
     /** What a lease is answered. */
     public static int leaseAnswer() {
-        return new Messages.Answer(INDEX, Messages.Code.OK, "2000000").write().length;
+        return new WireMessages.Response(INDEX, WireMessages.Status.OK, "2000000").write().length;
     }
 
     /** A subscriber's request, where it has all. */
@@ -81,13 +81,13 @@
         String digest = "0011223344556677";
         byte[] request =
                 new FollowRequest(FollowRequest.VERSION, INDEX, REVISION, digest, digest, true, false, "").write();
-        return new Messages.Call(INDEX, Followers.CALL, List.of(request)).write().length;
+        return new WireMessages.Request(INDEX, Followers.CALL, List.of(request)).write().length;
     }
 
     /** What that is answered where there is nothing new: a lease. */
     public static int followAnswer() {
         byte[] content = new FollowAnswer(2_000_000, 500_000, "", INDEX, 0, new FollowAnswer.News.None(), null).write();
-        return new Messages.Answer(INDEX, Messages.Code.OK, "", content).write().length;
+        return new WireMessages.Response(INDEX, WireMessages.Status.OK, "", content).write().length;
     }
 
     /** One session's commit, by what a thousand of them take. */
@@ -122,6 +122,6 @@
 
     /** A word that only says that the connection stands. */
     public static int beat() {
-        return Messages.message(Messages.Kind.BEAT, new byte[0]).length;
+        return WireMessages.message(WireMessages.Kind.HEARTBEAT, new byte[0]).length;
     }
 }
--- a/daemon/src/main/java/lupinvalve/cli/Daemon.java
+++ b/daemon/src/main/java/lupinvalve/cli/Daemon.java
@@ -28,7 +28,7 @@
 import lupinvalve.pg.PgBackend;
 import lupinvalve.pg.PgFront;
 import lupinvalve.replication.ControlPlane;
-import lupinvalve.replication.Group;
+import lupinvalve.replication.RaftMember;
 import lupinvalve.routing.Routing;
 
 /** One pooler with all its parts. */
@@ -108,9 +108,9 @@
         if (operator.store() != null) {
             shared = new Shared(pooler, operator.store(), opening, this::adopted, this::held);
             operator = local.accepted(shared.document());
-            if (shared.plane().fences()) {
-                pooler.fence(shared.plane()::mayAct);
-                net.fence(shared.plane()::mayAct);
+            if (shared.plane().fencingEnabled()) {
+                pooler.fence(shared.plane()::mayServe);
+                net.fence(shared.plane()::mayServe);
             }
         }
         // Two fronts and two pools share the sockets that one of each would have.
@@ -407,13 +407,13 @@
 
     /** Where a member listens; null at a subscriber. */
     public InetSocketAddress storeAddress() {
-        return shared.plane() instanceof Group group ? group.address() : null;
+        return shared.plane() instanceof RaftMember group ? group.address() : null;
     }
 
     /** Reads keys and certificates anew; from any thread. Throws, and changes nothing, where they can't be used. */
     public void rekey() throws IOException {
         if (shared != null) {
-            shared.plane().reload();
+            shared.plane().reloadCertificates();
         }
     }
 
--- a/daemon/src/main/java/lupinvalve/cli/Shared.java
+++ b/daemon/src/main/java/lupinvalve/cli/Shared.java
@@ -13,21 +13,21 @@
 import lupinvalve.core.Pooler;
 import lupinvalve.maintenance.Maintenance.Orders;
 import lupinvalve.replication.ControlPlane;
-import lupinvalve.replication.Group;
+import lupinvalve.replication.RaftMember;
+import lupinvalve.replication.SessionTokens;
 import lupinvalve.replication.Subscriber;
-import lupinvalve.replication.Tokens;
 import lupinvalve.routing.Routing;
 import lupinvalve.statemachine.Change;
 import lupinvalve.statemachine.Ledger;
 
 /** What the group has accepted, brought to the core thread, and what the core knows brought to the group. */
-final class Shared implements Group.Pooler {
+final class Shared implements ControlPlane.Listener {
     private static final long LOOK = 1_000_000, REFRESH = 10_000_000;
     private static final String BY = "group";
     private final Pooler pooler;
     private final ControlPlane plane;
-    private final ControlPlane.Known known;
-    private final Tokens tokens;
+    private final ControlPlane.InitialState known;
+    private final SessionTokens tokens;
     private final String name;
     private final Consumer<byte[]> adopted;
     private final Consumer<Boolean> held;
@@ -53,9 +53,9 @@
         name = config.name();
         plane = opening != null
                 ? opening.open(config)
-                : config.role() == OperatorConfig.Role.SUBSCRIBER ? new Subscriber(config) : new Group(config);
-        known = plane.known();
-        tokens = new Tokens(pooler.loop(), plane, config.waitMicros(), known.commits());
+                : config.role() == OperatorConfig.Role.SUBSCRIBER ? new Subscriber(config) : new RaftMember(config);
+        known = plane.initialState();
+        tokens = new SessionTokens(pooler.loop(), plane, config.waitMicros(), known.commits());
         pooler.marks(tokens);
     }
 
@@ -102,10 +102,10 @@
         List<Routing.Member> members =
                 nodes.stream().map(one -> one.entry().member()).toList();
         long now = pooler.loop().now();
-        if (plane.leads() && !nodes.isEmpty() && (!members.equals(told) || now - toldAt > REFRESH)) {
+        if (plane.isLeader() && !nodes.isEmpty() && (!members.equals(told) || now - toldAt > REFRESH)) {
             told = members;
             toldAt = now;
-            plane.listing(nodes.stream()
+            plane.publishEndpoints(nodes.stream()
                     .map(one ->
                             new Change.Listed(one.entry().member(), one.entry().addresses(), one.position()))
                     .toList());
@@ -116,27 +116,27 @@
     // ---- the group's thread ----
 
     @Override
-    public String objection(byte[] document) {
+    public String validationError(byte[] document) {
         return OperatorConfig.objection(document);
     }
 
     @Override
-    public String refusal(byte[] current, byte[] next) {
+    public String transitionError(byte[] current, byte[] next) {
         return OperatorConfig.refusal(current, next);
     }
 
     @Override
-    public void reached(Runnable then) {
+    public void runAfterApplied(Runnable then) {
         pooler.loop().post(then);
     }
 
     @Override
-    public void adopt(Ledger.Document document) {
+    public void configurationAccepted(Ledger.Document document) {
         pooler.loop().post(() -> adopted.accept(document.content()));
     }
 
     @Override
-    public void holds(Map<Change.Holding, Ledger.Held> holds) {
+    public void holdsChanged(Map<Change.Holding, Ledger.Held> holds) {
         Set<String> out = new TreeSet<>();
         holds.keySet().stream().filter(one -> one.kind() == Change.Kind.NODE).forEach(one -> out.add(one.name()));
         boolean self = holds.containsKey(new Change.Holding(Change.Kind.POOLER, name));
@@ -153,7 +153,7 @@
     }
 
     @Override
-    public void commits(Change.Commits commits) {
+    public void commitsAccepted(Change.Commits commits) {
         pooler.loop().post(() -> tokens.accepted(commits));
     }
 }
--- a/daemon/src/main/java/lupinvalve/cli/StoreCommand.java
+++ b/daemon/src/main/java/lupinvalve/cli/StoreCommand.java
@@ -16,8 +16,8 @@
 import java.util.Map;
 import lupinvalve.config.OperatorConfig;
 import lupinvalve.log.Log;
-import lupinvalve.replication.Client;
-import lupinvalve.replication.Messages;
+import lupinvalve.replication.GroupClient;
+import lupinvalve.replication.WireMessages;
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
 
@@ -71,10 +71,10 @@
             return 0;
         }
         if (call.equals("verify")) {
-            return print(Client.verify(Path.of(argument(0, "a folder")), secrets));
+            return print(GroupClient.verify(Path.of(argument(0, "a folder")), secrets));
         }
         if (call.equals("audit") && !what.isEmpty() && what.get(0).equals("verify")) {
-            return print(Client.verifyAudit(Path.of(argument(1, "a folder"))));
+            return print(GroupClient.verifyAudit(Path.of(argument(1, "a folder"))));
         }
         if (operator == null) {
             throw new IllegalArgumentException("store " + call + " needs --operator FILE");
@@ -96,7 +96,7 @@
         if (!call.equals("status")) {
             store.members().forEach(members::putIfAbsent);
         }
-        Client client = new Client(store.cluster(), members, store.tls());
+        GroupClient client = new GroupClient(store.cluster(), members, store.tls());
         List<byte[]> arguments = new ArrayList<>();
         switch (call) {
             case "status", "members", "holds", "snapshot" -> {
@@ -116,15 +116,15 @@
         if (strict) {
             arguments.add(bytes("strict"));
         }
-        Client.Said said = client.ask(call, arguments, !call.equals("put"), 1000L * seconds);
-        if (said.code() == Messages.Code.OK) {
+        GroupClient.Result said = client.ask(call, arguments, !call.equals("put"), 1000L * seconds);
+        if (said.status() == WireMessages.Status.OK) {
             return print(said.text());
         }
         err.println("lupinvalve: " + said.text());
-        return switch (said.code()) {
+        return switch (said.status()) {
             case CONFLICT -> CONFLICT;
-            case UNKNOWN -> MAY_HAVE;
-            case AGAIN -> NOBODY;
+            case INDETERMINATE -> MAY_HAVE;
+            case RETRY -> NOBODY;
             default -> 1;
         };
     }
--- a/daemon/src/test/java/lupinvalve/cli/GroupTest.java
+++ b/daemon/src/test/java/lupinvalve/cli/GroupTest.java
@@ -26,7 +26,8 @@
 import lupinvalve.config.OperatorConfig;
 import lupinvalve.integration.World;
 import lupinvalve.log.Log;
-import lupinvalve.replication.Group;
+import lupinvalve.replication.ControlPlane;
+import lupinvalve.replication.RaftMember;
 import lupinvalve.statemachine.Change;
 import lupinvalve.statemachine.Ledger;
 import org.junit.jupiter.api.AfterAll;
@@ -46,7 +47,7 @@
     private Path folder;
 
     private final Map<String, String> addresses = new TreeMap<>();
-    private final Map<String, Group> groups = new HashMap<>();
+    private final Map<String, RaftMember> groups = new HashMap<>();
     private final Map<String, Ledger.Document> acting = new ConcurrentHashMap<>();
     private final Map<String, Map<Change.Holding, Ledger.Held>> holds = new ConcurrentHashMap<>();
     private final Map<String, Map<String, Long>> tokens = new ConcurrentHashMap<>();
@@ -74,7 +75,7 @@
 
     @AfterEach
     void end() {
-        groups.values().forEach(Group::stop);
+        groups.values().forEach(RaftMember::stop);
     }
 
     private void places() throws IOException {
@@ -101,32 +102,32 @@
                 "plant", name, folder.resolve(name), addresses.get(name), addresses, tls, 0, audit);
     }
 
-    private Group start(String name, OperatorConfig.Tls tls) throws IOException {
-        Group group = new Group(config(name, tls));
+    private RaftMember start(String name, OperatorConfig.Tls tls) throws IOException {
+        RaftMember group = new RaftMember(config(name, tls));
         groups.put(name, group);
-        group.start(new Group.Pooler() {
+        group.start(new ControlPlane.Listener() {
             @Override
-            public String objection(byte[] document) {
+            public String validationError(byte[] document) {
                 return OperatorConfig.objection(document);
             }
 
             @Override
-            public String refusal(byte[] current, byte[] next) {
+            public String transitionError(byte[] current, byte[] next) {
                 return OperatorConfig.refusal(current, next);
             }
 
             @Override
-            public void adopt(Ledger.Document document) {
+            public void configurationAccepted(Ledger.Document document) {
                 acting.put(name, document);
             }
 
             @Override
-            public void holds(Map<Change.Holding, Ledger.Held> now) {
+            public void holdsChanged(Map<Change.Holding, Ledger.Held> now) {
                 holds.put(name, now);
             }
 
             @Override
-            public void commits(Change.Commits commits) {
+            public void commitsAccepted(Change.Commits commits) {
                 tokens.computeIfAbsent(name, n -> new ConcurrentHashMap<>()).putAll(commits.positions());
             }
         });
@@ -240,7 +241,7 @@
             start(name, null);
         }
         Path a = file("a", null);
-        World.await("all may act", () -> groups.values().stream().allMatch(Group::mayAct));
+        World.await("all may act", () -> groups.values().stream().allMatch(RaftMember::mayServe));
         String first = document("{\"mysql\":{\"user\":\"one\"}}").toString();
         Said put = store(a, "put", first, "--revision", "0", "--strict");
         assertEquals(0, put.code(), put.err());
@@ -256,14 +257,14 @@
                 turned.code() == 1 && turned.err().contains("dns_sd: members that run can't turn to DNS-SD"),
                 turned.err());
 
-        Group gone = groups.remove("c");
+        RaftMember gone = groups.remove("c");
         gone.stop();
         long start = System.nanoTime();
         Said held = store(a, "hold", "node", "db-7", "--strict", "--seconds", "20");
         assertEquals(0, held.code(), held.err());
         long tookMillis = (System.nanoTime() - start) / 1_000_000;
         assertTrue(held.out().contains("waited_for: c") && tookMillis > 500, held.out() + " in " + tookMillis + " ms");
-        assertTrue(!gone.mayAct(), "it may act no more by the time of the answer");
+        assertTrue(!gone.mayServe(), "it may act no more by the time of the answer");
         World.await("its end is known as one", () -> {
             try {
                 return store(a, "audit", "stragglers").out().contains("stragglers.0.pooler: c");
@@ -281,13 +282,13 @@
         assertEquals(1, store(a, "audit", "who").code());
         // What it noted of its own end comes once it is back; without the others it may not act.
         groups.remove("b").stop();
-        World.await("one alone is fenced", () -> !groups.get("a").mayAct());
+        World.await("one alone is fenced", () -> !groups.get("a").mayServe());
         String kept =
                 store(null, "audit", "verify", folder.resolve("b").toString()).out();
         assertTrue(kept.contains("lives: 1") && kept.contains("acted.0: 1-"), kept);
         start("b", null);
         start("c", null);
-        World.await("all may act again", () -> groups.values().stream().allMatch(Group::mayAct));
+        World.await("all may act again", () -> groups.values().stream().allMatch(RaftMember::mayServe));
         World.await("late entries fit in", () -> {
             try {
                 String of = store(a, "audit", "pooler", "c").out();
@@ -310,13 +311,16 @@
                         keys.resolve("both.pem"), keys.resolve("foreign/c.pem"), keys.resolve("foreign/c.key")));
         assertTrue(store(foreign, "members", "--seconds", "1").code() != 0);
         Thread.sleep(500);
-        assertEquals(0, groups.values().stream().filter(Group::leads).count(), "without the third nothing is founded");
+        assertEquals(
+                0,
+                groups.values().stream().filter(RaftMember::isLeader).count(),
+                "without the third nothing is founded");
         // With a certificate that is good by now, read anew, it is let in.
         groups.remove("c").stop();
         start("c", tls("both.pem", "own", "c"));
-        World.await("founded", () -> groups.values().stream().anyMatch(Group::leads));
-        for (Group group : groups.values()) {
-            group.reload();
+        World.await("founded", () -> groups.values().stream().anyMatch(RaftMember::isLeader));
+        for (RaftMember group : groups.values()) {
+            group.reloadCertificates();
         }
         assertEquals(
                 0,
@@ -338,18 +342,18 @@
                 store(a, "put", document("{\"mysql\":{\"user\":\"x\"}}").toString(), "--revision", "0")
                         .code());
         AtomicInteger held = new AtomicInteger();
-        groups.get("b").committed("session-1", 4_000_000_000_000_000L, held::incrementAndGet);
+        groups.get("b").publishCommit("session-1", 4_000_000_000_000_000L, held::incrementAndGet);
         World.await("a majority holds the token", () -> held.get() == 1);
         World.await("adopted by all", () -> acting.size() == 3);
         for (String name : NAMES) {
             groups.remove(name).stop();
         }
         acting.clear();
-        Group alone = start("a", tls("own/authority.pem", "own", "a"));
+        RaftMember alone = start("a", tls("own/authority.pem", "own", "a"));
         World.await("acted on", () -> acting.containsKey("a"));
         assertEquals(1, acting.get("a").revision());
         assertEquals(1, alone.warm().revision());
-        assertFalse(alone.leads());
+        assertFalse(alone.isLeader());
         Said put = store(a, "put", document("{}").toString(), "--revision", "1", "--seconds", "1");
         assertEquals(StoreCommand.NOBODY, put.code(), put.err());
         World.await("says so", () -> {
@@ -381,7 +385,7 @@
         World.await("tokens", () -> tokens.getOrDefault("a", Map.of()).containsKey("s1"));
         groups.remove("a").stop();
         start("a", null);
-        World.await("led", () -> groups.get("a").leads());
+        World.await("led", () -> groups.get("a").isLeader());
         assertTrue(store(file("a", null), "status").out().contains("revision: 1"));
     }
 
@@ -389,7 +393,7 @@
     void filesAreForTheirOwnerAloneAndAFolderIsForOneProcess() throws Exception {
         places();
         start("a", tls("own/authority.pem", "own", "a"));
-        assertThrows(IOException.class, () -> new Group(config("a", tls("own/authority.pem", "own", "a"))));
+        assertThrows(IOException.class, () -> new RaftMember(config("a", tls("own/authority.pem", "own", "a"))));
         try (Stream<Path> files = Stream.of(Files.list(keys.resolve("own")), Files.list(folder.resolve("a")))
                 .flatMap(s -> s)) {
             for (Path file : files.filter(f -> !f.endsWith("lock")).toList()) {
@@ -401,7 +405,7 @@
         }
         OperatorConfig.Store open =
                 new OperatorConfig.Store("plant", "z", folder.resolve("z"), "0.0.0.0:1", addresses, null, 0);
-        assertTrue(assertThrows(IOException.class, () -> new Group(open))
+        assertTrue(assertThrows(IOException.class, () -> new RaftMember(open))
                 .getMessage()
                 .startsWith("store.tls is missing"));
         assertNull(acting.get("a"));
--- a/daemon/src/test/java/lupinvalve/cli/SubscriberTest.java
+++ b/daemon/src/test/java/lupinvalve/cli/SubscriberTest.java
@@ -20,11 +20,11 @@
 import lupinvalve.core.Loop;
 import lupinvalve.integration.World;
 import lupinvalve.net.Net;
-import lupinvalve.replication.Client;
 import lupinvalve.replication.ControlPlane;
-import lupinvalve.replication.Group;
-import lupinvalve.replication.Messages;
+import lupinvalve.replication.GroupClient;
+import lupinvalve.replication.RaftMember;
 import lupinvalve.replication.Subscriber;
+import lupinvalve.replication.WireMessages;
 import lupinvalve.statemachine.Change;
 import lupinvalve.statemachine.Ledger;
 import lupinvalve.subscription.FollowSchedule;
@@ -41,7 +41,7 @@
     private Path folder;
 
     private final Map<String, String> addresses = new TreeMap<>();
-    private final Map<String, Group> groups = new HashMap<>();
+    private final Map<String, RaftMember> groups = new HashMap<>();
     private final List<ControlPlane> subscribers = new ArrayList<>();
     private final Map<String, Ledger.Document> acting = new ConcurrentHashMap<>();
     private final Map<String, Map<Change.Holding, Ledger.Held>> holds = new ConcurrentHashMap<>();
@@ -51,30 +51,30 @@
     @AfterEach
     void end() {
         subscribers.forEach(ControlPlane::stop);
-        groups.values().forEach(Group::stop);
+        groups.values().forEach(RaftMember::stop);
         net.close();
         loop.stop();
     }
 
-    private Group.Pooler pooler(String name) {
-        return new Group.Pooler() {
+    private ControlPlane.Listener pooler(String name) {
+        return new ControlPlane.Listener() {
             @Override
-            public String objection(byte[] document) {
+            public String validationError(byte[] document) {
                 return OperatorConfig.objection(document);
             }
 
             @Override
-            public void adopt(Ledger.Document document) {
+            public void configurationAccepted(Ledger.Document document) {
                 acting.put(name, document);
             }
 
             @Override
-            public void holds(Map<Change.Holding, Ledger.Held> now) {
+            public void holdsChanged(Map<Change.Holding, Ledger.Held> now) {
                 holds.put(name, now);
             }
 
             @Override
-            public void commits(Change.Commits commits) {
+            public void commitsAccepted(Change.Commits commits) {
                 // Positions are of no matter here.
             }
         };
@@ -97,7 +97,7 @@
     }
 
     private void member(String name, OperatorConfig.Audit audit) throws IOException {
-        Group group = new Group(new OperatorConfig.Store(
+        RaftMember group = new RaftMember(new OperatorConfig.Store(
                 "plant", name, folder.resolve(name), addresses.get(name), addresses, null, 0, audit));
         groups.put(name, group);
         group.start(pooler(name));
@@ -115,13 +115,13 @@
         return subscriber;
     }
 
-    private Client.Said ask(String call, String... words) {
+    private GroupClient.Result ask(String call, String... words) {
         List<byte[]> arguments = new ArrayList<>();
         for (String word : words) {
             arguments.add(word.getBytes(StandardCharsets.UTF_8));
         }
         try {
-            return new Client("plant", addresses, null).ask(call, arguments, false, 20_000);
+            return new GroupClient("plant", addresses, null).ask(call, arguments, false, 20_000);
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
@@ -131,12 +131,12 @@
         List<String> words =
                 new ArrayList<>(List.of(Integer.toString(revision), "{\"mysql\":{\"user\":\"" + user + "\"}}"));
         words.addAll(List.of(more));
-        Client.Said said = ask("put", words.toArray(new String[0]));
-        assertEquals(Messages.Code.OK, said.code(), said.text());
+        GroupClient.Result said = ask("put", words.toArray(new String[0]));
+        assertEquals(WireMessages.Status.OK, said.status(), said.text());
     }
 
     private boolean allAt(List<Subscriber> all, long revision) {
-        return all.stream().allMatch(one -> one.actingRevision() == revision && one.mayAct());
+        return all.stream().allMatch(one -> one.actingRevision() == revision && one.mayServe());
     }
 
     private List<Subscriber> many(OperatorConfig.Audit audit) {
@@ -154,48 +154,48 @@
     @Test
     void manyFollowEachChangeByDifferencesAndAStrictOneWaitsForThem() throws Exception {
         members(OperatorConfig.Audit.FENCE);
-        World.await("led", () -> groups.values().stream().anyMatch(Group::leads));
+        World.await("led", () -> groups.values().stream().anyMatch(RaftMember::isLeader));
         put(0, "one-of-a-name-that-is-as-long-as-a-difference");
         List<Subscriber> all = many(OperatorConfig.Audit.FENCE);
         World.await("all follow with a lease", () -> allAt(all, 1));
         put(1, "two-of-a-name-that-is-as-long-as-a-difference", "strict");
         assertTrue(
-                all.stream().allMatch(one -> one.actingRevision() == 2 || !one.mayAct()),
+                all.stream().allMatch(one -> one.actingRevision() == 2 || !one.mayServe()),
                 "by the time of a strict answer");
         World.await("all act on it", () -> allAt(all, 2));
         assertEquals(
                 0, all.stream().filter(one -> one.traffic().differences() == 0).count());
-        Client.Said held = ask("hold", "node", "db-7", "disk", "strict");
-        assertEquals(Messages.Code.OK, held.code(), held.text());
+        GroupClient.Result held = ask("hold", "node", "db-7", "disk", "strict");
+        assertEquals(WireMessages.Status.OK, held.status(), held.text());
         World.await(
                 "held",
-                () -> all.stream().allMatch(one -> one.mayAct())
+                () -> all.stream().allMatch(one -> one.mayServe())
                         && holds.get("s7").size() == 1);
 
         // The member that leads goes: those that followed it come to others before their leases end, or soon after.
         String leader = groups.entrySet().stream()
-                .filter(one -> one.getValue().leads())
+                .filter(one -> one.getValue().isLeader())
                 .findFirst()
                 .orElseThrow()
                 .getKey();
         groups.remove(leader).stop();
-        World.await("led anew", () -> groups.values().stream().anyMatch(Group::leads));
+        World.await("led anew", () -> groups.values().stream().anyMatch(RaftMember::isLeader));
         put(2, "three");
         World.await("all act on the next", () -> allAt(all, 3));
 
         // Nobody of a group without a majority grants anything.
         groups.remove(groups.keySet().iterator().next()).stop();
-        World.await("fenced", () -> all.stream().noneMatch(Subscriber::mayAct));
+        World.await("fenced", () -> all.stream().noneMatch(Subscriber::mayServe));
         assertTrue(all.stream().allMatch(one -> one.actingRevision() == 3));
     }
 
     @Test
     void aMemberWithoutLeasesIsLeftForOneThatGrantsThem() throws Exception {
         members(OperatorConfig.Audit.FENCE);
-        World.await("led", () -> groups.values().stream().anyMatch(Group::leads));
+        World.await("led", () -> groups.values().stream().anyMatch(RaftMember::isLeader));
         put(0, "one");
         String without = groups.keySet().stream()
-                .filter(name -> !groups.get(name).leads())
+                .filter(name -> !groups.get(name).isLeader())
                 .findFirst()
                 .orElseThrow();
         groups.remove(without).stop();
@@ -207,26 +207,26 @@
                 .orElseThrow();
         World.await(
                 "it takes part",
-                () -> acting.containsKey(without) && groups.values().stream().anyMatch(Group::leads));
+                () -> acting.containsKey(without) && groups.values().stream().anyMatch(RaftMember::isLeader));
         Subscriber subscriber = subscriber(name, OperatorConfig.Audit.FENCE);
         World.await("adopted", () -> subscriber.actingRevision() == 1);
-        World.await("let act by another", subscriber::mayAct);
+        World.await("let act by another", subscriber::mayServe);
         assertTrue(subscriber.traffic().moves() > 0);
     }
 
     @Test
     void aRestartActsOnWhatItKeptAndOneThatServesGoesOnWithoutMembers() throws Exception {
         members(OperatorConfig.Audit.OFF);
-        World.await("led", () -> groups.values().stream().anyMatch(Group::leads));
+        World.await("led", () -> groups.values().stream().anyMatch(RaftMember::isLeader));
         put(0, "one");
         Subscriber serves = subscriber("serves", OperatorConfig.Audit.OFF);
         Subscriber fences = subscriber("fences", OperatorConfig.Audit.FENCE);
         World.await("adopted", () -> serves.actingRevision() == 1 && fences.actingRevision() == 1);
-        assertTrue(serves.mayAct() && !fences.mayAct(), "members without audit grant no lease");
+        assertTrue(serves.mayServe() && !fences.mayServe(), "members without audit grant no lease");
         ask("hold", "node", "db-7", "disk");
         World.await("held", () -> holds.getOrDefault("serves", Map.of()).size() == 1);
         serves.stop();
-        groups.values().forEach(Group::stop);
+        groups.values().forEach(RaftMember::stop);
         groups.clear();
         acting.clear();
         holds.clear();
@@ -240,6 +240,6 @@
         kept[kept.length / 2] ^= 4;
         Files.write(folder.resolve("serves/followed"), kept);
         Subscriber damaged = subscriber("serves", OperatorConfig.Audit.OFF);
-        assertEquals(null, damaged.known().document(), "what is damaged is not believed");
+        assertEquals(null, damaged.initialState().document(), "what is damaged is not believed");
     }
 }
--- a/daemon/src/test/java/lupinvalve/integration/GroupStoryTest.java
+++ b/daemon/src/test/java/lupinvalve/integration/GroupStoryTest.java
@@ -13,8 +13,8 @@
 import java.util.Map;
 import lupinvalve.cli.Daemon;
 import lupinvalve.config.OperatorConfig;
-import lupinvalve.replication.Client;
-import lupinvalve.replication.Messages;
+import lupinvalve.replication.GroupClient;
+import lupinvalve.replication.WireMessages;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -40,10 +40,10 @@
         for (String word : words) {
             arguments.add(word.getBytes(UTF_8));
         }
-        Client client = new Client(
+        GroupClient client = new GroupClient(
                 "test", Map.of("n0", "127.0.0.1:" + daemon.storeAddress().getPort()), null);
-        Client.Said said = client.ask(call, arguments, true, 10_000);
-        assertEquals(Messages.Code.OK, said.code(), said.text());
+        GroupClient.Result said = client.ask(call, arguments, true, 10_000);
+        assertEquals(WireMessages.Status.OK, said.status(), said.text());
         return said.text();
     }
 
--- a/daemon/src/test/java/lupinvalve/mysql/MysqlTest.java
+++ b/daemon/src/test/java/lupinvalve/mysql/MysqlTest.java
@@ -24,8 +24,8 @@
 import lupinvalve.integration.DbNode;
 import lupinvalve.integration.DbNode.Makes;
 import lupinvalve.integration.World;
-import lupinvalve.replication.Client;
-import lupinvalve.replication.Messages;
+import lupinvalve.replication.GroupClient;
+import lupinvalve.replication.WireMessages;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -63,12 +63,12 @@
         assertNull(world.daemon.mysqlAddress());
         String document = "{\"mysql\": {\"user\": \"portal\", \"password\": \"towel\", \"node_user\": \""
                 + MysqlPort.USER + "\", \"node_password\": \"" + MysqlPort.PASSWORD + "\"}}";
-        Client operator = new Client(
+        GroupClient operator = new GroupClient(
                 "test", Map.of("n0", "127.0.0.1:" + world.daemon.storeAddress().getPort()), null);
         assertEquals(
-                Messages.Code.OK,
+                WireMessages.Status.OK,
                 operator.ask("put", List.of("0".getBytes(UTF_8), document.getBytes(UTF_8)), false, 10_000)
-                        .code());
+                        .status());
         World.await("served", () -> world.daemon.mysqlAddress() != null);
         return world;
     }
--- a/daemon/src/test/java/lupinvalve/replication/OldMemberTest.java
+++ b/daemon/src/test/java/lupinvalve/replication/OldMemberTest.java
@@ -39,7 +39,7 @@
 
     /** A member that answers each call as it is told. */
     private static ServerSocket member(
-            String name, AtomicInteger calls, java.util.function.Function<Messages.Call, byte[]> answers)
+            String name, AtomicInteger calls, java.util.function.Function<WireMessages.Request, byte[]> answers)
             throws IOException {
         ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         Thread thread = new Thread(() -> {
@@ -57,37 +57,40 @@
     }
 
     private static void serve(
-            Socket socket, String name, AtomicInteger calls, java.util.function.Function<Messages.Call, byte[]> answers)
+            Socket socket,
+            String name,
+            AtomicInteger calls,
+            java.util.function.Function<WireMessages.Request, byte[]> answers)
             throws IOException {
         Founding.Word word = new Founding.Word(
                 new Identity(name, "disk"), Founding.Phase.FOUNDED, Set.of(new Identity(name, "disk")));
-        socket.getOutputStream().write(new Messages.Hello("plant", name, "127.0.0.1:1", word).write());
+        socket.getOutputStream().write(new WireMessages.Hello("plant", name, "127.0.0.1:1", word).write());
         DataInputStream in = new DataInputStream(socket.getInputStream());
         while (true) {
             byte[] message = new byte[in.readInt()];
             in.readFully(message);
-            if (Messages.kind(message) == Messages.Kind.CALL) {
+            if (WireMessages.kind(message) == WireMessages.Kind.REQUEST) {
                 calls.incrementAndGet();
-                socket.getOutputStream().write(answers.apply(Messages.Call.read(Messages.body(message))));
+                socket.getOutputStream().write(answers.apply(WireMessages.Request.read(WireMessages.body(message))));
             }
         }
     }
 
     /** As programs of before subscriptions wrote it: three values. */
-    private static byte[] oldAnswer(Messages.Call call) {
-        return Messages.message(
-                Messages.Kind.ANSWER,
+    private static byte[] oldAnswer(WireMessages.Request call) {
+        return WireMessages.message(
+                WireMessages.Kind.RESPONSE,
                 new Cbor.Out()
                         .number(call.id())
-                        .number(Messages.Code.REFUSED.ordinal())
+                        .number(WireMessages.Status.REJECTED.ordinal())
                         .text("no such call: " + call.name())
                         .done());
     }
 
-    private static byte[] newAnswer(Messages.Call call) {
+    private static byte[] newAnswer(WireMessages.Request call) {
         Ledger.Document document = new Ledger.Document(1, 1, Ledger.digest(DOCUMENT), DOCUMENT);
         byte[] content = new FollowAnswer(0, 0, "", 1, 20, new FollowAnswer.News.Whole(document), Map.of()).write();
-        return new Messages.Answer(call.id(), Messages.Code.OK, "", content).write();
+        return new WireMessages.Response(call.id(), WireMessages.Status.OK, "", content).write();
     }
 
     @Test
@@ -128,25 +131,25 @@
         assertTrue(said.contains("store: follows b"), said);
     }
 
-    private static Group.Pooler pooler(AtomicReference<Ledger.Document> acting) {
-        return new Group.Pooler() {
+    private static ControlPlane.Listener pooler(AtomicReference<Ledger.Document> acting) {
+        return new ControlPlane.Listener() {
             @Override
-            public String objection(byte[] document) {
+            public String validationError(byte[] document) {
                 return null;
             }
 
             @Override
-            public void adopt(Ledger.Document document) {
+            public void configurationAccepted(Ledger.Document document) {
                 acting.set(document);
             }
 
             @Override
-            public void holds(Map<Change.Holding, Ledger.Held> holds) {
+            public void holdsChanged(Map<Change.Holding, Ledger.Held> holds) {
                 // None are told.
             }
 
             @Override
-            public void commits(Change.Commits commits) {
+            public void commitsAccepted(Change.Commits commits) {
                 // Subscribers are told of none.
             }
         };
@@ -159,14 +162,16 @@
             at = "127.0.0.1:" + held.getLocalPort();
         }
         Map<String, String> members = Map.of("a", at);
-        Group group = new Group(new OperatorConfig.Store("plant", "a", folder, at, members, null, 0));
+        RaftMember group = new RaftMember(new OperatorConfig.Store("plant", "a", folder, at, members, null, 0));
         try {
             group.start(pooler(new AtomicReference<>()));
-            World.await("led", group::leads);
+            World.await("led", group::isLeader);
             byte[] newer = new FollowRequest(FollowRequest.VERSION + 1, 0, 0, "", "", false, false, "").write();
-            Client.Said said = new Client("plant", members, null).ask("follow", List.of(newer), false, 5_000);
+            GroupClient.Result said =
+                    new GroupClient("plant", members, null).ask("follow", List.of(newer), false, 5_000);
             assertEquals(
-                    new Client.Said(Messages.Code.REFUSED, "version 2 of following is asked for; this member speaks 1"),
+                    new GroupClient.Result(
+                            WireMessages.Status.REJECTED, "version 2 of following is asked for; this member speaks 1"),
                     said);
         } finally {
             group.stop();
--- a/drills/src/main/java/lupinvalve/cli/PointLauncher.java
+++ b/drills/src/main/java/lupinvalve/cli/PointLauncher.java
@@ -6,8 +6,8 @@
 import lupinvalve.config.NodeConfig;
 import lupinvalve.config.OperatorConfig;
 import lupinvalve.faultinjection.Points;
-import lupinvalve.replication.Group;
 import lupinvalve.replication.PointSeams;
+import lupinvalve.replication.RaftMember;
 import org.kohsuke.args4j.CmdLineException;
 import org.kohsuke.args4j.CmdLineParser;
 import org.kohsuke.args4j.Option;
@@ -23,7 +23,7 @@
     @Override
     Daemon daemon(NodeConfig node, OperatorConfig operator, Path shared) throws IOException {
         Points.At point = at == null ? null : Points.At.of(at);
-        return new Daemon(node, operator, shared, config -> new Group(config, new PointSeams(point, course)));
+        return new Daemon(node, operator, shared, config -> new RaftMember(config, new PointSeams(point, course)));
     }
 
     public static void main(String[] args) throws Exception {
--- a/drills/src/main/java/lupinvalve/drills/AuditDrill.java
+++ b/drills/src/main/java/lupinvalve/drills/AuditDrill.java
@@ -13,8 +13,8 @@
 import java.util.Random;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicInteger;
-import lupinvalve.replication.Client;
-import lupinvalve.replication.Messages;
+import lupinvalve.replication.GroupClient;
+import lupinvalve.replication.WireMessages;
 import org.HdrHistogram.ConcurrentHistogram;
 import org.HdrHistogram.Histogram;
 
@@ -92,13 +92,13 @@
         begun = System.currentTimeMillis();
         threads.add(Threads.start("strict holds", () -> {
             Random random = new Random(seed);
-            Client client = new Client(StoreClients.CLUSTER, places, null);
+            GroupClient client = new GroupClient(StoreClients.CLUSTER, places, null);
             while (!over) {
                 holdOne(client, nodes.get(random.nextInt(nodes.size())));
             }
         }));
         threads.add(Threads.start("strict puts", () -> {
-            Client client = new Client(StoreClients.CLUSTER, places, null);
+            GroupClient client = new GroupClient(StoreClients.CLUSTER, places, null);
             while (!over) {
                 putOne(client);
                 Thread.sleep(300);
@@ -106,7 +106,7 @@
         }));
     }
 
-    private Client.Said ask(Client client, String call, boolean again, String... words) {
+    private GroupClient.Result ask(GroupClient client, String call, boolean again, String... words) {
         List<byte[]> arguments = new ArrayList<>();
         for (String word : words) {
             arguments.add(word.getBytes(StandardCharsets.UTF_8));
@@ -114,10 +114,10 @@
         return client.ask(call, arguments, again, CALL_MILLIS);
     }
 
-    private void holdOne(Client client, String node) throws InterruptedException {
+    private void holdOne(GroupClient client, String node) throws InterruptedException {
         long asked = System.nanoTime();
-        Client.Said said = ask(client, "hold", false, "node", node, "drill", "strict");
-        if (said.code() == Messages.Code.OK) {
+        GroupClient.Result said = ask(client, "hold", false, "node", node, "drill", "strict");
+        if (said.status() == WireMessages.Status.OK) {
             heldSince.put(node, System.currentTimeMillis());
             strict.recordValue((System.nanoTime() - asked) / 1000);
             strictHolds.incrementAndGet();
@@ -127,29 +127,29 @@
         }
         heldSince.remove(node);
         // It must come back whatever became of the call before.
-        for (int i = 0; i < 5 && ask(client, "release", true, "node", node).code() != Messages.Code.OK; i++) {
+        for (int i = 0; i < 5 && ask(client, "release", true, "node", node).status() != WireMessages.Status.OK; i++) {
             Thread.sleep(100);
         }
     }
 
-    private void putOne(Client client) throws IOException {
-        Client.Said now = ask(client, "get", true, "");
-        if (now.code() != Messages.Code.OK) {
+    private void putOne(GroupClient client) throws IOException {
+        GroupClient.Result now = ask(client, "get", true, "");
+        if (now.status() != WireMessages.Status.OK) {
             return;
         }
         String document = "{\"mysql\":{\"user\":\"a" + numbers.incrementAndGet() + "\"}}";
         long asked = System.currentTimeMillis();
         long began = System.nanoTime();
-        Client.Said said =
+        GroupClient.Result said =
                 ask(client, "put", false, fields(now.text()).getOrDefault("revision", "0"), document, "strict");
-        if (said.code() == Messages.Code.OK) {
+        if (said.status() == WireMessages.Status.OK) {
             strict.recordValue((System.nanoTime() - began) / 1000);
             puts.add(new Put(
                     fields(said.text()).get("revision") + "-"
                             + lupinvalve.statemachine.Ledger.digest(document.getBytes(StandardCharsets.UTF_8)),
                     asked,
                     System.currentTimeMillis()));
-        } else if (said.code() == Messages.Code.UNKNOWN) {
+        } else if (said.status() == WireMessages.Status.INDETERMINATE) {
             unsure.incrementAndGet();
         }
     }
@@ -187,11 +187,11 @@
         }
         // Entries come in bundles, some a little later.
         Thread.sleep(1_500);
-        Client client = new Client(StoreClients.CLUSTER, places, null);
+        GroupClient client = new GroupClient(StoreClients.CLUSTER, places, null);
         long end = System.currentTimeMillis();
         for (String pooler : places.keySet()) {
-            Client.Said said = ask(client, "audit", true, "pooler", pooler);
-            if (said.code() != Messages.Code.OK) {
+            GroupClient.Result said = ask(client, "audit", true, "pooler", pooler);
+            if (said.status() != WireMessages.Status.OK) {
                 found("audit pooler " + pooler + ": " + said.text());
                 continue;
             }
--- a/drills/src/main/java/lupinvalve/drills/StoreClients.java
+++ b/drills/src/main/java/lupinvalve/drills/StoreClients.java
@@ -13,8 +13,8 @@
 import java.util.TreeMap;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
-import lupinvalve.replication.Client;
-import lupinvalve.replication.Messages;
+import lupinvalve.replication.GroupClient;
+import lupinvalve.replication.WireMessages;
 import lupinvalve.statemachine.Ledger;
 import org.HdrHistogram.ConcurrentHistogram;
 import org.HdrHistogram.Histogram;
@@ -54,7 +54,7 @@
         java.util.Collections.rotate(names, -number);
         Map<String, String> mine = new LinkedHashMap<>();
         names.forEach(name -> mine.put(name, places.get(name)));
-        Client client = new Client(CLUSTER, mine, null);
+        GroupClient client = new GroupClient(CLUSTER, mine, null);
         while (!over) {
             long revision = read(client);
             if (revision >= 0 && own.nextInt(3) > 0) {
@@ -66,13 +66,13 @@
 
     /** The revision that a linearizable read comes back with, or -1. */
     long read() throws IOException {
-        return read(new Client(CLUSTER, places, null));
+        return read(new GroupClient(CLUSTER, places, null));
     }
 
-    private long read(Client client) throws IOException {
+    private long read(GroupClient client) throws IOException {
         long began = System.nanoTime();
-        Client.Said said = client.ask("get", List.of(new byte[0]), true, CALL_MILLIS);
-        if (said.code() != Messages.Code.OK) {
+        GroupClient.Result said = client.ask("get", List.of(new byte[0]), true, CALL_MILLIS);
+        if (said.status() != WireMessages.Status.OK) {
             return -1;
         }
         Map<String, String> fields = fields(said.text());
@@ -81,14 +81,14 @@
         return revision;
     }
 
-    private void put(Client client, long expected) throws IOException {
+    private void put(GroupClient client, long expected) throws IOException {
         byte[] document =
                 ("{\"mysql\":{\"user\":\"u" + numbers.incrementAndGet() + "\"}}").getBytes(StandardCharsets.UTF_8);
         long began = System.nanoTime();
-        Client.Said said = client.ask(
+        GroupClient.Result said = client.ask(
                 "put", List.of(Long.toString(expected).getBytes(StandardCharsets.UTF_8), document), false, CALL_MILLIS);
         long ended = System.nanoTime();
-        if (said.code() == Messages.Code.OK) {
+        if (said.status() == WireMessages.Status.OK) {
             checker.put(began, ended, Long.parseLong(fields(said.text()).get("revision")), Ledger.digest(document));
             if (faultAt < began - TimeUnit.SECONDS.toNanos(QUIET_SECONDS)) {
                 commits.recordValue((ended - began) / 1000);
--- a/drills/src/main/java/lupinvalve/replication/PointSeams.java
+++ b/drills/src/main/java/lupinvalve/replication/PointSeams.java
@@ -11,7 +11,7 @@
 import lupinvalve.log.Log;
 
 /** Numbers what a real member does at its seams, and ends, fails or stops this very process at one of them. */
-public final class PointSeams implements Group.Seams {
+public final class PointSeams implements RaftMember.Interceptors {
     /** The exit code of a process that ended itself at its point. */
     public static final int ENDED = 137;
 
@@ -93,8 +93,8 @@
     }
 
     @Override
-    public Schedule schedule(Schedule own) {
-        return new Schedule() {
+    public Scheduler schedule(Scheduler own) {
+        return new Scheduler() {
             @Override
             public long now() {
                 return own.now();
--- a/drills/src/test/java/lupinvalve/drills/SubscribersTest.java
+++ b/drills/src/test/java/lupinvalve/drills/SubscribersTest.java
@@ -11,8 +11,8 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.BooleanSupplier;
-import lupinvalve.replication.Client;
-import lupinvalve.replication.Messages;
+import lupinvalve.replication.GroupClient;
+import lupinvalve.replication.WireMessages;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -118,12 +118,13 @@
         List<byte[]> arguments = List.of(
                 Long.toString(revision).getBytes(StandardCharsets.UTF_8),
                 ("{\"mysql\":{\"user\":\"user-" + revision + "\"}}").getBytes(StandardCharsets.UTF_8));
-        Client.Said said = new Client("plant", asked, null).ask("put", arguments, false, 30_000);
-        if (said.code() != Messages.Code.OK) {
+        GroupClient.Result said = new GroupClient("plant", asked, null).ask("put", arguments, false, 30_000);
+        if (said.status() != WireMessages.Status.OK) {
             // It may have happened as a leader went: then the next try tells so.
-            said = new Client("plant", asked, null).ask("put", arguments, false, 30_000);
+            said = new GroupClient("plant", asked, null).ask("put", arguments, false, 30_000);
         }
-        assertTrue(said.code() == Messages.Code.OK || said.code() == Messages.Code.CONFLICT, said.text());
+        assertTrue(
+                said.status() == WireMessages.Status.OK || said.status() == WireMessages.Status.CONFLICT, said.text());
         revision++;
         book.accepted(revision, System.currentTimeMillis());
     }
--- a/faultinjection/src/main/java/lupinvalve/replication/Scenario.java
+++ b/faultinjection/src/main/java/lupinvalve/replication/Scenario.java
@@ -258,10 +258,10 @@
                 }
             });
             if (sim.leader() != null) {
-                Replica leader = sim.leader().replica;
+                RaftReplica leader = sim.leader().replica;
                 leader.report((fate, report) -> {
-                    if (fate == Replica.Fate.DONE && Replica.leads(report)) {
-                        step.set(Membership.next(wish, Replica.view(report, all, all)));
+                    if (fate == RaftReplica.Completion.DONE && RaftReplica.leads(report)) {
+                        step.set(Membership.next(wish, RaftReplica.view(report, all, all)));
                         leader.step(step.get(), report, (f, ok) -> {});
                     }
                 });
--- a/faultinjection/src/main/java/lupinvalve/replication/Simulation.java
+++ b/faultinjection/src/main/java/lupinvalve/replication/Simulation.java
@@ -37,7 +37,7 @@
         final int number;
         final Identity identity;
         MemoryDisk disk = new MemoryDisk();
-        Replica replica;
+        RaftReplica replica;
         String stopped;
         boolean started;
         int life;
@@ -46,14 +46,14 @@
         /** What an earlier store left at this member, until that is taken over. */
         byte[] left;
 
-        private TakeOver takeOver;
+        private LegacyStoreImport takeOver;
 
         Member(int number) {
             this.number = number;
             identity = new Identity("m" + number, "d" + number);
         }
 
-        private final class Life implements Schedule {
+        private final class Life implements Scheduler {
             private final int mine = life;
 
             @Override
@@ -135,7 +135,7 @@
 
         /** Takes part again in the same life, as a member does whose disk is good again. */
         private void revive() {
-            if (replica == null || !Replica.DISK.equals(stopped)) {
+            if (replica == null || !RaftReplica.DISK.equals(stopped)) {
                 return;
             }
             try {
@@ -146,18 +146,18 @@
         }
 
         private void begin(SegmentedLog log) throws IOException {
-            takeOver = new TakeOver(left == null ? null : new Left());
+            takeOver = new LegacyStoreImport(left == null ? null : new Left());
             if (log.word().phase() == Founding.Phase.ALONE) {
                 boolean founder = founders.contains(identity);
                 log.keep(new Founding.Word(
                         identity, founder ? Founding.Phase.FOUNDED : Founding.Phase.NEWCOMER, founders));
             }
             stopped = null;
-            replica = new Replica(
+            replica = new RaftReplica(
                     new Life(),
                     log,
                     founders,
-                    new Replica.Sending() {
+                    new RaftReplica.MessageSender() {
                         private final int mine = life;
 
                         @Override
@@ -187,7 +187,7 @@
                         }
                     },
                     new Random(random.nextLong()),
-                    new Replica.Watcher() {
+                    new RaftReplica.StateListener() {
                         @Override
                         public void applied(long index, Change change, Ledger.Outcome outcome) {
                             if (change instanceof Change.Put && outcome.result() == Ledger.Result.DONE) {
@@ -211,7 +211,7 @@
             replica.start();
         }
 
-        private final class Left implements TakeOver.Left {
+        private final class Left implements LegacyStoreImport.Source {
             private final int mine = life;
 
             @Override
@@ -333,7 +333,7 @@
 
     private static String said(byte[] message) {
         try {
-            String text = String.valueOf(Models.read(Replica.GROUP, message));
+            String text = String.valueOf(RaftCodec.read(RaftReplica.GROUP, message));
             return text.length() > SAID ? text.substring(0, SAID) : text;
         } catch (IOException e) {
             return e.getMessage();
@@ -413,7 +413,7 @@
             byte[] content = document("{\"n\":\"" + number++ + filler + "\"}");
             long expected = at.replica.ledger().revision();
             at.replica.propose(new Change.Put(expected, content), (fate, outcome) -> {
-                if (fate == Replica.Fate.DONE && outcome.result() == Ledger.Result.DONE) {
+                if (fate == RaftReplica.Completion.DONE && outcome.result() == Ledger.Result.DONE) {
                     String other = acknowledged.putIfAbsent(outcome.revision(), Ledger.digest(content));
                     if (other != null) {
                         faults.add("revision " + outcome.revision() + " was acknowledged twice");
@@ -428,7 +428,7 @@
             }
             long least = acknowledged.isEmpty() ? 0 : acknowledged.lastKey();
             at.replica.upToDate((fate, ok) -> {
-                if (fate == Replica.Fate.DONE && at.replica.ledger().revision() < least) {
+                if (fate == RaftReplica.Completion.DONE && at.replica.ledger().revision() < least) {
                     faults.add("a read came back with revision "
                             + at.replica.ledger().revision() + " after " + least);
                 }
--- a/faultinjection/src/main/java/lupinvalve/replication/Sweep.java
+++ b/faultinjection/src/main/java/lupinvalve/replication/Sweep.java
@@ -86,7 +86,10 @@
         return new Play(scenario, seed, faults, broken, hung, List.copyOf(points.met()));
     }
 
-    /** Mends all faults, starts what is down, and waits until a new change is accepted and all members have all. */
+    /**
+     * MicroRaftWorkarounds all faults, starts what is down, and waits until a new change is accepted and all members
+     * have all.
+     */
     private static boolean settles(Scenario scenario, Simulation sim, Simulation.Clients clients) throws IOException {
         sim.heal();
         sim.run(11_000_000);
--- a/faultinjection/src/test/java/lupinvalve/replication/AuditBookTest.java
+++ b/faultinjection/src/test/java/lupinvalve/replication/AuditLogTest.java
@@ -13,7 +13,7 @@
 import lupinvalve.statemachine.Change;
 import org.junit.jupiter.api.Test;
 
-class AuditBookTest {
+class AuditLogTest {
     private final MemoryDisk disk = new MemoryDisk();
 
     private static List<Entry> entries(Change.Noted noted) throws IOException {
@@ -26,14 +26,14 @@
 
     @Test
     void whatWasForcedIsThereAfterACrashAndIsDeliveredLate() throws IOException {
-        AuditBook first = new AuditBook(disk, "p", 1);
+        AuditLog first = new AuditLog(disk, "p", 1);
         first.note(Entry.What.STARTED, "", 0, 10, "");
         first.note(Entry.What.ADOPTED, "1-a", 1, 20, "");
         first.delivered(first.due());
         assertNull(first.due());
         first.note(Entry.What.CUT_OFF, "1-a", 1, 30, "");
         disk.crash(new Random(1));
-        AuditBook next = new AuditBook(disk, "p", 2);
+        AuditLog next = new AuditLog(disk, "p", 2);
         List<Entry> left = entries(next.due());
         assertEquals(List.of(1L, 2L, 3L), left.stream().map(Entry::number).toList(), "which came through is not known");
         assertNull(Journal.broken(left));
@@ -44,7 +44,7 @@
 
     @Test
     void anEntryThatADiskDidNotTakeIsNotActedOnAndStillDelivered() throws IOException {
-        AuditBook book = new AuditBook(disk, "p", 1);
+        AuditLog book = new AuditLog(disk, "p", 1);
         book.note(Entry.What.STARTED, "", 0, 10, "");
         disk.room = 30;
         assertThrows(IOException.class, () -> book.note(Entry.What.ADOPTED, "1-a", 1, 20, ""));
@@ -55,7 +55,7 @@
         // On the disk stands what it took, each file whole but for its end.
         List<Entry> kept = new ArrayList<>();
         for (String file : disk.names()) {
-            kept.addAll(AuditBook.read(disk, file));
+            kept.addAll(AuditLog.read(disk, file));
         }
         assertEquals(List.of(1L, 3L), kept.stream().map(Entry::number).toList());
     }
--- a/faultinjection/src/test/java/lupinvalve/replication/SegmentedLogTest.java
+++ b/faultinjection/src/test/java/lupinvalve/replication/SegmentedLogTest.java
@@ -26,7 +26,7 @@
     }
 
     private static LogEntry entry(long index, int term) {
-        return Models.FACTORY
+        return RaftCodec.FACTORY
                 .createLogEntryBuilder()
                 .setIndex(index)
                 .setTerm(term)
@@ -37,21 +37,21 @@
 
     private static void begin(SegmentedLog log) throws IOException {
         log.keep(new Founding.Word(ME, Founding.Phase.FOUNDED, Set.of(ME)));
-        log.persistAndFlushLocalEndpoint(Models.FACTORY
+        log.persistAndFlushLocalEndpoint(RaftCodec.FACTORY
                 .createRaftEndpointPersistentStateBuilder()
-                .setLocalEndpoint(new Endpoint(ME))
+                .setLocalEndpoint(new MemberEndpoint(ME))
                 .setVoting(true)
                 .build());
-        log.persistAndFlushInitialGroupMembers(Models.FACTORY
+        log.persistAndFlushInitialGroupMembers(RaftCodec.FACTORY
                 .createRaftGroupMembersViewBuilder()
                 .setLogIndex(0)
-                .setMembers(List.of(new Endpoint(ME)))
-                .setVotingMembers(List.of(new Endpoint(ME)))
+                .setMembers(List.of(new MemberEndpoint(ME)))
+                .setVotingMembers(List.of(new MemberEndpoint(ME)))
                 .build());
-        log.persistAndFlushTerm(Models.FACTORY
+        log.persistAndFlushTerm(RaftCodec.FACTORY
                 .createRaftTermPersistentStateBuilder()
                 .setTerm(3)
-                .setVotedFor(new Endpoint(ME))
+                .setVotedFor(new MemberEndpoint(ME))
                 .build());
     }
 
@@ -129,7 +129,8 @@
         MemoryDisk newer = disk.copy();
         newer.put(
                 "identity",
-                Frames.frame(new lupinvalve.statemachine.Cbor.Out().number(2).done()));
+                RecordFrames.frame(
+                        new lupinvalve.statemachine.Cbor.Out().number(2).done()));
         assertEquals(
                 "identity: format 2; this program reads 1",
                 assertThrows(IOException.class, () -> open(newer)).getMessage());
@@ -155,18 +156,18 @@
         }
         List<byte[]> pieces = Encoding.snapshot(ledger);
         for (int i = 0; i < pieces.size(); i++) {
-            log.persistSnapshotChunk(Models.FACTORY
+            log.persistSnapshotChunk(RaftCodec.FACTORY
                     .createSnapshotChunkBuilder()
                     .setIndex(15)
                     .setTerm(3)
                     .setSnapshotChunkIndex(i)
                     .setSnapshotChunkCount(pieces.size())
                     .setOperation(pieces.get(i))
-                    .setGroupMembersView(Models.FACTORY
+                    .setGroupMembersView(RaftCodec.FACTORY
                             .createRaftGroupMembersViewBuilder()
                             .setLogIndex(0)
-                            .setMembers(List.of(new Endpoint(ME)))
-                            .setVotingMembers(List.of(new Endpoint(ME)))
+                            .setMembers(List.of(new MemberEndpoint(ME)))
+                            .setVotingMembers(List.of(new MemberEndpoint(ME)))
                             .build())
                     .build());
         }
@@ -191,9 +192,10 @@
         log.accepted(12);
         log.flush();
         SegmentedLog again = open(disk);
-        assertEquals(12, Replica.warm(again).revision());
+        assertEquals(12, RaftReplica.warm(again).revision());
         assertEquals(3, again.restored().getTermPersistentState().getTerm());
-        assertEquals(ME, Endpoint.of(again.restored().getTermPersistentState().getVotedFor()));
+        assertEquals(
+                ME, MemberEndpoint.of(again.restored().getTermPersistentState().getVotedFor()));
         assertEquals(20, again.restored().getLogEntries().size());
     }
 
@@ -210,7 +212,7 @@
         assertThrows(IOException.class, log::flush);
         assertThrows(
                 IOException.class,
-                () -> log.persistAndFlushTerm(Models.FACTORY
+                () -> log.persistAndFlushTerm(RaftCodec.FACTORY
                         .createRaftTermPersistentStateBuilder()
                         .setTerm(9)
                         .setVotedFor(null)
--- a/faultinjection/src/test/java/lupinvalve/replication/SimulationTest.java
+++ b/faultinjection/src/test/java/lupinvalve/replication/SimulationTest.java
@@ -148,40 +148,42 @@
         return sim;
     }
 
-    private static Replica.Fate put(Simulation sim, Simulation.Member at, long expected, String text) {
-        AtomicReference<Replica.Fate> got = new AtomicReference<>();
+    private static RaftReplica.Completion put(Simulation sim, Simulation.Member at, long expected, String text) {
+        AtomicReference<RaftReplica.Completion> got = new AtomicReference<>();
         AtomicReference<Ledger.Outcome> outcome = new AtomicReference<>();
         at.replica.propose(new Change.Put(expected, Simulation.document(text)), (fate, result) -> {
             outcome.set(result);
             got.set(fate);
         });
         sim.until(() -> got.get() != null);
-        return got.get() == Replica.Fate.DONE && outcome.get().result() != Ledger.Result.DONE ? null : got.get();
+        return got.get() == RaftReplica.Completion.DONE && outcome.get().result() != Ledger.Result.DONE
+                ? null
+                : got.get();
     }
 
     @Test
     void aLeaderAloneDecidesNothingAndKnowsItSoon() throws IOException {
         Simulation sim = led(3, 0);
         Simulation.Member old = sim.leader();
-        assertEquals(Replica.Fate.DONE, put(sim, old, 0, "{}"));
+        assertEquals(RaftReplica.Completion.DONE, put(sim, old, 0, "{}"));
         sim.each(m -> {
             if (m != old) {
                 sim.cut[m.number][old.number] = true;
                 sim.cut[old.number][m.number] = true;
             }
         });
-        AtomicReference<Replica.Fate> lost = new AtomicReference<>();
-        AtomicReference<Replica.Fate> read = new AtomicReference<>();
+        AtomicReference<RaftReplica.Completion> lost = new AtomicReference<>();
+        AtomicReference<RaftReplica.Completion> read = new AtomicReference<>();
         old.replica.propose(new Change.Put(1, Simulation.document("{\"a\":1}")), (fate, outcome) -> lost.set(fate));
         old.replica.upToDate((fate, ok) -> read.set(fate));
         assertTrue(sim.until(() -> sim.members.stream().anyMatch(m -> m != old && m.replica.leads())));
         sim.run(2_000_000);
         assertFalse(old.replica.leads());
-        assertTrue(read.get() != Replica.Fate.DONE && lost.get() != Replica.Fate.DONE);
-        assertEquals(Replica.Fate.DONE, put(sim, sim.leader(), 1, "{\"b\":1}"));
+        assertTrue(read.get() != RaftReplica.Completion.DONE && lost.get() != RaftReplica.Completion.DONE);
+        assertEquals(RaftReplica.Completion.DONE, put(sim, sim.leader(), 1, "{\"b\":1}"));
         sim.heal();
         sim.run(3_000_000);
-        assertEquals(Replica.Fate.UNKNOWN, lost.get());
+        assertEquals(RaftReplica.Completion.INDETERMINATE, lost.get());
         assertEquals(List.of(), sim.faults);
         assertEquals(
                 old.replica.ledger().document().digest(),
@@ -210,11 +212,11 @@
         Simulation sim = led(3, 0);
         Simulation.Member old = sim.leader();
         old.disk.room = 30;
-        assertTrue(put(sim, old, 0, "{\"long\":\"" + "x".repeat(100) + "\"}") != Replica.Fate.DONE);
+        assertTrue(put(sim, old, 0, "{\"long\":\"" + "x".repeat(100) + "\"}") != RaftReplica.Completion.DONE);
         assertEquals("the disk fails", old.stopped);
         assertTrue(sim.until(() -> sim.leader() != null));
         assertEquals(
-                Replica.Fate.DONE,
+                RaftReplica.Completion.DONE,
                 put(sim, sim.leader(), sim.leader().replica.ledger().revision(), "{}"));
         // With room again it comes back with what it had.
         old.kill();
@@ -238,10 +240,10 @@
         assertTrue(
                 sim.until(() -> {
                     if (sim.leader() != null) {
-                        Replica leader = sim.leader().replica;
+                        RaftReplica leader = sim.leader().replica;
                         leader.report((fate, report) -> {
-                            if (fate == Replica.Fate.DONE && Replica.leads(report)) {
-                                Membership.View view = Replica.view(report, all, all);
+                            if (fate == RaftReplica.Completion.DONE && RaftReplica.leads(report)) {
+                                Membership.View view = RaftReplica.view(report, all, all);
                                 step.set(Membership.next(wish, view));
                                 leader.step(step.get(), report, (f, ok) -> {});
                             }
@@ -258,7 +260,7 @@
         Simulation sim = led(3, 2);
         String filler = "x".repeat(40_000);
         for (int i = 0; i < 40; i++) {
-            assertEquals(Replica.Fate.DONE, put(sim, sim.leader(), i, "{\"n\":\"" + i + filler + "\"}"));
+            assertEquals(RaftReplica.Completion.DONE, put(sim, sim.leader(), i, "{\"n\":\"" + i + filler + "\"}"));
         }
         assertEquals(
                 1,
@@ -289,7 +291,7 @@
         sim.run(10_000_000);
         assertEquals(term, sim.leader().replica.term());
         assertEquals(
-                Replica.Fate.DONE,
+                RaftReplica.Completion.DONE,
                 put(sim, sim.leader(), sim.leader().replica.ledger().revision(), "{}"));
         assertEquals(List.of(), sim.faults);
         assertNotNull(newcomer.replica.ledger().document());
@@ -300,17 +302,17 @@
         Simulation sim = led(3, 0);
         Simulation.Member old = sim.leader();
         old.pausedUntil = sim.now + 10_000_000;
-        AtomicReference<Replica.Fate> late = new AtomicReference<>();
+        AtomicReference<RaftReplica.Completion> late = new AtomicReference<>();
         old.replica.propose(new Change.Put(0, Simulation.document("{\"old\":1}")), (fate, outcome) -> late.set(fate));
         assertTrue(sim.until(() -> sim.members.stream().anyMatch(m -> m != old && m.replica.leads())));
         Simulation.Member next = sim.members.stream()
                 .filter(m -> m != old && m.replica.leads())
                 .findFirst()
                 .orElseThrow();
-        assertEquals(Replica.Fate.DONE, put(sim, next, 0, "{\"new\":1}"));
+        assertEquals(RaftReplica.Completion.DONE, put(sim, next, 0, "{\"new\":1}"));
         sim.run(15_000_000);
         assertFalse(old.replica.leads());
-        assertTrue(late.get() != Replica.Fate.DONE);
+        assertTrue(late.get() != RaftReplica.Completion.DONE);
         assertEquals(
                 next.replica.ledger().document().digest(),
                 old.replica.ledger().document().digest());
@@ -332,7 +334,7 @@
                 Scenario.leading(sim, clients);
                 return full.stopped != null;
             });
-            assertEquals(Replica.DISK, full.stopped);
+            assertEquals(RaftReplica.DISK, full.stopped);
             sim.run(3_000_000);
             Scenario.leading(sim, clients);
             int life = full.life;
--- a/lab/src/main/java/lupinvalve/lab/StoreBench.java
+++ b/lab/src/main/java/lupinvalve/lab/StoreBench.java
@@ -16,9 +16,10 @@
 import lupinvalve.config.OperatorConfig;
 import lupinvalve.drills.Scratch;
 import lupinvalve.log.Log;
-import lupinvalve.replication.Client;
-import lupinvalve.replication.Group;
-import lupinvalve.replication.Messages;
+import lupinvalve.replication.ControlPlane;
+import lupinvalve.replication.GroupClient;
+import lupinvalve.replication.RaftMember;
+import lupinvalve.replication.WireMessages;
 import lupinvalve.statemachine.Change;
 import lupinvalve.statemachine.Encoding;
 import lupinvalve.statemachine.Ledger;
@@ -45,24 +46,24 @@
     private final Map<String, String> places = new TreeMap<>();
     private Path folder;
 
-    private static final class Quiet implements Group.Pooler {
+    private static final class Quiet implements ControlPlane.Listener {
         @Override
-        public String objection(byte[] document) {
+        public String validationError(byte[] document) {
             return null;
         }
 
         @Override
-        public void adopt(Ledger.Document document) {
+        public void configurationAccepted(Ledger.Document document) {
             // Nobody acts here.
         }
 
         @Override
-        public void holds(Map<Change.Holding, Ledger.Held> holds) {
+        public void holdsChanged(Map<Change.Holding, Ledger.Held> holds) {
             // Likewise.
         }
 
         @Override
-        public void commits(Change.Commits commits) {
+        public void commitsAccepted(Change.Commits commits) {
             // Likewise.
         }
     }
@@ -75,11 +76,11 @@
     public int run(PrintStream out) throws Exception {
         Log.least(Log.Level.ERROR);
         folder = Files.createTempDirectory("store-bench");
-        List<Group> groups = new ArrayList<>();
+        List<RaftMember> groups = new ArrayList<>();
         try {
             places.putAll(Scratch.places(List.of("a", "b", "c")));
             for (String name : places.keySet()) {
-                Group group = new Group(config(name));
+                RaftMember group = new RaftMember(config(name));
                 groups.add(group);
                 group.start(new Quiet());
             }
@@ -103,7 +104,7 @@
             System.gc();
             long heap =
                     Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
-            groups.forEach(Group::stop);
+            groups.forEach(RaftMember::stop);
             groups.clear();
             long disk = 0;
             try (Stream<Path> files = Files.list(folder.resolve(leader))) {
@@ -112,7 +113,7 @@
                 }
             }
             long opened = System.nanoTime();
-            Group again = new Group(config(leader));
+            RaftMember again = new RaftMember(config(leader));
             groups.add(again);
             double restart = (System.nanoTime() - opened) / 1e6;
             out.printf(
@@ -129,16 +130,16 @@
                     restart);
             return 0;
         } finally {
-            groups.forEach(Group::stop);
+            groups.forEach(RaftMember::stop);
             Scratch.delete(folder);
         }
     }
 
-    private String leader(List<Group> groups) throws IOException, InterruptedException {
+    private String leader(List<RaftMember> groups) throws IOException, InterruptedException {
         List<String> names = new ArrayList<>(places.keySet());
         for (int i = 0; i < 600; i++) {
             for (int g = 0; g < groups.size(); g++) {
-                if (groups.get(g).leads()) {
+                if (groups.get(g).isLeader()) {
                     return names.get(g);
                 }
             }
@@ -151,14 +152,15 @@
             String leader, int number, long start, AtomicLong done, AtomicLong turnedDown, Histogram latencies) {
         Semaphore room = new Semaphore(outstanding);
         Map<Long, Long> sentAt = new ConcurrentHashMap<>();
-        try (Client.Session session = new Client("bench", places, null).open(leader, places.get(leader), 20_000)) {
+        try (GroupClient.Session session =
+                new GroupClient("bench", places, null).open(leader, places.get(leader), 20_000)) {
             Thread receiver = new Thread(
                     () -> {
                         try {
                             while (true) {
-                                Messages.Answer answer = session.receive();
+                                WireMessages.Response answer = session.receive();
                                 Long sent = sentAt.remove(answer.id());
-                                if (answer.code() == Messages.Code.OK) {
+                                if (answer.status() == WireMessages.Status.OK) {
                                     done.incrementAndGet();
                                     latencies.recordValue((System.nanoTime() - sent) / 1000);
                                 } else {
--- a/replication/src/main/java/lupinvalve/replication/Pace.java
+++ b/replication/src/main/java/lupinvalve/replication/AcceleratedExecutor.java
@@ -12,12 +12,12 @@
  * fail-over take three and more, so its clock and all its waits run ten times as fast. Nothing else looks at that
  * clock.
  */
-final class Pace extends Clock implements RaftNodeExecutor {
+final class AcceleratedExecutor extends Clock implements RaftNodeExecutor {
     static final int FACTOR = 10;
-    private final Schedule schedule;
+    private final Scheduler schedule;
     private volatile boolean stopped;
 
-    Pace(Schedule schedule) {
+    AcceleratedExecutor(Scheduler schedule) {
         this.schedule = schedule;
     }
 
--- a/replication/src/main/java/lupinvalve/replication/AuditBook.java
+++ b/replication/src/main/java/lupinvalve/replication/AuditLog.java
@@ -12,7 +12,7 @@
  * A member's entries on its own disk, one file for each life, each entry forced before it is acted on; and what of them
  * the group has not been told yet, those of earlier lives first. On the group's thread.
  */
-final class AuditBook {
+final class AuditLog {
     static final String FILE = "audit-";
     private static final int LIVES_MOST = 8, AT_ONCE = 100;
     /**
@@ -31,7 +31,7 @@
     private Disk.Out out;
 
     /** @param lifeMicros when this process started, which names its file */
-    AuditBook(Disk disk, String pooler, long lifeMicros) throws IOException {
+    AuditLog(Disk disk, String pooler, long lifeMicros) throws IOException {
         this.disk = disk;
         this.pooler = pooler;
         name = String.format("%s%020d", FILE, lifeMicros);
@@ -50,7 +50,7 @@
     /** All entries of a file; a torn end is left out. */
     static List<Entry> read(Disk disk, String file) throws IOException {
         List<byte[]> contents = new ArrayList<>();
-        Frames.read(file, disk.read(file), true, contents);
+        RecordFrames.read(file, disk.read(file), true, contents);
         List<Entry> entries = new ArrayList<>();
         for (byte[] content : contents) {
             entries.add(Entry.read(content));
@@ -86,7 +86,7 @@
                 out = disk.create(name + (part == 0 ? "" : "-" + part));
             }
             for (Entry entry : added) {
-                out.write(Frames.frame(entry.write()));
+                out.write(RecordFrames.frame(entry.write()));
             }
             out.force();
         } catch (IOException e) {
--- a/replication/src/main/java/lupinvalve/replication/AuditAnswers.java
+++ b/replication/src/main/java/lupinvalve/replication/AuditQueries.java
@@ -11,8 +11,8 @@
  * What operators are told of who acted on what when. Times are Unix times in microseconds; -1 for one that is not
  * known.
  */
-final class AuditAnswers {
-    private AuditAnswers() {}
+final class AuditQueries {
+    private AuditQueries() {}
 
     /** Reads entries; one of a later version is left out and counted. */
     static Course course(Collection<byte[]> noted) {
--- a/replication/src/main/java/lupinvalve/replication/ControlPlane.java
+++ b/replication/src/main/java/lupinvalve/replication/ControlPlane.java
@@ -2,6 +2,7 @@
 
 import java.io.IOException;
 import java.util.List;
+import java.util.Map;
 import lupinvalve.statemachine.Change;
 import lupinvalve.statemachine.Ledger;
 
@@ -15,31 +16,56 @@
      *
      * @param document null where none was accepted yet
      */
-    record Known(Ledger.Document document, List<Change.Listed> nodes, Change.Commits commits) {}
+    record InitialState(Ledger.Document document, List<Change.Listed> nodes, Change.Commits commits) {}
+
+    /** What the pooler beside is notified of. Called on the control plane's own thread, one call after another. */
+    interface Listener {
+        /** Why this version can't act on a configuration, or null. */
+        String validationError(byte[] document);
+
+        /** Why running poolers could not go from one configuration (null for none yet) to another, or null. */
+        default String transitionError(byte[] current, byte[] next) {
+            return null;
+        }
+
+        /** Runs work, on the pooler's own thread, once all that it was notified of so far is applied. */
+        default void runAfterApplied(Runnable then) {
+            then.run();
+        }
+
+        /** A configuration that a majority has accepted is to be applied. */
+        void configurationAccepted(Ledger.Document document);
+
+        /** Operators' holds as they now stand. */
+        void holdsChanged(Map<Change.Holding, Ledger.Held> holds);
+
+        /** Sessions' commits of any pooler that a majority now holds. */
+        void commitsAccepted(Change.Commits commits);
+    }
 
     /** Before {@link #start}. */
-    Known known();
+    InitialState initialState();
 
-    /** Begins; {@code beside} hears first what was accepted before. */
-    void start(Group.Pooler beside) throws IOException;
+    /** Begins; {@code listener} hears first what was accepted before. */
+    void start(Listener listener) throws IOException;
 
     /** Whether the pooler beside may act on what it knows; from any thread. */
-    boolean mayAct();
+    boolean mayServe();
 
     /** Whether the right to act can end here. */
-    boolean fences();
+    boolean fencingEnabled();
 
     /** Whether this one tells the others of the list of db nodes; from any thread. */
-    boolean leads();
+    boolean isLeader();
 
     /** A session's commit here; {@code then}, if any, runs once it is held as firmly as it will be. From any thread. */
-    void committed(String session, long position, Runnable then);
+    void publishCommit(String session, long position, Runnable then);
 
     /** The list of db nodes as this pooler has it. From any thread. */
-    void listing(List<Change.Listed> nodes);
+    void publishEndpoints(List<Change.Listed> nodes);
 
     /** Keys and certificates as the files have them now; from any thread. Throws where they can't be used. */
-    void reload() throws IOException;
+    void reloadCertificates() throws IOException;
 
     /** Ends at once. From any thread but its own. */
     void stop();
--- a/replication/src/main/java/lupinvalve/replication/FollowLink.java
+++ b/replication/src/main/java/lupinvalve/replication/FollowLink.java
@@ -35,7 +35,7 @@
     private Link link;
     private boolean greeted, over;
     private long call;
-    private Consumer<Messages.Answer> then;
+    private Consumer<WireMessages.Response> then;
     private Deadlines.Deadline deadline;
 
     FollowLink(Loop loop, Way way, Heard heard) {
@@ -58,14 +58,14 @@
     }
 
     void dial(Net net, long withinMicros) {
-        link = net.dial(Addresses.parse(way.address()), new Messages(), this);
+        link = net.dial(Addresses.parse(way.address()), new WireMessages(), this);
         deadline = loop.after(withinMicros, () -> end("it can't be reached, or says nothing"));
     }
 
     /** Asks; where there is no answer within the time the connection is over. */
-    void ask(byte[] request, long withinMicros, Consumer<Messages.Answer> answered) {
+    void ask(byte[] request, long withinMicros, Consumer<WireMessages.Response> answered) {
         then = answered;
-        write(new Messages.Call(++call, Followers.CALL, List.of(request)).write());
+        write(new WireMessages.Request(++call, Followers.CALL, List.of(request)).write());
         deadline = loop.after(withinMicros, () -> end("no answer in time"));
     }
 
@@ -101,7 +101,7 @@
             for (byte[] message : messages) {
                 heard.moved(0, HEAD + message.length);
                 if (!over) {
-                    message(Messages.kind(message), Messages.body(message));
+                    message(WireMessages.kind(message), WireMessages.body(message));
                 }
             }
         } catch (IOException e) {
@@ -109,23 +109,23 @@
         }
     }
 
-    private void message(Messages.Kind kind, byte[] body) throws IOException {
-        if (kind == Messages.Kind.HELLO) {
-            greeting(Messages.Hello.read(body));
+    private void message(WireMessages.Kind kind, byte[] body) throws IOException {
+        if (kind == WireMessages.Kind.HELLO) {
+            greeting(WireMessages.Hello.read(body));
         } else if (!greeted) {
             throw new IOException("no greeting");
-        } else if (kind == Messages.Kind.ANSWER) {
-            Messages.Answer answer = Messages.Answer.read(body);
+        } else if (kind == WireMessages.Kind.RESPONSE) {
+            WireMessages.Response answer = WireMessages.Response.read(body);
             if (then != null && answer.id() == call) {
                 loop.drop(deadline);
-                Consumer<Messages.Answer> now = then;
+                Consumer<WireMessages.Response> now = then;
                 then = null;
                 now.accept(answer);
             }
         }
     }
 
-    private void greeting(Messages.Hello hello) throws IOException {
+    private void greeting(WireMessages.Hello hello) throws IOException {
         if (greeted) {
             return;
         }
@@ -137,7 +137,7 @@
         }
         loop.drop(deadline);
         greeted = true;
-        write(new Messages.Hello(way.cluster(), way.own(), "", null).write());
+        write(new WireMessages.Hello(way.cluster(), way.own(), "", null).write());
         heard.greeted(this);
     }
 
--- a/replication/src/main/java/lupinvalve/replication/Followers.java
+++ b/replication/src/main/java/lupinvalve/replication/Followers.java
@@ -26,21 +26,22 @@
     private static final long SLICE_STEP = 1_000;
 
     /** A request that waits. */
-    private record Waiting(long call, FollowRequest request, long sinceMicros, Consumer<Messages.Answer> answer) {}
+    private record Waiting(
+            long call, FollowRequest request, long sinceMicros, Consumer<WireMessages.Response> answer) {}
 
-    private final Group group;
+    private final RaftMember group;
     private final FollowService service;
     private final Map<String, Waiting> waiting = new HashMap<>();
     private long changed, calls, wholes, differences, bytes;
 
     /** @param warm what a majority has accepted, as far as is known before the start */
-    Followers(Group group, Ledger warm) {
+    Followers(RaftMember group, Ledger warm) {
         this.group = group;
         service = new FollowService(
                 group.config().audit() == OperatorConfig.Audit.OFF
                         ? "store.audit is off at " + group.config().name()
                         : "",
-                Acting.clock());
+                LeaseHolder.clock());
         restored(warm);
     }
 
@@ -50,11 +51,11 @@
     }
 
     long floor() {
-        return service.floor(Acting.clock());
+        return service.floor(LeaseHolder.clock());
     }
 
     void right(long untilMicros, long leadersChanged) {
-        service.right(untilMicros, leadersChanged, Acting.clock());
+        service.right(untilMicros, leadersChanged, LeaseHolder.clock());
     }
 
     /** A change has been applied here. */
@@ -70,7 +71,7 @@
     /** What holds has been taken from a snapshot, or has changed. */
     void restored(Ledger ledger) {
         changed = Math.max(changed, ledger.applied());
-        service.applied(ledger.document(), ledger.holds(), ledger.applied(), Acting.clock());
+        service.applied(ledger.document(), ledger.holds(), ledger.applied(), LeaseHolder.clock());
         List<String> due = new ArrayList<>();
         waiting.forEach((who, one) -> {
             if (service.hasNews(one.request())) {
@@ -84,20 +85,20 @@
     }
 
     /** A subscriber asks. */
-    void call(String caller, Messages.Call call, Consumer<Messages.Answer> answer) throws IOException {
+    void call(String caller, WireMessages.Request call, Consumer<WireMessages.Response> answer) throws IOException {
         if (call.arguments().isEmpty()) {
             throw new IOException(CALL + " lacks an argument");
         }
         FollowRequest request = FollowRequest.read(call.arguments().get(0));
         calls++;
         service.asked(caller);
-        Waiting one = new Waiting(call.id(), request, Acting.clock(), answer);
+        Waiting one = new Waiting(call.id(), request, LeaseHolder.clock(), answer);
         if (!waiting.containsKey(caller) && waiting.size() >= MOST) {
             refuse(one, "too many follow this member");
             return;
         }
         waiting.put(caller, one);
-        if (service.hasNews(request) || unfit() != null || service.mayBeLetIn(caller, request, Acting.clock())) {
+        if (service.hasNews(request) || unfit() != null || service.mayBeLetIn(caller, request, LeaseHolder.clock())) {
             answer(caller, one);
         } else {
             group.loop().after(FollowService.HOLD, () -> answer(caller, one));
@@ -114,11 +115,11 @@
         if (group.adoption().cutOff()) {
             return "cut off from the majority";
         }
-        return service.powerless(Acting.clock()) ? "this member has no lease itself" : null;
+        return service.powerless(LeaseHolder.clock()) ? "this member has no lease itself" : null;
     }
 
     private static void refuse(Waiting one, String why) {
-        one.answer().accept(new Messages.Answer(one.call(), Messages.Code.AGAIN, why));
+        one.answer().accept(new WireMessages.Response(one.call(), WireMessages.Status.RETRY, why));
     }
 
     private void answer(String who, Waiting one) {
@@ -130,19 +131,19 @@
             refuse(one, unfit);
             return;
         }
-        long now = Acting.clock();
+        long now = LeaseHolder.clock();
         FollowAnswer answer = service.answer(who, one.request(), now - one.sinceMicros(), now);
         wholes += answer.news() instanceof FollowAnswer.News.Whole ? 1 : 0;
         differences += answer.news() instanceof FollowAnswer.News.Differences ? 1 : 0;
         byte[] content = answer.write();
         bytes += content.length;
-        one.answer().accept(new Messages.Answer(one.call(), Messages.Code.OK, "", content));
+        one.answer().accept(new WireMessages.Response(one.call(), WireMessages.Status.OK, "", content));
     }
 
     /** Who follows, and sums since the start; bytes are those of answers. */
     void status(JsonGenerator out) throws IOException {
         out.writeNumberField("subscribers_waiting", waiting.size());
-        out.writeNumberField("subscribers_with_lease", service.holding(Acting.clock()));
+        out.writeNumberField("subscribers_with_lease", service.holding(LeaseHolder.clock()));
         out.writeNumberField("follow_calls", calls);
         out.writeNumberField("follow_wholes", wholes);
         out.writeNumberField("follow_differences", differences);
--- a/replication/src/main/java/lupinvalve/replication/Client.java
+++ b/replication/src/main/java/lupinvalve/replication/GroupClient.java
@@ -24,17 +24,17 @@
  * Asks the group, for the command line: one member after another until one can answer. What may have happened is told
  * as that, and not asked again, unless asking again can do no harm.
  */
-public final class Client {
+public final class GroupClient {
     private static final int CONNECT_MILLIS = 2_000, PAUSE_MILLIS = 150, LENGTH_MOST = 16 << 20;
     private final String cluster, name;
     private final SSLContext tls;
     private final Map<String, String> members;
 
     /** What came of it. */
-    public record Said(Messages.Code code, String text) {}
+    public record Result(WireMessages.Status status, String text) {}
 
     /** @param members whom to ask, by name; the first that answers is asked */
-    public Client(String cluster, Map<String, String> members, OperatorConfig.Tls files) throws IOException {
+    public GroupClient(String cluster, Map<String, String> members, OperatorConfig.Tls files) throws IOException {
         this.cluster = cluster;
         this.members = members;
         tls = files == null ? null : Tls.context(files);
@@ -57,12 +57,12 @@
         List<lupinvalve.audit.Entry> all = new ArrayList<>();
         try (Disk disk = new FolderDisk(folder, false)) {
             for (String file : disk.names()) {
-                if (file.startsWith(AuditBook.FILE)) {
-                    all.addAll(AuditBook.read(disk, file));
+                if (file.startsWith(AuditLog.FILE)) {
+                    all.addAll(AuditLog.read(disk, file));
                 }
             }
         }
-        return AuditAnswers.verified(all);
+        return AuditQueries.verified(all);
     }
 
     /**
@@ -70,9 +70,9 @@
      *
      * @param again whether it may be asked again where it may have happened
      */
-    public Said ask(String call, List<byte[]> arguments, boolean again, long withinMillis) {
+    public Result ask(String call, List<byte[]> arguments, boolean again, long withinMillis) {
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(withinMillis);
-        Said last = new Said(Messages.Code.AGAIN, "no member is in reach");
+        Result last = new Result(WireMessages.Status.RETRY, "no member is in reach");
         while (true) {
             for (Map.Entry<String, String> member : members.entrySet()) {
                 long left = TimeUnit.NANOSECONDS.toMillis(end - System.nanoTime());
@@ -80,7 +80,9 @@
                     return last;
                 }
                 last = ask(member.getKey(), member.getValue(), call, arguments, left);
-                boolean over = last.code() == Messages.Code.UNKNOWN ? !again : last.code() != Messages.Code.AGAIN;
+                boolean over = last.status() == WireMessages.Status.INDETERMINATE
+                        ? !again
+                        : last.status() != WireMessages.Status.RETRY;
                 if (over) {
                     return last;
                 }
@@ -104,17 +106,17 @@
         return message;
     }
 
-    private Said ask(String member, String address, String call, List<byte[]> arguments, long withinMillis) {
+    private Result ask(String member, String address, String call, List<byte[]> arguments, long withinMillis) {
         boolean sent = false;
         try (Session session = open(member, address, withinMillis)) {
             sent = true;
             session.send(call, arguments);
-            Messages.Answer answer = session.receive();
-            return new Said(answer.code(), answer.text());
+            WireMessages.Response answer = session.receive();
+            return new Result(answer.status(), answer.text());
         } catch (IOException | IllegalArgumentException e) {
             String why = member + " at " + address + ": "
                     + (e.getMessage() == null ? e.getClass().getSimpleName() : e.getMessage());
-            return new Said(sent ? Messages.Code.UNKNOWN : Messages.Code.AGAIN, why);
+            return new Result(sent ? WireMessages.Status.INDETERMINATE : WireMessages.Status.RETRY, why);
         }
     }
 
@@ -153,20 +155,20 @@
             in = new DataInputStream(new BufferedInputStream(socket.getInputStream()));
             // The member speaks first.
             message(in);
-            socket.getOutputStream().write(new Messages.Hello(cluster, name, "", null).write());
+            socket.getOutputStream().write(new WireMessages.Hello(cluster, name, "", null).write());
         }
 
         /** Sends a call; gives its number. */
         public long send(String call, List<byte[]> arguments) throws IOException {
-            socket.getOutputStream().write(new Messages.Call(++last, call, arguments).write());
+            socket.getOutputStream().write(new WireMessages.Request(++last, call, arguments).write());
             return last;
         }
 
-        public Messages.Answer receive() throws IOException {
+        public WireMessages.Response receive() throws IOException {
             while (true) {
                 byte[] message = message(in);
-                if (Messages.kind(message) == Messages.Kind.ANSWER) {
-                    return Messages.Answer.read(Messages.body(message));
+                if (WireMessages.kind(message) == WireMessages.Kind.RESPONSE) {
+                    return WireMessages.Response.read(WireMessages.body(message));
                 }
             }
         }
@@ -186,7 +188,7 @@
         }
         try (Disk disk = new FolderDisk(folder, true)) {
             SegmentedLog log = SegmentedLog.inspect(disk);
-            lupinvalve.statemachine.Ledger ledger = Replica.warm(log);
+            lupinvalve.statemachine.Ledger ledger = RaftReplica.warm(log);
             List<String> files = new ArrayList<>(disk.names());
             return Json.object(out -> {
                 out.writeStringField("member", log.word().who().toString());
--- a/replication/src/main/java/lupinvalve/replication/IdentityFile.java
+++ b/replication/src/main/java/lupinvalve/replication/IdentityFile.java
@@ -16,9 +16,9 @@
     /** Reads it; fails where it is not that of this cluster and member. Either is not looked at where it is null. */
     static Founding.Word read(Disk disk, String cluster, String member) throws IOException {
         List<byte[]> contents = new ArrayList<>();
-        Frames.read(NAME, disk.read(NAME), false, contents);
+        RecordFrames.read(NAME, disk.read(NAME), false, contents);
         if (contents.size() != 1) {
-            throw new Frames.Damaged(NAME + ": " + contents.size() + " records in place of one");
+            throw new RecordFrames.Damaged(NAME + ": " + contents.size() + " records in place of one");
         }
         Cbor.In in = new Cbor.In(contents.get(0));
         long format = in.number();
@@ -40,6 +40,6 @@
     static void write(Disk disk, String cluster, Founding.Word word) throws IOException {
         Cbor.Out out = new Cbor.Out().number(FORMAT).text(cluster);
         word.write(out);
-        disk.replace(NAME, Frames.frame(out.done()));
+        disk.replace(NAME, RecordFrames.frame(out.done()));
     }
 }
--- a/replication/src/main/java/lupinvalve/replication/KeptDocument.java
+++ b/replication/src/main/java/lupinvalve/replication/KeptDocument.java
@@ -34,7 +34,7 @@
                     .text(document.digest())
                     .bytes(document.content());
         }
-        disk.replace(FILE, Frames.frame(out.done()));
+        disk.replace(FILE, RecordFrames.frame(out.done()));
     }
 
     /** What was kept, or nothing where there is no file; throws where the file is not what was written. */
@@ -43,7 +43,7 @@
             return FollowState.Kept.NOTHING;
         }
         List<byte[]> records = new ArrayList<>();
-        Frames.read(FILE, disk.read(FILE), false, records);
+        RecordFrames.read(FILE, disk.read(FILE), false, records);
         if (records.size() != 1) {
             throw new IOException(FILE + ": " + records.size() + " records in place of one");
         }
--- a/replication/src/main/java/lupinvalve/replication/Acting.java
+++ b/replication/src/main/java/lupinvalve/replication/LeaseHolder.java
@@ -16,12 +16,12 @@
  * What this member acts on and for how long it may: its lease, its entries, and, while it leads, the leases of all. On
  * the group's thread but for {@link #holds}.
  */
-final class Acting {
+final class LeaseHolder {
     private static final long CONFIRM = 100_000, ANSWER = 1_000_000, DELIVER = 200_000, UNTOLD = -1;
 
     /** What it needs of the member that it belongs to. */
     interface Member {
-        Replica replica();
+        RaftReplica replica();
 
         Identity leader();
 
@@ -36,7 +36,7 @@
                 String what,
                 List<byte[]> arguments,
                 long withinMicros,
-                java.util.function.Consumer<Messages.Answer> then);
+                java.util.function.Consumer<WireMessages.Response> then);
 
         void propose(Change change, java.util.function.Consumer<Boolean> accepted);
 
@@ -56,7 +56,7 @@
     private final Member member;
     private final String name;
     private final boolean fences;
-    private final AuditBook book;
+    private final AuditLog book;
     private final Lease lease;
     private Leases leases;
     private long acting, asked, confirmAsked, confirmed, delivered;
@@ -64,11 +64,11 @@
     private Identity waiting;
     private String version = "", shutOut = "";
 
-    Acting(Member member, String name, boolean fences, Disk disk, long lifeMicros) throws IOException {
+    LeaseHolder(Member member, String name, boolean fences, Disk disk, long lifeMicros) throws IOException {
         this.member = member;
         this.name = name;
         this.fences = fences;
-        book = new AuditBook(disk, name, lifeMicros);
+        book = new AuditLog(disk, name, lifeMicros);
         lease = new Lease(clock());
         fenced = fences;
         book.note(Entry.What.STARTED, "", 0, lifeMicros, "");
@@ -130,7 +130,7 @@
     /** Called ten times a second. */
     void tick(boolean leads, long nowMicros) {
         long now = clock();
-        Replica replica = member.replica();
+        RaftReplica replica = member.replica();
         if (!leads) {
             leases = null;
         }
@@ -139,7 +139,7 @@
             confirmAsked = now;
             replica.upToDate((fate, ok) -> {
                 confirming = false;
-                if (fate != Replica.Fate.DONE) {
+                if (fate != RaftReplica.Completion.DONE) {
                     return;
                 }
                 confirmed = now;
@@ -200,16 +200,16 @@
                 answer -> {
                     // One who leads no more may answer late; what it granted still counts from when it was asked.
                     waiting = leader.equals(waiting) ? null : waiting;
-                    if (answer.code() == Messages.Code.OK) {
+                    if (answer.status() == WireMessages.Status.OK) {
                         granted(new Leases.Granted(Long.parseLong(answer.text()), ""), now, leadersChanged(answer));
-                    } else if (answer.code() == Messages.Code.REFUSED) {
+                    } else if (answer.status() == WireMessages.Status.REJECTED) {
                         granted(new Leases.Granted(0, answer.text()), now, UNTOLD);
                     }
                 });
     }
 
     /** A leader of an earlier version does not tell: then nothing can be granted to subscribers. */
-    private static long leadersChanged(Messages.Answer answer) {
+    private static long leadersChanged(WireMessages.Response answer) {
         try {
             return answer.content().length == 0 ? UNTOLD : new Cbor.In(answer.content()).number();
         } catch (IOException e) {
--- a/replication/src/main/java/lupinvalve/replication/TakeOver.java
+++ b/replication/src/main/java/lupinvalve/replication/LegacyStoreImport.java
@@ -6,9 +6,9 @@
 import lupinvalve.statemachine.Change;
 
 /** Brings what an earlier store left at this member into the group once the member leads. Without I/O of its own. */
-final class TakeOver {
+final class LegacyStoreImport {
     /** What was left. */
-    interface Left {
+    interface Source {
         /** The configuration, or null. */
         byte[] document();
 
@@ -19,10 +19,10 @@
         boolean done();
     }
 
-    private Left left;
+    private Source left;
 
     /** @param left null where nothing was */
-    TakeOver(Left left) {
+    LegacyStoreImport(Source left) {
         this.left = left;
     }
 
@@ -32,8 +32,8 @@
      *
      * @param fits whether a document can be a configuration
      */
-    void lead(Replica replica, Predicate<byte[]> fits, BiConsumer<String, Long> commits) {
-        Left what = left;
+    void lead(RaftReplica replica, Predicate<byte[]> fits, BiConsumer<String, Long> commits) {
+        Source what = left;
         left = null;
         if (what == null) {
             return;
@@ -45,6 +45,6 @@
         }
         replica.propose(
                 new Change.Put(0, what.document()),
-                (fate, outcome) -> left = fate == Replica.Fate.DONE && what.done() ? null : what);
+                (fate, outcome) -> left = fate == RaftReplica.Completion.DONE && what.done() ? null : what);
     }
 }
--- a/replication/src/main/java/lupinvalve/replication/Endpoint.java
+++ b/replication/src/main/java/lupinvalve/replication/MemberEndpoint.java
@@ -9,7 +9,7 @@
 import lupinvalve.statemachine.Identity;
 
 /** A member as the library names it. */
-record Endpoint(Identity identity) implements RaftEndpoint {
+record MemberEndpoint(Identity identity) implements RaftEndpoint {
     @Override
     public Object getId() {
         return identity;
@@ -23,7 +23,7 @@
 
     static List<RaftEndpoint> all(Collection<Identity> identities) {
         List<RaftEndpoint> all = new ArrayList<>();
-        identities.forEach(one -> all.add(new Endpoint(one)));
+        identities.forEach(one -> all.add(new MemberEndpoint(one)));
         return all;
     }
 
--- a/replication/src/main/java/lupinvalve/replication/Mends.java
+++ b/replication/src/main/java/lupinvalve/replication/MicroRaftWorkarounds.java
@@ -17,12 +17,12 @@
  * Each fault was found by a sweep of numbered points or a drill; docs/faults.md has them with the steps at which they
  * show.
  */
-final class Mends {
+final class MicroRaftWorkarounds {
     private final RaftNodeImpl node;
-    private final Pace pace;
+    private final AcceleratedExecutor pace;
     private final BooleanSupplier ended;
 
-    Mends(RaftNodeImpl node, Pace pace, BooleanSupplier ended) {
+    MicroRaftWorkarounds(RaftNodeImpl node, AcceleratedExecutor pace, BooleanSupplier ended) {
         this.node = node;
         this.pace = pace;
         this.ended = ended;
@@ -99,8 +99,8 @@
             return m;
         }
         LogEntry last = skipped == 0 ? null : m.getLogEntries().get(skipped - 1);
-        var cut = Models.FACTORY.createAppendEntriesRequestBuilder();
-        cut.setGroupId(Replica.GROUP).setSender(m.getSender()).setTerm(m.getTerm());
+        var cut = RaftCodec.FACTORY.createAppendEntriesRequestBuilder();
+        cut.setGroupId(RaftReplica.GROUP).setSender(m.getSender()).setTerm(m.getTerm());
         return cut.setPreviousLogTerm(last == null ? m.getPreviousLogTerm() : last.getTerm())
                 .setPreviousLogIndex(last == null ? m.getPreviousLogIndex() : last.getIndex())
                 .setCommitIndex(Math.min(end, m.getCommitIndex()))
--- a/replication/src/main/java/lupinvalve/replication/OldStore.java
+++ b/replication/src/main/java/lupinvalve/replication/OldStore.java
@@ -17,7 +17,7 @@
  * What the earlier store left in a folder, {@code store.jsonl}: one entry a line, and a checksum. Taken over once, by a
  * group that has no configuration yet; the file then has another name.
  */
-final class OldStore implements TakeOver.Left {
+final class OldStore implements LegacyStoreImport.Source {
     private static final String FILE = "store.jsonl",
             DONE = "store.jsonl.imported",
             END = "{\"crc\":",
--- a/replication/src/main/java/lupinvalve/replication/Peers.java
+++ b/replication/src/main/java/lupinvalve/replication/PeerConnections.java
@@ -23,7 +23,7 @@
  * The connections between members, and those of operators. Each member dials all others that it knows an address of; of
  * two connections to one, either does. On the store's own thread.
  */
-final class Peers implements Replica.Sending {
+final class PeerConnections implements RaftReplica.MessageSender {
     private static final long RETRY = 300_000,
             RETRY_MOST = 3_000_000,
             BEAT = 500_000,
@@ -50,7 +50,7 @@
         void raft(byte[] message) throws IOException;
 
         /** @param caller the name that it has shown to be its own */
-        void call(String caller, Messages.Call call, java.util.function.Consumer<Messages.Answer> answer);
+        void call(String caller, WireMessages.Request call, java.util.function.Consumer<WireMessages.Response> answer);
     }
 
     private final Net net;
@@ -66,7 +66,7 @@
     private boolean stopped;
     private long callNumber;
 
-    Peers(
+    PeerConnections(
             Net net,
             Loop loop,
             String cluster,
@@ -86,7 +86,7 @@
     }
 
     void listen() throws IOException {
-        listener = net.listen(Addresses.parse(address), Messages::new, new Link.Events() {
+        listener = net.listen(Addresses.parse(address), WireMessages::new, new Link.Events() {
             private final Map<Link, Conn> conns = new HashMap<>();
 
             @Override
@@ -163,7 +163,7 @@
     public void send(Identity to, byte[] message) {
         List<Conn> conns = up.get(to);
         if (conns != null) {
-            conns.get(0).link.write(Messages.message(Messages.Kind.RAFT, message));
+            conns.get(0).link.write(WireMessages.message(WireMessages.Kind.RAFT, message));
         }
     }
 
@@ -178,20 +178,20 @@
             String what,
             List<byte[]> arguments,
             long withinMicros,
-            java.util.function.Consumer<Messages.Answer> then) {
+            java.util.function.Consumer<WireMessages.Response> then) {
         List<Conn> conns = up.get(whom);
         long id = ++callNumber;
         if (conns == null || conns.get(0).calls.size() >= CALLS_MOST) {
-            then.accept(new Messages.Answer(id, Messages.Code.AGAIN, whom.name() + " is not in reach"));
+            then.accept(new WireMessages.Response(id, WireMessages.Status.RETRY, whom.name() + " is not in reach"));
             return;
         }
         Conn conn = conns.get(0);
         conn.calls.put(id, then);
-        conn.link.write(new Messages.Call(id, what, arguments).write());
+        conn.link.write(new WireMessages.Request(id, what, arguments).write());
         loop.after(
                 withinMicros,
-                () -> conn.answered(
-                        new Messages.Answer(id, Messages.Code.UNKNOWN, "no answer from " + whom.name() + " in time")));
+                () -> conn.answered(new WireMessages.Response(
+                        id, WireMessages.Status.INDETERMINATE, "no answer from " + whom.name() + " in time")));
     }
 
     void stop() {
@@ -210,7 +210,7 @@
     private final class Conn {
         final Link link;
         final Dial dial;
-        final Map<Long, java.util.function.Consumer<Messages.Answer>> calls = new HashMap<>();
+        final Map<Long, java.util.function.Consumer<WireMessages.Response>> calls = new HashMap<>();
         private Identity who;
         private String caller = "";
         private boolean greeted, over, follows;
@@ -232,14 +232,14 @@
         }
 
         void hello() {
-            link.write(new Messages.Hello(cluster, name, address, word).write());
+            link.write(new WireMessages.Hello(cluster, name, address, word).write());
         }
 
         private void beat() {
             beat = loop.after(BEAT, () -> {
                 // A subscriber hears something each time that it asks.
                 if (!follows) {
-                    link.write(Messages.message(Messages.Kind.BEAT, new byte[0]));
+                    link.write(WireMessages.message(WireMessages.Kind.HEARTBEAT, new byte[0]));
                 }
                 beat();
             });
@@ -251,7 +251,7 @@
             try {
                 for (byte[] message : messages) {
                     if (!over) {
-                        message(Messages.kind(message), Messages.body(message));
+                        message(WireMessages.kind(message), WireMessages.body(message));
                     }
                 }
             } catch (IOException e) {
@@ -259,20 +259,20 @@
             }
         }
 
-        private void message(Messages.Kind kind, byte[] body) throws IOException {
-            if (!greeted && kind != Messages.Kind.HELLO) {
+        private void message(WireMessages.Kind kind, byte[] body) throws IOException {
+            if (!greeted && kind != WireMessages.Kind.HELLO) {
                 throw new IOException("no greeting");
             }
             switch (kind) {
-                case HELLO -> greeting(Messages.Hello.read(body));
+                case HELLO -> greeting(WireMessages.Hello.read(body));
                 case RAFT -> {
                     if (who == null) {
                         throw new IOException("an operator has no part in the group");
                     }
                     heard.raft(body);
                 }
-                case CALL -> {
-                    Messages.Call call = Messages.Call.read(body);
+                case REQUEST -> {
+                    WireMessages.Request call = WireMessages.Request.read(body);
                     follows |= call.name().equals(Followers.CALL);
                     heard.call(caller, call, answer -> {
                         if (!over) {
@@ -280,14 +280,14 @@
                         }
                     });
                 }
-                case ANSWER -> answered(Messages.Answer.read(body));
+                case RESPONSE -> answered(WireMessages.Response.read(body));
                 default -> {
                     // A beat.
                 }
             }
         }
 
-        private void greeting(Messages.Hello hello) throws IOException {
+        private void greeting(WireMessages.Hello hello) throws IOException {
             if (!hello.cluster().equals(cluster)) {
                 throw new IOException(hello.name() + " is of the cluster " + hello.cluster());
             }
@@ -326,8 +326,8 @@
             heard.word(hello.word(), hello.address());
         }
 
-        private void answered(Messages.Answer answer) {
-            java.util.function.Consumer<Messages.Answer> then = calls.remove(answer.id());
+        private void answered(WireMessages.Response answer) {
+            java.util.function.Consumer<WireMessages.Response> then = calls.remove(answer.id());
             if (then != null) {
                 then.accept(answer);
             }
@@ -359,7 +359,8 @@
                 heard.lost(who);
             }
             new ArrayList<>(calls.keySet())
-                    .forEach(id -> answered(new Messages.Answer(id, Messages.Code.UNKNOWN, "the connection broke")));
+                    .forEach(id -> answered(
+                            new WireMessages.Response(id, WireMessages.Status.INDETERMINATE, "the connection broke")));
             if (dial != null) {
                 dial.again();
             }
@@ -383,7 +384,7 @@
                 return;
             }
             InetSocketAddress to = Addresses.parse(at);
-            conn = new Conn(net.dial(to, new Messages(), this), this);
+            conn = new Conn(net.dial(to, new WireMessages(), this), this);
             conn.silence = loop.after(HELLO_WITHIN, () -> conn.broken("it can't be reached"));
         }
 
--- a/replication/src/main/java/lupinvalve/replication/Models.java
+++ b/replication/src/main/java/lupinvalve/replication/RaftCodec.java
@@ -27,21 +27,21 @@
 import lupinvalve.statemachine.Identity;
 
 /** The library's messages and log entries as CBOR. Changes are bytes already and go in as they are. */
-final class Models {
+final class RaftCodec {
     static final RaftModelFactory FACTORY = new DefaultRaftModelFactory();
     private static final int ENTRIES_MOST = 100_000, PIECES_MOST = 10_000;
 
-    private Models() {}
+    private RaftCodec() {}
 
     // ---- parts ----
 
     private static Cbor.Out endpoint(Cbor.Out out, RaftEndpoint endpoint) {
-        Identity identity = Endpoint.of(endpoint);
+        Identity identity = MemberEndpoint.of(endpoint);
         return out.text(identity.name()).text(identity.disk());
     }
 
-    private static Endpoint endpoint(Cbor.In in) throws IOException {
-        return new Endpoint(new Identity(in.text(), in.text()));
+    private static MemberEndpoint endpoint(Cbor.In in) throws IOException {
+        return new MemberEndpoint(new Identity(in.text(), in.text()));
     }
 
     static Cbor.Out endpoints(Cbor.Out out, Collection<RaftEndpoint> all) {
--- a/replication/src/main/java/lupinvalve/replication/Group.java
+++ b/replication/src/main/java/lupinvalve/replication/RaftMember.java
@@ -31,7 +31,7 @@
  * the pooler beside it is told. It runs on a thread of its own, since a force of the disk takes as long as many
  * requests.
  */
-public final class Group implements ControlPlane {
+public final class RaftMember implements ControlPlane {
     /** Answers that wait for a majority at once; those beyond go out when their bound is over. */
     private static final int HELD_MOST = 10_000;
 
@@ -39,37 +39,10 @@
     /** How soon a disk that failed is tried again, and how late at most. */
     private static final long REVIVE = 500_000, REVIVE_MOST = 16_000_000;
 
-    /** The pooler's side. Called on the group's thread. */
-    public interface Pooler {
-        /** Why this version can't act on a configuration, or null. */
-        String objection(byte[] document);
-
-        /**
-         * Why running poolers could not act on a configuration after the one that holds (null for none yet), or null.
-         */
-        default String refusal(byte[] current, byte[] next) {
-            return null;
-        }
-
-        /** Runs work, on the pooler's own thread, once all that it was told so far is acted on. */
-        default void reached(Runnable then) {
-            then.run();
-        }
-
-        /** A configuration that a majority has accepted is to be acted on. */
-        void adopt(Ledger.Document document);
-
-        /** Operators' holds as they now stand. */
-        void holds(Map<Change.Holding, Ledger.Held> holds);
-
-        /** Sessions' commits of any pooler that a majority now holds. */
-        void commits(Change.Commits commits);
-    }
-
     private final OperatorConfig.Store config;
     private final Loop loop = new Loop("store");
-    private final Seams seams;
-    private final Schedule schedule;
+    private final Interceptors interceptors;
+    private final Scheduler schedule;
     private final Tls tls;
     private final Net net;
     private final Disk disk;
@@ -77,31 +50,31 @@
     private final Ledger warm;
     private final Adoption adoption;
     private final Founding founding;
-    private final Peers peers;
-    private final Questions questions = new Questions(this);
+    private final PeerConnections peers;
+    private final RequestHandler questions = new RequestHandler(this);
     private final Outbox outbox = new Outbox();
     private final TreeMap<Long, List<Runnable>> held = new TreeMap<>();
     private final Map<String, String> addresses = new HashMap<>();
     private final AtomicBoolean ending = new AtomicBoolean();
     private int heldCount;
-    private Pooler pooler;
-    private Replica replica;
+    private Listener listener;
+    private RaftReplica replica;
     private String ended;
     private Identity leader;
     private String waitsFor = "";
     private boolean outboxTimer, stopped;
     private long reviveAt, reviveAfter = REVIVE;
-    private final TakeOver takeOver;
+    private final LegacyStoreImport takeOver;
     /** Null where the operator's file does not turn it on. */
-    private final Acting acting;
+    private final LeaseHolder acting;
 
     private final Followers followers;
     private volatile boolean leading;
 
     /** Where a member meets the world. The program's own are these; a laboratory counts what goes through others. */
-    public interface Seams {
+    public interface Interceptors {
         /** The program's own: the world as it is. */
-        Seams NONE = new Seams() {};
+        Interceptors NONE = new Interceptors() {};
 
         /** The way to a folder. */
         default Disk disk(Disk folder) {
@@ -109,7 +82,7 @@
         }
 
         /** Where the member's work runs. */
-        default Schedule schedule(Schedule own) {
+        default Scheduler schedule(Scheduler own) {
             return own;
         }
 
@@ -120,15 +93,15 @@
     }
 
     /** Opens the folder; throws with one line that says what is wrong with it and where. */
-    public Group(OperatorConfig.Store config) throws IOException {
-        this(config, Seams.NONE);
+    public RaftMember(OperatorConfig.Store config) throws IOException {
+        this(config, Interceptors.NONE);
     }
 
-    /** The same, through seams. */
-    public Group(OperatorConfig.Store config, Seams seams) throws IOException {
+    /** The same, with disk, scheduler and messages intercepted. */
+    public RaftMember(OperatorConfig.Store config, Interceptors interceptors) throws IOException {
         this.config = config;
-        this.seams = seams;
-        schedule = seams.schedule(Schedule.of(loop));
+        this.interceptors = interceptors;
+        schedule = interceptors.schedule(Scheduler.of(loop));
         tls = config.tls() == null ? null : new Tls(config.tls());
         if (tls == null) {
             List<String> all = new ArrayList<>(config.members().values());
@@ -142,22 +115,23 @@
             }
         }
         net = new Net(loop, false, tls);
-        disk = seams.disk(new FolderDisk(config.folder(), true));
+        disk = interceptors.disk(new FolderDisk(config.folder(), true));
         try {
             log = SegmentedLog.open(disk, config.cluster(), config.name(), SegmentedLog.diskName());
-            warm = Replica.warm(log);
+            warm = RaftReplica.warm(log);
         } catch (IOException | IllegalArgumentException e) {
             disk.close();
             throw new IOException("store " + config.folder() + ": " + e.getMessage(), e);
         }
-        takeOver = new TakeOver(OldStore.read(config.folder()));
+        takeOver = new LegacyStoreImport(OldStore.read(config.folder()));
         acting = config.audit() == OperatorConfig.Audit.OFF
                 ? null
-                : new Acting(new Acts(), config.name(), config.audit() == OperatorConfig.Audit.FENCE, disk, loop.now());
+                : new LeaseHolder(
+                        new Acts(), config.name(), config.audit() == OperatorConfig.Audit.FENCE, disk, loop.now());
         followers = new Followers(this, warm);
         adoption = new Adoption(loop.now());
         founding = new Founding(log.word(), config.members().keySet());
-        peers = new Peers(
+        peers = new PeerConnections(
                 net,
                 loop,
                 config.cluster(),
@@ -178,21 +152,21 @@
     }
 
     @Override
-    public Known known() {
-        return new Known(warm.document(), warm.listing().nodes(), Encoding.commits(warm));
+    public InitialState initialState() {
+        return new InitialState(warm.document(), warm.listing().nodes(), Encoding.commits(warm));
     }
 
-    /** Begins to take part; {@code beside} hears first what was accepted before. */
+    /** Begins to take part; {@code callbacks} hears first what was accepted before. */
     @Override
-    public void start(Pooler beside) throws IOException {
-        pooler = beside;
+    public void start(Listener callbacks) throws IOException {
+        listener = callbacks;
         peers.listen();
         loop.start();
         loop.post(() -> {
             if (warm.document() != null) {
                 adopt(warm.document());
             }
-            pooler.holds(warm.holds());
+            listener.holdsChanged(warm.holds());
             config.members().forEach(peers::place);
             settle();
             tick();
@@ -205,19 +179,19 @@
 
     /** Whether the pooler beside may act on what it knows; from any thread. */
     @Override
-    public boolean mayAct() {
+    public boolean mayServe() {
         return acting == null || acting.holds();
     }
 
     /** Whether the right to act can end here. */
     @Override
-    public boolean fences() {
+    public boolean fencingEnabled() {
         return config.audit() == OperatorConfig.Audit.FENCE;
     }
 
     /** Whether this member leads, as far as it knows; from any thread. */
     @Override
-    public boolean leads() {
+    public boolean isLeader() {
         return leading;
     }
 
@@ -228,7 +202,7 @@
 
     /** Keys and certificates as the files have them now; from any thread. Throws where they can't be used. */
     @Override
-    public void reload() throws IOException {
+    public void reloadCertificates() throws IOException {
         if (tls != null) {
             tls.reload();
             net.secureAnew();
@@ -270,10 +244,10 @@
 
     // ---- the group ----
 
-    private final Replica.Sending sending = new Replica.Sending() {
+    private final RaftReplica.MessageSender sender = new RaftReplica.MessageSender() {
         @Override
         public void send(Identity to, byte[] message) {
-            if (seams.passes(true)) {
+            if (interceptors.passes(true)) {
                 peers.send(to, message);
             }
         }
@@ -284,7 +258,7 @@
         }
     };
 
-    private final class Hearing implements Peers.Heard {
+    private final class Hearing implements PeerConnections.Heard {
         @Override
         public void word(Founding.Word word, String address) {
             addresses.put(word.who().name(), address);
@@ -300,20 +274,20 @@
 
         @Override
         public void raft(byte[] message) throws IOException {
-            if (replica != null && seams.passes(false)) {
+            if (replica != null && interceptors.passes(false)) {
                 replica.handle(message);
             }
         }
 
         @Override
-        public void call(String caller, Messages.Call call, Consumer<Messages.Answer> answer) {
+        public void call(String caller, WireMessages.Request call, Consumer<WireMessages.Response> answer) {
             questions.call(caller, call, answer);
         }
     }
 
-    private final class Acts implements Acting.Member {
+    private final class Acts implements LeaseHolder.Member {
         @Override
-        public Replica replica() {
+        public RaftReplica replica() {
             return replica;
         }
 
@@ -324,7 +298,7 @@
 
         @Override
         public void reached(Runnable then) {
-            pooler.reached(() -> loop.post(then));
+            listener.runAfterApplied(() -> loop.post(then));
         }
 
         @Override
@@ -334,7 +308,11 @@
 
         @Override
         public void call(
-                Identity whom, String what, List<byte[]> arguments, long withinMicros, Consumer<Messages.Answer> then) {
+                Identity whom,
+                String what,
+                List<byte[]> arguments,
+                long withinMicros,
+                Consumer<WireMessages.Response> then) {
             peers.call(whom, what, arguments, withinMicros, then);
         }
 
@@ -343,7 +321,7 @@
             if (replica == null || leader == null || ended != null) {
                 accepted.accept(false);
             } else {
-                Group.this.propose(change, accepted);
+                RaftMember.this.propose(change, accepted);
             }
         }
 
@@ -379,18 +357,18 @@
                 peers.say(log.word());
             }
         } catch (IOException e) {
-            end(Replica.DISK);
+            end(RaftReplica.DISK);
             return;
         }
         Founding.Phase phase = log.word().phase();
         boolean grouped = phase == Founding.Phase.FOUNDED || phase == Founding.Phase.NEWCOMER;
         if (grouped && replica == null && ended == null && !stopped) {
-            replica = new Replica(schedule, log, log.word().founders(), sending, new Random(), new Watching());
+            replica = new RaftReplica(schedule, log, log.word().founders(), sender, new Random(), new Watching());
             replica.start();
         }
     }
 
-    private final class Watching implements Replica.Watcher {
+    private final class Watching implements RaftReplica.StateListener {
         @Override
         public void applied(long index, Change change, Ledger.Outcome outcome) {
             if (replica == null) {
@@ -401,9 +379,9 @@
             if (change instanceof Change.Put && outcome.result() == Ledger.Result.DONE) {
                 adopt(replica.ledger().document());
             } else if (change instanceof Change.Hold || change instanceof Change.Release) {
-                pooler.holds(replica.ledger().holds());
+                listener.holdsChanged(replica.ledger().holds());
             } else if (change instanceof Change.Commits commits) {
-                pooler.commits(commits);
+                listener.commitsAccepted(commits);
             } else if (change instanceof Change.Place place) {
                 place(place.member(), place.address());
             }
@@ -419,9 +397,9 @@
             if (ledger.document() != null) {
                 adopt(ledger.document());
             }
-            pooler.holds(ledger.holds());
-            pooler.commits(Encoding.commits(ledger));
-            ledger.places().forEach(Group.this::place);
+            listener.holdsChanged(ledger.holds());
+            listener.commitsAccepted(Encoding.commits(ledger));
+            ledger.places().forEach(RaftMember.this::place);
         }
 
         @Override
@@ -438,31 +416,31 @@
     }
 
     private void adopt(Ledger.Document document) {
-        String objection = pooler.objection(document.content());
+        String objection = listener.validationError(document.content());
         Ledger.Document before = adoption.running();
         switch (adoption.accepted(document, objection)) {
             case ADOPT -> {
-                String version = Acting.version(document);
+                String version = LeaseHolder.version(document);
                 if (acting != null && !acting.adopts(version, document.index(), loop.now())) {
                     adoption.back(before);
                     if (replica != null) {
-                        replica.end(Replica.DISK);
+                        replica.end(RaftReplica.DISK);
                     }
-                    end(Replica.DISK);
+                    end(RaftReplica.DISK);
                     return;
                 }
                 Log.info(
                         "store: adopted revision %s, change %s, digest %s",
                         document.revision(), document.index(), document.digest());
-                pooler.adopt(document);
+                listener.configurationAccepted(document);
                 if (acting != null) {
-                    pooler.reached(() -> loop.post(() -> acting.acts(version, document.index(), loop.now())));
+                    listener.runAfterApplied(() -> loop.post(() -> acting.acts(version, document.index(), loop.now())));
                 }
             }
             case UNREADABLE -> {
                 Log.error("store: %s", adoption.acting());
                 if (acting != null) {
-                    acting.refuses(Acting.version(document), document.index(), loop.now(), adoption.unreadable());
+                    acting.refuses(LeaseHolder.version(document), document.index(), loop.now(), adoption.unreadable());
                 }
             }
             default -> {
@@ -510,10 +488,10 @@
             announce();
             takeOver.lead(
                     replica,
-                    document -> pooler.objection(document) == null,
+                    document -> listener.validationError(document) == null,
                     (session, position) -> outbox.add(session, position, loop.now()));
         }
-        if (acting != null && pooler != null) {
+        if (acting != null && listener != null) {
             acting.tick(leading, loop.now());
         }
         pump();
@@ -525,7 +503,7 @@
      * and forced anew before anything of it is believed. Tried ever more rarely.
      */
     private void revive() {
-        if (ended == null || !ended.equals(Replica.DISK) || loop.now() < reviveAt) {
+        if (ended == null || !ended.equals(RaftReplica.DISK) || loop.now() < reviveAt) {
             return;
         }
         reviveAfter = Math.min(REVIVE_MOST, reviveAfter * 2);
@@ -561,7 +539,7 @@
 
     /** A session's commit here; {@code then} runs, on the group's thread, once a majority holds it. From any thread. */
     @Override
-    public void committed(String session, long position, Runnable then) {
+    public void publishCommit(String session, long position, Runnable then) {
         loop.post(() -> {
             long bundle = outbox.add(session, position, loop.now());
             if (then != null && heldCount < HELD_MOST) {
@@ -605,7 +583,7 @@
 
     /** The list of db nodes as this pooler has it; the leader's goes to all. From any thread. */
     @Override
-    public void listing(List<Change.Listed> nodes) {
+    public void publishEndpoints(List<Change.Listed> nodes) {
         loop.post(() -> {
             if (leading) {
                 replica.propose(new Change.Listing(loop.now(), nodes), (fate, outcome) -> {});
@@ -615,20 +593,20 @@
 
     private void propose(Change change, Consumer<Boolean> accepted) {
         if (replica.leads()) {
-            replica.propose(change, (fate, outcome) -> accepted.accept(fate == Replica.Fate.DONE));
+            replica.propose(change, (fate, outcome) -> accepted.accept(fate == RaftReplica.Completion.DONE));
         } else {
             peers.call(
                     leader,
                     "propose",
                     List.of(Encoding.write(change)),
-                    Questions.FORWARDED,
-                    answer -> accepted.accept(answer.code() == Messages.Code.OK));
+                    RequestHandler.FORWARDED,
+                    answer -> accepted.accept(answer.status() == WireMessages.Status.OK));
         }
     }
 
     // ---- what questions look at ----
 
-    Replica replica() {
+    RaftReplica replica() {
         return replica;
     }
 
@@ -645,12 +623,12 @@
         return leader;
     }
 
-    Peers peers() {
+    PeerConnections peers() {
         return peers;
     }
 
-    Pooler pooler() {
-        return pooler;
+    Listener listener() {
+        return listener;
     }
 
     Followers followers() {
@@ -658,7 +636,7 @@
     }
 
     /** Null where it is off. */
-    Acting acting() {
+    LeaseHolder acting() {
         return acting;
     }
 
--- a/replication/src/main/java/lupinvalve/replication/Replica.java
+++ b/replication/src/main/java/lupinvalve/replication/RaftReplica.java
@@ -43,7 +43,7 @@
  * One member's part in the group's history: the library's node, fed with messages and the disk, and the ledger that it
  * leads to. All on one schedule. It knows no wire: whoever made it carries the messages.
  */
-final class Replica {
+final class RaftReplica {
     /** The group's name for the library; who is connected is of one cluster. */
     static final Object GROUP = "ledger";
 
@@ -51,8 +51,8 @@
     /** A bound on the library's own table only: history is cut by its bytes. */
     private static final int CHANGES_MOST = 100_000;
     /**
-     * In the library's time, which runs faster by {@link Pace#FACTOR}. A vote takes a force of the disk and two ways,
-     * some 10 ms where 99 in 100 are met; votes that were split are asked for again after 15 times that.
+     * In the library's time, which runs faster by {@link AcceleratedExecutor#FACTOR}. A vote takes a force of the disk
+     * and two ways, some 10 ms where 99 in 100 are met; votes that were split are asked for again after 15 times that.
      */
     private static final int HEARTBEAT_SECONDS = 1, SILENCE_SECONDS = 6, ELECTION_MILLIS = 1500;
 
@@ -60,14 +60,14 @@
     static final String DISK = "the disk fails";
 
     /** Carries messages to other members; what can't be carried is dropped. */
-    interface Sending {
+    interface MessageSender {
         void send(Identity to, byte[] message);
 
         boolean reaches(Identity who);
     }
 
     /** Hears what was accepted, in order. */
-    interface Watcher {
+    interface StateListener {
         void applied(long index, Change change, Ledger.Outcome outcome);
 
         /** The state is another one, without the changes that led to it. */
@@ -78,47 +78,47 @@
     }
 
     /** What has become of something asked. */
-    enum Fate {
+    enum Completion {
         DONE,
         /** It has not happened, and may be asked of the leader, or again. */
-        ELSEWHERE,
+        NOT_APPLIED,
         /** It has not happened, and can't. */
-        REFUSED,
+        REJECTED,
         /** It may have happened. */
-        UNKNOWN
+        INDETERMINATE
     }
 
-    /** Takes the fate, and what came of it where that is {@link Fate#DONE}. */
-    interface Then<T> {
-        void done(Fate fate, T result);
+    /** Takes the completion, and what came of it where that is {@link Completion#DONE}. */
+    interface Callback<T> {
+        void completed(Completion completion, T result);
     }
 
-    private final Schedule schedule;
-    private final Pace pace;
+    private final Scheduler schedule;
+    private final AcceleratedExecutor pace;
     private final SegmentedLog log;
-    private final Sending sending;
-    private final Watcher watcher;
+    private final MessageSender sender;
+    private final StateListener listener;
     private final Ledger ledger = new Ledger();
     private final Identity self;
     private final RaftNode node;
-    private final Mends mends;
+    private final MicroRaftWorkarounds mends;
     private boolean snapshotting, ended;
     private long keptBytes;
 
     /** @param founders of the group */
-    Replica(
-            Schedule schedule,
+    RaftReplica(
+            Scheduler schedule,
             SegmentedLog log,
             Set<Identity> founders,
-            Sending sending,
+            MessageSender sender,
             Random random,
-            Watcher watcher) {
+            StateListener listener) {
         this.schedule = schedule;
         this.log = log;
-        this.sending = sending;
-        this.watcher = watcher;
+        this.sender = sender;
+        this.listener = listener;
         self = log.word().who();
-        pace = new Pace(schedule);
+        pace = new AcceleratedExecutor(schedule);
         RaftNode.RaftNodeBuilder builder = RaftNode.newBuilder()
                 .setGroupId(GROUP)
                 .setConfig(RaftConfig.newBuilder()
@@ -134,17 +134,17 @@
                 .setStateMachine(new Machine())
                 .setExecutor(pace)
                 .setStore(log)
-                .setModelFactory(Models.FACTORY)
+                .setModelFactory(RaftCodec.FACTORY)
                 .setRandom(random)
                 .setClock(pace);
         RestoredRaftState restored = log.restored();
         if (restored != null) {
             builder.setRestoredState(restored);
         } else {
-            builder.setLocalEndpoint(new Endpoint(self)).setInitialGroupMembers(Endpoint.all(founders));
+            builder.setLocalEndpoint(new MemberEndpoint(self)).setInitialGroupMembers(MemberEndpoint.all(founders));
         }
         node = builder.build();
-        mends = new Mends((RaftNodeImpl) node, pace, () -> ended);
+        mends = new MicroRaftWorkarounds((RaftNodeImpl) node, pace, () -> ended);
         log.onFailure(() -> schedule.post(() -> end(DISK)));
     }
 
@@ -163,7 +163,7 @@
             return;
         }
         leave();
-        watcher.ended(why);
+        listener.ended(why);
     }
 
     /** The same, without a word: another node goes on with the folder. */
@@ -183,13 +183,13 @@
         public void send(RaftEndpoint target, RaftMessage message) {
             // Nothing is acknowledged, and no vote given, by a disk that fails.
             if (!ended && !log.hasFailed()) {
-                sending.send(Endpoint.of(target), Models.write(message));
+                sender.send(MemberEndpoint.of(target), RaftCodec.write(message));
             }
         }
 
         @Override
         public boolean isReachable(RaftEndpoint endpoint) {
-            return sending.reaches(Endpoint.of(endpoint));
+            return sender.reaches(MemberEndpoint.of(endpoint));
         }
     }
 
@@ -222,7 +222,7 @@
                 // The log has told of it, and ends this member.
                 return outcome;
             }
-            watcher.applied(index, change, outcome);
+            listener.applied(index, change, outcome);
             keptBytes = Math.min(keptBytes, log.historyBytes());
             if (!snapshotting && Compaction.due(log.historyBytes(), keptBytes, log.snapshotBytes())) {
                 snapshotting = true;
@@ -250,7 +250,7 @@
                 schedule.post(() -> end("the snapshot is of a later version"));
                 throw new IllegalStateException(e);
             }
-            watcher.restored();
+            listener.restored();
         }
 
         @Override
@@ -263,7 +263,7 @@
 
     void handle(byte[] message) throws IOException {
         if (!ended) {
-            mends.hand(Models.read(GROUP, message));
+            mends.hand(RaftCodec.read(GROUP, message));
         }
     }
 
@@ -274,77 +274,78 @@
     /** The leader as far as is known here, or null. */
     Identity leader() {
         RaftEndpoint leader = node.getTerm().getLeaderEndpoint();
-        return leader == null || ended ? null : Endpoint.of(leader);
+        return leader == null || ended ? null : MemberEndpoint.of(leader);
     }
 
     int term() {
         return node.getTerm().getTerm();
     }
 
-    private static Fate fate(Throwable failure) {
+    private static Completion completion(Throwable failure) {
         Throwable cause = failure instanceof java.util.concurrent.CompletionException ? failure.getCause() : failure;
         if (cause instanceof NotLeaderException
                 || cause instanceof CannotReplicateException
                 || cause instanceof LaggingCommitIndexException) {
-            return Fate.ELSEWHERE;
+            return Completion.NOT_APPLIED;
         }
         return cause instanceof IllegalArgumentException
                         || cause instanceof IllegalStateException && !(cause instanceof IndeterminateStateException)
                         || cause instanceof MismatchingRaftGroupMembersCommitIndexException
-                ? Fate.REFUSED
-                : Fate.UNKNOWN;
+                ? Completion.REJECTED
+                : Completion.INDETERMINATE;
     }
 
-    private <T> void answer(Supplier<CompletableFuture<Ordered<T>>> asked, Then<T> then) {
+    private <T> void answer(Supplier<CompletableFuture<Ordered<T>>> asked, Callback<T> then) {
         if (ended) {
-            then.done(Fate.ELSEWHERE, null);
+            then.completed(Completion.NOT_APPLIED, null);
             return;
         }
         asked.get()
                 .whenComplete((ordered, failure) -> schedule.post(() -> {
                     if (failure != null) {
-                        Fate fate = fate(failure);
-                        if (fate == Fate.REFUSED) {
+                        Completion completion = completion(failure);
+                        if (completion == Completion.REJECTED) {
                             Log.info("store: %s", failure.getMessage());
                         }
-                        then.done(fate, null);
+                        then.completed(completion, null);
                     } else if (log.hasFailed()) {
                         // A majority may hold it all the same, but this disk does not, and answers for nothing.
-                        then.done(Fate.UNKNOWN, null);
+                        then.completed(Completion.INDETERMINATE, null);
                     } else {
-                        then.done(Fate.DONE, ordered.getResult());
+                        then.completed(Completion.DONE, ordered.getResult());
                     }
                 }));
     }
 
-    void propose(Change change, Then<Ledger.Outcome> then) {
+    void propose(Change change, Callback<Ledger.Outcome> then) {
         answer(() -> node.replicate(Encoding.write(change)), then);
     }
 
     /** Answers once the ledger here holds all that was accepted anywhere before the question. */
-    void upToDate(Then<Object> then) {
+    void upToDate(Callback<Object> then) {
         answer(() -> node.query(new Question(), QueryPolicy.LINEARIZABLE, Optional.empty(), Optional.empty()), then);
     }
 
-    void snapshot(Then<RaftNodeReport> then) {
+    void snapshot(Callback<RaftNodeReport> then) {
         answer(node::takeSnapshot, then);
     }
 
-    void report(Then<RaftNodeReport> then) {
+    void report(Callback<RaftNodeReport> then) {
         answer(node::getReport, then);
     }
 
     /** The group as this member sees it as its leader; whether it is must be asked apart. */
     static Membership.View view(RaftNodeReport report, Set<Identity> strangers, Set<Identity> inReach) {
-        Set<Identity> voting = Endpoint.identities(report.getCommittedMembers().getVotingMembers());
+        Set<Identity> voting =
+                MemberEndpoint.identities(report.getCommittedMembers().getVotingMembers());
         Set<Identity> learning =
-                Endpoint.identities(report.getCommittedMembers().getMembers());
+                MemberEndpoint.identities(report.getCommittedMembers().getMembers());
         learning.removeAll(voting);
-        Identity self = Endpoint.of(report.getEndpoint());
+        Identity self = MemberEndpoint.of(report.getEndpoint());
         Set<Identity> reached = new TreeSet<>(inReach);
         reached.add(self);
         Map<Identity, Long> matching = new HashMap<>();
-        report.getLog().getFollowerMatchIndices().forEach((one, index) -> matching.put(Endpoint.of(one), index));
+        report.getLog().getFollowerMatchIndices().forEach((one, index) -> matching.put(MemberEndpoint.of(one), index));
         return new Membership.View(
                 self,
                 voting,
@@ -357,7 +358,7 @@
     }
 
     /** Takes a step that membership decided on. */
-    void step(Membership.Step step, RaftNodeReport report, Then<Object> then) {
+    void step(Membership.Step step, RaftNodeReport report, Callback<Object> then) {
         if (step instanceof Membership.Step.Learn learn) {
             change(learn.who(), MembershipChangeMode.ADD_LEARNER, report, then);
         } else if (step instanceof Membership.Step.Promote promote) {
@@ -365,15 +366,17 @@
         } else if (step instanceof Membership.Step.Remove remove) {
             change(remove.who(), MembershipChangeMode.REMOVE_MEMBER, report, then);
         } else if (step instanceof Membership.Step.HandOver over) {
-            answer(() -> node.transferLeadership(new Endpoint(over.to())), then);
+            answer(() -> node.transferLeadership(new MemberEndpoint(over.to())), then);
         }
     }
 
-    private void change(Identity who, MembershipChangeMode mode, RaftNodeReport report, Then<Object> then) {
+    private void change(Identity who, MembershipChangeMode mode, RaftNodeReport report, Callback<Object> then) {
         answer(
                 () -> node.changeMembership(
-                        new Endpoint(who), mode, report.getCommittedMembers().getLogIndex()),
-                (fate, members) -> then.done(fate, members));
+                        new MemberEndpoint(who),
+                        mode,
+                        report.getCommittedMembers().getLogIndex()),
+                (completion, members) -> then.completed(completion, members));
     }
 
     static boolean leads(RaftNodeReport report) {
--- a/replication/src/main/java/lupinvalve/replication/RecordBatch.java
+++ b/replication/src/main/java/lupinvalve/replication/RecordBatch.java
@@ -30,7 +30,7 @@
         ByteArrayOutputStream content = new ByteArrayOutputStream(pending.size() + Long.BYTES);
         content.writeBytes(new Cbor.Out().number(records).done());
         pending.writeTo(content);
-        return Frames.frame(content.toByteArray());
+        return RecordFrames.frame(content.toByteArray());
     }
 
     void clear() {
--- a/replication/src/main/java/lupinvalve/replication/Frames.java
+++ b/replication/src/main/java/lupinvalve/replication/RecordFrames.java
@@ -9,13 +9,13 @@
  * Records in a file, each with checksums: its length and that length inverted, the content, the content's CRC-32C, and
  * an end mark. A write that a crash has torn lacks its end; whatever else does not fit is damage.
  */
-final class Frames {
+final class RecordFrames {
     /** Of one record's content. */
     static final int MOST = 64 << 20;
 
     private static final int HEAD = 8, TAIL = 8, END = 0x4C757049;
 
-    private Frames() {}
+    private RecordFrames() {}
 
     /** A file, or a part of it, that is not what was written. */
     static final class Damaged extends IOException {
--- a/replication/src/main/java/lupinvalve/replication/Questions.java
+++ b/replication/src/main/java/lupinvalve/replication/RequestHandler.java
@@ -22,7 +22,7 @@
 import lupinvalve.statemachine.Membership;
 
 /** What operators and other members ask of this one, and what they are told. On the group's thread. */
-final class Questions {
+final class RequestHandler {
     /**
      * How long a call that another member forwarded may take, a change of members in all, and the pause between its
      * steps.
@@ -31,29 +31,29 @@
 
     private static final long STRICT_WITHIN = 6_000_000, STRICT_STEP = 20_000;
     private static final long MEMBERS_WITHIN = 20_000_000, STEP = 50_000;
-    private final Group group;
+    private final RaftMember group;
 
-    Questions(Group group) {
+    RequestHandler(RaftMember group) {
         this.group = group;
     }
 
-    private static String argument(Messages.Call call, int at) throws IOException {
+    private static String argument(WireMessages.Request call, int at) throws IOException {
         if (call.arguments().size() <= at) {
             throw new IOException(call.name() + " lacks an argument");
         }
         return new String(call.arguments().get(at), StandardCharsets.UTF_8);
     }
 
-    void call(String caller, Messages.Call call, Consumer<Messages.Answer> answer) {
+    void call(String caller, WireMessages.Request call, Consumer<WireMessages.Response> answer) {
         try {
             if (call.name().equals(Followers.CALL)) {
                 group.followers().call(caller, call, answer);
             } else if (call.name().equals("status")) {
-                status(text -> answer.accept(new Messages.Answer(call.id(), Messages.Code.OK, text)));
+                status(text -> answer.accept(new WireMessages.Response(call.id(), WireMessages.Status.OK, text)));
             } else if (group.replica() == null || group.ended() != null) {
-                answer.accept(new Messages.Answer(
+                answer.accept(new WireMessages.Response(
                         call.id(),
-                        Messages.Code.AGAIN,
+                        WireMessages.Status.RETRY,
                         group.ended() != null
                                 ? "this member takes no part any more: " + group.ended()
                                 : "the group is not founded yet: "
@@ -61,8 +61,8 @@
             } else if (group.replica().leads()) {
                 lead(call, answer);
             } else if (group.leader() == null || call.name().startsWith(">")) {
-                answer.accept(
-                        new Messages.Answer(call.id(), Messages.Code.AGAIN, "no majority is in touch: no leader"));
+                answer.accept(new WireMessages.Response(
+                        call.id(), WireMessages.Status.RETRY, "no majority is in touch: no leader"));
             } else {
                 group.peers()
                         .call(
@@ -73,14 +73,15 @@
                                         ? MEMBERS_WITHIN + FORWARDED
                                         : FORWARDED + STRICT_WITHIN,
                                 got -> answer.accept(
-                                        new Messages.Answer(call.id(), got.code(), got.text(), got.content())));
+                                        new WireMessages.Response(call.id(), got.status(), got.text(), got.content())));
             }
         } catch (IOException | IllegalArgumentException e) {
-            answer.accept(new Messages.Answer(call.id(), Messages.Code.REFUSED, String.valueOf(e.getMessage())));
+            answer.accept(
+                    new WireMessages.Response(call.id(), WireMessages.Status.REJECTED, String.valueOf(e.getMessage())));
         }
     }
 
-    private void lead(Messages.Call call, Consumer<Messages.Answer> answer) throws IOException {
+    private void lead(WireMessages.Request call, Consumer<WireMessages.Response> answer) throws IOException {
         String name = call.name().startsWith(">") ? call.name().substring(1) : call.name();
         switch (name) {
             case "propose" -> group.replica()
@@ -103,7 +104,7 @@
             case "add", "remove" -> change(
                     new Membership.Wish(name.equals("add"), argument(call, 0)),
                     group.loop().now() + MEMBERS_WITHIN,
-                    (code, text) -> answer.accept(new Messages.Answer(call.id(), code, text)));
+                    (code, text) -> answer.accept(new WireMessages.Response(call.id(), code, text)));
             case "snapshot" -> group.replica()
                     .snapshot(told(
                             call,
@@ -114,95 +115,98 @@
                                 out.writeNumberField(
                                         "snapshot_bytes", group.log().snapshotBytes());
                             })));
-            default -> answer.accept(new Messages.Answer(call.id(), Messages.Code.REFUSED, "no such call: " + name));
+            default -> answer.accept(
+                    new WireMessages.Response(call.id(), WireMessages.Status.REJECTED, "no such call: " + name));
         }
     }
 
-    private static Change.Holding holding(Messages.Call call) throws IOException {
+    private static Change.Holding holding(WireMessages.Request call) throws IOException {
         String kind = argument(call, 0);
         if (!kind.equals("node") && !kind.equals("pooler")) {
-            throw new IOException("what is held is a node or a group.pooler(), not a " + kind);
+            throw new IOException("what is held is a node or a pooler, not a " + kind);
         }
         return new Change.Holding(kind.equals("node") ? Change.Kind.NODE : Change.Kind.POOLER, argument(call, 1));
     }
 
-    private static Messages.Code code(Replica.Fate fate) {
+    private static WireMessages.Status code(RaftReplica.Completion fate) {
         return switch (fate) {
-            case DONE -> Messages.Code.OK;
-            case ELSEWHERE -> Messages.Code.AGAIN;
-            case REFUSED -> Messages.Code.REFUSED;
-            default -> Messages.Code.UNKNOWN;
+            case DONE -> WireMessages.Status.OK;
+            case NOT_APPLIED -> WireMessages.Status.RETRY;
+            case REJECTED -> WireMessages.Status.REJECTED;
+            default -> WireMessages.Status.INDETERMINATE;
         };
     }
 
-    private static String words(Replica.Fate fate) {
-        return fate == Replica.Fate.ELSEWHERE
+    private static String words(RaftReplica.Completion fate) {
+        return fate == RaftReplica.Completion.NOT_APPLIED
                 ? "the leader changes or has too much to do: nothing has happened"
-                : fate == Replica.Fate.REFUSED
+                : fate == RaftReplica.Completion.REJECTED
                         ? "the group can't do that now"
                         : "it may have happened: look before asking again";
     }
 
-    private <T> Replica.Then<T> told(Messages.Call call, Consumer<Messages.Answer> answer, Function<T, String> text) {
-        return (fate, result) -> answer.accept(new Messages.Answer(
-                call.id(), code(fate), fate == Replica.Fate.DONE ? text.apply(result) : words(fate)));
+    private <T> RaftReplica.Callback<T> told(
+            WireMessages.Request call, Consumer<WireMessages.Response> answer, Function<T, String> text) {
+        return (fate, result) -> answer.accept(new WireMessages.Response(
+                call.id(), code(fate), fate == RaftReplica.Completion.DONE ? text.apply(result) : words(fate)));
     }
 
-    private Replica.Then<Ledger.Outcome> taken(Messages.Call call, Consumer<Messages.Answer> answer) {
+    private RaftReplica.Callback<Ledger.Outcome> taken(
+            WireMessages.Request call, Consumer<WireMessages.Response> answer) {
         return (fate, outcome) -> {
-            Messages.Code code = code(fate);
-            String text = fate == Replica.Fate.DONE ? "{}" : words(fate);
-            if (fate == Replica.Fate.DONE && outcome.result() == Ledger.Result.CONFLICT) {
-                code = Messages.Code.CONFLICT;
+            WireMessages.Status code = code(fate);
+            String text = fate == RaftReplica.Completion.DONE ? "{}" : words(fate);
+            if (fate == RaftReplica.Completion.DONE && outcome.result() == Ledger.Result.CONFLICT) {
+                code = WireMessages.Status.CONFLICT;
                 text = "revision " + outcome.revision() + " holds by now";
-            } else if (fate == Replica.Fate.DONE && outcome.result() == Ledger.Result.TOO_MUCH) {
-                code = Messages.Code.REFUSED;
+            } else if (fate == RaftReplica.Completion.DONE && outcome.result() == Ledger.Result.TOO_MUCH) {
+                code = WireMessages.Status.REJECTED;
                 text = "too long, or too many of them";
-            } else if (fate == Replica.Fate.DONE) {
+            } else if (fate == RaftReplica.Completion.DONE) {
                 text = Json.object(out -> {
                     out.writeBooleanField("changed", outcome.result() == Ledger.Result.DONE);
                     out.writeNumberField("revision", outcome.revision());
                 });
             }
-            answer.accept(new Messages.Answer(call.id(), code, text));
+            answer.accept(new WireMessages.Response(call.id(), code, text));
         };
     }
 
-    private void put(Messages.Call call, Consumer<Messages.Answer> answer) throws IOException {
+    private void put(WireMessages.Request call, Consumer<WireMessages.Response> answer) throws IOException {
         long expected = Long.parseLong(argument(call, 0));
         byte[] document = call.arguments().get(1);
         // Checked whole before it is proposed: what a majority accepts is a configuration that can be acted on.
-        String objection = group.pooler().objection(document);
+        String objection = group.listener().validationError(document);
         Ledger.Document holds = group.replica().ledger().document();
         if (objection == null) {
-            objection = group.pooler().refusal(holds == null ? null : holds.content(), document);
+            objection = group.listener().transitionError(holds == null ? null : holds.content(), document);
         }
         if (objection != null) {
-            answer.accept(new Messages.Answer(call.id(), Messages.Code.REFUSED, objection));
+            answer.accept(new WireMessages.Response(call.id(), WireMessages.Status.REJECTED, objection));
             return;
         }
         group.replica().propose(new Change.Put(expected, document), taken(call, strict(call, 2, answer)));
     }
 
     /** Another member asks for a lease, or this one's own operator sees why there is none. */
-    private void lease(Messages.Call call, Consumer<Messages.Answer> answer) throws IOException {
+    private void lease(WireMessages.Request call, Consumer<WireMessages.Response> answer) throws IOException {
         // A member of an earlier version has no subscribers.
         long followersFloor = call.arguments().size() > 3 ? Long.parseLong(argument(call, 3)) : Long.MAX_VALUE;
         Leases.Granted granted = group.acting() == null
                 ? new Leases.Granted(0, "audit is off at the leader")
                 : group.acting()
                         .grant(argument(call, 0), Long.parseLong(argument(call, 1)), argument(call, 2), followersFloor);
-        Messages.Code code = granted.lengthMicros() > 0
-                ? Messages.Code.OK
-                : granted.why().isEmpty() ? Messages.Code.AGAIN : Messages.Code.REFUSED;
-        answer.accept(new Messages.Answer(
+        WireMessages.Status code = granted.lengthMicros() > 0
+                ? WireMessages.Status.OK
+                : granted.why().isEmpty() ? WireMessages.Status.RETRY : WireMessages.Status.REJECTED;
+        answer.accept(new WireMessages.Response(
                 call.id(),
                 code,
                 granted.lengthMicros() > 0 ? Long.toString(granted.lengthMicros()) : granted.why(),
                 new Cbor.Out().number(group.followers().changed()).done()));
     }
 
-    private void audit(Messages.Call call, Consumer<Messages.Answer> answer) throws IOException {
+    private void audit(WireMessages.Request call, Consumer<WireMessages.Response> answer) throws IOException {
         List<String> question = new ArrayList<>();
         for (int i = 0; i < call.arguments().size(); i++) {
             question.add(argument(call, i));
@@ -216,17 +220,17 @@
         }
         group.replica().upToDate((fate, ok) -> {
             try {
-                answer.accept(new Messages.Answer(
+                answer.accept(new WireMessages.Response(
                         call.id(),
                         code(fate),
-                        fate != Replica.Fate.DONE
+                        fate != RaftReplica.Completion.DONE
                                 ? words(fate)
-                                : AuditAnswers.answer(
-                                        AuditAnswers.course(
+                                : AuditQueries.answer(
+                                        AuditQueries.course(
                                                 group.replica().ledger().noted().values()),
                                         question)));
             } catch (IOException e) {
-                answer.accept(new Messages.Answer(call.id(), Messages.Code.REFUSED, e.getMessage()));
+                answer.accept(new WireMessages.Response(call.id(), WireMessages.Status.REJECTED, e.getMessage()));
             }
         });
     }
@@ -253,8 +257,8 @@
      * For a call that is strict, an answer that waits until each pooler acts on what was accepted or may act no more;
      * then it tells who was waited for last.
      */
-    private Consumer<Messages.Answer> strict(Messages.Call call, int at, Consumer<Messages.Answer> answer)
-            throws IOException {
+    private Consumer<WireMessages.Response> strict(
+            WireMessages.Request call, int at, Consumer<WireMessages.Response> answer) throws IOException {
         if (call.arguments().size() <= at || !argument(call, at).equals("strict")) {
             return answer;
         }
@@ -263,7 +267,7 @@
         }
         long asked = group.loop().now();
         return done -> {
-            if (done.code() != Messages.Code.OK) {
+            if (done.status() != WireMessages.Status.OK) {
                 answer.accept(done);
                 return;
             }
@@ -274,30 +278,35 @@
     }
 
     private void settle(
-            Messages.Answer done, long index, long asked, List<String> before, Consumer<Messages.Answer> answer) {
+            WireMessages.Response done,
+            long index,
+            long asked,
+            List<String> before,
+            Consumer<WireMessages.Response> answer) {
         group.replica().report((fate, report) -> {
-            List<String> poolers = fate != Replica.Fate.DONE ? null : voters(report);
+            List<String> poolers = fate != RaftReplica.Completion.DONE ? null : voters(report);
             List<String> left = poolers == null ? null : group.acting().waitedFor(index, poolers);
             long took = group.loop().now() - asked;
             if (left == null || took > STRICT_WITHIN) {
-                answer.accept(new Messages.Answer(
+                answer.accept(new WireMessages.Response(
                         done.id(),
-                        Messages.Code.UNKNOWN,
+                        WireMessages.Status.INDETERMINATE,
                         left == null
                                 ? "accepted, but the leader changed before all were known to act on it"
                                 : "accepted, but not known to be acted on by " + left));
             } else if (left.isEmpty()) {
-                answer.accept(new Messages.Answer(done.id(), Messages.Code.OK, Json.with(done.text(), out -> {
-                    out.writeStringField("waited_for", String.join(", ", before));
-                    out.writeNumberField("strict_ms", took / 1000);
-                })));
+                answer.accept(
+                        new WireMessages.Response(done.id(), WireMessages.Status.OK, Json.with(done.text(), out -> {
+                            out.writeStringField("waited_for", String.join(", ", before));
+                            out.writeNumberField("strict_ms", took / 1000);
+                        })));
             } else {
                 group.loop().after(STRICT_STEP, () -> settle(done, index, asked, left, answer));
             }
         });
     }
 
-    private String document(Messages.Call call) {
+    private String document(WireMessages.Request call) {
         Ledger.Document document = group.replica().ledger().document();
         boolean bare = !call.arguments().isEmpty() && call.arguments().get(0).length > 0;
         return Json.object(out -> {
@@ -354,35 +363,35 @@
     private Membership.View view(RaftNodeReport report) {
         Set<Identity> connected = group.peers().connected();
         Set<Identity> strangers = new TreeSet<>(connected);
-        Membership.View view = Replica.view(report, strangers, connected);
+        Membership.View view = RaftReplica.view(report, strangers, connected);
         strangers.removeAll(view.voting());
         strangers.removeAll(view.learning());
         return view;
     }
 
     private interface Told {
-        void done(Messages.Code code, String text);
+        void done(WireMessages.Status code, String text);
     }
 
     /** One step after another until the group has the member, or not. */
     private void change(Membership.Wish wish, long until, Told then) {
         group.replica().report((fate, report) -> {
-            if (fate != Replica.Fate.DONE) {
+            if (fate != RaftReplica.Completion.DONE) {
                 then.done(code(fate), words(fate));
                 return;
-            } else if (!Replica.leads(report)) {
-                then.done(Messages.Code.AGAIN, "the leader changes");
+            } else if (!RaftReplica.leads(report)) {
+                then.done(WireMessages.Status.RETRY, "the leader changes");
                 return;
             }
             Membership.Step next = Membership.next(wish, view(report));
             if (next instanceof Membership.Step.Done) {
                 forgetPlace(wish);
-                then.done(Messages.Code.OK, members(report));
+                then.done(WireMessages.Status.OK, members(report));
             } else if (next instanceof Membership.Step.Refused refused) {
-                then.done(Messages.Code.REFUSED, refused.why());
+                then.done(WireMessages.Status.REJECTED, refused.why());
             } else if (group.loop().now() > until) {
                 then.done(
-                        Messages.Code.AGAIN,
+                        WireMessages.Status.RETRY,
                         next instanceof Membership.Step.Wait wait
                                 ? wait.what()
                                 : "it takes longer; ask again to go on");
@@ -392,7 +401,7 @@
                 Log.info("store: %s", next);
                 group.replica().step(next, report, (stepFate, ok) -> {
                     if (next instanceof Membership.Step.HandOver) {
-                        then.done(Messages.Code.AGAIN, "another member leads now; ask again to go on");
+                        then.done(WireMessages.Status.RETRY, "another member leads now; ask again to go on");
                     } else {
                         // Whether it was taken shows in what the group looks like next.
                         group.loop().after(STEP, () -> change(wish, until, then));
@@ -425,7 +434,7 @@
         out.writeStringField("phase", group.log().word().phase().name().toLowerCase(java.util.Locale.ROOT));
         out.writeStringField(
                 "leader", group.leader() == null ? "" : group.leader().name());
-        out.writeBooleanField("leads", group.leads());
+        out.writeBooleanField("leads", group.isLeader());
         out.writeBooleanField("cut_off", group.adoption().cutOff());
         out.writeStringField(
                 "acting",
--- a/replication/src/main/java/lupinvalve/replication/Schedule.java
+++ b/replication/src/main/java/lupinvalve/replication/Scheduler.java
@@ -3,7 +3,7 @@
 import lupinvalve.core.Loop;
 
 /** Where a member's work runs, one piece after another, and what time it is there. */
-public interface Schedule {
+public interface Scheduler {
     long now();
 
     /** Runs work soon; from any thread. */
@@ -13,8 +13,8 @@
     void after(long micros, Runnable work);
 
     /** A thread of its own: forces of the disk would hold up the requests on the core's. */
-    static Schedule of(Loop loop) {
-        return new Schedule() {
+    static Scheduler of(Loop loop) {
+        return new Scheduler() {
             @Override
             public long now() {
                 return loop.now();
--- a/replication/src/main/java/lupinvalve/replication/SegmentHead.java
+++ b/replication/src/main/java/lupinvalve/replication/SegmentHead.java
@@ -31,11 +31,11 @@
     /** Reads a term and the vote in it. */
     static RaftTermPersistentState readTerm(Cbor.In in) throws IOException {
         int number = (int) in.number();
-        return termAndVote(number, Models.endpoints(in));
+        return termAndVote(number, RaftCodec.endpoints(in));
     }
 
     private static RaftTermPersistentState termAndVote(int number, List<RaftEndpoint> voted) {
-        return Models.FACTORY
+        return RaftCodec.FACTORY
                 .createRaftTermPersistentStateBuilder()
                 .setTerm(number)
                 .setVotedFor(voted.isEmpty() ? null : voted.get(0))
@@ -45,27 +45,27 @@
     /** Writes the term and the vote as a record. */
     void writeTerm(Cbor.Out out) {
         List<RaftEndpoint> voted = term.getVotedFor() == null ? List.of() : List.of(term.getVotedFor());
-        Models.endpoints(out.number(RecordKind.TERM).number(term.getTerm()), voted);
+        RaftCodec.endpoints(out.number(RecordKind.TERM).number(term.getTerm()), voted);
     }
 
     /** Reads who the member itself is. */
     static RaftEndpointPersistentState readSelf(Cbor.In in) throws IOException {
-        return Models.FACTORY
+        return RaftCodec.FACTORY
                 .createRaftEndpointPersistentStateBuilder()
-                .setLocalEndpoint(Models.endpoints(in).get(0))
+                .setLocalEndpoint(RaftCodec.endpoints(in).get(0))
                 .setVoting(in.flag())
                 .build();
     }
 
     /** Writes who the member itself is, as a record. */
     void writeSelf(Cbor.Out out) {
-        Models.endpoints(out.number(RecordKind.SELF), List.of(self.getLocalEndpoint()))
+        RaftCodec.endpoints(out.number(RecordKind.SELF), List.of(self.getLocalEndpoint()))
                 .flag(self.isVoting());
     }
 
     /** Writes the group's first members as a record. */
     void writeFounders(Cbor.Out out) {
-        Models.view(out.number(RecordKind.FOUNDERS), founders);
+        RaftCodec.view(out.number(RecordKind.FOUNDERS), founders);
     }
 
     /** Writes up to which index changes are accepted, as a record. */
--- a/replication/src/main/java/lupinvalve/replication/SegmentedLog.java
+++ b/replication/src/main/java/lupinvalve/replication/SegmentedLog.java
@@ -84,7 +84,7 @@
         } else if (names.stream().noneMatch(SegmentedLog::holdsHistory)) {
             log.keep(new Founding.Word(new Identity(name, diskName), Founding.Phase.ALONE, Set.of()));
         } else {
-            throw new Frames.Damaged(IdentityFile.NAME + " is missing beside " + names.get(0));
+            throw new RecordFrames.Damaged(IdentityFile.NAME + " is missing beside " + names.get(0));
         }
         log.load(names, true);
         log.roll();
@@ -115,7 +115,7 @@
         SegmentedLog log = new SegmentedLog(disk, null);
         List<String> names = disk.names();
         if (!names.contains(IdentityFile.NAME)) {
-            throw new Frames.Damaged(IdentityFile.NAME + " is missing");
+            throw new RecordFrames.Damaged(IdentityFile.NAME + " is missing");
         }
         log.word = IdentityFile.read(disk, null, null);
         log.load(names, false);
@@ -153,7 +153,7 @@
     private void loadSegment(String name, boolean last, boolean mends) throws IOException {
         byte[] file = disk.read(name);
         List<byte[]> contents = new ArrayList<>();
-        long whole = Frames.read(name, file, last, contents);
+        long whole = RecordFrames.read(name, file, last, contents);
         if (whole < file.length) {
             Log.warn("store: %s: cut at byte %s, where a crash had torn what followed", name, whole);
             if (mends) {
@@ -254,7 +254,7 @@
     @Override
     public void persistLogEntries(List<LogEntry> added) throws IOException {
         for (LogEntry entry : added) {
-            add(out -> Models.entry(out.number(RecordKind.ENTRY), entry));
+            add(out -> RaftCodec.entry(out.number(RecordKind.ENTRY), entry));
             highest = Math.max(highest, entry.getIndex());
         }
     }
--- a/replication/src/main/java/lupinvalve/replication/Tokens.java
+++ b/replication/src/main/java/lupinvalve/replication/SessionTokens.java
@@ -10,14 +10,14 @@
  * Sessions' last commits on the core thread: this pooler's own at once, all others' once a majority holds them. A
  * booking's answer may wait for that, within a bound: its session then reads its own writes at any pooler.
  */
-public final class Tokens implements Marks {
+public final class SessionTokens implements Marks {
     private final Loop loop;
     private final ControlPlane group;
     private final long waitMicros;
     private final Sessions sessions = new Sessions();
 
     /** @param known what was accepted before this start */
-    public Tokens(Loop loop, ControlPlane group, long waitMicros, Change.Commits known) {
+    public SessionTokens(Loop loop, ControlPlane group, long waitMicros, Change.Commits known) {
         this.loop = loop;
         this.group = group;
         this.waitMicros = waitMicros;
@@ -37,7 +37,7 @@
     @Override
     public void committed(String session, long position) {
         sessions.take(loop.now(), Map.of(session, position));
-        group.committed(session, position, null);
+        group.publishCommit(session, position, null);
     }
 
     @Override
@@ -49,7 +49,7 @@
         }
         sessions.take(loop.now(), Map.of(session, position));
         // Whichever comes first: the second time changes nothing.
-        group.committed(session, position, () -> loop.post(then));
+        group.publishCommit(session, position, () -> loop.post(then));
         loop.after(waitMicros, then);
     }
 }
--- a/replication/src/main/java/lupinvalve/replication/SnapshotFiles.java
+++ b/replication/src/main/java/lupinvalve/replication/SnapshotFiles.java
@@ -70,17 +70,17 @@
     /** A snapshot with all its pieces, or null where its writing or its transfer was broken off. */
     private static SnapshotEntry read(String name, byte[] file) throws IOException {
         List<byte[]> contents = new ArrayList<>();
-        Frames.read(name, file, true, contents);
+        RecordFrames.read(name, file, true, contents);
         TreeMap<Integer, SnapshotChunk> chunks = new TreeMap<>();
         for (byte[] content : contents) {
-            SnapshotChunk chunk = Models.chunk(new Cbor.In(content));
+            SnapshotChunk chunk = RaftCodec.chunk(new Cbor.In(content));
             chunks.put(chunk.getSnapshotChunkIndex(), chunk);
         }
         if (chunks.isEmpty() || chunks.size() < chunks.firstEntry().getValue().getSnapshotChunkCount()) {
             return null;
         }
         SnapshotChunk any = chunks.firstEntry().getValue();
-        return Models.FACTORY
+        return RaftCodec.FACTORY
                 .createSnapshotEntryBuilder()
                 .setIndex(any.getIndex())
                 .setTerm(any.getTerm())
@@ -100,7 +100,7 @@
             pieces.clear();
             out = disk.create(NumberedFile.name(KIND, index));
         }
-        byte[] frame = Frames.frame(Models.chunk(new Cbor.Out(), chunk).done());
+        byte[] frame = RecordFrames.frame(RaftCodec.chunk(new Cbor.Out(), chunk).done());
         out.write(frame);
         sizes.merge(index, (long) frame.length, Long::sum);
         unforced = true;
--- a/replication/src/main/java/lupinvalve/replication/StoredHistory.java
+++ b/replication/src/main/java/lupinvalve/replication/StoredHistory.java
@@ -32,7 +32,7 @@
                 case RecordKind.ENTRY -> highest = Math.max(highest, readEntry(segment, in));
                 case RecordKind.CUT_FROM -> entries.tailMap(in.number(), true).clear();
                 case RecordKind.TERM -> head.term = SegmentHead.readTerm(in);
-                case RecordKind.FOUNDERS -> head.founders = Models.view(in);
+                case RecordKind.FOUNDERS -> head.founders = RaftCodec.view(in);
                 case RecordKind.SELF -> head.self = SegmentHead.readSelf(in);
                 case RecordKind.COMMITTED -> head.committed = Math.max(head.committed, in.number());
                 default -> throw new IOException(segment + ": a record of the unknown kind " + kind);
@@ -42,9 +42,9 @@
     }
 
     private long readEntry(String segment, Cbor.In in) throws IOException {
-        LogEntry entry = Models.entry(in);
+        LogEntry entry = RaftCodec.entry(in);
         if (!entries.isEmpty() && entry.getIndex() <= entries.lastKey()) {
-            throw new Frames.Damaged(segment + ": change " + entry.getIndex() + " follows " + entries.lastKey());
+            throw new RecordFrames.Damaged(segment + ": change " + entry.getIndex() + " follows " + entries.lastKey());
         } else if (!entries.isEmpty() && entry.getIndex() > entries.lastKey() + 1) {
             // A snapshot must cover the gap, which is looked at once all is read.
             entries.clear();
@@ -61,7 +61,7 @@
         if (first != Long.MAX_VALUE && first > base + 1) {
             throw found.fault() != null
                     ? found.fault()
-                    : new Frames.Damaged(
+                    : new RecordFrames.Damaged(
                             SegmentedLog.SEGMENT + "*: changes " + (base + 1) + " to " + (first - 1) + " are missing");
         } else if (found.fault() != null && entries.isEmpty()) {
             throw found.fault();
--- a/replication/src/main/java/lupinvalve/replication/Subscriber.java
+++ b/replication/src/main/java/lupinvalve/replication/Subscriber.java
@@ -48,7 +48,7 @@
     private final AtomicBoolean ending = new AtomicBoolean();
     private final AtomicLong bytesOut = new AtomicLong();
     private final AtomicLong bytesIn = new AtomicLong();
-    private Group.Pooler pooler;
+    private ControlPlane.Listener pooler;
     private FollowLink link;
     /** To the first member, tried beside the one that is followed. */
     private FollowLink candidate;
@@ -105,7 +105,7 @@
         this.net = own ? new Net(loop, false, tls) : net;
         keeper = new DocumentKeeper(disk, config.cluster(), writes);
         kept = kept();
-        state = new FollowState(config.audit() != OperatorConfig.Audit.OFF, kept, Acting.clock());
+        state = new FollowState(config.audit() != OperatorConfig.Audit.OFF, kept, LeaseHolder.clock());
         schedule = new FollowSchedule(config.name(), config.members().keySet(), seed);
     }
 
@@ -130,22 +130,22 @@
     }
 
     @Override
-    public Known known() {
-        return new Known(kept.document(), List.of(), new Change.Commits(0, java.util.Map.of()));
+    public InitialState initialState() {
+        return new InitialState(kept.document(), List.of(), new Change.Commits(0, java.util.Map.of()));
     }
 
     @Override
-    public void start(Group.Pooler beside) {
+    public void start(ControlPlane.Listener beside) {
         pooler = beside;
         if (own) {
             loop.start();
         }
         loop.post(() -> {
-            Ledger.Document document = state.begin(pooler::objection);
+            Ledger.Document document = state.begin(pooler::validationError);
             if (document != null) {
                 adopt(document);
             }
-            pooler.holds(state.holds());
+            pooler.holdsChanged(state.holds());
             look();
             connect(0);
             tick();
@@ -158,7 +158,7 @@
         @Override
         public void greeted(FollowLink which) {
             if (which == candidate) {
-                schedule.home(true, Acting.clock());
+                schedule.home(true, LeaseHolder.clock());
                 link.drop();
                 link = candidate;
                 candidate = null;
@@ -172,7 +172,7 @@
         public void over(FollowLink which, String why) {
             if (which == candidate) {
                 candidate = null;
-                schedule.home(false, Acting.clock());
+                schedule.home(false, LeaseHolder.clock());
             } else {
                 move(which.member() + ": " + why);
             }
@@ -215,7 +215,7 @@
         say("can't follow " + why);
         link.drop();
         moves++;
-        connect(schedule.failed(Acting.clock()));
+        connect(schedule.failed(LeaseHolder.clock()));
     }
 
     /** Once for each that differs from the last. */
@@ -231,16 +231,16 @@
             return;
         }
         boolean greeted = link != null && link.greeted();
-        String line = state.adoption().touch(greeted && link.asks(), Acting.clock());
+        String line = state.adoption().touch(greeted && link.asks(), LeaseHolder.clock());
         if (line != null) {
             Log.warn("%s: %s", of, line);
         }
-        if (greeted && !link.asks() && Acting.clock() - idleSince > IDLE_MOST) {
+        if (greeted && !link.asks() && LeaseHolder.clock() - idleSince > IDLE_MOST) {
             // The pooler takes long to act on what it was told: the member hears that this one is there, and what it
             // acts on.
             ask();
         }
-        if (greeted && candidate == null && schedule.homeDue(Acting.clock())) {
+        if (greeted && candidate == null && schedule.homeDue(LeaseHolder.clock())) {
             candidate = to(schedule.first());
         }
         loop.after(TICK, this::tick);
@@ -253,7 +253,7 @@
             return;
         }
         calls++;
-        long asked = Acting.clock();
+        long asked = LeaseHolder.clock();
         FollowLink by = link;
         FollowRequest request = state.request();
         // One without a lease has nothing to lose by waiting, and a whole document may be on its way.
@@ -261,11 +261,11 @@
         by.ask(request.write(), schedule.answerWithin(patient), answer -> answered(by, answer, asked));
     }
 
-    private void answered(FollowLink by, Messages.Answer answer, long asked) {
+    private void answered(FollowLink by, WireMessages.Response answer, long asked) {
         if (by != link) {
             return;
         }
-        if (answer.code() != Messages.Code.OK) {
+        if (answer.status() != WireMessages.Status.OK) {
             move(by.member() + ": " + answer.text());
             return;
         }
@@ -277,12 +277,12 @@
     }
 
     private void heard(FollowAnswer answer, long asked) {
-        idleSince = Acting.clock();
+        idleSince = LeaseHolder.clock();
         wholes += answer.news() instanceof FollowAnswer.News.Whole ? 1 : 0;
         differences += answer.news() instanceof FollowAnswer.News.Differences all
                 ? all.steps().size()
                 : 0;
-        FollowState.Heard news = state.heard(answer, asked, Acting.clock(), pooler::objection);
+        FollowState.Heard news = state.heard(answer, asked, LeaseHolder.clock(), pooler::validationError);
         look();
         if (!news.wrong().isEmpty()) {
             Log.warn("%s: %s; the whole is asked for", of, news.wrong());
@@ -293,7 +293,7 @@
             say("serves on, " + state.adoption().acting());
         }
         if (news.holds() != null) {
-            pooler.holds(news.holds());
+            pooler.holdsChanged(news.holds());
         }
         if (news.adopt() != null || news.holds() != null) {
             keeper.keep(state.kept());
@@ -303,7 +303,7 @@
         }
         int pause = news.wrong().isEmpty() ? answer.comeBackMillis() : WRONG_MILLIS;
         long upTo = state.heardUpTo();
-        pooler.reached(() -> loop.post(() -> {
+        pooler.runAfterApplied(() -> loop.post(() -> {
             state.acted(upTo);
             acted = state.acting();
             loop.after(pause * 1_000L, this::ask);
@@ -317,7 +317,7 @@
                 && state.adoption().unreadable().isEmpty();
         if (answer.leaseMicros() > 0 && answer.leaseMicros() < FollowSchedule.MOVE_BELOW) {
             move(link.member() + ": it is losing its own lease");
-        } else if (wanted && answer.leaseMicros() == 0 && schedule.denied(Acting.clock())) {
+        } else if (wanted && answer.leaseMicros() == 0 && schedule.denied(LeaseHolder.clock())) {
             move(link.member() + ": it grants no lease: " + answer.why());
         } else {
             schedule.answered();
@@ -329,10 +329,10 @@
 
     /** Says when the right to act ends, and when it is there again. */
     private void look() {
-        if (!fences()) {
+        if (!fencingEnabled()) {
             return;
         }
-        long left = state.until() - Acting.clock();
+        long left = state.until() - LeaseHolder.clock();
         if (fenced == left > 0) {
             fenced = left <= 0;
             Log.info(
@@ -347,25 +347,25 @@
         Log.info(
                 "%s: adopted revision %s, change %s, digest %s",
                 of, document.revision(), document.index(), document.digest());
-        pooler.adopt(document);
-        pooler.reached(() -> acting = document);
+        pooler.configurationAccepted(document);
+        pooler.runAfterApplied(() -> acting = document);
     }
 
     // ---- from any thread ----
 
     @Override
-    public boolean mayAct() {
-        return !fences() || state.holds(Acting.clock());
+    public boolean mayServe() {
+        return !fencingEnabled() || state.holds(LeaseHolder.clock());
     }
 
     @Override
-    public boolean fences() {
+    public boolean fencingEnabled() {
         return config.audit() == OperatorConfig.Audit.FENCE;
     }
 
     /** How long it may act yet, by the last lease; 0 without one. */
     public long leaseMicros() {
-        return Math.max(0, state.until() - Acting.clock());
+        return Math.max(0, state.until() - LeaseHolder.clock());
     }
 
     /** When its right to act ends or has ended, by {@link System#nanoTime} in microseconds. */
@@ -406,25 +406,25 @@
     }
 
     @Override
-    public boolean leads() {
+    public boolean isLeader() {
         return false;
     }
 
     /** Members hear nothing of sessions here: sessions that stay at one pooler need nothing else. */
     @Override
-    public void committed(String session, long position, Runnable then) {
+    public void publishCommit(String session, long position, Runnable then) {
         if (then != null) {
             then.run();
         }
     }
 
     @Override
-    public void listing(List<Change.Listed> nodes) {
+    public void publishEndpoints(List<Change.Listed> nodes) {
         // Members tell of the list.
     }
 
     @Override
-    public void reload() throws IOException {
+    public void reloadCertificates() throws IOException {
         if (tls != null) {
             tls.reload();
             if (own) {
