--- a/replication/src/main/java/lupinvalve/replication/Messages.java
+++ b/replication/src/main/java/lupinvalve/replication/WireMessages.java
@@ -10,27 +10,27 @@
 import lupinvalve.statemachine.Founding;
 
 /** The store's own wire: a length, a kind, and CBOR. */
-public final class Messages implements Framer {
+public final class WireMessages implements Framer {
     /** What a message is. */
     enum Kind {
         HELLO,
         RAFT,
-        CALL,
-        ANSWER,
-        BEAT
+        REQUEST,
+        RESPONSE,
+        HEARTBEAT
     }
 
     /** How a call ended; the numbers are the wire's. */
-    public enum Code {
+    public enum Status {
         OK,
         /** The revision expected is not the one that holds. */
         CONFLICT,
         /** It can't be done, and asking again does not help. */
-        REFUSED,
+        REJECTED,
         /** Nothing has happened, and asking again may help. */
-        AGAIN,
+        RETRY,
         /** It may have happened. */
-        UNKNOWN
+        INDETERMINATE
     }
 
     private static final int VERSION = 1, LENGTH_MOST = 16 << 20, ARGUMENTS_MOST = 16;
@@ -67,14 +67,14 @@
     }
 
     /** Something asked of a member. */
-    public record Call(long id, String name, List<byte[]> arguments) {
+    public record Request(long id, String name, List<byte[]> arguments) {
         byte[] write() {
             Cbor.Out out = new Cbor.Out().number(id).text(name).number(arguments.size());
             arguments.forEach(out::bytes);
-            return message(Kind.CALL, out.done());
+            return message(Kind.REQUEST, out.done());
         }
 
-        static Call read(byte[] body) throws IOException {
+        static Request read(byte[] body) throws IOException {
             Cbor.In in = new Cbor.In(body);
             long id = in.number();
             String name = in.text();
@@ -82,7 +82,7 @@
             for (int left = in.count(ARGUMENTS_MOST); left > 0; left--) {
                 arguments.add(in.bytes());
             }
-            return new Call(id, name, arguments);
+            return new Request(id, name, arguments);
         }
     }
 
@@ -91,20 +91,20 @@
      *
      * @param content what is no text, or empty; programs of before subscriptions neither send nor see it
      */
-    public record Answer(long id, Code code, String text, byte[] content) {
-        public Answer(long id, Code code, String text) {
-            this(id, code, text, new byte[0]);
+    public record Response(long id, Status status, String text, byte[] content) {
+        public Response(long id, Status status, String text) {
+            this(id, status, text, new byte[0]);
         }
 
         byte[] write() {
-            Cbor.Out out = new Cbor.Out().number(id).number(code.ordinal()).text(text);
-            return message(Kind.ANSWER, (content.length == 0 ? out : out.bytes(content)).done());
+            Cbor.Out out = new Cbor.Out().number(id).number(status.ordinal()).text(text);
+            return message(Kind.RESPONSE, (content.length == 0 ? out : out.bytes(content)).done());
         }
 
-        static Answer read(byte[] body) throws IOException {
+        static Response read(byte[] body) throws IOException {
             Cbor.In in = new Cbor.In(body);
-            return new Answer(
-                    in.number(), Code.values()[in.count(Code.values().length - 1)], in.text(), in.bytesIfAny());
+            return new Response(
+                    in.number(), Status.values()[in.count(Status.values().length - 1)], in.text(), in.bytesIfAny());
         }
     }
 
@@ -127,14 +127,14 @@
         return Arrays.copyOfRange(message, 1, message.length);
     }
 
-    private boolean begun;
+    private boolean greeted;
 
     @Override
     public int cut(byte[] bytes, int from, int to, List<byte[]> out) throws Malformed {
         int at = from;
         while (to - at >= 4) {
             int length = ByteBuffer.wrap(bytes, at, 4).getInt();
-            if (length < 1 || length > (begun ? LENGTH_MOST : FIRST_MOST)) {
+            if (length < 1 || length > (greeted ? LENGTH_MOST : FIRST_MOST)) {
                 throw new Malformed("a message of " + length + " bytes");
             }
             if (to - at - 4 < length) {
@@ -142,7 +142,7 @@
             }
             out.add(Arrays.copyOfRange(bytes, at + 4, at + 4 + length));
             at += 4 + length;
-            begun = true;
+            greeted = true;
         }
         return at;
     }
--- a/scale/src/main/java/lupinvalve/scale/HollowPooler.java
+++ b/scale/src/main/java/lupinvalve/scale/HollowPooler.java
@@ -7,14 +7,14 @@
 import lupinvalve.audit.Lease;
 import lupinvalve.config.OperatorConfig;
 import lupinvalve.net.Net;
-import lupinvalve.replication.Group;
+import lupinvalve.replication.ControlPlane;
 import lupinvalve.statemachine.Change;
 import lupinvalve.statemachine.Ledger;
 
 /**
  * A pooler without fronts and db nodes: the daemon's control code, which reads each configuration as the daemon does.
  */
-final class HollowPooler implements Group.Pooler {
+final class HollowPooler implements ControlPlane.Listener {
     private final String name;
     private final OpenPlane open;
     private final Consumer<HostEvent> events;
@@ -46,7 +46,7 @@
     /** Tells where the right to act has come or gone since the last look; always from the same thread. */
     void look() {
         long end = open.leaseEndNanos().getAsLong();
-        boolean now = open.plane().mayAct();
+        boolean now = open.plane().mayServe();
         // On a busy machine a look may come long after a lease has ended, and after the next one has begun, which
         // counts from its request.
         boolean lapsed = may && end != Long.MAX_VALUE && end - LEASE_NANOS > leaseEnd;
@@ -61,17 +61,17 @@
     }
 
     @Override
-    public String objection(byte[] document) {
+    public String validationError(byte[] document) {
         return OperatorConfig.objection(document);
     }
 
     @Override
-    public String refusal(byte[] current, byte[] next) {
+    public String transitionError(byte[] current, byte[] next) {
         return OperatorConfig.refusal(current, next);
     }
 
     @Override
-    public void adopt(Ledger.Document document) {
+    public void configurationAccepted(Ledger.Document document) {
         try {
             // What the daemon does on its core thread.
             OperatorConfig.NONE.accepted(document.content());
@@ -82,12 +82,12 @@
     }
 
     @Override
-    public void holds(Map<Change.Holding, Ledger.Held> holds) {
+    public void holdsChanged(Map<Change.Holding, Ledger.Held> holds) {
         events.accept(HostEvent.holds(name, holds.size()));
     }
 
     @Override
-    public void commits(Change.Commits commits) {
+    public void commitsAccepted(Change.Commits commits) {
         // Sessions are none of a hollow pooler's.
     }
 }
--- a/scale/src/main/java/lupinvalve/scale/OpenPlane.java
+++ b/scale/src/main/java/lupinvalve/scale/OpenPlane.java
@@ -7,7 +7,7 @@
 import lupinvalve.config.OperatorConfig;
 import lupinvalve.net.Net;
 import lupinvalve.replication.ControlPlane;
-import lupinvalve.replication.Group;
+import lupinvalve.replication.RaftMember;
 import lupinvalve.replication.Subscriber;
 
 /**
@@ -18,7 +18,7 @@
  */
 record OpenPlane(ControlPlane plane, Supplier<Net.Traffic> traffic, LongSupplier leaseEndNanos) {
     static OpenPlane member(OperatorConfig.Store store) throws IOException {
-        Group group = new Group(store);
+        RaftMember group = new RaftMember(store);
         return new OpenPlane(group, group::traffic, () -> Long.MAX_VALUE);
     }
 
--- a/scale/src/main/java/lupinvalve/scale/Operator.java
+++ b/scale/src/main/java/lupinvalve/scale/Operator.java
@@ -8,8 +8,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import lupinvalve.replication.Client;
-import lupinvalve.replication.Messages;
+import lupinvalve.replication.GroupClient;
+import lupinvalve.replication.WireMessages;
 import lupinvalve.statemachine.Ledger;
 import org.HdrHistogram.Histogram;
 
@@ -31,13 +31,13 @@
     }
 
     /** The leader is asked first, so that a member that stands still costs no time. */
-    private Client client() throws IOException {
+    private GroupClient client() throws IOException {
         Map<String, String> places = daemons.places();
         Map<String, String> ordered = new LinkedHashMap<>();
         String leader = Topology.member(Math.max(0, daemons.leader()));
         ordered.put(leader, places.get(leader));
         ordered.putAll(places);
-        return new Client(Daemons.CLUSTER, ordered, null);
+        return new GroupClient(Daemons.CLUSTER, ordered, null);
     }
 
     private static byte[] bytes(String text) {
@@ -52,10 +52,11 @@
         String digest = Ledger.digest(document);
         history.proposed(revision + 1, digest);
         long began = System.nanoTime();
-        Client.Said said = client().ask("put", List.of(bytes(Long.toString(revision)), document), false, CALL_MILLIS);
+        GroupClient.Result said =
+                client().ask("put", List.of(bytes(Long.toString(revision)), document), false, CALL_MILLIS);
         long ended = System.nanoTime();
-        if (said.code() != Messages.Code.OK) {
-            if (said.code() == Messages.Code.REFUSED) {
+        if (said.status() != WireMessages.Status.OK) {
+            if (said.status() == WireMessages.Status.REJECTED) {
                 throw new IOException("a configuration was refused: " + said.text());
             }
             unsure = true;
@@ -71,8 +72,8 @@
     /** Reads what holds, linearizably; whether there was an answer. */
     synchronized boolean read() throws IOException {
         long began = System.nanoTime();
-        Client.Said said = client().ask("get", List.of(new byte[0]), true, CALL_MILLIS);
-        if (said.code() != Messages.Code.OK) {
+        GroupClient.Result said = client().ask("get", List.of(new byte[0]), true, CALL_MILLIS);
+        if (said.status() != WireMessages.Status.OK) {
             return false;
         }
         JsonNode answer = Json.MAPPER.readTree(said.text());
@@ -99,16 +100,17 @@
         if (now) {
             arguments.add(bytes("scale run"));
         }
-        Client.Said said = client().ask(now ? "hold" : "release", arguments, true, CALL_MILLIS);
-        return said.code() == Messages.Code.OK ? System.nanoTime() : -1;
+        GroupClient.Result said = client().ask(now ? "hold" : "release", arguments, true, CALL_MILLIS);
+        return said.status() == WireMessages.Status.OK ? System.nanoTime() : -1;
     }
 
     /** Has a pooler become a member. Throws with what the group says where it can't, or not in time. */
     void add(String name, long withinSeconds) throws IOException, InterruptedException {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(withinSeconds);
-        Client.Said said = client().ask("add", List.of(bytes(name)), true, ADD_MILLIS);
-        while (said.code() != Messages.Code.OK) {
-            boolean never = said.code() == Messages.Code.REFUSED && !said.text().contains("not connected");
+        GroupClient.Result said = client().ask("add", List.of(bytes(name)), true, ADD_MILLIS);
+        while (said.status() != WireMessages.Status.OK) {
+            boolean never = said.status() == WireMessages.Status.REJECTED
+                    && !said.text().contains("not connected");
             if (never || System.nanoTime() > end) {
                 throw new IOException("add " + name + ": " + said.text());
             }
--- a/scale/src/test/java/lupinvalve/scale/HollowPoolerTest.java
+++ b/scale/src/test/java/lupinvalve/scale/HollowPoolerTest.java
@@ -9,7 +9,6 @@
 import java.util.concurrent.atomic.AtomicLong;
 import lupinvalve.net.Net;
 import lupinvalve.replication.ControlPlane;
-import lupinvalve.replication.Group;
 import lupinvalve.statemachine.Change;
 import org.junit.jupiter.api.Test;
 
@@ -23,42 +22,42 @@
 
     private final class Plane implements ControlPlane {
         @Override
-        public Known known() {
+        public InitialState initialState() {
             return null;
         }
 
         @Override
-        public void start(Group.Pooler beside) {
+        public void start(ControlPlane.Listener beside) {
             // Nothing is heard.
         }
 
         @Override
-        public boolean mayAct() {
+        public boolean mayServe() {
             return may.get();
         }
 
         @Override
-        public boolean fences() {
+        public boolean fencingEnabled() {
             return true;
         }
 
         @Override
-        public boolean leads() {
+        public boolean isLeader() {
             return false;
         }
 
         @Override
-        public void committed(String session, long position, Runnable then) {
+        public void publishCommit(String session, long position, Runnable then) {
             // No sessions.
         }
 
         @Override
-        public void listing(List<Change.Listed> nodes) {
+        public void publishEndpoints(List<Change.Listed> nodes) {
             // No list.
         }
 
         @Override
-        public void reload() {
+        public void reloadCertificates() {
             // No keys.
         }
 
