--- a/daemon/src/main/java/lupinvalve/cli/Shared.java
+++ b/daemon/src/main/java/lupinvalve/cli/Shared.java
@@ -13,9 +13,9 @@
 import lupinvalve.core.Pooler;
 import lupinvalve.maintenance.Maintenance.Orders;
 import lupinvalve.replication.ControlPlane;
-import lupinvalve.replication.Group;
+import lupinvalve.replication.RaftMember;
+import lupinvalve.replication.SessionTokens;
 import lupinvalve.replication.Subscriber;
-import lupinvalve.replication.Tokens;
 import lupinvalve.routing.AttemptOutcome;
 import lupinvalve.routing.Endpoint;
 import lupinvalve.routing.LogPosition;
@@ -24,13 +24,13 @@
 import lupinvalve.statemachine.ReplicatedState;
 
 /** What the group has accepted, brought to the core thread, and what the core knows brought to the group. */
-final class Shared implements Group.Pooler {
+final class Shared implements ControlPlane.Listener {
     private static final long LOOK = 1_000_000, REFRESH = 10_000_000;
     private static final String BY = "group";
     private final Pooler pooler;
     private final ControlPlane plane;
-    private final ControlPlane.Known known;
-    private final Tokens tokens;
+    private final ControlPlane.InitialState known;
+    private final SessionTokens tokens;
     private final String name;
     private final Consumer<byte[]> adopted;
     private final Consumer<Boolean> held;
@@ -56,9 +56,9 @@
         name = config.name();
         plane = opening != null
                 ? opening.open(config)
-                : config.role() == OperatorConfig.Role.SUBSCRIBER ? new Subscriber(config) : new Group(config);
-        known = plane.known();
-        tokens = new Tokens(pooler.loop(), plane, config.waitMicros(), known.commits());
+                : config.role() == OperatorConfig.Role.SUBSCRIBER ? new Subscriber(config) : new RaftMember(config);
+        known = plane.initialState();
+        tokens = new SessionTokens(pooler.loop(), plane, config.waitMicros(), known.commits());
         pooler.marks(tokens);
     }
 
@@ -104,10 +104,10 @@
         List<Pooler.Known> nodes = pooler.known();
         List<Endpoint> members = nodes.stream().map(one -> one.entry().member()).toList();
         long now = pooler.loop().now();
-        if (plane.leads() && !nodes.isEmpty() && (!members.equals(told) || now - toldAt > REFRESH)) {
+        if (plane.isLeader() && !nodes.isEmpty() && (!members.equals(told) || now - toldAt > REFRESH)) {
             told = members;
             toldAt = now;
-            plane.listing(nodes.stream()
+            plane.publishEndpoints(nodes.stream()
                     .map(one -> new Command.KnownEndpoint(
                             one.entry().member(), one.entry().addresses(), one.position()))
                     .toList());
@@ -116,29 +116,28 @@
     }
 
     // ---- the group's thread ----
-
     @Override
-    public String objection(byte[] document) {
+    public String validationError(byte[] document) {
         return OperatorConfig.objection(document);
     }
 
     @Override
-    public String refusal(byte[] current, byte[] next) {
+    public String transitionError(byte[] current, byte[] next) {
         return OperatorConfig.refusal(current, next);
     }
 
     @Override
-    public void reached(Runnable then) {
+    public void runAfterApplied(Runnable then) {
         pooler.loop().post(then);
     }
 
     @Override
-    public void adopt(ReplicatedState.Document document) {
+    public void configurationAccepted(ReplicatedState.Document document) {
         pooler.loop().post(() -> adopted.accept(document.content()));
     }
 
     @Override
-    public void holds(Map<Command.DrainTarget, ReplicatedState.Drain> holds) {
+    public void holdsChanged(Map<Command.DrainTarget, ReplicatedState.Drain> holds) {
         Set<String> out = new TreeSet<>();
         holds.keySet().stream()
                 .filter(one -> one.kind() == Command.TargetKind.NODE)
@@ -157,7 +156,7 @@
     }
 
     @Override
-    public void commits(Command.SessionCommits commits) {
+    public void commitsAccepted(Command.SessionCommits commits) {
         pooler.loop().post(() -> tokens.accepted(commits));
     }
 }
--- a/daemon/src/test/java/lupinvalve/replication/OldMemberTest.java
+++ b/daemon/src/test/java/lupinvalve/replication/OldMemberTest.java
@@ -39,15 +39,14 @@
 
     /** A member that answers each call as it is told. */
     private static ServerSocket member(
-            String name, AtomicInteger calls, java.util.function.Function<Messages.Call, byte[]> answers)
+            String name, AtomicInteger calls, java.util.function.Function<WireMessages.Request, byte[]> answers)
             throws IOException {
         ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         Thread thread = new Thread(() -> {
             while (!server.isClosed()) {
                 try (Socket socket = server.accept()) {
                     serve(socket, name, calls, answers);
-                } catch (IOException e) {
-                    // It has gone, or this one is over.
+                } catch (IOException e) { // It has gone, or this one is over.
                 }
             }
         });
@@ -57,38 +56,41 @@
     }
 
     private static void serve(
-            Socket socket, String name, AtomicInteger calls, java.util.function.Function<Messages.Call, byte[]> answers)
+            Socket socket,
+            String name,
+            AtomicInteger calls,
+            java.util.function.Function<WireMessages.Request, byte[]> answers)
             throws IOException {
         ClusterBootstrap.Announcement word = new ClusterBootstrap.Announcement(
                 new MemberId(name, "disk"), ClusterBootstrap.Phase.BOOTSTRAPPED, Set.of(new MemberId(name, "disk")));
-        socket.getOutputStream().write(new Messages.Hello("plant", name, "127.0.0.1:1", word).write());
+        socket.getOutputStream().write(new WireMessages.Hello("plant", name, "127.0.0.1:1", word).write());
         DataInputStream in = new DataInputStream(socket.getInputStream());
         while (true) {
             byte[] message = new byte[in.readInt()];
             in.readFully(message);
-            if (Messages.kind(message) == Messages.Kind.CALL) {
+            if (WireMessages.kind(message) == WireMessages.Kind.REQUEST) {
                 calls.incrementAndGet();
-                socket.getOutputStream().write(answers.apply(Messages.Call.read(Messages.body(message))));
+                socket.getOutputStream().write(answers.apply(WireMessages.Request.read(WireMessages.body(message))));
             }
         }
     }
 
     /** As programs of before subscriptions wrote it: three values. */
-    private static byte[] oldAnswer(Messages.Call call) {
-        return Messages.message(
-                Messages.Kind.ANSWER,
+    private static byte[] oldAnswer(WireMessages.Request call) {
+        return WireMessages.message(
+                WireMessages.Kind.RESPONSE,
                 new Cbor.Writer()
                         .number(call.id())
-                        .number(Messages.Code.REFUSED.ordinal())
+                        .number(WireMessages.Status.REJECTED.ordinal())
                         .text("no such call: " + call.name())
                         .toByteArray());
     }
 
-    private static byte[] newAnswer(Messages.Call call) {
+    private static byte[] newAnswer(WireMessages.Request call) {
         ReplicatedState.Document document =
                 new ReplicatedState.Document(1, 1, ReplicatedState.digest(DOCUMENT), DOCUMENT);
         byte[] content = new FollowAnswer(0, 0, "", 1, 20, new FollowAnswer.News.Whole(document), Map.of()).write();
-        return new Messages.Answer(call.id(), Messages.Code.OK, "", content).write();
+        return new WireMessages.Response(call.id(), WireMessages.Status.OK, "", content).write();
     }
 
     @Test
@@ -96,17 +98,20 @@
         ByteArrayOutputStream lines = new ByteArrayOutputStream();
         AtomicInteger old = new AtomicInteger();
         AtomicInteger current = new AtomicInteger();
-        AtomicReference<ReplicatedState.Document> acting = new AtomicReference<>();
-        // Other tests' world makes the log quiet as it is set up: not after this one has made it loud.
+        AtomicReference<ReplicatedState.Document> acting =
+                new AtomicReference<>(); // Other tests' world makes the log quiet as it is set up: not after this one
+        // has made it loud.
         World.await("the world is there", () -> true);
         Log.Level before = Log.least();
         try (ServerSocket a = member("a", old, OldMemberTest::oldAnswer);
                 ServerSocket b = member("b", current, OldMemberTest::newAnswer)) {
             Log.to(new PrintStream(lines, true));
             Log.least(Log.Level.INFO);
-            Map<String, String> members =
-                    Map.of("a", "127.0.0.1:" + a.getLocalPort(), "b", "127.0.0.1:" + b.getLocalPort());
-            // A name whose first member is the old one.
+            Map<String, String> members = Map.of(
+                    "a",
+                    "127.0.0.1:" + a.getLocalPort(),
+                    "b",
+                    "127.0.0.1:" + b.getLocalPort()); // A name whose first member is the old one.
             String name = java.util.stream.IntStream.range(0, 100)
                     .mapToObj(i -> "s" + i)
                     .filter(one -> new lupinvalve.subscription.FollowSchedule(one, members.keySet(), 1)
@@ -129,26 +134,24 @@
         assertTrue(said.contains("store: follows b"), said);
     }
 
-    private static Group.Pooler pooler(AtomicReference<ReplicatedState.Document> acting) {
-        return new Group.Pooler() {
+    private static ControlPlane.Listener pooler(AtomicReference<ReplicatedState.Document> acting) {
+        return new ControlPlane.Listener() {
             @Override
-            public String objection(byte[] document) {
+            public String validationError(byte[] document) {
                 return null;
             }
 
             @Override
-            public void adopt(ReplicatedState.Document document) {
+            public void configurationAccepted(ReplicatedState.Document document) {
                 acting.set(document);
             }
 
             @Override
-            public void holds(Map<Command.DrainTarget, ReplicatedState.Drain> holds) {
-                // None are told.
+            public void holdsChanged(Map<Command.DrainTarget, ReplicatedState.Drain> holds) { // None are told.
             }
 
             @Override
-            public void commits(Command.SessionCommits commits) {
-                // Subscribers are told of none.
+            public void commitsAccepted(Command.SessionCommits commits) { // Subscribers are told of none.
             }
         };
     }
@@ -160,14 +163,16 @@
             at = "127.0.0.1:" + held.getLocalPort();
         }
         Map<String, String> members = Map.of("a", at);
-        Group group = new Group(new OperatorConfig.Store("plant", "a", folder, at, members, null, 0));
+        RaftMember group = new RaftMember(new OperatorConfig.Store("plant", "a", folder, at, members, null, 0));
         try {
             group.start(pooler(new AtomicReference<>()));
-            World.await("led", group::leads);
+            World.await("led", group::isLeader);
             byte[] newer = new FollowRequest(FollowRequest.VERSION + 1, 0, 0, "", "", false, false, "").write();
-            Client.Said said = new Client("plant", members, null).ask("follow", List.of(newer), false, 5_000);
+            GroupClient.Result said =
+                    new GroupClient("plant", members, null).ask("follow", List.of(newer), false, 5_000);
             assertEquals(
-                    new Client.Said(Messages.Code.REFUSED, "version 2 of following is asked for; this member speaks 1"),
+                    new GroupClient.Result(
+                            WireMessages.Status.REJECTED, "version 2 of following is asked for; this member speaks 1"),
                     said);
         } finally {
             group.stop();
--- a/faultinjection/src/test/java/lupinvalve/replication/AuditBookTest.java
+++ b/faultinjection/src/test/java/lupinvalve/replication/AuditLogTest.java
@@ -13,7 +13,7 @@
 import lupinvalve.statemachine.Command;
 import org.junit.jupiter.api.Test;
 
-class AuditBookTest {
+class AuditLogTest {
     private final MemoryDisk disk = new MemoryDisk();
 
     private static List<AuditEntry> entries(Command.AppendAudit noted) throws IOException {
@@ -26,14 +26,14 @@
 
     @Test
     void whatWasForcedIsThereAfterACrashAndIsDeliveredLate() throws IOException {
-        AuditBook first = new AuditBook(disk, "p", 1);
+        AuditLog first = new AuditLog(disk, "p", 1);
         first.note(AuditEntry.Event.STARTED, "", 0, 10, "");
         first.note(AuditEntry.Event.ADOPTED, "1-a", 1, 20, "");
         first.delivered(first.due());
         assertNull(first.due());
         first.note(AuditEntry.Event.CUT_OFF, "1-a", 1, 30, "");
         disk.crash(new Random(1));
-        AuditBook next = new AuditBook(disk, "p", 2);
+        AuditLog next = new AuditLog(disk, "p", 2);
         List<AuditEntry> left = entries(next.due());
         assertEquals(
                 List.of(1L, 2L, 3L), left.stream().map(AuditEntry::number).toList(), "which came through is not known");
@@ -45,18 +45,18 @@
 
     @Test
     void anEntryThatADiskDidNotTakeIsNotActedOnAndStillDelivered() throws IOException {
-        AuditBook book = new AuditBook(disk, "p", 1);
+        AuditLog book = new AuditLog(disk, "p", 1);
         book.note(AuditEntry.Event.STARTED, "", 0, 10, "");
         disk.room = 30;
         assertThrows(IOException.class, () -> book.note(AuditEntry.Event.ADOPTED, "1-a", 1, 20, ""));
         disk.room = Long.MAX_VALUE;
         book.note(AuditEntry.Event.ADOPTED, "1-a", 1, 30, "");
         assertNull(AuditJournal.chainBreak(entries(book.due())));
-        assertEquals(3, book.due().entries().size());
-        // On the disk stands what it took, each file whole but for its end.
+        assertEquals(
+                3, book.due().entries().size()); // On the disk stands what it took, each file whole but for its end.
         List<AuditEntry> kept = new ArrayList<>();
         for (String file : disk.names()) {
-            kept.addAll(AuditBook.read(disk, file));
+            kept.addAll(AuditLog.read(disk, file));
         }
         assertEquals(List.of(1L, 3L), kept.stream().map(AuditEntry::number).toList());
     }
--- a/faultinjection/src/test/java/lupinvalve/replication/SegmentedLogTest.java
+++ b/faultinjection/src/test/java/lupinvalve/replication/SegmentedLogTest.java
@@ -27,7 +27,7 @@
     }
 
     private static LogEntry entry(long index, int term) {
-        return Models.FACTORY
+        return RaftCodec.FACTORY
                 .createLogEntryBuilder()
                 .setIndex(index)
                 .setTerm(term)
@@ -38,21 +38,21 @@
 
     private static void begin(SegmentedLog log) throws IOException {
         log.keep(new ClusterBootstrap.Announcement(ME, ClusterBootstrap.Phase.BOOTSTRAPPED, Set.of(ME)));
-        log.persistAndFlushLocalEndpoint(Models.FACTORY
+        log.persistAndFlushLocalEndpoint(RaftCodec.FACTORY
                 .createRaftEndpointPersistentStateBuilder()
-                .setLocalEndpoint(new Endpoint(ME))
+                .setLocalEndpoint(new MemberEndpoint(ME))
                 .setVoting(true)
                 .build());
-        log.persistAndFlushInitialGroupMembers(Models.FACTORY
+        log.persistAndFlushInitialGroupMembers(RaftCodec.FACTORY
                 .createRaftGroupMembersViewBuilder()
                 .setLogIndex(0)
-                .setMembers(List.of(new Endpoint(ME)))
-                .setVotingMembers(List.of(new Endpoint(ME)))
+                .setMembers(List.of(new MemberEndpoint(ME)))
+                .setVotingMembers(List.of(new MemberEndpoint(ME)))
                 .build());
-        log.persistAndFlushTerm(Models.FACTORY
+        log.persistAndFlushTerm(RaftCodec.FACTORY
                 .createRaftTermPersistentStateBuilder()
                 .setTerm(3)
-                .setVotedFor(new Endpoint(ME))
+                .setVotedFor(new MemberEndpoint(ME))
                 .build());
     }
 
@@ -81,15 +81,13 @@
         long before = -1;
         for (int size = 0; size <= whole.length; size++) {
             MemoryDisk torn = disk.copy();
-            torn.put(name, Arrays.copyOf(whole, size));
-            // Some systems leave zeros where the rest should be.
+            torn.put(name, Arrays.copyOf(whole, size)); // Some systems leave zeros where the rest should be.
             MemoryDisk zeros = disk.copy();
             zeros.put(name, Arrays.copyOf(Arrays.copyOf(whole, size), size + 5000));
             SegmentedLog log = open(torn);
             assertEquals(log.lastIndex(), open(zeros).lastIndex());
             assertTrue(log.lastIndex() >= before, "more is there than with less");
-            before = log.lastIndex();
-            // What was cut is gone for good, and the history goes on behind it.
+            before = log.lastIndex(); // What was cut is gone for good, and the history goes on behind it.
             if (log.lastIndex() > 0) {
                 log.persistLogEntries(List.of(entry(log.lastIndex() + 1, 4)));
                 log.flush();
@@ -130,7 +128,8 @@
         MemoryDisk newer = disk.copy();
         newer.put(
                 "identity",
-                Frames.frame(new lupinvalve.statemachine.Cbor.Writer().number(2).toByteArray()));
+                RecordFrames.frame(
+                        new lupinvalve.statemachine.Cbor.Writer().number(2).toByteArray()));
         assertEquals(
                 "identity: format 2; this program reads 1",
                 assertThrows(IOException.class, () -> open(newer)).getMessage());
@@ -156,18 +155,18 @@
         }
         List<byte[]> pieces = SnapshotCodec.encode(ledger);
         for (int i = 0; i < pieces.size(); i++) {
-            log.persistSnapshotChunk(Models.FACTORY
+            log.persistSnapshotChunk(RaftCodec.FACTORY
                     .createSnapshotChunkBuilder()
                     .setIndex(15)
                     .setTerm(3)
                     .setSnapshotChunkIndex(i)
                     .setSnapshotChunkCount(pieces.size())
                     .setOperation(pieces.get(i))
-                    .setGroupMembersView(Models.FACTORY
+                    .setGroupMembersView(RaftCodec.FACTORY
                             .createRaftGroupMembersViewBuilder()
                             .setLogIndex(0)
-                            .setMembers(List.of(new Endpoint(ME)))
-                            .setVotingMembers(List.of(new Endpoint(ME)))
+                            .setMembers(List.of(new MemberEndpoint(ME)))
+                            .setVotingMembers(List.of(new MemberEndpoint(ME)))
                             .build())
                     .build());
         }
@@ -179,8 +178,7 @@
         log.persistLogEntries(List.of(entry(21, 3), entry(22, 3)));
         log.truncateLogEntriesFrom(22);
         log.persistLogEntries(List.of(entry(22, 4)));
-        log.flush();
-        // The changes that lay in the segment gone are missing behind the snapshot: that must not pass.
+        log.flush(); // The changes that lay in the segment gone are missing behind the snapshot: that must not pass.
         assertTrue(assertThrows(IOException.class, () -> open(disk.copy()))
                 .getMessage()
                 .contains("changes 16 to 20"));
@@ -192,9 +190,10 @@
         log.accepted(12);
         log.flush();
         SegmentedLog again = open(disk);
-        assertEquals(12, Replica.warm(again).revision());
+        assertEquals(12, RaftReplica.warm(again).revision());
         assertEquals(3, again.restored().getTermPersistentState().getTerm());
-        assertEquals(ME, Endpoint.of(again.restored().getTermPersistentState().getVotedFor()));
+        assertEquals(
+                ME, MemberEndpoint.of(again.restored().getTermPersistentState().getVotedFor()));
         assertEquals(20, again.restored().getLogEntries().size());
     }
 
@@ -211,7 +210,7 @@
         assertThrows(IOException.class, log::flush);
         assertThrows(
                 IOException.class,
-                () -> log.persistAndFlushTerm(Models.FACTORY
+                () -> log.persistAndFlushTerm(RaftCodec.FACTORY
                         .createRaftTermPersistentStateBuilder()
                         .setTerm(9)
                         .setVotedFor(null)
--- a/replication/src/main/java/lupinvalve/replication/Models.java
+++ b/replication/src/main/java/lupinvalve/replication/RaftCodec.java
@@ -27,21 +27,20 @@
 import lupinvalve.statemachine.MemberId;
 
 /** The library's messages and log entries as CBOR. Changes are bytes already and go in as they are. */
-final class Models {
+final class RaftCodec {
     static final RaftModelFactory FACTORY = new DefaultRaftModelFactory();
     private static final int ENTRIES_MOST = 100_000, PIECES_MOST = 10_000;
 
-    private Models() {}
+    private RaftCodec() {}
 
     // ---- parts ----
-
     private static Cbor.Writer endpoint(Cbor.Writer out, RaftEndpoint endpoint) {
-        MemberId identity = Endpoint.of(endpoint);
+        MemberId identity = MemberEndpoint.of(endpoint);
         return out.text(identity.name()).text(identity.diskId());
     }
 
-    private static Endpoint endpoint(Cbor.Reader in) throws IOException {
-        return new Endpoint(new MemberId(in.text(), in.text()));
+    private static MemberEndpoint endpoint(Cbor.Reader in) throws IOException {
+        return new MemberEndpoint(new MemberId(in.text(), in.text()));
     }
 
     static Cbor.Writer endpoints(Cbor.Writer out, Collection<RaftEndpoint> all) {
@@ -126,7 +125,6 @@
     }
 
     // ---- messages ----
-
     /** The group's name is not sent: who is connected is of the same cluster. */
     static byte[] write(RaftMessage message) {
         Cbor.Writer out = new Cbor.Writer();
