--- a/capacity/src/main/java/lupinvalve/capacity/GroupFigures.java
+++ b/capacity/src/main/java/lupinvalve/capacity/GroupFigures.java
@@ -2,8 +2,8 @@
 
 import java.util.List;
 import lupinvalve.audit.Lease;
-import lupinvalve.statemachine.Identity;
-import lupinvalve.statemachine.Ledger;
+import lupinvalve.statemachine.MemberId;
+import lupinvalve.statemachine.ReplicatedState;
 
 /** What the group costs where each pooler is a member of it. */
 final class GroupFigures {
@@ -37,13 +37,13 @@
         return new Figure(
                 "members of one group",
                 d.poolers(),
-                Identity.MOST,
+                MemberId.MAX_MEMBERS,
                 Unit.COUNT,
-                Identity.MOST + 1,
+                MemberId.MAX_MEMBERS + 1,
                 "poolers",
                 Basis.COMPUTED,
-                "`Identity.MOST`",
-                "ledger/Membership.java");
+                "`MemberId.MAX_MEMBERS`",
+                "statemachine/MembershipChange.java");
     }
 
     private Figure taken() {
@@ -53,8 +53,8 @@
                 CodeFacts.TAKEN_MOST,
                 Unit.COUNT,
                 Basis.COMPUTED,
-                "`Peers.TAKEN_MOST`",
-                "group/Peers.java");
+                "`PeerConnections.TAKEN_MOST`",
+                "replication/PeerConnections.java");
     }
 
     private double heartbeatBytes() {
@@ -70,7 +70,7 @@
                 Unit.BYTES_PER_SECOND,
                 Basis.COMPUTED,
                 "20 a second, " + SIZES,
-                "group/Replica.java, Pace.java");
+                "replication/RaftReplica.java, AcceleratedExecutor.java");
     }
 
     private double beatBytes() {
@@ -86,11 +86,11 @@
                 d.poolers(),
                 Basis.COMPUTED,
                 "each dials each, 2 a second, " + SIZES,
-                "group/Peers.java");
+                "replication/PeerConnections.java");
     }
 
     private double leaseBytes() {
-        return MICROS / Lease.RENEW * (CodeFacts.LEASE_CALL + CodeFacts.LEASE_ANSWER);
+        return MICROS / Lease.RENEW_INTERVAL_MICROS * (CodeFacts.LEASE_CALL + CodeFacts.LEASE_ANSWER);
     }
 
     private Figure leases() {
@@ -118,7 +118,7 @@
                 d.poolers(),
                 basis,
                 "two entries a change, " + SIZES,
-                "group/AuditBook.java");
+                "replication/AuditLog.java");
     }
 
     private double listingBytes() {
@@ -155,14 +155,15 @@
 
     private Figure leaderMessages() {
         double followers = d.poolers() - 1;
-        double each = 2 * (CodeFacts.HEARTBEATS_PER_SECOND + CodeFacts.CONFIRMS_PER_SECOND) + 2 * MICROS / Lease.RENEW;
+        double each = 2 * (CodeFacts.HEARTBEATS_PER_SECOND + CodeFacts.CONFIRMS_PER_SECOND)
+                + 2 * MICROS / Lease.RENEW_INTERVAL_MICROS;
         return Figure.plain(
                 "leader: heartbeats, confirmations, leases, both ways, at most",
                 followers * each,
                 Unit.PER_SECOND,
                 Basis.COMPUTED,
                 "paces alone",
-                "group/Replica.java, Acting.java");
+                "replication/RaftReplica.java, LeaseHolder.java");
     }
 
     private Figure leaderBytes() {
@@ -175,7 +176,7 @@
                 d.poolers(),
                 Basis.GUESSED,
                 "paces, sizes; the link is a guess",
-                "group/Replica.java");
+                "replication/RaftReplica.java");
     }
 
     private Figure kept() {
@@ -183,12 +184,12 @@
         return Figure.inProportion(
                 "audit entries of one day, against those kept",
                 aDay,
-                Ledger.NOTED_MOST,
+                ReplicatedState.MAX_AUDIT_ENTRIES,
                 Unit.COUNT,
                 d.poolers(),
                 Basis.GUESSED,
-                "`Ledger.NOTED_MOST`; that a day is wanted is a guess",
-                "ledger/Ledger.java");
+                "`ReplicatedState.MAX_AUDIT_ENTRIES`; that a day is wanted is a guess",
+                "statemachine/ReplicatedState.java");
     }
 
     private Figure replaced() {
@@ -202,7 +203,7 @@
                 failsAt,
                 "replaced at once",
                 Basis.COMPUTED,
-                "4 changes each, `Questions.STEP`",
-                "ledger/Membership.java");
+                "4 changes each, `RequestHandler.STEP`",
+                "statemachine/MembershipChange.java");
     }
 }
--- a/core/src/main/java/lupinvalve/core/Pooler.java
+++ b/core/src/main/java/lupinvalve/core/Pooler.java
@@ -107,7 +107,7 @@
     private final HandleTable<Attempt> attempts = new HandleTable<>(MOST);
     private final ArrayDeque<RouterEvent> events = new ArrayDeque<>();
     private EndpointDiscovery directory;
-    private SessionTokens marks = SessionTokens.NONE;
+    private SessionTokenStore marks = SessionTokenStore.NONE;
     private Router router;
     private final RequestSummary summary = new RequestSummary();
     private boolean summaryDue;
@@ -164,7 +164,7 @@
         return fence != null && !fence.getAsBoolean();
     }
 
-    public void sessionTokens(SessionTokens memory) {
+    public void sessionTokens(SessionTokenStore memory) {
         marks = memory;
     }
 
@@ -276,8 +276,8 @@
         Held held = a.of;
         // What an answer tells at its end must be known first where it decides: whether the read is fresh enough, or
         // which token the session gets where this pooler keeps it.
-        boolean keepsToken =
-                marks != SessionTokens.NONE || settings.replication().tokens() == RouterSettings.TokenSource.REMEMBERED;
+        boolean keepsToken = marks != SessionTokenStore.NONE
+                || settings.replication().tokens() == RouterSettings.TokenSource.REMEMBERED;
         if (held.token > 0 || keepsToken && access(held) == RequestClass.Access.WRITE) {
             return StreamDecision.BUFFER;
         }
--- a/core/src/main/java/lupinvalve/core/SessionTokens.java
+++ b/core/src/main/java/lupinvalve/core/SessionTokenStore.java
@@ -1,9 +1,9 @@
 package lupinvalve.core;
 
 /** Session tokens that outlive a client connection: each session's last commit. Called by the core thread. */
-public interface SessionTokens {
+public interface SessionTokenStore {
     /** Remembers nothing: clients carry their tokens. */
-    SessionTokens NONE = new SessionTokens() {
+    SessionTokenStore NONE = new SessionTokenStore() {
         @Override
         public long lastCommit(String session) {
             return 0;
--- a/daemon/src/main/java/lupinvalve/cli/Operations.java
+++ b/daemon/src/main/java/lupinvalve/cli/Operations.java
@@ -8,10 +8,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.function.UnaryOperator;
-import lupinvalve.admin.Calls;
+import lupinvalve.admin.AdminCommands;
 import lupinvalve.core.Pooler;
-import lupinvalve.hotrestart.Incumbent;
-import lupinvalve.hotrestart.OrdersFile;
+import lupinvalve.hotrestart.DrainCommandsFile;
+import lupinvalve.hotrestart.ProcessMarkers;
 import lupinvalve.log.Log;
 import lupinvalve.maintenance.ClientDrain;
 import lupinvalve.maintenance.DrainCommands;
@@ -20,7 +20,7 @@
  * Carries operators' calls to the core, and their orders to the file that both processes of an upgrade read. The core
  * decides; a thread of its own touches the disk.
  */
-final class Operations implements Calls.Pooler {
+final class Operations implements AdminCommands.Target {
     /** How often the other process's orders are looked for: they bind 250 ms after its yes. */
     private static final long LOOK_MILLIS = 80;
     /** How many looks later it is looked whether the other process runs. */
@@ -28,8 +28,8 @@
 
     private static final String BY = "call";
     private final Pooler pooler;
-    private final OrdersFile file;
-    private final Incumbent incumbent;
+    private final DrainCommandsFile file;
+    private final ProcessMarkers incumbent;
     private final Consumer<Boolean> beside;
     private final Runnable endConnections;
     private final ScheduledExecutorService worker = Executors.newSingleThreadScheduledExecutor(work -> {
@@ -51,9 +51,9 @@
     Operations(Pooler pooler, Path stem, Runnable endConnections, Consumer<Boolean> beside) {
         this.pooler = pooler;
         this.beside = beside;
-        incumbent = stem == null ? null : new Incumbent(stem);
+        incumbent = stem == null ? null : new ProcessMarkers(stem);
         this.endConnections = endConnections;
-        file = stem == null ? null : new OrdersFile(stem);
+        file = stem == null ? null : new DrainCommandsFile(stem);
     }
 
     /** Reads what an earlier process left, and goes on looking for what another one does. Before the core starts. */
@@ -61,8 +61,8 @@
         if (file == null) {
             return;
         }
-        incumbent.starts();
-        DrainCommands left = file.changed(orders);
+        incumbent.markStarting();
+        DrainCommands left = file.readIfChanged(orders);
         if (left != null) {
             orders = left;
             pooler.applyDrainCommands(BY, left);
@@ -77,14 +77,14 @@
     /** Whether this process takes clients: not before its port is open, nor once it ends. */
     void serves(boolean takesClients) {
         if (takesClients && incumbent != null) {
-            incumbent.serves();
+            incumbent.markServing();
         }
         serving = takesClients;
     }
 
     /** Whether another process of this pooler serves. */
     boolean succeeded() {
-        return incumbent != null && incumbent.another();
+        return incumbent != null && incumbent.isSuperseded();
     }
 
     /** Whether the group holds this pooler. */
@@ -93,12 +93,12 @@
     }
 
     private void look() {
-        if (looks++ % LOOKS == 0 && incumbent.accompanied() != accompanied) {
+        if (looks++ % LOOKS == 0 && incumbent.isAnotherRunning() != accompanied) {
             accompanied = !accompanied;
             boolean now = accompanied;
             pooler.loop().post(() -> beside.accept(now));
         }
-        DrainCommands other = file.changed(orders);
+        DrainCommands other = file.readIfChanged(orders);
         if (other != null) {
             orders = other;
             pooler.loop().postUrgent(() -> pooler.applyDrainCommands(BY, other));
@@ -106,17 +106,17 @@
     }
 
     @Override
-    public String unready() {
+    public String notReadyReason() {
         return !serving ? "not serving" : away ? "clients are sent away" : held ? "held by the group" : null;
     }
 
     @Override
-    public String figures() {
+    public String counters() {
         return pooler.metrics().format();
     }
 
     @Override
-    public void maintain(boolean takeOut, String id, Consumer<String> objection) {
+    public void setNodeDrain(boolean takeOut, String id, Consumer<String> objection) {
         pooler.loop().postUrgent(() -> {
             Optional<String> rejection = pooler.drainRejection(takeOut, id);
             if (rejection.isPresent()) {
@@ -131,7 +131,7 @@
     /** The order is in the file before it holds, and holds before the yes. */
     private void order(UnaryOperator<DrainCommands> change, Consumer<String> objection) {
         try {
-            orders = file == null ? change.apply(orders) : file.change(orders, change);
+            orders = file == null ? change.apply(orders) : file.update(orders, change);
         } catch (IOException | RuntimeException e) {
             Log.error("an order can't be kept: %s", e);
             objection.accept("the order can't be kept: " + e.getClass().getSimpleName());
@@ -145,7 +145,7 @@
     }
 
     @Override
-    public void drain(boolean quiesce, Consumer<String> objection) {
+    public void setPoolerDrain(boolean quiesce, Consumer<String> objection) {
         pooler.loop().postUrgent(() -> {
             ClientDrain drain = pooler.clientDrain();
             if (drain.isShuttingDown()) {
--- a/replication/src/main/java/lupinvalve/replication/Tokens.java
+++ b/replication/src/main/java/lupinvalve/replication/SessionTokens.java
@@ -2,42 +2,42 @@
 
 import java.util.Map;
 import lupinvalve.core.EventLoop;
-import lupinvalve.core.SessionTokens;
-import lupinvalve.statemachine.Change;
-import lupinvalve.statemachine.Sessions;
+import lupinvalve.core.SessionTokenStore;
+import lupinvalve.statemachine.Command;
+import lupinvalve.statemachine.SessionTable;
 
 /**
  * Sessions' last commits on the core thread: this pooler's own at once, all others' once a majority holds them. A
  * booking's answer may wait for that, within a bound: its session then reads its own writes at any pooler.
  */
-public final class Tokens implements SessionTokens {
+public final class SessionTokens implements SessionTokenStore {
     private final EventLoop loop;
     private final ControlPlane group;
     private final long waitMicros;
-    private final Sessions sessions = new Sessions();
+    private final SessionTable sessions = new SessionTable();
 
     /** @param known what was accepted before this start */
-    public Tokens(EventLoop loop, ControlPlane group, long waitMicros, Change.Commits known) {
+    public SessionTokens(EventLoop loop, ControlPlane group, long waitMicros, Command.SessionCommits known) {
         this.loop = loop;
         this.group = group;
         this.waitMicros = waitMicros;
-        sessions.take(known.atMicros(), known.positions());
+        sessions.apply(known.atMicros(), known.positions());
     }
 
     /** Commits that a majority holds; core thread. */
-    public void accepted(Change.Commits commits) {
-        sessions.take(commits.atMicros(), commits.positions());
+    public void accepted(Command.SessionCommits commits) {
+        sessions.apply(commits.atMicros(), commits.positions());
     }
 
     @Override
     public long lastCommit(String session) {
-        return sessions.last(session);
+        return sessions.lastCommit(session);
     }
 
     @Override
     public void committed(String session, long position) {
-        sessions.take(loop.now(), Map.of(session, position));
-        group.committed(session, position, null);
+        sessions.apply(loop.now(), Map.of(session, position));
+        group.publishCommit(session, position, null);
     }
 
     @Override
@@ -47,9 +47,9 @@
             then.run();
             return;
         }
-        sessions.take(loop.now(), Map.of(session, position));
-        // Whichever comes first: the second time changes nothing.
-        group.committed(session, position, () -> loop.post(then));
+        sessions.apply(
+                loop.now(), Map.of(session, position)); // Whichever comes first: the second time changes nothing.
+        group.publishCommit(session, position, () -> loop.post(then));
         loop.after(waitMicros, then);
     }
 }
--- a/replication/src/main/java/lupinvalve/replication/StoredHistory.java
+++ b/replication/src/main/java/lupinvalve/replication/StoredHistory.java
@@ -25,14 +25,14 @@
     /** Reads the records of one flush; gives the highest index of an entry among them, at least the one given. */
     long readRecords(String segment, byte[] content, long highestBefore) throws IOException {
         long highest = highestBefore;
-        Cbor.In in = new Cbor.In(content);
+        Cbor.Reader in = new Cbor.Reader(content);
         for (int left = in.count(Integer.MAX_VALUE); left > 0; left--) {
             int kind = in.count(RecordKind.MOST);
             switch (kind) {
                 case RecordKind.ENTRY -> highest = Math.max(highest, readEntry(segment, in));
                 case RecordKind.CUT_FROM -> entries.tailMap(in.number(), true).clear();
                 case RecordKind.TERM -> head.term = SegmentHead.readTerm(in);
-                case RecordKind.FOUNDERS -> head.founders = Models.view(in);
+                case RecordKind.FOUNDERS -> head.founders = RaftCodec.view(in);
                 case RecordKind.SELF -> head.self = SegmentHead.readSelf(in);
                 case RecordKind.COMMITTED -> head.committed = Math.max(head.committed, in.number());
                 default -> throw new IOException(segment + ": a record of the unknown kind " + kind);
@@ -41,12 +41,14 @@
         return highest;
     }
 
-    private long readEntry(String segment, Cbor.In in) throws IOException {
-        LogEntry entry = Models.entry(in);
+    private long readEntry(String segment, Cbor.Reader in) throws IOException {
+        LogEntry entry = RaftCodec.entry(in);
         if (!entries.isEmpty() && entry.getIndex() <= entries.lastKey()) {
-            throw new Frames.Damaged(segment + ": change " + entry.getIndex() + " follows " + entries.lastKey());
-        } else if (!entries.isEmpty() && entry.getIndex() > entries.lastKey() + 1) {
-            // A snapshot must cover the gap, which is looked at once all is read.
+            throw new RecordFrames.Damaged(segment + ": change " + entry.getIndex() + " follows " + entries.lastKey());
+        } else if (!entries.isEmpty()
+                && entry.getIndex()
+                        > entries.lastKey()
+                                + 1) { // A snapshot must cover the gap, which is looked at once all is read.
             entries.clear();
         }
         entries.put(entry.getIndex(), entry);
@@ -61,7 +63,7 @@
         if (first != Long.MAX_VALUE && first > base + 1) {
             throw found.fault() != null
                     ? found.fault()
-                    : new Frames.Damaged(
+                    : new RecordFrames.Damaged(
                             SegmentedLog.SEGMENT + "*: changes " + (base + 1) + " to " + (first - 1) + " are missing");
         } else if (found.fault() != null && entries.isEmpty()) {
             throw found.fault();
