--- /dev/null
+++ b/core/src/main/java/lupinvalve/core/RequestLog.java
@@ -0,0 +1,64 @@
+package lupinvalve.core;
+
+import lupinvalve.log.Log;
+import lupinvalve.routing.AttemptOutcome;
+
+/**
+ * Writes how requests and attempts end to the log: each of them at level debug, and a summary at level info a while
+ * after the first that was not served. Core thread only.
+ */
+final class RequestLog {
+    private static final long SUMMARY_PERIOD_MICROS = 5_000_000;
+
+    private final EventLoop loop;
+    private final RequestSummary summary = new RequestSummary();
+    private boolean summaryScheduled;
+
+    RequestLog(EventLoop loop) {
+        this.loop = loop;
+    }
+
+    void requestEnded(OpenRequest open, RequestOutcome outcome) {
+        if (Log.debugs()) {
+            ClientRequest request = open.request;
+            Log.debug(
+                    "%s %s %s after %d us, group %d, %d attempts, first sent after %d us, timeout %d us",
+                    open.routerId,
+                    open.requestClass.name(),
+                    outcome.text,
+                    loop.now() - request.arrivedAtMicros(),
+                    request.group(),
+                    open.attempts,
+                    open.attempts == 0 ? -1 : open.firstSentAtMicros - request.arrivedAtMicros(),
+                    request.timeoutMicros());
+        }
+        if (summary.requestEnded(outcome)) {
+            scheduleSummary();
+        }
+    }
+
+    void attemptStarted(Attempt attempt) {
+        summary.attemptStarted(attempt.number);
+    }
+
+    void attemptEnded(Attempt attempt, AttemptOutcome outcome, long nowMicros) {
+        if (Log.debugs()) {
+            Log.debug(
+                    "%s#%d %s %s after %d us",
+                    attempt.request.routerId, attempt.number, attempt.node, outcome, nowMicros - attempt.sentAtMicros);
+        }
+        if (summary.attemptEnded(outcome, attempt.node)) {
+            scheduleSummary();
+        }
+    }
+
+    private void scheduleSummary() {
+        if (!summaryScheduled) {
+            summaryScheduled = true;
+            loop.after(SUMMARY_PERIOD_MICROS, () -> {
+                summaryScheduled = false;
+                Log.info("requests: %s", summary.take());
+            });
+        }
+    }
+}
--- /dev/null
+++ b/core/src/main/java/lupinvalve/core/RequestTable.java
@@ -0,0 +1,77 @@
+package lupinvalve.core;
+
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.Map;
+import java.util.Set;
+import lupinvalve.maintenance.Metrics;
+import lupinvalve.routing.RequestClass;
+
+/**
+ * The open requests, by handle, router id and client id: opens each and closes it once, with its metrics and log. Core
+ * thread only.
+ */
+final class RequestTable {
+    private final EventLoop loop;
+    private final Metrics metrics;
+    private final RequestLog log;
+    private final HandleTable<OpenRequest> byHandle;
+    private final Map<String, OpenRequest> byRouterId = new HashMap<>();
+    private final Set<String> clientIds = new HashSet<>();
+
+    RequestTable(EventLoop loop, Metrics metrics, RequestLog log, int capacity) {
+        this.loop = loop;
+        this.metrics = metrics;
+        this.log = log;
+        byHandle = new HandleTable<>(capacity);
+    }
+
+    boolean isFull() {
+        return byHandle.isFull();
+    }
+
+    int size() {
+        return byHandle.size();
+    }
+
+    /** Whether an open request has the id that its client gave it. */
+    boolean hasClientId(String id) {
+        return clientIds.contains(id);
+    }
+
+    /** The open request of a handle, or null. */
+    OpenRequest get(long handle) {
+        return byHandle.get(handle);
+    }
+
+    /** The open request that the router knows by an id, or null. */
+    OpenRequest byRouterId(String id) {
+        return byRouterId.get(id);
+    }
+
+    /** Opens a request; the table must not be full. */
+    OpenRequest open(
+            Frontend frontend, long ticket, ClientRequest request, RequestClass requestClass, long deadlineMicros) {
+        OpenRequest open = new OpenRequest(frontend, ticket, request, requestClass, deadlineMicros);
+        open.handle = byHandle.put(open);
+        open.routerId = Long.toHexString(open.handle);
+        byRouterId.put(open.routerId, open);
+        clientIds.add(request.id());
+        metrics.setInFlight(byHandle.size());
+        return open;
+    }
+
+    /** Closes a request; the caller gives its final answer to the frontend, if there is one. */
+    void close(OpenRequest open, RequestOutcome outcome) {
+        log.requestEnded(open, outcome);
+        open.closed = true;
+        loop.cancel(open.guard);
+        byHandle.remove(open.handle);
+        byRouterId.remove(open.routerId);
+        clientIds.remove(open.request.id());
+        metrics.setInFlight(byHandle.size());
+        if (outcome.result != null) {
+            metrics.requestEnded(open.request.classIndex(), outcome.result);
+        }
+    }
+}
--- a/core/src/main/java/lupinvalve/core/Statement.java
+++ b/core/src/main/java/lupinvalve/core/Statement.java
@@ -10,58 +10,70 @@
 import lupinvalve.routing.RequestClass;
 
 /**
- * A statement as a client sent it, with the few fields that the decisions need taken out of its closing comment. The
- * bytes go on as they came; only the value of {@code d} is rewritten.
+ * A statement as a client sent it, with the fields of its closing comment, which decisions need. The bytes are
+ * forwarded as they came; only the value of {@code d}, the timeout, is rewritten. Not safe for use by several threads.
  */
 public final class Statement {
     private static final Pattern NUMBER = Pattern.compile("[0-9]{1,15}");
-    private static final int ID_MOST = 128;
+    private static final int MAX_ID_CHARS = 128;
+    private static final int NONE = -1;
+    private static final long MICROS_PER_MILLI = 1000;
+
     private final byte[] text;
     private final Map<String, String> fields = new HashMap<>();
-    private int waitFrom = -1, waitTo = -1;
+    /** Where the value of the timeout stands in the text, or {@link #NONE}. */
+    private int timeoutStart = NONE;
+
+    private int timeoutEnd = NONE;
 
-    /** Reads the last comment of the statement; one with none has no fields. */
+    /** Reads the last comment of the statement; one without any has no fields. */
     public Statement(byte[] text) {
         this.text = text;
-        int to = lastOf('*', '/', text.length);
-        int from = to < 0 ? -1 : lastOf('/', '*', to);
-        if (from >= 0) {
-            read(from + 2, to);
+        int end = lastIndexOf('*', '/', text.length);
+        int start = end == NONE ? NONE : lastIndexOf('/', '*', end);
+        if (start != NONE) {
+            readFields(start + 2, end);
         }
     }
 
-    private int lastOf(char first, char second, int before) {
+    private int lastIndexOf(char first, char second, int before) {
         for (int i = before - 2; i >= 0; i--) {
             if (text[i] == first && text[i + 1] == second) {
                 return i;
             }
         }
-        return -1;
+        return NONE;
     }
 
-    private void read(int from, int to) {
-        int at = from;
-        while (at < to) {
-            int end = at;
-            while (end < to && text[end] != ',') {
-                end++;
-            }
-            int equals = at;
-            while (equals < end && text[equals] != '=') {
-                equals++;
-            }
+    private void readFields(int from, int to) {
+        int start = from;
+        while (start < to) {
+            int end = indexOf(',', start, to);
+            int equals = indexOf('=', start, end);
             if (equals < end) {
-                String name = new String(text, at, equals - at, UTF_8).strip();
-                fields.put(name, new String(text, equals + 1, end - equals - 1, UTF_8).strip());
-                if (name.equals("d")) {
-                    waitFrom = equals + 1;
-                    waitTo = end;
-                    while (waitTo > waitFrom && text[waitTo - 1] == ' ') {
-                        waitTo--;
-                    }
-                }
+                readField(start, equals, end);
+            }
+            start = end + 1;
+        }
+    }
+
+    private int indexOf(char wanted, int from, int to) {
+        int index = from;
+        while (index < to && text[index] != wanted) {
+            index++;
+        }
+        return index;
+    }
+
+    private void readField(int start, int equals, int end) {
+        String name = new String(text, start, equals - start, UTF_8).strip();
+        fields.put(name, new String(text, equals + 1, end - equals - 1, UTF_8).strip());
+        if (name.equals("d")) {
+            timeoutStart = equals + 1;
+            timeoutEnd = end;
+            while (timeoutEnd > timeoutStart && text[timeoutEnd - 1] == ' ') {
+                timeoutEnd--;
             }
-            at = end + 1;
         }
     }
 
@@ -70,90 +82,92 @@
         fields.put(name, value);
     }
 
+    /** A field's value, or null. */
     public String field(String name) {
         return fields.get(name);
     }
 
+    /** Length of the statement in bytes. */
     public int size() {
         return text.length;
     }
 
-    /** The first quoted literal, which names the session, or null. */
+    /** The first quoted literal, which is the session's key, or null. */
     public String key() {
-        int from = 0;
-        while (from < text.length && text[from] != '\'') {
-            from++;
+        int start = indexOf('\'', 0, text.length) + 1;
+        int end = start;
+        while (end < text.length && (text[end] != '\'' || end + 1 < text.length && text[end + 1] == '\'')) {
+            end += text[end] == '\'' ? 2 : 1;
         }
-        int to = from + 1;
-        while (to < text.length && (text[to] != '\'' || to + 1 < text.length && text[to + 1] == '\'')) {
-            to += text[to] == '\'' ? 2 : 1;
-        }
-        return to < text.length ? new String(text, from + 1, to - from - 1, UTF_8) : null;
+        return end < text.length ? new String(text, start, end - start, UTF_8) : null;
     }
 
-    /** The statement with {@code d} as the time left, everything else as it came. */
+    /** The statement with {@code d} as the time left, all else as it came. */
     public byte[] bytes(long leftMicros) {
-        if (waitFrom < 0) {
+        if (timeoutStart == NONE) {
             return text;
         }
-        byte[] left = Long.toString(Math.max(1, leftMicros / 1000)).getBytes(US_ASCII);
-        byte[] out = new byte[text.length - (waitTo - waitFrom) + left.length];
-        System.arraycopy(text, 0, out, 0, waitFrom);
-        System.arraycopy(left, 0, out, waitFrom, left.length);
-        System.arraycopy(text, waitTo, out, waitFrom + left.length, text.length - waitTo);
+        byte[] left = Long.toString(Math.max(1, leftMicros / MICROS_PER_MILLI)).getBytes(US_ASCII);
+        byte[] out = new byte[text.length - (timeoutEnd - timeoutStart) + left.length];
+        System.arraycopy(text, 0, out, 0, timeoutStart);
+        System.arraycopy(left, 0, out, timeoutStart, left.length);
+        System.arraycopy(text, timeoutEnd, out, timeoutStart + left.length, text.length - timeoutEnd);
         return out;
     }
 
     /**
-     * What the core is asked.
+     * The request that the statement makes.
      *
      * @param session the session's key, or null to take the first quoted literal
-     * @param carried what goes to the backend
+     * @param payload what the backend gets
+     * @throws InvalidStatementException where a field that is needed is missing or impossible
      */
     public ClientRequest toRequest(
-            List<RequestClass> classes, long arrivedMicros, String session, String protocol, Object carried)
+            List<RequestClass> classes, long arrivedAtMicros, String session, String protocol, Object payload)
             throws InvalidStatementException {
-        String name = fields.get("c");
-        int index = 0;
-        while (index < classes.size() && !classes.get(index).name().equals(name)) {
-            index++;
-        }
-        if (index == classes.size()) {
-            throw new InvalidStatementException(
-                    name == null ? "field c, the class, is missing" : "field c names no class");
-        }
+        int classIndex = classIndex(classes);
         String id = fields.get("id");
-        if (id == null || id.isEmpty() || id.length() > ID_MOST) {
+        if (id == null || id.isEmpty() || id.length() > MAX_ID_CHARS) {
             throw new InvalidStatementException("field id is missing or too long");
         }
-        long wait = number("d");
+        long timeoutMillis = number("d");
         long group = number("cluster");
-        if (wait <= 0) {
+        if (timeoutMillis <= 0) {
             throw new InvalidStatementException("field d is missing or no time to wait");
         }
         if (group < 0 || group > Integer.MAX_VALUE) {
             throw new InvalidStatementException("field cluster is missing or no group");
         }
-        // What a client claims to wait can't be longer than a class allows: it would hold its slot for ever.
-        long most = Math.max(classes.get(index).deadlineMicros() / 1000, 1);
+        // A client can't claim to wait for longer than its class allows: it would keep its slot for ever.
+        long maxMillis = Math.max(classes.get(classIndex).deadlineMicros() / MICROS_PER_MILLI, 1);
         return new ClientRequest(
                 id,
-                index,
+                classIndex,
                 "1".equals(fields.get("r")),
                 session != null ? session : key(),
-                Math.max(0, number("after")) * 1000,
+                Math.max(0, number("after")) * MICROS_PER_MILLI,
                 (int) group,
-                arrivedMicros,
-                arrivedMicros + Math.min(wait, most) * 1000,
+                arrivedAtMicros,
+                arrivedAtMicros + Math.min(timeoutMillis, maxMillis) * MICROS_PER_MILLI,
                 protocol,
-                carried);
+                payload);
+    }
+
+    private int classIndex(List<RequestClass> classes) throws InvalidStatementException {
+        String name = fields.get("c");
+        for (int i = 0; i < classes.size(); i++) {
+            if (classes.get(i).name().equals(name)) {
+                return i;
+            }
+        }
+        throw new InvalidStatementException(name == null ? "field c, the class, is missing" : "field c names no class");
     }
 
-    /** A field's whole number, or -1 where it is missing. Nothing is guessed for one that is no such number. */
+    /** A field's whole number, or {@link #NONE} where it is missing. */
     private long number(String name) throws InvalidStatementException {
         String value = fields.get(name);
         if (value == null) {
-            return -1;
+            return NONE;
         }
         if (!NUMBER.matcher(value).matches()) {
             throw new InvalidStatementException("field " + name + " is no number");
