--- a/daemon/src/main/java/lupinvalve/cli/Operations.java
+++ b/daemon/src/main/java/lupinvalve/cli/Operations.java
@@ -133,7 +133,7 @@
         try {
             orders = file == null ? change.apply(orders) : file.update(orders, change);
         } catch (IOException | RuntimeException e) {
-            Log.error("an order can't be kept: %s", e);
+            Log.error("a drain command can't be stored: %s", e);
             objection.accept("the order can't be kept: " + e.getClass().getSimpleName());
             return;
         }
--- a/discovery/src/main/java/lupinvalve/discovery/HttpDirectory.java
+++ b/discovery/src/main/java/lupinvalve/discovery/HttpDirectory.java
@@ -152,7 +152,7 @@
         }
         if (toldBy == 0) {
             Log.info(
-                    "discovery's first word: revision %d, %d db nodes, after %d ms",
+                    "discovery: first endpoint list: revision %d, %d db nodes, after %d ms",
                     listed.revision(), listed.entries().size(), (loop.now() - startedAt) / 1000);
         }
         numberedBy = anew ? by.number : numberedBy;
@@ -268,7 +268,7 @@
         public void messages(Link from, List<byte[]> messages, long atMicros) {
             long waited = loop.now() - atMicros;
             if (waited > LATE) {
-                Log.info("discovery: its word waited %d us for the core", waited);
+                Log.info("discovery: a watch event waited %d us for the core", waited);
             }
             readAt = atMicros;
             try {
