--- a/config/src/main/java/lupinvalve/config/Database.java
+++ b/config/src/main/java/lupinvalve/config/Database.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 
 /**
- * One database that a group's configuration names.
+ * One database that a group's configuration names. Immutable.
  *
  * @param name unlike that of any other
  * @param group of db nodes that hold it
@@ -27,15 +27,15 @@
         List<String> replicas,
         int connectionLimit,
         long statementTimeoutMillis) {
-    /** How many databases a configuration names at most. */
-    public static final int MOST = 4096;
+    /** Databases that a configuration names at most. */
+    public static final int MAX_COUNT = 4096;
 
-    private static final int REPLICAS_MOST = 15;
-    private static final int LIMIT_MOST = 100_000;
-    private static final long TIMEOUT_MOST = 86_400_000;
-    private static final int NAME_MOST = 63;
-    private static final int PORT_MOST = 5;
-    private static final String NAME = "1 to 63 letters, digits, ., - and _ are possible";
+    private static final int MAX_REPLICAS_COUNT = 15;
+    private static final int MAX_CONNECTION_LIMIT_COUNT = 100_000;
+    private static final long MAX_STATEMENT_TIMEOUT_MILLIS = 86_400_000;
+    private static final int MAX_NAME_CHARS = 63;
+    private static final int MAX_PORT_CHARS = 5;
+    private static final String NAME_RULE = "1 to 63 letters, digits, ., - and _ are possible";
 
     /** Reads the section, the parser being at its start; throws with file, field and value of what is wrong. */
     static List<Database> readAll(JsonParser in) throws IOException {
@@ -44,15 +44,15 @@
         while (in.nextToken() != JsonToken.END_ARRAY) {
             String at = "databases[" + all.size() + "]";
             if (!in.hasToken(JsonToken.START_OBJECT)) {
-                throw wrong(at, in.getText(), "not an object");
+                throw invalid(at, in.getText(), "not an object");
             }
             Database next = read(in, at);
             if (!names.add(next.name())) {
-                throw wrong(at + ".name", next.name(), "named twice");
+                throw invalid(at + ".name", next.name(), "named twice");
             }
             all.add(next);
-            if (all.size() > MOST) {
-                throw new IOException("operator's file: databases has more than " + MOST + " entries");
+            if (all.size() > MAX_COUNT) {
+                throw new ConfigException("operator's file: databases has more than " + MAX_COUNT + " entries");
             }
         }
         return List.copyOf(all);
@@ -64,8 +64,8 @@
         String zone = "";
         String primary = null;
         List<String> replicas = List.of();
-        long limit = 0;
-        long timeout = 0;
+        long connectionLimit = 0;
+        long timeoutMillis = 0;
         while (in.nextToken() == JsonToken.FIELD_NAME) {
             String field = in.currentName();
             String path = at + "." + field;
@@ -76,27 +76,28 @@
                 case "zone" -> zone = name(path, text(path, in));
                 case "primary" -> primary = address(path, text(path, in));
                 case "replicas" -> replicas = replicas(in, path);
-                case "connection_limit" -> limit = number(path, in, LIMIT_MOST);
-                case "statement_timeout_ms" -> timeout = number(path, in, TIMEOUT_MOST);
-                default -> throw new IOException("operator's file: " + path + " is unknown");
+                case "connection_limit" -> connectionLimit = number(path, in, MAX_CONNECTION_LIMIT_COUNT);
+                case "statement_timeout_ms" -> timeoutMillis = number(path, in, MAX_STATEMENT_TIMEOUT_MILLIS);
+                default -> throw new ConfigException("operator's file: " + path + " is unknown");
             }
         }
-        needed(at + ".name", name);
-        needed(at + ".group", group);
-        needed(at + ".primary", primary);
-        return new Database(name, group, zone, primary, replicas, (int) limit, timeout);
+        requirePresent(at + ".name", name);
+        requirePresent(at + ".group", group);
+        requirePresent(at + ".primary", primary);
+        return new Database(name, group, zone, primary, replicas, (int) connectionLimit, timeoutMillis);
     }
 
     private static List<String> replicas(JsonParser in, String path) throws IOException {
         if (!in.hasToken(JsonToken.START_ARRAY)) {
-            throw wrong(path, in.getText(), "not an array");
+            throw invalid(path, in.getText(), "not an array");
         }
         List<String> all = new ArrayList<>();
         while (in.nextToken() != JsonToken.END_ARRAY) {
             String one = path + "[" + all.size() + "]";
             all.add(address(one, text(one, in)));
-            if (all.size() > REPLICAS_MOST) {
-                throw new IOException("operator's file: " + path + " has more than " + REPLICAS_MOST + " entries");
+            if (all.size() > MAX_REPLICAS_COUNT) {
+                throw new ConfigException(
+                        "operator's file: " + path + " has more than " + MAX_REPLICAS_COUNT + " entries");
             }
         }
         return List.copyOf(all);
@@ -104,7 +105,7 @@
 
     private static String text(String path, JsonParser in) throws IOException {
         if (!in.hasToken(JsonToken.VALUE_STRING)) {
-            throw wrong(path, in.getText(), "not a text");
+            throw invalid(path, in.getText(), "not a text");
         }
         return in.getText();
     }
@@ -113,22 +114,21 @@
         boolean whole = in.hasToken(JsonToken.VALUE_NUMBER_INT);
         String value = in.getText();
         if (!whole || value.length() > 18 || in.getLongValue() < 0 || in.getLongValue() > most) {
-            throw wrong(path, value, "0 to " + most + " are possible");
+            throw invalid(path, value, "0 to " + most + " are possible");
         }
         return in.getLongValue();
     }
 
-    // By characters: patterns took a third of the time of reading 1,200 entries, which each pooler does for each
-    // change.
+    // By characters: patterns are slower, and each pooler reads up to thousands of entries for each change.
 
     private static String name(String path, String value) throws IOException {
-        boolean well = !value.isEmpty() && value.length() <= NAME_MOST;
-        for (int i = 0; i < value.length() && well; i++) {
-            char one = value.charAt(i);
-            well = letter(one) || digit(one) || one == '.' || one == '-' || one == '_';
+        boolean valid = !value.isEmpty() && value.length() <= MAX_NAME_CHARS;
+        for (int i = 0; i < value.length() && valid; i++) {
+            char symbol = value.charAt(i);
+            valid = isLetter(symbol) || isDigit(symbol) || symbol == '.' || symbol == '-' || symbol == '_';
         }
-        if (!well) {
-            throw wrong(path, value, NAME);
+        if (!valid) {
+            throw invalid(path, value, NAME_RULE);
         }
         return value;
     }
@@ -136,45 +136,49 @@
     /** A host's name or literal address, IPv6 in brackets, and a port. */
     private static String address(String path, String value) throws IOException {
         int colon = value.lastIndexOf(':');
-        boolean well = colon > 0 && value.length() - colon - 1 >= 1 && value.length() - colon - 1 <= PORT_MOST;
-        for (int i = colon + 1; i < value.length() && well; i++) {
-            well = digit(value.charAt(i));
+        boolean valid = colon > 0 && value.length() - colon - 1 >= 1 && value.length() - colon - 1 <= MAX_PORT_CHARS;
+        for (int i = colon + 1; i < value.length() && valid; i++) {
+            valid = isDigit(value.charAt(i));
         }
-        if (!well || !host(value, colon)) {
-            throw wrong(path, value, "no address with a port");
+        if (!valid || !isHost(value, colon)) {
+            throw invalid(path, value, "no address with a port");
         }
         return value;
     }
 
-    private static boolean host(String value, int end) {
+    private static boolean isHost(String value, int end) {
         boolean literal = value.charAt(0) == '[' && value.charAt(end - 1) == ']' && end > 2;
         for (int i = literal ? 1 : 0; i < (literal ? end - 1 : end); i++) {
-            char one = value.charAt(i);
-            boolean well = literal
-                    ? digit(one) || one >= 'a' && one <= 'f' || one >= 'A' && one <= 'F' || one == ':' || one == '.'
-                    : one != ':' && !Character.isWhitespace(one);
-            if (!well) {
+            char symbol = value.charAt(i);
+            boolean valid = literal
+                    ? isDigit(symbol)
+                            || symbol >= 'a' && symbol <= 'f'
+                            || symbol >= 'A' && symbol <= 'F'
+                            || symbol == ':'
+                            || symbol == '.'
+                    : symbol != ':' && !Character.isWhitespace(symbol);
+            if (!valid) {
                 return false;
             }
         }
         return true;
     }
 
-    private static boolean letter(char one) {
-        return one >= 'a' && one <= 'z' || one >= 'A' && one <= 'Z';
+    private static boolean isLetter(char symbol) {
+        return symbol >= 'a' && symbol <= 'z' || symbol >= 'A' && symbol <= 'Z';
     }
 
-    private static boolean digit(char one) {
-        return one >= '0' && one <= '9';
+    private static boolean isDigit(char symbol) {
+        return symbol >= '0' && symbol <= '9';
     }
 
-    private static void needed(String path, String value) throws IOException {
+    private static void requirePresent(String path, String value) throws IOException {
         if (value == null) {
-            throw new IOException("operator's file: " + path + " is missing");
+            throw new ConfigException("operator's file: " + path + " is missing");
         }
     }
 
-    private static IOException wrong(String path, String value, String why) {
-        return new IOException("operator's file: " + path + " is " + value + "; " + why);
+    private static ConfigException invalid(String path, String value, String why) {
+        return new ConfigException("operator's file: " + path + " is " + value + "; " + why);
     }
 }
--- a/config/src/test/java/lupinvalve/config/DatabaseTest.java
+++ b/config/src/test/java/lupinvalve/config/DatabaseTest.java
@@ -2,10 +2,10 @@
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNull;
 
 import java.io.IOException;
 import java.util.List;
+import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
 /** A group's configuration may name the databases; what is wrong in one entry is told with field and value. */
@@ -15,7 +15,8 @@
                     + "\"replicas\":[\"10.0.1.1:5432\",\"[fd00::1]:5432\"],\"connection_limit\":40,\"statement_timeout_ms\":30000}";
 
     private static String objection(String entries) {
-        return OperatorConfig.objection(("{\"databases\":[" + entries + "]}").getBytes(UTF_8));
+        return OperatorConfig.validationError(("{\"databases\":[" + entries + "]}").getBytes(UTF_8))
+                .orElse(null);
     }
 
     private static void wrong(String from, String to, String told) {
@@ -27,7 +28,7 @@
         byte[] document = ("{\"databases\":[" + ENTRY + "]}").getBytes(UTF_8);
         List<Database> expected = List.of(new Database(
                 "orders", "g1", "z1", "10.0.0.1:5432", List.of("10.0.1.1:5432", "[fd00::1]:5432"), 40, 30_000));
-        assertNull(OperatorConfig.objection(document));
+        assertEquals(Optional.empty(), OperatorConfig.validationError(document));
         assertEquals(expected, OperatorConfig.read(document).databases());
         assertEquals(expected, OperatorConfig.NONE.accepted(document).databases());
         assertEquals(List.of(), OperatorConfig.read("{}".getBytes(UTF_8)).databases());
--- a/core/src/main/java/lupinvalve/core/EventLoop.java
+++ b/core/src/main/java/lupinvalve/core/EventLoop.java
@@ -76,7 +76,7 @@
     public void recordQueueDelay(long micros) {
         longestDelayMicros = Math.max(longestDelayMicros, micros);
         delays++;
-        if (Log.debugs() && now() - delaysSinceMicros > DELAY_LOG_PERIOD_MICROS) {
+        if (Log.isDebugEnabled() && now() - delaysSinceMicros > DELAY_LOG_PERIOD_MICROS) {
             Log.debug("loop delay: %d us at most, of %d arrivals", longestDelayMicros, delays);
             longestDelayMicros = 0;
             delays = 0;
--- a/core/src/main/java/lupinvalve/core/RequestLog.java
+++ b/core/src/main/java/lupinvalve/core/RequestLog.java
@@ -19,7 +19,7 @@
     }
 
     void requestEnded(OpenRequest open, RequestOutcome outcome) {
-        if (Log.debugs()) {
+        if (Log.isDebugEnabled()) {
             ClientRequest request = open.request;
             Log.debug(
                     "%s %s %s after %d us, group %d, %d attempts, first sent after %d us, timeout %d us",
@@ -42,7 +42,7 @@
     }
 
     void attemptEnded(Attempt attempt, AttemptOutcome outcome, long nowMicros) {
-        if (Log.debugs()) {
+        if (Log.isDebugEnabled()) {
             Log.debug(
                     "%s#%d %s %s after %d us",
                     attempt.request.routerId, attempt.number, attempt.node, outcome, nowMicros - attempt.sentAtMicros);
--- a/daemon/src/main/java/lupinvalve/cli/Main.java
+++ b/daemon/src/main/java/lupinvalve/cli/Main.java
@@ -59,7 +59,7 @@
             return main.command.run();
         } catch (Exception e) {
             err.println("lupinvalve: " + String.valueOf(e.getMessage()).replace('\n', ' '));
-            if (Log.debugs()) {
+            if (Log.isDebugEnabled()) {
                 e.printStackTrace(err);
             }
             return 1;
--- a/daemon/src/main/java/lupinvalve/cli/Serve.java
+++ b/daemon/src/main/java/lupinvalve/cli/Serve.java
@@ -41,7 +41,7 @@
     @Override
     public int run() throws Exception {
         if (debug) {
-            Log.least(Log.Level.DEBUG);
+            Log.setLevel(Log.Level.DEBUG);
         }
         Reload reload = new Reload(this);
         OperatorConfig operator = operator();
--- a/daemon/src/main/java/lupinvalve/cli/Shared.java
+++ b/daemon/src/main/java/lupinvalve/cli/Shared.java
@@ -120,12 +120,12 @@
     // ---- the group's thread ----
     @Override
     public String validationError(byte[] document) {
-        return OperatorConfig.objection(document);
+        return OperatorConfig.validationError(document).orElse(null);
     }
 
     @Override
     public String transitionError(byte[] current, byte[] next) {
-        return OperatorConfig.refusal(current, next);
+        return OperatorConfig.changeRejection(current, next).orElse(null);
     }
 
     @Override
--- a/daemon/src/main/java/lupinvalve/cli/StoreCommand.java
+++ b/daemon/src/main/java/lupinvalve/cli/StoreCommand.java
@@ -64,7 +64,7 @@
 
     @Override
     public int run() throws Exception {
-        Log.least(Log.Level.ERROR);
+        Log.setLevel(Log.Level.ERROR);
         if (call.equals("keys")) {
             Keys.make(Path.of(argument(0, "a folder")), what.subList(1, what.size()));
             out.println("keys are in " + what.get(0) + "; keep authority.key somewhere else");
@@ -134,7 +134,7 @@
             throw new IllegalArgumentException("store put needs --revision N: the one that is to be replaced");
         }
         byte[] document = Files.readAllBytes(Path.of(argument(0, "a file")));
-        String objection = OperatorConfig.objection(document);
+        String objection = OperatorConfig.validationError(document).orElse(null);
         if (objection != null) {
             throw new IllegalArgumentException(what.get(0) + ": " + objection);
         }
--- a/daemon/src/main/java/lupinvalve/cli/WarmUp.java
+++ b/daemon/src/main/java/lupinvalve/cli/WarmUp.java
@@ -86,7 +86,7 @@
             loop.start();
             // What this pooler says would be taken for the word of the one that serves, which has begun to ask
             // discovery.
-            loop.post(() -> Log.leastHere(Log.Level.ERROR));
+            loop.post(() -> Log.setThreadLevel(Log.Level.ERROR));
             loop.post(() -> {
                 pooler.start(1, List.of());
                 pooler.onEndpointListEvent(new EndpointListEvent(ListForm.FULL, entries));
--- a/daemon/src/test/java/lupinvalve/cli/GroupTest.java
+++ b/daemon/src/test/java/lupinvalve/cli/GroupTest.java
@@ -56,7 +56,7 @@
 
     @BeforeAll
     static void authorities() throws Exception {
-        Log.to(new PrintStream(new ByteArrayOutputStream()));
+        Log.setOutput(new PrintStream(new ByteArrayOutputStream()));
         Keys.make(keys.resolve("own"), NAMES);
         Keys.make(keys.resolve("foreign"), List.of("c"));
         Keys.make(
@@ -77,7 +77,7 @@
 
     @AfterAll
     static void loud() {
-        Log.to(System.err);
+        Log.setOutput(System.err);
     }
 
     @AfterEach
@@ -115,12 +115,12 @@
         group.start(new ControlPlane.Listener() {
             @Override
             public String validationError(byte[] document) {
-                return OperatorConfig.objection(document);
+                return OperatorConfig.validationError(document).orElse(null);
             }
 
             @Override
             public String transitionError(byte[] current, byte[] next) {
-                return OperatorConfig.refusal(current, next);
+                return OperatorConfig.changeRejection(current, next).orElse(null);
             }
 
             @Override
@@ -170,7 +170,7 @@
         ByteArrayOutputStream err = new ByteArrayOutputStream();
         command.out = new PrintStream(out);
         command.err = new PrintStream(err);
-        Log.Level before = Log.least();
+        Log.Level before = Log.level();
         try {
             int code = command.run();
             return new Said(
@@ -180,7 +180,7 @@
         } catch (IOException | IllegalArgumentException e) {
             return new Said(1, "", e.getMessage());
         } finally {
-            Log.least(before);
+            Log.setLevel(before);
         }
     }
 
--- a/daemon/src/test/java/lupinvalve/cli/SubscriberTest.java
+++ b/daemon/src/test/java/lupinvalve/cli/SubscriberTest.java
@@ -60,7 +60,7 @@
         return new ControlPlane.Listener() {
             @Override
             public String validationError(byte[] document) {
-                return OperatorConfig.objection(document);
+                return OperatorConfig.validationError(document).orElse(null);
             }
 
             @Override
--- a/daemon/src/test/java/lupinvalve/discovery/DnsDirectoryTest.java
+++ b/daemon/src/test/java/lupinvalve/discovery/DnsDirectoryTest.java
@@ -86,7 +86,7 @@
 
     @Test
     void records_become_the_list_and_a_failed_look_up_is_no_empty_list() throws Exception {
-        Log.least(Log.Level.ERROR);
+        Log.setLevel(Log.Level.ERROR);
         NameServer server = new NameServer();
         server.instance("s-1", 5432, "cell=3", "rank=source", "up_since_ms=7", "mysql=3307");
         server.instance("s-2", 5433, "Cell=3", "cell=4", "id=other", "phase=terminating");
--- a/daemon/src/test/java/lupinvalve/integration/World.java
+++ b/daemon/src/test/java/lupinvalve/integration/World.java
@@ -28,7 +28,7 @@
 /** One pooler before scripted db nodes and a scripted discovery, all on loopback. */
 public final class World implements Closeable {
     static {
-        Log.least(Log.Level.ERROR);
+        Log.setLevel(Log.Level.ERROR);
     }
 
     public final List<DbNode> nodes;
--- a/daemon/src/test/java/lupinvalve/net/ClientEndsTest.java
+++ b/daemon/src/test/java/lupinvalve/net/ClientEndsTest.java
@@ -19,13 +19,13 @@
 
     private List<String> logged(Runnable work) {
         ByteArrayOutputStream said = new ByteArrayOutputStream();
-        Log.to(new PrintStream(said, true, StandardCharsets.UTF_8));
-        Log.leastHere(Log.Level.INFO);
+        Log.setOutput(new PrintStream(said, true, StandardCharsets.UTF_8));
+        Log.setThreadLevel(Log.Level.INFO);
         try {
             work.run();
         } finally {
-            Log.leastHere(null);
-            Log.to(System.err);
+            Log.setThreadLevel(null);
+            Log.setOutput(System.err);
         }
         return said.toString(StandardCharsets.UTF_8)
                 .lines()
--- a/daemon/src/test/java/lupinvalve/net/LinkFaultTest.java
+++ b/daemon/src/test/java/lupinvalve/net/LinkFaultTest.java
@@ -56,12 +56,12 @@
 
     @BeforeAll
     static void quiet() {
-        Log.least(Log.Level.ERROR);
+        Log.setLevel(Log.Level.ERROR);
     }
 
     @AfterAll
     static void loud() {
-        Log.least(Log.Level.INFO);
+        Log.setLevel(Log.Level.INFO);
     }
 
     private static void isReset(Framer framer, Front front, EndReason reason, boolean reads, int withinSeconds)
--- a/daemon/src/test/java/lupinvalve/replication/OldMemberTest.java
+++ b/daemon/src/test/java/lupinvalve/replication/OldMemberTest.java
@@ -102,11 +102,11 @@
                 new AtomicReference<>(); // Other tests' world makes the log quiet as it is set up: not after this one
         // has made it loud.
         World.await("the world is there", () -> true);
-        Log.Level before = Log.least();
+        Log.Level before = Log.level();
         try (ServerSocket a = member("a", old, OldMemberTest::oldAnswer);
                 ServerSocket b = member("b", current, OldMemberTest::newAnswer)) {
-            Log.to(new PrintStream(lines, true));
-            Log.least(Log.Level.INFO);
+            Log.setOutput(new PrintStream(lines, true));
+            Log.setLevel(Log.Level.INFO);
             Map<String, String> members = Map.of(
                     "a",
                     "127.0.0.1:" + a.getLocalPort(),
@@ -125,8 +125,8 @@
             World.await("follows the other", () -> acting.get() != null && current.get() > 3);
             subscriber.stop();
         } finally {
-            Log.to(System.err);
-            Log.least(before);
+            Log.setOutput(System.err);
+            Log.setLevel(before);
         }
         String said = lines.toString(StandardCharsets.UTF_8);
         assertEquals(1, old.get(), said);
--- a/faultinjection/src/test/java/lupinvalve/replication/SimulationTest.java
+++ b/faultinjection/src/test/java/lupinvalve/replication/SimulationTest.java
@@ -24,13 +24,13 @@
 
     @BeforeAll
     static void quiet() {
-        Log.least(Log.Level.ERROR);
-        Log.to(new java.io.PrintStream(java.io.OutputStream.nullOutputStream()));
+        Log.setLevel(Log.Level.ERROR);
+        Log.setOutput(new java.io.PrintStream(java.io.OutputStream.nullOutputStream()));
     }
 
     @org.junit.jupiter.api.AfterAll
     static void loud() {
-        Log.to(System.err);
+        Log.setOutput(System.err);
     }
 
     /** One course of random faults; gives what was wrong. */
--- a/faultinjection/src/test/java/lupinvalve/replication/SweepTest.java
+++ b/faultinjection/src/test/java/lupinvalve/replication/SweepTest.java
@@ -21,13 +21,13 @@
 
     @BeforeAll
     static void quiet() {
-        Log.least(Log.Level.ERROR);
-        Log.to(new PrintStream(OutputStream.nullOutputStream()));
+        Log.setLevel(Log.Level.ERROR);
+        Log.setOutput(new PrintStream(OutputStream.nullOutputStream()));
     }
 
     @AfterAll
     static void loud() {
-        Log.to(System.err);
+        Log.setOutput(System.err);
     }
 
     @ParameterizedTest
--- a/hotrestart/src/test/java/lupinvalve/hotrestart/DrainCommandsFileTest.java
+++ b/hotrestart/src/test/java/lupinvalve/hotrestart/DrainCommandsFileTest.java
@@ -38,7 +38,7 @@
 
     @AfterEach
     void logAsEver() {
-        Log.to(System.err);
+        Log.setOutput(System.err);
     }
 
     @Test
@@ -63,7 +63,7 @@
     void aFileCutAnywhereIsReportedAndBringsNothingBack() throws IOException {
         DrainCommands whole = process().update(DrainCommands.NONE, held -> HELD.with(true, "s-1", 5));
         byte[] bytes = Files.readAllBytes(file());
-        Log.to(new PrintStream(log, true));
+        Log.setOutput(new PrintStream(log, true));
         for (int length = 0; length < bytes.length; length++) {
             Files.write(file(), Arrays.copyOf(bytes, length));
             log.reset();
@@ -101,7 +101,7 @@
         assertTrue(incumbent.isSuperseded());
         other.destroyForcibly().waitFor();
         assertFalse(incumbent.isSuperseded());
-        Log.to(new PrintStream(log, true));
+        Log.setOutput(new PrintStream(log, true));
         Files.writeString(note, "12x");
         assertFalse(incumbent.isSuperseded());
         assertTrue(log.toString().contains("can't be read"));
--- a/lab/src/main/java/lupinvalve/lab/Faults.java
+++ b/lab/src/main/java/lupinvalve/lab/Faults.java
@@ -66,8 +66,8 @@
     @Override
     public int run(PrintStream out) {
         if (at == null) {
-            Log.least(Log.Level.ERROR);
-            Log.to(new PrintStream(java.io.OutputStream.nullOutputStream()));
+            Log.setLevel(Log.Level.ERROR);
+            Log.setOutput(new PrintStream(java.io.OutputStream.nullOutputStream()));
         }
         try {
             if (list) {
@@ -77,7 +77,7 @@
             }
             return at != null ? again(out) : sweep(out);
         } finally {
-            Log.to(System.err);
+            Log.setOutput(System.err);
         }
     }
 
--- a/lab/src/main/java/lupinvalve/lab/StoreBench.java
+++ b/lab/src/main/java/lupinvalve/lab/StoreBench.java
@@ -71,7 +71,7 @@
 
     @Override
     public int run(PrintStream out) throws Exception {
-        Log.least(Log.Level.ERROR);
+        Log.setLevel(Log.Level.ERROR);
         folder = Files.createTempDirectory("store-bench");
         List<RaftMember> groups = new ArrayList<>();
         try {
--- a/lab/src/main/java/lupinvalve/lab/StoreCost.java
+++ b/lab/src/main/java/lupinvalve/lab/StoreCost.java
@@ -95,7 +95,7 @@
 
     @Override
     public int run(PrintStream out) throws Exception {
-        Log.least(Log.Level.ERROR);
+        Log.setLevel(Log.Level.ERROR);
         folder = Files.createTempDirectory("store-cost");
         List<Daemon> daemons = new ArrayList<>();
         NodeConfig from = NodeConfig.read(config, null);
--- a/scale/src/main/java/lupinvalve/scale/HollowHost.java
+++ b/scale/src/main/java/lupinvalve/scale/HollowHost.java
@@ -45,7 +45,7 @@
 
     /** Arguments: the design's word and the cluster's name; the variable SCALE_LOG may name a level of the log. */
     public static void main(String[] args) throws IOException, InterruptedException {
-        Log.least(Log.Level.valueOf(System.getenv().getOrDefault("SCALE_LOG", "ERROR")));
+        Log.setLevel(Log.Level.valueOf(System.getenv().getOrDefault("SCALE_LOG", "ERROR")));
         PrintStream out = new PrintStream(
                 new java.io.FileOutputStream(java.io.FileDescriptor.out), false, StandardCharsets.UTF_8);
         HollowHost host = new HollowHost(Design.valueOf(args[0].toUpperCase(java.util.Locale.ROOT)), args[1], out);
--- a/scale/src/main/java/lupinvalve/scale/HollowPooler.java
+++ b/scale/src/main/java/lupinvalve/scale/HollowPooler.java
@@ -63,12 +63,12 @@
 
     @Override
     public String validationError(byte[] document) {
-        return OperatorConfig.objection(document);
+        return OperatorConfig.validationError(document).orElse(null);
     }
 
     @Override
     public String transitionError(byte[] current, byte[] next) {
-        return OperatorConfig.refusal(current, next);
+        return OperatorConfig.changeRejection(current, next).orElse(null);
     }
 
     @Override
--- a/scale/src/test/java/lupinvalve/scale/DocumentsTest.java
+++ b/scale/src/test/java/lupinvalve/scale/DocumentsTest.java
@@ -1,11 +1,11 @@
 package lupinvalve.scale;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import lupinvalve.config.Database;
 import lupinvalve.config.OperatorConfig;
 import org.apache.commons.math3.random.Well19937c;
@@ -17,7 +17,7 @@
     void documentsAreTakenAndDifferInAFewEntries() throws Exception {
         Documents documents = new Documents(1_200, new Well19937c(3));
         byte[] first = documents.next();
-        assertNull(OperatorConfig.objection(first));
+        assertEquals(Optional.empty(), OperatorConfig.validationError(first));
         assertTrue(first.length / 1_200 >= 150 && first.length / 1_200 <= 220, first.length + " bytes");
         List<Database> before = OperatorConfig.read(first).databases();
         for (int i = 0; i < 20; i++) {
