--- a/replication/src/main/java/lupinvalve/replication/Followers.java
+++ b/replication/src/main/java/lupinvalve/replication/Followers.java
@@ -112,7 +112,7 @@
                     ? "this member takes no part any more: " + group.ended()
                     : "the group is not founded yet";
         }
-        if (group.adoption().isCutOff()) {
+        if (group.adoption().isQuorumLost()) {
             return "cut off from the majority";
         }
         return service.powerless(Acting.clock()) ? "this member has no lease itself" : null;
--- a/replication/src/main/java/lupinvalve/replication/Group.java
+++ b/replication/src/main/java/lupinvalve/replication/Group.java
@@ -497,7 +497,7 @@
         if (line != null) {
             Log.warn("store: %s", line);
             if (acting != null) {
-                acting.inTouch(!adoption.isCutOff(), loop.now());
+                acting.inTouch(!adoption.isQuorumLost(), loop.now());
             }
         }
         ClusterBootstrap.Phase phase = log.word().phase();
--- a/replication/src/main/java/lupinvalve/replication/Questions.java
+++ b/replication/src/main/java/lupinvalve/replication/Questions.java
@@ -430,7 +430,7 @@
         out.writeStringField(
                 "leader", group.leader() == null ? "" : group.leader().name());
         out.writeBooleanField("leads", group.leads());
-        out.writeBooleanField("cut_off", group.adoption().isCutOff());
+        out.writeBooleanField("cut_off", group.adoption().isQuorumLost());
         out.writeStringField(
                 "acting",
                 group.ended() != null
--- a/statemachine/src/main/java/lupinvalve/statemachine/ActiveConfiguration.java
+++ b/statemachine/src/main/java/lupinvalve/statemachine/ActiveConfiguration.java
@@ -1,32 +1,35 @@
 package lupinvalve.statemachine;
 
 /**
- * Decides what a pooler acts on: the last configuration that a majority accepted and that this version can read. Cut
- * off from the majority it goes on with that, and says so; it takes up nothing newer until it is in touch again.
+ * Decides which configuration a pooler acts on: the last committed one that this version can read. Without a quorum it
+ * keeps that one, and says so. Not thread-safe; times are of one monotonic clock.
  */
 public final class ActiveConfiguration {
-    /** Elections take less: a shorter gap is no cut. */
-    static final long CUT_OFF_GRACE_MICROS = 3_000_000;
+    /** Elections take less: a shorter gap is no loss of the quorum. */
+    static final long QUORUM_LOSS_GRACE_MICROS = 3_000_000;
 
-    /** What is to be done about a configuration. */
+    /** What is to be done about a committed configuration. */
     public enum Verdict {
+        /** It is the active one from now on. */
         ACTIVATE,
+        /** It is the active one already, or an older one. */
         NOT_NEWER,
+        /** This version can't act on it; the active one stays. */
         UNREADABLE
     }
 
     private ReplicatedState.Document active;
     private String unreadableReason;
     private long lastContactMicros;
-    private boolean cutOff;
+    private boolean quorumLost;
 
-    /** @param nowMicros when it was last in touch, as far as is known: the start */
+    /** @param nowMicros the start, which counts as contact with the quorum */
     public ActiveConfiguration(long nowMicros) {
         lastContactMicros = nowMicros;
     }
 
     /**
-     * A configuration has been accepted.
+     * A configuration has been committed.
      *
      * @param objection why this version can't act on it, or null
      */
@@ -43,7 +46,7 @@
         return Verdict.ACTIVATE;
     }
 
-    /** What was just to be adopted could not be noted: the one before, or none, is acted on still. */
+    /** Undoes an activation that could not be noted in the audit: the one before, or none, is active again. */
     public void revertTo(ReplicatedState.Document before) {
         active = before;
     }
@@ -53,35 +56,40 @@
         return active;
     }
 
-    /** Whether the majority is in touch now; gives a line for the log where that has changed, or null. */
-    public String onQuorumContact(boolean inTouch, long nowMicros) {
-        if (inTouch) {
+    /**
+     * Takes whether a quorum is in reach now.
+     *
+     * @return a line for the log where {@link #isQuorumLost} has changed, else null
+     */
+    public String onQuorumContact(boolean inReach, long nowMicros) {
+        if (inReach) {
             lastContactMicros = nowMicros;
-            String line = cutOff ? "in touch with the majority again" : null;
-            cutOff = false;
+            String line = quorumLost ? "quorum in reach again" : null;
+            quorumLost = false;
             return line;
         }
-        if (cutOff || nowMicros - lastContactMicros < CUT_OFF_GRACE_MICROS) {
+        if (quorumLost || nowMicros - lastContactMicros < QUORUM_LOSS_GRACE_MICROS) {
             return null;
         }
-        cutOff = true;
-        return "cut off from the majority: " + describe();
+        quorumLost = true;
+        return "quorum lost: " + describe();
     }
 
-    /** What is acted on, in words. */
+    /** The active configuration in words, for logs and operators. */
     public String describe() {
-        String on = active == null
+        String serving = active == null
                 ? "no configuration was accepted yet; what needs one is not served"
                 : "serving with revision " + active.revision() + " (" + active.digest() + ")";
-        return unreadableReason == null ? on : on + "; " + unreadableReason;
+        return unreadableReason == null ? serving : serving + "; " + unreadableReason;
     }
 
-    /** Why what holds can't be acted on, or empty. */
+    /** Why the newest committed configuration can't be acted on, or empty. */
     public String unreadableReason() {
         return unreadableReason == null ? "" : unreadableReason;
     }
 
-    public boolean isCutOff() {
-        return cutOff;
+    /** Whether no quorum has been in reach for longer than an election takes. */
+    public boolean isQuorumLost() {
+        return quorumLost;
     }
 }
--- a/statemachine/src/main/java/lupinvalve/statemachine/ClusterBootstrap.java
+++ b/statemachine/src/main/java/lupinvalve/statemachine/ClusterBootstrap.java
@@ -1,18 +1,19 @@
 package lupinvalve.statemachine;
 
 import java.io.IOException;
+import java.util.Collections;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
 
 /**
- * Decides when a group is founded, and by which disks. All founders must be there at once, each binds itself to the
- * same set of disks, and only when all have said that they are bound is the group founded. Who comes later, or again
- * with another disk, is a newcomer: it is of the group only once its members have agreed to that.
+ * Decides when a group is bootstrapped, and with which disks. All founders must be connected at once, each binds itself
+ * to the same set of disks, and only when all have announced that they are bound does the group exist. A member that
+ * comes later, or again with another disk, joins only once the group's members have agreed to it. Not thread-safe.
  *
  * <p>Guards against two groups under one name, and against a founder that comes back with an empty disk while the
- * others remember it: in neither case may there be a second first history.
+ * others remember it: in neither case may there be a second first log entry.
  */
 public final class ClusterBootstrap {
     /** How far a member's bootstrap is. Stored and sent by ordinal: the order must not change. */
@@ -38,62 +39,83 @@
         }
     }
 
-    /** What a member says of itself; it must be on its disk before it is said. */
+    /**
+     * What a member announces of itself; it must be on its disk before it is sent.
+     *
+     * @param founders the set that it is bound to, or that founded the group; empty while unbound
+     */
     public record Announcement(MemberId member, Phase phase, Set<MemberId> founders) {
+        /** Copies the set. */
         public Announcement {
-            founders = java.util.Collections.unmodifiableSet(new TreeSet<>(founders));
+            founders = Collections.unmodifiableSet(new TreeSet<>(founders));
         }
 
+        /** Appends it to a sequence. */
         public void write(Cbor.Writer out) {
             out.text(member.name()).text(member.diskId()).number(phase.ordinal());
             MemberId.writeAll(out, founders);
         }
 
+        /** Reads what {@link #write} has written. */
         public static Announcement read(Cbor.Reader in) throws IOException {
             return new Announcement(
                     new MemberId(in.text(), in.text()),
                     Phase.values()[in.count(Phase.values().length - 1)],
                     MemberId.readAll(in));
         }
+
+        private boolean isOfGroup() {
+            return phase == Phase.BOOTSTRAPPED || phase == Phase.JOINING;
+        }
+
+        private boolean isBoundTo(Set<MemberId> set) {
+            return phase == Phase.BOUND && founders.equals(set);
+        }
     }
 
     private final Set<String> founderNames;
+    /** The other members' last announcements, by name. */
     private final Map<String, Announcement> announcements = new HashMap<>();
+
     private Announcement own;
 
-    /** @param names those who are to found the group, by the operators' file */
-    public ClusterBootstrap(Announcement own, Set<String> names) {
+    /**
+     * Starts from what this member's disk says.
+     *
+     * @param founderNames the members of the configuration file
+     */
+    public ClusterBootstrap(Announcement own, Set<String> founderNames) {
         this.own = own;
-        this.founderNames = new TreeSet<>(names);
+        this.founderNames = new TreeSet<>(founderNames);
         decide();
     }
 
+    /** What this member is to announce now. */
     public Announcement own() {
         return own;
     }
 
-    /** Another one has said this; the own word may be another now. */
-    public void onAnnouncement(Announcement word) {
-        announcements.put(word.member().name(), word);
+    /** Takes another member's announcement; {@link #own} may have changed then. */
+    public void onAnnouncement(Announcement announcement) {
+        announcements.put(announcement.member().name(), announcement);
         decide();
     }
 
-    /** Another one is out of touch: what it said may be outdated. */
+    /** Forgets another member's announcement as its connection ends: it may be outdated. */
     public void onDisconnected(String name) {
         announcements.remove(name);
     }
 
-    /** Why the group is not founded yet, for the log. */
+    /** Why the group is not bootstrapped yet, for operators. */
     public String pendingReason() {
-        Set<String> missing = new TreeSet<>(founderNames);
-        missing.remove(own.member().name());
+        Set<String> missing = otherFounders();
         missing.removeAll(announcements.keySet());
         if (!missing.isEmpty()) {
             return "not heard of " + String.join(", ", missing);
         }
-        for (Announcement word : announcements.values()) {
-            if (word.phase() == Phase.BOUND && !word.founders().contains(own.member())) {
-                return word.member().name() + " is bound to a disk that "
+        for (Announcement other : announcements.values()) {
+            if (other.phase() == Phase.BOUND && !other.founders().contains(own.member())) {
+                return other.member().name() + " is bound to a disk that "
                         + own.member().name() + " had before: start again with empty folders";
             }
         }
@@ -109,44 +131,48 @@
     }
 
     private void step() {
-        if (own.phase() == Phase.BOOTSTRAPPED || own.phase() == Phase.JOINING) {
+        if (own.isOfGroup()) {
             return;
         }
-        for (Announcement word : announcements.values()) {
-            if (word.phase() == Phase.BOOTSTRAPPED || word.phase() == Phase.JOINING) {
-                // A group is there. It was founded with this disk only if this one is bound to it.
-                boolean mine = own.phase() == Phase.BOUND && own.founders().equals(word.founders());
-                own = new Announcement(own.member(), mine ? Phase.BOOTSTRAPPED : Phase.JOINING, word.founders());
+        for (Announcement other : announcements.values()) {
+            if (other.isOfGroup()) {
+                join(other.founders());
                 return;
             }
         }
         if (!founderNames.contains(own.member().name())
-                || !announcements.keySet().containsAll(others())) {
+                || !announcements.keySet().containsAll(otherFounders())) {
             return;
         }
         if (own.phase() == Phase.UNBOUND) {
             bind();
-        } else if (others().stream()
-                .allMatch(name -> announcements.get(name).phase() == Phase.BOUND
-                        && announcements.get(name).founders().equals(own.founders()))) {
+        } else if (otherFounders().stream()
+                .allMatch(name -> announcements.get(name).isBoundTo(own.founders()))) {
             own = new Announcement(own.member(), Phase.BOOTSTRAPPED, own.founders());
         }
     }
 
+    /** A group exists. It was founded with this disk only if this one is bound to the same set. */
+    private void join(Set<MemberId> founders) {
+        Phase phase = own.isBoundTo(founders) ? Phase.BOOTSTRAPPED : Phase.JOINING;
+        own = new Announcement(own.member(), phase, founders);
+    }
+
     private void bind() {
-        Set<MemberId> here = new TreeSet<>();
-        here.add(own.member());
-        for (String name : others()) {
-            here.add(announcements.get(name).member());
+        Set<MemberId> present = new TreeSet<>();
+        present.add(own.member());
+        for (String name : otherFounders()) {
+            present.add(announcements.get(name).member());
         }
-        // Who is bound already can't be bound to others.
+        // A member that is bound already can't be bound to another set.
         if (announcements.values().stream()
-                .allMatch(w -> w.phase() != Phase.BOUND || w.founders().equals(here))) {
-            own = new Announcement(own.member(), Phase.BOUND, here);
+                .allMatch(other ->
+                        other.phase() != Phase.BOUND || other.founders().equals(present))) {
+            own = new Announcement(own.member(), Phase.BOUND, present);
         }
     }
 
-    private Set<String> others() {
+    private Set<String> otherFounders() {
         Set<String> others = new TreeSet<>(founderNames);
         others.remove(own.member().name());
         return others;
--- a/statemachine/src/main/java/lupinvalve/statemachine/SessionCommitBatcher.java
+++ b/statemachine/src/main/java/lupinvalve/statemachine/SessionCommitBatcher.java
@@ -4,24 +4,29 @@
 import java.util.Map;
 
 /**
- * Sessions' commits of one pooler on their way to the group: they go in bundles, one at a time, since each one costs
- * the group a force of its disks however much it carries. Bounded by what the ledger itself would keep.
+ * Batches the sessions' commits of one pooler for the log, one batch in flight at a time: each costs the group a sync
+ * of its disks however much it carries. Holds no more sessions than the {@link SessionTable}. Not thread-safe; times
+ * are of one monotonic clock.
  */
 public final class SessionCommitBatcher {
-    /** How long the first commit of a bundle waits for others. */
+    /** How long the first commit of a batch waits for others. */
     static final long BATCH_DELAY_MICROS = 5_000;
-    /** After a bundle was turned down. */
+    /** Pause after a batch was rejected. */
     static final long RETRY_BACKOFF_MICROS = 200_000;
 
     private static final int MAX_BATCH_SESSIONS = 4000;
+
     private Map<String, Long> waiting = new HashMap<>();
     private Command.SessionCommits batchInFlight;
-    private long batchNumber, batchInFlightNumber, sinceMicros, notBefore;
+    private long batchNumber;
+    private long batchInFlightNumber;
+    private long waitingSinceMicros;
+    private long notBeforeMicros;
 
-    /** Adds a commit; gives the number of its bundle, which {@link #done} passes once a majority holds it. */
+    /** Adds a commit; returns its batch's number, which {@link #onBatchAnswered} reaches once a quorum has it. */
     public long add(String session, long position, long nowMicros) {
         if (waiting.isEmpty()) {
-            sinceMicros = nowMicros;
+            waitingSinceMicros = nowMicros;
         }
         if (waiting.size() < SessionTable.MAX_SESSIONS || waiting.containsKey(session)) {
             waiting.merge(session, position, Math::max);
@@ -29,29 +34,31 @@
         return batchNumber + 1;
     }
 
-    /** When {@link #next} should be asked, or {@link Long#MAX_VALUE} where nothing waits or one is out. */
+    /** When {@link #nextBatch} has one, or {@link Long#MAX_VALUE} where nothing waits or one is in flight. */
     public long nextBatchMicros() {
         return batchInFlight != null || waiting.isEmpty()
                 ? Long.MAX_VALUE
-                : Math.max(notBefore, waiting.size() >= MAX_BATCH_SESSIONS ? 0 : sinceMicros + BATCH_DELAY_MICROS);
+                : Math.max(
+                        notBeforeMicros,
+                        waiting.size() >= MAX_BATCH_SESSIONS ? 0 : waitingSinceMicros + BATCH_DELAY_MICROS);
     }
 
-    /** The next bundle to send, or null. */
+    /** The next batch to send, or null where none is due. */
     public Command.SessionCommits nextBatch(long nowMicros) {
         if (nowMicros < nextBatchMicros()) {
             return null;
         }
-        Map<String, Long> some = waiting;
+        Map<String, Long> batch = waiting;
         waiting = new HashMap<>();
-        if (some.size() > MAX_BATCH_SESSIONS) {
+        if (batch.size() > MAX_BATCH_SESSIONS) {
             Map<String, Long> first = new HashMap<>();
-            for (Map.Entry<String, Long> entry : some.entrySet()) {
-                (first.size() < MAX_BATCH_SESSIONS ? first : waiting).put(entry.getKey(), entry.getValue());
+            for (Map.Entry<String, Long> commit : batch.entrySet()) {
+                (first.size() < MAX_BATCH_SESSIONS ? first : waiting).put(commit.getKey(), commit.getValue());
             }
-            some = first;
-            sinceMicros = nowMicros;
+            batch = first;
+            waitingSinceMicros = nowMicros;
         }
-        batchInFlight = new Command.SessionCommits(nowMicros, some);
+        batchInFlight = new Command.SessionCommits(nowMicros, batch);
         if (waiting.isEmpty()) {
             batchNumber++;
         }
@@ -59,21 +66,25 @@
         return batchInFlight;
     }
 
-    /** The bundle that is out has been accepted, or has not; gives up to which number all is held by a majority. */
-    public long onBatchAnswered(boolean accepted, long nowMicros) {
+    /**
+     * The batch in flight has been committed, or rejected; its commits then wait again, with those that came meanwhile.
+     *
+     * @return up to which batch number a quorum has all commits, or 0 where that has not changed
+     */
+    public long onBatchAnswered(boolean committed, long nowMicros) {
         if (batchInFlight == null) {
             return 0;
         }
-        if (!accepted) {
+        if (!committed) {
             batchInFlight.positions().forEach((session, position) -> waiting.merge(session, position, Math::max));
-            notBefore = nowMicros + RETRY_BACKOFF_MICROS;
-            sinceMicros = Math.min(sinceMicros, nowMicros);
-            // What was in it and what has come meanwhile go together now.
+            notBeforeMicros = nowMicros + RETRY_BACKOFF_MICROS;
+            waitingSinceMicros = Math.min(waitingSinceMicros, nowMicros);
         }
         batchInFlight = null;
-        return accepted ? batchInFlightNumber : 0;
+        return committed ? batchInFlightNumber : 0;
     }
 
+    /** Sessions that wait or are in flight. */
     public int size() {
         return waiting.size()
                 + (batchInFlight == null ? 0 : batchInFlight.positions().size());
--- a/statemachine/src/main/java/lupinvalve/statemachine/SessionTable.java
+++ b/statemachine/src/main/java/lupinvalve/statemachine/SessionTable.java
@@ -6,68 +6,73 @@
 import java.util.function.ObjLongConsumer;
 
 /**
- * Sessions' last commits, by age. A commit older than {@link #AGE} binds nothing: no db node that serves is so far
- * behind. Of more than {@link #MOST} the oldest go first.
+ * The last commit of each session, for causal reads. A log position is a time in microseconds: a commit older than
+ * {@link #MAX_AGE_MICROS} is dropped, since no db node that serves lags so far. Beyond {@link #MAX_SESSIONS} the oldest
+ * go first. Not thread-safe.
  */
 public final class SessionTable {
+    /** Age of a commit at most. */
     public static final long MAX_AGE_MICROS = 600_000_000;
+    /** Sessions at most. */
     public static final int MAX_SESSIONS = 50_000;
 
-    private record Aged(long position, String session) implements Comparable<Aged> {
+    private record ByPosition(long position, String session) implements Comparable<ByPosition> {
         @Override
-        public int compareTo(Aged other) {
+        public int compareTo(ByPosition other) {
             int order = Long.compare(position, other.position);
             return order != 0 ? order : session.compareTo(other.session);
         }
     }
 
-    private final Map<String, Long> lastCommit = new HashMap<>();
-    private final TreeSet<Aged> byAge = new TreeSet<>();
+    private final Map<String, Long> lastCommits = new HashMap<>();
+    private final TreeSet<ByPosition> oldestFirst = new TreeSet<>();
     private long latestMicros;
 
-    /** Position of the session's last commit, or 0. */
+    /** Log position of the session's last commit, or 0. */
     public long lastCommit(String session) {
-        return lastCommit.getOrDefault(session, 0L);
+        return lastCommits.getOrDefault(session, 0L);
     }
 
+    /** How many sessions are in the table. */
     public int size() {
-        return lastCommit.size();
+        return lastCommits.size();
     }
 
-    /** Takes commits as of a time; what has grown too old by the latest time taken so far goes. */
+    /** Adds commits as of a time; drops what is too old by the latest time so far. */
     public void apply(long atMicros, Map<String, Long> positions) {
         latestMicros = Math.max(latestMicros, atMicros);
         positions.forEach(this::put);
-        long oldest = latestMicros - MAX_AGE_MICROS;
-        while (!byAge.isEmpty() && (byAge.size() > MAX_SESSIONS || byAge.first().position() < oldest)) {
-            lastCommit.remove(byAge.pollFirst().session());
+        long oldestPosition = latestMicros - MAX_AGE_MICROS;
+        while (!oldestFirst.isEmpty()
+                && (oldestFirst.size() > MAX_SESSIONS || oldestFirst.first().position() < oldestPosition)) {
+            lastCommits.remove(oldestFirst.pollFirst().session());
         }
     }
 
     private void put(String session, long position) {
-        Long before = lastCommit.get(session);
+        Long before = lastCommits.get(session);
         if (before != null && before >= position || position < latestMicros - MAX_AGE_MICROS) {
             return;
         }
         if (before != null) {
-            byAge.remove(new Aged(before, session));
+            oldestFirst.remove(new ByPosition(before, session));
         }
-        lastCommit.put(session, position);
-        byAge.add(new Aged(position, session));
+        lastCommits.put(session, position);
+        oldestFirst.add(new ByPosition(position, session));
     }
 
     long latestMicros() {
         return latestMicros;
     }
 
-    /** All that is held, the oldest first: the same order wherever the same is held. */
-    void forEachOldestFirst(ObjLongConsumer<String> to) {
-        byAge.forEach(aged -> to.accept(aged.session(), aged.position()));
+    /** All commits, the oldest first: the same order at all members. */
+    void forEachOldestFirst(ObjLongConsumer<String> consumer) {
+        oldestFirst.forEach(commit -> consumer.accept(commit.session(), commit.position()));
     }
 
     void clear() {
-        lastCommit.clear();
-        byAge.clear();
+        lastCommits.clear();
+        oldestFirst.clear();
         latestMicros = 0;
     }
 }
--- a/statemachine/src/main/java/lupinvalve/statemachine/package-info.java
+++ b/statemachine/src/main/java/lupinvalve/statemachine/package-info.java
@@ -1,5 +1,6 @@
 /**
- * What the members of a group agree on, and the decisions around it: no I/O, no clock, told the time as an argument.
- * {@code replication} carries it over the network and to disk.
+ * The replicated state machine of a group of poolers, and the decisions around it: bootstrap, membership changes,
+ * batches, compaction. No I/O, threads or clocks: times are arguments. {@code replication} carries it over the network
+ * and to disk.
  */
 package lupinvalve.statemachine;
--- a/statemachine/src/test/java/lupinvalve/statemachine/ClusterBootstrapTest.java
+++ b/statemachine/src/test/java/lupinvalve/statemachine/ClusterBootstrapTest.java
@@ -19,70 +19,72 @@
 class ClusterBootstrapTest {
     private static final Set<String> NAMES = Set.of("a", "b", "c");
 
-    private static Announcement alone(String name, int disk) {
+    private static Announcement unbound(String name, int disk) {
         return new Announcement(new MemberId(name, "d" + disk), Phase.UNBOUND, Set.of());
     }
 
-    /** Members that hear each other's words late, in any order, that restart, and that lose their disks. */
+    /** Members that get each other's announcements late, in any order, that restart, and that lose their disks. */
     @Test
-    void neverAreTwoGroupsFounded() {
-        int founded = 0;
+    void neverAreTwoGroupsBootstrapped() {
+        int bootstrapped = 0;
         for (int seed = 0; seed < 20_000; seed++) {
             Random random = new Random(seed);
             Map<String, ClusterBootstrap> members = new TreeMap<>();
-            NAMES.forEach(name -> members.put(name, new ClusterBootstrap(alone(name, 0), NAMES)));
+            NAMES.forEach(name -> members.put(name, new ClusterBootstrap(unbound(name, 0), NAMES)));
             Set<Set<MemberId>> groups = new HashSet<>();
-            List<Announcement> words = new ArrayList<>();
+            List<Announcement> announcements = new ArrayList<>();
             int disks = 0;
             for (int step = 0; step < 60; step++) {
                 String name = List.of("a", "b", "c").get(random.nextInt(3));
                 ClusterBootstrap member = members.get(name);
                 int what = random.nextInt(20);
                 if (what == 0 && disks < 2) {
-                    members.put(name, new ClusterBootstrap(alone(name, ++disks), NAMES));
+                    members.put(name, new ClusterBootstrap(unbound(name, ++disks), NAMES));
                 } else if (what == 1) {
                     members.put(name, new ClusterBootstrap(member.own(), NAMES));
                 } else if (what < 8) {
-                    words.add(member.own());
-                } else if (!words.isEmpty()) {
-                    // Links keep words in order, but an old one may be the last that was heard of a disk that is gone.
-                    Announcement word = words.get(Math.max(0, words.size() - 1 - random.nextInt(6)));
-                    if (!word.member().name().equals(name)) {
-                        member.onAnnouncement(word);
+                    announcements.add(member.own());
+                } else if (!announcements.isEmpty()) {
+                    // Links keep announcements in order, but an old one may be the last that was heard of a disk that
+                    // is gone.
+                    Announcement announcement =
+                            announcements.get(Math.max(0, announcements.size() - 1 - random.nextInt(6)));
+                    if (!announcement.member().name().equals(name)) {
+                        member.onAnnouncement(announcement);
                     }
                 }
                 members.values().stream()
                         .map(ClusterBootstrap::own)
-                        .filter(w -> w.phase() == Phase.BOOTSTRAPPED)
-                        .forEach(w -> groups.add(w.founders()));
+                        .filter(one -> one.phase() == Phase.BOOTSTRAPPED)
+                        .forEach(one -> groups.add(one.founders()));
             }
             assertTrue(groups.size() <= 1, "seed " + seed + ": " + groups);
-            founded += groups.size();
+            bootstrapped += groups.size();
         }
-        assertTrue(founded > 1000, "it is founded as a rule: " + founded);
+        assertTrue(bootstrapped > 1000, "it is bootstrapped as a rule: " + bootstrapped);
     }
 
     @Test
-    void allFoundersAreNeededAndALostDiskMakesANewcomer() {
-        ClusterBootstrap a = new ClusterBootstrap(alone("a", 1), NAMES);
-        a.onAnnouncement(alone("b", 1));
-        assertEquals("not heard of c", a.pendingReason());
-        assertEquals(Phase.UNBOUND, a.own().phase());
-        a.onAnnouncement(alone("c", 1));
-        assertEquals(Phase.BOUND, a.own().phase());
-        a.onAnnouncement(
-                new Announcement(new MemberId("b", "d1"), Phase.BOUND, a.own().founders()));
-        assertEquals(Phase.BOUND, a.own().phase());
-        a.onAnnouncement(
-                new Announcement(new MemberId("c", "d1"), Phase.BOUND, a.own().founders()));
-        assertEquals(Phase.BOOTSTRAPPED, a.own().phase());
-        ClusterBootstrap again = new ClusterBootstrap(alone("c", 2), NAMES);
-        again.onAnnouncement(a.own());
-        assertEquals(Phase.JOINING, again.own().phase());
-        assertEquals(a.own().founders(), again.own().founders());
+    void allFoundersAreNeededAndAMemberThatLostItsDiskJoinsAnew() {
+        ClusterBootstrap first = new ClusterBootstrap(unbound("a", 1), NAMES);
+        first.onAnnouncement(unbound("b", 1));
+        assertEquals("not heard of c", first.pendingReason());
+        assertEquals(Phase.UNBOUND, first.own().phase());
+        first.onAnnouncement(unbound("c", 1));
+        assertEquals(Phase.BOUND, first.own().phase());
+        first.onAnnouncement(new Announcement(
+                new MemberId("b", "d1"), Phase.BOUND, first.own().founders()));
+        assertEquals(Phase.BOUND, first.own().phase());
+        first.onAnnouncement(new Announcement(
+                new MemberId("c", "d1"), Phase.BOUND, first.own().founders()));
+        assertEquals(Phase.BOOTSTRAPPED, first.own().phase());
+        ClusterBootstrap returned = new ClusterBootstrap(unbound("c", 2), NAMES);
+        returned.onAnnouncement(first.own());
+        assertEquals(Phase.JOINING, returned.own().phase());
+        assertEquals(first.own().founders(), returned.own().founders());
         assertEquals(
                 Phase.BOOTSTRAPPED,
-                new ClusterBootstrap(alone("x", 1), Set.of("x")).own().phase());
+                new ClusterBootstrap(unbound("x", 1), Set.of("x")).own().phase());
     }
 
     private static MemberId id(String name) {
@@ -96,22 +98,22 @@
     }
 
     private static MembershipChange.Step next(
-            boolean in, String name, String voting, String learning, String strangers, String reach, long behind) {
+            boolean add, String name, String voters, String learners, String nonMembers, String reachable, long lag) {
         return MembershipChange.nextStep(
-                new MembershipChange.Request(in, name),
+                new MembershipChange.Request(add, name),
                 new MembershipChange.GroupView(
                         id("a"),
-                        ids(voting),
-                        ids(learning),
-                        ids(strangers),
-                        ids(reach),
-                        Map.of(id("b"), 996L, id("c"), 1000L, id("n"), 1000 - behind),
+                        ids(voters),
+                        ids(learners),
+                        ids(nonMembers),
+                        ids(reachable),
+                        Map.of(id("b"), 996L, id("c"), 1000L, id("n"), 1000 - lag),
                         1000,
                         995));
     }
 
     @Test
-    void newcomersLearnBeforeTheyVoteAndNoStepLosesTheMajority() {
+    void newMembersLearnBeforeTheyVoteAndNoStepLosesTheQuorum() {
         assertInstanceOf(MembershipChange.Step.Rejected.class, next(true, "n", "abc", "", "", "abc", 0));
         assertEquals(new MembershipChange.Step.AddLearner(id("n")), next(true, "n", "abc", "", "n", "abcn", 0));
         assertInstanceOf(MembershipChange.Step.Wait.class, next(true, "n", "abc", "n", "", "abcn", 900));
--- a/statemachine/src/test/java/lupinvalve/statemachine/ReplicatedStateTest.java
+++ b/statemachine/src/test/java/lupinvalve/statemachine/ReplicatedStateTest.java
@@ -22,12 +22,12 @@
     }
 
     private static Command any(Random random, long now) {
-        Command.DrainTarget held =
+        Command.DrainTarget target =
                 new Command.DrainTarget(Command.TargetKind.values()[random.nextInt(2)], "x" + random.nextInt(4));
         return switch (random.nextInt(7)) {
             case 0 -> new Command.PutDocument(random.nextInt(4), bytes("{\"n\":" + random.nextInt() + "}"));
-            case 1 -> new Command.StartDrain(held, "why " + random.nextInt(9), now);
-            case 2 -> new Command.EndDrain(held);
+            case 1 -> new Command.StartDrain(target, "why " + random.nextInt(9), now);
+            case 2 -> new Command.EndDrain(target);
             case 3 -> {
                 Map<String, Long> positions = new HashMap<>();
                 for (int i = random.nextInt(20); i > 0; i--) {
@@ -47,53 +47,53 @@
         };
     }
 
-    private static List<String> state(ReplicatedState ledger) {
-        return SnapshotCodec.encode(ledger).stream().map(Arrays::toString).toList();
+    private static List<String> snapshot(ReplicatedState state) {
+        return SnapshotCodec.encode(state).stream().map(Arrays::toString).toList();
     }
 
     @Test
-    void changesAndSnapshotsComeBackAsTheyWereAndLeadToTheSame() throws Exception {
+    void commandsAndSnapshotsComeBackAsTheyWereAndLeadToTheSameState() throws Exception {
         for (int seed = 0; seed < 60; seed++) {
             Random random = new Random(seed);
             ReplicatedState one = new ReplicatedState();
             ReplicatedState read = new ReplicatedState();
             ReplicatedState resumed = new ReplicatedState();
             for (int i = 1; i < 150; i++) {
-                Command change = any(random, 1_000_000_000L + i * 20_000_000L);
-                byte[] written = CommandCodec.encode(change);
+                Command command = any(random, 1_000_000_000L + i * 20_000_000L);
+                byte[] written = CommandCodec.encode(command);
                 assertArrayEquals(written, CommandCodec.encode(CommandCodec.decode(written)));
-                ReplicatedState.Outcome outcome = one.apply(i, change);
+                ReplicatedState.Outcome outcome = one.apply(i, command);
                 assertEquals(outcome, read.apply(i, CommandCodec.decode(written)));
-                assertEquals(outcome, resumed.apply(i, change));
+                assertEquals(outcome, resumed.apply(i, command));
                 if (random.nextInt(10) == 0) {
                     ReplicatedState next = new ReplicatedState();
                     SnapshotCodec.restore(next, SnapshotCodec.encode(resumed));
                     resumed = next;
                 }
             }
-            assertEquals(state(one), state(read));
-            assertEquals(state(one), state(resumed));
+            assertEquals(snapshot(one), snapshot(read));
+            assertEquals(snapshot(one), snapshot(resumed));
         }
     }
 
     @Test
-    void aConfigurationReplacesOnlyTheRevisionThatWasMeant() {
-        ReplicatedState ledger = new ReplicatedState();
-        assertNull(ledger.document());
+    void aDocumentReplacesOnlyTheExpectedRevision() {
+        ReplicatedState state = new ReplicatedState();
+        assertNull(state.document());
         assertEquals(
                 new ReplicatedState.Outcome(ReplicatedState.Result.CONFLICT, 0),
-                ledger.apply(1, new Command.PutDocument(1, bytes("a"))));
+                state.apply(1, new Command.PutDocument(1, bytes("a"))));
         assertEquals(
                 new ReplicatedState.Outcome(ReplicatedState.Result.APPLIED, 1),
-                ledger.apply(2, new Command.PutDocument(0, bytes("a"))));
+                state.apply(2, new Command.PutDocument(0, bytes("a"))));
         assertEquals(
                 new ReplicatedState.Outcome(ReplicatedState.Result.CONFLICT, 1),
-                ledger.apply(3, new Command.PutDocument(0, bytes("b"))));
+                state.apply(3, new Command.PutDocument(0, bytes("b"))));
         assertEquals(
                 new ReplicatedState.Outcome(ReplicatedState.Result.LIMIT_EXCEEDED, 1),
-                ledger.apply(4, new Command.PutDocument(1, new byte[ReplicatedState.MAX_DOCUMENT_BYTES + 1])));
-        assertEquals(2, ledger.document().index());
-        assertEquals(ReplicatedState.digest(bytes("a")), ledger.document().digest());
+                state.apply(4, new Command.PutDocument(1, new byte[ReplicatedState.MAX_DOCUMENT_BYTES + 1])));
+        assertEquals(2, state.document().index());
+        assertEquals(ReplicatedState.digest(bytes("a")), state.document().digest());
     }
 
     @Test
@@ -115,43 +115,43 @@
     }
 
     @Test
-    void whatIsNoChangeIsTurnedDown() {
+    void whatIsNoCommandIsRejected() {
         byte[] put = CommandCodec.encode(new Command.PutDocument(0, bytes("{}")));
         assertThrows(IOException.class, () -> CommandCodec.decode(Arrays.copyOf(put, put.length - 1)));
-        assertThrows(IOException.class, () -> CommandCodec.decode(new byte[] {23}));
-        assertThrows(IOException.class, () -> CommandCodec.decode(Arrays.copyOf(put, put.length + 1)));
+        assertThrows(DecodingException.class, () -> CommandCodec.decode(new byte[] {23}));
+        assertThrows(DecodingException.class, () -> CommandCodec.decode(Arrays.copyOf(put, put.length + 1)));
         assertThrows(
-                IOException.class,
+                DecodingException.class,
                 () -> SnapshotCodec.restore(
                         new ReplicatedState(),
                         List.of(new Cbor.Writer().number(2).toByteArray())));
     }
 
     @Test
-    void aBundleIsOutUntilItIsAnsweredAndNothingIsForgotten() {
+    void aBatchIsInFlightUntilItIsAnsweredAndNothingIsForgotten() {
         for (int seed = 0; seed < 200; seed++) {
             Random random = new Random(seed);
-            SessionCommitBatcher outbox = new SessionCommitBatcher();
+            SessionCommitBatcher batcher = new SessionCommitBatcher();
             Map<String, Long> wanted = new HashMap<>();
             Map<String, Long> accepted = new HashMap<>();
             List<Map.Entry<Long, Map.Entry<String, Long>>> numbers = new ArrayList<>();
-            Command.SessionCommits out = null;
+            Command.SessionCommits batch = null;
             long done = 0;
-            for (long now = 0; now < 40_000_000 || outbox.size() > 0; now += 1000 + random.nextInt(300_000)) {
+            for (long now = 0; now < 40_000_000 || batcher.size() > 0; now += 1000 + random.nextInt(300_000)) {
                 if (now < 40_000_000) {
                     String session = "s" + random.nextInt(5000);
                     wanted.put(session, now);
-                    numbers.add(Map.entry(outbox.add(session, now, now), Map.entry(session, now)));
+                    numbers.add(Map.entry(batcher.add(session, now, now), Map.entry(session, now)));
                 }
-                if (out == null) {
-                    out = outbox.nextBatch(now);
+                if (batch == null) {
+                    batch = batcher.nextBatch(now);
                 } else {
-                    boolean taken = random.nextInt(3) > 0;
-                    if (taken) {
-                        out.positions().forEach((s, p) -> accepted.merge(s, p, Math::max));
+                    boolean committed = random.nextInt(3) > 0;
+                    if (committed) {
+                        batch.positions().forEach((session, position) -> accepted.merge(session, position, Math::max));
                     }
-                    done = Math.max(done, outbox.onBatchAnswered(taken, now));
-                    out = null;
+                    done = Math.max(done, batcher.onBatchAnswered(committed, now));
+                    batch = null;
                 }
                 for (Map.Entry<Long, Map.Entry<String, Long>> number : numbers) {
                     if (number.getKey() <= done) {
@@ -159,7 +159,7 @@
                                 true,
                                 accepted.getOrDefault(number.getValue().getKey(), -1L)
                                         >= number.getValue().getValue(),
-                                "told as held before it was");
+                                "reported as committed before it was");
                     }
                 }
                 long upTo = done;
@@ -171,7 +171,7 @@
     }
 
     @Test
-    void historyIsCutOnceItOutweighsTheState() {
+    void theLogIsCompactedOnceItOutweighsTheState() {
         assertEquals(false, CompactionPolicy.isDue(CompactionPolicy.MIN_HISTORY_BYTES, 0, 0));
         assertEquals(true, CompactionPolicy.isDue(CompactionPolicy.MIN_HISTORY_BYTES + 1, 0, 0));
         assertEquals(false, CompactionPolicy.isDue(3_000_000, 0, 3_000_000));
@@ -179,25 +179,25 @@
     }
 
     @Test
-    void cutOffAPoolerGoesOnWithWhatItHasAndSaysSoOnce() {
-        ActiveConfiguration adoption = new ActiveConfiguration(0);
-        assertEquals("no configuration was accepted yet; what needs one is not served", adoption.describe());
+    void withoutAQuorumAPoolerKeepsItsConfigurationAndSaysSoOnce() {
+        ActiveConfiguration active = new ActiveConfiguration(0);
+        assertEquals("no configuration was accepted yet; what needs one is not served", active.describe());
         ReplicatedState.Document first = new ReplicatedState.Document(1, 5, "d1", bytes("{}"));
-        assertEquals(ActiveConfiguration.Verdict.ACTIVATE, adoption.onCommitted(first, null));
-        assertEquals(ActiveConfiguration.Verdict.NOT_NEWER, adoption.onCommitted(first, null));
+        assertEquals(ActiveConfiguration.Verdict.ACTIVATE, active.onCommitted(first, null));
+        assertEquals(ActiveConfiguration.Verdict.NOT_NEWER, active.onCommitted(first, null));
         assertEquals(
                 ActiveConfiguration.Verdict.UNREADABLE,
-                adoption.onCommitted(new ReplicatedState.Document(2, 6, "d2", bytes("?")), "strange"));
-        assertEquals(first, adoption.active());
-        assertEquals("serving with revision 1 (d1); revision 2 can't be used: strange", adoption.describe());
-        assertNull(adoption.onQuorumContact(false, ActiveConfiguration.CUT_OFF_GRACE_MICROS - 1));
+                active.onCommitted(new ReplicatedState.Document(2, 6, "d2", bytes("?")), "strange"));
+        assertEquals(first, active.active());
+        assertEquals("serving with revision 1 (d1); revision 2 can't be used: strange", active.describe());
+        assertNull(active.onQuorumContact(false, ActiveConfiguration.QUORUM_LOSS_GRACE_MICROS - 1));
         assertEquals(
-                "cut off from the majority: " + adoption.describe(),
-                adoption.onQuorumContact(false, ActiveConfiguration.CUT_OFF_GRACE_MICROS));
-        assertNull(adoption.onQuorumContact(false, ActiveConfiguration.CUT_OFF_GRACE_MICROS + 1));
+                "quorum lost: " + active.describe(),
+                active.onQuorumContact(false, ActiveConfiguration.QUORUM_LOSS_GRACE_MICROS));
+        assertNull(active.onQuorumContact(false, ActiveConfiguration.QUORUM_LOSS_GRACE_MICROS + 1));
         assertEquals(
-                "in touch with the majority again",
-                adoption.onQuorumContact(true, ActiveConfiguration.CUT_OFF_GRACE_MICROS + 2));
-        assertNull(adoption.onQuorumContact(true, ActiveConfiguration.CUT_OFF_GRACE_MICROS + 3));
+                "quorum in reach again",
+                active.onQuorumContact(true, ActiveConfiguration.QUORUM_LOSS_GRACE_MICROS + 2));
+        assertNull(active.onQuorumContact(true, ActiveConfiguration.QUORUM_LOSS_GRACE_MICROS + 3));
     }
 }
