--- a/audit/src/main/java/lupinvalve/audit/AuditEntry.java
+++ b/audit/src/main/java/lupinvalve/audit/AuditEntry.java
@@ -1,22 +1,22 @@
 package lupinvalve.audit;
 
 import java.io.IOException;
-import java.security.MessageDigest;
-import java.security.NoSuchAlgorithmException;
-import java.util.HexFormat;
+import java.util.Locale;
 import lupinvalve.statemachine.Cbor;
+import lupinvalve.statemachine.DecodingException;
+import lupinvalve.statemachine.Digests;
 
 /**
- * One thing that a pooler notes of itself. Each holds the digest of the one before, so that one that is missing or was
- * changed shows.
+ * One event that a pooler notes of itself. Each entry has the digest of the one before, so that a missing or changed
+ * one shows.
  *
- * @param life which of the pooler's processes, by the time it started
- * @param number from 1 in each life
- * @param version what was acted on, in words; empty where none
- * @param index the change of the agreed history up to which it acts
+ * @param incarnation which of the pooler's processes: when it started, Unix time in microseconds
+ * @param number from 1 in each incarnation
+ * @param version the configuration that is acted on, in words; empty where none
+ * @param index of the log entry up to which the pooler acts
  * @param atMicros by the pooler's own clock, Unix time
  * @param errorMicros by how much that clock may be off
- * @param before digest of the entry before it in this life; empty for the first
+ * @param previousDigest of the entry before in this incarnation; empty for the first
  */
 public record AuditEntry(
         String pooler,
@@ -29,32 +29,44 @@
         long errorMicros,
         String reason,
         String previousDigest) {
-    /** What was noted. */
+    /** What was noted. Stored and sent by ordinal: the order must not change. */
     public enum Event {
+        /** The process started. */
         STARTED,
+        /** The process ended. */
         ENDED,
-        /** It holds a version and may act on it from now on. */
+        /** It has a version and may act on it from now on. */
         ADOPTED,
         /** All its decisions are under the version from now on, and none under the one before. */
         CEASED_OTHERS,
         /** It can't act on a version. */
         REFUSED,
-        /** No majority is in touch, or is again. */
+        /** No quorum is in reach. */
         CUT_OFF,
+        /** A quorum is in reach again. */
         BACK,
-        /** Its lease has ended and it refuses all; or it acts again. */
+        /** Its lease has ended and it rejects all requests. */
         FENCED,
+        /** It has a lease again. */
         RETURNED,
-        /** Earlier entries were dropped; why tells how many and when they were. */
-        DROPPED
+        /** Earlier entries were dropped; the reason tells how many and when they were. */
+        DROPPED;
+
+        /** The name in answers and logs. */
+        public String text() {
+            return name().toLowerCase(Locale.ROOT);
+        }
     }
 
     private static final int MAX_REASON_CHARS = 300;
+    private static final int DIGEST_BYTES = 16;
 
+    /** Shortens the reason. */
     public AuditEntry {
         reason = reason.length() > MAX_REASON_CHARS ? reason.substring(0, MAX_REASON_CHARS) : reason;
     }
 
+    /** The entry as it is stored and sent. */
     public byte[] encode() {
         return new Cbor.Writer()
                 .text(pooler)
@@ -70,6 +82,7 @@
                 .toByteArray();
     }
 
+    /** Decodes what {@link #encode} gave; throws {@link DecodingException} where the bytes are no entry. */
     public static AuditEntry decode(byte[] bytes) throws IOException {
         Cbor.Reader in = new Cbor.Reader(bytes);
         AuditEntry entry = new AuditEntry(
@@ -84,17 +97,13 @@
                 in.text(),
                 in.text());
         if (!in.atEnd()) {
-            throw new IOException("more than an entry");
+            throw new DecodingException("bytes after an audit entry");
         }
         return entry;
     }
 
-    /** What the next entry holds of this one. */
+    /** What the next entry has as {@link #previousDigest}. */
     public String digest() {
-        try {
-            return HexFormat.of().formatHex(MessageDigest.getInstance("SHA-256").digest(encode()), 0, 16);
-        } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException(e);
-        }
+        return Digests.sha256Hex(encode(), DIGEST_BYTES);
     }
 }
--- a/audit/src/main/java/lupinvalve/audit/AuditHistory.java
+++ b/audit/src/main/java/lupinvalve/audit/AuditHistory.java
@@ -6,20 +6,25 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import java.util.stream.Stream;
 
 /**
- * Which pooler acted on which version when, as far as its own entries tell. What is not known is said as not known,
- * with the reason. Without I/O.
+ * Which pooler acted on which version when, as far as its own entries tell; where they don't, that is said with the
+ * reason. Immutable after construction. No I/O.
  */
 public final class AuditHistory {
-    /** For how long after its last entry a pooler is taken to go on as it said: a change would have brought another. */
+    /** The end of a span where nothing says that the pooler ceased. */
+    public static final long OPEN_END_MICROS = Long.MAX_VALUE;
+    /** For how long after its last entry a pooler counts as unchanged: a change would have brought another entry. */
     private static final long COVERAGE_MICROS = 5_000_000;
 
     /**
-     * From when to when a pooler may have acted on a version: widened by what its clock may be off.
+     * From when to when a pooler may have acted on a version, widened by what its clock may be off.
      *
-     * @param to Long.MAX_VALUE where nothing says that it ceased
-     * @param ended whether an entry tells the end; else {@code to} is only where knowledge ends
+     * @param index of the version's log entry
+     * @param toMicros {@link #OPEN_END_MICROS} where nothing says that it ceased
+     * @param ended whether an entry tells the end; else {@code toMicros} is only where knowledge ends
+     * @param reason of the end, or why it is not known
      */
     public record VersionSpan(
             String pooler,
@@ -29,164 +34,207 @@
             long fromMicros,
             long toMicros,
             boolean ended,
-            String reason) {}
+            String reason) {
+        private static VersionSpan adopted(AuditEntry entry) {
+            return new VersionSpan(
+                    entry.pooler(),
+                    entry.incarnation(),
+                    entry.version(),
+                    entry.index(),
+                    earliest(entry),
+                    OPEN_END_MICROS,
+                    false,
+                    "");
+        }
+
+        private VersionSpan startingAt(long startMicros) {
+            return new VersionSpan(pooler, incarnation, version, index, startMicros, OPEN_END_MICROS, false, "");
+        }
 
-    private final TreeMap<String, TreeMap<Long, List<AuditEntry>>> incarnationsByPooler = new TreeMap<>();
+        private VersionSpan endingAt(long endMicros, boolean byEntry, String why) {
+            return new VersionSpan(pooler, incarnation, version, index, fromMicros, endMicros, byEntry, why);
+        }
+
+        private boolean covers(long micros) {
+            return fromMicros <= micros && micros < toMicros;
+        }
+    }
+
+    /**
+     * What is known of one pooler at a time.
+     *
+     * @param versions that it may have acted on
+     * @param certain whether its entries cover the time
+     * @param reason why it is not certain, or why there are no versions
+     */
+    public record Coverage(String pooler, List<String> versions, boolean certain, String reason) {}
 
-    /** @param entries of all poolers, in any order; doubles count once */
+    /** Entries by pooler and incarnation, in the order of their numbers. */
+    private final TreeMap<String, TreeMap<Long, List<AuditEntry>>> entriesByPooler = new TreeMap<>();
+
+    /** @param entries of all poolers, in any order; duplicates count once */
     public AuditHistory(Collection<AuditEntry> entries) {
         for (AuditEntry entry : entries) {
-            List<AuditEntry> life = incarnationsByPooler
-                    .computeIfAbsent(entry.pooler(), p -> new TreeMap<>())
-                    .computeIfAbsent(entry.incarnation(), l -> new ArrayList<>());
-            if (life.stream().noneMatch(e -> e.number() == entry.number())) {
-                life.add(entry);
+            List<AuditEntry> incarnation = entriesByPooler
+                    .computeIfAbsent(entry.pooler(), pooler -> new TreeMap<>())
+                    .computeIfAbsent(entry.incarnation(), started -> new ArrayList<>());
+            if (incarnation.stream().noneMatch(other -> other.number() == entry.number())) {
+                incarnation.add(entry);
             }
         }
-        incarnationsByPooler.values().forEach(of -> of.values()
-                .forEach(life -> life.sort(Comparator.comparingLong(AuditEntry::number))));
+        incarnations().forEach(incarnation -> incarnation.sort(Comparator.comparingLong(AuditEntry::number)));
+    }
+
+    private Stream<List<AuditEntry>> incarnations() {
+        return entriesByPooler.values().stream().flatMap(incarnations -> incarnations.values().stream());
     }
 
+    private Stream<AuditEntry> entriesOf(String pooler) {
+        return entriesByPooler.get(pooler).values().stream().flatMap(List::stream);
+    }
+
+    /** Names of all poolers with entries, in order. */
     public List<String> poolers() {
-        return List.copyOf(incarnationsByPooler.keySet());
+        return List.copyOf(entriesByPooler.keySet());
     }
 
-    /** Breaks of chains, each in words. */
+    /** Breaks of the entries' chains, each in words. */
     public List<String> chainBreaks() {
-        List<String> all = new ArrayList<>();
-        incarnationsByPooler.values().forEach(of -> of.values().forEach(life -> {
-            String broken = AuditJournal.chainBreak(life);
-            if (broken != null) {
-                all.add(broken);
+        List<String> breaks = new ArrayList<>();
+        incarnations().forEach(incarnation -> {
+            String chainBreak = AuditJournal.chainBreak(incarnation);
+            if (chainBreak != null) {
+                breaks.add(chainBreak);
             }
-        }));
-        return all;
+        });
+        return breaks;
     }
 
     /** All that a pooler may have acted on, in order. */
     public List<VersionSpan> spansOf(String pooler) {
-        List<VersionSpan> all = new ArrayList<>();
-        TreeMap<Long, List<AuditEntry>> own = incarnationsByPooler.getOrDefault(pooler, new TreeMap<>());
-        own.forEach((life, entries) -> life(entries, nextStart(own, life), all));
-        return all;
-    }
-
-    private static long nextStart(TreeMap<Long, List<AuditEntry>> own, long life) {
-        Map.Entry<Long, List<AuditEntry>> next = own.higherEntry(life);
-        return next == null ? Long.MAX_VALUE : next.getValue().get(0).atMicros();
-    }
-
-    private static void life(List<AuditEntry> entries, long successor, List<VersionSpan> all) {
-        List<VersionSpan> open = new ArrayList<>();
-        boolean fenced = false;
-        for (AuditEntry e : entries) {
-            long at = e.atMicros();
-            switch (e.event()) {
-                case ADOPTED -> open.add(new VersionSpan(
-                        e.pooler(),
-                        e.incarnation(),
-                        e.version(),
-                        e.index(),
-                        at - e.errorMicros(),
-                        Long.MAX_VALUE,
-                        false,
-                        ""));
-                case CEASED_OTHERS -> {
-                    List<VersionSpan> stays = open.stream()
-                            .filter(a -> a.version().equals(e.version()))
-                            .toList();
-                    if (!fenced) {
-                        open.stream()
-                                .filter(a -> !a.version().equals(e.version()))
-                                .forEach(a -> all.add(ended(a, at + e.errorMicros(), "took up " + e.version())));
-                    }
-                    open.clear();
-                    open.addAll(stays.isEmpty() ? List.of() : stays.subList(0, 1));
-                }
-                case FENCED, ENDED -> {
-                    if (!fenced) {
-                        open.forEach(a -> all.add(ended(
-                                a, at + e.errorMicros(), e.event() == AuditEntry.Event.ENDED ? "ended" : "fenced")));
-                    }
-                    fenced = true;
-                }
+        List<VersionSpan> spans = new ArrayList<>();
+        TreeMap<Long, List<AuditEntry>> incarnations = entriesByPooler.getOrDefault(pooler, new TreeMap<>());
+        incarnations.forEach((started, entries) -> {
+            Replay replay = new Replay(spans);
+            entries.forEach(replay::take);
+            replay.finish(nextStart(incarnations, started));
+        });
+        return spans;
+    }
+
+    /** When the next incarnation started, or {@link #OPEN_END_MICROS}. */
+    private static long nextStart(TreeMap<Long, List<AuditEntry>> incarnations, long started) {
+        Map.Entry<Long, List<AuditEntry>> next = incarnations.higherEntry(started);
+        return next == null ? OPEN_END_MICROS : next.getValue().get(0).atMicros();
+    }
+
+    private static long earliest(AuditEntry entry) {
+        return entry.atMicros() - entry.errorMicros();
+    }
+
+    private static long latest(AuditEntry entry) {
+        return entry.atMicros() + entry.errorMicros();
+    }
+
+    /** Replays the entries of one incarnation and collects the spans. */
+    private static final class Replay {
+        private final List<VersionSpan> spans;
+        private final List<VersionSpan> open = new ArrayList<>();
+        private boolean fenced;
+
+        Replay(List<VersionSpan> spans) {
+            this.spans = spans;
+        }
+
+        void take(AuditEntry entry) {
+            switch (entry.event()) {
+                case ADOPTED -> open.add(VersionSpan.adopted(entry));
+                case CEASED_OTHERS -> ceaseOthers(entry);
+                case FENCED -> fence(entry, "fenced");
+                case ENDED -> fence(entry, "ended");
                 case RETURNED -> {
                     fenced = false;
-                    open.replaceAll(a -> new VersionSpan(
-                            a.pooler(),
-                            a.incarnation(),
-                            a.version(),
-                            a.index(),
-                            at - e.errorMicros(),
-                            Long.MAX_VALUE,
-                            false,
-                            ""));
+                    open.replaceAll(span -> span.startingAt(earliest(entry)));
                 }
                 default -> {
                     // What it acts on stays.
                 }
             }
         }
-        if (!fenced) {
-            open.forEach(a -> all.add(new VersionSpan(
-                    a.pooler(),
-                    a.incarnation(),
-                    a.version(),
-                    a.index(),
-                    a.fromMicros(),
-                    successor == Long.MAX_VALUE ? a.toMicros() : successor,
-                    false,
-                    successor == Long.MAX_VALUE
-                            ? "no entry since"
-                            : "its next process started; when this one ended is not known")));
+
+        private void ceaseOthers(AuditEntry entry) {
+            VersionSpan current = null;
+            for (VersionSpan span : open) {
+                if (span.version().equals(entry.version())) {
+                    current = current == null ? span : current;
+                } else if (!fenced) {
+                    spans.add(span.endingAt(latest(entry), true, "took up " + entry.version()));
+                }
+            }
+            open.clear();
+            if (current != null) {
+                open.add(current);
+            }
         }
-    }
 
-    private static VersionSpan ended(VersionSpan a, long to, String why) {
-        return new VersionSpan(a.pooler(), a.incarnation(), a.version(), a.index(), a.fromMicros(), to, true, why);
-    }
+        private void fence(AuditEntry entry, String reason) {
+            if (!fenced) {
+                open.forEach(span -> spans.add(span.endingAt(latest(entry), true, reason)));
+            }
+            fenced = true;
+        }
 
-    /** What is known of one pooler at a time: on what it may have acted, and how sure that is. */
-    public record Coverage(String pooler, List<String> versions, boolean certain, String reason) {}
+        void finish(long nextStartMicros) {
+            if (!fenced) {
+                String reason = nextStartMicros == OPEN_END_MICROS
+                        ? "no entry since"
+                        : "its next process started; when this one ended is not known";
+                open.forEach(span -> spans.add(span.endingAt(nextStartMicros, false, reason)));
+            }
+        }
+    }
 
-    /** For each pooler, on what it may have acted at a time. */
+    /** For each pooler, what it may have acted on at a time. */
     public List<Coverage> coverageAt(long micros) {
-        List<Coverage> all = new ArrayList<>();
-        for (String pooler : incarnationsByPooler.keySet()) {
-            List<VersionSpan> then = spansOf(pooler).stream()
-                    .filter(a -> a.fromMicros() <= micros && micros < a.toMicros())
-                    .toList();
-            AuditEntry last = last(pooler, micros);
-            boolean later = incarnationsByPooler.get(pooler).values().stream()
-                    .flatMap(List::stream)
-                    .anyMatch(e -> e.atMicros() > micros);
-            boolean sure = last != null
-                    && (later || micros - last.atMicros() < COVERAGE_MICROS)
-                    && then.stream().allMatch(a -> a.ended() || later || micros - last.atMicros() < COVERAGE_MICROS);
-            String why = last == null
-                    ? "no entry so early"
-                    : then.isEmpty()
-                            ? "acted on none: " + last.event().name().toLowerCase(java.util.Locale.ROOT)
-                            : sure ? "" : "no entry since " + last.atMicros() + " us";
-            all.add(new Coverage(
-                    pooler, then.stream().map(VersionSpan::version).distinct().toList(), sure, why));
+        return entriesByPooler.keySet().stream()
+                .map(pooler -> coverage(pooler, micros))
+                .toList();
+    }
+
+    private Coverage coverage(String pooler, long micros) {
+        List<VersionSpan> spans =
+                spansOf(pooler).stream().filter(span -> span.covers(micros)).toList();
+        AuditEntry last = lastEntry(pooler, micros);
+        if (last == null) {
+            return new Coverage(pooler, versions(spans), false, "no entry so early");
         }
-        return all;
+        boolean certain = micros - last.atMicros() < COVERAGE_MICROS
+                || entriesOf(pooler).anyMatch(entry -> entry.atMicros() > micros);
+        String reason = "";
+        if (spans.isEmpty()) {
+            reason = "acted on none: " + last.event().text();
+        } else if (!certain) {
+            reason = "no entry since " + last.atMicros() + " us";
+        }
+        return new Coverage(pooler, versions(spans), certain, reason);
+    }
+
+    private static List<String> versions(List<VersionSpan> spans) {
+        return spans.stream().map(VersionSpan::version).distinct().toList();
     }
 
-    private AuditEntry last(String pooler, long micros) {
-        return incarnationsByPooler.get(pooler).values().stream()
-                .flatMap(List::stream)
-                .filter(e -> e.atMicros() <= micros)
+    private AuditEntry lastEntry(String pooler, long micros) {
+        return entriesOf(pooler)
+                .filter(entry -> entry.atMicros() <= micros)
                 .max(Comparator.comparingLong(AuditEntry::atMicros))
                 .orElse(null);
     }
 
-    /** All that acted on a version. */
+    /** All spans, of all poolers, under a version or one whose name begins so. */
     public List<VersionSpan> spansUnder(String version) {
-        return incarnationsByPooler.keySet().stream()
-                .flatMap(p -> spansOf(p).stream())
-                .filter(a -> a.version().startsWith(version))
+        return entriesByPooler.keySet().stream()
+                .flatMap(pooler -> spansOf(pooler).stream())
+                .filter(span -> span.version().startsWith(version))
                 .toList();
     }
 }
--- a/audit/src/main/java/lupinvalve/audit/AuditJournal.java
+++ b/audit/src/main/java/lupinvalve/audit/AuditJournal.java
@@ -4,85 +4,86 @@
 import java.util.List;
 
 /**
- * One life's entries: chains them, bounds them, and says which are to be delivered. Without I/O; whoever carries it
- * forces what {@link #add} gives before it is acted on.
+ * The audit entries of one incarnation: chains them, bounds their number, and tells which are to be delivered to the
+ * group. No I/O: the caller forces what {@link #add} returns to disk before it acts on it. Not thread-safe.
  */
 public final class AuditJournal {
-    /** Entries kept at most; of more the older half goes, with a summary. */
+    /** Entries retained at most; beyond it the older half is replaced by a summary. */
     static final int MAX_ENTRIES = 4_000;
 
     private final String pooler;
-    private final long incarnation, errorMicros;
+    private final long incarnation;
+    private final long errorMicros;
     private final List<AuditEntry> retained = new ArrayList<>();
-    private long number, deliveredUpTo;
-    private String last = "";
+    private long lastNumber;
+    private String lastDigest = "";
+    private long deliveredNumber;
 
     /** @param errorMicros by how much the pooler's clock may be off */
-    public AuditJournal(String pooler, long life, long errorMicros) {
+    public AuditJournal(String pooler, long incarnation, long errorMicros) {
         this.pooler = pooler;
-        this.incarnation = life;
+        this.incarnation = incarnation;
         this.errorMicros = errorMicros;
     }
 
-    /** Notes something; gives what is to be written and forced, one or more entries. */
-    public List<AuditEntry> add(AuditEntry.Event what, String version, long index, long atMicros, String why) {
+    /** Notes an event; returns the entries to be written: this one, and a summary before it where some were dropped. */
+    public List<AuditEntry> add(AuditEntry.Event event, String version, long index, long atMicros, String reason) {
         List<AuditEntry> added = new ArrayList<>();
         if (retained.size() >= MAX_ENTRIES) {
-            List<AuditEntry> old = retained.subList(0, MAX_ENTRIES / 2);
-            String summary = old.size() + " entries from " + old.get(0).number() + " on, of "
-                    + old.get(0).atMicros() + " to " + old.get(old.size() - 1).atMicros() + " us";
-            long undelivered =
-                    old.stream().filter(e -> e.number() > deliveredUpTo).count();
-            old.clear();
-            added.add(next(
-                    AuditEntry.Event.DROPPED,
-                    "",
-                    index,
-                    atMicros,
-                    summary + ", " + undelivered + " of them not delivered"));
+            added.add(append(AuditEntry.Event.DROPPED, "", index, atMicros, dropOlderHalf()));
         }
-        added.add(next(what, version, index, atMicros, why));
+        added.add(append(event, version, index, atMicros, reason));
         return added;
     }
 
-    private AuditEntry next(AuditEntry.Event what, String version, long index, long atMicros, String why) {
-        AuditEntry entry =
-                new AuditEntry(pooler, incarnation, ++number, what, version, index, atMicros, errorMicros, why, last);
-        last = entry.digest();
+    private String dropOlderHalf() {
+        List<AuditEntry> dropped = retained.subList(0, MAX_ENTRIES / 2);
+        AuditEntry first = dropped.get(0);
+        AuditEntry last = dropped.get(dropped.size() - 1);
+        long undelivered = dropped.stream()
+                .filter(entry -> entry.number() > deliveredNumber)
+                .count();
+        String summary = dropped.size() + " entries from " + first.number() + " on, of " + first.atMicros() + " to "
+                + last.atMicros() + " us, " + undelivered + " of them not delivered";
+        dropped.clear();
+        return summary;
+    }
+
+    private AuditEntry append(AuditEntry.Event event, String version, long index, long atMicros, String reason) {
+        AuditEntry entry = new AuditEntry(
+                pooler, incarnation, ++lastNumber, event, version, index, atMicros, errorMicros, reason, lastDigest);
+        lastDigest = entry.digest();
         retained.add(entry);
         return entry;
     }
 
-    /** What the group has not been told yet, so many at most. */
-    public List<AuditEntry> undelivered(int most) {
+    /** The first entries that the group does not have yet, {@code max} at most. */
+    public List<AuditEntry> undelivered(int max) {
         return retained.stream()
-                .filter(e -> e.number() > deliveredUpTo)
-                .limit(most)
+                .filter(entry -> entry.number() > deliveredNumber)
+                .limit(max)
                 .toList();
     }
 
-    /** The group holds all up to a number. */
+    /** The group has all entries up to a number. */
     public void markDelivered(long upTo) {
-        deliveredUpTo = Math.max(deliveredUpTo, upTo);
+        deliveredNumber = Math.max(deliveredNumber, upTo);
     }
 
-    /**
-     * Why a life's entries, in the order of their numbers, are not one chain, or null. A summary stands for what it
-     * names.
-     */
+    /** Why entries of one incarnation, in the order of their numbers, are not one chain, or null. */
     public static String chainBreak(List<AuditEntry> entries) {
-        AuditEntry before = null;
+        AuditEntry previous = null;
         for (AuditEntry entry : entries) {
-            if (before != null
-                    && entry.number() == before.number() + 1
-                    && !entry.previousDigest().equals(before.digest())) {
-                return entry.pooler() + "'s entry " + entry.number() + " does not follow from " + before.number();
-            }
-            if (before != null && entry.number() > before.number() + 1) {
-                return entry.pooler() + "'s entries " + (before.number() + 1) + " to " + (entry.number() - 1)
+            if (previous != null && entry.number() > previous.number() + 1) {
+                return entry.pooler() + "'s entries " + (previous.number() + 1) + " to " + (entry.number() - 1)
                         + " are missing";
             }
-            before = entry;
+            if (previous != null
+                    && entry.number() == previous.number() + 1
+                    && !entry.previousDigest().equals(previous.digest())) {
+                return entry.pooler() + "'s entry " + entry.number() + " does not follow from " + previous.number();
+            }
+            previous = entry;
         }
         return null;
     }
--- a/audit/src/test/java/lupinvalve/audit/AuditHistoryTest.java
+++ b/audit/src/test/java/lupinvalve/audit/AuditHistoryTest.java
@@ -11,31 +11,36 @@
 import org.junit.jupiter.api.Test;
 
 class AuditHistoryTest {
-    private static final long S = 1_000_000;
+    private static final long SECOND_MICROS = 1_000_000;
     private final List<AuditEntry> entries = new ArrayList<>();
 
-    private void life(String pooler, long start, Object... said) {
+    private void incarnation(String pooler, long start, Object... events) {
         AuditJournal journal = new AuditJournal(pooler, start, 0);
         entries.addAll(journal.add(AuditEntry.Event.STARTED, "", 0, start, ""));
-        for (int i = 0; i < said.length; i += 3) {
-            entries.addAll(
-                    journal.add((AuditEntry.Event) said[i], (String) said[i + 1], i, (Integer) said[i + 2] * S, ""));
+        for (int i = 0; i < events.length; i += 3) {
+            entries.addAll(journal.add(
+                    (AuditEntry.Event) events[i],
+                    (String) events[i + 1],
+                    i,
+                    (Integer) events[i + 2] * SECOND_MICROS,
+                    ""));
         }
     }
 
-    private static String told(AuditHistory.VersionSpan one) {
-        return one.version() + " " + one.fromMicros() / S + "-"
-                + (one.toMicros() == Long.MAX_VALUE ? "?" : one.toMicros() / S) + (one.ended() ? "" : "?");
+    private static String text(AuditHistory.VersionSpan span) {
+        return span.version() + " " + span.fromMicros() / SECOND_MICROS + "-"
+                + (span.toMicros() == AuditHistory.OPEN_END_MICROS ? "?" : span.toMicros() / SECOND_MICROS)
+                + (span.ended() ? "" : "?");
     }
 
-    private List<String> of(String pooler) {
+    private List<String> spans(String pooler) {
         return new AuditHistory(entries)
-                .spansOf(pooler).stream().map(AuditHistoryTest::told).toList();
+                .spansOf(pooler).stream().map(AuditHistoryTest::text).toList();
     }
 
     @Test
     void oldAndNewMayBothBeActedOnBetweenTheTwoEntries() {
-        life(
+        incarnation(
                 "p",
                 0,
                 AuditEntry.Event.ADOPTED,
@@ -53,16 +58,18 @@
                 AuditEntry.Event.ENDED,
                 "2-b",
                 20);
-        assertEquals(List.of("1-a 1-11", "2-b 10-20"), of("p"));
-        AuditHistory course = new AuditHistory(entries);
-        assertEquals(List.of("1-a", "2-b"), course.coverageAt(10 * S + 1).get(0).versions());
-        assertTrue(course.coverageAt(10 * S + 1).get(0).certain());
-        assertEquals(List.of(), course.coverageAt(21 * S).get(0).versions());
+        assertEquals(List.of("1-a 1-11", "2-b 10-20"), spans("p"));
+        AuditHistory history = new AuditHistory(entries);
+        assertEquals(
+                List.of("1-a", "2-b"),
+                history.coverageAt(10 * SECOND_MICROS + 1).get(0).versions());
+        assertTrue(history.coverageAt(10 * SECOND_MICROS + 1).get(0).certain());
+        assertEquals(List.of(), history.coverageAt(21 * SECOND_MICROS).get(0).versions());
     }
 
     @Test
     void aFencedPoolerActsOnNothingUntilItReturns() {
-        life(
+        incarnation(
                 "p",
                 0,
                 AuditEntry.Event.ADOPTED,
@@ -89,26 +96,28 @@
                 AuditEntry.Event.RETURNED,
                 "2-b",
                 9);
-        assertEquals(List.of("1-a 1-5", "2-b 9-??"), of("p"));
+        assertEquals(List.of("1-a 1-5", "2-b 9-??"), spans("p"));
     }
 
     @Test
-    void whatADeadPoolerActedOnLastIsNotKnownFromItsLastWordOn() {
-        life("p", 0, AuditEntry.Event.ADOPTED, "1-a", 1, AuditEntry.Event.CEASED_OTHERS, "1-a", 1);
-        assertEquals(List.of("1-a 1-??"), of("p"));
-        AuditHistory course = new AuditHistory(entries);
-        assertTrue(course.coverageAt(2 * S).get(0).certain());
-        assertFalse(course.coverageAt(60 * S).get(0).certain());
+    void coverageOfADeadPoolerEndsWithItsLastEntry() {
+        incarnation("p", 0, AuditEntry.Event.ADOPTED, "1-a", 1, AuditEntry.Event.CEASED_OTHERS, "1-a", 1);
+        assertEquals(List.of("1-a 1-??"), spans("p"));
+        AuditHistory history = new AuditHistory(entries);
+        assertTrue(history.coverageAt(2 * SECOND_MICROS).get(0).certain());
+        assertFalse(history.coverageAt(60 * SECOND_MICROS).get(0).certain());
+        assertEquals(
+                "no entry since " + SECOND_MICROS + " us",
+                history.coverageAt(60 * SECOND_MICROS).get(0).reason());
         assertEquals(
-                "no entry since " + S + " us", course.coverageAt(60 * S).get(0).reason());
-        assertEquals(List.of("1-a"), course.coverageAt(60 * S).get(0).versions(), "it may have");
-        life("p", 30 * S, AuditEntry.Event.ADOPTED, "2-b", 31);
-        assertEquals(List.of("1-a 1-30?", "2-b 31-??"), of("p"), "its next process ends what it may have done");
+                List.of("1-a"), history.coverageAt(60 * SECOND_MICROS).get(0).versions(), "it may have");
+        incarnation("p", 30 * SECOND_MICROS, AuditEntry.Event.ADOPTED, "2-b", 31);
+        assertEquals(List.of("1-a 1-30?", "2-b 31-??"), spans("p"), "its next process ends what it may have done");
     }
 
     @Test
     void entriesComeInAnyOrderAndTwiceAndOneThatIsMissingOrChangedShows() throws IOException {
-        life(
+        incarnation(
                 "p",
                 0,
                 AuditEntry.Event.ADOPTED,
@@ -136,7 +145,7 @@
     }
 
     @Test
-    void whatIsDroppedForWantOfRoomIsSummedUp() {
+    void entriesDroppedAtTheBoundAreSummedUp() {
         AuditJournal journal = new AuditJournal("p", 1, 0);
         List<AuditEntry> all = new ArrayList<>();
         for (int i = 0; i <= AuditJournal.MAX_ENTRIES; i++) {
--- a/replication/src/main/java/lupinvalve/replication/AuditBook.java
+++ b/replication/src/main/java/lupinvalve/replication/AuditBook.java
@@ -95,9 +95,7 @@
             out = null;
             throw e;
         }
-        Log.info(
-                "store: audit: %s %s, change %s%s",
-                what.name().toLowerCase(java.util.Locale.ROOT), version, index, why.isEmpty() ? "" : ": " + why);
+        Log.info("store: audit: %s %s, change %s%s", what.text(), version, index, why.isEmpty() ? "" : ": " + why);
     }
 
     /** What the group is to be told next, or null. */
--- a/statemachine/src/main/java/lupinvalve/statemachine/ReplicatedState.java
+++ b/statemachine/src/main/java/lupinvalve/statemachine/ReplicatedState.java
@@ -1,10 +1,7 @@
 package lupinvalve.statemachine;
 
-import java.security.MessageDigest;
-import java.security.NoSuchAlgorithmException;
 import java.util.Collections;
 import java.util.HashMap;
-import java.util.HexFormat;
 import java.util.Iterator;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -33,6 +30,8 @@
     /** Size of an audit entry at most. */
     public static final int MAX_AUDIT_ENTRY_BYTES = 2_000;
 
+    private static final int DIGEST_BYTES = 8;
+
     /** What became of a command. */
     public enum Result {
         /** The state has changed. */
@@ -249,12 +248,8 @@
         sessions.clear();
     }
 
-    /** Names a document's content in logs: the first 8 bytes of its SHA-256, in hex. */
+    /** Names a document's content in logs: the beginning of its SHA-256, in hex. */
     public static String digest(byte[] content) {
-        try {
-            return HexFormat.of().formatHex(MessageDigest.getInstance("SHA-256").digest(content), 0, 8);
-        } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException(e);
-        }
+        return Digests.sha256Hex(content, DIGEST_BYTES);
     }
 }
