--- a/capacity/src/test/java/lupinvalve/capacity/CodeFactsTest.java
+++ b/capacity/src/test/java/lupinvalve/capacity/CodeFactsTest.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import lupinvalve.discovery.ListReader;
 import lupinvalve.replication.MessageSizes;
-import lupinvalve.routing.Routing;
+import lupinvalve.routing.EndpointState;
 import org.junit.jupiter.api.Test;
 
 /** What the page takes from the program itself is what the program says: its constants, and what its encoders make. */
@@ -29,12 +29,13 @@
         String group = "lupinvalve.replication.";
         assertEquals(
                 CodeFacts.HEARTBEATS_PER_SECOND,
-                constant(group + "Pace", "FACTOR") / constant(group + "Replica", "HEARTBEAT_SECONDS"));
-        assertEquals(CodeFacts.CONFIRMS_PER_SECOND, MICROS / constant(group + "Acting", "CONFIRM"));
-        assertEquals(CodeFacts.BEATS_PER_SECOND, MICROS / constant(group + "Peers", "BEAT"));
-        assertEquals(CodeFacts.TAKEN_MOST, constant(group + "Peers", "TAKEN_MOST"));
+                constant(group + "AcceleratedExecutor", "FACTOR")
+                        / constant(group + "RaftReplica", "HEARTBEAT_SECONDS"));
+        assertEquals(CodeFacts.CONFIRMS_PER_SECOND, MICROS / constant(group + "LeaseHolder", "CONFIRM"));
+        assertEquals(CodeFacts.BEATS_PER_SECOND, MICROS / constant(group + "PeerConnections", "BEAT"));
+        assertEquals(CodeFacts.TAKEN_MOST, constant(group + "PeerConnections", "TAKEN_MOST"));
         assertEquals(CodeFacts.FOLLOWERS_MOST, constant(group + "Followers", "MOST"));
-        assertEquals(CodeFacts.MEMBERSHIP_STEP_SECONDS, constant(group + "Questions", "STEP") / MICROS);
+        assertEquals(CodeFacts.MEMBERSHIP_STEP_SECONDS, constant(group + "RequestHandler", "STEP") / MICROS);
         assertEquals(
                 CodeFacts.BUNDLE_SECONDS,
                 constant("lupinvalve.statemachine.SessionCommitBatcher", "BATCH_DELAY_MICROS") / MICROS);
@@ -91,7 +92,7 @@
         String list = "{\"revision\":1,\"complete\":true,\"members\":[" + entry + "]}";
         ListReader.Listed read =
                 new ListReader(List.of("region-1-zone-b"), null).read(list.getBytes(UTF_8), 0, list.length());
-        assertEquals(Routing.Health.LIVE, read.entries().get(0).member().health());
+        assertEquals(EndpointState.LIVE, read.entries().get(0).member().state());
         assertEquals(CodeFacts.LIST_ENTRY, entry.length() + 1, "entry and comma");
     }
 }
--- a/daemon/src/main/java/lupinvalve/cli/Shared.java
+++ b/daemon/src/main/java/lupinvalve/cli/Shared.java
@@ -13,26 +13,29 @@
 import lupinvalve.core.Pooler;
 import lupinvalve.maintenance.Maintenance.Orders;
 import lupinvalve.replication.ControlPlane;
-import lupinvalve.replication.Group;
+import lupinvalve.replication.RaftMember;
+import lupinvalve.replication.SessionTokens;
 import lupinvalve.replication.Subscriber;
-import lupinvalve.replication.Tokens;
-import lupinvalve.routing.Routing;
+import lupinvalve.routing.AttemptOutcome;
+import lupinvalve.routing.Endpoint;
+import lupinvalve.routing.LogPosition;
+import lupinvalve.routing.ServerRole;
 import lupinvalve.statemachine.Command;
 import lupinvalve.statemachine.ReplicatedState;
 
 /** What the group has accepted, brought to the core thread, and what the core knows brought to the group. */
-final class Shared implements Group.Pooler {
+final class Shared implements ControlPlane.Listener {
     private static final long LOOK = 1_000_000, REFRESH = 10_000_000;
     private static final String BY = "group";
     private final Pooler pooler;
     private final ControlPlane plane;
-    private final ControlPlane.Known known;
-    private final Tokens tokens;
+    private final ControlPlane.InitialState known;
+    private final SessionTokens tokens;
     private final String name;
     private final Consumer<byte[]> adopted;
     private final Consumer<Boolean> held;
     private Orders orders = Orders.NONE;
-    private List<Routing.Member> told = List.of();
+    private List<Endpoint> told = List.of();
     private long toldAt;
 
     /**
@@ -53,9 +56,9 @@
         name = config.name();
         plane = opening != null
                 ? opening.open(config)
-                : config.role() == OperatorConfig.Role.SUBSCRIBER ? new Subscriber(config) : new Group(config);
-        known = plane.known();
-        tokens = new Tokens(pooler.loop(), plane, config.waitMicros(), known.commits());
+                : config.role() == OperatorConfig.Role.SUBSCRIBER ? new Subscriber(config) : new RaftMember(config);
+        known = plane.initialState();
+        tokens = new SessionTokens(pooler.loop(), plane, config.waitMicros(), known.commits());
         pooler.marks(tokens);
     }
 
@@ -71,8 +74,8 @@
     /** The db nodes that were known last, for a start before discovery answers. */
     List<Directory.Entry> entries() {
         List<Directory.Entry> entries = new ArrayList<>();
-        for (Command.Endpoint listed : known.nodes()) {
-            entries.add(new Directory.Entry(listed.member(), listed.addresses()));
+        for (Command.KnownEndpoint listed : known.nodes()) {
+            entries.add(new Directory.Entry(listed.endpoint(), listed.addresses()));
         }
         return entries;
     }
@@ -83,14 +86,14 @@
 
     /** Begins to tell the group of the list; core thread, once the pooler has started. */
     void follow() {
-        for (Command.Endpoint listed : known.nodes()) {
-            if (listed.logPosition() != Routing.NO_POSITION) {
+        for (Command.KnownEndpoint listed : known.nodes()) {
+            if (listed.logPosition() != LogPosition.UNKNOWN) {
                 pooler.probed(
-                        listed.member().node(),
-                        Routing.Ending.SERVED,
+                        listed.endpoint().node(),
+                        AttemptOutcome.SERVED,
                         0,
                         listed.logPosition(),
-                        listed.member().listedPrimary() ? Routing.Role.PRIMARY : Routing.Role.REPLICA);
+                        listed.endpoint().listedPrimary() ? ServerRole.PRIMARY : ServerRole.REPLICA);
             }
         }
         look();
@@ -99,14 +102,13 @@
     /** The leader's pooler tells: one list for all is enough, and all poolers see the same db nodes. */
     private void look() {
         List<Pooler.Known> nodes = pooler.known();
-        List<Routing.Member> members =
-                nodes.stream().map(one -> one.entry().member()).toList();
+        List<Endpoint> members = nodes.stream().map(one -> one.entry().member()).toList();
         long now = pooler.loop().now();
-        if (plane.leads() && !nodes.isEmpty() && (!members.equals(told) || now - toldAt > REFRESH)) {
+        if (plane.isLeader() && !nodes.isEmpty() && (!members.equals(told) || now - toldAt > REFRESH)) {
             told = members;
             toldAt = now;
-            plane.listing(nodes.stream()
-                    .map(one -> new Command.Endpoint(
+            plane.publishEndpoints(nodes.stream()
+                    .map(one -> new Command.KnownEndpoint(
                             one.entry().member(), one.entry().addresses(), one.position()))
                     .toList());
         }
@@ -114,29 +116,28 @@
     }
 
     // ---- the group's thread ----
-
     @Override
-    public String objection(byte[] document) {
+    public String validationError(byte[] document) {
         return OperatorConfig.objection(document);
     }
 
     @Override
-    public String refusal(byte[] current, byte[] next) {
+    public String transitionError(byte[] current, byte[] next) {
         return OperatorConfig.refusal(current, next);
     }
 
     @Override
-    public void reached(Runnable then) {
+    public void runAfterApplied(Runnable then) {
         pooler.loop().post(then);
     }
 
     @Override
-    public void adopt(ReplicatedState.Document document) {
+    public void configurationAccepted(ReplicatedState.Document document) {
         pooler.loop().post(() -> adopted.accept(document.content()));
     }
 
     @Override
-    public void holds(Map<Command.DrainTarget, ReplicatedState.Drain> holds) {
+    public void holdsChanged(Map<Command.DrainTarget, ReplicatedState.Drain> holds) {
         Set<String> out = new TreeSet<>();
         holds.keySet().stream()
                 .filter(one -> one.kind() == Command.TargetKind.NODE)
@@ -155,7 +156,7 @@
     }
 
     @Override
-    public void commits(Command.SessionCommits commits) {
+    public void commitsAccepted(Command.SessionCommits commits) {
         pooler.loop().post(() -> tokens.accepted(commits));
     }
 }
--- a/replication/src/main/java/lupinvalve/replication/Endpoint.java
+++ b/replication/src/main/java/lupinvalve/replication/MemberEndpoint.java
@@ -9,7 +9,7 @@
 import lupinvalve.statemachine.MemberId;
 
 /** A member as the library names it. */
-record Endpoint(MemberId identity) implements RaftEndpoint {
+record MemberEndpoint(MemberId identity) implements RaftEndpoint {
     @Override
     public Object getId() {
         return identity;
@@ -23,7 +23,7 @@
 
     static List<RaftEndpoint> all(Collection<MemberId> identities) {
         List<RaftEndpoint> all = new ArrayList<>();
-        identities.forEach(one -> all.add(new Endpoint(one)));
+        identities.forEach(one -> all.add(new MemberEndpoint(one)));
         return all;
     }
 
--- a/statemachine/src/main/java/lupinvalve/statemachine/Command.java
+++ b/statemachine/src/main/java/lupinvalve/statemachine/Command.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import lupinvalve.routing.Routing;
+import lupinvalve.routing.Endpoint;
 
 /**
  * A command of the replicated log: one entry's effect on {@link ReplicatedState}. Immutable. Times are part of the
@@ -32,11 +32,11 @@
      * A db node as a pooler last knew it.
      *
      * @param addresses by protocol
-     * @param logPosition {@link Routing#NO_POSITION} where it is unknown
+     * @param logPosition {@link LogPosition#UNKNOWN} where it is unknown
      */
-    record Endpoint(Routing.Member member, Map<String, String> addresses, long logPosition) {
+    record KnownEndpoint(Endpoint endpoint, Map<String, String> addresses, long logPosition) {
         /** Copies the addresses. */
-        public Endpoint {
+        public KnownEndpoint {
             addresses = Map.copyOf(addresses);
         }
     }
@@ -75,7 +75,7 @@
     }
 
     /** The db nodes with roles and log positions; a revision that is not newer changes nothing. */
-    record EndpointList(long revision, List<Endpoint> endpoints) implements Command {
+    record EndpointList(long revision, List<KnownEndpoint> endpoints) implements Command {
         /** Copies the endpoints. */
         public EndpointList {
             endpoints = List.copyOf(endpoints);
--- a/statemachine/src/main/java/lupinvalve/statemachine/CommandCodec.java
+++ b/statemachine/src/main/java/lupinvalve/statemachine/CommandCodec.java
@@ -6,7 +6,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import lupinvalve.routing.Routing;
+import lupinvalve.routing.Endpoint;
+import lupinvalve.routing.EndpointState;
 
 /** Commands as bytes of the log and of the wire: the kind's number, then its fields in a fixed order. */
 public final class CommandCodec {
@@ -96,7 +97,7 @@
 
     static void writeEndpointList(Cbor.Writer out, Command.EndpointList list) {
         out.number(list.revision()).number(list.endpoints().size());
-        for (Command.Endpoint endpoint : list.endpoints()) {
+        for (Command.KnownEndpoint endpoint : list.endpoints()) {
             writeEndpoint(out, endpoint);
         }
     }
@@ -104,30 +105,30 @@
     static Command.EndpointList readEndpointList(Cbor.Reader in) throws IOException {
         long revision = in.number();
         int count = in.count(ReplicatedState.MAX_ENDPOINTS);
-        List<Command.Endpoint> endpoints = new ArrayList<>();
+        List<Command.KnownEndpoint> endpoints = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             endpoints.add(readEndpoint(in));
         }
         return new Command.EndpointList(revision, endpoints);
     }
 
-    private static void writeEndpoint(Cbor.Writer out, Command.Endpoint endpoint) {
-        Routing.Member member = endpoint.member();
+    private static void writeEndpoint(Cbor.Writer out, Command.KnownEndpoint endpoint) {
+        Endpoint member = endpoint.endpoint();
         out.text(member.node())
                 .number(member.group())
                 .number(member.zone())
-                .number(member.health().ordinal())
+                .number(member.state().ordinal())
                 .flag(member.listedPrimary())
-                .number(member.bornMicros())
+                .number(member.startedAtMicros())
                 .number(endpoint.logPosition())
                 .number(endpoint.addresses().size());
         new TreeMap<>(endpoint.addresses())
                 .forEach((protocol, address) -> out.text(protocol).text(address));
     }
 
-    private static Command.Endpoint readEndpoint(Cbor.Reader in) throws IOException {
-        Routing.Health[] healths = Routing.Health.values();
-        Routing.Member member = new Routing.Member(
+    private static Command.KnownEndpoint readEndpoint(Cbor.Reader in) throws IOException {
+        EndpointState[] healths = EndpointState.values();
+        Endpoint member = new Endpoint(
                 in.text(),
                 (int) in.number(),
                 (int) in.number(),
@@ -139,7 +140,7 @@
         for (int left = in.count(MAX_ADDRESSES_PER_ENDPOINT); left > 0; left--) {
             addresses.put(in.text(), in.text());
         }
-        return new Command.Endpoint(member, addresses, logPosition);
+        return new Command.KnownEndpoint(member, addresses, logPosition);
     }
 
     private static void writeAudit(Cbor.Writer out, Command.AppendAudit append) {
--- a/statemachine/src/test/java/lupinvalve/statemachine/ReplicatedStateTest.java
+++ b/statemachine/src/test/java/lupinvalve/statemachine/ReplicatedStateTest.java
@@ -13,7 +13,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
-import lupinvalve.routing.Routing;
+import lupinvalve.routing.Endpoint;
+import lupinvalve.routing.EndpointState;
+import lupinvalve.routing.LogPosition;
 import org.junit.jupiter.api.Test;
 
 class ReplicatedStateTest {
@@ -37,10 +39,10 @@
             }
             case 4 -> new Command.EndpointList(
                     random.nextInt(50),
-                    List.of(new Command.Endpoint(
-                            new Routing.Member("db-1", 1, 0, Routing.Health.DRAINING, random.nextBoolean(), now),
+                    List.of(new Command.KnownEndpoint(
+                            new Endpoint("db-1", 1, 0, EndpointState.DRAINING, random.nextBoolean(), now),
                             Map.of("pg", "127.0.0.1:1", "mysql", "127.0.0.1:2"),
-                            random.nextBoolean() ? Routing.NO_POSITION : now)));
+                            random.nextBoolean() ? LogPosition.UNKNOWN : now)));
             case 5 -> new Command.SetMemberAddress(
                     "m" + random.nextInt(3), random.nextInt(3) == 0 ? "" : "10.0.0.1:" + random.nextInt(9));
             default -> new Command.NoOp();
