--- a/capacity/src/main/java/lupinvalve/capacity/CodeFacts.java
+++ b/capacity/src/main/java/lupinvalve/capacity/CodeFacts.java
@@ -53,17 +53,22 @@
     /** A word that only says that the connection stands. */
     static final int BEAT = 5;
 
-    /** {@code Limits.LIMIT_START}: attempts out at a db node, of all poolers together. */
+    /** {@code InFlightLimit.INITIAL_ATTEMPTS}: attempts out at a db node, of all poolers together. */
     static final double LIMIT_START = 16;
-    /** {@code Limits.MEMORY} and {@code NEWEST}: how long an answer counts, and how many make a picture of its own. */
+    /**
+     * {@code DecayingMean.MEMORY_MICROS} and {@code MAX_SAMPLES}: how long an answer counts, and how many make a
+     * picture of its own.
+     */
     static final double MEMORY_SECONDS = 3;
 
     static final double ANSWERS_FOR_A_PICTURE = 12;
-    /** {@code Limits.COLD_ALONE}: tries at a cold db node where none is warm, of all poolers together. */
+    /**
+     * {@code SlowStart.NO_WARM_SERVER_ATTEMPTS}: tries at a cold db node where none is warm, of all poolers together.
+     */
     static final double COLD_ALONE = 10;
-    /** {@code Health.PROBES_SPARSE}: probes a request where poolers are many. */
+    /** {@code HealthChecker.SPARSE_BUDGET_PER_REQUEST_CHECKS}: probes a request where poolers are many. */
     static final double PROBES_PER_REQUEST = 0.03;
-    /** {@code Router.CHANGE_PROBE_PACE}: a round of one group's members while its primary is missing. */
+    /** {@code PrimarySearch.CHECK_ROUND_MICROS}: a round of one group's members while its primary is missing. */
     static final double CHANGE_PROBE_SECONDS = 0.15;
     /** {@code WatchSchedule}: a watch beats so often, is doubted after, and a new one may take so long to answer. */
     static final double WATCH_BEAT_SECONDS = 2;
--- a/capacity/src/test/java/lupinvalve/capacity/CodeFactsTest.java
+++ b/capacity/src/test/java/lupinvalve/capacity/CodeFactsTest.java
@@ -40,13 +40,16 @@
 
     @Test
     void theDecisionsBoundsAreTheProgramsOwn() throws ReflectiveOperationException {
-        assertEquals(CodeFacts.LIMIT_START, constant("lupinvalve.routing.Limits", "LIMIT_START"));
-        assertEquals(CodeFacts.MEMORY_SECONDS, constant("lupinvalve.routing.Limits", "MEMORY") / MICROS);
-        assertEquals(CodeFacts.ANSWERS_FOR_A_PICTURE, constant("lupinvalve.routing.Limits", "NEWEST"));
-        assertEquals(CodeFacts.COLD_ALONE, constant("lupinvalve.routing.Limits", "COLD_ALONE"));
-        assertEquals(CodeFacts.PROBES_PER_REQUEST, constant("lupinvalve.routing.Health", "PROBES_SPARSE"));
+        assertEquals(CodeFacts.LIMIT_START, constant("lupinvalve.routing.InFlightLimit", "INITIAL_ATTEMPTS"));
+        assertEquals(CodeFacts.MEMORY_SECONDS, constant("lupinvalve.routing.DecayingMean", "MEMORY_MICROS") / MICROS);
+        assertEquals(CodeFacts.ANSWERS_FOR_A_PICTURE, constant("lupinvalve.routing.DecayingMean", "MAX_SAMPLES"));
+        assertEquals(CodeFacts.COLD_ALONE, constant("lupinvalve.routing.SlowStart", "NO_WARM_SERVER_ATTEMPTS"));
         assertEquals(
-                CodeFacts.CHANGE_PROBE_SECONDS, constant("lupinvalve.routing.Router", "CHANGE_PROBE_PACE") / MICROS);
+                CodeFacts.PROBES_PER_REQUEST,
+                constant("lupinvalve.routing.HealthChecker", "SPARSE_BUDGET_PER_REQUEST_CHECKS"));
+        assertEquals(
+                CodeFacts.CHANGE_PROBE_SECONDS,
+                constant("lupinvalve.routing.PrimarySearch", "CHECK_ROUND_MICROS") / MICROS);
         assertEquals(CodeFacts.SURPLUS_LEAST_SECONDS, constant("lupinvalve.net.Pool", "SURPLUS_LEAST") / MICROS);
     }
 
--- a/core/src/main/java/lupinvalve/core/Pooler.java
+++ b/core/src/main/java/lupinvalve/core/Pooler.java
@@ -565,7 +565,7 @@
                 || !leads(node, opened, openedAt)
                 || since != null && loop.now() >= since + settings.rules().drainGraceMicros() * 3 / 4;
         Attempt a = attempts.get(attempt);
-        return closed || a != null && (a.of.front.left(a.of.ticket) || !router.stands(a.of.id, loop.now()));
+        return closed || a != null && (a.of.front.left(a.of.ticket) || !router.mayStillStart(a.of.id, loop.now()));
     }
 
     /**
--- a/routing/src/main/java/lupinvalve/routing/QueuedRequests.java
+++ b/routing/src/main/java/lupinvalve/routing/QueuedRequests.java
@@ -1,29 +1,61 @@
 package lupinvalve.routing;
 
 import java.util.ArrayDeque;
+import java.util.ArrayList;
 import java.util.Collection;
 import java.util.Collections;
 import java.util.Comparator;
 import java.util.Iterator;
-import lupinvalve.routing.State.Group;
-import lupinvalve.routing.State.Pending;
+import java.util.List;
 
 /**
- * The requests that wait for a db node, in a queue for each class of each group, and how many they are. Bookkeeping
- * only; {@link WaitQueue} decides what waits and in which order it goes on.
+ * The requests that wait for a server, in a queue for each class of each group, and how many they are. Bookkeeping
+ * only; {@link RequestQueue} decides what waits and in which order it goes on.
  */
 final class QueuedRequests {
     private int size;
 
+    /** The queues of one group, by class index. */
+    static final class GroupQueues {
+        private final List<ArrayDeque<PendingRequest>> byClass = new ArrayList<>();
+        private int size;
+
+        GroupQueues(int classCount) {
+            for (int i = 0; i < classCount; i++) {
+                byClass.add(new ArrayDeque<>());
+            }
+        }
+
+        /** How many wait in this group. */
+        int size() {
+            return size;
+        }
+
+        /** The queue of one class; the last in it is served first. */
+        ArrayDeque<PendingRequest> ofClass(int classIndex) {
+            return byClass.get(classIndex);
+        }
+
+        /** Whether anything that only a primary can answer waits. */
+        boolean hasRequestForPrimary() {
+            for (ArrayDeque<PendingRequest> queue : byClass) {
+                if (!queue.isEmpty() && (queue.peek().isWrite() || queue.peek().isStrongRead())) {
+                    return true;
+                }
+            }
+            return false;
+        }
+    }
+
     /** How many wait in all groups. */
     int size() {
         return size;
     }
 
-    /** Puts a request at the end or at the head of its queue. */
-    void add(Pending request, boolean last) {
-        ArrayDeque<Pending> queue = request.group.waiting.get(request.cls());
-        if (last) {
+    /** Puts a request where it is served first in its queue, or last. */
+    void add(PendingRequest request, boolean servedFirst) {
+        ArrayDeque<PendingRequest> queue = request.group.queues.ofClass(request.classIndex());
+        if (servedFirst) {
             queue.addLast(request);
         } else {
             queue.addFirst(request);
@@ -31,33 +63,26 @@
         count(request.group, 1);
     }
 
-    /** Takes a request out if it waits. */
-    void remove(Pending request) {
-        if (request.group.waiting.get(request.cls()).remove(request)) {
+    /** Removes a request if it waits. */
+    void remove(PendingRequest request) {
+        if (request.group.queues.ofClass(request.classIndex()).remove(request)) {
             count(request.group, -1);
         }
     }
 
-    /** Takes out what an iterator over one of the group's queues stands at. */
-    void remove(Iterator<Pending> at, Group group) {
-        at.remove();
+    /** Removes what an iterator over one of the group's queues stands at. */
+    void remove(Iterator<PendingRequest> position, ServerGroup group) {
+        position.remove();
         count(group, -1);
     }
 
     /** The group for which most wait. */
-    Group longest(Collection<Group> groups) {
-        return Collections.max(groups, Comparator.comparing(group -> group.held));
-    }
-
-    /** Whether anything that only a primary can answer waits. */
-    boolean anyForPrimary(Group group) {
-        return group.waiting.stream()
-                .anyMatch(queue -> !queue.isEmpty()
-                        && (queue.peek().write() || queue.peek().kind.access() == RequestClass.Access.STRONG));
+    ServerGroup longest(Collection<ServerGroup> groups) {
+        return Collections.max(groups, Comparator.comparing(group -> group.queues.size));
     }
 
-    private void count(Group group, int change) {
-        group.held += change;
+    private void count(ServerGroup group, int change) {
+        group.queues.size += change;
         size += change;
     }
 }
--- a/routing/src/main/java/lupinvalve/routing/RequestClass.java
+++ b/routing/src/main/java/lupinvalve/routing/RequestClass.java
@@ -55,6 +55,8 @@
         GROUP
     }
 
+    private static final double KEEPS_VALUE_MIN_RATIO = 0.5;
+
     /** Checks the ranges; the message of the exception names the platform's setting. */
     public RequestClass {
         RouterSettings.require(access != null, "class_read of class " + name, access);
@@ -67,4 +69,9 @@
         RouterSettings.require(priorityWeight >= 0, "classes.worth of class " + name, priorityWeight);
         RouterSettings.require(lateValueRatio >= 0, "classes.late_value of class " + name, lateValueRatio);
     }
+
+    /** Whether an answer after the objective is worth little, so that it is better rejected early. */
+    boolean losesValueWhenLate() {
+        return lateValueRatio < KEEPS_VALUE_MIN_RATIO;
+    }
 }
--- /dev/null
+++ b/routing/src/main/java/lupinvalve/routing/RequestPlacement.java
@@ -0,0 +1,27 @@
+package lupinvalve.routing;
+
+/** Finds a server for a request and starts the attempt: by rules of its own for writes, long reads and other reads. */
+final class RequestPlacement {
+    private final RetryPolicy retryPolicy;
+    private final WritePlacement writes;
+    private final LongReadPlacement longReads;
+    private final ReplicaSelector reads;
+
+    RequestPlacement(
+            RetryPolicy retryPolicy, WritePlacement writes, LongReadPlacement longReads, ReplicaSelector reads) {
+        this.retryPolicy = retryPolicy;
+        this.writes = writes;
+        this.longReads = longReads;
+        this.reads = reads;
+    }
+
+    PlacementResult place(PendingRequest request) {
+        if (!retryPolicy.hasAttemptsLeft(request)) {
+            return PlacementResult.NO_SERVER;
+        }
+        if (request.isWrite()) {
+            return writes.place(request);
+        }
+        return request.longRead ? longReads.place(request) : reads.place(request);
+    }
+}
--- a/routing/src/main/java/lupinvalve/routing/Router.java
+++ b/routing/src/main/java/lupinvalve/routing/Router.java
@@ -1,216 +1,246 @@
 package lupinvalve.routing;
 
 import java.util.function.Consumer;
-import lupinvalve.routing.State.*;
 
 /**
  * The decisions of one router before groups of a primary and its replicas. {@link RouterEvent}s go in,
- * {@link RouterAction}s come out.
+ * {@link RouterAction}s come out; each rule has a type of its own, which this class gives the events to.
  *
- * <p>The ordinary path is the log-position token of Anhaia's replication-lag article: a write's answered position
- * becomes its session's token, the session's reads go to replicas that have reached it, a read that finds none is held
- * and falls back to the primary. Departures are marked so; docs/design.md gives the reasons. One instance per router;
- * it has no clock, thread or I/O. Not safe for use by several threads.
+ * <p>The ordinary path is read-your-writes by log position: the position that a write's answer states becomes its
+ * session's token, the session's reads go to replicas that have reached it, and a read that finds none waits and then
+ * falls back to the primary; docs/design.md gives the reasons. One instance per router; it has no clock, thread or I/O.
+ * Not safe for use by several threads, and not to be called from within the action sink while it handles an event.
  */
 public final class Router {
-    private static final long TICK = 10_000, IDLE_TICK = 100_000;
-    /** Pace of probes in a change of primary. */
-    private static final long CHANGE_PROBE_PACE = 150_000;
-    /** Errors after which a request is tried no more; the least of a lot that a client's repeat draws. */
-    private static final int ERRORS_MOST = 2, TOKENS = 50_000;
-
-    private static final double REPEAT_LOT = 0.9;
-    private final Scene s;
-    private final Limits limits;
-    private final Idle idles;
-    private final Health health;
-    private final Primaries primaries;
-    private final Choice choice;
-    private final WaitQueue waitQueue;
-    private final Roster roster;
-    private final Tokens tokens;
-    private final Ages ages;
-    private long membersAt, tickAt = Long.MAX_VALUE;
+    private static final long QUEUE_TICK_MICROS = 10_000;
+    private static final long SERVER_TICK_MICROS = 100_000;
+    private final RouterContext context;
+    private final ServerTable servers = new ServerTable();
+    private final ReplicationLag lag;
+    private final SlowStart slowStart;
+    private final HealthChecker healthChecker;
+    private final OutlierDetection outliers;
+    private final RestartDetector restarts;
+    private final IdleTimeout idleTimeout;
+    private final PrimarySearch primarySearch;
+    private final PrimaryTracker primaries;
+    private final RetryPolicy retryPolicy;
+    private final AttemptDispatcher dispatcher;
+    private final AttemptFeedback feedback;
+    private final LongReadPlacement longReads;
+    private final LoadShedding shedding;
+    private final RequestLifecycle lifecycle;
+    private final RequestQueue queue;
+    private final EndpointList endpointList;
+    private final EndpointWatch endpointWatch;
+    private final SessionTokens tokens;
+    private final ClientRetryDetector clientRetries;
+    private long serverTickMicros;
+    private long tickMicros = Long.MAX_VALUE;
 
     /** Starts a router, its random choices seeded; the start's actions go to {@code actions}. */
     public Router(long seed, RouterSettings settings, long nowMicros, Consumer<? super RouterAction> actions) {
-        s = new Scene(settings, seed, nowMicros, actions);
-        limits = new Limits(s);
-        idles = new Idle(s);
-        health = new Health(s, limits, idles);
-        primaries = new Primaries(s, limits, health);
-        choice = new Choice(s, limits, health, primaries, idles);
-        waitQueue = new WaitQueue(s, limits, choice);
-        roster = new Roster(s, limits, primaries);
-        ages = new Ages(settings.classes());
-        tokens = new Tokens(TOKENS, settings.replication().tokens());
+        context = new RouterContext(settings, seed, nowMicros, actions);
+        LoadStatistics load = new LoadStatistics(context);
+        InFlightLimit limit = new InFlightLimit(context, load);
+        lag = new ReplicationLag(context);
+        slowStart = new SlowStart(context, servers, load, limit);
+        idleTimeout = new IdleTimeout(context);
+        healthChecker = new HealthChecker(context, lag, limit);
+        outliers = new OutlierDetection(context, healthChecker);
+        restarts = new RestartDetector(context, slowStart, idleTimeout);
+        ServerEligibility eligibility = new ServerEligibility(context, outliers);
+        primarySearch = new PrimarySearch(context, eligibility, healthChecker);
+        primaries = new PrimaryTracker(context, primarySearch);
+        endpointList = new EndpointList(context, servers, limit, slowStart, primaries);
+        endpointWatch = new EndpointWatch(context);
+        retryPolicy = new RetryPolicy(context);
+        shedding = new LoadShedding(context, load, limit);
+        Admission admission = new Admission(limit, shedding, slowStart);
+        AttemptTimeout timeouts = new AttemptTimeout(context, load, lag, idleTimeout);
+        dispatcher = new AttemptDispatcher(context, timeouts, idleTimeout, slowStart, retryPolicy);
+        feedback = new AttemptFeedback(context, outliers, restarts, limit, load, slowStart, idleTimeout);
+        PrimaryFallback fallback = new PrimaryFallback(context, lag, load, eligibility, admission, dispatcher);
+        longReads = new LongReadPlacement(context, eligibility, slowStart, admission, fallback, dispatcher);
+        WritePlacement writes = new WritePlacement(primarySearch, eligibility, admission, retryPolicy, dispatcher);
+        ReplicaSelector reads = new ReplicaSelector(
+                context,
+                lag,
+                load,
+                limit,
+                eligibility,
+                admission,
+                slowStart,
+                longReads,
+                fallback,
+                healthChecker,
+                dispatcher);
+        RequestPlacement placement = new RequestPlacement(retryPolicy, writes, longReads, reads);
+        QueuedRequests queued = new QueuedRequests();
+        lifecycle = new RequestLifecycle(context, queued, retryPolicy, new RetryAfter(context));
+        queue = new RequestQueue(context, servers, queued, new QueueDeadline(load), placement, lifecycle);
+        tokens = new SessionTokens(context);
+        clientRetries = new ClientRetryDetector(settings.classes());
         tick();
     }
 
     /** Takes one event; what is to be done about it goes to {@code actions} before this returns. */
     public void handle(long nowMicros, RouterEvent event, Consumer<? super RouterAction> actions) {
-        s.now = nowMicros;
-        s.act = actions;
-        if (event instanceof RouterEvent.RequestArrived request) {
-            onRequest(request);
-        } else if (event instanceof RouterEvent.AttemptEnded outcome) {
-            onOutcome(outcome);
-        } else if (event instanceof RouterEvent.TimerFired && s.now >= tickAt) {
+        context.advanceTo(nowMicros);
+        context.sendActionsTo(actions);
+        if (event instanceof RouterEvent.RequestArrived arrival) {
+            requestArrived(arrival);
+        } else if (event instanceof RouterEvent.AttemptEnded ended) {
+            attemptEnded(ended);
+        } else if (event instanceof RouterEvent.TimerFired && nowMicros >= tickMicros) {
             tick();
-        } else if (event instanceof RouterEvent.HealthCheckEnded probed) {
-            onProbed(probed);
-        } else if (event instanceof RouterEvent.EndpointUpdate members) {
-            roster.take(members);
-            s.groups.values().forEach(waitQueue::dispatch);
-        } else if (event instanceof RouterEvent.ClientDisconnected gone) {
-            onGone(gone.id());
+        } else if (event instanceof RouterEvent.HealthCheckEnded check) {
+            healthCheckEnded(check);
+        } else if (event instanceof RouterEvent.EndpointUpdate update) {
+            endpointsUpdated(update);
+        } else if (event instanceof RouterEvent.ClientDisconnected disconnected) {
+            lifecycle.clientDisconnected(disconnected.id());
         }
-        if (waitQueue.queued.size() > 0 && tickAt > s.now + TICK) {
-            setTick(TICK);
+        if (queue.size() > 0 && tickMicros > nowMicros + QUEUE_TICK_MICROS) {
+            setTimer(QUEUE_TICK_MICROS);
         }
     }
 
-    /** The position that a member has proven, or {@link LogPosition#UNKNOWN}. */
+    /** The log position that a server has proven, or {@link LogPosition#UNKNOWN}. */
     public long position(String node) {
-        return s.nodes.containsKey(node) ? s.nodes.get(node).position : LogPosition.UNKNOWN;
+        Server server = servers.server(node);
+        return server == null ? LogPosition.UNKNOWN : server.lag.position();
     }
 
     /** Whether a request's attempt, whose connection was long in coming up, may still go out. */
-    public boolean stands(String id, long nowMicros) {
-        s.now = nowMicros;
-        Pending r = s.requests.get(id);
-        Node n = r == null || r.out == null ? null : r.out.node();
-        return n != null
-                && primaries.mayRun(r, n)
-                && (r.write() || n == r.group.primary || choice.fresh(n, r.need(s.now), r.attempts - 1));
+    public boolean mayStillStart(String id, long nowMicros) {
+        context.advanceTo(nowMicros);
+        PendingRequest request = lifecycle.find(id);
+        if (request == null || request.inFlight() == null) {
+            return false;
+        }
+        Server server = request.inFlight().server();
+        int earlierAttempts = request.history.attempts() - 1;
+        return retryPolicy.mayRunAt(server, request)
+                && (request.isWrite()
+                        || server == request.group.primary()
+                        || lag.isFresh(server, request.requiredPosition(nowMicros), earlierAttempts));
     }
 
+    /** Whether a server counts as the primary of its group. */
     public boolean isPrimary(String node) {
-        return s.nodes.containsKey(node) && s.nodes.get(node).group.primary == s.nodes.get(node);
+        Server server = servers.server(node);
+        return server != null && server.group.primary() == server;
     }
 
-    private void onProbed(RouterEvent.HealthCheckEnded p) {
-        Node n = s.nodes.get(p.node());
-        if (n == null) {
-            return;
-        }
-        health.probed(n, p.outcome());
-        if (p.outcome() == AttemptOutcome.SERVED) {
-            primaries.learn(n, p.position(), p.role(), false);
-            waitQueue.dispatch(n.group);
-        }
+    /** Whether a listed server is not used for failing attempts. */
+    public boolean avoids(String node) {
+        Server server = servers.server(node);
+        return server != null && (!outliers.isHealthy(server) || outliers.isPausedForErrors(server));
     }
 
-    private void onRequest(RouterEvent.RequestArrived q) {
-        Group g = s.groups.get(q.group());
-        RequestClass kind = s.settings.classes().get(q.classIndex());
-        if (g == null) {
-            s.act.accept(new RouterAction.Reject(q.id(), waitQueue.advice(kind)));
+    int serverCount() {
+        return servers.servers().size();
+    }
+
+    private void requestArrived(RouterEvent.RequestArrived arrival) {
+        ServerGroup group = servers.group(arrival.group());
+        int classIndex = arrival.classIndex();
+        RequestClass requestClass = context.settings().classes().get(classIndex);
+        if (group == null) {
+            lifecycle.rejectUnknownGroup(arrival, requestClass);
             return;
         }
-        g.askedAt = s.now;
-        health.earnProbes(limits.sparse && s.settings.replication().check() != RouterSettings.FreshnessCheck.SILENT);
-        boolean repeat = ages.spent(q.classIndex(), q.waitMicros()) || q.repeated();
-        double lot = s.random.nextDouble();
-        lot = repeat ? REPEAT_LOT + (1 - REPEAT_LOT) * lot : lot;
-        Pending r = new Pending(q, kind, g, s.now, repeat, lot);
-        s.requests.put(r.id(), r);
-        r.token = kind.access() == RequestClass.Access.STRONG
-                ? s.now
-                : kind.access() == RequestClass.Access.SESSION ? tokens.of(q, s.now) : Long.MIN_VALUE;
-        if (r.expires - s.now <= WaitQueue.MARGIN) {
-            waitQueue.giveUp(r);
+        healthChecker.requestArrived(group);
+        boolean clientRetry = clientRetries.isLateRetry(classIndex, arrival.waitMicros()) || arrival.repeated();
+        PendingRequest request = new PendingRequest(
+                arrival,
+                requestClass,
+                group,
+                context.nowMicros(),
+                tokens.requiredPosition(arrival, requestClass.access()),
+                shedding.draw(clientRetry),
+                clientRetry,
+                longReads.isLong(classIndex));
+        lifecycle.open(request);
+        if (context.nowMicros() >= request.answerDueMicros()) {
+            lifecycle.giveUp(request);
         } else {
-            waitQueue.placeOrHold(r);
+            queue.placeOrEnqueue(request);
         }
     }
 
-    private void onGone(String id) {
-        Pending r = s.requests.get(id);
-        if (r == null || r.over) {
+    private void attemptEnded(RouterEvent.AttemptEnded ended) {
+        PendingRequest request = lifecycle.find(ended.id());
+        Attempt attempt = request == null ? null : request.inFlight();
+        if (attempt == null || attempt.number() != ended.attempt()) {
             return;
         }
-        if (r.out != null && s.settings.limits().cancel()) {
-            s.act.accept(new RouterAction.CancelAttempt(r.id(), r.out.number()));
+        dispatcher.ended(attempt, ended.outcome());
+        feedback.attemptEnded(attempt, ended.outcome(), ended.elapsedMicros());
+        serverReported(attempt.server(), ended.position(), ended.role(), true);
+        if (ended.outcome() == AttemptOutcome.SERVED && request.isWrite()) {
+            tokens.recordWrite(request.arrival, ended.position());
         }
-        waitQueue.finish(r);
+        if (ended.requestClosed() || request.isClosed()) {
+            lifecycle.forget(request);
+        } else if (retryPolicy.mayRetry(request)) {
+            queue.placeOrEnqueue(request);
+        } else {
+            lifecycle.giveUp(request);
+        }
+        queue.dispatch(request.group);
     }
 
-    private void onOutcome(RouterEvent.AttemptEnded o) {
-        Pending r = s.requests.get(o.id());
-        if (r == null || r.out == null || r.out.number() != o.attempt()) {
+    private void healthCheckEnded(RouterEvent.HealthCheckEnded check) {
+        Server server = servers.server(check.node());
+        if (server == null) {
             return;
         }
-        Attempt a = r.out;
-        Node n = a.node();
-        a.ended(s.now, o.outcome());
-        health.judge(n, r, a, o);
-        primaries.learn(n, o.position(), o.role(), true);
-        if (o.outcome() == AttemptOutcome.SERVED && r.write()) {
-            // The design's token: a session's later reads must see this write.
-            tokens.raise(r.asked, o.position() == LogPosition.UNKNOWN ? s.now : o.position());
-        }
-        if (o.requestClosed() || r.over) {
-            r.over = true;
-            s.requests.remove(r.id());
-        } else {
-            again(r, o.outcome());
+        healthChecker.checkEnded(server, check.outcome());
+        restarts.recordHealthCheck(server, check.outcome());
+        outliers.recordHealthCheck(server, check.outcome());
+        if (check.outcome() == AttemptOutcome.SERVED) {
+            serverReported(server, check.position(), check.role(), false);
+            queue.dispatch(server.group);
         }
-        waitQueue.dispatch(r.group);
     }
 
-    private void again(Pending r, AttemptOutcome ending) {
-        boolean spent = r.attempts >= s.settings.limits().maxAttempts()
-                || r.errors > ERRORS_MOST
-                || s.now >= Math.min(r.expires - WaitQueue.MARGIN, r.worthlessAt());
-        if (spent || !primaries.mayRun(r, r.last)) {
-            waitQueue.giveUp(r);
-        } else {
-            waitQueue.placeOrHold(r);
+    private void serverReported(Server server, long position, ServerRole role, boolean inAnswer) {
+        lag.record(server, position, inAnswer);
+        primaries.record(server, role, position, inAnswer);
+    }
+
+    private void endpointsUpdated(RouterEvent.EndpointUpdate update) {
+        endpointWatch.received(update.form());
+        if (update.form() != ListForm.UNAVAILABLE) {
+            endpointList.apply(update);
         }
+        servers.groups().forEach(queue::dispatch);
     }
 
     private void tick() {
-        for (Group g : s.groups.values()) {
+        for (ServerGroup group : servers.groups()) {
             // The last look at the primary comes before the end, though both may be due at one tick.
-            waitQueue.dispatch(g);
-            waitQueue.expire(g);
-            if (!g.members.isEmpty()
-                    && waitQueue.queued.anyForPrimary(g)
-                    && !primaries.ready(g.primary, true)
-                    && s.now >= g.changeProbeAt) {
-                // One member at a time, the faster the more is held, as every router does the same.
-                long pace = CHANGE_PROBE_PACE / Math.min(g.held, g.members.size());
-                g.changeProbeAt = s.now + pace + s.random.nextLong(pace / 4 + 1);
-                g.probeTurn = (g.probeTurn + 1) % g.members.size();
-                health.probe(g.members.get(g.probeTurn));
-            }
+            queue.dispatch(group);
+            queue.expire(group);
+            primarySearch.tick(group);
         }
-        if (s.now >= membersAt) {
-            membersAt = s.now + IDLE_TICK;
-            idles.grow();
-            roster.forget();
-            for (Node n : s.nodes.values()) {
-                idles.tick(n);
-                health.tick(n);
+        if (context.nowMicros() >= serverTickMicros) {
+            serverTickMicros = context.nowMicros() + SERVER_TICK_MICROS;
+            idleTimeout.grow();
+            endpointList.forgetDeparted();
+            for (Server server : servers.servers()) {
+                idleTimeout.tick(server);
+                outliers.tick(server);
             }
         }
-        roster.tick();
-        setTick(waitQueue.queued.size() > 0 ? TICK : IDLE_TICK);
-    }
-
-    /** Whether a member in the list is not used by choice. */
-    public boolean avoids(String node) {
-        Node n = s.nodes.get(node);
-        return n != null && (!health.healthy(n) || health.shunned(n));
-    }
-
-    int members() {
-        return s.nodes.size();
+        endpointWatch.tick();
+        setTimer(queue.size() > 0 ? QUEUE_TICK_MICROS : SERVER_TICK_MICROS);
     }
 
-    private void setTick(long delay) {
-        tickAt = s.now + delay;
-        s.act.accept(new RouterAction.SetTimer(delay, 0));
+    private void setTimer(long delayMicros) {
+        tickMicros = context.nowMicros() + delayMicros;
+        context.perform(new RouterAction.SetTimer(delayMicros, 0));
     }
 }
--- a/routing/src/test/java/lupinvalve/routing/AgesTest.java
+++ b/routing/src/test/java/lupinvalve/routing/ClientRetryDetectorTest.java
@@ -7,9 +7,9 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class AgesTest {
+class ClientRetryDetectorTest {
     private static final long MS = 1000;
-    private final Ages ages = new Ages(List.of(
+    private final ClientRetryDetector detector = new ClientRetryDetector(List.of(
             new RequestClass(
                     "read",
                     RequestClass.Access.ANY,
@@ -35,37 +35,37 @@
 
     private void first(int cls, int count) {
         for (int i = 0; i < count; i++) {
-            assertEquals(0, ages.of(cls, 1500 * MS));
+            assertEquals(0, detector.sinceFirstAttemptMicros(cls, 1500 * MS));
         }
     }
 
     @Test
     void whatARepeatLacksHasPassedSinceItsFirstTry() {
         first(0, 40);
-        assertEquals(1100 * MS, ages.of(0, 900 * MS));
-        assertTrue(ages.spent(0, 900 * MS));
-        assertFalse(ages.spent(0, 1500 * MS));
+        assertEquals(1100 * MS, detector.sinceFirstAttemptMicros(0, 900 * MS));
+        assertTrue(detector.isLateRetry(0, 900 * MS));
+        assertFalse(detector.isLateRetry(0, 1500 * MS));
     }
 
     @Test
     void oneLongWaitMakesNoRepeatsOfAllOthers() {
         first(0, 40);
-        assertEquals(0, ages.of(0, 1990 * MS));
+        assertEquals(0, detector.sinceFirstAttemptMicros(0, 1990 * MS));
         first(0, 40);
     }
 
     @Test
     void clientsThatAllWaitDifferentlyAreNotTakenForRepeats() {
         for (int i = 0; i < 200; i++) {
-            assertFalse(ages.spent(0, (500 + i * 7 % 900) * MS));
+            assertFalse(detector.isLateRetry(0, (500 + i * 7 % 900) * MS));
         }
     }
 
     @Test
     void fewRequestsAndLateWorthProveNothing() {
         first(0, 5);
-        assertFalse(ages.spent(0, 300 * MS));
+        assertFalse(detector.isLateRetry(0, 300 * MS));
         first(1, 40);
-        assertFalse(ages.spent(1, 300 * MS), "a late write is still worth most of its worth");
+        assertFalse(detector.isLateRetry(1, 300 * MS), "a late write is still worth most of its worth");
     }
 }
--- a/routing/src/test/java/lupinvalve/routing/RosterTest.java
+++ b/routing/src/test/java/lupinvalve/routing/EndpointListTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 
 /** How long a draining primary gets writes: from when it was told at the earliest, which the news may not say. */
-class RosterTest {
+class EndpointListTest {
     private static final long MS = 1000, GRACE = 250 * MS, LATE = Long.MAX_VALUE;
     private final List<RouterAction> done = new ArrayList<>();
     private long now = 1_000_000 * MS;
--- a/routing/src/test/java/lupinvalve/routing/PolicyFileTest.java
+++ b/routing/src/test/java/lupinvalve/routing/PolicyFileTest.java
@@ -1,36 +1,54 @@
 package lupinvalve.routing;
 
+import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
-import java.util.regex.MatchResult;
 import java.util.regex.Pattern;
+import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The decision module, as the deploy file names it, stays small enough to be read. */
+/** The decision types, as the deploy file names them, are complete and each small enough to be read at a glance. */
 class PolicyFileTest {
-    @Test
-    void moduleKeepsToItsSizeAndLineLength() throws IOException {
-        String policy = Files.readString(Path.of("deploy/balancer.toml"))
+    private static final String MODULE = "routing/src/main/java/lupinvalve/routing/";
+    private static final int MAX_LINES = 249;
+    private static final int MAX_COLUMNS = 120;
+
+    private static List<String> files(String key) throws IOException {
+        String named = Files.readString(Path.of("deploy/balancer.toml"))
                 .lines()
-                .filter(line -> line.startsWith("policy"))
+                .filter(line -> line.startsWith(key))
                 .findFirst()
                 .orElseThrow();
-        List<String> files = Pattern.compile("\"([^\"]+)\"")
-                .matcher(policy)
+        return Pattern.compile("\"([^\"]+)\"")
+                .matcher(named)
                 .results()
-                .map((MatchResult m) -> m.group(1))
+                .map(match -> match.group(1))
                 .toList();
-        assertTrue(files.size() > 1, policy);
-        long counted = 0;
+    }
+
+    @Test
+    void eachDecisionTypeKeepsToItsSizeAndLineLength() throws IOException {
+        List<String> files = files("policy");
+        assertTrue(files.size() > 1, files.toString());
         for (String file : files) {
             List<String> lines = Files.readAllLines(Path.of(file));
-            counted += lines.stream().filter(line -> !line.isBlank()).count();
-            lines.forEach(line -> assertTrue(line.length() <= 110, line));
+            assertTrue(lines.size() <= MAX_LINES, file + ": " + lines.size());
+            lines.forEach(line -> assertTrue(line.length() <= MAX_COLUMNS, line));
+        }
+    }
+
+    @Test
+    void eachFileOfTheModuleIsNamedOnce() throws IOException {
+        List<String> named = Stream.concat(files("policy").stream(), files("node").stream())
+                .filter(file -> file.startsWith(MODULE))
+                .sorted()
+                .toList();
+        try (Stream<Path> all = Files.list(Path.of(MODULE))) {
+            assertEquals(all.map(Path::toString).sorted().toList(), named);
         }
-        assertTrue(counted <= 950, "lines that are not blank: " + counted);
     }
 }
--- a/routing/src/test/java/lupinvalve/routing/RouterTest.java
+++ b/routing/src/test/java/lupinvalve/routing/RouterTest.java
@@ -733,14 +733,14 @@
         list(ListForm.UPDATE, new Endpoint("a", 1, 0, EndpointState.DEPARTED, false, 0));
         pass(6000 * MS);
         // b, c and a, at which the write is still out.
-        assertEquals(3, router.members());
+        assertEquals(3, router.serverCount());
         outcome("w", 0, "a", AttemptOutcome.BROKEN, LogPosition.UNKNOWN, ServerRole.UNKNOWN);
         pass(200 * MS);
-        assertEquals(2, router.members());
+        assertEquals(2, router.serverCount());
         // A group all of whose members have left still answers.
         list(ListForm.FULL);
         pass(6000 * MS);
-        assertEquals(0, router.members());
+        assertEquals(0, router.serverCount());
         request("r", READ, null, 2000 * MS);
         request("v", WRITE, "s", 2000 * MS);
         pass(2000 * MS);
--- a/routing/src/test/java/lupinvalve/routing/AllowanceTest.java
+++ b/routing/src/test/java/lupinvalve/routing/SlowStartBudgetTest.java
@@ -8,27 +8,27 @@
 import org.junit.jupiter.api.Test;
 
 /** The books of what a cold db node may be sent. */
-class AllowanceTest {
+class SlowStartBudgetTest {
     @Test
     void whatIsUsedUpAddsToWholeRequests() {
-        Allowance allowance = new Allowance();
-        allowance.restart(0, 0, 0.5);
+        SlowStartBudget budget = new SlowStartBudget();
+        budget.restart(0, 0, 0.5);
         int sent = 0;
         for (int served = 1; served <= 100; served++) {
-            allowance.earn(served, 0.1, 1);
-            sent += allowance.draw(0.2) ? 1 : 0;
+            budget.earn(served, 0.1, 1);
+            sent += budget.spendPart(0.2) ? 1 : 0;
         }
         assertEquals(10, sent);
     }
 
     @Test
     void aLongQuietTimeSavesNoMoreThanTheMost() {
-        Allowance allowance = new Allowance();
-        allowance.restart(0, 0, 0);
-        allowance.earn(1000, 0.5, 0.3);
+        SlowStartBudget budget = new SlowStartBudget();
+        budget.restart(0, 0, 0);
+        budget.earn(1000, 0.5, 0.3);
         int sent = 0;
         for (int i = 0; i < 100; i++) {
-            sent += allowance.draw(0.1) ? 1 : 0;
+            sent += budget.spendPart(0.1) ? 1 : 0;
         }
         assertEquals(0, sent);
     }
@@ -38,30 +38,30 @@
         SplittableRandom random = new SplittableRandom(1);
         int sent = 0;
         for (int router = 0; router < 1000; router++) {
-            Allowance allowance = new Allowance();
-            allowance.restart(0, 0, random.nextDouble());
-            allowance.earn(1, 0.1, 1);
-            sent += allowance.draw(1) ? 1 : 0;
+            SlowStartBudget budget = new SlowStartBudget();
+            budget.restart(0, 0, random.nextDouble());
+            budget.earn(1, 0.1, 1);
+            sent += budget.spendPart(1) ? 1 : 0;
         }
         assertTrue(sent > 70 && sent < 130, "of 100 due " + sent);
     }
 
     @Test
     void wholeRequestsAreSpentOneByOne() {
-        Allowance allowance = new Allowance();
-        allowance.restart(10, 0.5, 0);
-        assertFalse(allowance.whole());
-        allowance.earn(12, 0.5, 3);
-        assertTrue(allowance.whole());
-        allowance.spend(1);
-        assertFalse(allowance.whole());
+        SlowStartBudget budget = new SlowStartBudget();
+        budget.restart(10, 0.5, 0);
+        assertFalse(budget.hasWholeRequest());
+        budget.earn(12, 0.5, 3);
+        assertTrue(budget.hasWholeRequest());
+        budget.spend(1);
+        assertFalse(budget.hasWholeRequest());
     }
 
     @Test
     void warmthGrowsFromTheLeastToAllAndNoFurther() {
         RouterSettings.Rules rules = new RouterSettings.Rules(0, 0, 0, 0.2, 10_000, 3, 3_000);
-        assertEquals(0.2, Allowance.warmth(rules, -3_000), 1e-9);
-        assertEquals(0.6, Allowance.warmth(rules, 5_000), 1e-9);
-        assertEquals(1, Allowance.warmth(rules, 20_000), 1e-9);
+        assertEquals(0.2, SlowStart.capacityRatio(rules, -3_000), 1e-9);
+        assertEquals(0.6, SlowStart.capacityRatio(rules, 5_000), 1e-9);
+        assertEquals(1, SlowStart.capacityRatio(rules, 20_000), 1e-9);
     }
 }
