--- a/capacity/src/main/java/lupinvalve/capacity/RegionFigures.java
+++ b/capacity/src/main/java/lupinvalve/capacity/RegionFigures.java
@@ -29,18 +29,18 @@
                 Unit.SECONDS,
                 Basis.GUESSED,
                 "one way there and back",
-                "group/Replica.java"));
+                "replication/RaftReplica.java"));
         out.add(Figure.of(
                 "a cut region's poolers may act with `fence`, at most",
-                Lease.LENGTH / MICROS,
+                Lease.DURATION_MICROS / MICROS,
                 d.inForceSeconds(),
                 Unit.SECONDS,
                 Basis.COMPUTED,
-                "`Lease.LENGTH`",
+                "`Lease.DURATION_MICROS`",
                 "audit/Lease.java"));
         out.add(Figure.plain(
                 "statements refused in the hour with `fence`",
-                d.statementsPerSecond() / d.regions() * (d.cutHours() * HOUR - Lease.LENGTH / MICROS),
+                d.statementsPerSecond() / d.regions() * (d.cutHours() * HOUR - Lease.DURATION_MICROS / MICROS),
                 Unit.COUNT,
                 Basis.COMPUTED,
                 "a third of the statements",
@@ -86,7 +86,7 @@
                 Unit.SECONDS,
                 Basis.COMPUTED,
                 Past.DRILL_PAGE + ", regions apart not run",
-                "group/Replica.java"));
+                "replication/RaftReplica.java"));
         return out;
     }
 }
--- a/capacity/src/test/java/lupinvalve/replication/MessageSizes.java
+++ b/capacity/src/test/java/lupinvalve/replication/MessageSizes.java
@@ -7,11 +7,11 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import lupinvalve.audit.Entry;
+import lupinvalve.audit.AuditEntry;
 import lupinvalve.routing.EndpointState;
-import lupinvalve.statemachine.Change;
-import lupinvalve.statemachine.Encoding;
-import lupinvalve.statemachine.Identity;
+import lupinvalve.statemachine.Command;
+import lupinvalve.statemachine.CommandCodec;
+import lupinvalve.statemachine.MemberId;
 import lupinvalve.subscription.FollowAnswer;
 import lupinvalve.subscription.FollowRequest;
 
@@ -30,18 +30,18 @@
 
     private MessageSizes() {}
 
-    private static Endpoint sender() {
-        return new Endpoint(new Identity(NAME, SegmentedLog.diskName()));
+    private static MemberEndpoint sender() {
+        return new MemberEndpoint(new MemberId(NAME, SegmentedLog.diskName()));
     }
 
     private static int sent(RaftMessage message) {
-        return Messages.message(Messages.Kind.RAFT, Models.write(message)).length;
+        return WireMessages.message(WireMessages.Kind.RAFT, RaftCodec.write(message)).length;
     }
 
     /** A leader's word without changes. */
     public static int heartbeat() {
-        var message = Models.FACTORY.createAppendEntriesRequestBuilder();
-        message.setGroupId(Replica.GROUP).setSender(sender()).setTerm(TERM);
+        var message = RaftCodec.FACTORY.createAppendEntriesRequestBuilder();
+        message.setGroupId(RaftReplica.GROUP).setSender(sender()).setTerm(TERM);
         message.setPreviousLogTerm(TERM)
                 .setPreviousLogIndex(INDEX)
                 .setCommitIndex(INDEX)
@@ -53,8 +53,8 @@
 
     /** A follower's answer to it. */
     public static int heartbeatAnswer() {
-        var message = Models.FACTORY.createAppendEntriesSuccessResponseBuilder();
-        message.setGroupId(Replica.GROUP).setSender(sender()).setTerm(TERM);
+        var message = RaftCodec.FACTORY.createAppendEntriesSuccessResponseBuilder();
+        message.setGroupId(RaftReplica.GROUP).setSender(sender()).setTerm(TERM);
         return sent(message.setLastLogIndex(INDEX)
                 .setQuerySequenceNumber(QUERY)
                 .setFlowControlSequenceNumber(QUERY)
@@ -63,7 +63,7 @@
 
     /** A call for a lease. */
     public static int leaseCall() {
-        return new Messages.Call(
+        return new WireMessages.Request(
                         INDEX,
                         "lease",
                         List.of(NAME.getBytes(UTF_8), Long.toString(INDEX).getBytes(UTF_8), new byte[0]))
@@ -73,7 +73,7 @@
 
     /** What a lease is answered. */
     public static int leaseAnswer() {
-        return new Messages.Answer(INDEX, Messages.Code.OK, "2000000").write().length;
+        return new WireMessages.Response(INDEX, WireMessages.Status.OK, "2000000").write().length;
     }
 
     /** A subscriber's request, where it has all. */
@@ -81,13 +81,13 @@
         String digest = "0011223344556677";
         byte[] request =
                 new FollowRequest(FollowRequest.VERSION, INDEX, REVISION, digest, digest, true, false, "").write();
-        return new Messages.Call(INDEX, Followers.CALL, List.of(request)).write().length;
+        return new WireMessages.Request(INDEX, Followers.CALL, List.of(request)).write().length;
     }
 
     /** What that is answered where there is nothing new: a lease. */
     public static int followAnswer() {
         byte[] content = new FollowAnswer(2_000_000, 500_000, "", INDEX, 0, new FollowAnswer.News.None(), null).write();
-        return new Messages.Answer(INDEX, Messages.Code.OK, "", content).write().length;
+        return new WireMessages.Response(INDEX, WireMessages.Status.OK, "", content).write().length;
     }
 
     /** One session's commit, by what a thousand of them take. */
@@ -96,32 +96,42 @@
         for (int i = 0; i < MANY; i++) {
             positions.put("session-" + (1_000_000 + i), NOW + i);
         }
-        return Encoding.write(new Change.Commits(NOW, positions)).length / MANY;
+        return CommandCodec.encode(new Command.SessionCommits(NOW, positions)).length / MANY;
     }
 
     /** The two entries that a member notes for one configuration. */
     public static int noted() {
         String version = "3800-0011223344556677";
-        Entry adopted = new Entry(
-                NAME, NOW, 17, Entry.What.ADOPTED, version, INDEX, NOW, 20_000, "", "00112233445566778899aabbccddeeff");
-        Entry ceased =
-                new Entry(NAME, NOW, 18, Entry.What.CEASED_OTHERS, version, INDEX, NOW, 20_000, "", adopted.digest());
-        return Encoding.write(new Change.Noted(NAME, NOW, 17, List.of(adopted.write(), ceased.write()))).length;
+        AuditEntry adopted = new AuditEntry(
+                NAME,
+                NOW,
+                17,
+                AuditEntry.Event.ADOPTED,
+                version,
+                INDEX,
+                NOW,
+                20_000,
+                "",
+                "00112233445566778899aabbccddeeff");
+        AuditEntry ceased = new AuditEntry(
+                NAME, NOW, 18, AuditEntry.Event.CEASED_OTHERS, version, INDEX, NOW, 20_000, "", adopted.digest());
+        return CommandCodec.encode(new Command.AppendAudit(NAME, NOW, 17, List.of(adopted.encode(), ceased.encode())))
+                .length;
     }
 
     /** One db node in the group's list, by what a thousand take. */
     public static int listed() {
-        List<Change.Listed> nodes = new ArrayList<>();
+        List<Command.KnownEndpoint> nodes = new ArrayList<>();
         for (int i = 0; i < MANY; i++) {
             lupinvalve.routing.Endpoint member = new lupinvalve.routing.Endpoint(
                     "node-" + (1000 + i), i / 6, i % 7, EndpointState.LIVE, i % 6 == 0, NOW);
-            nodes.add(new Change.Listed(member, Map.of("pg", "10.17.3." + i % 250 + ":5432"), NOW));
+            nodes.add(new Command.KnownEndpoint(member, Map.of("pg", "10.17.3." + i % 250 + ":5432"), NOW));
         }
-        return Encoding.write(new Change.Listing(NOW, nodes)).length / MANY;
+        return CommandCodec.encode(new Command.EndpointList(NOW, nodes)).length / MANY;
     }
 
     /** A word that only says that the connection stands. */
     public static int beat() {
-        return Messages.message(Messages.Kind.BEAT, new byte[0]).length;
+        return WireMessages.message(WireMessages.Kind.HEARTBEAT, new byte[0]).length;
     }
 }
--- a/faultinjection/src/test/java/lupinvalve/replication/SegmentedLogTest.java
+++ b/faultinjection/src/test/java/lupinvalve/replication/SegmentedLogTest.java
@@ -10,15 +10,16 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.Set;
-import lupinvalve.statemachine.Change;
-import lupinvalve.statemachine.Encoding;
-import lupinvalve.statemachine.Founding;
-import lupinvalve.statemachine.Identity;
-import lupinvalve.statemachine.Ledger;
+import lupinvalve.statemachine.ClusterBootstrap;
+import lupinvalve.statemachine.Command;
+import lupinvalve.statemachine.CommandCodec;
+import lupinvalve.statemachine.MemberId;
+import lupinvalve.statemachine.ReplicatedState;
+import lupinvalve.statemachine.SnapshotCodec;
 import org.junit.jupiter.api.Test;
 
 class SegmentedLogTest {
-    private static final Identity ME = new Identity("a", "d1");
+    private static final MemberId ME = new MemberId("a", "d1");
     private final MemoryDisk disk = new MemoryDisk();
 
     private static SegmentedLog open(MemoryDisk from) throws IOException {
@@ -26,32 +27,32 @@
     }
 
     private static LogEntry entry(long index, int term) {
-        return Models.FACTORY
+        return RaftCodec.FACTORY
                 .createLogEntryBuilder()
                 .setIndex(index)
                 .setTerm(term)
-                .setOperation(Encoding.write(
-                        new Change.Put(index - 1, ("{\"n\":" + index + "}").getBytes(StandardCharsets.UTF_8))))
+                .setOperation(CommandCodec.encode(
+                        new Command.PutDocument(index - 1, ("{\"n\":" + index + "}").getBytes(StandardCharsets.UTF_8))))
                 .build();
     }
 
     private static void begin(SegmentedLog log) throws IOException {
-        log.keep(new Founding.Word(ME, Founding.Phase.FOUNDED, Set.of(ME)));
-        log.persistAndFlushLocalEndpoint(Models.FACTORY
+        log.keep(new ClusterBootstrap.Announcement(ME, ClusterBootstrap.Phase.BOOTSTRAPPED, Set.of(ME)));
+        log.persistAndFlushLocalEndpoint(RaftCodec.FACTORY
                 .createRaftEndpointPersistentStateBuilder()
-                .setLocalEndpoint(new Endpoint(ME))
+                .setLocalEndpoint(new MemberEndpoint(ME))
                 .setVoting(true)
                 .build());
-        log.persistAndFlushInitialGroupMembers(Models.FACTORY
+        log.persistAndFlushInitialGroupMembers(RaftCodec.FACTORY
                 .createRaftGroupMembersViewBuilder()
                 .setLogIndex(0)
-                .setMembers(List.of(new Endpoint(ME)))
-                .setVotingMembers(List.of(new Endpoint(ME)))
+                .setMembers(List.of(new MemberEndpoint(ME)))
+                .setVotingMembers(List.of(new MemberEndpoint(ME)))
                 .build());
-        log.persistAndFlushTerm(Models.FACTORY
+        log.persistAndFlushTerm(RaftCodec.FACTORY
                 .createRaftTermPersistentStateBuilder()
                 .setTerm(3)
-                .setVotedFor(new Endpoint(ME))
+                .setVotedFor(new MemberEndpoint(ME))
                 .build());
     }
 
@@ -80,15 +81,13 @@
         long before = -1;
         for (int size = 0; size <= whole.length; size++) {
             MemoryDisk torn = disk.copy();
-            torn.put(name, Arrays.copyOf(whole, size));
-            // Some systems leave zeros where the rest should be.
+            torn.put(name, Arrays.copyOf(whole, size)); // Some systems leave zeros where the rest should be.
             MemoryDisk zeros = disk.copy();
             zeros.put(name, Arrays.copyOf(Arrays.copyOf(whole, size), size + 5000));
             SegmentedLog log = open(torn);
             assertEquals(log.lastIndex(), open(zeros).lastIndex());
             assertTrue(log.lastIndex() >= before, "more is there than with less");
-            before = log.lastIndex();
-            // What was cut is gone for good, and the history goes on behind it.
+            before = log.lastIndex(); // What was cut is gone for good, and the history goes on behind it.
             if (log.lastIndex() > 0) {
                 log.persistLogEntries(List.of(entry(log.lastIndex() + 1, 4)));
                 log.flush();
@@ -129,7 +128,8 @@
         MemoryDisk newer = disk.copy();
         newer.put(
                 "identity",
-                Frames.frame(new lupinvalve.statemachine.Cbor.Out().number(2).done()));
+                RecordFrames.frame(
+                        new lupinvalve.statemachine.Cbor.Writer().number(2).toByteArray()));
         assertEquals(
                 "identity: format 2; this program reads 1",
                 assertThrows(IOException.class, () -> open(newer)).getMessage());
@@ -149,24 +149,24 @@
     void termVoteMembersAndWhatWasAcceptedOutliveSegments() throws Exception {
         SegmentedLog log = written();
         log.accepted(12);
-        Ledger ledger = new Ledger();
+        ReplicatedState ledger = new ReplicatedState();
         for (int i = 1; i <= 15; i++) {
-            ledger.apply(i, Encoding.read((byte[]) entry(i, 3).getOperation()));
+            ledger.apply(i, CommandCodec.decode((byte[]) entry(i, 3).getOperation()));
         }
-        List<byte[]> pieces = Encoding.snapshot(ledger);
+        List<byte[]> pieces = SnapshotCodec.encode(ledger);
         for (int i = 0; i < pieces.size(); i++) {
-            log.persistSnapshotChunk(Models.FACTORY
+            log.persistSnapshotChunk(RaftCodec.FACTORY
                     .createSnapshotChunkBuilder()
                     .setIndex(15)
                     .setTerm(3)
                     .setSnapshotChunkIndex(i)
                     .setSnapshotChunkCount(pieces.size())
                     .setOperation(pieces.get(i))
-                    .setGroupMembersView(Models.FACTORY
+                    .setGroupMembersView(RaftCodec.FACTORY
                             .createRaftGroupMembersViewBuilder()
                             .setLogIndex(0)
-                            .setMembers(List.of(new Endpoint(ME)))
-                            .setVotingMembers(List.of(new Endpoint(ME)))
+                            .setMembers(List.of(new MemberEndpoint(ME)))
+                            .setVotingMembers(List.of(new MemberEndpoint(ME)))
                             .build())
                     .build());
         }
@@ -178,8 +178,7 @@
         log.persistLogEntries(List.of(entry(21, 3), entry(22, 3)));
         log.truncateLogEntriesFrom(22);
         log.persistLogEntries(List.of(entry(22, 4)));
-        log.flush();
-        // The changes that lay in the segment gone are missing behind the snapshot: that must not pass.
+        log.flush(); // The changes that lay in the segment gone are missing behind the snapshot: that must not pass.
         assertTrue(assertThrows(IOException.class, () -> open(disk.copy()))
                 .getMessage()
                 .contains("changes 16 to 20"));
@@ -191,9 +190,10 @@
         log.accepted(12);
         log.flush();
         SegmentedLog again = open(disk);
-        assertEquals(12, Replica.warm(again).revision());
+        assertEquals(12, RaftReplica.warm(again).revision());
         assertEquals(3, again.restored().getTermPersistentState().getTerm());
-        assertEquals(ME, Endpoint.of(again.restored().getTermPersistentState().getVotedFor()));
+        assertEquals(
+                ME, MemberEndpoint.of(again.restored().getTermPersistentState().getVotedFor()));
         assertEquals(20, again.restored().getLogEntries().size());
     }
 
@@ -210,7 +210,7 @@
         assertThrows(IOException.class, log::flush);
         assertThrows(
                 IOException.class,
-                () -> log.persistAndFlushTerm(Models.FACTORY
+                () -> log.persistAndFlushTerm(RaftCodec.FACTORY
                         .createRaftTermPersistentStateBuilder()
                         .setTerm(9)
                         .setVotedFor(null)
--- a/lab/src/main/java/lupinvalve/lab/StoreBench.java
+++ b/lab/src/main/java/lupinvalve/lab/StoreBench.java
@@ -16,12 +16,13 @@
 import lupinvalve.config.OperatorConfig;
 import lupinvalve.drills.Scratch;
 import lupinvalve.log.Log;
-import lupinvalve.replication.Client;
-import lupinvalve.replication.Group;
-import lupinvalve.replication.Messages;
-import lupinvalve.statemachine.Change;
-import lupinvalve.statemachine.Encoding;
-import lupinvalve.statemachine.Ledger;
+import lupinvalve.replication.ControlPlane;
+import lupinvalve.replication.GroupClient;
+import lupinvalve.replication.RaftMember;
+import lupinvalve.replication.WireMessages;
+import lupinvalve.statemachine.Command;
+import lupinvalve.statemachine.CommandCodec;
+import lupinvalve.statemachine.ReplicatedState;
 import org.HdrHistogram.ConcurrentHistogram;
 import org.HdrHistogram.Histogram;
 import org.kohsuke.args4j.Option;
@@ -45,25 +46,22 @@
     private final Map<String, String> places = new TreeMap<>();
     private Path folder;
 
-    private static final class Quiet implements Group.Pooler {
+    private static final class Quiet implements ControlPlane.Listener {
         @Override
-        public String objection(byte[] document) {
+        public String validationError(byte[] document) {
             return null;
         }
 
         @Override
-        public void adopt(Ledger.Document document) {
-            // Nobody acts here.
+        public void configurationAccepted(ReplicatedState.Document document) { // Nobody acts here.
         }
 
         @Override
-        public void holds(Map<Change.Holding, Ledger.Held> holds) {
-            // Likewise.
+        public void holdsChanged(Map<Command.DrainTarget, ReplicatedState.Drain> holds) { // Likewise.
         }
 
         @Override
-        public void commits(Change.Commits commits) {
-            // Likewise.
+        public void commitsAccepted(Command.SessionCommits commits) { // Likewise.
         }
     }
 
@@ -75,11 +73,11 @@
     public int run(PrintStream out) throws Exception {
         Log.least(Log.Level.ERROR);
         folder = Files.createTempDirectory("store-bench");
-        List<Group> groups = new ArrayList<>();
+        List<RaftMember> groups = new ArrayList<>();
         try {
             places.putAll(Scratch.places(List.of("a", "b", "c")));
             for (String name : places.keySet()) {
-                Group group = new Group(config(name));
+                RaftMember group = new RaftMember(config(name));
                 groups.add(group);
                 group.start(new Quiet());
             }
@@ -103,7 +101,7 @@
             System.gc();
             long heap =
                     Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
-            groups.forEach(Group::stop);
+            groups.forEach(RaftMember::stop);
             groups.clear();
             long disk = 0;
             try (Stream<Path> files = Files.list(folder.resolve(leader))) {
@@ -112,7 +110,7 @@
                 }
             }
             long opened = System.nanoTime();
-            Group again = new Group(config(leader));
+            RaftMember again = new RaftMember(config(leader));
             groups.add(again);
             double restart = (System.nanoTime() - opened) / 1e6;
             out.printf(
@@ -129,16 +127,16 @@
                     restart);
             return 0;
         } finally {
-            groups.forEach(Group::stop);
+            groups.forEach(RaftMember::stop);
             Scratch.delete(folder);
         }
     }
 
-    private String leader(List<Group> groups) throws IOException, InterruptedException {
+    private String leader(List<RaftMember> groups) throws IOException, InterruptedException {
         List<String> names = new ArrayList<>(places.keySet());
         for (int i = 0; i < 600; i++) {
             for (int g = 0; g < groups.size(); g++) {
-                if (groups.get(g).leads()) {
+                if (groups.get(g).isLeader()) {
                     return names.get(g);
                 }
             }
@@ -151,14 +149,15 @@
             String leader, int number, long start, AtomicLong done, AtomicLong turnedDown, Histogram latencies) {
         Semaphore room = new Semaphore(outstanding);
         Map<Long, Long> sentAt = new ConcurrentHashMap<>();
-        try (Client.Session session = new Client("bench", places, null).open(leader, places.get(leader), 20_000)) {
+        try (GroupClient.Session session =
+                new GroupClient("bench", places, null).open(leader, places.get(leader), 20_000)) {
             Thread receiver = new Thread(
                     () -> {
                         try {
                             while (true) {
-                                Messages.Answer answer = session.receive();
+                                WireMessages.Response answer = session.receive();
                                 Long sent = sentAt.remove(answer.id());
-                                if (answer.code() == Messages.Code.OK) {
+                                if (answer.status() == WireMessages.Status.OK) {
                                     done.incrementAndGet();
                                     latencies.recordValue((System.nanoTime() - sent) / 1000);
                                 } else {
@@ -166,8 +165,7 @@
                                 }
                                 room.release();
                             }
-                        } catch (IOException e) {
-                            // The sender has closed the connection.
+                        } catch (IOException e) { // The sender has closed the connection.
                         }
                     },
                     "receiver");
@@ -178,8 +176,11 @@
             for (long n = number; System.nanoTime() < end || done.get() < least; n += CONNECTIONS) {
                 room.acquire();
                 long now = System.currentTimeMillis() * 1000;
-                byte[] change = Encoding.write(new Change.Commits(now, Map.of("session-" + n % SESSIONS, now)));
-                // Calls are numbered from 1 on; the answer may be here before the call returns.
+                byte[] change = CommandCodec.encode(new Command.SessionCommits(
+                        now,
+                        Map.of(
+                                "session-" + n % SESSIONS,
+                                now))); // Calls are numbered from 1 on; the answer may be here before the call returns.
                 sentAt.put(++calls, System.nanoTime());
                 session.send("propose", List.of(change));
             }
--- a/replication/src/main/java/lupinvalve/replication/Messages.java
+++ b/replication/src/main/java/lupinvalve/replication/WireMessages.java
@@ -7,30 +7,30 @@
 import java.util.List;
 import lupinvalve.net.Framer;
 import lupinvalve.statemachine.Cbor;
-import lupinvalve.statemachine.Founding;
+import lupinvalve.statemachine.ClusterBootstrap;
 
 /** The store's own wire: a length, a kind, and CBOR. */
-public final class Messages implements Framer {
+public final class WireMessages implements Framer {
     /** What a message is. */
     enum Kind {
         HELLO,
         RAFT,
-        CALL,
-        ANSWER,
-        BEAT
+        REQUEST,
+        RESPONSE,
+        HEARTBEAT
     }
 
     /** How a call ended; the numbers are the wire's. */
-    public enum Code {
+    public enum Status {
         OK,
         /** The revision expected is not the one that holds. */
         CONFLICT,
         /** It can't be done, and asking again does not help. */
-        REFUSED,
+        REJECTED,
         /** Nothing has happened, and asking again may help. */
-        AGAIN,
+        RETRY,
         /** It may have happened. */
-        UNKNOWN
+        INDETERMINATE
     }
 
     private static final int VERSION = 1, LENGTH_MOST = 16 << 20, ARGUMENTS_MOST = 16;
@@ -42,9 +42,9 @@
      *
      * @param word null for an operator
      */
-    record Hello(String cluster, String name, String address, Founding.Word word) {
+    record Hello(String cluster, String name, String address, ClusterBootstrap.Announcement word) {
         byte[] write() {
-            Cbor.Out out = new Cbor.Out()
+            Cbor.Writer out = new Cbor.Writer()
                     .number(VERSION)
                     .text(cluster)
                     .text(name)
@@ -53,36 +53,37 @@
             if (word != null) {
                 word.write(out);
             }
-            return message(Kind.HELLO, out.done());
+            return message(Kind.HELLO, out.toByteArray());
         }
 
         static Hello read(byte[] body) throws IOException {
-            Cbor.In in = new Cbor.In(body);
+            Cbor.Reader in = new Cbor.Reader(body);
             long version = in.number();
             if (version != VERSION) {
                 throw new IOException("version " + version + " of the store's wire; this program speaks " + VERSION);
             }
-            return new Hello(in.text(), in.text(), in.text(), in.flag() ? Founding.Word.read(in) : null);
+            return new Hello(
+                    in.text(), in.text(), in.text(), in.flag() ? ClusterBootstrap.Announcement.read(in) : null);
         }
     }
 
     /** Something asked of a member. */
-    public record Call(long id, String name, List<byte[]> arguments) {
+    public record Request(long id, String name, List<byte[]> arguments) {
         byte[] write() {
-            Cbor.Out out = new Cbor.Out().number(id).text(name).number(arguments.size());
+            Cbor.Writer out = new Cbor.Writer().number(id).text(name).number(arguments.size());
             arguments.forEach(out::bytes);
-            return message(Kind.CALL, out.done());
+            return message(Kind.REQUEST, out.toByteArray());
         }
 
-        static Call read(byte[] body) throws IOException {
-            Cbor.In in = new Cbor.In(body);
+        static Request read(byte[] body) throws IOException {
+            Cbor.Reader in = new Cbor.Reader(body);
             long id = in.number();
             String name = in.text();
             List<byte[]> arguments = new ArrayList<>();
             for (int left = in.count(ARGUMENTS_MOST); left > 0; left--) {
                 arguments.add(in.bytes());
             }
-            return new Call(id, name, arguments);
+            return new Request(id, name, arguments);
         }
     }
 
@@ -91,20 +92,21 @@
      *
      * @param content what is no text, or empty; programs of before subscriptions neither send nor see it
      */
-    public record Answer(long id, Code code, String text, byte[] content) {
-        public Answer(long id, Code code, String text) {
-            this(id, code, text, new byte[0]);
+    public record Response(long id, Status status, String text, byte[] content) {
+        public Response(long id, Status status, String text) {
+            this(id, status, text, new byte[0]);
         }
 
         byte[] write() {
-            Cbor.Out out = new Cbor.Out().number(id).number(code.ordinal()).text(text);
-            return message(Kind.ANSWER, (content.length == 0 ? out : out.bytes(content)).done());
+            Cbor.Writer out =
+                    new Cbor.Writer().number(id).number(status.ordinal()).text(text);
+            return message(Kind.RESPONSE, (content.length == 0 ? out : out.bytes(content)).toByteArray());
         }
 
-        static Answer read(byte[] body) throws IOException {
-            Cbor.In in = new Cbor.In(body);
-            return new Answer(
-                    in.number(), Code.values()[in.count(Code.values().length - 1)], in.text(), in.bytesIfAny());
+        static Response read(byte[] body) throws IOException {
+            Cbor.Reader in = new Cbor.Reader(body);
+            return new Response(
+                    in.number(), Status.values()[in.count(Status.values().length - 1)], in.text(), in.bytesOrEmpty());
         }
     }
 
@@ -127,14 +129,14 @@
         return Arrays.copyOfRange(message, 1, message.length);
     }
 
-    private boolean begun;
+    private boolean greeted;
 
     @Override
     public int cut(byte[] bytes, int from, int to, List<byte[]> out) throws Malformed {
         int at = from;
         while (to - at >= 4) {
             int length = ByteBuffer.wrap(bytes, at, 4).getInt();
-            if (length < 1 || length > (begun ? LENGTH_MOST : FIRST_MOST)) {
+            if (length < 1 || length > (greeted ? LENGTH_MOST : FIRST_MOST)) {
                 throw new Malformed("a message of " + length + " bytes");
             }
             if (to - at - 4 < length) {
@@ -142,7 +144,7 @@
             }
             out.add(Arrays.copyOfRange(bytes, at + 4, at + 4 + length));
             at += 4 + length;
-            begun = true;
+            greeted = true;
         }
         return at;
     }
--- a/scale/src/test/java/lupinvalve/scale/HollowPoolerTest.java
+++ b/scale/src/test/java/lupinvalve/scale/HollowPoolerTest.java
@@ -9,8 +9,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import lupinvalve.net.Net;
 import lupinvalve.replication.ControlPlane;
-import lupinvalve.replication.Group;
-import lupinvalve.statemachine.Change;
+import lupinvalve.statemachine.Command;
 import org.junit.jupiter.api.Test;
 
 /** What a hollow pooler tells of its right to act is right also where nobody looked for a while. */
@@ -23,48 +22,43 @@
 
     private final class Plane implements ControlPlane {
         @Override
-        public Known known() {
+        public InitialState initialState() {
             return null;
         }
 
         @Override
-        public void start(Group.Pooler beside) {
-            // Nothing is heard.
+        public void start(ControlPlane.Listener beside) { // Nothing is heard.
         }
 
         @Override
-        public boolean mayAct() {
+        public boolean mayServe() {
             return may.get();
         }
 
         @Override
-        public boolean fences() {
+        public boolean fencingEnabled() {
             return true;
         }
 
         @Override
-        public boolean leads() {
+        public boolean isLeader() {
             return false;
         }
 
         @Override
-        public void committed(String session, long position, Runnable then) {
-            // No sessions.
+        public void publishCommit(String session, long position, Runnable then) { // No sessions.
         }
 
         @Override
-        public void listing(List<Change.Listed> nodes) {
-            // No list.
+        public void publishEndpoints(List<Command.KnownEndpoint> nodes) { // No list.
         }
 
         @Override
-        public void reload() {
-            // No keys.
+        public void reloadCertificates() { // No keys.
         }
 
         @Override
-        public void stop() {
-            // Nothing runs.
+        public void stop() { // Nothing runs.
         }
     }
 
