--- a/daemon/src/main/java/lupinvalve/cli/Shared.java
+++ b/daemon/src/main/java/lupinvalve/cli/Shared.java
@@ -137,7 +137,7 @@
     }
 
     @Override
-    public void holdsChanged(Map<Command.DrainTarget, ReplicatedState.Drain> holds) {
+    public void drainsChanged(Map<Command.DrainTarget, ReplicatedState.Drain> holds) {
         Set<String> out = new TreeSet<>();
         holds.keySet().stream()
                 .filter(one -> one.kind() == Command.TargetKind.NODE)
--- a/daemon/src/test/java/lupinvalve/cli/GroupTest.java
+++ b/daemon/src/test/java/lupinvalve/cli/GroupTest.java
@@ -129,7 +129,7 @@
             }
 
             @Override
-            public void holdsChanged(Map<Command.DrainTarget, ReplicatedState.Drain> now) {
+            public void drainsChanged(Map<Command.DrainTarget, ReplicatedState.Drain> now) {
                 holds.put(name, now);
             }
 
--- a/replication/src/main/java/lupinvalve/replication/Subscriber.java
+++ b/replication/src/main/java/lupinvalve/replication/Subscriber.java
@@ -145,7 +145,7 @@
             if (document != null) {
                 adopt(document);
             }
-            pooler.holdsChanged(state.holds());
+            pooler.drainsChanged(state.holds());
             look();
             connect(0);
             tick();
@@ -296,7 +296,7 @@
             say("serves on, " + state.adoption().describe());
         }
         if (news.holds() != null) {
-            pooler.holdsChanged(news.holds());
+            pooler.drainsChanged(news.holds());
         }
         if (news.adopt() != null || news.holds() != null) {
             keeper.keep(state.kept());
