--- a/daemon/src/main/java/lupinvalve/cli/Daemon.java
+++ b/daemon/src/main/java/lupinvalve/cli/Daemon.java
@@ -67,10 +67,12 @@
     private final Net listing = new Net(loop, true);
 
     private final Pooler pooler;
-    private final PgFront front; // One of them is the directory.
+    private final PgFront front;
+    // One of them is the directory.
     private HttpDirectory http;
     private DnsDirectory dns;
-    private volatile Net.Listener listener; // What an operator may turn on.
+    private volatile Net.Listener listener;
+    // What an operator may turn on.
     private OperatorConfig operator;
     private final OperatorConfig local;
     private MysqlFront mysql;
@@ -122,16 +124,16 @@
                 config.site().keepaliveMicros() * 7 / 10,
                 PROBE);
         backend(PgFront.PROTOCOL, new PgBackend(net, pooler, bounds, "api", "ledger"));
-        if (file.mysql()
-                != null) { // Where a group keeps the configuration, the one accepted has the accounts, and there may be
-            // none yet.
+        if (file.mysql() != null) {
+            // Where a group keeps the configuration, the one accepted has the accounts, and there may be none yet.
             OperatorConfig.Mysql m = operator.mysql() == null ? file.mysql() : operator.mysql();
             mysql = new MysqlFront(pooler, clients, m.user(), m.password());
             mysqlNodes = new MysqlBackend(net, pooler, bounds, m.nodeUser(), m.nodePassword(), m.database());
             backend(MysqlFront.PROTOCOL, mysqlNodes);
         }
         pooler.directory(directory());
-        if (config.operator() != null) { // Poolers of other names may share the folder where it is no pooler's own.
+        if (config.operator() != null) {
+            // Poolers of other names may share the folder where it is no pooler's own.
             Path stem = folder == null
                     ? null
                     : folder.resolve("lupinvalve-" + config.name().replaceAll("[^A-Za-z0-9_.-]", "_"));
@@ -262,9 +264,8 @@
      */
     public void reconfigure(NodeConfig next, OperatorConfig nextOperator) {
         OperatorConfig.DnsSd place = nextOperator.dnsSd();
-        InetSocketAddress at = http != null && next.discovery() != null
-                ? Addresses.parse(next.discovery())
-                : null; // What a group keeps is not changed by one member's file.
+        InetSocketAddress at = http != null && next.discovery() != null ? Addresses.parse(next.discovery()) : null;
+        // What a group keeps is not changed by one member's file.
         InetSocketAddress resolver =
                 dns != null && place != null && shared == null ? Addresses.parse(place.resolver()) : null;
         if (at != null && at.isUnresolved() || resolver != null && resolver.isUnresolved()) {
@@ -299,7 +300,8 @@
                 throw new IOException("operator: " + config.operator() + " can't be listened on: " + e.getMessage(), e);
             }
         }
-        if (operations != null) { // Operators may call from now on, and each call must be answered within a second.
+        if (operations != null) {
+            // Operators may call from now on, and each call must be answered within a second.
             operations.start();
         } // Discovery is asked first: its answer comes while the code warms up.
         startCore();
@@ -434,8 +436,8 @@
             if (operations != null) {
                 operations.serves(false);
             }
-            if (listener
-                    == null) { // The start failed, or was not over: nobody was let in, and nobody waits for an answer.
+            if (listener == null) {
+                // The start failed, or was not over: nobody was let in, and nobody waits for an answer.
                 then.run();
             } else if (succeeded) {
                 leave(then);
@@ -460,17 +462,16 @@
      * Ends once nothing is due any more. There is no bound: what the program leaves unanswered by its own end is lost,
      * while what SIGKILL finds unanswered is not, if it came early enough.
      */
-    private void settle(
-            Runnable then,
-            int quiet) { // A connection that its front has ended may still have its last answer with MINA's thread,
-        // for as long as that
+    private void settle(Runnable then, int quiet) {
+        // A connection that its front has ended may still have its last answer with MINA's thread, for as long as that
         // thread gets no time or the client does not read.
         boolean over = pooler.open() == 0
                 && front.open() == 0
                 && (mysql == null || mysql.open() == 0)
                 && listener.open() == 0
                 && (mysqlListener == null || mysqlListener.open() == 0);
-        if (over && quiet >= QUIET) { // The last connections taken have been heard of by now.
+        if (over && quiet >= QUIET) {
+            // The last connections taken have been heard of by now.
             then.run();
         } else {
             loop.after(SETTLE, () -> settle(then, over ? quiet + 1 : 0));
--- a/daemon/src/test/java/lupinvalve/cli/GroupTest.java
+++ b/daemon/src/test/java/lupinvalve/cli/GroupTest.java
@@ -59,15 +59,8 @@
         Log.to(new PrintStream(new ByteArrayOutputStream()));
         Keys.make(keys.resolve("own"), NAMES);
         Keys.make(keys.resolve("foreign"), List.of("c"));
-        Keys.make(
-                keys.resolve("old"),
-                List.of("c"),
-                List.of(
-                        "-startdate",
-                        "-10d",
-                        "-validity",
-                        "5")); // Signed by the right authority's name, but out of time: only the authority's file is
-        // shared.
+        Keys.make(keys.resolve("old"), List.of("c"), List.of("-startdate", "-10d", "-validity", "5"));
+        // Signed by the right authority's name, but out of time: only the authority's file is shared.
         Files.copy(keys.resolve("old/authority.pem"), keys.resolve("both.pem"));
         Files.write(
                 keys.resolve("both.pem"),
@@ -231,8 +224,8 @@
         Said added = store(a, "add", "b", "--json");
         assertEquals(0, added.code(), added.err());
         assertEquals(3, added.out().split("\"votes\"").length - 1);
-        groups.remove("a")
-                .stop(); // A put that is under way as a leader goes may have happened; a read waits for the next one.
+        groups.remove("a").stop();
+        // A put that is under way as a leader goes may have happened; a read waits for the next one.
         Said next = store(c, "get", "--seconds", "30");
         assertTrue(next.out().contains("revision: 1"), "the new one counts: " + next);
         assertEquals(0, store(c, "put", document, "--revision", "1").code());
@@ -287,11 +280,8 @@
         assertTrue(store(a, "audit", "at", Long.toString(System.currentTimeMillis() * 1000))
                 .out()
                 .contains("acted_on: 1-"));
-        assertEquals(
-                1,
-                store(a, "audit", "who")
-                        .code()); // What it noted of its own end comes once it is back; without the others it may not
-        // act.
+        assertEquals(1, store(a, "audit", "who").code());
+        // What it noted of its own end comes once it is back; without the others it may not act.
         groups.remove("b").stop();
         World.await("one alone is fenced", () -> !groups.get("a").mayServe());
         String kept =
@@ -325,8 +315,8 @@
         assertEquals(
                 0,
                 groups.values().stream().filter(RaftMember::isLeader).count(),
-                "without the third nothing is founded"); // With a certificate that is good by now, read anew, it is let
-        // in.
+                "without the third nothing is founded");
+        // With a certificate that is good by now, read anew, it is let in.
         groups.remove("c").stop();
         start("c", tls("both.pem", "own", "c"));
         World.await("founded", () -> groups.values().stream().anyMatch(RaftMember::isLeader));
--- a/drills/src/main/java/lupinvalve/drills/StoreClients.java
+++ b/drills/src/main/java/lupinvalve/drills/StoreClients.java
@@ -48,7 +48,8 @@
     }
 
     private void work(int number, long paceMillis) throws IOException, InterruptedException {
-        Random own = new Random(seed * 31 + number); // Each one has another member that it asks first.
+        Random own = new Random(seed * 31 + number);
+        // Each one has another member that it asks first.
         List<String> names = new ArrayList<>(places.keySet());
         java.util.Collections.rotate(names, -number);
         Map<String, String> mine = new LinkedHashMap<>();
--- a/faultinjection/src/main/java/lupinvalve/replication/Scenario.java
+++ b/faultinjection/src/main/java/lupinvalve/replication/Scenario.java
@@ -48,9 +48,8 @@
         void play(Simulation sim, Simulation.Clients clients) throws IOException {
             LEADER_CHANGE.play(sim, clients);
             Simulation.Member next = sim.leader();
-            if (next != null
-                    && next.runs()) { // The last change reaches one of the others alone: nobody but that one can lead
-                // then.
+            if (next != null && next.runs()) {
+                // The last change reaches one of the others alone: nobody but that one can lead then.
                 Simulation.Member spared = sim.members.stream()
                         .filter(m -> m != next && m.runs())
                         .min(java.util.Comparator.comparingInt(m -> m.life))
@@ -146,8 +145,8 @@
         }
 
         @Override
-        void play(Simulation sim, Simulation.Clients clients)
-                throws IOException { // Each reads at its start what was left.
+        void play(Simulation sim, Simulation.Clients clients) throws IOException {
+            // Each reads at its start what was left.
             sim.each(Simulation.Member::kill);
             sim.each(Scenario::begin);
             for (int i = 0; i < 12; i++) {
@@ -206,7 +205,8 @@
     }
 
     /** Steps that lead to the scenario; their points are not numbered. */
-    void prepare(Simulation sim, Simulation.Clients clients) throws IOException { // Most need none.
+    void prepare(Simulation sim, Simulation.Clients clients) throws IOException {
+        // Most need none.
     }
 
     abstract void play(Simulation sim, Simulation.Clients clients) throws IOException;
@@ -219,8 +219,8 @@
     static void begin(Simulation.Member member) {
         try {
             member.start();
-        } catch (IOException
-                | RuntimeException e) { // A fault came while it started: whoever watches it starts it again.
+        } catch (IOException | RuntimeException e) {
+            // A fault came while it started: whoever watches it starts it again.
             member.stopped = "start: " + e.getMessage();
         }
     }
--- a/faultinjection/src/test/java/lupinvalve/replication/AuditLogTest.java
+++ b/faultinjection/src/test/java/lupinvalve/replication/AuditLogTest.java
@@ -52,8 +52,8 @@
         disk.room = Long.MAX_VALUE;
         book.note(AuditEntry.Event.ADOPTED, "1-a", 1, 30, "");
         assertNull(AuditJournal.chainBreak(entries(book.due())));
-        assertEquals(
-                3, book.due().entries().size()); // On the disk stands what it took, each file whole but for its end.
+        assertEquals(3, book.due().entries().size());
+        // On the disk stands what it took, each file whole but for its end.
         List<AuditEntry> kept = new ArrayList<>();
         for (String file : disk.names()) {
             kept.addAll(AuditLog.read(disk, file));
--- a/faultinjection/src/test/java/lupinvalve/replication/SegmentedLogTest.java
+++ b/faultinjection/src/test/java/lupinvalve/replication/SegmentedLogTest.java
@@ -81,13 +81,15 @@
         long before = -1;
         for (int size = 0; size <= whole.length; size++) {
             MemoryDisk torn = disk.copy();
-            torn.put(name, Arrays.copyOf(whole, size)); // Some systems leave zeros where the rest should be.
+            torn.put(name, Arrays.copyOf(whole, size));
+            // Some systems leave zeros where the rest should be.
             MemoryDisk zeros = disk.copy();
             zeros.put(name, Arrays.copyOf(Arrays.copyOf(whole, size), size + 5000));
             SegmentedLog log = open(torn);
             assertEquals(log.lastIndex(), open(zeros).lastIndex());
             assertTrue(log.lastIndex() >= before, "more is there than with less");
-            before = log.lastIndex(); // What was cut is gone for good, and the history goes on behind it.
+            before = log.lastIndex();
+            // What was cut is gone for good, and the history goes on behind it.
             if (log.lastIndex() > 0) {
                 log.persistLogEntries(List.of(entry(log.lastIndex() + 1, 4)));
                 log.flush();
@@ -178,7 +180,8 @@
         log.persistLogEntries(List.of(entry(21, 3), entry(22, 3)));
         log.truncateLogEntriesFrom(22);
         log.persistLogEntries(List.of(entry(22, 4)));
-        log.flush(); // The changes that lay in the segment gone are missing behind the snapshot: that must not pass.
+        log.flush();
+        // The changes that lay in the segment gone are missing behind the snapshot: that must not pass.
         assertTrue(assertThrows(IOException.class, () -> open(disk.copy()))
                 .getMessage()
                 .contains("changes 16 to 20"));
--- a/faultinjection/src/test/java/lupinvalve/replication/SimulationTest.java
+++ b/faultinjection/src/test/java/lupinvalve/replication/SimulationTest.java
@@ -76,7 +76,8 @@
             });
             if (!settled) {
                 sim.faults.add("nothing was accepted after all was healed");
-            } else { // Those that were still asleep catch up as well.
+            } else {
+                // Those that were still asleep catch up as well.
                 sim.until(() -> sim.members.stream().allMatch(clients::caughtUp));
                 sim.each(clients::check);
             }
@@ -98,7 +99,8 @@
             });
             case 3 -> one.pausedUntil = sim.now + 10_000_000;
             case 4 -> sim.loss = 0.3;
-            default -> { // The leader, while its changes are on their way.
+            default -> {
+                // The leader, while its changes are on their way.
                 Simulation.Member leader = sim.leader();
                 if (leader != null) {
                     leader.kill();
@@ -220,11 +222,8 @@
         assertTrue(sim.until(() -> sim.leader() != null));
         assertEquals(
                 RaftReplica.Completion.DONE,
-                put(
-                        sim,
-                        sim.leader(),
-                        sim.leader().replica.ledger().revision(),
-                        "{}")); // With room again it comes back with what it had.
+                put(sim, sim.leader(), sim.leader().replica.ledger().revision(), "{}"));
+        // With room again it comes back with what it had.
         old.kill();
         old.disk.room = Long.MAX_VALUE;
         old.start();
@@ -285,12 +284,12 @@
         sim.run(3_000_000);
         assertEquals(
                 sim.leader().replica.ledger().revision(),
-                newcomer.replica.ledger().revision()); // The leader is to go as well: it hands over first.
+                newcomer.replica.ledger().revision());
+        // The leader is to go as well: it hands over first.
         Simulation.Member old = sim.leader();
         change(sim, false, old);
-        assertTrue(sim.leader()
-                != old); // One that is no member any more can't disturb the others, nor can its disk under its old
-        // name.
+        assertTrue(sim.leader() != old);
+        // One that is no member any more can't disturb the others, nor can its disk under its old name.
         int term = sim.leader().replica.term();
         old.kill();
         old.start();
--- a/lab/src/main/java/lupinvalve/lab/StoreBench.java
+++ b/lab/src/main/java/lupinvalve/lab/StoreBench.java
@@ -53,15 +53,18 @@
         }
 
         @Override
-        public void configurationAccepted(ReplicatedState.Document document) { // Nobody acts here.
+        public void configurationAccepted(ReplicatedState.Document document) {
+            // Nobody acts here.
         }
 
         @Override
-        public void drainsChanged(Map<Command.DrainTarget, ReplicatedState.Drain> holds) { // Likewise.
+        public void drainsChanged(Map<Command.DrainTarget, ReplicatedState.Drain> holds) {
+            // Likewise.
         }
 
         @Override
-        public void commitsAccepted(Command.SessionCommits commits) { // Likewise.
+        public void commitsAccepted(Command.SessionCommits commits) {
+            // Likewise.
         }
     }
 
@@ -165,7 +168,8 @@
                                 }
                                 room.release();
                             }
-                        } catch (IOException e) { // The sender has closed the connection.
+                        } catch (IOException e) {
+                            // The sender has closed the connection.
                         }
                     },
                     "receiver");
@@ -176,11 +180,9 @@
             for (long n = number; System.nanoTime() < end || done.get() < least; n += CONNECTIONS) {
                 room.acquire();
                 long now = System.currentTimeMillis() * 1000;
-                byte[] change = CommandCodec.encode(new Command.SessionCommits(
-                        now,
-                        Map.of(
-                                "session-" + n % SESSIONS,
-                                now))); // Calls are numbered from 1 on; the answer may be here before the call returns.
+                byte[] change =
+                        CommandCodec.encode(new Command.SessionCommits(now, Map.of("session-" + n % SESSIONS, now)));
+                // Calls are numbered from 1 on; the answer may be here before the call returns.
                 sentAt.put(++calls, System.nanoTime());
                 session.send("propose", List.of(change));
             }
--- a/replication/src/main/java/lupinvalve/replication/AuditLog.java
+++ b/replication/src/main/java/lupinvalve/replication/AuditLog.java
@@ -103,8 +103,8 @@
         if (!earlier.isEmpty()) {
             return earlier.get(0);
         }
-        List<AuditEntry> due =
-                journal.undelivered(AT_ONCE); // A summary breaks the numbers' sequence: what follows goes apart.
+        List<AuditEntry> due = journal.undelivered(AT_ONCE);
+        // A summary breaks the numbers' sequence: what follows goes apart.
         for (int i = 1; i < due.size(); i++) {
             if (due.get(i).number() != due.get(i - 1).number() + 1) {
                 due = due.subList(0, i);
--- a/replication/src/main/java/lupinvalve/replication/GroupClient.java
+++ b/replication/src/main/java/lupinvalve/replication/GroupClient.java
@@ -152,7 +152,8 @@
 
         private Session(Socket socket) throws IOException {
             this.socket = socket;
-            in = new DataInputStream(new BufferedInputStream(socket.getInputStream())); // The member speaks first.
+            in = new DataInputStream(new BufferedInputStream(socket.getInputStream()));
+            // The member speaks first.
             message(in);
             socket.getOutputStream().write(new WireMessages.Hello(cluster, name, "", null).write());
         }
--- a/replication/src/main/java/lupinvalve/replication/LeaseHolder.java
+++ b/replication/src/main/java/lupinvalve/replication/LeaseHolder.java
@@ -141,7 +141,8 @@
                     return;
                 }
                 confirmed = now;
-                if (leases == null) { // All that leaders before have called done is in the ledger by now.
+                if (leases == null) {
+                    // All that leaders before have called done is in the ledger by now.
                     leases = new LeaseManager(clock(), replica.ledger().appliedIndex());
                 }
             });
@@ -197,8 +198,8 @@
                         bytes(member.objection()),
                         bytes(Long.toString(member.followersFloor()))),
                 ANSWER,
-                answer -> { // One who leads no more may answer late; what it granted still counts from when it was
-                    // asked.
+                answer -> {
+                    // One who leads no more may answer late; what it granted still counts from when it was asked.
                     waiting = leader.equals(waiting) ? null : waiting;
                     if (answer.status() == WireMessages.Status.OK) {
                         granted(
--- a/replication/src/main/java/lupinvalve/replication/PeerConnections.java
+++ b/replication/src/main/java/lupinvalve/replication/PeerConnections.java
@@ -221,8 +221,8 @@
             this.dial = dial;
         }
 
-        void begin() { // Who was dialled speaks first: MINA's filter holds back what comes together with a
-            // handshake's last word
+        void begin() {
+            // Who was dialled speaks first: MINA's filter holds back what comes together with a handshake's last word
             // until something else comes.
             if (dial == null) {
                 hello();
@@ -236,14 +236,13 @@
         }
 
         private void beat() {
-            beat = loop.after(
-                    BEAT,
-                    () -> { // A subscriber hears something each time that it asks.
-                        if (!follows) {
-                            link.write(WireMessages.message(WireMessages.Kind.HEARTBEAT, new byte[0]));
-                        }
-                        beat();
-                    });
+            beat = loop.after(BEAT, () -> {
+                // A subscriber hears something each time that it asks.
+                if (!follows) {
+                    link.write(WireMessages.message(WireMessages.Kind.HEARTBEAT, new byte[0]));
+                }
+                beat();
+            });
         }
 
         void messages(List<byte[]> messages) {
@@ -282,7 +281,8 @@
                     });
                 }
                 case RESPONSE -> answered(WireMessages.Response.read(body));
-                default -> { // A beat.
+                default -> {
+                    // A beat.
                 }
             }
         }
--- a/replication/src/main/java/lupinvalve/replication/RaftReplica.java
+++ b/replication/src/main/java/lupinvalve/replication/RaftReplica.java
@@ -170,8 +170,8 @@
     /** The same, without a word: another node goes on with the folder. */
     void leave() {
         ended = true;
-        node.terminate(); // The library's own last work is to fail what was asked; it must not reach a disk that is
-        // closed.
+        node.terminate();
+        // The library's own last work is to fail what was asked; it must not reach a disk that is closed.
         schedule.post(pace::stop);
     }
 
@@ -181,9 +181,8 @@
 
     private final class Carrier implements Transport {
         @Override
-        public void send(
-                RaftEndpoint target,
-                RaftMessage message) { // Nothing is acknowledged, and no vote given, by a disk that fails.
+        public void send(RaftEndpoint target, RaftMessage message) {
+            // Nothing is acknowledged, and no vote given, by a disk that fails.
             if (!ended && !log.hasFailed()) {
                 sender.send(MemberEndpoint.of(target), RaftCodec.write(message));
             }
@@ -207,7 +206,8 @@
             Command change;
             try {
                 change = CommandCodec.decode((byte[]) operation);
-            } catch (IOException e) { // To pass it over would be to hold another state than those who can read it.
+            } catch (IOException e) {
+                // To pass it over would be to hold another state than those who can read it.
                 Log.error("store: change %s can't be read: %s", index, e.getMessage());
                 schedule.post(() -> end("change " + index + " is of a later version"));
                 throw new IllegalStateException(e);
@@ -215,13 +215,12 @@
             ReplicatedState.Outcome outcome = ledger.apply(index, change);
             try {
                 log.accepted(index);
-                if (change
-                        instanceof
-                        Command.PutDocument) { // It is acted on from now on, so that a restart without the others must
-                    // know of it.
+                if (change instanceof Command.PutDocument) {
+                    // It is acted on from now on, so that a restart without the others must know of it.
                     log.flush();
                 }
-            } catch (IOException e) { // The log has told of it, and ends this member.
+            } catch (IOException e) {
+                // The log has told of it, and ends this member.
                 return outcome;
             }
             listener.applied(index, change, outcome);
@@ -309,9 +308,8 @@
                             Log.info("store: %s", failure.getMessage());
                         }
                         then.completed(completion, null);
-                    } else if (log
-                            .hasFailed()) { // A majority may hold it all the same, but this disk does not, and answers
-                        // for nothing.
+                    } else if (log.hasFailed()) {
+                        // A majority may hold it all the same, but this disk does not, and answers for nothing.
                         then.completed(Completion.INDETERMINATE, null);
                     } else {
                         then.completed(Completion.DONE, ordered.getResult());
--- a/replication/src/main/java/lupinvalve/replication/SessionTokens.java
+++ b/replication/src/main/java/lupinvalve/replication/SessionTokens.java
@@ -47,8 +47,8 @@
             then.run();
             return;
         }
-        sessions.apply(
-                loop.now(), Map.of(session, position)); // Whichever comes first: the second time changes nothing.
+        sessions.apply(loop.now(), Map.of(session, position));
+        // Whichever comes first: the second time changes nothing.
         group.publishCommit(session, position, () -> loop.post(then));
         loop.after(waitMicros, then);
     }
--- a/replication/src/main/java/lupinvalve/replication/StoredHistory.java
+++ b/replication/src/main/java/lupinvalve/replication/StoredHistory.java
@@ -45,10 +45,8 @@
         LogEntry entry = RaftCodec.entry(in);
         if (!entries.isEmpty() && entry.getIndex() <= entries.lastKey()) {
             throw new RecordFrames.Damaged(segment + ": change " + entry.getIndex() + " follows " + entries.lastKey());
-        } else if (!entries.isEmpty()
-                && entry.getIndex()
-                        > entries.lastKey()
-                                + 1) { // A snapshot must cover the gap, which is looked at once all is read.
+        } else if (!entries.isEmpty() && entry.getIndex() > entries.lastKey() + 1) {
+            // A snapshot must cover the gap, which is looked at once all is read.
             entries.clear();
         }
         entries.put(entry.getIndex(), entry);
--- a/replication/src/main/java/lupinvalve/replication/Subscriber.java
+++ b/replication/src/main/java/lupinvalve/replication/Subscriber.java
@@ -234,11 +234,8 @@
         if (line != null) {
             Log.warn("%s: %s", of, line);
         }
-        if (greeted
-                && !link.asks()
-                && LeaseHolder.clock() - idleSince
-                        > IDLE_MOST) { // The pooler takes long to act on what it was told: the member hears that this
-            // one is there, and what it
+        if (greeted && !link.asks() && LeaseHolder.clock() - idleSince > IDLE_MOST) {
+            // The pooler takes long to act on what it was told: the member hears that this one is there, and what it
             // acts on.
             ask();
         }
@@ -256,10 +253,8 @@
         calls++;
         long asked = LeaseHolder.clock();
         FollowLink by = link;
-        FollowRequest request =
-                state.request(); // One without a lease has nothing to lose by waiting, and a whole document may be
-        // on its
-        // way.
+        FollowRequest request = state.request();
+        // One without a lease has nothing to lose by waiting, and a whole document may be on its way.
         boolean patient = !state.holds(asked) || request.whole() || request.revision() == 0;
         by.ask(request.write(), schedule.answerWithin(patient), answer -> answered(by, answer, asked));
     }
@@ -421,7 +416,8 @@
     }
 
     @Override
-    public void publishEndpoints(List<Command.KnownEndpoint> nodes) { // Members tell of the list.
+    public void publishEndpoints(List<Command.KnownEndpoint> nodes) {
+        // Members tell of the list.
     }
 
     @Override
--- a/scale/src/main/java/lupinvalve/scale/HollowPooler.java
+++ b/scale/src/main/java/lupinvalve/scale/HollowPooler.java
@@ -46,9 +46,8 @@
     /** Tells where the right to act has come or gone since the last look; always from the same thread. */
     void look() {
         long end = open.leaseEndNanos().getAsLong();
-        boolean now = open.plane()
-                .mayServe(); // On a busy machine a look may come long after a lease has ended, and after the next one
-        // has begun, which
+        boolean now = open.plane().mayServe();
+        // On a busy machine a look may come long after a lease has ended, and after the next one has begun, which
         // counts from its request.
         boolean lapsed = may && end != Long.MAX_VALUE && end - LEASE_NANOS > leaseEnd;
         if (may && (!now || lapsed)) {
@@ -73,7 +72,8 @@
 
     @Override
     public void configurationAccepted(ReplicatedState.Document document) {
-        try { // What the daemon does on its core thread.
+        try {
+            // What the daemon does on its core thread.
             OperatorConfig.NONE.accepted(document.content());
             events.accept(HostEvent.adopted(name, document.revision(), document.digest()));
         } catch (IOException e) {
@@ -87,6 +87,7 @@
     }
 
     @Override
-    public void commitsAccepted(Command.SessionCommits commits) { // Sessions are none of a hollow pooler's.
+    public void commitsAccepted(Command.SessionCommits commits) {
+        // Sessions are none of a hollow pooler's.
     }
 }
--- a/scale/src/test/java/lupinvalve/scale/HollowPoolerTest.java
+++ b/scale/src/test/java/lupinvalve/scale/HollowPoolerTest.java
@@ -27,7 +27,8 @@
         }
 
         @Override
-        public void start(ControlPlane.Listener beside) { // Nothing is heard.
+        public void start(ControlPlane.Listener beside) {
+            // Nothing is heard.
         }
 
         @Override
@@ -46,19 +47,23 @@
         }
 
         @Override
-        public void publishCommit(String session, long position, Runnable then) { // No sessions.
+        public void publishCommit(String session, long position, Runnable then) {
+            // No sessions.
         }
 
         @Override
-        public void publishEndpoints(List<Command.KnownEndpoint> nodes) { // No list.
+        public void publishEndpoints(List<Command.KnownEndpoint> nodes) {
+            // No list.
         }
 
         @Override
-        public void reloadCertificates() { // No keys.
+        public void reloadCertificates() {
+            // No keys.
         }
 
         @Override
-        public void stop() { // Nothing runs.
+        public void stop() {
+            // Nothing runs.
         }
     }
 
