--- a/faultinjection/src/main/java/lupinvalve/faultinjection/HandOff.java
+++ b/faultinjection/src/main/java/lupinvalve/faultinjection/HandOff.java
@@ -12,7 +12,7 @@
 import lupinvalve.faultinjection.Points.Kind;
 import lupinvalve.hotrestart.DrainCommandsFile;
 import lupinvalve.hotrestart.SharedDirectory;
-import lupinvalve.maintenance.Maintenance.Orders;
+import lupinvalve.maintenance.DrainCommands;
 
 /**
  * An upgrade in which operators take db nodes out and call them back at both processes: each order that got a yes must
@@ -53,7 +53,7 @@
 
     private final class Process {
         private DrainCommandsFile file = new DrainCommandsFile(new Counted(), "p");
-        private Orders held = Orders.NONE;
+        private DrainCommands held = DrainCommands.NONE;
         private boolean ended;
 
         /** An operator's call. */
@@ -65,8 +65,7 @@
             try {
                 held = file.update(held, orders -> orders.with(out, id, now++));
                 truth.put(id, out);
-            } catch (IOException e) {
-                // A no: it may hold or not.
+            } catch (IOException e) { // A no: it may hold or not.
             } catch (Ended e) {
                 ended = true;
             }
@@ -75,7 +74,7 @@
         /** Looks for the other process's orders. */
         void look() {
             try {
-                Orders other = ended ? null : file.readIfChanged(held);
+                DrainCommands other = ended ? null : file.readIfChanged(held);
                 held = other == null ? held : other;
             } catch (Ended e) {
                 ended = true;
@@ -86,7 +85,7 @@
         void back() {
             if (ended) {
                 ended = false;
-                held = Orders.NONE;
+                held = DrainCommands.NONE;
                 file = new DrainCommandsFile(new Counted(), "p");
                 look();
             }
@@ -123,7 +122,7 @@
         process.look();
         if (!process.ended) {
             truth.forEach((id, out) -> {
-                if (out != null && process.held.out().contains(id) != out) {
+                if (out != null && process.held.drained().contains(id) != out) {
                     broken.add(who
                             + (out
                                     ? " uses " + id + ", which was taken out with a yes"
