--- /dev/null
+++ b/routing/src/test/java/lupinvalve/routing/AttemptTimeoutTest.java
@@ -0,0 +1,22 @@
+package lupinvalve.routing;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+
+/** For how long attempts are wanted. */
+class AttemptTimeoutTest extends RouterFixture {
+    @Test
+    void serverIsNotifiedWithinWhichTimeAReadMustStartAndTheReadIsGivenUpThen() {
+        start(RouterSettings.FreshnessCheck.AWAIT, RouterSettings.TokenSource.CARRIED, RequestClass.Effect.UNSAFE);
+        allServersReport();
+        request("r", READ, null, 800 * MS);
+        assertEquals(200 * MS, lastAttempt("r").startWithinMicros());
+        assertTrue(lastAttempt("r").timeoutMicros() > 200 * MS, "what is running may end: its connection stays");
+        now += 210 * MS;
+        attemptEnded("r", 0, lastServer("r"), AttemptOutcome.REJECTED, now, ServerRole.REPLICA);
+        assertEquals(1, attempts("r"));
+        assertEquals(1, rejections("r"));
+    }
+}
--- a/routing/src/test/java/lupinvalve/routing/ClientRetryDetectorTest.java
+++ b/routing/src/test/java/lupinvalve/routing/ClientRetryDetectorTest.java
@@ -33,39 +33,39 @@
                     3,
                     0.7)));
 
-    private void first(int cls, int count) {
+    private void firstAttempts(int cls, int count) {
         for (int i = 0; i < count; i++) {
             assertEquals(0, detector.sinceFirstAttemptMicros(cls, 1500 * MS));
         }
     }
 
     @Test
-    void whatARepeatLacksHasPassedSinceItsFirstTry() {
-        first(0, 40);
+    void whatARetryLacksHasPassedSinceItsFirstAttempt() {
+        firstAttempts(0, 40);
         assertEquals(1100 * MS, detector.sinceFirstAttemptMicros(0, 900 * MS));
         assertTrue(detector.isLateRetry(0, 900 * MS));
         assertFalse(detector.isLateRetry(0, 1500 * MS));
     }
 
     @Test
-    void oneLongWaitMakesNoRepeatsOfAllOthers() {
-        first(0, 40);
+    void oneLongWaitMakesNoRetriesOfAllOthers() {
+        firstAttempts(0, 40);
         assertEquals(0, detector.sinceFirstAttemptMicros(0, 1990 * MS));
-        first(0, 40);
+        firstAttempts(0, 40);
     }
 
     @Test
-    void clientsThatAllWaitDifferentlyAreNotTakenForRepeats() {
+    void clientsThatAllWaitDifferentlyAreNotTakenForRetries() {
         for (int i = 0; i < 200; i++) {
             assertFalse(detector.isLateRetry(0, (500 + i * 7 % 900) * MS));
         }
     }
 
     @Test
-    void fewRequestsAndLateWorthProveNothing() {
-        first(0, 5);
+    void fewRequestsProveNothingAndLateValueMakesNoLateRetry() {
+        firstAttempts(0, 5);
         assertFalse(detector.isLateRetry(0, 300 * MS));
-        first(1, 40);
+        firstAttempts(1, 40);
         assertFalse(detector.isLateRetry(1, 300 * MS), "a late write is still worth most of its worth");
     }
 }
--- a/routing/src/test/java/lupinvalve/routing/EndpointListTest.java
+++ b/routing/src/test/java/lupinvalve/routing/EndpointListTest.java
@@ -1,133 +1,71 @@
 package lupinvalve.routing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
 
-import java.util.ArrayList;
-import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** How long a draining primary gets writes: from when it was told at the earliest, which the news may not say. */
-class EndpointListTest {
-    private static final long MS = 1000, GRACE = 250 * MS, LATE = Long.MAX_VALUE;
-    private final List<RouterAction> done = new ArrayList<>();
-    private long now = 1_000_000 * MS;
-    private int asked;
-    private final Router router = new Router(
-            7,
-            new RouterSettings(
-                    0,
-                    2,
-                    0,
-                    true,
-                    List.of(new RequestClass(
-                            "write",
-                            RequestClass.Access.WRITE,
-                            0,
-                            RequestClass.Effect.UNSAFE,
-                            RequestClass.KeyScope.GROUP,
-                            0,
-                            500 * MS,
-                            2000 * MS,
-                            1,
-                            0.2)),
-                    new RouterSettings.SiteLimits(8, false, true, true, true, 1_000_000, 10_000),
-                    new RouterSettings.Rules(20 * MS, GRACE, 10_000 * MS, 0.2, 10_000 * MS, 2, 1500 * MS),
-                    new RouterSettings.Replication(
-                            RouterSettings.FreshnessCheck.SILENT, 50 * MS, RouterSettings.TokenSource.REMEMBERED)),
-            now,
-            done::add);
-
-    private static Endpoint a(EndpointState health) {
-        return new Endpoint("a", 1, 0, health, true, 0);
-    }
-
-    private void give(RouterEvent event) {
-        router.handle(now, event, done::add);
-    }
-
-    private void told(ListForm form, EndpointState health) {
-        give(new RouterEvent.EndpointUpdate(form, List.of(a(health))));
-    }
-
-    /** Where a write goes that comes now, or null. */
-    private String sentTo() {
-        String id = "w" + asked++;
-        give(new RouterEvent.RequestArrived(id, 0, false, "s", 0, 1, 400 * MS));
-        String node = done.stream()
-                .filter(action -> action instanceof RouterAction.StartAttempt send
-                        && send.id().equals(id))
-                .map(action -> ((RouterAction.StartAttempt) action).node())
-                .findFirst()
-                .orElse(null);
-        if (node == null) {
-            give(new RouterEvent.ClientDisconnected(id));
-        } else {
-            give(new RouterEvent.AttemptEnded(id, 0, node, AttemptOutcome.SERVED, MS, true, now, ServerRole.PRIMARY));
-        }
-        return node;
-    }
-
-    @Test
-    void aChangeThatIsToldAsItComesLeavesTimeForTheSuccessorToShow() {
-        told(ListForm.FULL, EndpointState.LIVE);
-        assertEquals("a", sentTo());
-        told(ListForm.UPDATE, EndpointState.DRAINING);
-        now += 180 * MS;
-        assertEquals("a", sentTo());
-        now += 10 * MS;
-        assertEquals(null, sentTo());
-    }
-
-    @Test
-    void aWholeListLeavesNoTime() {
-        told(ListForm.FULL, EndpointState.LIVE);
-        assertEquals("a", sentTo());
-        told(ListForm.FULL, EndpointState.DRAINING);
-        assertEquals(null, sentTo());
-    }
-
+/** What the endpoint list allows, and which servers are forgotten. */
+class EndpointListTest extends RouterFixture {
     @Test
-    void aRestoredListLeavesNoTimeNorDoesOneThatNamesItForTheFirstTime() {
-        told(ListForm.RESTORED, EndpointState.DRAINING);
-        assertEquals(null, sentTo());
-        give(new RouterEvent.EndpointUpdate(
-                ListForm.FULL, List.of(new Endpoint("b", 1, 0, EndpointState.DRAINING, true, 0))));
-        assertEquals(null, sentTo());
-    }
-
-    @Test
-    void timeCountsFromWhenItMayHaveBeenTold() {
-        told(ListForm.FULL, EndpointState.LIVE);
-        assertEquals("a", sentTo());
-        give(new RouterEvent.EndpointUpdate(ListForm.UPDATE, List.of(a(EndpointState.DRAINING)), now - 100 * MS));
-        now += 80 * MS;
-        assertEquals("a", sentTo());
-        now += 10 * MS;
-        assertEquals(null, sentTo());
+    void drainingReplicaGetsNothingNewAndDrainingPrimaryOnlyWritesWithinTheGrace() {
+        start(RouterSettings.FreshnessCheck.SILENT, RouterSettings.TokenSource.REMEMBERED, RequestClass.Effect.UNSAFE);
+        allServersReport();
+        updateEndpoints(
+                ListForm.UPDATE,
+                new Endpoint("a", 1, 0, EndpointState.DRAINING, true, 0),
+                new Endpoint("b", 1, 0, EndpointState.DRAINING, false, 0));
+        for (int i = 0; i < 8; i++) {
+            request("r" + i, READ, null, 400 * MS);
+            assertEquals("c", lastServer("r" + i));
+            attemptEnded("r" + i, 0, "c", AttemptOutcome.SERVED, now, ServerRole.REPLICA);
+        }
+        request("w", WRITE, "s", 2000 * MS);
+        assertEquals("a", lastServer("w"));
+        advance(1000 * MS);
+        request("x", WRITE, "s", 400 * MS);
+        advance(300 * MS);
+        assertNotEquals("a", lastServer("x"));
     }
 
     @Test
-    void oneThatReturnsAndDrainsAgainHasItsTimeAnew() {
-        told(ListForm.FULL, EndpointState.LIVE);
-        assertEquals("a", sentTo());
-        give(new RouterEvent.EndpointUpdate(ListForm.UPDATE, List.of(a(EndpointState.DRAINING)), now - 200 * MS));
-        assertEquals(null, sentTo());
-        told(ListForm.UPDATE, EndpointState.LIVE);
-        assertEquals("a", sentTo());
-        now += 1000 * MS;
-        give(new RouterEvent.EndpointUpdate(ListForm.UPDATE, List.of(a(EndpointState.DRAINING)), LATE));
-        assertEquals("a", sentTo());
-        now += 190 * MS;
-        assertEquals(null, sentTo());
+    void serverMissingFromACompleteListGetsNothing() {
+        start(RouterSettings.FreshnessCheck.SILENT, RouterSettings.TokenSource.REMEMBERED, RequestClass.Effect.UNSAFE);
+        allServersReport();
+        updateEndpoints(ListForm.FULL, liveEndpoint("a", true), liveEndpoint("b", false));
+        for (int i = 0; i < 6; i++) {
+            request("r" + i, READ, null, 400 * MS);
+            assertEquals("b", lastServer("r" + i));
+        }
     }
 
     @Test
-    void aStrangerThatIsNamedAsLeavingGetsNothing() {
-        told(ListForm.FULL, EndpointState.LIVE);
-        give(new RouterEvent.EndpointUpdate(
-                ListForm.UPDATE, List.of(new Endpoint("b", 1, 0, EndpointState.DRAINING, false, 0))));
-        told(ListForm.UPDATE, EndpointState.DEPARTED);
-        assertFalse("b".equals(sentTo()));
+    void departedServersAreForgottenOnceNothingIsInFlightToThem() {
+        start(RouterSettings.FreshnessCheck.BOUNCE, RouterSettings.TokenSource.CARRIED, RequestClass.Effect.UNSAFE);
+        allServersReport();
+        request("w", WRITE, "s", 60_000 * MS);
+        for (int i = 0; i < 50; i++) {
+            updateEndpoints(ListForm.UPDATE, liveEndpoint("n" + i, false));
+            updateEndpoints(
+                    ListForm.UPDATE,
+                    new Endpoint("n" + i, 1, 0, EndpointState.DEPARTED, false, 0),
+                    new Endpoint("never" + i, 1, 0, EndpointState.DEPARTED, false, 0));
+        }
+        updateEndpoints(ListForm.UPDATE, new Endpoint("a", 1, 0, EndpointState.DEPARTED, false, 0));
+        advance(6000 * MS);
+        // b, c and a, at which the write is still out.
+        assertEquals(3, router.serverCount());
+        attemptEnded("w", 0, "a", AttemptOutcome.BROKEN, LogPosition.UNKNOWN, ServerRole.UNKNOWN);
+        advance(200 * MS);
+        assertEquals(2, router.serverCount());
+        // A group all of whose members have left still answers.
+        updateEndpoints(ListForm.FULL);
+        advance(6000 * MS);
+        assertEquals(0, router.serverCount());
+        request("r", READ, null, 2000 * MS);
+        request("v", WRITE, "s", 2000 * MS);
+        advance(2000 * MS);
+        assertEquals(1, rejections("r"));
+        assertEquals(1, rejections("v"));
     }
 }
--- a/routing/src/test/java/lupinvalve/routing/ExampleTest.java
+++ b/routing/src/test/java/lupinvalve/routing/ExampleTest.java
@@ -48,8 +48,8 @@
                 nowMicros, new RouterEvent.RequestArrived("r1", 0, false, "session", 0, 1, 800_000), actions::add);
 
         assertTrue(actions.stream()
-                .anyMatch(a -> a instanceof RouterAction.StartAttempt s
-                        && s.id().equals("r1")
-                        && s.node().equals("db-2")));
+                .anyMatch(a -> a instanceof RouterAction.StartAttempt start
+                        && start.id().equals("r1")
+                        && start.node().equals("db-2")));
     }
 }
--- /dev/null
+++ b/routing/src/test/java/lupinvalve/routing/PrimaryTrackerTest.java
@@ -0,0 +1,32 @@
+package lupinvalve.routing;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+
+import org.junit.jupiter.api.Test;
+
+/** Which statements of a role count. */
+class PrimaryTrackerTest extends RouterFixture {
+    @Test
+    void lateReportOfAnOldPrimaryDoesNotUndoNewerClaim() {
+        start(RouterSettings.FreshnessCheck.SILENT, RouterSettings.TokenSource.REMEMBERED, RequestClass.Effect.UNSAFE);
+        allServersReport();
+        long before = now;
+        now += 4000 * MS;
+        healthCheckServed("c", now, ServerRole.PRIMARY);
+        healthCheckServed("a", before + MS, ServerRole.PRIMARY);
+        request("w", WRITE, "s", 2000 * MS);
+        assertEquals("c", lastServer("w"));
+    }
+
+    @Test
+    void serverThatStatedToBeAReplicaIsNotReadAsPrimary() {
+        start(RouterSettings.FreshnessCheck.SILENT, RouterSettings.TokenSource.REMEMBERED, RequestClass.Effect.UNSAFE);
+        allServersReport();
+        request("w", WRITE, "s", 2000 * MS);
+        now += 20 * MS;
+        attemptEnded("w", 0, "a", AttemptOutcome.MISSED, now - 10 * MS, ServerRole.REPLICA);
+        request("r", STRONG_READ, null, 800 * MS);
+        assertNull(lastServer("r"));
+    }
+}
--- a/routing/src/test/java/lupinvalve/routing/SlowStartBudgetTest.java
+++ b/routing/src/test/java/lupinvalve/routing/SlowStartBudgetTest.java
@@ -7,10 +7,10 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** The books of what a cold db node may be sent. */
+/** What is earned, saved and used up for a server in slow start. */
 class SlowStartBudgetTest {
     @Test
-    void whatIsUsedUpAddsToWholeRequests() {
+    void partsUsedUpAddToWholeRequests() {
         SlowStartBudget budget = new SlowStartBudget();
         budget.restart(0, 0, 0.5);
         int sent = 0;
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void aLongQuietTimeSavesNoMoreThanTheMost() {
+    void aTimeWithoutRequestsSavesNoMoreThanTheBound() {
         SlowStartBudget budget = new SlowStartBudget();
         budget.restart(0, 0, 0);
         budget.earn(1000, 0.5, 0.3);
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void manyThatUseUpLittleEachSendAboutTheSum() {
+    void routersThatUseUpLittleEachSendAboutTheSum() {
         SplittableRandom random = new SplittableRandom(1);
         int sent = 0;
         for (int router = 0; router < 1000; router++) {
@@ -56,12 +56,4 @@
         budget.spend(1);
         assertFalse(budget.hasWholeRequest());
     }
-
-    @Test
-    void warmthGrowsFromTheLeastToAllAndNoFurther() {
-        RouterSettings.Rules rules = new RouterSettings.Rules(0, 0, 0, 0.2, 10_000, 3, 3_000);
-        assertEquals(0.2, SlowStart.capacityRatio(rules, -3_000), 1e-9);
-        assertEquals(0.6, SlowStart.capacityRatio(rules, 5_000), 1e-9);
-        assertEquals(1, SlowStart.capacityRatio(rules, 20_000), 1e-9);
-    }
 }
--- /dev/null
+++ b/routing/src/test/java/lupinvalve/routing/SlowStartTest.java
@@ -0,0 +1,97 @@
+package lupinvalve.routing;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+
+/** How much a server in slow start gets. */
+class SlowStartTest extends RouterFixture {
+    @Test
+    void replicaInSlowStartGetsNoMoreThanItsPartOfWhatWarmOnesGet() {
+        start(RouterSettings.FreshnessCheck.AWAIT, RouterSettings.TokenSource.CARRIED, RequestClass.Effect.KEYED);
+        allServersReport();
+        updateEndpoints(ListForm.UPDATE, new Endpoint("b", 1, 0, EndpointState.LIVE, false, now));
+        int cold = 0;
+        int warm = 0;
+        for (int i = 0; i < 400; i++) {
+            String id = "r" + i;
+            request(id, READ, null, 400 * MS);
+            String node = lastServer(id);
+            cold += "b".equals(node) ? 1 : 0;
+            warm += "c".equals(node) || "a".equals(node) ? 1 : 0;
+            now += 2 * MS;
+            attemptEnded(
+                    id,
+                    0,
+                    node,
+                    AttemptOutcome.SERVED,
+                    now - 5 * MS,
+                    node.equals("a") ? ServerRole.PRIMARY : ServerRole.REPLICA);
+        }
+        assertTrue(cold > 0, "a cold replica does get some work");
+        assertTrue(cold <= warm * 0.3, cold + " against " + warm);
+    }
+
+    @Test
+    void attemptsThatWarmServersRejectEarnAServerInSlowStartNothing() {
+        start(RouterSettings.FreshnessCheck.AWAIT, RouterSettings.TokenSource.CARRIED, RequestClass.Effect.KEYED);
+        allServersReport();
+        updateEndpoints(ListForm.UPDATE, new Endpoint("b", 1, 0, EndpointState.LIVE, false, now));
+        int cold = 0;
+        for (int i = 0; i < 200; i++) {
+            String id = "r" + i;
+            request(id, READ, null, 400 * MS);
+            String node = lastServer(id);
+            cold += "b".equals(node) ? 1 : 0;
+            if (node != null) {
+                attemptEnded(id, 0, node, AttemptOutcome.REJECTED, now, ServerRole.UNKNOWN);
+                handle(new RouterEvent.ClientDisconnected(id));
+            }
+            now += 2 * MS;
+        }
+        assertEquals(0, cold);
+    }
+
+    @Test
+    void slowAnswersOfWarmServersEarnAServerInSlowStartNoMore() {
+        start(RouterSettings.FreshnessCheck.AWAIT, RouterSettings.TokenSource.CARRIED, RequestClass.Effect.KEYED);
+        allServersReport();
+        updateEndpoints(
+                ListForm.UPDATE,
+                new Endpoint("a", 1, 0, EndpointState.LIVE, true, now),
+                new Endpoint("b", 1, 0, EndpointState.DEPARTED, false, 0));
+        healthCheckServed("a", now + MS, ServerRole.PRIMARY);
+        int reads = 0;
+        int writes = 0;
+        for (int i = 0; i < 200; i++) {
+            request("r" + i, READ, null, 400 * MS);
+            if (lastServer("r" + i) != null) {
+                reads++;
+                handle(new RouterEvent.AttemptEnded(
+                        "r" + i,
+                        0,
+                        lastServer("r" + i),
+                        AttemptOutcome.SERVED,
+                        150 * MS,
+                        true,
+                        now - MS,
+                        lastServer("r" + i).equals("a") ? ServerRole.PRIMARY : ServerRole.REPLICA));
+            }
+            request("w" + i, WRITE, "s", 2000 * MS);
+            now += 2 * MS;
+        }
+        for (int i = 0; i < 200; i++) {
+            writes += lastServer("w" + i) != null ? 1 : 0;
+        }
+        assertTrue(writes > 0 && writes <= reads * 0.4, writes + " against " + reads);
+    }
+
+    @Test
+    void capacityGrowsFromItsInitialPartToAllAndNoFurther() {
+        RouterSettings.Rules rules = new RouterSettings.Rules(0, 0, 0, 0.2, 10_000, 3, 3_000);
+        assertEquals(0.2, SlowStart.capacityRatio(rules, -3_000), 1e-9);
+        assertEquals(0.6, SlowStart.capacityRatio(rules, 5_000), 1e-9);
+        assertEquals(1, SlowStart.capacityRatio(rules, 20_000), 1e-9);
+    }
+}
