--- a/replication/src/main/java/lupinvalve/replication/RequestHandler.java
+++ b/replication/src/main/java/lupinvalve/replication/RequestHandler.java
@@ -440,7 +440,7 @@
         out.writeStringField(
                 "leader", group.leader() == null ? "" : group.leader().name());
         out.writeBooleanField("leads", group.isLeader());
-        out.writeBooleanField("cut_off", group.adoption().isCutOff());
+        out.writeBooleanField("cut_off", group.adoption().isQuorumLost());
         out.writeStringField(
                 "acting",
                 group.ended() != null
