--- a/capacity/src/main/java/lupinvalve/capacity/DatabaseFigures.java
+++ b/capacity/src/main/java/lupinvalve/capacity/DatabaseFigures.java
@@ -29,8 +29,8 @@
                 CodeFacts.LIMIT_START + 1,
                 "poolers",
                 Basis.COMPUTED,
-                "each may have one out; `Limits.LIMIT_START` is meant for all",
-                "decisions/Limits.java"));
+                "each may have one out; `InFlightLimit.INITIAL_ATTEMPTS` is meant for all",
+                "routing/InFlightLimit.java"));
         out.add(picture());
         out.add(Figure.of(
                 "the last of all poolers to find it out, in the mean",
@@ -39,21 +39,21 @@
                 Unit.SECONDS,
                 Basis.COMPUTED,
                 "random arrivals, each pooler alone",
-                "decisions/Health.java"));
+                "routing/OutlierDetection.java"));
         out.add(Figure.plain(
                 "requests lost to that, one a pooler at least",
                 d.poolers(),
                 Unit.COUNT,
                 Basis.COMPUTED,
                 "an error shuns at once",
-                "decisions/Health.java"));
+                "routing/OutlierDetection.java"));
         out.add(Figure.plain(
                 "first tries of all poolers at a set of which none is warm",
                 CodeFacts.COLD_ALONE,
                 Unit.COUNT,
                 Basis.COMPUTED,
-                "drawn by lot, ten in all; spread of the sum 3.2",
-                "decisions/Limits.java"));
+                "drawn at random, ten in all; spread of the sum 3.2",
+                "routing/SlowStart.java"));
         out.add(arrivals());
         for (Setting setting : Setting.all()) {
             out.add(probes(setting));
@@ -64,8 +64,8 @@
                 d.controlBytesPerSecond(),
                 Unit.BYTES_PER_SECOND,
                 Basis.GUESSED,
-                "`PROBES_SPARSE`; a probe's bytes are a guess",
-                "decisions/Health.java"));
+                "`SPARSE_BUDGET_PER_REQUEST_CHECKS`; a probe's bytes are a guess",
+                "routing/HealthChecker.java"));
         return out;
     }
 
@@ -82,8 +82,8 @@
                         heard,
                         Unit.COUNT,
                         Basis.COMPUTED,
-                        "`Limits.NEWEST` against 3 s of answers; leans on the " + "group's mean",
-                        "decisions/Limits.java")
+                        "`DecayingMean.MAX_SAMPLES` against 3 s of answers; leans on the " + "group's mean",
+                        "routing/DecayingMean.java")
                 .in(Figure.Scope.OPTION);
     }
 
@@ -113,7 +113,7 @@
                 Assumptions.DB_NODE_CORES * Assumptions.OVERHEAD_PART,
                 Unit.CORES,
                 Basis.GUESSED,
-                "`PROBES_SPARSE`, the settings' `work_us`; the part is a guess",
-                "decisions/Health.java");
+                "`SPARSE_BUDGET_PER_REQUEST_CHECKS`, the settings' `work_us`; the part is a guess",
+                "routing/HealthChecker.java");
     }
 }
--- a/capacity/src/main/java/lupinvalve/capacity/PrimaryFigures.java
+++ b/capacity/src/main/java/lupinvalve/capacity/PrimaryFigures.java
@@ -34,8 +34,8 @@
                     d.primaryChangeSeconds() - elect,
                     Unit.SECONDS,
                     Basis.COMPUTED,
-                    "`Router.CHANGE_PROBE_PACE`, against what is left of 9 s",
-                    "decisions/Router.java"));
+                    "`PrimarySearch.CHECK_ROUND_MICROS`, against what is left of 9 s",
+                    "routing/PrimarySearch.java"));
             out.add(atMember(setting));
         }
         out.add(zonesShare(Setting.ALMATY));
@@ -46,7 +46,7 @@
                         Unit.SECONDS,
                         Basis.COMPUTED,
                         "random arrivals; a pooler that holds no request waits for nothing",
-                        "decisions/Primaries.java")
+                        "routing/PrimarySearch.java")
                 .in(Figure.Scope.OPTION));
         return out;
     }
@@ -60,7 +60,7 @@
                 Unit.CORES,
                 Basis.GUESSED,
                 "each pooler holds requests; the part of a db node is a guess",
-                "decisions/Router.java");
+                "routing/PrimarySearch.java");
     }
 
     private Figure zonesShare(Setting setting) {
@@ -73,6 +73,6 @@
                 Unit.BYTES_PER_SECOND,
                 Basis.GUESSED,
                 Unit.number(sets) + " sets at once; a probe's bytes are a guess",
-                "decisions/Router.java");
+                "routing/PrimarySearch.java");
     }
 }
