--- a/routing/src/test/java/lupinvalve/routing/FleetTest.java
+++ b/routing/src/test/java/lupinvalve/routing/FleetTest.java
@@ -9,35 +9,40 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
+import java.util.function.ToIntFunction;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Many routers before one scripted world in virtual time: what is harmless at one must not add up. */
 class FleetTest {
-    private static final long MS = 1000, SECOND = 1000 * MS;
-    private static final int RATE = 300, WARM_MEMBERS = 5;
-    private static final double SHARE = 0.2;
-    /** How much more than it can do a cold member bears, and how long it takes to be warm. */
-    private double multiple = 3;
+    private static final long MS = 1000;
+    private static final long SECOND = 1000 * MS;
+    private static final int REQUESTS_PER_SECOND = 300;
+    private static final int WARM_SERVERS = 5;
+    private static final double INITIAL_CAPACITY_RATIO = 0.2;
+    /** How much more than it can do a server in slow start bears, and how long it takes to be warm. */
+    private double overloadMultiple = 3;
 
-    private long ramp = 10 * SECOND;
+    private long warmUp = 10 * SECOND;
 
     private record Due(long at, int router, RouterEvent event) {}
 
     private final PriorityQueue<Due> ahead = new PriorityQueue<>((a, b) -> Long.compare(a.at, b.at));
     private final List<Router> routers = new ArrayList<>();
     /** What each router was set to, and what was last listed, for those that start again. */
-    private final List<RouterSettings> settingsOf = new ArrayList<>();
+    private final List<RouterSettings> settingsByRouter = new ArrayList<>();
 
     private final Map<String, Endpoint> listed = new LinkedHashMap<>();
     private final Map<String, List<Long>> sends = new HashMap<>();
-    private final List<Long> advice = new ArrayList<>();
-    private long now = 1000 * SECOND, took = 40 * MS;
-    private int probes;
+    private final List<Long> retryAfters = new ArrayList<>();
+    private long now = 1000 * SECOND;
+    private long latency = 40 * MS;
+    private int healthChecks;
     /** Which router a request comes to, and for which group. */
-    private java.util.function.ToIntFunction<SplittableRandom> chooses = random -> random.nextInt(routers.size()),
-            asks = random -> 1;
+    private ToIntFunction<SplittableRandom> routerOfRequest = random -> random.nextInt(routers.size());
+
+    private ToIntFunction<SplittableRandom> groupOfRequest = random -> 1;
 
     private void fleet(int count) {
         fleet(count, 1);
@@ -64,14 +69,21 @@
                     false,
                     List.of(read),
                     new RouterSettings.SiteLimits(6, false, true, true, true, SECOND, 1000),
-                    new RouterSettings.Rules(20 * MS, 250 * MS, 10 * SECOND, SHARE, ramp, multiple, 3 * SECOND),
+                    new RouterSettings.Rules(
+                            20 * MS,
+                            250 * MS,
+                            10 * SECOND,
+                            INITIAL_CAPACITY_RATIO,
+                            warmUp,
+                            overloadMultiple,
+                            3 * SECOND),
                     new RouterSettings.Replication(
                             RouterSettings.FreshnessCheck.BOUNCE, 0, RouterSettings.TokenSource.CARRIED));
             routers.add(new Router(100 + i, settings, now, action -> act(self, action)));
-            settingsOf.add(settings);
+            settingsByRouter.add(settings);
         }
         List<Endpoint> members = new ArrayList<>();
-        for (int i = 0; i <= WARM_MEMBERS; i++) {
+        for (int i = 0; i <= WARM_SERVERS; i++) {
             members.add(new Endpoint("m" + i, 1, 0, EndpointState.LIVE, i == 0, 0));
             if (groups == 2) {
                 members.add(new Endpoint("k" + i, 2, 0, EndpointState.LIVE, i == 0, 0));
@@ -89,9 +101,10 @@
         }
     }
 
-    /** A pooler is replaced by a fresh one that knows nothing but the list; answers to the old one are lost. */
-    private void startAgain(int router) {
-        routers.set(router, new Router(5000 + router, settingsOf.get(router), now, action -> act(router, action)));
+    /** A router is replaced by a new one that knows nothing but the list; answers to the old one are lost. */
+    private void restartRouter(int router) {
+        routers.set(
+                router, new Router(5000 + router, settingsByRouter.get(router), now, action -> act(router, action)));
         give(router, new RouterEvent.EndpointUpdate(ListForm.FULL, List.copyOf(listed.values())));
     }
 
@@ -104,21 +117,21 @@
             sends.computeIfAbsent(send.node(), n -> new ArrayList<>()).add(now);
             boolean primary = send.node().endsWith("0");
             ahead.add(new Due(
-                    now + took,
+                    now + latency,
                     router,
                     new RouterEvent.AttemptEnded(
                             send.id(),
                             0,
                             send.node(),
                             AttemptOutcome.SERVED,
-                            took,
+                            latency,
                             true,
                             now,
                             primary ? ServerRole.PRIMARY : ServerRole.REPLICA)));
         } else if (action instanceof RouterAction.Reject refuse) {
-            advice.add(refuse.retryAfterMicros());
+            retryAfters.add(refuse.retryAfterMicros());
         } else if (action instanceof RouterAction.CheckHealth probe) {
-            probes++;
+            healthChecks++;
             ahead.add(new Due(
                     now + MS,
                     router,
@@ -133,7 +146,7 @@
     private void run(long micros, long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         long end = now + micros;
-        for (long next = now; next < end; next += 2L * random.nextInt((int) (SECOND / RATE))) {
+        for (long next = now; next < end; next += 2L * random.nextInt((int) (SECOND / REQUESTS_PER_SECOND))) {
             while (!ahead.isEmpty() && ahead.peek().at <= next) {
                 Due due = ahead.poll();
                 now = Math.max(now, due.at);
@@ -141,33 +154,36 @@
             }
             now = next;
             give(
-                    chooses.applyAsInt(random),
+                    routerOfRequest.applyAsInt(random),
                     new RouterEvent.RequestArrived(
                             Long.toString(now, 36) + "-" + random.nextInt(1 << 30),
                             0,
                             false,
                             null,
                             0,
-                            asks.applyAsInt(random),
+                            groupOfRequest.applyAsInt(random),
                             1500 * MS));
         }
         now = end;
     }
 
     /** What may be sent to a member in any window of 3 s by all together: what it bears, and a little chance. */
-    private void assertBearable(String node, long born, double warmPerSecond, String what) {
+    private void assertBearable(String node, long started, double warmPerSecond, String what) {
         List<Long> cold = sends.getOrDefault(node, List.of()).stream()
-                .filter(at -> at >= born)
+                .filter(at -> at >= started)
                 .toList();
-        for (long from = born; from <= now - 3 * SECOND; from += 50 * MS) {
+        for (long from = started; from <= now - 3 * SECOND; from += 50 * MS) {
             long start = from;
             long sent = cold.stream()
                     .filter(at -> at >= start && at < start + 3 * SECOND)
                     .count();
-            double bears = multiple * (SHARE + (1 - SHARE) * (from - born) / ramp) * warmPerSecond * 3;
+            double bearable = overloadMultiple
+                    * (INITIAL_CAPACITY_RATIO + (1 - INITIAL_CAPACITY_RATIO) * (from - started) / warmUp)
+                    * warmPerSecond
+                    * 3;
             assertTrue(
-                    sent <= bears + 2 * Math.sqrt(bears) + 2,
-                    what + ": " + sent + " sent, bears " + bears + ", from " + (from - born) / MS + " ms on");
+                    sent <= bearable + 2 * Math.sqrt(bearable) + 2,
+                    what + ": " + sent + " sent, bearable " + bearable + ", from " + (from - started) / MS + " ms on");
         }
     }
 
@@ -192,23 +208,23 @@
     }
 
     @Test
-    void allTogetherKeepAColdMemberUnderWhatItCanBear() {
+    void allTogetherKeepAServerInSlowStartUnderWhatItCanBear() {
         fleet(14);
         run(5 * SECOND, 1);
-        long born = start("m5");
+        long started = start("m5");
         run(8 * SECOND, 2);
-        List<Long> cold = sends.get("m5").stream().filter(at -> at >= born).toList();
+        List<Long> cold = sends.get("m5").stream().filter(at -> at >= started).toList();
         // What a warm replica was sent in that time is what it can bear at least.
-        double warm = sends.get("m4").stream().filter(at -> at >= born).count() / 8.0;
-        for (long from = born; from < born + 5 * SECOND; from += 100 * MS) {
+        double warm = sends.get("m4").stream().filter(at -> at >= started).count() / 8.0;
+        for (long from = started; from < started + 5 * SECOND; from += 100 * MS) {
             long start = from;
             long sent = cold.stream()
                     .filter(at -> at >= start && at < start + 3 * SECOND)
                     .count();
-            double warmth = SHARE + (1 - SHARE) * (from - born) / ramp;
+            double warmth = INITIAL_CAPACITY_RATIO + (1 - INITIAL_CAPACITY_RATIO) * (from - started) / warmUp;
             assertTrue(
-                    sent <= multiple * warmth * warm * 3,
-                    sent + " sent, warm members take " + warm + "/s, from " + (from - born) / MS + " ms on");
+                    sent <= overloadMultiple * warmth * warm * 3,
+                    sent + " sent, warm members take " + warm + "/s, from " + (from - started) / MS + " ms on");
         }
         assertTrue(cold.size() > 30, "it is not starved: " + cold.size());
     }
@@ -216,60 +232,67 @@
     /** Half of what comes comes to a tenth of the poolers, and a third of all start again 1 s after the member. */
     @ParameterizedTest
     @ValueSource(ints = {14, 30, 100})
-    void poolersThatStartAgainKeepAColdMemberUnderWhatTheLeastBusyOfTheOthersShows(int count) {
-        chooses = random -> random.nextInt(random.nextBoolean() ? Math.max(1, count / 10) : count);
+    void routersThatRestartKeepAServerInSlowStartUnderWhatTheLeastBusyOfTheOthersShows(int count) {
+        routerOfRequest = random -> random.nextInt(random.nextBoolean() ? Math.max(1, count / 10) : count);
         fleet(count);
         run(5 * SECOND, 1);
-        long born = start("m5");
+        long started = start("m5");
         run(SECOND, 2);
         for (int i = 0; i < count; i += 3) {
-            startAgain(i);
+            restartRouter(i);
         }
         run(7 * SECOND, 3);
         double warm = List.of("m1", "m2", "m3", "m4").stream()
                         .mapToLong(node -> sends.get(node).stream()
-                                .filter(at -> at >= born)
+                                .filter(at -> at >= started)
                                 .count())
                         .min()
                         .orElseThrow()
                 / 8.0;
-        List<Long> cold = sends.get("m5").stream().filter(at -> at >= born).toList();
-        for (long from = born; from <= now - 3 * SECOND; from += 100 * MS) {
+        List<Long> cold = sends.get("m5").stream().filter(at -> at >= started).toList();
+        for (long from = started; from <= now - 3 * SECOND; from += 100 * MS) {
             long start = from;
             long sent = cold.stream()
                     .filter(at -> at >= start && at < start + 3 * SECOND)
                     .count();
-            double bears = multiple * (SHARE + (1 - SHARE) * (from - born) / ramp) * warm * 3;
-            assertTrue(sent <= bears, sent + " sent, bears " + bears + ", from " + (from - born) / MS + " ms on");
+            double bearable = overloadMultiple
+                    * (INITIAL_CAPACITY_RATIO + (1 - INITIAL_CAPACITY_RATIO) * (from - started) / warmUp)
+                    * warm
+                    * 3;
+            assertTrue(
+                    sent <= bearable,
+                    sent + " sent, bearable " + bearable + ", from " + (from - started) / MS + " ms on");
         }
         assertTrue(
-                cold.size() > 0.3 * 8 * warmPerSecond(born),
-                "it is not starved: " + cold.size() + " against " + 8 * warmPerSecond(born));
+                cold.size() > 0.3 * 8 * warmPerSecond(started),
+                "it is not starved: " + cold.size() + " against " + 8 * warmPerSecond(started));
     }
 
     /** Late answers make the poolers refuse most reads: what a refused one might have used up is left for others. */
     @ParameterizedTest
     @ValueSource(ints = {14, 30})
-    void aColdMemberIsNotStarvedWhereMostReadsAreRefused(int count) {
+    void serverInSlowStartIsNotStarvedWhereMostReadsAreRejected(int count) {
         fleet(count);
         run(3 * SECOND, 1);
-        took = 500 * MS;
+        latency = 500 * MS;
         run(2 * SECOND, 4);
-        int refusedBefore = advice.size();
-        long born = start("m5");
+        int rejectedBefore = retryAfters.size();
+        long started = start("m5");
         run(10 * SECOND, 2);
-        assertTrue(advice.size() - refusedBefore > RATE * 10 / 2, "refused " + (advice.size() - refusedBefore));
-        assertBearable("m5", born, warmPerSecond(born), "pressed");
-        long cold = sends.get("m5").stream().filter(at -> at >= born).count();
         assertTrue(
-                cold > 0.3 * 10 * warmPerSecond(born),
-                "it is not starved: " + cold + " against " + 10 * warmPerSecond(born));
+                retryAfters.size() - rejectedBefore > REQUESTS_PER_SECOND * 10 / 2,
+                "refused " + (retryAfters.size() - rejectedBefore));
+        assertBearable("m5", started, warmPerSecond(started), "pressed");
+        long cold = sends.get("m5").stream().filter(at -> at >= started).count();
+        assertTrue(
+                cold > 0.3 * 10 * warmPerSecond(started),
+                "it is not starved: " + cold + " against " + 10 * warmPerSecond(started));
     }
 
     /** Each pooler sees few answers: what these tell apart by chance must not make all prefer the same replicas. */
     @ParameterizedTest
     @ValueSource(ints = {14, 30, 100})
-    void replicasThatAreAlikeGetAboutAsManyReads(int count) {
+    void equalReplicasGetAboutAsManyReads(int count) {
         fleet(count);
         run(5 * SECOND, 1);
         long from = now;
@@ -283,68 +306,68 @@
 
     @ParameterizedTest
     @ValueSource(ints = {1, 3, 14, 30, 100})
-    void howeverManyTheyAreTheyKeepAColdMemberUnderWhatItCanBearAndDoNotStarveIt(int count) {
-        multiple = 2;
-        ramp = 20 * SECOND;
+    void anyNumberOfRoutersKeepsAServerInSlowStartUnderWhatItCanBearAndDoesNotStarveIt(int count) {
+        overloadMultiple = 2;
+        warmUp = 20 * SECOND;
         fleet(count, 2);
-        asks = random -> 1 + random.nextInt(2);
+        groupOfRequest = random -> 1 + random.nextInt(2);
         run(5 * SECOND, 1);
-        long born = start("m5");
+        long started = start("m5");
         run(10 * SECOND, 2);
-        assertBearable("m5", born, warmPerSecond(born), "steady");
-        long cold = sends.get("m5").stream().filter(at -> at >= born).count();
+        assertBearable("m5", started, warmPerSecond(started), "steady");
+        long cold = sends.get("m5").stream().filter(at -> at >= started).count();
         assertTrue(
-                cold > 0.2 * 10 * warmPerSecond(born),
-                "it is not starved: " + cold + " against " + 10 * warmPerSecond(born));
+                cold > 0.2 * 10 * warmPerSecond(started),
+                "it is not starved: " + cold + " against " + 10 * warmPerSecond(started));
     }
 
     @ParameterizedTest
     @ValueSource(ints = {3, 30, 100})
-    void whatAllHaveSavedForAColdMemberDoesNotGoOutAtOnce(int count) {
-        multiple = 2;
-        ramp = 60 * SECOND;
+    void budgetsSavedForAServerInSlowStartAreNotSpentAtOnce(int count) {
+        overloadMultiple = 2;
+        warmUp = 60 * SECOND;
         fleet(count, 2);
         run(5 * SECOND, 1);
-        long born = start("m5");
+        long started = start("m5");
         // Few ask for its group, then all do; half of what comes comes to a tenth of the routers.
-        asks = random -> random.nextInt(40) == 0 ? 1 : 2;
-        chooses = random -> random.nextInt(random.nextBoolean() ? Math.max(1, count / 10) : count);
+        groupOfRequest = random -> random.nextInt(40) == 0 ? 1 : 2;
+        routerOfRequest = random -> random.nextInt(random.nextBoolean() ? Math.max(1, count / 10) : count);
         run(8 * SECOND, 2);
-        asks = random -> 1;
+        groupOfRequest = random -> 1;
         long burst = now;
         run(3 * SECOND, 3);
-        assertBearable("m5", born, warmPerSecond(burst), "burst");
+        assertBearable("m5", started, warmPerSecond(burst), "burst");
     }
 
     @ParameterizedTest
     @ValueSource(ints = {30, 100})
-    void whereNoMemberIsWarmAllTogetherDoNotRushThem(int count) {
+    void whereNoServerIsWarmAllTogetherDoNotRushThem(int count) {
         fleet(count, 2);
         run(2 * SECOND, 1);
-        long born = start("m0", "m1", "m2", "m3", "m4", "m5", "k0", "k1", "k2", "k3", "k4", "k5");
+        long started = start("m0", "m1", "m2", "m3", "m4", "m5", "k0", "k1", "k2", "k3", "k4", "k5");
         run(200 * MS, 2);
         for (String node : List.of("m1", "m2", "m3", "m4", "m5")) {
             long sent = sends.getOrDefault(node, List.of()).stream()
-                    .filter(at -> at >= born)
+                    .filter(at -> at >= started)
                     .count();
             assertTrue(sent <= 20, node + ": " + sent);
         }
     }
 
     @Test
-    void probesOfAllTogetherStayAFewInAHundredRequests() {
+    void healthChecksOfAllTogetherStayAFewInAHundredRequests() {
         fleet(14);
         run(10 * SECOND, 3);
-        assertTrue(probes < RATE * 10 * 0.06, "probes " + probes);
+        assertTrue(healthChecks < REQUESTS_PER_SECOND * 10 * 0.06, "probes " + healthChecks);
     }
 
     @Test
-    void refusedReadsAreToldToComeBackInTimeAndNotAsOneWave() {
+    void retryAftersOfRejectedReadsAreInTimeAndNotOneWave() {
         fleet(14);
-        took = 1500 * MS;
+        latency = 1500 * MS;
         run(10 * SECOND, 4);
-        assertTrue(advice.size() > 100, "refused " + advice.size());
-        assertTrue(advice.stream().allMatch(a -> a < 200 * MS), "in time for an aim of 600 ms");
-        assertTrue(advice.stream().distinct().count() > advice.size() / 2, "spread");
+        assertTrue(retryAfters.size() > 100, "refused " + retryAfters.size());
+        assertTrue(retryAfters.stream().allMatch(a -> a < 200 * MS), "in time for an aim of 600 ms");
+        assertTrue(retryAfters.stream().distinct().count() > retryAfters.size() / 2, "spread");
     }
 }
--- a/routing/src/test/java/lupinvalve/routing/RulesTest.java
+++ b/routing/src/test/java/lupinvalve/routing/RulesTest.java
@@ -23,9 +23,9 @@
     void everyRuleHoldsUnderSettingsDrawnAtRandom(long seed) {
         RulesWorld world = new RulesWorld(seed);
         world.run();
-        assertEquals(List.of(), world.broken.stream().limit(5).toList(), world.describe());
-        assertTrue(world.asked > 100, world.describe());
-        assertTrue(world.served > world.asked / 20, world.describe());
+        assertEquals(List.of(), world.broken().stream().limit(5).toList(), world.describe());
+        assertTrue(world.arrived > 100, world.describe());
+        assertTrue(world.served > world.arrived / 20, world.describe());
     }
 
     @Test
@@ -40,18 +40,18 @@
     /** Each checker is seen to bite: a module that does what it must not is found out. */
     @ParameterizedTest
     @MethodSource("planted")
-    void aPlantedFaultIsFound(RulesWorld.Planted fault) {
+    void aPlantedFaultIsFound(PlantedFault fault) {
         boolean found = false;
         for (long seed = 1; seed <= 40 && !found; seed++) {
             RulesWorld world = new RulesWorld(seed);
             world.planted = fault;
             world.run();
-            found = world.broken.stream().anyMatch(b -> b.startsWith(fault.rule));
+            found = world.broken().stream().anyMatch(note -> note.startsWith(fault.rule));
         }
         assertTrue(found, fault + " was not found");
     }
 
-    static List<RulesWorld.Planted> planted() {
-        return List.of(RulesWorld.Planted.values());
+    static List<PlantedFault> planted() {
+        return List.of(PlantedFault.values());
     }
 }
