--- a/hotrestart/src/main/java/lupinvalve/hotrestart/DrainCommandsFile.java
+++ b/hotrestart/src/main/java/lupinvalve/hotrestart/DrainCommandsFile.java
@@ -19,18 +19,28 @@
 import lupinvalve.maintenance.Maintenance.Orders;
 
 /**
- * The operators' orders in a file that the two processes of an upgrade share. It is written whole beside the old one
- * and renamed, under a lock, so a reader sees one state or the other. For one thread.
+ * The operators' drain commands in a file that the two processes of a hot restart share. It is written whole to a
+ * temporary file and moved, under a lock, so a reader sees one version or the other. For one thread; touches the disk.
  */
 public final class DrainCommandsFile {
     private static final JsonFactory JSON = new JsonFactory();
-    /** Longer than any file of ours: what is longer is not read. */
-    private static final long BYTES_MOST = 1 << 20;
+    /** The stored name of {@link Orders#out}. */
+    private static final String DRAINED_FIELD = "out";
+    /** The stored name of {@link Orders#back}. */
+    private static final String RETURNED_FIELD = "back";
+    /** More than a pooler ever writes. */
+    private static final long MAX_FILE_BYTES = 1 << 20;
+    /** Stands for the content of a file that is too long to be read; no JSON. */
+    private static final byte[] TOO_LONG = {'!'};
 
-    private final SharedDirectory shelf;
-    private final String file, beside, lock;
-    private byte[] seen = {};
-    private boolean reported;
+    private final SharedDirectory directory;
+    private final String fileName;
+    private final String temporaryName;
+    private final String lockName;
+    /** The content that was last read or written. */
+    private byte[] lastContent = {};
+
+    private boolean errorReported;
 
     /** @param stem path of the files, without their endings */
     public DrainCommandsFile(Path stem) {
@@ -39,92 +49,111 @@
                 stem.getFileName().toString());
     }
 
-    /** @param name of the files on the shelf, without their endings */
-    public DrainCommandsFile(SharedDirectory shelf, String name) {
-        this.shelf = shelf;
-        file = name + ".orders.json";
-        beside = name + ".orders.new";
-        lock = name + ".lock";
+    /** @param name of the files in the directory, without their endings */
+    public DrainCommandsFile(SharedDirectory directory, String name) {
+        this.directory = directory;
+        fileName = name + ".orders.json";
+        temporaryName = name + ".orders.new";
+        lockName = name + ".lock";
     }
 
     /**
-     * What the file holds where it has changed since it was last read or written, else null. Of one that is spoilt,
-     * what could be read stands beside what is held: a db node too many is out, and none that was taken out is used.
+     * The commands of the file where it has changed since it was last read or written, else null. Of a corrupt file,
+     * what could be read is merged with the current commands: a db node may stay drained without need, but none is used
+     * that operators have drained.
+     *
+     * @param current the commands that this process knows
      */
-    public Orders readIfChanged(Orders held) {
+    public Orders readIfChanged(Orders current) {
         try {
-            return readNewVersion(held);
+            return readNewVersion(current);
         } catch (IOException e) {
             report("can't be read: " + e);
             return null;
         }
     }
 
-    private Orders readNewVersion(Orders held) throws IOException {
-        byte[] bytes;
+    private Orders readNewVersion(Orders current) throws IOException {
+        byte[] content;
         try {
-            bytes = shelf.size(file) > BYTES_MOST ? new byte[] {'!'} : shelf.read(file);
+            content = directory.size(fileName) > MAX_FILE_BYTES ? TOO_LONG : directory.read(fileName);
         } catch (NoSuchFileException e) {
-            // Nobody has given an order yet, or somebody cleared the folder: what is held stays.
+            // No command yet, or somebody cleared the directory: the current commands stay.
             return null;
         }
-        if (Arrays.equals(bytes, seen)) {
+        if (Arrays.equals(content, lastContent)) {
             return null;
         }
-        seen = bytes;
-        return read(bytes, held);
+        lastContent = content;
+        return decode(content, current);
     }
 
     /**
-     * Makes a change to what the file holds; it is in the file when this returns. Where the file can't be read there is
-     * no change: made to what is held here, it would undo what the other process wrote since.
+     * Changes the commands; the file has them when this returns. Throws, and changes nothing, where the file can't be
+     * read: a change of the current commands would undo what the other process has written since.
+     *
+     * @param current the commands that this process knows
      */
-    public Orders update(Orders held, UnaryOperator<Orders> change) throws IOException {
-        Closeable locked = shelf.lock(lock);
+    public Orders update(Orders current, UnaryOperator<Orders> change) throws IOException {
+        Closeable lock = directory.lock(lockName);
         try {
-            Orders other = readNewVersion(held);
-            Orders next = change.apply(other == null ? held : other);
-            byte[] bytes = bytes(next);
-            shelf.write(beside, bytes);
-            shelf.move(beside, file);
-            seen = bytes;
-            reported = false;
+            Orders other = readNewVersion(current);
+            Orders next = change.apply(other == null ? current : other);
+            byte[] content = encode(next);
+            directory.write(temporaryName, content);
+            directory.move(temporaryName, fileName);
+            lastContent = content;
+            errorReported = false;
             return next;
         } finally {
-            locked.close();
+            lock.close();
         }
     }
 
-    private Orders read(byte[] bytes, Orders held) {
-        Set<String> out = new HashSet<>();
-        Map<String, Long> back = new HashMap<>();
-        try (JsonParser in = JSON.createParser(bytes)) {
+    private Orders decode(byte[] content, Orders current) {
+        Set<String> drained = new HashSet<>();
+        Map<String, Long> returned = new HashMap<>();
+        try (JsonParser in = JSON.createParser(content)) {
             expect(in, in.nextToken() == JsonToken.START_OBJECT);
             while (in.nextToken() == JsonToken.FIELD_NAME) {
-                String field = in.currentName();
-                boolean outs = field.equals("out");
-                expect(in, outs || field.equals("back"));
-                expect(in, in.nextToken() == (outs ? JsonToken.START_ARRAY : JsonToken.START_OBJECT));
-                for (JsonToken t = in.nextToken(); t != null && !t.isStructEnd(); t = in.nextToken()) {
-                    if (outs) {
-                        expect(in, t == JsonToken.VALUE_STRING);
-                        out.add(in.getText());
-                    } else {
-                        String id = in.currentName();
-                        expect(in, in.nextToken() == JsonToken.VALUE_NUMBER_INT);
-                        back.put(id, in.getLongValue());
-                    }
+                if (in.currentName().equals(DRAINED_FIELD)) {
+                    readDrained(in, drained);
+                } else {
+                    expect(in, in.currentName().equals(RETURNED_FIELD));
+                    readReturned(in, returned);
                 }
             }
             expect(in, in.currentToken() == JsonToken.END_OBJECT && in.nextToken() == null);
-            reported = false;
-            return new Orders(out, back);
+            errorReported = false;
+            return new Orders(drained, returned);
         } catch (IOException e) {
-            report("is spoilt, what could be read is joined with what is held: " + e.getMessage());
-            return held.and(new Orders(out, Map.of()));
+            report("is corrupt, what could be read is merged with the current commands: " + e.getMessage());
+            return current.and(new Orders(drained, Map.of()));
         }
     }
 
+    private static void readDrained(JsonParser in, Set<String> drained) throws IOException {
+        expect(in, in.nextToken() == JsonToken.START_ARRAY);
+        while (hasNext(in)) {
+            expect(in, in.currentToken() == JsonToken.VALUE_STRING);
+            drained.add(in.getText());
+        }
+    }
+
+    private static void readReturned(JsonParser in, Map<String, Long> returned) throws IOException {
+        expect(in, in.nextToken() == JsonToken.START_OBJECT);
+        while (hasNext(in)) {
+            String id = in.currentName();
+            expect(in, in.nextToken() == JsonToken.VALUE_NUMBER_INT);
+            returned.put(id, in.getLongValue());
+        }
+    }
+
+    private static boolean hasNext(JsonParser in) throws IOException {
+        JsonToken token = in.nextToken();
+        return token != null && !token.isStructEnd();
+    }
+
     private static void expect(JsonParser in, boolean holds) throws IOException {
         if (!holds) {
             throw new IOException("unexpected " + in.currentToken() + " at byte "
@@ -132,29 +161,30 @@
         }
     }
 
-    private static byte[] bytes(Orders orders) throws IOException {
-        ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        try (JsonGenerator out = JSON.createGenerator(bytes)) {
+    private static byte[] encode(Orders commands) throws IOException {
+        ByteArrayOutputStream content = new ByteArrayOutputStream();
+        try (JsonGenerator out = JSON.createGenerator(content)) {
             out.writeStartObject();
-            out.writeArrayFieldStart("out");
-            for (String id : orders.out()) {
+            out.writeArrayFieldStart(DRAINED_FIELD);
+            for (String id : commands.out()) {
                 out.writeString(id);
             }
             out.writeEndArray();
-            out.writeObjectFieldStart("back");
-            for (Map.Entry<String, Long> e : orders.back().entrySet()) {
-                out.writeNumberField(e.getKey(), e.getValue());
+            out.writeObjectFieldStart(RETURNED_FIELD);
+            for (Map.Entry<String, Long> returned : commands.back().entrySet()) {
+                out.writeNumberField(returned.getKey(), returned.getValue());
             }
             out.writeEndObject();
             out.writeEndObject();
         }
-        return bytes.toByteArray();
+        return content.toByteArray();
     }
 
-    private void report(String what) {
-        if (!reported) {
-            Log.error("%s %s", file, what);
-            reported = true;
+    /** Reports an error once, until the file can be read again. */
+    private void report(String problem) {
+        if (!errorReported) {
+            Log.error("%s %s", fileName, problem);
+            errorReported = true;
         }
     }
 }
--- a/hotrestart/src/main/java/lupinvalve/hotrestart/ProcessMarkers.java
+++ b/hotrestart/src/main/java/lupinvalve/hotrestart/ProcessMarkers.java
@@ -8,82 +8,87 @@
 import lupinvalve.log.Log;
 
 /**
- * Notes of which processes of a pooler run: who took up service last, and who started last. The process that ends reads
- * from them whether somebody else takes its clients, one that starts whether somebody serves them meanwhile, and both
- * whether they share the limits.
+ * Marker files that name the processes of one pooler: which one started last, and which one took up service last. In a
+ * hot restart the old process reads from them that its successor takes the clients, the new one that a predecessor
+ * serves meanwhile, and both that they share the limits. Thread-safe; touches the disk.
  */
 public final class ProcessMarkers {
-    private static final int BYTES_MOST = 64;
-    private final Path stem, beside;
-    private final long self = ProcessHandle.current().pid();
-    /** Who served when this process started; 0 for nobody. */
-    private volatile long predecessor;
+    private static final String STARTING = ".starting";
+    private static final String SERVING = ".serving";
+    private static final int MAX_MARKER_BYTES = 64;
+    private static final long NO_PID = 0;
 
-    private volatile boolean reported;
+    private final Path stem;
+    private final Path temporary;
+    private final long ownPid = ProcessHandle.current().pid();
+    /** The process that served when this one started, or {@link #NO_PID}. */
+    private volatile long predecessorPid = NO_PID;
 
-    /** @param stem path of the files, without their endings */
+    private volatile boolean readErrorReported;
+
+    /** @param stem path of the markers, without their endings */
     public ProcessMarkers(Path stem) {
         this.stem = stem;
-        beside = file(".note." + self);
+        temporary = file(".note." + ownPid);
     }
 
     private Path file(String ending) {
         return stem.resolveSibling(stem.getFileName() + ending);
     }
 
-    /** Leaves the note that this process is starting. */
+    /** Marks this process as the one that started last. */
     public void markStarting() {
-        predecessor = noted(".serving");
-        note(".starting");
+        predecessorPid = read(SERVING);
+        write(STARTING);
     }
 
-    /** Leaves the note that this process serves from now on. */
+    /** Marks this process as the one that took up service last. */
     public void markServing() {
-        note(".serving");
+        write(SERVING);
     }
 
-    /** Whether another process, which runs, took up service last. */
+    /** Whether another process that runs took up service last. */
     public boolean isSuperseded() {
-        return runs(noted(".serving"));
+        return isOtherAlive(read(SERVING));
     }
 
-    /** Whether another process runs, be it on its way up or on its way out. */
+    /** Whether another process of this pooler runs, be it starting or draining. */
     public boolean isAnotherRunning() {
-        return runs(noted(".starting")) || runs(predecessor);
+        return isOtherAlive(read(STARTING)) || isOtherAlive(predecessorPid);
     }
 
-    private void note(String ending) {
+    private void write(String ending) {
         try {
-            Files.writeString(beside, Long.toString(self));
-            Files.move(beside, file(ending), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+            Files.writeString(temporary, Long.toString(ownPid));
+            Files.move(temporary, file(ending), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
         } catch (IOException e) {
             // The other process then takes this one for absent, and serves on until it is killed.
             Log.error("%s can't be written: %s", file(ending), e);
         }
     }
 
-    private boolean runs(long pid) {
-        return pid > 0
-                && pid != self
+    private boolean isOtherAlive(long pid) {
+        return pid > NO_PID
+                && pid != ownPid
                 && ProcessHandle.of(pid).map(ProcessHandle::isAlive).orElse(false);
     }
 
-    /** The process that a note names; 0 for none. */
-    private long noted(String ending) {
+    /** The process that a marker names, or {@link #NO_PID}; an unreadable marker is reported once. */
+    private long read(String ending) {
         Path file = file(ending);
         try {
-            if (Files.size(file) > BYTES_MOST) {
+            if (Files.size(file) > MAX_MARKER_BYTES) {
                 throw new IOException("too long");
             }
             return Long.parseLong(Files.readString(file).strip());
         } catch (NoSuchFileException e) {
-            return 0;
+            return NO_PID;
         } catch (IOException | NumberFormatException e) {
-            if (!reported) {
+            if (!readErrorReported) {
                 Log.error("%s can't be read: %s", file, e);
-                reported = true;
+                readErrorReported = true;
             }
-            return 0;
+            return NO_PID;
         }
     }
 }
--- a/hotrestart/src/test/java/lupinvalve/hotrestart/DrainCommandsFileTest.java
+++ b/hotrestart/src/test/java/lupinvalve/hotrestart/DrainCommandsFileTest.java
@@ -1,7 +1,6 @@
 package lupinvalve.hotrestart;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -21,7 +20,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 class DrainCommandsFileTest {
-    private static final Orders HELD = new Orders(Set.of("s-9"), Map.of("s-8", 77L));
+    private static final Orders CURRENT = new Orders(Set.of("s-9"), Map.of("s-8", 77L));
 
     @TempDir
     private Path folder;
@@ -37,7 +36,7 @@
     }
 
     @AfterEach
-    void logAsEver() {
+    void restoreLog() {
         Log.to(System.err);
     }
 
@@ -46,80 +45,43 @@
         DrainCommandsFile one = process();
         DrainCommandsFile two = process();
         assertNull(one.readIfChanged(Orders.NONE));
-        Orders first = one.update(Orders.NONE, held -> held.with(true, "s-1", 5));
-        assertNull(one.readIfChanged(first), "its own change is no news");
+        Orders first = one.update(Orders.NONE, commands -> commands.with(true, "s-1", 5));
+        assertNull(one.readIfChanged(first), "its own change is not read again");
         // The second has not looked since: its change must not undo the first.
-        Orders both = two.update(Orders.NONE, held -> held.with(true, "s-2", 6));
+        Orders both = two.update(Orders.NONE, commands -> commands.with(true, "s-2", 6));
         assertEquals(Set.of("s-1", "s-2"), both.out());
         assertEquals(both, one.readIfChanged(first));
-        Orders back = two.update(both, held -> held.with(false, "s-1", 7));
+        Orders back = two.update(both, commands -> commands.with(false, "s-1", 7));
         assertEquals(new Orders(Set.of("s-2"), Map.of("s-1", 7L)), back);
         assertEquals(back, one.readIfChanged(both));
         assertEquals(back, process().readIfChanged(Orders.NONE), "one that starts reads it all");
     }
 
     @Test
-    void aFileCutAnywhereIsReportedAndBringsNothingBack() throws IOException {
-        Orders whole = process().update(Orders.NONE, held -> HELD.with(true, "s-1", 5));
+    void aTruncatedFileIsReportedAndReturnsNoDrainedNode() throws IOException {
+        Orders whole = process().update(Orders.NONE, commands -> CURRENT.with(true, "s-1", 5));
         byte[] bytes = Files.readAllBytes(file());
         Log.to(new PrintStream(log, true));
         for (int length = 0; length < bytes.length; length++) {
             Files.write(file(), Arrays.copyOf(bytes, length));
             log.reset();
-            Orders read = process().readIfChanged(HELD);
-            // An empty file is all that a process knows before it looks, so that one is no news.
-            Orders held = read == null ? HELD : read;
-            assertTrue(held.out().contains("s-9"), "cut at " + length);
-            assertTrue(length == 0 || log.toString().contains("spoilt"), "cut at " + length);
-            assertTrue(whole.out().containsAll(held.out()) || length < bytes.length, "cut at " + length);
+            Orders read = process().readIfChanged(CURRENT);
+            // An empty file is all that a process knows before it looks, so that one is no change.
+            Orders known = read == null ? CURRENT : read;
+            assertTrue(known.out().contains("s-9"), "cut at " + length);
+            assertTrue(length == 0 || log.toString().contains("corrupt"), "cut at " + length);
+            assertTrue(whole.out().containsAll(known.out()) || length < bytes.length, "cut at " + length);
         }
         Files.writeString(file(), "{\"out\":[\"s-1\"],\"back\":{}} more");
-        assertEquals(Set.of("s-1", "s-9"), process().readIfChanged(HELD).out());
+        assertEquals(Set.of("s-1", "s-9"), process().readIfChanged(CURRENT).out());
         Files.write(file(), new byte[2 << 20]);
-        assertEquals(HELD.out(), process().readIfChanged(HELD).out());
+        assertEquals(CURRENT.out(), process().readIfChanged(CURRENT).out());
     }
 
     @Test
-    void anOrderThatCantBeWrittenIsNotGiven() throws IOException {
+    void aCommandThatCantBeWrittenIsRejected() throws IOException {
         DrainCommandsFile lost =
                 new DrainCommandsFile(folder.resolve("no such folder").resolve("p"));
-        assertThrows(IOException.class, () -> lost.update(Orders.NONE, held -> held.with(true, "s-1", 5)));
-    }
-
-    @Test
-    void aNoteOfAProcessThatHasEndedOrCantBeReadNamesNobody() throws Exception {
-        Path note = folder.resolve("p.serving");
-        ProcessMarkers incumbent = new ProcessMarkers(folder.resolve("p"));
-        assertFalse(incumbent.isSuperseded());
-        incumbent.markServing();
-        assertEquals(Long.toString(ProcessHandle.current().pid()), Files.readString(note));
-        assertFalse(incumbent.isSuperseded(), "it is this process");
-        Process other = new ProcessBuilder("sleep", "60").start();
-        Files.writeString(note, Long.toString(other.pid()));
-        assertTrue(incumbent.isSuperseded());
-        other.destroyForcibly().waitFor();
-        assertFalse(incumbent.isSuperseded());
-        Log.to(new PrintStream(log, true));
-        Files.writeString(note, "12x");
-        assertFalse(incumbent.isSuperseded());
-        assertTrue(log.toString().contains("can't be read"));
-    }
-
-    @Test
-    void bothProcessesKnowOfEachOtherUntilOneHasEnded() throws Exception {
-        Process old = new ProcessBuilder("sleep", "60").start();
-        Files.writeString(folder.resolve("p.serving"), Long.toString(old.pid()));
-        ProcessMarkers next = new ProcessMarkers(folder.resolve("p"));
-        assertTrue(next.isSuperseded());
-        next.markStarting();
-        next.markServing();
-        assertTrue(!next.isSuperseded() && next.isAnotherRunning(), "the old one is on its way out");
-        old.destroyForcibly().waitFor();
-        assertFalse(next.isAnotherRunning());
-        Process third = new ProcessBuilder("sleep", "60").start();
-        Files.writeString(folder.resolve("p.starting"), Long.toString(third.pid()));
-        assertTrue(next.isAnotherRunning() && !next.isSuperseded(), "one that has not said yes takes nobody's place");
-        third.destroyForcibly().waitFor();
-        assertFalse(next.isAnotherRunning());
+        assertThrows(IOException.class, () -> lost.update(Orders.NONE, commands -> commands.with(true, "s-1", 5)));
     }
 }
