--- a/admin/src/main/java/lupinvalve/admin/AdminCommands.java
+++ b/admin/src/main/java/lupinvalve/admin/AdminCommands.java
@@ -2,52 +2,87 @@
 
 import java.util.function.Consumer;
 
-/** Reads an operator's line, and has it carried out. Nothing is decided here. */
+/**
+ * The commands of the admin interface: reads a line, has its command carried out by a {@link Target}, and words the
+ * answer. Decides nothing. Stateless; for any thread.
+ */
 public final class AdminCommands {
-    /** What calls are about. Called by the operators' address's threads; an answer may be given by any thread. */
+    /** What commands act on. Called on the admin interface's threads; callbacks may come on any thread, once. */
     public interface Target {
         /** Why this process is not ready to serve, or null. */
         String notReadyReason();
 
-        /** One figure a line. */
+        /** One counter a line, each ended. */
         String counters();
 
-        /** Takes a db node out or back; the answer is why it can't be done, or null. */
-        void setNodeDrain(boolean takeOut, String id, Consumer<String> objection);
+        /**
+         * Starts or ends the drain of a db node.
+         *
+         * @param objection is given why it can't be done, or null once it is done
+         */
+        void setNodeDrain(boolean drain, String id, Consumer<String> objection);
 
-        /** Sends clients away, or takes them again; the answer is why it can't be done, or null. */
-        void setPoolerDrain(boolean quiesce, Consumer<String> objection);
+        /**
+         * Starts or ends the drain of this process: whether its clients are sent away.
+         *
+         * @param objection is given why it can't be done, or null once it is done
+         */
+        void setPoolerDrain(boolean drain, Consumer<String> objection);
     }
 
-    private final Target pooler;
+    private static final String HEALTH = "health";
+    private static final String COUNTERS = "counters";
+    private static final String CORDON = "cordon";
+    private static final String UNCORDON = "uncordon";
+    private static final String QUIESCE = "quiesce";
+    private static final String RESUME = "resume";
 
-    public AdminCommands(Target pooler) {
-        this.pooler = pooler;
+    private static final String OK = "ok\n";
+    private static final String END_OF_COUNTERS = "eof\n";
+
+    private final Target target;
+
+    /** @param target what commands act on */
+    public AdminCommands(Target target) {
+        this.target = target;
     }
 
-    /** Carries out a line; {@code answer} is given the whole answer, once. */
+    /**
+     * Carries out a line.
+     *
+     * @param line without its line feed
+     * @param answer is given the whole answer, once, on any thread
+     */
     void execute(String line, Consumer<String> answer) {
         String text = line.endsWith("\r") ? line.substring(0, line.length() - 1) : line;
         if (!text.chars().allMatch(c -> c >= ' ' && c < 127)) {
-            answer.accept("fail a line is printable ASCII\n");
+            answer.accept(failed("a line is printable ASCII"));
             return;
         }
-        String[] words = text.strip().split(" +");
-        boolean named = words[0].equals("cordon") || words[0].equals("uncordon");
-        if (words.length != (named ? 2 : 1)) {
-            answer.accept(
-                    words[0].isEmpty()
-                            ? "fail no call\n"
-                            : "fail " + words[0] + (named ? " takes one id\n" : " takes nothing more\n"));
-            return;
+        String[] arguments = text.strip().split(" +");
+        String name = arguments[0];
+        boolean takesId = name.equals(CORDON) || name.equals(UNCORDON);
+        if (arguments.length != (takesId ? 2 : 1)) {
+            answer.accept(failed(name + (takesId ? " takes one id" : " takes nothing more")));
+        } else {
+            dispatch(arguments, answer);
         }
-        Consumer<String> done = objection -> answer.accept(objection == null ? "ok\n" : "fail " + objection + "\n");
-        switch (words[0]) {
-            case "health" -> done.accept(pooler.notReadyReason());
-            case "counters" -> answer.accept("ok\n" + pooler.counters() + "eof\n");
-            case "cordon", "uncordon" -> pooler.setNodeDrain(words[0].equals("cordon"), words[1], done);
-            case "quiesce", "resume" -> pooler.setPoolerDrain(words[0].equals("quiesce"), done);
-            default -> answer.accept("fail no such call: " + words[0] + "\n");
+    }
+
+    private void dispatch(String[] arguments, Consumer<String> answer) {
+        Consumer<String> done = objection -> answer.accept(objection == null ? OK : failed(objection));
+        switch (arguments[0]) {
+            case HEALTH -> done.accept(target.notReadyReason());
+            case COUNTERS -> answer.accept(OK + target.counters() + END_OF_COUNTERS);
+            case CORDON -> target.setNodeDrain(true, arguments[1], done);
+            case UNCORDON -> target.setNodeDrain(false, arguments[1], done);
+            case QUIESCE -> target.setPoolerDrain(true, done);
+            case RESUME -> target.setPoolerDrain(false, done);
+            default -> answer.accept(failed("no such call: " + arguments[0]));
         }
     }
+
+    static String failed(String reason) {
+        return "fail " + reason + "\n";
+    }
 }
--- a/admin/src/main/java/lupinvalve/admin/AdminServer.java
+++ b/admin/src/main/java/lupinvalve/admin/AdminServer.java
@@ -4,7 +4,6 @@
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
-import java.util.Iterator;
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.concurrent.ExecutorService;
@@ -22,134 +21,145 @@
 import org.apache.mina.transport.socket.nio.NioSocketAcceptor;
 
 /**
- * The operators' address: one line a connection, and one answer. It has threads of its own, so that a call does not
- * stand behind what clients send. Guards the pooler against its callers: they are bounded in number, bytes and time.
+ * The admin interface's TCP server: one line a connection, and one answer. It has threads of its own, so that a command
+ * does not queue behind clients' requests. Guards the pooler against its callers: they are bounded in number, bytes and
+ * time. Thread-safe.
  */
 public final class AdminServer {
-    /** Callers at once; one more ends the one that has been here longest without a whole line. */
-    static final int MAX_CONNECTIONS = 32;
+    /** Connections without a whole line at most; one more ends the oldest of them. */
+    static final int MAX_PENDING_CONNECTIONS = 32;
 
-    private static final int LINE_MOST = 256, BACKLOG = 64;
-    /** How long a caller may take to say its line, and to read the answer. */
-    private static final long LINE_WAIT_MILLIS = 3_000, READ_WAIT_MILLIS = 1_000;
+    private static final int MAX_LINE_BYTES = 256;
+    private static final int ACCEPT_BACKLOG = 64;
+    private static final int THREAD_STACK_BYTES = 256 << 10;
+    /** How long a caller may take to send its line. */
+    private static final long LINE_TIMEOUT_MILLIS = 3_000;
+    /** How long a caller may take to read the answer. */
+    private static final long ANSWER_TIMEOUT_MILLIS = 1_000;
 
     private final ExecutorService threads = Executors.newCachedThreadPool(AdminServer::thread);
-    private final ScheduledExecutorService clock = Executors.newSingleThreadScheduledExecutor(AdminServer::thread);
+    private final ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor(AdminServer::thread);
     private final SimpleIoProcessorPool<NioSession> processor =
             new SimpleIoProcessorPool<>(NioProcessor.class, threads, 1, null);
     private final NioSocketAcceptor acceptor = new NioSocketAcceptor(threads, processor);
-    private final AdminCommands calls;
-    /** Who has not said a whole line yet, the longest here first. */
-    private final Map<IoSession, Caller> unheard = new LinkedHashMap<>();
+    private final AdminCommands commands;
+    /** Connections without a whole line, the oldest first. Guarded by this. */
+    private final Map<IoSession, PendingLine> pendingLines = new LinkedHashMap<>();
 
-    private static final class Caller {
-        final StringBuilder line = new StringBuilder();
-        Future<?> limit;
+    private static final class PendingLine {
+        final StringBuilder text = new StringBuilder();
+        final Future<?> timeout;
+
+        PendingLine(Future<?> timeout) {
+            this.timeout = timeout;
+        }
     }
 
-    public AdminServer(AdminCommands calls) {
-        this.calls = calls;
+    /** @param commands what lines mean */
+    public AdminServer(AdminCommands commands) {
+        this.commands = commands;
     }
 
     private static Thread thread(Runnable work) {
-        Thread thread = new Thread(null, work, "door", 256 << 10);
+        Thread thread = new Thread(null, work, "admin", THREAD_STACK_BYTES);
         thread.setDaemon(true);
         return thread;
     }
 
-    /** Opens the address. */
+    /** Opens the address; port 0 takes a free one. */
     public void bind(InetSocketAddress address) throws IOException {
         acceptor.setReuseAddress(true);
-        acceptor.setBacklog(BACKLOG);
+        acceptor.setBacklog(ACCEPT_BACKLOG);
         acceptor.getSessionConfig().setTcpNoDelay(true);
-        acceptor.getSessionConfig().setReadBufferSize(2 * LINE_MOST);
+        acceptor.getSessionConfig().setReadBufferSize(2 * MAX_LINE_BYTES);
         acceptor.setHandler(new Handler());
         acceptor.bind(address);
     }
 
+    /** The address that is open. */
     public InetSocketAddress address() {
         return acceptor.getLocalAddress();
     }
 
+    /** Closes the address and all connections; does not wait for it. */
     public void close() {
         threads.execute(() -> {
             acceptor.dispose(false);
             processor.dispose();
         });
-        clock.shutdownNow();
+        timer.shutdownNow();
     }
 
-    private synchronized void came(IoSession session) {
-        Caller caller = new Caller();
-        caller.limit =
-                clock.schedule(() -> answer(session, "fail no line in time"), LINE_WAIT_MILLIS, TimeUnit.MILLISECONDS);
-        unheard.put(session, caller);
-        if (unheard.size() > MAX_CONNECTIONS) {
-            Iterator<IoSession> eldest = unheard.keySet().iterator();
-            answer(eldest.next(), "fail too many callers");
+    private synchronized void onConnected(IoSession session) {
+        Future<?> timeout =
+                timer.schedule(() -> reject(session, "no line in time"), LINE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+        pendingLines.put(session, new PendingLine(timeout));
+        if (pendingLines.size() > MAX_PENDING_CONNECTIONS) {
+            reject(pendingLines.keySet().iterator().next(), "too many callers");
         }
     }
 
-    /** Takes what has come; a line that is whole is carried out. Bytes behind it are nobody's. */
-    private synchronized void heard(IoSession session, IoBuffer bytes) {
-        Caller caller = unheard.get(session);
-        if (caller == null) {
+    /** Carries out a line once it is whole; bytes behind it are ignored. */
+    private synchronized void onBytes(IoSession session, IoBuffer bytes) {
+        PendingLine line = pendingLines.get(session);
+        if (line == null) {
             return;
         }
         while (bytes.hasRemaining()) {
-            char c = (char) (bytes.get() & 255);
-            if (c == '\n') {
+            char next = (char) (bytes.get() & 255);
+            if (next == '\n') {
                 forget(session);
-                calls.execute(caller.line.toString(), text -> say(session, text));
+                commands.execute(line.text.toString(), answer -> send(session, answer));
                 return;
             }
-            caller.line.append(c);
-            if (caller.line.length() > LINE_MOST) {
-                answer(session, "fail a line has at most " + LINE_MOST + " bytes");
+            line.text.append(next);
+            if (line.text.length() > MAX_LINE_BYTES) {
+                reject(session, "a line has at most " + MAX_LINE_BYTES + " bytes");
                 return;
             }
         }
     }
 
-    private synchronized Caller forget(IoSession session) {
-        Caller caller = unheard.remove(session);
-        if (caller != null) {
-            caller.limit.cancel(false);
+    /** Whether the connection had no whole line yet. */
+    private synchronized boolean forget(IoSession session) {
+        PendingLine line = pendingLines.remove(session);
+        if (line != null) {
+            line.timeout.cancel(false);
         }
-        return caller;
+        return line != null;
     }
 
-    /** Answers one who has not said a line; once. */
-    private void answer(IoSession session, String text) {
-        if (forget(session) != null) {
-            say(session, text + "\n");
+    /** Answers a connection without a whole line, once. */
+    private void reject(IoSession session, String reason) {
+        if (forget(session)) {
+            send(session, AdminCommands.failed(reason));
         }
     }
 
-    private void say(IoSession session, String text) {
-        session.write(IoBuffer.wrap(text.getBytes(US_ASCII)));
+    private void send(IoSession session, String answer) {
+        session.write(IoBuffer.wrap(answer.getBytes(US_ASCII)));
         session.closeOnFlush();
-        if (!clock.isShutdown()) {
-            // One that reads nothing would hold its descriptor for good.
-            clock.schedule(session::closeNow, READ_WAIT_MILLIS, TimeUnit.MILLISECONDS);
+        if (!timer.isShutdown()) {
+            // A caller that reads nothing would hold its descriptor for good.
+            timer.schedule(session::closeNow, ANSWER_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
     private final class Handler extends IoHandlerAdapter {
         @Override
         public void sessionOpened(IoSession session) {
-            came(session);
+            onConnected(session);
         }
 
         @Override
         public void messageReceived(IoSession session, Object message) {
-            heard(session, (IoBuffer) message);
+            onBytes(session, (IoBuffer) message);
         }
 
         @Override
         public void inputClosed(IoSession session) {
-            // A caller may end its side once it has said its line, and still wants the answer.
-            if (forget(session) != null) {
+            // A caller may end its side once it has sent its line, and still wants the answer.
+            if (forget(session)) {
                 session.closeNow();
             }
         }
@@ -162,7 +172,7 @@
         @Override
         public void exceptionCaught(IoSession session, Throwable cause) {
             if (!(cause instanceof IOException)) {
-                Log.failure("operators' address", cause);
+                Log.failure("admin interface", cause);
             }
             forget(session);
             session.closeNow();
--- /dev/null
+++ b/admin/src/main/java/lupinvalve/admin/package-info.java
@@ -0,0 +1,2 @@
+/** The admin interface: operators' commands to a running pooler, over TCP. */
+package lupinvalve.admin;
