--- a/drills/src/main/java/lupinvalve/cli/PointLauncher.java
+++ b/drills/src/main/java/lupinvalve/cli/PointLauncher.java
@@ -5,7 +5,7 @@
 import java.util.Arrays;
 import lupinvalve.config.NodeConfig;
 import lupinvalve.config.OperatorConfig;
-import lupinvalve.faultinjection.Points;
+import lupinvalve.faultinjection.FailPoints;
 import lupinvalve.replication.PointSeams;
 import lupinvalve.replication.RaftMember;
 import org.kohsuke.args4j.CmdLineException;
@@ -22,7 +22,7 @@
 
     @Override
     Daemon daemon(NodeConfig node, OperatorConfig operator, Path shared) throws IOException {
-        Points.At point = at == null ? null : Points.At.of(at);
+        FailPoints.PlannedFault point = at == null ? null : FailPoints.PlannedFault.parse(at);
         return new Daemon(node, operator, shared, config -> new RaftMember(config, new PointSeams(point, course)));
     }
 
--- a/drills/src/main/java/lupinvalve/drills/PointPlay.java
+++ b/drills/src/main/java/lupinvalve/drills/PointPlay.java
@@ -9,10 +9,10 @@
 import java.util.EnumSet;
 import java.util.List;
 import java.util.Set;
-import lupinvalve.faultinjection.Points;
-import lupinvalve.faultinjection.Points.At;
-import lupinvalve.faultinjection.Points.Fault;
-import lupinvalve.faultinjection.Points.Kind;
+import lupinvalve.faultinjection.FailPoints;
+import lupinvalve.faultinjection.FailPoints.Fault;
+import lupinvalve.faultinjection.FailPoints.PlannedFault;
+import lupinvalve.faultinjection.FailPoints.StepKind;
 import lupinvalve.replication.PointSeams;
 
 /**
@@ -34,7 +34,7 @@
      *
      * @param met the log's line at the point, or null where the course did not come so far
      */
-    public record Played(At at, String met, List<String> findings, String json) {
+    public record Played(PlannedFault at, String met, List<String> findings, String json) {
         public boolean good() {
             return findings.isEmpty();
         }
@@ -43,16 +43,16 @@
     private PointPlay() {}
 
     /** Plays once without a fault and gives the kinds of the points met. */
-    public static List<Kind> course(Path config, long seed) throws IOException, InterruptedException {
+    public static List<StepKind> course(Path config, long seed) throws IOException, InterruptedException {
         Path file = Files.createTempFile("course", ".txt");
         try {
             Played played = play(config, seed, null, List.of(LAUNCHER, "--course", file.toString()));
             if (!played.good()) {
                 throw new IOException("without any fault: " + played.findings().get(0));
             }
-            List<Kind> kinds = new ArrayList<>();
+            List<StepKind> kinds = new ArrayList<>();
             for (byte letter : Files.readAllBytes(file)) {
-                kinds.add(Kind.values()[letter - PointSeams.letter(Kind.values()[0])]);
+                kinds.add(StepKind.values()[letter - PointSeams.letter(StepKind.values()[0])]);
             }
             return kinds;
         } finally {
@@ -61,18 +61,18 @@
     }
 
     /** Each fault that fits at each point of a course. */
-    public static List<At> all(List<Kind> course) {
-        return Points.all(course).stream()
+    public static List<PlannedFault> all(List<StepKind> course) {
+        return FailPoints.allSingleFaults(course).stream()
                 .filter(at -> FAULTS.contains(at.fault()))
                 .toList();
     }
 
     /** Plays with one fault at one point. */
-    public static Played play(Path config, long seed, At at) throws IOException, InterruptedException {
+    public static Played play(Path config, long seed, PlannedFault at) throws IOException, InterruptedException {
         return play(config, seed, at, List.of(LAUNCHER, "--at", at.toString()));
     }
 
-    private static Played play(Path config, long seed, At at, List<String> launcher)
+    private static Played play(Path config, long seed, PlannedFault at, List<String> launcher)
             throws IOException, InterruptedException {
         Drill drill = new Drill(new Drill.Setting(
                 new Scenario(MEMBERS, 0, List.of()),
--- a/drills/src/main/java/lupinvalve/replication/PointSeams.java
+++ b/drills/src/main/java/lupinvalve/replication/PointSeams.java
@@ -5,9 +5,9 @@
 import java.nio.channels.FileChannel;
 import java.nio.file.Path;
 import java.nio.file.StandardOpenOption;
-import lupinvalve.faultinjection.Points;
-import lupinvalve.faultinjection.Points.Fault;
-import lupinvalve.faultinjection.Points.Kind;
+import lupinvalve.faultinjection.FailPoints;
+import lupinvalve.faultinjection.FailPoints.Fault;
+import lupinvalve.faultinjection.FailPoints.StepKind;
 import lupinvalve.log.Log;
 
 /** Numbers what a real member does at its seams, and ends, fails or stops this very process at one of them. */
@@ -15,9 +15,9 @@
     /** The exit code of a process that ended itself at its point. */
     public static final int ENDED = 137;
 
-    private final Points points = new Points();
+    private final FailPoints points = new FailPoints();
     private final FileChannel course;
-    private Points.At due;
+    private FailPoints.PlannedFault due;
     private boolean last;
 
     /**
@@ -25,22 +25,24 @@
      *     does not fit the point, it comes at the next one that it fits.
      * @param course is appended the kind of each point met, one character each; null for none
      */
-    public PointSeams(Points.At at, Path course) throws IOException {
+    public PointSeams(FailPoints.PlannedFault at, Path course) throws IOException {
         due = at;
         this.course =
                 course == null ? null : FileChannel.open(course, StandardOpenOption.CREATE, StandardOpenOption.APPEND);
-        points.count(true);
+        points.setEnabled(true);
     }
 
     /** The character that stands for a kind in a course. */
-    public static char letter(Kind kind) {
+    public static char letter(StepKind kind) {
         return (char) ('a' + kind.ordinal());
     }
 
-    private Fault next(Kind kind) {
-        points.next(kind);
+    private Fault next(StepKind kind) {
+        points.nextFault(kind);
         Fault fault = null;
-        if (due != null && points.met().size() >= due.point() && due.fault().fits(kind)) {
+        if (due != null
+                && points.reachedSteps().size() >= due.point()
+                && due.fault().fits(kind)) {
             fault = due.fault();
             due = null;
         }
@@ -52,7 +54,7 @@
             }
         }
         if (fault != null) {
-            Log.warn("point %s at %s: %s", points.met().size(), kind, fault);
+            Log.warn("point %s at %s: %s", points.reachedSteps().size(), kind, fault);
         }
         return fault;
     }
@@ -79,9 +81,9 @@
 
     @Override
     public Disk disk(Disk folder) {
-        return new CountedDisk(folder, this::next, new CountedDisk.Life() {
+        return new FailPointDisk(folder, this::next, new FailPointDisk.Process() {
             @Override
-            public boolean over() {
+            public boolean hasEnded() {
                 return false;
             }
 
@@ -117,7 +119,7 @@
             // What was to happen before the end has had its turn.
             halt(Fault.DIE_AFTER);
         }
-        Fault fault = next(Kind.TIMER);
+        Fault fault = next(StepKind.TIMER);
         if (fault == Fault.STOPPED) {
             stop();
         } else if (fault != null) {
@@ -128,7 +130,7 @@
 
     @Override
     public boolean passes(boolean sent) {
-        Fault fault = next(sent ? Kind.SEND : Kind.ARRIVE);
+        Fault fault = next(sent ? StepKind.SEND : StepKind.ARRIVE);
         if (fault == Fault.DIE_BEFORE || fault == Fault.POWER_CUT) {
             halt(fault);
         }
--- a/drills/src/test/java/lupinvalve/drills/ProcessesTest.java
+++ b/drills/src/test/java/lupinvalve/drills/ProcessesTest.java
@@ -8,7 +8,7 @@
 import java.io.PrintStream;
 import java.nio.file.Path;
 import java.util.List;
-import lupinvalve.faultinjection.Points;
+import lupinvalve.faultinjection.FailPoints;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -80,7 +80,9 @@
     @Test
     void aProcessThatEndsItselfAtAPointComesBackToTheSameHistory() throws Exception {
         // The first point is the look into the empty folder; the 40th comes while the group is founded or soon after.
-        for (Points.At at : List.of(new Points.At(1, Points.Fault.FAIL), new Points.At(40, Points.Fault.DIE_BEFORE))) {
+        for (FailPoints.PlannedFault at : List.of(
+                new FailPoints.PlannedFault(1, FailPoints.Fault.FAIL),
+                new FailPoints.PlannedFault(40, FailPoints.Fault.DIE_BEFORE))) {
             PointPlay.Played played = PointPlay.play(CONFIG, 7, at);
             assertTrue(played.met() != null, "point " + at + " was met");
             assertEquals(List.of(), played.findings(), played.json());
--- a/faultinjection/src/main/java/lupinvalve/faultinjection/Points.java
+++ b/faultinjection/src/main/java/lupinvalve/faultinjection/FailPoints.java
@@ -14,9 +14,9 @@
  * Numbers the steps at which a process meets the world, and says which fault, if any, comes at one. It counts only
  * while it is on, so that a scenario's own steps are numbered and not those that lead to it. No I/O, no clock.
  */
-public final class Points {
+public final class FailPoints {
     /** What a process is about to do at a point. */
-    public enum Kind {
+    public enum StepKind {
         READ,
         CREATE,
         WRITE,
@@ -32,78 +32,79 @@
     /** What may go wrong there. */
     public enum Fault {
         /** The process dies before the step, or after it; its disk loses some of what was not forced. */
-        DIE_BEFORE(true, EnumSet.allOf(Kind.class)),
-        DIE_AFTER(true, EnumSet.complementOf(EnumSet.of(Kind.TIMER))),
+        DIE_BEFORE(true, EnumSet.allOf(StepKind.class)),
+        DIE_AFTER(true, EnumSet.complementOf(EnumSet.of(StepKind.TIMER))),
         /** Half of what was to be written is, then the process dies. */
-        TORN(true, EnumSet.of(Kind.WRITE)),
+        TORN(true, EnumSet.of(StepKind.WRITE)),
         /** All processes die before the step. */
-        POWER_CUT(true, EnumSet.of(Kind.FORCE, Kind.SEND, Kind.ARRIVE, Kind.REPLACE, Kind.DELETE)),
+        POWER_CUT(true, EnumSet.of(StepKind.FORCE, StepKind.SEND, StepKind.ARRIVE, StepKind.REPLACE, StepKind.DELETE)),
         /** The call fails and the process goes on. */
-        FAIL(false, EnumSet.range(Kind.READ, Kind.DELETE)),
-        LOST(false, EnumSet.of(Kind.SEND)),
-        DOUBLED(false, EnumSet.of(Kind.SEND)),
+        FAIL(false, EnumSet.range(StepKind.READ, StepKind.DELETE)),
+        LOST(false, EnumSet.of(StepKind.SEND)),
+        DOUBLED(false, EnumSet.of(StepKind.SEND)),
         /** The message comes 2 s later, behind those sent after it. */
-        LATE(false, EnumSet.of(Kind.SEND)),
+        LATE(false, EnumSet.of(StepKind.SEND)),
         /** The process stands still for 10 s, then wakes. */
-        STOPPED(false, EnumSet.of(Kind.TIMER));
+        STOPPED(false, EnumSet.of(StepKind.TIMER));
 
         /** Whether it ends a process. */
-        public final boolean ends;
+        public final boolean endsProcess;
 
-        private final Set<Kind> fits;
+        private final Set<StepKind> fits;
 
-        Fault(boolean ends, Set<Kind> fits) {
-            this.ends = ends;
+        Fault(boolean ends, Set<StepKind> fits) {
+            this.endsProcess = ends;
             this.fits = fits;
         }
 
         /** Whether it can come at such a step. */
-        public boolean fits(Kind kind) {
+        public boolean fits(StepKind kind) {
             return fits.contains(kind);
         }
     }
 
     /** A fault at a point, by its number from 1. */
-    public record At(int point, Fault fault) {
+    public record PlannedFault(int point, Fault fault) {
         @Override
         public String toString() {
             return point + ":" + fault;
         }
 
         /** Reads what {@link #toString} wrote; throws IllegalArgumentException where it is none. */
-        public static At of(String text) {
+        public static PlannedFault parse(String text) {
             int colon = text.indexOf(':');
             if (colon < 0) {
                 throw new IllegalArgumentException("not POINT:FAULT: " + text);
             }
-            return new At(Integer.parseInt(text.substring(0, colon)), Fault.valueOf(text.substring(colon + 1)));
+            return new PlannedFault(
+                    Integer.parseInt(text.substring(0, colon)), Fault.valueOf(text.substring(colon + 1)));
         }
     }
 
     private final Map<Integer, Fault> plan = new TreeMap<>();
-    private final List<Kind> met = new ArrayList<>();
-    private boolean on;
-    private Consumer<String> trace;
+    private final List<StepKind> reachedSteps = new ArrayList<>();
+    private boolean enabled;
+    private Consumer<String> tracer;
 
     /** With faults at the points named. */
-    public Points(At... faults) {
-        for (At at : faults) {
+    public FailPoints(PlannedFault... faults) {
+        for (PlannedFault at : faults) {
             plan.put(at.point(), at.fault());
         }
     }
 
     /** Counts from here on, or no more. */
-    public void count(boolean now) {
-        on = now;
+    public void setEnabled(boolean now) {
+        enabled = now;
     }
 
     /** The next point is reached: the fault that comes there, or null. */
-    public Fault next(Kind kind) {
-        if (!on) {
+    public Fault nextFault(StepKind kind) {
+        if (!enabled) {
             return null;
         }
-        met.add(kind);
-        Fault fault = plan.get(met.size());
+        reachedSteps.add(kind);
+        Fault fault = plan.get(reachedSteps.size());
         // After a first fault a course is another one: a later point may be of a kind that the fault does not fit.
         if (fault != null && !fault.fits(kind)) {
             return null;
@@ -112,29 +113,29 @@
     }
 
     /** Hears what happens at each step from now on. */
-    public void trace(Consumer<String> to) {
-        trace = to;
+    public void setTracer(Consumer<String> to) {
+        tracer = to;
     }
 
     /** Says what happens, where anybody listens; told only then. */
-    public void note(Supplier<String> what) {
-        if (trace != null) {
-            trace.accept((on ? met.size() + " " : "- ") + what.get());
+    public void trace(Supplier<String> what) {
+        if (tracer != null) {
+            tracer.accept((enabled ? reachedSteps.size() + " " : "- ") + what.get());
         }
     }
 
     /** The kinds of the points met, in order. */
-    public List<Kind> met() {
-        return Collections.unmodifiableList(met);
+    public List<StepKind> reachedSteps() {
+        return Collections.unmodifiableList(reachedSteps);
     }
 
     /** Each fault that fits at each point of a course without faults. */
-    public static List<At> all(List<Kind> course) {
-        List<At> all = new ArrayList<>();
+    public static List<PlannedFault> allSingleFaults(List<StepKind> course) {
+        List<PlannedFault> all = new ArrayList<>();
         for (int i = 0; i < course.size(); i++) {
             for (Fault fault : Fault.values()) {
                 if (fault.fits(course.get(i))) {
-                    all.add(new At(i + 1, fault));
+                    all.add(new PlannedFault(i + 1, fault));
                 }
             }
         }
--- a/faultinjection/src/main/java/lupinvalve/faultinjection/HandOff.java
+++ b/faultinjection/src/main/java/lupinvalve/faultinjection/HotRestartScenario.java
@@ -8,8 +8,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import lupinvalve.faultinjection.Points.Fault;
-import lupinvalve.faultinjection.Points.Kind;
+import lupinvalve.faultinjection.FailPoints.Fault;
+import lupinvalve.faultinjection.FailPoints.StepKind;
 import lupinvalve.hotrestart.DrainCommandsFile;
 import lupinvalve.hotrestart.SharedDirectory;
 import lupinvalve.maintenance.Maintenance.Orders;
@@ -18,7 +18,7 @@
  * An upgrade in which operators take db nodes out and call them back at both processes: each order that got a yes must
  * hold at every process from its next look on, and at one that starts later, whatever fails in between. All in memory.
  */
-public final class HandOff {
+public final class HotRestartScenario {
     /** The process has ended. */
     private static final class Ended extends RuntimeException {
         private static final long serialVersionUID = 1;
@@ -27,23 +27,23 @@
     /** What the folder holds; it outlives processes. */
     private final Map<String, byte[]> files = new TreeMap<>();
 
-    private final Points points;
+    private final FailPoints points;
     private final List<String> broken = new ArrayList<>();
     /** Whether a db node is out by the last order with a yes; null where an order of unknown outcome came since. */
     private final Map<String, Boolean> truth = new TreeMap<>();
 
     private long now = 1;
 
-    private HandOff(Points points) {
+    private HotRestartScenario(FailPoints points) {
         this.points = points;
     }
 
     /** Plays an upgrade with the faults that the points name, and gives what was broken. */
-    public static List<String> play(Points points) {
-        HandOff play = new HandOff(points);
-        points.count(true);
+    public static List<String> run(FailPoints points) {
+        HotRestartScenario play = new HotRestartScenario(points);
+        points.setEnabled(true);
         play.upgrade();
-        points.count(false);
+        points.setEnabled(false);
         for (Process last : List.of(play.new Process(), play.new Process())) {
             last.look();
             play.check(last, "a process that starts later");
@@ -119,7 +119,7 @@
     }
 
     private void check(Process process, String who) {
-        points.count(false);
+        points.setEnabled(false);
         process.look();
         if (!process.ended) {
             truth.forEach((id, out) -> {
@@ -131,7 +131,7 @@
                 }
             });
         }
-        points.count(true);
+        points.setEnabled(true);
     }
 
     /** One process's way to the folder, on which each call is a numbered point. */
@@ -140,8 +140,8 @@
             T go() throws IOException;
         }
 
-        private <T> T step(Kind kind, Step<T> step, Step<T> torn) throws IOException {
-            Fault fault = points.next(kind);
+        private <T> T step(StepKind kind, Step<T> step, Step<T> torn) throws IOException {
+            Fault fault = points.nextFault(kind);
             if (fault == null) {
                 return step.go();
             } else if (fault == Fault.FAIL) {
@@ -164,30 +164,30 @@
 
         @Override
         public long size(String name) throws IOException {
-            return step(Kind.READ, () -> (long) get(name).length, () -> 0L);
+            return step(StepKind.READ, () -> (long) get(name).length, () -> 0L);
         }
 
         @Override
         public byte[] read(String name) throws IOException {
-            return step(Kind.READ, () -> get(name).clone(), () -> new byte[0]);
+            return step(StepKind.READ, () -> get(name).clone(), () -> new byte[0]);
         }
 
         @Override
         public void write(String name, byte[] content) throws IOException {
             step(
-                    Kind.WRITE,
+                    StepKind.WRITE,
                     () -> files.put(name, content.clone()),
                     () -> files.put(name, Arrays.copyOf(content, content.length / 2)));
         }
 
         @Override
         public void move(String name, String to) throws IOException {
-            step(Kind.REPLACE, () -> files.put(to, files.remove(name)), () -> null);
+            step(StepKind.REPLACE, () -> files.put(to, files.remove(name)), () -> null);
         }
 
         @Override
         public Closeable lock(String name) throws IOException {
-            step(Kind.CREATE, () -> null, () -> null);
+            step(StepKind.CREATE, () -> null, () -> null);
             return () -> {};
         }
     }
--- a/faultinjection/src/main/java/lupinvalve/replication/CountedDisk.java
+++ b/faultinjection/src/main/java/lupinvalve/replication/FailPointDisk.java
@@ -4,15 +4,15 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.function.Function;
-import lupinvalve.faultinjection.Points.Fault;
-import lupinvalve.faultinjection.Points.Kind;
+import lupinvalve.faultinjection.FailPoints.Fault;
+import lupinvalve.faultinjection.FailPoints.StepKind;
 
 /** A process's way to its disk, on which each call is a numbered point. */
-final class CountedDisk implements Disk {
+final class FailPointDisk implements Disk {
     /** The process whose disk it is. */
-    interface Life {
+    interface Process {
         /** Whether it has ended: nothing that it still does reaches the disk. */
-        boolean over();
+        boolean hasEnded();
 
         /** Ends it. */
         void end(Fault fault);
@@ -23,11 +23,11 @@
     }
 
     private final Disk disk;
-    private final Function<Kind, Fault> points;
-    private final Life life;
+    private final Function<StepKind, Fault> points;
+    private final Process life;
 
     /** @param points gives the fault that comes at the next point, or null */
-    CountedDisk(Disk disk, Function<Kind, Fault> points, Life life) {
+    FailPointDisk(Disk disk, Function<StepKind, Fault> points, Process life) {
         this.disk = disk;
         this.points = points;
         this.life = life;
@@ -37,8 +37,8 @@
         return new IOException("this process is gone");
     }
 
-    private <T> T step(Kind kind, Step<T> step, Step<T> torn) throws IOException {
-        if (life.over()) {
+    private <T> T step(StepKind kind, Step<T> step, Step<T> torn) throws IOException {
+        if (life.hasEnded()) {
             throw gone();
         }
         Fault fault = points.apply(kind);
@@ -57,27 +57,27 @@
         throw gone();
     }
 
-    private <T> T step(Kind kind, Step<T> step) throws IOException {
+    private <T> T step(StepKind kind, Step<T> step) throws IOException {
         return step(kind, step, () -> null);
     }
 
     @Override
     public List<String> names() throws IOException {
-        return step(Kind.READ, disk::names);
+        return step(StepKind.READ, disk::names);
     }
 
     @Override
     public byte[] read(String name) throws IOException {
-        return step(Kind.READ, () -> disk.read(name));
+        return step(StepKind.READ, () -> disk.read(name));
     }
 
     @Override
     public Out create(String name) throws IOException {
-        Out out = step(Kind.CREATE, () -> disk.create(name));
+        Out out = step(StepKind.CREATE, () -> disk.create(name));
         return new Out() {
             @Override
             public void write(byte[] bytes) throws IOException {
-                step(Kind.WRITE, () -> whole(bytes), () -> whole(Arrays.copyOf(bytes, bytes.length / 2)));
+                step(StepKind.WRITE, () -> whole(bytes), () -> whole(Arrays.copyOf(bytes, bytes.length / 2)));
             }
 
             private Void whole(byte[] bytes) throws IOException {
@@ -87,7 +87,7 @@
 
             @Override
             public void force() throws IOException {
-                step(Kind.FORCE, () -> {
+                step(StepKind.FORCE, () -> {
                     out.force();
                     return null;
                 });
@@ -102,7 +102,7 @@
 
     @Override
     public void replace(String name, byte[] content) throws IOException {
-        step(Kind.REPLACE, () -> {
+        step(StepKind.REPLACE, () -> {
             disk.replace(name, content);
             return null;
         });
@@ -110,7 +110,7 @@
 
     @Override
     public void truncate(String name, long size) throws IOException {
-        step(Kind.CUT, () -> {
+        step(StepKind.CUT, () -> {
             disk.truncate(name, size);
             return null;
         });
@@ -118,7 +118,7 @@
 
     @Override
     public void delete(String name) throws IOException {
-        step(Kind.DELETE, () -> {
+        step(StepKind.DELETE, () -> {
             disk.delete(name);
             return null;
         });
--- a/faultinjection/src/main/java/lupinvalve/replication/MemoryDisk.java
+++ b/faultinjection/src/main/java/lupinvalve/replication/SimulatedDisk.java
@@ -7,8 +7,8 @@
 import java.util.TreeMap;
 
 /** A disk that loses what was not forced, and may fail or lie. */
-final class MemoryDisk implements Disk {
-    private static final int VOTE_MOST = 40;
+final class SimulatedDisk implements Disk {
+    private static final int MAX_VOTE_RECORD_BYTES = 40;
 
     private static final class File {
         byte[] bytes = {};
@@ -17,9 +17,9 @@
 
     final TreeMap<String, File> files = new TreeMap<>();
     /** Bytes that it still takes; a disk that is full takes the part that fits. */
-    long room = Long.MAX_VALUE;
+    long freeBytes = Long.MAX_VALUE;
     /** What is done wrong on purpose. */
-    Sweep.Planted planted = Sweep.Planted.NONE;
+    FaultSweep.SeededBug seededBug = FaultSweep.SeededBug.NONE;
 
     /** Loses power: of each file's unforced bytes some of the first remain. */
     void crash(Random random) {
@@ -40,16 +40,16 @@
         files.put(name, file);
     }
 
-    MemoryDisk copy() {
-        MemoryDisk copy = new MemoryDisk();
+    SimulatedDisk copy() {
+        SimulatedDisk copy = new SimulatedDisk();
         files.forEach((name, file) -> copy.put(name, file.bytes.clone()));
         return copy;
     }
 
     private void take(int count) throws IOException {
-        room -= count;
-        if (room < 0) {
-            room = 0;
+        freeBytes -= count;
+        if (freeBytes < 0) {
+            freeBytes = 0;
             throw new IOException("No space left on device");
         }
     }
@@ -75,8 +75,8 @@
 
             @Override
             public void write(byte[] bytes) throws IOException {
-                small = bytes.length < VOTE_MOST;
-                int fits = (int) Math.min(bytes.length, room);
+                small = bytes.length < MAX_VOTE_RECORD_BYTES;
+                int fits = (int) Math.min(bytes.length, freeBytes);
                 int at = file.bytes.length;
                 file.bytes = Arrays.copyOf(file.bytes, at + fits);
                 System.arraycopy(bytes, 0, file.bytes, at, fits);
@@ -85,8 +85,8 @@
 
             @Override
             public void force() {
-                boolean skipped =
-                        planted == Sweep.Planted.ACK_BEFORE_FORCE || planted == Sweep.Planted.VOTE_NOT_FORCED && small;
+                boolean skipped = seededBug == FaultSweep.SeededBug.ACK_BEFORE_FORCE
+                        || seededBug == FaultSweep.SeededBug.VOTE_NOT_FORCED && small;
                 file.forced = skipped ? file.forced : file.bytes.length;
             }
 
@@ -101,7 +101,7 @@
     public void replace(String name, byte[] content) throws IOException {
         take(content.length);
         put(name, content);
-        if (planted == Sweep.Planted.RENAME_WITHOUT_FORCE) {
+        if (seededBug == FaultSweep.SeededBug.RENAME_WITHOUT_FORCE) {
             files.get(name).forced = 0;
         }
     }
--- a/faultinjection/src/main/java/lupinvalve/replication/Simulation.java
+++ b/faultinjection/src/main/java/lupinvalve/replication/Simulation.java
@@ -11,9 +11,9 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.function.Consumer;
-import lupinvalve.faultinjection.Points;
-import lupinvalve.faultinjection.Points.Fault;
-import lupinvalve.faultinjection.Points.Kind;
+import lupinvalve.faultinjection.FailPoints;
+import lupinvalve.faultinjection.FailPoints.Fault;
+import lupinvalve.faultinjection.FailPoints.StepKind;
 import lupinvalve.statemachine.ClusterBootstrap;
 import lupinvalve.statemachine.Command;
 import lupinvalve.statemachine.MemberId;
@@ -36,29 +36,29 @@
     final class Member {
         final int number;
         final MemberId identity;
-        MemoryDisk disk = new MemoryDisk();
+        SimulatedDisk disk = new SimulatedDisk();
         RaftReplica replica;
-        String stopped;
+        String stopReason;
         boolean started;
-        int life;
-        long pausedUntil;
-        final TreeMap<Long, String> adopted = new TreeMap<>();
+        int incarnation;
+        long pausedUntilMicros;
+        final TreeMap<Long, String> activatedDigests = new TreeMap<>();
         /** What an earlier store left at this member, until that is taken over. */
-        byte[] left;
+        byte[] legacyDocument;
 
-        private LegacyStoreImport takeOver;
+        private LegacyStoreImport legacyImport;
 
         Member(int number) {
             this.number = number;
             identity = new MemberId("m" + number, "d" + number);
         }
 
-        private final class Life implements Scheduler {
-            private final int mine = life;
+        private final class Incarnation implements Scheduler {
+            private final int mine = incarnation;
 
             @Override
             public long now() {
-                return now;
+                return nowMicros;
             }
 
             @Override
@@ -68,24 +68,24 @@
 
             @Override
             public void after(long micros, Runnable work) {
-                at(micros, () -> run(work));
+                schedule(micros, () -> run(work));
             }
 
             private void run(Runnable work) {
-                if (mine != life) {
+                if (mine != incarnation) {
                     return;
                 }
-                if (now >= pausedUntil) {
-                    Fault fault = points.next(Kind.TIMER);
+                if (nowMicros >= pausedUntilMicros) {
+                    Fault fault = failPoints.nextFault(StepKind.TIMER);
                     if (fault == Fault.STOPPED) {
-                        pausedUntil = now + STOPPED_MICROS;
+                        pausedUntilMicros = nowMicros + STOPPED_MICROS;
                     } else if (fault != null) {
                         die(fault);
                         return;
                     }
                 }
-                if (now < pausedUntil) {
-                    at(pausedUntil - now, () -> run(work));
+                if (nowMicros < pausedUntilMicros) {
+                    schedule(pausedUntilMicros - nowMicros, () -> run(work));
                 } else {
                     work.run();
                     watch();
@@ -96,7 +96,7 @@
         /** Ends this process, or all where the power is cut. */
         private void die(Fault fault) {
             if (fault == Fault.POWER_CUT) {
-                each(Member::kill);
+                forEachMember(Member::kill);
             } else {
                 kill();
             }
@@ -104,21 +104,21 @@
 
         /** Nobody leads in a term in which another has led. */
         private void watch() {
-            if (runs() && replica.leads()) {
-                Integer other = leaders.putIfAbsent(replica.term(), number);
+            if (isRunning() && replica.leads()) {
+                Integer other = leaderByTerm.putIfAbsent(replica.term(), number);
                 if (other != null && other != number) {
-                    faults.add("term " + replica.term() + " is led by m" + other + " and m" + number);
+                    violations.add("term " + replica.term() + " is led by m" + other + " and m" + number);
                 }
             }
         }
 
         /** This life's way to the disk: after its end nothing it does reaches it. */
         private Disk access() {
-            int mine = life;
-            return new CountedDisk(disk, points::next, new CountedDisk.Life() {
+            int mine = incarnation;
+            return new FailPointDisk(disk, failPoints::nextFault, new FailPointDisk.Process() {
                 @Override
-                public boolean over() {
-                    return mine != life;
+                public boolean hasEnded() {
+                    return mine != incarnation;
                 }
 
                 @Override
@@ -135,18 +135,18 @@
 
         /** Takes part again in the same life, as a member does whose disk is good again. */
         private void revive() {
-            if (replica == null || !RaftReplica.DISK.equals(stopped)) {
+            if (replica == null || !RaftReplica.DISK.equals(stopReason)) {
                 return;
             }
             try {
                 begin(SegmentedLog.reopen(access(), "sim", identity.name()));
             } catch (IOException e) {
-                new Life().after(REVIVE_MICROS, this::revive);
+                new Incarnation().after(REVIVE_MICROS, this::revive);
             }
         }
 
         private void begin(SegmentedLog log) throws IOException {
-            takeOver = new LegacyStoreImport(left == null ? null : new Left());
+            legacyImport = new LegacyStoreImport(legacyDocument == null ? null : new LegacyFolder());
             if (log.word().phase() == ClusterBootstrap.Phase.UNBOUND) {
                 boolean founder = founders.contains(identity);
                 log.keep(new ClusterBootstrap.Announcement(
@@ -154,31 +154,31 @@
                         founder ? ClusterBootstrap.Phase.BOOTSTRAPPED : ClusterBootstrap.Phase.JOINING,
                         founders));
             }
-            stopped = null;
+            stopReason = null;
             replica = new RaftReplica(
-                    new Life(),
+                    new Incarnation(),
                     log,
                     founders,
                     new RaftReplica.MessageSender() {
-                        private final int mine = life;
+                        private final int mine = incarnation;
 
                         @Override
                         public void send(MemberId to, byte[] message) {
-                            if (mine != life) {
+                            if (mine != incarnation) {
                                 return;
                             }
                             Member there = members.stream()
                                     .filter(m -> m.identity.equals(to))
                                     .findFirst()
                                     .orElse(null);
-                            Fault fault = points.next(Kind.SEND);
+                            Fault fault = failPoints.nextFault(StepKind.SEND);
                             boolean goes = fault == null || fault == Fault.DOUBLED || fault == Fault.DIE_AFTER;
                             if (goes || fault == Fault.LATE) {
-                                carry(Member.this, there, message, fault == Fault.LATE ? LATE_MICROS : 0);
+                                transmit(Member.this, there, message, fault == Fault.LATE ? LATE_MICROS : 0);
                             }
                             if (fault == Fault.DOUBLED) {
-                                carry(Member.this, there, message, 0);
-                            } else if (fault != null && fault.ends) {
+                                transmit(Member.this, there, message, 0);
+                            } else if (fault != null && fault.endsProcess) {
                                 die(fault);
                             }
                         }
@@ -207,19 +207,19 @@
 
                         @Override
                         public void ended(String why) {
-                            stopped = why;
-                            new Life().after(REVIVE_MICROS, Member.this::revive);
+                            stopReason = why;
+                            new Incarnation().after(REVIVE_MICROS, Member.this::revive);
                         }
                     });
             replica.start();
         }
 
-        private final class Left implements LegacyStoreImport.Source {
-            private final int mine = life;
+        private final class LegacyFolder implements LegacyStoreImport.Source {
+            private final int mine = incarnation;
 
             @Override
             public byte[] document() {
-                return left;
+                return legacyDocument;
             }
 
             @Override
@@ -229,97 +229,97 @@
 
             @Override
             public boolean done() {
-                if (mine != life) {
+                if (mine != incarnation) {
                     return false;
                 }
-                Fault fault = points.next(Kind.REPLACE);
+                Fault fault = failPoints.nextFault(StepKind.REPLACE);
                 if (fault == null || fault == Fault.DIE_AFTER) {
-                    left = null;
+                    legacyDocument = null;
                 }
-                if (fault != null && fault.ends) {
+                if (fault != null && fault.endsProcess) {
                     die(fault);
                 }
-                return left == null;
+                return legacyDocument == null;
             }
         }
 
         /** Takes over what was left here, as long as this member leads. */
-        void takesOver() {
-            if (runs() && replica.leads()) {
-                takeOver.lead(replica, document -> true, (session, position) -> {});
+        void importLegacy() {
+            if (isRunning() && replica.leads()) {
+                legacyImport.lead(replica, document -> true, (session, position) -> {});
             }
         }
 
         private void adopt(ReplicatedState.Document document) {
-            String before = adopted.putIfAbsent(document.index(), document.digest());
-            String agreed = history.putIfAbsent(document.index(), document.digest());
+            String before = activatedDigests.putIfAbsent(document.index(), document.digest());
+            String agreed = committedDigests.putIfAbsent(document.index(), document.digest());
             if (agreed != null && !agreed.equals(document.digest())
                     || before != null && !before.equals(document.digest())) {
-                faults.add("change " + document.index() + " is " + document.digest() + " and " + agreed);
+                violations.add("change " + document.index() + " is " + document.digest() + " and " + agreed);
             }
         }
 
         void kill() {
-            life++;
+            incarnation++;
             replica = null;
             disk.crash(random);
         }
 
-        boolean runs() {
-            return replica != null && stopped == null;
+        boolean isRunning() {
+            return replica != null && stopReason == null;
         }
     }
 
     private static final long STOPPED_MICROS = 10_000_000, LATE_MICROS = 2_000_000, REVIVE_MICROS = 500_000;
-    private static final int SAID = 400;
-    final Points points;
-    final TreeMap<Integer, Integer> leaders = new TreeMap<>();
+    private static final int MAX_TRACE_CHARS = 400;
+    final FailPoints failPoints;
+    final TreeMap<Integer, Integer> leaderByTerm = new TreeMap<>();
     final Random random;
     final List<Member> members = new ArrayList<>();
     final Set<MemberId> founders = new TreeSet<>();
-    final boolean[][] cut;
-    final TreeMap<Long, String> history = new TreeMap<>();
-    final List<String> faults = new ArrayList<>();
-    long now = 1_000_000_000L;
-    double loss;
+    final boolean[][] linkDown;
+    final TreeMap<Long, String> committedDigests = new TreeMap<>();
+    final List<String> violations = new ArrayList<>();
+    long nowMicros = 1_000_000_000L;
+    double messageLossRatio;
     private final PriorityQueue<Event> events = new PriorityQueue<>();
-    private long order;
+    private long nextSequence;
 
     Simulation(long seed, int founding, int later) throws IOException {
-        this(seed, founding, later, new Points(), Sweep.Planted.NONE);
+        this(seed, founding, later, new FailPoints(), FaultSweep.SeededBug.NONE);
     }
 
-    Simulation(long seed, int founding, int later, Points points, Sweep.Planted planted) throws IOException {
+    Simulation(long seed, int founding, int later, FailPoints points, FaultSweep.SeededBug planted) throws IOException {
         random = new Random(seed);
-        this.points = points;
-        cut = new boolean[founding + later][founding + later];
+        this.failPoints = points;
+        linkDown = new boolean[founding + later][founding + later];
         for (int i = 0; i < founding + later; i++) {
             Member member = new Member(i);
-            member.disk.planted = planted;
+            member.disk.seededBug = planted;
             members.add(member);
             if (i < founding) {
                 founders.add(member.identity);
             }
         }
         for (Member member : members.subList(0, founding)) {
-            Scenario.begin(member);
+            Scenario.start(member);
         }
     }
 
-    void at(long inMicros, Runnable work) {
-        events.add(new Event(now + inMicros, order++, work));
+    void schedule(long inMicros, Runnable work) {
+        events.add(new Event(nowMicros + inMicros, nextSequence++, work));
     }
 
-    private void carry(Member from, Member to, byte[] message, long later) {
-        if (to == null || cut[from.number][to.number] || random.nextDouble() < loss) {
+    private void transmit(Member from, Member to, byte[] message, long later) {
+        if (to == null || linkDown[from.number][to.number] || random.nextDouble() < messageLossRatio) {
             return;
         }
-        int life = to.life;
-        points.note(
-                () -> now / 1000 + " ms: " + from.identity.name() + " to " + to.identity.name() + ": " + said(message));
-        at(later + 200 + random.nextInt(3000), () -> {
-            if (to.life == life && to.replica != null && !cut[from.number][to.number]) {
-                Fault fault = points.next(Kind.ARRIVE);
+        int life = to.incarnation;
+        failPoints.trace(() -> nowMicros / 1000 + " ms: " + from.identity.name() + " to " + to.identity.name() + ": "
+                + describe(message));
+        schedule(later + 200 + random.nextInt(3000), () -> {
+            if (to.incarnation == life && to.replica != null && !linkDown[from.number][to.number]) {
+                Fault fault = failPoints.nextFault(StepKind.ARRIVE);
                 try {
                     if (fault != Fault.DIE_BEFORE && fault != Fault.POWER_CUT) {
                         to.replica.handle(message);
@@ -328,40 +328,40 @@
                         to.die(fault);
                     }
                 } catch (IOException e) {
-                    faults.add("a message can't be read: " + e.getMessage());
+                    violations.add("a message can't be read: " + e.getMessage());
                 }
             }
         });
     }
 
-    private static String said(byte[] message) {
+    private static String describe(byte[] message) {
         try {
             String text = String.valueOf(RaftCodec.read(RaftReplica.GROUP, message));
-            return text.length() > SAID ? text.substring(0, SAID) : text;
+            return text.length() > MAX_TRACE_CHARS ? text.substring(0, MAX_TRACE_CHARS) : text;
         } catch (IOException e) {
             return e.getMessage();
         }
     }
 
     void run(long micros) {
-        long end = now + micros;
+        long end = nowMicros + micros;
         while (!events.isEmpty() && events.peek().at() <= end) {
             Event next = events.poll();
-            now = next.at();
+            nowMicros = next.at();
             next.work().run();
         }
-        now = end;
+        nowMicros = end;
     }
 
     Member leader() {
         return members.stream()
-                .filter(m -> m.runs() && m.replica.leads())
+                .filter(m -> m.isRunning() && m.replica.leads())
                 .findFirst()
                 .orElse(null);
     }
 
     /** Runs until something holds, within virtual 30 s. */
-    boolean until(java.util.function.BooleanSupplier holds) {
+    boolean runUntil(java.util.function.BooleanSupplier holds) {
         for (int i = 0; i < 3000 && !holds.getAsBoolean(); i++) {
             run(10_000);
         }
@@ -372,28 +372,28 @@
      * Lets time pass; where as many as a majority run and hear each other throughout, it must not end without a leader,
      * whoever is down.
      */
-    void standing(long micros) {
+    void runExpectingLeader(long micros) {
         boolean stood = true;
-        long end = now + micros;
-        while (now < end) {
+        long end = nowMicros + micros;
+        while (nowMicros < end) {
             run(50_000);
             stood &= 2
                             * members.stream()
-                                    .filter(m -> m.runs() && now >= m.pausedUntil)
+                                    .filter(m -> m.isRunning() && nowMicros >= m.pausedUntilMicros)
                                     .count()
                     > founders.size();
         }
         if (stood && leader() == null) {
-            faults.add(
+            violations.add(
                     "no leader " + micros / 1000 + " ms after the last one's end, though a majority runs throughout");
         }
     }
 
-    void heal() {
-        for (boolean[] row : cut) {
+    void restoreNetwork() {
+        for (boolean[] row : linkDown) {
             Arrays.fill(row, false);
         }
-        loss = 0;
+        messageLossRatio = 0;
     }
 
     static byte[] document(String text) {
@@ -402,77 +402,77 @@
 
     /** Clients that put configurations at whoever leads by its own word, and what they were told. */
     final class Clients {
-        final TreeMap<Long, String> acknowledged = new TreeMap<>();
-        private int number;
+        final TreeMap<Long, String> acknowledgedDigests = new TreeMap<>();
+        private int nextNumber;
 
         void put(Member at) {
             put(at, "");
         }
 
         void put(Member at, String filler) {
-            if (!at.runs()) {
+            if (!at.isRunning()) {
                 return;
             }
-            byte[] content = document("{\"n\":\"" + number++ + filler + "\"}");
+            byte[] content = document("{\"n\":\"" + nextNumber++ + filler + "\"}");
             long expected = at.replica.ledger().revision();
             at.replica.propose(new Command.PutDocument(expected, content), (fate, outcome) -> {
                 if (fate == RaftReplica.Completion.DONE && outcome.result() == ReplicatedState.Result.APPLIED) {
-                    String other = acknowledged.putIfAbsent(outcome.revision(), ReplicatedState.digest(content));
+                    String other = acknowledgedDigests.putIfAbsent(outcome.revision(), ReplicatedState.digest(content));
                     if (other != null) {
-                        faults.add("revision " + outcome.revision() + " was acknowledged twice");
+                        violations.add("revision " + outcome.revision() + " was acknowledged twice");
                     }
                 }
             });
         }
 
         void read(Member at) {
-            if (!at.runs()) {
+            if (!at.isRunning()) {
                 return;
             }
-            long least = acknowledged.isEmpty() ? 0 : acknowledged.lastKey();
+            long least = acknowledgedDigests.isEmpty() ? 0 : acknowledgedDigests.lastKey();
             at.replica.upToDate((fate, ok) -> {
                 if (fate == RaftReplica.Completion.DONE && at.replica.ledger().revision() < least) {
-                    faults.add("a read came back with revision "
+                    violations.add("a read came back with revision "
                             + at.replica.ledger().revision() + " after " + least);
                 }
             });
         }
 
         boolean caughtUp(Member member) {
-            return member.runs()
-                    && !acknowledged.isEmpty()
-                    && member.replica.ledger().revision() >= acknowledged.lastKey();
+            return member.isRunning()
+                    && !acknowledgedDigests.isEmpty()
+                    && member.replica.ledger().revision() >= acknowledgedDigests.lastKey();
         }
 
         /** Whether all that was acknowledged is in a member's history, at the revision that was told. */
-        void check(Member member) {
+        void checkAcknowledged(Member member) {
             if (!caughtUp(member)) {
-                long last = acknowledged.isEmpty() ? 0 : acknowledged.lastKey();
-                faults.add(member.identity
-                        + (member.runs()
+                long last = acknowledgedDigests.isEmpty() ? 0 : acknowledgedDigests.lastKey();
+                violations.add(member.identity
+                        + (member.isRunning()
                                 ? " has only revision "
                                         + member.replica.ledger().revision() + " after " + last + ", term "
-                                        + member.replica.term() + " of " + leaders.lastKey()
-                                : " does not run: " + member.stopped));
+                                        + member.replica.term() + " of " + leaderByTerm.lastKey()
+                                : " does not run: " + member.stopReason));
                 return;
             }
-            List<String> digests =
-                    new ArrayList<>(history.headMap(member.replica.ledger().appliedIndex(), true)
-                            .values());
-            acknowledged.forEach((revision, digest) -> {
+            List<String> digests = new ArrayList<>(committedDigests
+                    .headMap(member.replica.ledger().appliedIndex(), true)
+                    .values());
+            acknowledgedDigests.forEach((revision, digest) -> {
                 if (digests.size() < revision
                         || !digests.get((int) (revision - 1)).equals(digest)) {
-                    faults.add("revision " + revision + " was acknowledged and is lost");
+                    violations.add("revision " + revision + " was acknowledged and is lost");
                 }
             });
         }
     }
 
-    Member any() {
+    Member randomMember() {
         return members.get(random.nextInt(members.size()));
     }
 
-    void each(Consumer<Member> work) {
+    void forEachMember(Consumer<Member> work) {
         members.forEach(work);
     }
 }
--- a/faultinjection/src/test/java/lupinvalve/replication/AuditLogTest.java
+++ b/faultinjection/src/test/java/lupinvalve/replication/AuditLogTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 
 class AuditLogTest {
-    private final MemoryDisk disk = new MemoryDisk();
+    private final SimulatedDisk disk = new SimulatedDisk();
 
     private static List<AuditEntry> entries(Command.AppendAudit noted) throws IOException {
         List<AuditEntry> all = new ArrayList<>();
@@ -47,9 +47,9 @@
     void anEntryThatADiskDidNotTakeIsNotActedOnAndStillDelivered() throws IOException {
         AuditLog book = new AuditLog(disk, "p", 1);
         book.note(AuditEntry.Event.STARTED, "", 0, 10, "");
-        disk.room = 30;
+        disk.freeBytes = 30;
         assertThrows(IOException.class, () -> book.note(AuditEntry.Event.ADOPTED, "1-a", 1, 20, ""));
-        disk.room = Long.MAX_VALUE;
+        disk.freeBytes = Long.MAX_VALUE;
         book.note(AuditEntry.Event.ADOPTED, "1-a", 1, 30, "");
         assertNull(AuditJournal.chainBreak(entries(book.due())));
         assertEquals(
--- a/faultinjection/src/test/java/lupinvalve/replication/SweepTest.java
+++ b/faultinjection/src/test/java/lupinvalve/replication/FaultSweepTest.java
@@ -7,7 +7,7 @@
 import java.io.OutputStream;
 import java.io.PrintStream;
 import java.util.List;
-import lupinvalve.faultinjection.Points.At;
+import lupinvalve.faultinjection.FailPoints.PlannedFault;
 import lupinvalve.log.Log;
 import org.junit.jupiter.api.AfterAll;
 import org.junit.jupiter.api.BeforeAll;
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /** Whole sweeps of the scenarios that take seconds; the long ones are for `lab faults`. */
-class SweepTest {
+class FaultSweepTest {
     private static final long SEED = 7;
 
     @BeforeAll
@@ -35,9 +35,9 @@
             mode = EnumSource.Mode.EXCLUDE,
             names = {"COMPACTION", "SNAPSHOT"})
     void noFaultAtAnyPointBreaksAnything(Scenario scenario) {
-        Sweep.Result result = Sweep.run(scenario, SEED, Sweep.Planted.NONE, 100);
-        assertEquals(List.of(), result.bad().stream().limit(5).toList());
-        assertTrue(result.points() >= 50, "points " + result.points());
+        FaultSweep.Result result = FaultSweep.sweep(scenario, SEED, FaultSweep.SeededBug.NONE, 100);
+        assertEquals(List.of(), result.badRuns().stream().limit(5).toList());
+        assertTrue(result.pointCount() >= 50, "points " + result.pointCount());
     }
 
     /**
@@ -46,8 +46,9 @@
     @Test
     void aMemberWithAChangeBehindItsSnapshotCatchesUp() {
         for (String at : List.of("472:DIE_AFTER", "473:DIE_BEFORE")) {
-            Sweep.Play play = Sweep.play(Scenario.COMPACTION, SEED, Sweep.Planted.NONE, List.of(At.of(at)));
-            assertTrue(play.good(), play.toString());
+            FaultSweep.Run play = FaultSweep.runOnce(
+                    Scenario.COMPACTION, SEED, FaultSweep.SeededBug.NONE, List.of(PlannedFault.parse(at)));
+            assertTrue(play.isGood(), play.toString());
         }
     }
 
@@ -57,26 +58,29 @@
      */
     @Test
     void aNewcomerWhoseFirstAnswerBehindASnapshotIsLostCatchesUp() {
-        Sweep.Play play = Sweep.play(Scenario.SNAPSHOT, SEED, Sweep.Planted.NONE, List.of(At.of("155:LOST")));
-        assertTrue(play.good(), play.toString());
+        FaultSweep.Run play = FaultSweep.runOnce(
+                Scenario.SNAPSHOT, SEED, FaultSweep.SeededBug.NONE, List.of(PlannedFault.parse("155:LOST")));
+        assertTrue(play.isGood(), play.toString());
     }
 
     @Test
     void whatIsAcknowledgedBeforeTheForceIsFoundLost() {
-        assertFalse(Sweep.run(Scenario.PUT, SEED, Sweep.Planted.ACK_BEFORE_FORCE, 0)
-                .bad()
+        assertFalse(FaultSweep.sweep(Scenario.PUT, SEED, FaultSweep.SeededBug.ACK_BEFORE_FORCE, 0)
+                .badRuns()
                 .isEmpty());
     }
 
     @Test
     void aPlaceTakenBeforeTheForceIsFound() {
-        assertFalse(Sweep.run(Scenario.FOUNDING, SEED, Sweep.Planted.RENAME_WITHOUT_FORCE, 0)
-                .bad()
+        assertFalse(FaultSweep.sweep(Scenario.BOOTSTRAP, SEED, FaultSweep.SeededBug.RENAME_WITHOUT_FORCE, 0)
+                .badRuns()
                 .isEmpty());
     }
 
     @Test
     void theSameSeedMeetsTheSamePoints() {
-        assertEquals(Sweep.course(Scenario.LEADER_CHANGE, SEED), Sweep.course(Scenario.LEADER_CHANGE, SEED));
+        assertEquals(
+                FaultSweep.faultFreeSteps(Scenario.LEADER_CHANGE, SEED),
+                FaultSweep.faultFreeSteps(Scenario.LEADER_CHANGE, SEED));
     }
 }
--- a/faultinjection/src/test/java/lupinvalve/replication/KeptDocumentTest.java
+++ b/faultinjection/src/test/java/lupinvalve/replication/KeptDocumentTest.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.TreeMap;
-import lupinvalve.faultinjection.Points;
+import lupinvalve.faultinjection.FailPoints;
 import lupinvalve.statemachine.Command;
 import lupinvalve.statemachine.ReplicatedState;
 import lupinvalve.subscription.FollowState;
@@ -21,7 +21,7 @@
 /** What a subscriber keeps for its restart: the old or the new, whole, or nothing that is believed. */
 class KeptDocumentTest {
     private static final String CLUSTER = "plant";
-    private final MemoryDisk disk = new MemoryDisk();
+    private final SimulatedDisk disk = new SimulatedDisk();
 
     private static FollowState.Kept kept(long revision) {
         byte[] content = ("{\"revision\":" + revision + "}").getBytes(StandardCharsets.UTF_8);
@@ -35,15 +35,15 @@
 
     @Test
     void aFaultAtEachPointLeavesTheOldOrTheNew() throws IOException {
-        Points course = new Points();
-        course.count(true);
-        twoLives(new MemoryDisk(), course, null);
-        List<Points.At> faults = Points.all(course.met());
+        FailPoints course = new FailPoints();
+        course.setEnabled(true);
+        twoLives(new SimulatedDisk(), course, null);
+        List<FailPoints.PlannedFault> faults = FailPoints.allSingleFaults(course.reachedSteps());
         assertTrue(faults.size() >= 6, faults.toString());
-        for (Points.At at : faults) {
-            MemoryDisk own = new MemoryDisk();
-            Points points = new Points(at);
-            points.count(true);
+        for (FailPoints.PlannedFault at : faults) {
+            SimulatedDisk own = new SimulatedDisk();
+            FailPoints points = new FailPoints(at);
+            points.setEnabled(true);
             long seen = twoLives(own, points, new Random(at.point()));
             FollowState.Kept left = KeptDocument.read(own, CLUSTER);
             long revision = left.document() == null ? 0 : left.document().revision();
@@ -58,16 +58,16 @@
     }
 
     /** Keeps one document, then, after a look at it, another; which one was surely kept. */
-    private static long twoLives(MemoryDisk disk, Points points, Random crash) {
+    private static long twoLives(SimulatedDisk disk, FailPoints points, Random crash) {
         boolean[] over = new boolean[1];
-        Disk counted = new CountedDisk(disk, points::next, new CountedDisk.Life() {
+        Disk counted = new FailPointDisk(disk, points::nextFault, new FailPointDisk.Process() {
             @Override
-            public boolean over() {
+            public boolean hasEnded() {
                 return over[0];
             }
 
             @Override
-            public void end(Points.Fault fault) {
+            public void end(FailPoints.Fault fault) {
                 over[0] = true;
                 if (crash != null) {
                     disk.crash(crash);
@@ -128,7 +128,7 @@
 
     @Test
     void aDiskThatRenamesWithoutForcingIsFoundOut() throws IOException {
-        disk.planted = Sweep.Planted.RENAME_WITHOUT_FORCE;
+        disk.seededBug = FaultSweep.SeededBug.RENAME_WITHOUT_FORCE;
         KeptDocument.write(disk, CLUSTER, kept(1));
         disk.crash(new Random(3));
         assertThrows(IOException.class, () -> KeptDocument.read(disk, CLUSTER));
--- a/faultinjection/src/test/java/lupinvalve/replication/SegmentedLogTest.java
+++ b/faultinjection/src/test/java/lupinvalve/replication/SegmentedLogTest.java
@@ -20,9 +20,9 @@
 
 class SegmentedLogTest {
     private static final MemberId ME = new MemberId("a", "d1");
-    private final MemoryDisk disk = new MemoryDisk();
+    private final SimulatedDisk disk = new SimulatedDisk();
 
-    private static SegmentedLog open(MemoryDisk from) throws IOException {
+    private static SegmentedLog open(SimulatedDisk from) throws IOException {
         return SegmentedLog.open(from, "plant", "a", "d1");
     }
 
@@ -80,9 +80,9 @@
         byte[] whole = disk.content(name);
         long before = -1;
         for (int size = 0; size <= whole.length; size++) {
-            MemoryDisk torn = disk.copy();
+            SimulatedDisk torn = disk.copy();
             torn.put(name, Arrays.copyOf(whole, size)); // Some systems leave zeros where the rest should be.
-            MemoryDisk zeros = disk.copy();
+            SimulatedDisk zeros = disk.copy();
             zeros.put(name, Arrays.copyOf(Arrays.copyOf(whole, size), size + 5000));
             SegmentedLog log = open(torn);
             assertEquals(log.lastIndex(), open(zeros).lastIndex());
@@ -103,7 +103,7 @@
         for (String name : disk.names()) {
             byte[] whole = disk.content(name);
             for (int at = 0; at < whole.length; at++) {
-                MemoryDisk damaged = disk.copy();
+                SimulatedDisk damaged = disk.copy();
                 byte[] bytes = whole.clone();
                 bytes[at] ^= (byte) (1 << at % 8);
                 damaged.put(name, bytes);
@@ -125,7 +125,7 @@
                 "identity: of the member a, not of b",
                 assertThrows(IOException.class, () -> SegmentedLog.open(disk, "plant", "b", "d1"))
                         .getMessage());
-        MemoryDisk newer = disk.copy();
+        SimulatedDisk newer = disk.copy();
         newer.put(
                 "identity",
                 RecordFrames.frame(
@@ -133,11 +133,11 @@
         assertEquals(
                 "identity: format 2; this program reads 1",
                 assertThrows(IOException.class, () -> open(newer)).getMessage());
-        MemoryDisk bare = disk.copy();
+        SimulatedDisk bare = disk.copy();
         bare.files.remove("identity");
         assertTrue(
                 assertThrows(IOException.class, () -> open(bare)).getMessage().startsWith("identity is missing"));
-        MemoryDisk gap = disk.copy();
+        SimulatedDisk gap = disk.copy();
         SegmentedLog log = open(gap);
         log.persistLogEntries(List.of(entry(30, 3)));
         log.flush();
@@ -202,10 +202,10 @@
         SegmentedLog log = written();
         int[] told = {0};
         log.onFailure(() -> told[0]++);
-        disk.room = 10;
+        disk.freeBytes = 10;
         log.persistLogEntries(List.of(entry(21, 3)));
         assertThrows(IOException.class, log::flush);
-        disk.room = Long.MAX_VALUE;
+        disk.freeBytes = Long.MAX_VALUE;
         assertThrows(IOException.class, () -> log.persistLogEntries(List.of(entry(22, 3))));
         assertThrows(IOException.class, log::flush);
         assertThrows(
--- a/faultinjection/src/test/java/lupinvalve/replication/SimulationTest.java
+++ b/faultinjection/src/test/java/lupinvalve/replication/SimulationTest.java
@@ -38,11 +38,12 @@
         try {
             Simulation sim = new Simulation(seed, seed % 3 == 0 ? 5 : 3, 0);
             Simulation.Clients clients = sim.new Clients();
-            sim.each(m -> m.disk.planted = lying ? Sweep.Planted.ACK_BEFORE_FORCE : Sweep.Planted.NONE);
+            sim.forEachMember(
+                    m -> m.disk.seededBug = lying ? FaultSweep.SeededBug.ACK_BEFORE_FORCE : FaultSweep.SeededBug.NONE);
             for (int step = 0; step < 60; step++) {
                 switch (sim.random.nextInt(12)) {
                     case 0 -> fault(sim);
-                    case 1 -> sim.heal();
+                    case 1 -> sim.restoreNetwork();
                     case 2 -> {
                         for (Simulation.Member m : sim.members) {
                             if (m.replica == null) {
@@ -51,8 +52,8 @@
                         }
                     }
                     default -> {
-                        sim.each(m -> {
-                            if (m.runs() && m.replica.leads()) {
+                        sim.forEachMember(m -> {
+                            if (m.isRunning() && m.replica.leads()) {
                                 clients.put(m);
                                 clients.read(m);
                             }
@@ -61,43 +62,43 @@
                 }
                 sim.run(20_000 + sim.random.nextInt(150_000));
             }
-            sim.heal();
+            sim.restoreNetwork();
             for (Simulation.Member m : sim.members) {
                 if (m.replica == null) {
                     m.start();
                 }
             }
-            int before = clients.acknowledged.size();
-            boolean settled = sim.until(() -> {
+            int before = clients.acknowledgedDigests.size();
+            boolean settled = sim.runUntil(() -> {
                 if (sim.leader() != null) {
                     clients.put(sim.leader());
                 }
-                return clients.acknowledged.size() > before;
+                return clients.acknowledgedDigests.size() > before;
             });
             if (!settled) {
-                sim.faults.add("nothing was accepted after all was healed");
+                sim.violations.add("nothing was accepted after all was healed");
             } else { // Those that were still asleep catch up as well.
-                sim.until(() -> sim.members.stream().allMatch(clients::caughtUp));
-                sim.each(clients::check);
+                sim.runUntil(() -> sim.members.stream().allMatch(clients::caughtUp));
+                sim.forEachMember(clients::checkAcknowledged);
             }
-            return sim.faults;
+            return sim.violations;
         } catch (IOException | RuntimeException e) {
             return List.of("seed " + seed + ": " + e);
         }
     }
 
     private static void fault(Simulation sim) {
-        Simulation.Member one = sim.any();
-        Simulation.Member other = sim.any();
+        Simulation.Member one = sim.randomMember();
+        Simulation.Member other = sim.randomMember();
         switch (sim.random.nextInt(6)) {
             case 0 -> one.kill();
-            case 1 -> sim.cut[one.number][other.number] = true;
-            case 2 -> sim.each(m -> {
-                sim.cut[m.number][one.number] = true;
-                sim.cut[one.number][m.number] = true;
+            case 1 -> sim.linkDown[one.number][other.number] = true;
+            case 2 -> sim.forEachMember(m -> {
+                sim.linkDown[m.number][one.number] = true;
+                sim.linkDown[one.number][m.number] = true;
             });
-            case 3 -> one.pausedUntil = sim.now + 10_000_000;
-            case 4 -> sim.loss = 0.3;
+            case 3 -> one.pausedUntilMicros = sim.nowMicros + 10_000_000;
+            case 4 -> sim.messageLossRatio = 0.3;
             default -> { // The leader, while its changes are on their way.
                 Simulation.Member leader = sim.leader();
                 if (leader != null) {
@@ -131,18 +132,18 @@
             for (Simulation sim : List.of(one, two)) {
                 Simulation.Clients clients = sim.new Clients();
                 for (int i = 0; i < 50; i++) {
-                    sim.each(clients::put);
+                    sim.forEachMember(clients::put);
                     sim.run(50_000);
                 }
             }
-            assertEquals(one.history, two.history);
-            assertFalse(one.history.isEmpty());
+            assertEquals(one.committedDigests, two.committedDigests);
+            assertFalse(one.committedDigests.isEmpty());
         }
     }
 
     private static Simulation led(int founding, int later) throws IOException {
         Simulation sim = new Simulation(7, founding, later);
-        assertTrue(sim.until(() -> sim.leader() != null));
+        assertTrue(sim.runUntil(() -> sim.leader() != null));
         return sim;
     }
 
@@ -153,7 +154,7 @@
             outcome.set(result);
             got.set(fate);
         });
-        sim.until(() -> got.get() != null);
+        sim.runUntil(() -> got.get() != null);
         return got.get() == RaftReplica.Completion.DONE && outcome.get().result() != ReplicatedState.Result.APPLIED
                 ? null
                 : got.get();
@@ -164,10 +165,10 @@
         Simulation sim = led(3, 0);
         Simulation.Member old = sim.leader();
         assertEquals(RaftReplica.Completion.DONE, put(sim, old, 0, "{}"));
-        sim.each(m -> {
+        sim.forEachMember(m -> {
             if (m != old) {
-                sim.cut[m.number][old.number] = true;
-                sim.cut[old.number][m.number] = true;
+                sim.linkDown[m.number][old.number] = true;
+                sim.linkDown[old.number][m.number] = true;
             }
         });
         AtomicReference<RaftReplica.Completion> lost = new AtomicReference<>();
@@ -175,15 +176,15 @@
         old.replica.propose(
                 new Command.PutDocument(1, Simulation.document("{\"a\":1}")), (fate, outcome) -> lost.set(fate));
         old.replica.upToDate((fate, ok) -> read.set(fate));
-        assertTrue(sim.until(() -> sim.members.stream().anyMatch(m -> m != old && m.replica.leads())));
+        assertTrue(sim.runUntil(() -> sim.members.stream().anyMatch(m -> m != old && m.replica.leads())));
         sim.run(2_000_000);
         assertFalse(old.replica.leads());
         assertTrue(read.get() != RaftReplica.Completion.DONE && lost.get() != RaftReplica.Completion.DONE);
         assertEquals(RaftReplica.Completion.DONE, put(sim, sim.leader(), 1, "{\"b\":1}"));
-        sim.heal();
+        sim.restoreNetwork();
         sim.run(3_000_000);
         assertEquals(RaftReplica.Completion.INDETERMINATE, lost.get());
-        assertEquals(List.of(), sim.faults);
+        assertEquals(List.of(), sim.violations);
         assertEquals(
                 old.replica.ledger().document().digest(),
                 sim.leader().replica.ledger().document().digest());
@@ -204,7 +205,7 @@
                 .propose(
                         new Command.PutDocument(0, Simulation.document("{\"b\":1}")),
                         (f, outcome) -> second.set(outcome));
-        sim.until(() -> first.get() != null && second.get() != null);
+        sim.runUntil(() -> first.get() != null && second.get() != null);
         assertEquals(ReplicatedState.Result.APPLIED, first.get().result());
         assertEquals(ReplicatedState.Result.CONFLICT, second.get().result());
         assertEquals(1, second.get().revision());
@@ -214,10 +215,10 @@
     void aDiskThatIsFullStepsDownAndTheOthersGoOn() throws IOException {
         Simulation sim = led(3, 0);
         Simulation.Member old = sim.leader();
-        old.disk.room = 30;
+        old.disk.freeBytes = 30;
         assertTrue(put(sim, old, 0, "{\"long\":\"" + "x".repeat(100) + "\"}") != RaftReplica.Completion.DONE);
-        assertEquals("the disk fails", old.stopped);
-        assertTrue(sim.until(() -> sim.leader() != null));
+        assertEquals("the disk fails", old.stopReason);
+        assertTrue(sim.runUntil(() -> sim.leader() != null));
         assertEquals(
                 RaftReplica.Completion.DONE,
                 put(
@@ -226,25 +227,25 @@
                         sim.leader().replica.ledger().revision(),
                         "{}")); // With room again it comes back with what it had.
         old.kill();
-        old.disk.room = Long.MAX_VALUE;
+        old.disk.freeBytes = Long.MAX_VALUE;
         old.start();
         sim.run(3_000_000);
         assertEquals(
                 sim.leader().replica.ledger().revision(), old.replica.ledger().revision());
-        assertEquals(List.of(), sim.faults);
+        assertEquals(List.of(), sim.violations);
     }
 
     static void change(Simulation sim, boolean in, Simulation.Member who) {
         MembershipChange.Request wish = new MembershipChange.Request(in, who.identity.name());
         Set<lupinvalve.statemachine.MemberId> all = new TreeSet<>();
-        sim.each(m -> {
-            if (m.runs()) {
+        sim.forEachMember(m -> {
+            if (m.isRunning()) {
                 all.add(m.identity);
             }
         });
         AtomicReference<MembershipChange.Step> step = new AtomicReference<>();
         assertTrue(
-                sim.until(() -> {
+                sim.runUntil(() -> {
                     if (sim.leader() != null) {
                         RaftReplica leader = sim.leader().replica;
                         leader.report((fate, report) -> {
@@ -278,7 +279,7 @@
         sim.members.get(4).start();
         Simulation.Clients clients = sim.new Clients();
         for (int i = 1; i < 100; i++) {
-            sim.at(i * 20_000, () -> sim.each(clients::put));
+            sim.schedule(i * 20_000, () -> sim.forEachMember(clients::put));
         }
         change(sim, true, newcomer);
         change(sim, true, sim.members.get(4));
@@ -299,7 +300,7 @@
         assertEquals(
                 RaftReplica.Completion.DONE,
                 put(sim, sim.leader(), sim.leader().replica.ledger().revision(), "{}"));
-        assertEquals(List.of(), sim.faults);
+        assertEquals(List.of(), sim.violations);
         assertNotNull(newcomer.replica.ledger().document());
     }
 
@@ -307,11 +308,11 @@
     void aMemberThatSleptWakesAsAFollowerAndNobodyBelievesIt() throws IOException {
         Simulation sim = led(3, 0);
         Simulation.Member old = sim.leader();
-        old.pausedUntil = sim.now + 10_000_000;
+        old.pausedUntilMicros = sim.nowMicros + 10_000_000;
         AtomicReference<RaftReplica.Completion> late = new AtomicReference<>();
         old.replica.propose(
                 new Command.PutDocument(0, Simulation.document("{\"old\":1}")), (fate, outcome) -> late.set(fate));
-        assertTrue(sim.until(() -> sim.members.stream().anyMatch(m -> m != old && m.replica.leads())));
+        assertTrue(sim.runUntil(() -> sim.members.stream().anyMatch(m -> m != old && m.replica.leads())));
         Simulation.Member next = sim.members.stream()
                 .filter(m -> m != old && m.replica.leads())
                 .findFirst()
@@ -323,7 +324,7 @@
         assertEquals(
                 next.replica.ledger().document().digest(),
                 old.replica.ledger().document().digest());
-        assertEquals(List.of(), sim.faults);
+        assertEquals(List.of(), sim.violations);
     }
 
     @Test
@@ -331,30 +332,30 @@
         for (long seed = 1; seed <= 20; seed++) {
             Simulation sim = new Simulation(seed, 3, 0);
             Simulation.Clients clients = sim.new Clients();
-            assertTrue(sim.until(() -> sim.leader() != null));
+            assertTrue(sim.runUntil(() -> sim.leader() != null));
             Simulation.Member full = sim.members.stream()
                     .filter(m -> m != sim.leader())
                     .findFirst()
                     .orElseThrow();
-            full.disk.room = 30;
-            sim.until(() -> {
-                Scenario.leading(sim, clients);
-                return full.stopped != null;
+            full.disk.freeBytes = 30;
+            sim.runUntil(() -> {
+                Scenario.putAndReadAtLeader(sim, clients);
+                return full.stopReason != null;
             });
-            assertEquals(RaftReplica.DISK, full.stopped);
+            assertEquals(RaftReplica.DISK, full.stopReason);
             sim.run(3_000_000);
-            Scenario.leading(sim, clients);
-            int life = full.life;
-            full.disk.room = Long.MAX_VALUE;
+            Scenario.putAndReadAtLeader(sim, clients);
+            int life = full.incarnation;
+            full.disk.freeBytes = Long.MAX_VALUE;
             assertTrue(
-                    sim.until(() -> {
-                        Scenario.leading(sim, clients);
+                    sim.runUntil(() -> {
+                        Scenario.putAndReadAtLeader(sim, clients);
                         return clients.caughtUp(full);
                     }),
                     "seed " + seed);
-            assertEquals(life, full.life);
-            clients.check(full);
-            assertEquals(List.of(), sim.faults, "seed " + seed);
+            assertEquals(life, full.incarnation);
+            clients.checkAcknowledged(full);
+            assertEquals(List.of(), sim.violations, "seed " + seed);
         }
     }
 }
--- a/lab/src/main/java/lupinvalve/lab/Faults.java
+++ b/lab/src/main/java/lupinvalve/lab/Faults.java
@@ -5,10 +5,10 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.Locale;
-import lupinvalve.faultinjection.Points;
+import lupinvalve.faultinjection.FailPoints;
 import lupinvalve.log.Log;
+import lupinvalve.replication.FaultSweep;
 import lupinvalve.replication.Scenario;
-import lupinvalve.replication.Sweep;
 import org.kohsuke.args4j.Option;
 
 /**
@@ -54,12 +54,12 @@
         return all;
     }
 
-    private Sweep.Planted fault() {
+    private FaultSweep.SeededBug fault() {
         try {
-            return Sweep.Planted.valueOf(planted.toUpperCase(Locale.ROOT).replace('-', '_'));
+            return FaultSweep.SeededBug.valueOf(planted.toUpperCase(Locale.ROOT).replace('-', '_'));
         } catch (IllegalArgumentException e) {
             throw new IllegalArgumentException(
-                    "--planted " + planted + ": none of " + Arrays.toString(Sweep.Planted.values()));
+                    "--planted " + planted + ": none of " + Arrays.toString(FaultSweep.SeededBug.values()));
         }
     }
 
@@ -71,8 +71,8 @@
         }
         try {
             if (list) {
-                chosen().forEach(s ->
-                        out.println(s.title() + " " + Sweep.course(s, seed).size()));
+                chosen().forEach(s -> out.println(
+                        s.title() + " " + FaultSweep.faultFreeSteps(s, seed).size()));
                 return 0;
             }
             return at != null ? again(out) : sweep(out);
@@ -82,13 +82,14 @@
     }
 
     private int again(PrintStream out) {
-        List<Points.At> faults = new ArrayList<>();
+        List<FailPoints.PlannedFault> faults = new ArrayList<>();
         for (String one : at.split(",")) {
-            faults.add(Points.At.of(one));
+            faults.add(FailPoints.PlannedFault.parse(one));
         }
-        Sweep.Play play = Sweep.play(chosen().get(0), seed, fault(), faults, trace ? out::println : line -> {});
+        FaultSweep.Run play =
+                FaultSweep.runOnce(chosen().get(0), seed, fault(), faults, trace ? out::println : line -> {});
         out.println(told(play, 0));
-        return play.good() ? 0 : 1;
+        return play.isGood() ? 0 : 1;
     }
 
     private int sweep(PrintStream out) {
@@ -99,22 +100,25 @@
         List<Scenario> scenarios = chosen();
         for (Scenario scenario : scenarios) {
             long begun = System.nanoTime();
-            Sweep.Result result = Sweep.run(scenario, seed, fault(), pairs);
-            points += result.points();
-            runs += result.runs();
-            violations += (int)
-                    result.bad().stream().filter(p -> !p.broken().isEmpty()).count();
-            hung += (int) result.bad().stream().filter(Sweep.Play::hung).count();
+            FaultSweep.Result result = FaultSweep.sweep(scenario, seed, fault(), pairs);
+            points += result.pointCount();
+            runs += result.runCount();
+            violations += (int) result.badRuns().stream()
+                    .filter(p -> !p.violations().isEmpty())
+                    .count();
+            hung += (int) result.badRuns().stream().filter(FaultSweep.Run::hung).count();
             if (!json) {
                 out.printf(
                         Locale.ROOT,
                         "%s: %d points, %d runs, %d bad, %.1f s%n",
                         scenario.title(),
-                        result.points(),
-                        result.runs(),
-                        result.bad().size(),
+                        result.pointCount(),
+                        result.runCount(),
+                        result.badRuns().size(),
                         (System.nanoTime() - begun) / 1e9);
-                result.bad().stream().limit(SHOWN).forEach(play -> out.println("  " + told(play, result.points())));
+                result.badRuns().stream()
+                        .limit(SHOWN)
+                        .forEach(play -> out.println("  " + told(play, result.pointCount())));
             }
         }
         out.printf(
@@ -131,17 +135,21 @@
         return violations + hung == 0 ? 0 : 1;
     }
 
-    private String told(Sweep.Play play, int of) {
+    private String told(FaultSweep.Run play, int of) {
         StringBuilder faults = new StringBuilder();
         StringBuilder kinds = new StringBuilder();
-        play.at().forEach(one -> {
+        play.faults().forEach(one -> {
             faults.append(faults.isEmpty() ? "" : ",").append(one);
             kinds.append(' ')
-                    .append(one.point() <= play.met().size() ? play.met().get(one.point() - 1) : "not met");
+                    .append(
+                            one.point() <= play.reachedSteps().size()
+                                    ? play.reachedSteps().get(one.point() - 1)
+                                    : "not met");
         });
         return faults + (of > 0 ? " of " + of : "") + " at" + kinds + ": "
-                + (play.good() ? "kept" : play.hung() ? "hung" : "broken")
-                + (play.broken().isEmpty() ? "" : " " + play.broken().get(0)) + " (again: lab faults --scenario "
+                + (play.isGood() ? "kept" : play.hung() ? "hung" : "broken")
+                + (play.violations().isEmpty() ? "" : " " + play.violations().get(0))
+                + " (again: lab faults --scenario "
                 + play.scenario().title() + " --seed " + play.seed() + " --planted " + planted + " --at " + faults
                 + ")";
     }
--- a/lab/src/main/java/lupinvalve/lab/ProcessPoints.java
+++ b/lab/src/main/java/lupinvalve/lab/ProcessPoints.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
 import lupinvalve.drills.PointPlay;
-import lupinvalve.faultinjection.Points.At;
+import lupinvalve.faultinjection.FailPoints.PlannedFault;
 import org.kohsuke.args4j.Option;
 
 /**
@@ -40,11 +40,11 @@
     @Override
     public int run(PrintStream out) throws Exception {
         int points = 0;
-        List<At> chosen = new ArrayList<>();
+        List<PlannedFault> chosen = new ArrayList<>();
         if (at != null) {
-            chosen.add(At.of(at));
+            chosen.add(PlannedFault.parse(at));
         } else {
-            List<lupinvalve.faultinjection.Points.Kind> course = PointPlay.course(config, seed);
+            List<lupinvalve.faultinjection.FailPoints.StepKind> course = PointPlay.course(config, seed);
             points = course.size();
             chosen.addAll(PointPlay.all(course));
             if (plays > 0 && plays < chosen.size()) {
