--- a/daemon/src/test/java/lupinvalve/cli/SubscriberTest.java
+++ b/daemon/src/test/java/lupinvalve/cli/SubscriberTest.java
@@ -69,7 +69,7 @@
             }
 
             @Override
-            public void holdsChanged(Map<Command.DrainTarget, ReplicatedState.Drain> now) {
+            public void drainsChanged(Map<Command.DrainTarget, ReplicatedState.Drain> now) {
                 holds.put(name, now);
             }
 
--- a/replication/src/main/java/lupinvalve/replication/RaftMember.java
+++ b/replication/src/main/java/lupinvalve/replication/RaftMember.java
@@ -166,7 +166,7 @@
             if (warm.document() != null) {
                 adopt(warm.document());
             }
-            listener.holdsChanged(warm.drains());
+            listener.drainsChanged(warm.drains());
             config.members().forEach(peers::place);
             settle();
             tick();
@@ -379,7 +379,7 @@
             if (change instanceof Command.PutDocument && outcome.result() == ReplicatedState.Result.APPLIED) {
                 adopt(replica.ledger().document());
             } else if (change instanceof Command.StartDrain || change instanceof Command.EndDrain) {
-                listener.holdsChanged(replica.ledger().drains());
+                listener.drainsChanged(replica.ledger().drains());
             } else if (change instanceof Command.SessionCommits commits) {
                 listener.commitsAccepted(commits);
             } else if (change instanceof Command.SetMemberAddress place) {
@@ -397,7 +397,7 @@
             if (ledger.document() != null) {
                 adopt(ledger.document());
             }
-            listener.holdsChanged(ledger.drains());
+            listener.drainsChanged(ledger.drains());
             listener.commitsAccepted(ledger.sessionCommits());
             ledger.memberAddresses().forEach(RaftMember.this::place);
         }
@@ -530,7 +530,7 @@
         for (MemberId who : peers.connected()) {
             String at = addresses.get(who.name());
             if (at != null && !config.members().containsKey(who.name()) && !at.equals(known.get(who.name()))) {
-                replica.propose(new Command.SetMemberAddress(who.name(), at), (fate, outcome) -> {});
+                replica.propose(new Command.SetMemberAddress(who.name(), at), (completion, outcome) -> {});
                 return;
             }
         }
@@ -587,14 +587,15 @@
     public void publishEndpoints(List<Command.KnownEndpoint> nodes) {
         loop.post(() -> {
             if (leading) {
-                replica.propose(new Command.EndpointList(loop.now(), nodes), (fate, outcome) -> {});
+                replica.propose(new Command.EndpointList(loop.now(), nodes), (completion, outcome) -> {});
             }
         });
     }
 
     private void propose(Command change, Consumer<Boolean> accepted) {
         if (replica.leads()) {
-            replica.propose(change, (fate, outcome) -> accepted.accept(fate == RaftReplica.Completion.DONE));
+            replica.propose(
+                    change, (completion, outcome) -> accepted.accept(completion == RaftReplica.Completion.DONE));
         } else {
             peers.call(
                     leader,
