--- a/core/src/main/java/lupinvalve/core/Pooler.java
+++ b/core/src/main/java/lupinvalve/core/Pooler.java
@@ -212,7 +212,7 @@
         Attempt waiting = attempts.get(attempt);
         return waiting == null
                 || !waiting.request.isClientDisconnected()
-                        && router.router().stands(waiting.request.routerId, loop.now());
+                        && router.router().mayStillStart(waiting.request.routerId, loop.now());
     }
 
     /**
--- a/daemon/src/test/java/lupinvalve/cli/SubscriberTest.java
+++ b/daemon/src/test/java/lupinvalve/cli/SubscriberTest.java
@@ -69,12 +69,13 @@
             }
 
             @Override
-            public void holdsChanged(Map<Command.DrainTarget, ReplicatedState.Drain> now) {
+            public void drainsChanged(Map<Command.DrainTarget, ReplicatedState.Drain> now) {
                 holds.put(name, now);
             }
 
             @Override
-            public void commitsAccepted(Command.SessionCommits commits) { // Positions are of no matter here.
+            public void commitsAccepted(Command.SessionCommits commits) {
+                // Positions are of no matter here.
             }
         };
     }
--- a/replication/src/main/java/lupinvalve/replication/ControlPlane.java
+++ b/replication/src/main/java/lupinvalve/replication/ControlPlane.java
@@ -37,8 +37,8 @@
         /** A configuration that a majority has accepted is to be applied. */
         void configurationAccepted(ReplicatedState.Document document);
 
-        /** Operators' holds as they now stand. */
-        void holdsChanged(Map<Command.DrainTarget, ReplicatedState.Drain> holds);
+        /** Operators' drains as they now stand. */
+        void drainsChanged(Map<Command.DrainTarget, ReplicatedState.Drain> holds);
 
         /** Sessions' commits of any pooler that a majority now holds. */
         void commitsAccepted(Command.SessionCommits commits);
--- /dev/null
+++ b/replication/src/test/java/lupinvalve/replication/FrameSamples.java
@@ -0,0 +1,340 @@
+package lupinvalve.replication;
+
+import io.microraft.MembershipChangeMode;
+import io.microraft.RaftEndpoint;
+import io.microraft.model.log.LogEntry;
+import io.microraft.model.log.RaftGroupMembersView;
+import io.microraft.model.log.SnapshotChunk;
+import io.microraft.model.message.RaftMessage;
+import java.nio.charset.StandardCharsets;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Locale;
+import java.util.Map;
+import java.util.Set;
+import lupinvalve.audit.AuditEntry;
+import lupinvalve.routing.Endpoint;
+import lupinvalve.routing.EndpointState;
+import lupinvalve.routing.LogPosition;
+import lupinvalve.statemachine.Cbor;
+import lupinvalve.statemachine.ClusterBootstrap;
+import lupinvalve.statemachine.Command;
+import lupinvalve.statemachine.CommandCodec;
+import lupinvalve.statemachine.MemberId;
+import lupinvalve.statemachine.ReplicatedState;
+import lupinvalve.statemachine.SnapshotCodec;
+import lupinvalve.subscription.DocumentDelta;
+import lupinvalve.subscription.FollowAnswer;
+import lupinvalve.subscription.FollowRequest;
+
+/** One message of each kind that goes between members, by the name under which its recorded frame is stored. */
+final class FrameSamples {
+    private static final long AT_MICROS = 1_796_169_600_000_000L;
+    private static final int TERM = 7;
+    private static final MemberId ONE = new MemberId("a", "00112233445566778899aabbccddeeff");
+    private static final MemberId TWO = new MemberId("b", "disk-b");
+    private static final MemberId THREE = new MemberId("c-\u00e4", "disk-c");
+    private static final RaftEndpoint SENDER = new MemberEndpoint(ONE);
+    private static final List<RaftEndpoint> MEMBERS =
+            List.of(new MemberEndpoint(ONE), new MemberEndpoint(TWO), new MemberEndpoint(THREE));
+    private static final List<RaftEndpoint> VOTERS = MEMBERS.subList(0, 2);
+    private static final byte[] BEFORE = bytes("{\"pg\":{\"user\":\"x\"}}");
+    private static final byte[] DOCUMENT = bytes("{\"pg\":{\"user\":\"y\",\"password\":\"\u00fc\"}}");
+
+    private FrameSamples() {}
+
+    /** A change on its way to the leader. */
+    record Proposal(long id, Command change) {}
+
+    /** A subscriber's request. */
+    record Follow(long id, FollowRequest request) {}
+
+    /** What a member answers a subscriber. */
+    record Followed(long id, FollowAnswer answer) {}
+
+    /** A sign of life without content. */
+    record Heartbeat() {}
+
+    static Map<String, Object> all() {
+        Map<String, Object> all = new LinkedHashMap<>();
+        greetings(all);
+        appendEntries(all);
+        snapshots(all);
+        elections(all);
+        proposals(all);
+        requests(all);
+        responses(all);
+        subscriptions(all);
+        all.put("heartbeat", new Heartbeat());
+        return all;
+    }
+
+    private static byte[] bytes(String text) {
+        return text.getBytes(StandardCharsets.UTF_8);
+    }
+
+    private static void greetings(Map<String, Object> all) {
+        for (ClusterBootstrap.Phase phase : ClusterBootstrap.Phase.values()) {
+            Set<MemberId> founders =
+                    phase.equals(ClusterBootstrap.Phase.values()[0]) ? Set.of() : Set.of(ONE, TWO, THREE);
+            all.put(
+                    "hello-phase-" + phase.ordinal(),
+                    new WireMessages.Hello(
+                            "plant", "a", "127.0.0.1:7001", new ClusterBootstrap.Announcement(ONE, phase, founders)));
+        }
+        all.put("hello-operator", new WireMessages.Hello("plant", "operator", "", null));
+    }
+
+    private static LogEntry entry(long index, Object operation) {
+        return RaftCodec.FACTORY
+                .createLogEntryBuilder()
+                .setIndex(index)
+                .setTerm(TERM - 1)
+                .setOperation(operation)
+                .build();
+    }
+
+    private static RaftMessage append(List<LogEntry> entries) {
+        var builder = RaftCodec.FACTORY.createAppendEntriesRequestBuilder();
+        builder.setGroupId(RaftReplica.GROUP).setSender(SENDER).setTerm(TERM);
+        return builder.setPreviousLogTerm(TERM - 1)
+                .setPreviousLogIndex(1_250_000)
+                .setCommitIndex(1_249_998)
+                .setQuerySequenceNumber(3_400_000)
+                .setFlowControlSequenceNumber(12)
+                .setLogEntries(entries)
+                .build();
+    }
+
+    private static Object membershipOperation(MembershipChangeMode mode) {
+        return RaftCodec.FACTORY
+                .createUpdateRaftGroupMembersOpBuilder()
+                .setMembers(MEMBERS)
+                .setVotingMembers(VOTERS)
+                .setEndpoint(new MemberEndpoint(THREE))
+                .setMode(mode)
+                .build();
+    }
+
+    private static void appendEntries(Map<String, Object> all) {
+        all.put("raft-append-entries-empty", append(List.of()));
+        all.put(
+                "raft-append-entries",
+                append(List.of(
+                        entry(1_250_001, CommandCodec.encode(new Command.NoOp())),
+                        entry(1_250_002, CommandCodec.encode(new Command.PutDocument(1, DOCUMENT))))));
+        for (MembershipChangeMode mode : MembershipChangeMode.values()) {
+            all.put(
+                    "raft-append-entries-" + mode.name().toLowerCase(Locale.ROOT),
+                    append(List.of(entry(1_250_001, membershipOperation(mode)))));
+        }
+        var success = RaftCodec.FACTORY.createAppendEntriesSuccessResponseBuilder();
+        success.setGroupId(RaftReplica.GROUP).setSender(SENDER).setTerm(TERM);
+        all.put(
+                "raft-append-entries-success",
+                success.setLastLogIndex(1_250_002)
+                        .setQuerySequenceNumber(3_400_000)
+                        .setFlowControlSequenceNumber(12)
+                        .build());
+        var failure = RaftCodec.FACTORY.createAppendEntriesFailureResponseBuilder();
+        failure.setGroupId(RaftReplica.GROUP).setSender(SENDER).setTerm(TERM);
+        all.put(
+                "raft-append-entries-failure",
+                failure.setExpectedNextIndex(1_250_001)
+                        .setQuerySequenceNumber(3_400_000)
+                        .setFlowControlSequenceNumber(12)
+                        .build());
+    }
+
+    private static RaftGroupMembersView view() {
+        return RaftCodec.FACTORY
+                .createRaftGroupMembersViewBuilder()
+                .setLogIndex(900)
+                .setMembers(MEMBERS)
+                .setVotingMembers(VOTERS)
+                .build();
+    }
+
+    private static SnapshotChunk chunk() {
+        ReplicatedState ledger = new ReplicatedState();
+        ledger.apply(1, new Command.PutDocument(0, DOCUMENT));
+        ledger.apply(
+                2, new Command.StartDrain(new Command.DrainTarget(Command.TargetKind.NODE, "db-7"), "disk", AT_MICROS));
+        ledger.apply(3, new Command.SetMemberAddress("d", "127.0.0.1:7004"));
+        ledger.apply(4, listing());
+        return RaftCodec.FACTORY
+                .createSnapshotChunkBuilder()
+                .setIndex(1_000)
+                .setTerm(TERM - 2)
+                .setSnapshotChunkIndex(0)
+                .setSnapshotChunkCount(2)
+                .setGroupMembersView(view())
+                .setOperation(SnapshotCodec.encode(ledger).get(0))
+                .build();
+    }
+
+    private static RaftMessage install(SnapshotChunk chunk) {
+        var builder = RaftCodec.FACTORY.createInstallSnapshotRequestBuilder();
+        builder.setGroupId(RaftReplica.GROUP).setSender(SENDER).setTerm(TERM);
+        return builder.setSenderLeader(chunk != null)
+                .setSnapshotTerm(TERM - 2)
+                .setSnapshotIndex(1_000)
+                .setTotalSnapshotChunkCount(2)
+                .setSnapshotChunk(chunk)
+                .setSnapshottedMembers(VOTERS)
+                .setGroupMembersView(view())
+                .setQuerySequenceNumber(3_400_001)
+                .setFlowControlSequenceNumber(13)
+                .build();
+    }
+
+    private static void snapshots(Map<String, Object> all) {
+        all.put("raft-install-snapshot", install(chunk()));
+        all.put("raft-install-snapshot-without-chunk", install(null));
+        var response = RaftCodec.FACTORY.createInstallSnapshotResponseBuilder();
+        response.setGroupId(RaftReplica.GROUP).setSender(SENDER).setTerm(TERM);
+        all.put(
+                "raft-install-snapshot-response",
+                response.setSnapshotIndex(1_000)
+                        .setRequestedSnapshotChunkIndex(1)
+                        .setQuerySequenceNumber(3_400_001)
+                        .setFlowControlSequenceNumber(13)
+                        .build());
+    }
+
+    private static void elections(Map<String, Object> all) {
+        var preVote = RaftCodec.FACTORY.createPreVoteRequestBuilder();
+        preVote.setGroupId(RaftReplica.GROUP).setSender(SENDER).setTerm(TERM);
+        all.put(
+                "raft-pre-vote",
+                preVote.setLastLogTerm(TERM - 1).setLastLogIndex(1_250_002).build());
+        var vote = RaftCodec.FACTORY.createVoteRequestBuilder();
+        vote.setGroupId(RaftReplica.GROUP).setSender(SENDER).setTerm(TERM);
+        all.put(
+                "raft-vote",
+                vote.setLastLogTerm(TERM - 1)
+                        .setLastLogIndex(1_250_002)
+                        .setSticky(true)
+                        .build());
+        for (boolean granted : List.of(true, false)) {
+            String suffix = granted ? "granted" : "denied";
+            var preVoteResponse = RaftCodec.FACTORY.createPreVoteResponseBuilder();
+            preVoteResponse.setGroupId(RaftReplica.GROUP).setSender(SENDER).setTerm(TERM);
+            all.put(
+                    "raft-pre-vote-" + suffix,
+                    preVoteResponse.setGranted(granted).build());
+            var voteResponse = RaftCodec.FACTORY.createVoteResponseBuilder();
+            voteResponse.setGroupId(RaftReplica.GROUP).setSender(SENDER).setTerm(TERM);
+            all.put("raft-vote-" + suffix, voteResponse.setGranted(granted).build());
+        }
+        var trigger = RaftCodec.FACTORY.createTriggerLeaderElectionRequestBuilder();
+        trigger.setGroupId(RaftReplica.GROUP).setSender(SENDER).setTerm(TERM);
+        all.put(
+                "raft-trigger-election",
+                trigger.setLastLogTerm(TERM).setLastLogIndex(1_250_002).build());
+    }
+
+    private static Command.EndpointList listing() {
+        Endpoint primary = new Endpoint("db-0", 0, 1, EndpointState.values()[0], true, AT_MICROS);
+        Endpoint replica = new Endpoint("db-1", 0, 2, EndpointState.values()[1], false, AT_MICROS + 1);
+        return new Command.EndpointList(
+                AT_MICROS,
+                List.of(
+                        new Command.KnownEndpoint(primary, Map.of("pg", "10.0.0.1:5432", "mysql", "10.0.0.1:3306"), 42),
+                        new Command.KnownEndpoint(replica, Map.of(), LogPosition.UNKNOWN)));
+    }
+
+    private static byte[] auditEntry() {
+        return new AuditEntry(
+                        "a",
+                        AT_MICROS,
+                        17,
+                        AuditEntry.Event.values()[1],
+                        "2-0011223344556677",
+                        1_250_002,
+                        AT_MICROS,
+                        20_000,
+                        "",
+                        "00112233445566778899aabbccddeeff")
+                .encode();
+    }
+
+    private static void proposals(Map<String, Object> all) {
+        Command.DrainTarget node = new Command.DrainTarget(Command.TargetKind.NODE, "db-7");
+        Command.DrainTarget pooler = new Command.DrainTarget(Command.TargetKind.POOLER, "p-1");
+        Map<String, Command> changes = new LinkedHashMap<>();
+        changes.put("nothing", new Command.NoOp());
+        changes.put("put", new Command.PutDocument(3, DOCUMENT));
+        changes.put("hold-node", new Command.StartDrain(node, "disk", AT_MICROS));
+        changes.put("hold-pooler", new Command.StartDrain(pooler, "", AT_MICROS));
+        changes.put("release-node", new Command.EndDrain(node));
+        changes.put("release-pooler", new Command.EndDrain(pooler));
+        changes.put(
+                "commits", new Command.SessionCommits(AT_MICROS, Map.of("session-1", AT_MICROS - 5, "session-2", 0L)));
+        changes.put("listing", listing());
+        changes.put("noted", new Command.AppendAudit("a", AT_MICROS, 17, List.of(auditEntry(), new byte[] {1})));
+        changes.put("place", new Command.SetMemberAddress("d", "127.0.0.1:7004"));
+        changes.forEach((name, change) -> all.put("propose-" + name, new Proposal(300 + changes.size(), change)));
+    }
+
+    private static void request(Map<String, Object> all, String name, byte[]... arguments) {
+        String file = "request-" + name.replace(">", "forwarded-") + "-" + arguments.length;
+        all.put(file, new WireMessages.Request(70_000, name, List.of(arguments)));
+    }
+
+    private static void requests(Map<String, Object> all) {
+        byte[] strict = bytes("strict");
+        request(all, "lease", bytes("a"), bytes("1250002"), bytes(""));
+        request(all, "lease", bytes("a"), bytes("1250002"), bytes("it can't"), bytes("1250001"));
+        request(all, "status");
+        for (String prefix : List.of("", ">")) {
+            request(all, prefix + "get", bytes("bare"));
+            request(all, prefix + "put", bytes("3"), DOCUMENT);
+            request(all, prefix + "put", bytes("3"), DOCUMENT, strict);
+            request(all, prefix + "hold", bytes("node"), bytes("db-7"), bytes("disk"), strict);
+            request(all, prefix + "release", bytes("pooler"), bytes("p-1"));
+            request(all, prefix + "holds");
+            request(all, prefix + "members");
+            request(all, prefix + "add", bytes("d"));
+            request(all, prefix + "remove", bytes("d"));
+            request(all, prefix + "snapshot");
+            request(all, prefix + "audit", bytes("between"), bytes("1"), bytes("2"));
+        }
+    }
+
+    private static void responses(Map<String, Object> all) {
+        for (WireMessages.Status status : WireMessages.Status.values()) {
+            all.put("response-status-" + status.ordinal(), new WireMessages.Response(70_000, status, "{}"));
+        }
+        all.put(
+                "response-lease",
+                new WireMessages.Response(
+                        70_000,
+                        WireMessages.Status.OK,
+                        "2000000",
+                        new Cbor.Writer().number(1_250_002).toByteArray()));
+    }
+
+    private static FollowAnswer answer(FollowAnswer.News news, Map<Command.DrainTarget, ReplicatedState.Drain> holds) {
+        return new FollowAnswer(2_000_000, 500_000, "", 1_250_002, 20, news, holds);
+    }
+
+    private static void subscriptions(Map<String, Object> all) {
+        Map<Command.DrainTarget, ReplicatedState.Drain> holds = Map.of(
+                new Command.DrainTarget(Command.TargetKind.NODE, "db-7"), new ReplicatedState.Drain("disk", AT_MICROS),
+                new Command.DrainTarget(Command.TargetKind.POOLER, "p-1"), new ReplicatedState.Drain("", 0));
+        all.put("follow-first", new Follow(1, new FollowRequest(1, 0, 0, "", "", false, false, "")));
+        all.put(
+                "follow",
+                new Follow(2, new FollowRequest(1, 1_250_002, 3, "0011", "2233", true, true, "it can't be read")));
+        all.put("followed-none", new Followed(1, answer(new FollowAnswer.News.None(), null)));
+        all.put(
+                "followed-refused",
+                new Followed(1, new FollowAnswer(0, 0, "cut off", 0, 0, new FollowAnswer.News.None(), Map.of())));
+        ReplicatedState.Document document = new ReplicatedState.Document(4, 1_250_002, "0011", DOCUMENT);
+        all.put("followed-whole", new Followed(2, answer(new FollowAnswer.News.Whole(document), holds)));
+        FollowAnswer.News differences = new FollowAnswer.News.Differences(
+                4, 1_250_002, "0011", List.of(DocumentDelta.between(BEFORE, DOCUMENT)));
+        all.put("followed-differences", new Followed(3, answer(differences, null)));
+    }
+}
