--- a/core/src/main/java/lupinvalve/core/EndpointDraining.java
+++ b/core/src/main/java/lupinvalve/core/EndpointDraining.java
@@ -11,7 +11,7 @@
 import lupinvalve.routing.RouterSettings;
 
 /**
- * Which db nodes are draining or drained, by discovery's word or by operators' commands, and until when work may still
+ * Which db nodes are draining or drained, by the endpoint list or by operators' commands, and until when work may still
  * start at them. Core thread only.
  */
 final class EndpointDraining {
--- a/core/src/main/java/lupinvalve/core/LogPositionParser.java
+++ b/core/src/main/java/lupinvalve/core/LogPositionParser.java
@@ -30,7 +30,7 @@
         long micros = new BigDecimal(text).movePointRight(digits).longValue();
         if (micros > nowMicros + MAX_AHEAD_MICROS) {
             IMPOSSIBLE.warn(
-                    "a db node's position lies over 1 s ahead of this machine's wall clock and is not taken: spoilt, or one of the clocks is wrong");
+                    "a db node's position lies over 1 s ahead of this machine's wall clock and is ignored: corrupt, or one of the clocks is wrong");
             return LogPosition.UNKNOWN;
         }
         return micros <= 0 ? LogPosition.UNKNOWN : micros;
--- a/maintenance/src/main/java/lupinvalve/maintenance/ClientDrain.java
+++ b/maintenance/src/main/java/lupinvalve/maintenance/ClientDrain.java
@@ -27,7 +27,7 @@
         quiescedAtMicros = NEVER;
     }
 
-    /** The group's configuration drains this pooler, or no longer, whatever operators told it alone. */
+    /** The group's configuration drains this pooler, or no longer, whatever operators ask of it alone. */
     public void setDrainedByGroup(boolean drained, long nowMicros) {
         groupDrainAtMicros = drained ? Math.min(groupDrainAtMicros, nowMicros) : NEVER;
     }
