--- a/capacity/src/main/java/lupinvalve/capacity/CodeFacts.java
+++ b/capacity/src/main/java/lupinvalve/capacity/CodeFacts.java
@@ -7,22 +7,25 @@
 final class CodeFacts {
     /** {@code RaftReplica.HEARTBEAT_SECONDS} at the pace of {@code AcceleratedExecutor.FACTOR}. */
     static final double HEARTBEATS_PER_SECOND = 10;
-    /** {@code LeaseHolder.CONFIRM}: with the audit on, the leader asks a majority each 0.1 s whether it still leads. */
+    /**
+     * {@code LeaseGrantor.CONFIRM_INTERVAL_MICROS}: with the audit on, the leader asks a majority each 0.1 s whether it
+     * still leads.
+     */
     static final double CONFIRMS_PER_SECOND = 10;
-    /** {@code PeerConnections.BEAT}. */
+    /** {@code PeerConnections.HEARTBEAT_INTERVAL_MICROS}. */
     static final double BEATS_PER_SECOND = 2;
     /** Each of two members dials the other. */
     static final int CONNECTIONS_PER_PAIR = 2;
     /**
-     * {@code PeerConnections.TAKEN_MOST}: connections that a member takes. {@code Followers.MOST}: poolers that may
-     * follow it.
+     * {@code PeerConnections.MAX_ACCEPTED_CONNECTIONS}: connections that a member takes. {@code Followers.MOST}:
+     * poolers that may follow it.
      */
     static final int TAKEN_MOST = 1088;
 
     static final int FOLLOWERS_MOST = 1024;
     /** {@code Shared.REFRESH}: how often the leader's pooler tells all of the db nodes. */
     static final double LISTING_SECONDS = 10;
-    /** {@code RequestHandler.STEP}, after each step of a change of members. */
+    /** {@code MembershipChanges.STEP_INTERVAL_MICROS}, after each step of a change of members. */
     static final double MEMBERSHIP_STEP_SECONDS = 0.05;
     /** Out, learn, vote, and its place: what a replaced member takes. */
     static final int CHANGES_PER_REPLACED = 4;
--- a/capacity/src/main/java/lupinvalve/capacity/GroupFigures.java
+++ b/capacity/src/main/java/lupinvalve/capacity/GroupFigures.java
@@ -53,7 +53,7 @@
                 CodeFacts.TAKEN_MOST,
                 Unit.COUNT,
                 Basis.COMPUTED,
-                "`PeerConnections.TAKEN_MOST`",
+                "`PeerConnections.MAX_ACCEPTED_CONNECTIONS`",
                 "replication/PeerConnections.java");
     }
 
@@ -163,7 +163,7 @@
                 Unit.PER_SECOND,
                 Basis.COMPUTED,
                 "paces alone",
-                "replication/RaftReplica.java, LeaseHolder.java");
+                "replication/RaftReplica.java, LeaseGrantor.java");
     }
 
     private Figure leaderBytes() {
@@ -203,7 +203,7 @@
                 failsAt,
                 "replaced at once",
                 Basis.COMPUTED,
-                "4 changes each, `RequestHandler.STEP`",
+                "4 changes each, `MembershipChanges.STEP_INTERVAL_MICROS`",
                 "statemachine/MembershipChange.java");
     }
 }
--- a/capacity/src/test/java/lupinvalve/capacity/CodeFactsTest.java
+++ b/capacity/src/test/java/lupinvalve/capacity/CodeFactsTest.java
@@ -31,11 +31,15 @@
                 CodeFacts.HEARTBEATS_PER_SECOND,
                 constant(group + "AcceleratedExecutor", "FACTOR")
                         / constant(group + "RaftReplica", "HEARTBEAT_SECONDS"));
-        assertEquals(CodeFacts.CONFIRMS_PER_SECOND, MICROS / constant(group + "LeaseHolder", "CONFIRM"));
-        assertEquals(CodeFacts.BEATS_PER_SECOND, MICROS / constant(group + "PeerConnections", "BEAT"));
-        assertEquals(CodeFacts.TAKEN_MOST, constant(group + "PeerConnections", "TAKEN_MOST"));
+        assertEquals(
+                CodeFacts.CONFIRMS_PER_SECOND, MICROS / constant(group + "LeaseGrantor", "CONFIRM_INTERVAL_MICROS"));
+        assertEquals(
+                CodeFacts.BEATS_PER_SECOND, MICROS / constant(group + "PeerConnections", "HEARTBEAT_INTERVAL_MICROS"));
+        assertEquals(CodeFacts.TAKEN_MOST, constant(group + "PeerConnections", "MAX_ACCEPTED_CONNECTIONS"));
         assertEquals(CodeFacts.FOLLOWERS_MOST, constant(group + "Followers", "MOST"));
-        assertEquals(CodeFacts.MEMBERSHIP_STEP_SECONDS, constant(group + "RequestHandler", "STEP") / MICROS);
+        assertEquals(
+                CodeFacts.MEMBERSHIP_STEP_SECONDS,
+                constant(group + "MembershipChanges", "STEP_INTERVAL_MICROS") / MICROS);
         assertEquals(
                 CodeFacts.BUNDLE_SECONDS,
                 constant("lupinvalve.statemachine.SessionCommitBatcher", "BATCH_DELAY_MICROS") / MICROS);
--- a/daemon/src/main/java/lupinvalve/cli/StoreCommand.java
+++ b/daemon/src/main/java/lupinvalve/cli/StoreCommand.java
@@ -16,6 +16,7 @@
 import java.util.Map;
 import lupinvalve.config.OperatorConfig;
 import lupinvalve.log.Log;
+import lupinvalve.replication.FolderVerification;
 import lupinvalve.replication.GroupClient;
 import lupinvalve.replication.WireMessages;
 import org.kohsuke.args4j.Argument;
@@ -71,10 +72,10 @@
             return 0;
         }
         if (call.equals("verify")) {
-            return print(GroupClient.verify(Path.of(argument(0, "a folder")), secrets));
+            return print(FolderVerification.verify(Path.of(argument(0, "a folder")), secrets));
         }
         if (call.equals("audit") && !what.isEmpty() && what.get(0).equals("verify")) {
-            return print(GroupClient.verifyAudit(Path.of(argument(1, "a folder"))));
+            return print(FolderVerification.verifyAudit(Path.of(argument(1, "a folder"))));
         }
         if (operator == null) {
             throw new IllegalArgumentException("store " + call + " needs --operator FILE");
@@ -116,7 +117,7 @@
         if (strict) {
             arguments.add(bytes("strict"));
         }
-        GroupClient.Result said = client.ask(call, arguments, !call.equals("put"), 1000L * seconds);
+        GroupClient.Result said = client.call(call, arguments, !call.equals("put"), 1000L * seconds);
         if (said.status() == WireMessages.Status.OK) {
             return print(said.text());
         }
--- a/daemon/src/test/java/lupinvalve/cli/GroupTest.java
+++ b/daemon/src/test/java/lupinvalve/cli/GroupTest.java
@@ -363,7 +363,7 @@
         RaftMember alone = start("a", tls("own/authority.pem", "own", "a"));
         World.await("acted on", () -> acting.containsKey("a"));
         assertEquals(1, acting.get("a").revision());
-        assertEquals(1, alone.warm().revision());
+        assertEquals(1, alone.initialReplicatedState().revision());
         assertFalse(alone.isLeader());
         Said put = store(a, "put", document("{}").toString(), "--revision", "1", "--seconds", "1");
         assertEquals(StoreCommand.NOBODY, put.code(), put.err());
--- a/daemon/src/test/java/lupinvalve/cli/SubscriberTest.java
+++ b/daemon/src/test/java/lupinvalve/cli/SubscriberTest.java
@@ -120,7 +120,7 @@
             arguments.add(word.getBytes(StandardCharsets.UTF_8));
         }
         try {
-            return new GroupClient("plant", addresses, null).ask(call, arguments, false, 20_000);
+            return new GroupClient("plant", addresses, null).call(call, arguments, false, 20_000);
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
--- a/daemon/src/test/java/lupinvalve/integration/GroupStoryTest.java
+++ b/daemon/src/test/java/lupinvalve/integration/GroupStoryTest.java
@@ -42,7 +42,7 @@
         }
         GroupClient client = new GroupClient(
                 "test", Map.of("n0", "127.0.0.1:" + daemon.storeAddress().getPort()), null);
-        GroupClient.Result said = client.ask(call, arguments, true, 10_000);
+        GroupClient.Result said = client.call(call, arguments, true, 10_000);
         assertEquals(WireMessages.Status.OK, said.status(), said.text());
         return said.text();
     }
--- a/daemon/src/test/java/lupinvalve/mysql/MysqlTest.java
+++ b/daemon/src/test/java/lupinvalve/mysql/MysqlTest.java
@@ -67,7 +67,7 @@
                 "test", Map.of("n0", "127.0.0.1:" + world.daemon.storeAddress().getPort()), null);
         assertEquals(
                 WireMessages.Status.OK,
-                operator.ask("put", List.of("0".getBytes(UTF_8), document.getBytes(UTF_8)), false, 10_000)
+                operator.call("put", List.of("0".getBytes(UTF_8), document.getBytes(UTF_8)), false, 10_000)
                         .status());
         World.await("served", () -> world.daemon.mysqlAddress() != null);
         return world;
--- a/daemon/src/test/java/lupinvalve/replication/OldMemberTest.java
+++ b/daemon/src/test/java/lupinvalve/replication/OldMemberTest.java
@@ -169,7 +169,7 @@
             World.await("led", group::isLeader);
             byte[] newer = new FollowRequest(FollowRequest.VERSION + 1, 0, 0, "", "", false, false, "").write();
             GroupClient.Result said =
-                    new GroupClient("plant", members, null).ask("follow", List.of(newer), false, 5_000);
+                    new GroupClient("plant", members, null).call("follow", List.of(newer), false, 5_000);
             assertEquals(
                     new GroupClient.Result(
                             WireMessages.Status.REJECTED, "version 2 of following is asked for; this member speaks 1"),
--- a/drills/src/main/java/lupinvalve/drills/AuditDrill.java
+++ b/drills/src/main/java/lupinvalve/drills/AuditDrill.java
@@ -111,7 +111,7 @@
         for (String word : words) {
             arguments.add(word.getBytes(StandardCharsets.UTF_8));
         }
-        return client.ask(call, arguments, again, CALL_MILLIS);
+        return client.call(call, arguments, again, CALL_MILLIS);
     }
 
     private void holdOne(GroupClient client, String node) throws InterruptedException {
--- a/drills/src/main/java/lupinvalve/drills/StoreClients.java
+++ b/drills/src/main/java/lupinvalve/drills/StoreClients.java
@@ -70,7 +70,7 @@
 
     private long read(GroupClient client) throws IOException {
         long began = System.nanoTime();
-        GroupClient.Result said = client.ask("get", List.of(new byte[0]), true, CALL_MILLIS);
+        GroupClient.Result said = client.call("get", List.of(new byte[0]), true, CALL_MILLIS);
         if (said.status() != WireMessages.Status.OK) {
             return -1;
         }
@@ -84,7 +84,7 @@
         byte[] document =
                 ("{\"mysql\":{\"user\":\"u" + numbers.incrementAndGet() + "\"}}").getBytes(StandardCharsets.UTF_8);
         long began = System.nanoTime();
-        GroupClient.Result said = client.ask(
+        GroupClient.Result said = client.call(
                 "put", List.of(Long.toString(expected).getBytes(StandardCharsets.UTF_8), document), false, CALL_MILLIS);
         long ended = System.nanoTime();
         if (said.status() == WireMessages.Status.OK) {
--- a/drills/src/main/java/lupinvalve/replication/PointSeams.java
+++ b/drills/src/main/java/lupinvalve/replication/PointSeams.java
@@ -93,7 +93,7 @@
     }
 
     @Override
-    public Scheduler schedule(Scheduler own) {
+    public Scheduler scheduler(Scheduler own) {
         return new Scheduler() {
             @Override
             public long now() {
@@ -127,7 +127,7 @@
     }
 
     @Override
-    public boolean passes(boolean sent) {
+    public boolean permitsMessage(boolean sent) {
         Fault fault = next(sent ? Kind.SEND : Kind.ARRIVE);
         if (fault == Fault.DIE_BEFORE || fault == Fault.POWER_CUT) {
             halt(fault);
--- a/drills/src/test/java/lupinvalve/drills/SubscribersTest.java
+++ b/drills/src/test/java/lupinvalve/drills/SubscribersTest.java
@@ -118,10 +118,10 @@
         List<byte[]> arguments = List.of(
                 Long.toString(revision).getBytes(StandardCharsets.UTF_8),
                 ("{\"mysql\":{\"user\":\"user-" + revision + "\"}}").getBytes(StandardCharsets.UTF_8));
-        GroupClient.Result said = new GroupClient("plant", asked, null).ask("put", arguments, false, 30_000);
+        GroupClient.Result said = new GroupClient("plant", asked, null).call("put", arguments, false, 30_000);
         if (said.status() != WireMessages.Status.OK) {
             // It may have happened as a leader went: then the next try tells so.
-            said = new GroupClient("plant", asked, null).ask("put", arguments, false, 30_000);
+            said = new GroupClient("plant", asked, null).call("put", arguments, false, 30_000);
         }
         assertTrue(
                 said.status() == WireMessages.Status.OK || said.status() == WireMessages.Status.CONFLICT, said.text());
--- a/faultinjection/src/main/java/lupinvalve/replication/Scenario.java
+++ b/faultinjection/src/main/java/lupinvalve/replication/Scenario.java
@@ -260,9 +260,9 @@
             if (sim.leader() != null) {
                 RaftReplica leader = sim.leader().replica;
                 leader.report((fate, report) -> {
-                    if (fate == RaftReplica.Completion.DONE && RaftReplica.leads(report)) {
-                        step.set(MembershipChange.nextStep(wish, RaftReplica.view(report, all, all)));
-                        leader.step(step.get(), report, (f, ok) -> {});
+                    if (fate == RaftReplica.Completion.DONE && RaftReplica.isLeader(report)) {
+                        step.set(MembershipChange.nextStep(wish, RaftReplica.groupView(report, all, all)));
+                        leader.changeMembership(step.get(), report, (f, ok) -> {});
                     }
                 });
             }
--- a/faultinjection/src/main/java/lupinvalve/replication/Simulation.java
+++ b/faultinjection/src/main/java/lupinvalve/replication/Simulation.java
@@ -104,7 +104,7 @@
 
         /** Nobody leads in a term in which another has led. */
         private void watch() {
-            if (runs() && replica.leads()) {
+            if (runs() && replica.isLeader()) {
                 Integer other = leaders.putIfAbsent(replica.term(), number);
                 if (other != null && other != number) {
                     faults.add("term " + replica.term() + " is led by m" + other + " and m" + number);
@@ -135,7 +135,8 @@
 
         /** Takes part again in the same life, as a member does whose disk is good again. */
         private void revive() {
-            if (replica == null || !RaftReplica.DISK.equals(stopped)) {
+            if (replica == null
+                    || !RaftReplica.Termination.DISK_FAILURE.reason().equals(stopped)) {
                 return;
             }
             try {
@@ -194,20 +195,20 @@
                         public void applied(long index, Command change, ReplicatedState.Outcome outcome) {
                             if (change instanceof Command.PutDocument
                                     && outcome.result() == ReplicatedState.Result.APPLIED) {
-                                adopt(replica.ledger().document());
+                                adopt(replica.state().document());
                             }
                         }
 
                         @Override
                         public void restored() {
-                            if (replica.ledger().document() != null) {
-                                adopt(replica.ledger().document());
+                            if (replica.state().document() != null) {
+                                adopt(replica.state().document());
                             }
                         }
 
                         @Override
-                        public void ended(String why) {
-                            stopped = why;
+                        public void terminated(RaftReplica.Termination reason) {
+                            stopped = reason.reason();
                             new Life().after(REVIVE_MICROS, Member.this::revive);
                         }
                     });
@@ -228,7 +229,7 @@
             }
 
             @Override
-            public boolean done() {
+            public boolean markImported() {
                 if (mine != life) {
                     return false;
                 }
@@ -245,8 +246,8 @@
 
         /** Takes over what was left here, as long as this member leads. */
         void takesOver() {
-            if (runs() && replica.leads()) {
-                takeOver.lead(replica, document -> true, (session, position) -> {});
+            if (runs() && replica.isLeader()) {
+                takeOver.propose(replica, document -> true, (session, position) -> {});
             }
         }
 
@@ -355,7 +356,7 @@
 
     Member leader() {
         return members.stream()
-                .filter(m -> m.runs() && m.replica.leads())
+                .filter(m -> m.runs() && m.replica.isLeader())
                 .findFirst()
                 .orElse(null);
     }
@@ -414,7 +415,7 @@
                 return;
             }
             byte[] content = document("{\"n\":\"" + number++ + filler + "\"}");
-            long expected = at.replica.ledger().revision();
+            long expected = at.replica.state().revision();
             at.replica.propose(new Command.PutDocument(expected, content), (fate, outcome) -> {
                 if (fate == RaftReplica.Completion.DONE && outcome.result() == ReplicatedState.Result.APPLIED) {
                     String other = acknowledged.putIfAbsent(outcome.revision(), ReplicatedState.digest(content));
@@ -430,10 +431,10 @@
                 return;
             }
             long least = acknowledged.isEmpty() ? 0 : acknowledged.lastKey();
-            at.replica.upToDate((fate, ok) -> {
-                if (fate == RaftReplica.Completion.DONE && at.replica.ledger().revision() < least) {
+            at.replica.readBarrier((fate, ok) -> {
+                if (fate == RaftReplica.Completion.DONE && at.replica.state().revision() < least) {
                     faults.add("a read came back with revision "
-                            + at.replica.ledger().revision() + " after " + least);
+                            + at.replica.state().revision() + " after " + least);
                 }
             });
         }
@@ -441,7 +442,7 @@
         boolean caughtUp(Member member) {
             return member.runs()
                     && !acknowledged.isEmpty()
-                    && member.replica.ledger().revision() >= acknowledged.lastKey();
+                    && member.replica.state().revision() >= acknowledged.lastKey();
         }
 
         /** Whether all that was acknowledged is in a member's history, at the revision that was told. */
@@ -451,14 +452,13 @@
                 faults.add(member.identity
                         + (member.runs()
                                 ? " has only revision "
-                                        + member.replica.ledger().revision() + " after " + last + ", term "
+                                        + member.replica.state().revision() + " after " + last + ", term "
                                         + member.replica.term() + " of " + leaders.lastKey()
                                 : " does not run: " + member.stopped));
                 return;
             }
-            List<String> digests =
-                    new ArrayList<>(history.headMap(member.replica.ledger().appliedIndex(), true)
-                            .values());
+            List<String> digests = new ArrayList<>(
+                    history.headMap(member.replica.state().appliedIndex(), true).values());
             acknowledged.forEach((revision, digest) -> {
                 if (digests.size() < revision
                         || !digests.get((int) (revision - 1)).equals(digest)) {
--- a/faultinjection/src/test/java/lupinvalve/replication/AuditLogTest.java
+++ b/faultinjection/src/test/java/lupinvalve/replication/AuditLogTest.java
@@ -27,33 +27,34 @@
     @Test
     void whatWasForcedIsThereAfterACrashAndIsDeliveredLate() throws IOException {
         AuditLog first = new AuditLog(disk, "p", 1);
-        first.note(AuditEntry.Event.STARTED, "", 0, 10, "");
-        first.note(AuditEntry.Event.ADOPTED, "1-a", 1, 20, "");
-        first.delivered(first.due());
-        assertNull(first.due());
-        first.note(AuditEntry.Event.CUT_OFF, "1-a", 1, 30, "");
+        first.append(AuditEntry.Event.STARTED, "", 0, 10, "");
+        first.append(AuditEntry.Event.ADOPTED, "1-a", 1, 20, "");
+        first.markDelivered(first.nextBatch());
+        assertNull(first.nextBatch());
+        first.append(AuditEntry.Event.CUT_OFF, "1-a", 1, 30, "");
         disk.crash(new Random(1));
         AuditLog next = new AuditLog(disk, "p", 2);
-        List<AuditEntry> left = entries(next.due());
+        List<AuditEntry> left = entries(next.nextBatch());
         assertEquals(
                 List.of(1L, 2L, 3L), left.stream().map(AuditEntry::number).toList(), "which came through is not known");
         assertNull(AuditJournal.chainBreak(left));
-        next.delivered(next.due());
-        next.note(AuditEntry.Event.STARTED, "", 1, 40, "");
-        assertEquals(2, entries(next.due()).get(0).incarnation());
+        next.markDelivered(next.nextBatch());
+        next.append(AuditEntry.Event.STARTED, "", 1, 40, "");
+        assertEquals(2, entries(next.nextBatch()).get(0).incarnation());
     }
 
     @Test
     void anEntryThatADiskDidNotTakeIsNotActedOnAndStillDelivered() throws IOException {
-        AuditLog book = new AuditLog(disk, "p", 1);
-        book.note(AuditEntry.Event.STARTED, "", 0, 10, "");
+        AuditLog log = new AuditLog(disk, "p", 1);
+        log.append(AuditEntry.Event.STARTED, "", 0, 10, "");
         disk.room = 30;
-        assertThrows(IOException.class, () -> book.note(AuditEntry.Event.ADOPTED, "1-a", 1, 20, ""));
+        assertThrows(IOException.class, () -> log.append(AuditEntry.Event.ADOPTED, "1-a", 1, 20, ""));
         disk.room = Long.MAX_VALUE;
-        book.note(AuditEntry.Event.ADOPTED, "1-a", 1, 30, "");
-        assertNull(AuditJournal.chainBreak(entries(book.due())));
+        log.append(AuditEntry.Event.ADOPTED, "1-a", 1, 30, "");
+        assertNull(AuditJournal.chainBreak(entries(log.nextBatch())));
         assertEquals(
-                3, book.due().entries().size()); // On the disk stands what it took, each file whole but for its end.
+                3,
+                log.nextBatch().entries().size()); // On the disk stands what it took, each file whole but for its end.
         List<AuditEntry> kept = new ArrayList<>();
         for (String file : disk.names()) {
             kept.addAll(AuditLog.read(disk, file));
--- a/faultinjection/src/test/java/lupinvalve/replication/SegmentedLogTest.java
+++ b/faultinjection/src/test/java/lupinvalve/replication/SegmentedLogTest.java
@@ -190,7 +190,7 @@
         log.accepted(12);
         log.flush();
         SegmentedLog again = open(disk);
-        assertEquals(12, RaftReplica.warm(again).revision());
+        assertEquals(12, RaftReplica.committedState(again).revision());
         assertEquals(3, again.restored().getTermPersistentState().getTerm());
         assertEquals(
                 ME, MemberEndpoint.of(again.restored().getTermPersistentState().getVotedFor()));
--- a/faultinjection/src/test/java/lupinvalve/replication/SimulationTest.java
+++ b/faultinjection/src/test/java/lupinvalve/replication/SimulationTest.java
@@ -52,7 +52,7 @@
                     }
                     default -> {
                         sim.each(m -> {
-                            if (m.runs() && m.replica.leads()) {
+                            if (m.runs() && m.replica.isLeader()) {
                                 clients.put(m);
                                 clients.read(m);
                             }
@@ -174,10 +174,10 @@
         AtomicReference<RaftReplica.Completion> read = new AtomicReference<>();
         old.replica.propose(
                 new Command.PutDocument(1, Simulation.document("{\"a\":1}")), (fate, outcome) -> lost.set(fate));
-        old.replica.upToDate((fate, ok) -> read.set(fate));
-        assertTrue(sim.until(() -> sim.members.stream().anyMatch(m -> m != old && m.replica.leads())));
+        old.replica.readBarrier((fate, ok) -> read.set(fate));
+        assertTrue(sim.until(() -> sim.members.stream().anyMatch(m -> m != old && m.replica.isLeader())));
         sim.run(2_000_000);
-        assertFalse(old.replica.leads());
+        assertFalse(old.replica.isLeader());
         assertTrue(read.get() != RaftReplica.Completion.DONE && lost.get() != RaftReplica.Completion.DONE);
         assertEquals(RaftReplica.Completion.DONE, put(sim, sim.leader(), 1, "{\"b\":1}"));
         sim.heal();
@@ -185,8 +185,8 @@
         assertEquals(RaftReplica.Completion.INDETERMINATE, lost.get());
         assertEquals(List.of(), sim.faults);
         assertEquals(
-                old.replica.ledger().document().digest(),
-                sim.leader().replica.ledger().document().digest());
+                old.replica.state().document().digest(),
+                sim.leader().replica.state().document().digest());
     }
 
     @Test
@@ -223,14 +223,14 @@
                 put(
                         sim,
                         sim.leader(),
-                        sim.leader().replica.ledger().revision(),
+                        sim.leader().replica.state().revision(),
                         "{}")); // With room again it comes back with what it had.
         old.kill();
         old.disk.room = Long.MAX_VALUE;
         old.start();
         sim.run(3_000_000);
         assertEquals(
-                sim.leader().replica.ledger().revision(), old.replica.ledger().revision());
+                sim.leader().replica.state().revision(), old.replica.state().revision());
         assertEquals(List.of(), sim.faults);
     }
 
@@ -248,10 +248,10 @@
                     if (sim.leader() != null) {
                         RaftReplica leader = sim.leader().replica;
                         leader.report((fate, report) -> {
-                            if (fate == RaftReplica.Completion.DONE && RaftReplica.leads(report)) {
-                                MembershipChange.GroupView view = RaftReplica.view(report, all, all);
+                            if (fate == RaftReplica.Completion.DONE && RaftReplica.isLeader(report)) {
+                                MembershipChange.GroupView view = RaftReplica.groupView(report, all, all);
                                 step.set(MembershipChange.nextStep(wish, view));
-                                leader.step(step.get(), report, (f, ok) -> {});
+                                leader.changeMembership(step.get(), report, (f, ok) -> {});
                             }
                         });
                         sim.run(100_000);
@@ -284,8 +284,8 @@
         change(sim, true, sim.members.get(4));
         sim.run(3_000_000);
         assertEquals(
-                sim.leader().replica.ledger().revision(),
-                newcomer.replica.ledger().revision()); // The leader is to go as well: it hands over first.
+                sim.leader().replica.state().revision(),
+                newcomer.replica.state().revision()); // The leader is to go as well: it hands over first.
         Simulation.Member old = sim.leader();
         change(sim, false, old);
         assertTrue(sim.leader()
@@ -298,9 +298,9 @@
         assertEquals(term, sim.leader().replica.term());
         assertEquals(
                 RaftReplica.Completion.DONE,
-                put(sim, sim.leader(), sim.leader().replica.ledger().revision(), "{}"));
+                put(sim, sim.leader(), sim.leader().replica.state().revision(), "{}"));
         assertEquals(List.of(), sim.faults);
-        assertNotNull(newcomer.replica.ledger().document());
+        assertNotNull(newcomer.replica.state().document());
     }
 
     @Test
@@ -311,18 +311,18 @@
         AtomicReference<RaftReplica.Completion> late = new AtomicReference<>();
         old.replica.propose(
                 new Command.PutDocument(0, Simulation.document("{\"old\":1}")), (fate, outcome) -> late.set(fate));
-        assertTrue(sim.until(() -> sim.members.stream().anyMatch(m -> m != old && m.replica.leads())));
+        assertTrue(sim.until(() -> sim.members.stream().anyMatch(m -> m != old && m.replica.isLeader())));
         Simulation.Member next = sim.members.stream()
-                .filter(m -> m != old && m.replica.leads())
+                .filter(m -> m != old && m.replica.isLeader())
                 .findFirst()
                 .orElseThrow();
         assertEquals(RaftReplica.Completion.DONE, put(sim, next, 0, "{\"new\":1}"));
         sim.run(15_000_000);
-        assertFalse(old.replica.leads());
+        assertFalse(old.replica.isLeader());
         assertTrue(late.get() != RaftReplica.Completion.DONE);
         assertEquals(
-                next.replica.ledger().document().digest(),
-                old.replica.ledger().document().digest());
+                next.replica.state().document().digest(),
+                old.replica.state().document().digest());
         assertEquals(List.of(), sim.faults);
     }
 
@@ -341,7 +341,7 @@
                 Scenario.leading(sim, clients);
                 return full.stopped != null;
             });
-            assertEquals(RaftReplica.DISK, full.stopped);
+            assertEquals(RaftReplica.Termination.DISK_FAILURE.reason(), full.stopped);
             sim.run(3_000_000);
             Scenario.leading(sim, clients);
             int life = full.life;
--- a/lab/src/main/java/lupinvalve/lab/StoreBench.java
+++ b/lab/src/main/java/lupinvalve/lab/StoreBench.java
@@ -121,7 +121,7 @@
                     turnedDown.get(),
                     latencies.getValueAtPercentile(50) / 1000.0,
                     latencies.getValueAtPercentile(99) / 1000.0,
-                    again.warm().sessionCount(),
+                    again.initialReplicatedState().sessionCount(),
                     heap / 1048576.0,
                     disk / 1024,
                     restart);
--- a/replication/src/main/java/lupinvalve/replication/AcceleratedExecutor.java
+++ b/replication/src/main/java/lupinvalve/replication/AcceleratedExecutor.java
@@ -8,17 +8,20 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The library's work on a schedule, at a pace of its own: it counts heartbeats in whole seconds, which would make a
- * fail-over take three and more, so its clock and all its waits run ten times as fast. Nothing else looks at that
- * clock.
+ * Runs the library's work on a scheduler, by an accelerated clock: the library counts heartbeats in whole seconds,
+ * which would make a fail-over take three and more, so its clock and all its waits run ten times as fast. Nothing else
+ * reads that clock. Safe for all threads.
  */
 final class AcceleratedExecutor extends Clock implements RaftNodeExecutor {
+    /** How much faster the library's clock runs. */
     static final int FACTOR = 10;
-    private final Scheduler schedule;
+
+    private static final int MICROS_PER_MILLI = 1_000;
+    private final Scheduler scheduler;
     private volatile boolean stopped;
 
-    AcceleratedExecutor(Scheduler schedule) {
-        this.schedule = schedule;
+    AcceleratedExecutor(Scheduler scheduler) {
+        this.scheduler = scheduler;
     }
 
     /** What was submitted and has not run yet never runs. */
@@ -36,23 +39,23 @@
 
     @Override
     public void execute(Runnable task) {
-        schedule.post(unlessStopped(task));
+        scheduler.post(unlessStopped(task));
     }
 
     @Override
     public void submit(Runnable task) {
-        schedule.post(unlessStopped(task));
+        scheduler.post(unlessStopped(task));
     }
 
     @Override
     public void schedule(Runnable task, long delay, TimeUnit unit) {
         long micros = unit.toMicros(delay) / FACTOR;
-        schedule.post(() -> schedule.after(micros, unlessStopped(task)));
+        scheduler.post(() -> scheduler.after(micros, unlessStopped(task)));
     }
 
     @Override
     public long millis() {
-        return schedule.now() * FACTOR / 1000;
+        return scheduler.now() * FACTOR / MICROS_PER_MILLI;
     }
 
     @Override
--- a/replication/src/main/java/lupinvalve/replication/AuditLog.java
+++ b/replication/src/main/java/lupinvalve/replication/AuditLog.java
@@ -3,48 +3,52 @@
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Locale;
 import lupinvalve.audit.AuditEntry;
 import lupinvalve.audit.AuditJournal;
 import lupinvalve.log.Log;
 import lupinvalve.statemachine.Command;
 
 /**
- * A member's entries on its own disk, one file for each life, each entry forced before it is acted on; and what of them
- * the group has not been told yet, those of earlier lives first. On the group's thread.
+ * A member's audit entries on its own disk, one file for each incarnation, each entry forced before what it tells of is
+ * done; and those of them that the group does not hold yet, earlier incarnations' first. On the group's thread.
  */
 final class AuditLog {
-    static final String FILE = "audit-";
-    private static final int LIVES_MOST = 8, AT_ONCE = 100;
+    /** What names of audit files begin with. */
+    static final String FILE_PREFIX = "audit-";
+
+    private static final int MAX_INCARNATIONS = 8;
+    private static final int MAX_BATCH_ENTRIES = 100;
     /**
      * The platform's clock is read once at the start and goes on by the monotonic one: what an hour of those may
      * differ.
      */
-    private static final long CLOCK_ERROR = 20_000;
+    private static final long CLOCK_ERROR_MICROS = 20_000;
 
     private final Disk disk;
-    private final String pooler, name;
-    /** Of this life's files: behind a write that failed nothing more is appended. */
+    private final String fileName;
+    private final AuditJournal journal;
+    private final List<Command.AppendAudit> earlierIncarnations = new ArrayList<>();
+    /** Which of this incarnation's files: nothing is appended behind a write that failed. */
     private int part;
 
-    private final AuditJournal journal;
-    private final List<Command.AppendAudit> earlier = new ArrayList<>();
     private Disk.Out out;
 
-    /** @param lifeMicros when this process started, which names its file */
-    AuditLog(Disk disk, String pooler, long lifeMicros) throws IOException {
+    /** @param incarnationMicros when this process started, which names its file */
+    AuditLog(Disk disk, String pooler, long incarnationMicros) throws IOException {
         this.disk = disk;
-        this.pooler = pooler;
-        name = String.format("%s%020d", FILE, lifeMicros);
-        List<String> files =
-                disk.names().stream().filter(file -> file.startsWith(FILE)).toList();
+        fileName = String.format("%s%020d", FILE_PREFIX, incarnationMicros);
+        List<String> files = disk.names().stream()
+                .filter(file -> file.startsWith(FILE_PREFIX))
+                .toList();
         for (int i = 0; i < files.size(); i++) {
-            if (i < files.size() - LIVES_MOST) {
+            if (i < files.size() - MAX_INCARNATIONS) {
                 disk.delete(files.get(i));
             } else {
-                left(files.get(i));
+                restore(files.get(i));
             }
         }
-        journal = new AuditJournal(pooler, lifeMicros, CLOCK_ERROR);
+        journal = new AuditJournal(pooler, incarnationMicros, CLOCK_ERROR_MICROS);
     }
 
     /** All entries of a file; a torn end is left out. */
@@ -58,18 +62,19 @@
         return entries;
     }
 
-    private void left(String file) {
+    private void restore(String file) {
         try {
             List<AuditEntry> entries = read(disk, file);
-            for (int from = 0; from < entries.size(); from += AT_ONCE) {
-                earlier.add(noted(entries.subList(from, Math.min(entries.size(), from + AT_ONCE))));
+            for (int from = 0; from < entries.size(); from += MAX_BATCH_ENTRIES) {
+                int end = Math.min(entries.size(), from + MAX_BATCH_ENTRIES);
+                earlierIncarnations.add(batch(entries.subList(from, end)));
             }
         } catch (IOException e) {
             Log.warn("store: %s", e.getMessage());
         }
     }
 
-    private static Command.AppendAudit noted(List<AuditEntry> entries) {
+    private static Command.AppendAudit batch(List<AuditEntry> entries) {
         AuditEntry first = entries.get(0);
         return new Command.AppendAudit(
                 first.pooler(),
@@ -78,12 +83,12 @@
                 entries.stream().map(AuditEntry::encode).toList());
     }
 
-    /** Notes something and forces it; where that fails, it must not be acted on. */
-    void note(AuditEntry.Event what, String version, long index, long nowMicros, String why) throws IOException {
-        List<AuditEntry> added = journal.add(what, version, index, nowMicros, why);
+    /** Appends an entry and forces it; where that throws, what it tells of must not be done. */
+    void append(AuditEntry.Event event, String version, long index, long nowMicros, String reason) throws IOException {
+        List<AuditEntry> added = journal.add(event, version, index, nowMicros, reason);
         try {
             if (out == null) {
-                out = disk.create(name + (part == 0 ? "" : "-" + part));
+                out = disk.create(fileName + (part == 0 ? "" : "-" + part));
             }
             for (AuditEntry entry : added) {
                 out.write(RecordFrames.frame(entry.encode()));
@@ -97,31 +102,32 @@
         }
         Log.info(
                 "store: audit: %s %s, change %s%s",
-                what.name().toLowerCase(java.util.Locale.ROOT), version, index, why.isEmpty() ? "" : ": " + why);
+                event.name().toLowerCase(Locale.ROOT), version, index, reason.isEmpty() ? "" : ": " + reason);
     }
 
-    /** What the group is to be told next, or null. */
-    Command.AppendAudit due() {
-        if (!earlier.isEmpty()) {
-            return earlier.get(0);
+    /** What is to be proposed to the group next, or null. */
+    Command.AppendAudit nextBatch() {
+        if (!earlierIncarnations.isEmpty()) {
+            return earlierIncarnations.get(0);
         }
-        List<AuditEntry> due =
-                journal.undelivered(AT_ONCE); // A summary breaks the numbers' sequence: what follows goes apart.
-        for (int i = 1; i < due.size(); i++) {
-            if (due.get(i).number() != due.get(i - 1).number() + 1) {
-                due = due.subList(0, i);
+        List<AuditEntry> undelivered = journal.undelivered(MAX_BATCH_ENTRIES);
+        // A summary breaks the numbers' sequence: what follows goes apart.
+        for (int i = 1; i < undelivered.size(); i++) {
+            if (undelivered.get(i).number() != undelivered.get(i - 1).number() + 1) {
+                undelivered = undelivered.subList(0, i);
             }
         }
-        return due.isEmpty() ? null : noted(due);
+        return undelivered.isEmpty() ? null : batch(undelivered);
     }
 
-    /** The group holds it. */
-    void delivered(Command.AppendAudit what) {
-        if (!earlier.remove(what)) {
-            journal.markDelivered(what.firstNumber() + what.entries().size() - 1);
+    /** The group holds a batch. */
+    void markDelivered(Command.AppendAudit batch) {
+        if (!earlierIncarnations.remove(batch)) {
+            journal.markDelivered(batch.firstNumber() + batch.entries().size() - 1);
         }
     }
 
+    /** Closes the file; what was appended is on it. */
     void close() {
         try {
             if (out != null) {
--- /dev/null
+++ b/replication/src/main/java/lupinvalve/replication/FolderVerification.java
@@ -0,0 +1,65 @@
+package lupinvalve.replication;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import lupinvalve.audit.AuditEntry;
+import lupinvalve.statemachine.ReplicatedState;
+
+/** Reads a stopped member's folder in full, for operators. Safe for all threads. */
+public final class FolderVerification {
+    private FolderVerification() {}
+
+    /**
+     * Reads a member's log and snapshot: what they hold, as JSON.
+     *
+     * @param withSecrets whether the configuration's secrets are shown
+     * @throws IOException with one line that says what is damaged
+     */
+    public static String verify(Path folder, boolean withSecrets) throws IOException {
+        if (!Files.isDirectory(folder)) {
+            throw new IOException(folder + ": no such folder");
+        }
+        try (Disk disk = new FolderDisk(folder, true)) {
+            SegmentedLog log = SegmentedLog.inspect(disk);
+            ReplicatedState state = RaftReplica.committedState(log);
+            ReplicatedState.Document document = state.document();
+            List<String> files = new ArrayList<>(disk.names());
+            return Json.object(out -> {
+                out.writeStringField("member", log.word().member().toString());
+                out.writeStringField("phase", log.word().phase().statusName());
+                out.writeNumberField("term", log.termNumber());
+                out.writeNumberField("last_change", log.lastIndex());
+                out.writeNumberField("accepted_change", state.appliedIndex());
+                out.writeNumberField("revision", state.revision());
+                out.writeStringField("digest", document == null ? "" : document.digest());
+                out.writeNumberField("sessions", state.sessionCount());
+                out.writeNumberField("holds", state.drains().size());
+                out.writeNumberField("files", files.size());
+                if (document != null) {
+                    out.writeFieldName("document");
+                    out.writeRawValue(withSecrets ? Json.text(document.content()) : Json.masked(document.content()));
+                }
+            });
+        }
+    }
+
+    /**
+     * Reads a member's audit entries, each incarnation's apart: what they tell, and whether they are one chain.
+     *
+     * @throws IOException with one line that says what is damaged
+     */
+    public static String verifyAudit(Path folder) throws IOException {
+        List<AuditEntry> entries = new ArrayList<>();
+        try (Disk disk = new FolderDisk(folder, false)) {
+            for (String file : disk.names()) {
+                if (file.startsWith(AuditLog.FILE_PREFIX)) {
+                    entries.addAll(AuditLog.read(disk, file));
+                }
+            }
+        }
+        return AuditQueries.verified(entries);
+    }
+}
--- a/replication/src/main/java/lupinvalve/replication/FollowLink.java
+++ b/replication/src/main/java/lupinvalve/replication/FollowLink.java
@@ -129,7 +129,9 @@
         if (greeted) {
             return;
         }
-        if (!hello.cluster().equals(way.cluster()) || !hello.name().equals(way.member()) || hello.word() == null) {
+        if (!hello.cluster().equals(way.cluster())
+                || !hello.name().equals(way.member())
+                || hello.announcement() == null) {
             throw new IOException("at " + way.address() + " is " + hello.name() + " of " + hello.cluster());
         }
         if (way.secured()) {
--- a/replication/src/main/java/lupinvalve/replication/Followers.java
+++ b/replication/src/main/java/lupinvalve/replication/Followers.java
@@ -29,19 +29,19 @@
     private record Waiting(
             long call, FollowRequest request, long sinceMicros, Consumer<WireMessages.Response> answer) {}
 
-    private final RaftMember group;
+    private final MemberRuntime group;
     private final FollowService service;
     private final Map<String, Waiting> waiting = new HashMap<>();
     private long changed, calls, wholes, differences, bytes;
 
     /** @param warm what a majority has accepted, as far as is known before the start */
-    Followers(RaftMember group, ReplicatedState warm) {
+    Followers(MemberRuntime group, ReplicatedState warm) {
         this.group = group;
         service = new FollowService(
                 group.config().audit() == OperatorConfig.Audit.OFF
                         ? "store.audit is off at " + group.config().name()
                         : "",
-                LeaseHolder.clock());
+                LeaseHolder.monotonicMicros());
         restored(warm);
     }
 
@@ -51,11 +51,11 @@
     }
 
     long floor() {
-        return service.floor(LeaseHolder.clock());
+        return service.floor(LeaseHolder.monotonicMicros());
     }
 
     void right(long untilMicros, long leadersChanged) {
-        service.right(untilMicros, leadersChanged, LeaseHolder.clock());
+        service.right(untilMicros, leadersChanged, LeaseHolder.monotonicMicros());
     }
 
     /** A change has been applied here. */
@@ -72,7 +72,7 @@
     /** What holds has been taken from a snapshot, or has changed. */
     void restored(ReplicatedState ledger) {
         changed = Math.max(changed, ledger.appliedIndex());
-        service.applied(ledger.document(), ledger.drains(), ledger.appliedIndex(), LeaseHolder.clock());
+        service.applied(ledger.document(), ledger.drains(), ledger.appliedIndex(), LeaseHolder.monotonicMicros());
         List<String> due = new ArrayList<>();
         waiting.forEach((who, one) -> {
             if (service.hasNews(one.request())) {
@@ -93,13 +93,15 @@
         FollowRequest request = FollowRequest.read(call.arguments().get(0));
         calls++;
         service.asked(caller);
-        Waiting one = new Waiting(call.id(), request, LeaseHolder.clock(), answer);
+        Waiting one = new Waiting(call.id(), request, LeaseHolder.monotonicMicros(), answer);
         if (!waiting.containsKey(caller) && waiting.size() >= MOST) {
             refuse(one, "too many follow this member");
             return;
         }
         waiting.put(caller, one);
-        if (service.hasNews(request) || unfit() != null || service.mayBeLetIn(caller, request, LeaseHolder.clock())) {
+        if (service.hasNews(request)
+                || unfit() != null
+                || service.mayBeLetIn(caller, request, LeaseHolder.monotonicMicros())) {
             answer(caller, one);
         } else {
             group.loop().after(FollowService.HOLD, () -> answer(caller, one));
@@ -108,15 +110,16 @@
 
     /** Why a subscriber does better at another member, or null. */
     private String unfit() {
-        if (group.replica() == null || group.ended() != null) {
-            return group.ended() != null
-                    ? "this member takes no part any more: " + group.ended()
+        if (group.replica() == null || group.termination() != null) {
+            return group.termination() != null
+                    ? "this member takes no part any more: "
+                            + group.termination().reason()
                     : "the group is not founded yet";
         }
-        if (group.adoption().isCutOff()) {
+        if (group.configuration().isCutOff()) {
             return "cut off from the majority";
         }
-        return service.powerless(LeaseHolder.clock()) ? "this member has no lease itself" : null;
+        return service.powerless(LeaseHolder.monotonicMicros()) ? "this member has no lease itself" : null;
     }
 
     private static void refuse(Waiting one, String why) {
@@ -132,7 +135,7 @@
             refuse(one, unfit);
             return;
         }
-        long now = LeaseHolder.clock();
+        long now = LeaseHolder.monotonicMicros();
         FollowAnswer answer = service.answer(who, one.request(), now - one.sinceMicros(), now);
         wholes += answer.news() instanceof FollowAnswer.News.Whole ? 1 : 0;
         differences += answer.news() instanceof FollowAnswer.News.Differences ? 1 : 0;
@@ -144,7 +147,7 @@
     /** Who follows, and sums since the start; bytes are those of answers. */
     void status(JsonGenerator out) throws IOException {
         out.writeNumberField("subscribers_waiting", waiting.size());
-        out.writeNumberField("subscribers_with_lease", service.holding(LeaseHolder.clock()));
+        out.writeNumberField("subscribers_with_lease", service.holding(LeaseHolder.monotonicMicros()));
         out.writeNumberField("follow_calls", calls);
         out.writeNumberField("follow_wholes", wholes);
         out.writeNumberField("follow_differences", differences);
--- a/replication/src/main/java/lupinvalve/replication/GroupClient.java
+++ b/replication/src/main/java/lupinvalve/replication/GroupClient.java
@@ -11,7 +11,6 @@
 import java.security.GeneralSecurityException;
 import java.security.cert.CertificateFactory;
 import java.security.cert.X509Certificate;
-import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
@@ -21,27 +20,38 @@
 import lupinvalve.net.Addresses;
 
 /**
- * Asks the group, for the command line: one member after another until one can answer. What may have happened is told
- * as that, and not asked again, unless asking again can do no harm.
+ * Sends requests to the group, for the command line and for tools: one member after another until one can answer. What
+ * may have happened is reported as that, and not retried unless a retry can do no harm. Safe for all threads.
  */
 public final class GroupClient {
-    private static final int CONNECT_MILLIS = 2_000, PAUSE_MILLIS = 150, LENGTH_MOST = 16 << 20;
-    private final String cluster, name;
+    private static final int CONNECT_TIMEOUT_MILLIS = 2_000;
+    private static final int RETRY_BACKOFF_MILLIS = 150;
+
+    private final String cluster;
+    private final String name;
+    /** Null without TLS. */
     private final SSLContext tls;
+
     private final Map<String, String> members;
 
-    /** What came of it. */
+    /** What became of a request: a JSON text, or why there is none. */
     public record Result(WireMessages.Status status, String text) {}
 
-    /** @param members whom to ask, by name; the first that answers is asked */
+    /**
+     * A client that has shown nothing yet.
+     *
+     * @param members addresses of the members to ask, by name
+     * @param files keys and certificates, or null for none
+     * @throws IOException where the keys can't be used
+     */
     public GroupClient(String cluster, Map<String, String> members, OperatorConfig.Tls files) throws IOException {
         this.cluster = cluster;
         this.members = members;
         tls = files == null ? null : Tls.context(files);
-        name = files == null ? "operator" : named(files);
+        name = files == null ? "operator" : certifiedName(files);
     }
 
-    private static String named(OperatorConfig.Tls files) throws IOException {
+    private static String certifiedName(OperatorConfig.Tls files) throws IOException {
         try {
             X509Certificate own = (X509Certificate) CertificateFactory.getInstance("X.509")
                     .generateCertificate(new ByteArrayInputStream(Files.readAllBytes(files.certificate())));
@@ -52,26 +62,13 @@
         }
     }
 
-    /** Reads a stopped member's audit entries, each life's apart, and says whether they are one chain. */
-    public static String verifyAudit(java.nio.file.Path folder) throws IOException {
-        List<lupinvalve.audit.AuditEntry> all = new ArrayList<>();
-        try (Disk disk = new FolderDisk(folder, false)) {
-            for (String file : disk.names()) {
-                if (file.startsWith(AuditLog.FILE)) {
-                    all.addAll(AuditLog.read(disk, file));
-                }
-            }
-        }
-        return AuditQueries.verified(all);
-    }
-
     /**
-     * Asks until there is an answer or the time is over.
+     * Sends a request until there is a response or the time is over.
      *
-     * @param again whether it may be asked again where it may have happened
+     * @param idempotent whether it may be retried where it may have happened
      */
-    public Result ask(String call, List<byte[]> arguments, boolean again, long withinMillis) {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(withinMillis);
+    public Result call(String request, List<byte[]> arguments, boolean idempotent, long timeoutMillis) {
+        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMillis);
         Result last = new Result(WireMessages.Status.RETRY, "no member is in reach");
         while (true) {
             for (Map.Entry<String, String> member : members.entrySet()) {
@@ -79,16 +76,16 @@
                 if (left <= 0) {
                     return last;
                 }
-                last = ask(member.getKey(), member.getValue(), call, arguments, left);
+                last = callMember(member.getKey(), member.getValue(), request, arguments, left);
                 boolean over = last.status() == WireMessages.Status.INDETERMINATE
-                        ? !again
+                        ? !idempotent
                         : last.status() != WireMessages.Status.RETRY;
                 if (over) {
                     return last;
                 }
             }
             try {
-                Thread.sleep(PAUSE_MILLIS);
+                Thread.sleep(RETRY_BACKOFF_MILLIS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
                 return last;
@@ -98,7 +95,7 @@
 
     private static byte[] message(DataInputStream in) throws IOException {
         int length = in.readInt();
-        if (length < 1 || length > LENGTH_MOST) {
+        if (length < 1 || length > WireMessages.MAX_LENGTH_BYTES) {
             throw new IOException("a message of " + length + " bytes");
         }
         byte[] message = new byte[length];
@@ -106,13 +103,14 @@
         return message;
     }
 
-    private Result ask(String member, String address, String call, List<byte[]> arguments, long withinMillis) {
+    private Result callMember(
+            String member, String address, String request, List<byte[]> arguments, long timeoutMillis) {
         boolean sent = false;
-        try (Session session = open(member, address, withinMillis)) {
+        try (Session session = open(member, address, timeoutMillis)) {
             sent = true;
-            session.send(call, arguments);
-            WireMessages.Response answer = session.receive();
-            return new Result(answer.status(), answer.text());
+            session.send(request, arguments);
+            WireMessages.Response response = session.receive();
+            return new Result(response.status(), response.text());
         } catch (IOException | IllegalArgumentException e) {
             String why = member + " at " + address + ": "
                     + (e.getMessage() == null ? e.getClass().getSimpleName() : e.getMessage());
@@ -120,14 +118,18 @@
         }
     }
 
-    /** A connection to one member, for several calls under way at once. */
-    public Session open(String member, String address, long withinMillis) throws IOException {
+    /**
+     * A connection to one member, for several requests in flight at once.
+     *
+     * @throws IOException where it can't be reached, or is not who it should be
+     */
+    public Session open(String member, String address, long timeoutMillis) throws IOException {
         Socket plain = new Socket();
         try {
             InetSocketAddress at = Addresses.parse(address);
-            plain.connect(at, (int) Math.min(CONNECT_MILLIS, withinMillis));
+            plain.connect(at, (int) Math.min(CONNECT_TIMEOUT_MILLIS, timeoutMillis));
             plain.setTcpNoDelay(true);
-            plain.setSoTimeout((int) Math.min(Integer.MAX_VALUE, withinMillis));
+            plain.setSoTimeout((int) Math.min(Integer.MAX_VALUE, timeoutMillis));
             Socket socket = plain;
             if (tls != null) {
                 SSLSocket secure =
@@ -144,11 +146,11 @@
         }
     }
 
-    /** Calls on one connection; answers come in any order. One thread may send while another receives. */
+    /** Requests on one connection; responses come in any order. One thread may send while another receives. */
     public final class Session implements Closeable {
         private final Socket socket;
         private final DataInputStream in;
-        private long last;
+        private long lastId;
 
         private Session(Socket socket) throws IOException {
             this.socket = socket;
@@ -157,12 +159,13 @@
             socket.getOutputStream().write(new WireMessages.Hello(cluster, name, "", null).write());
         }
 
-        /** Sends a call; gives its number. */
-        public long send(String call, List<byte[]> arguments) throws IOException {
-            socket.getOutputStream().write(new WireMessages.Request(++last, call, arguments).write());
-            return last;
+        /** Sends a request; gives its number. */
+        public long send(String request, List<byte[]> arguments) throws IOException {
+            socket.getOutputStream().write(new WireMessages.Request(++lastId, request, arguments).write());
+            return lastId;
         }
 
+        /** Waits for the next response, to whichever request. */
         public WireMessages.Response receive() throws IOException {
             while (true) {
                 byte[] message = message(in);
@@ -177,39 +180,4 @@
             socket.close();
         }
     }
-
-    /**
-     * A stopped member's folder, read whole: what it holds, as JSON. Throws with one line that says what is damaged.
-     */
-    public static String verify(java.nio.file.Path folder, boolean secrets) throws IOException {
-        if (!Files.isDirectory(folder)) {
-            throw new IOException(folder + ": no such folder");
-        }
-        try (Disk disk = new FolderDisk(folder, true)) {
-            SegmentedLog log = SegmentedLog.inspect(disk);
-            lupinvalve.statemachine.ReplicatedState ledger = RaftReplica.warm(log);
-            List<String> files = new ArrayList<>(disk.names());
-            return Json.object(out -> {
-                out.writeStringField("member", log.word().member().toString());
-                out.writeStringField("phase", log.word().phase().statusName());
-                out.writeNumberField("term", log.termNumber());
-                out.writeNumberField("last_change", log.lastIndex());
-                out.writeNumberField("accepted_change", ledger.appliedIndex());
-                out.writeNumberField("revision", ledger.revision());
-                out.writeStringField(
-                        "digest",
-                        ledger.document() == null ? "" : ledger.document().digest());
-                out.writeNumberField("sessions", ledger.sessionCount());
-                out.writeNumberField("holds", ledger.drains().size());
-                out.writeNumberField("files", files.size());
-                if (ledger.document() != null) {
-                    out.writeFieldName("document");
-                    out.writeRawValue(
-                            secrets
-                                    ? Json.text(ledger.document().content())
-                                    : Json.masked(ledger.document().content()));
-                }
-            });
-        }
-    }
 }
--- a/replication/src/main/java/lupinvalve/replication/IdentityFile.java
+++ b/replication/src/main/java/lupinvalve/replication/IdentityFile.java
@@ -18,7 +18,7 @@
         List<byte[]> contents = new ArrayList<>();
         RecordFrames.read(NAME, disk.read(NAME), false, contents);
         if (contents.size() != 1) {
-            throw new RecordFrames.Damaged(NAME + ": " + contents.size() + " records in place of one");
+            throw new RecordFrames.CorruptException(NAME + ": " + contents.size() + " records in place of one");
         }
         Cbor.Reader in = new Cbor.Reader(contents.get(0));
         long format = in.number();
--- a/replication/src/main/java/lupinvalve/replication/LeaseHolder.java
+++ b/replication/src/main/java/lupinvalve/replication/LeaseHolder.java
@@ -3,6 +3,8 @@
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
+import java.util.OptionalLong;
+import java.util.function.Consumer;
 import lupinvalve.audit.AuditEntry;
 import lupinvalve.audit.Lease;
 import lupinvalve.audit.LeaseManager;
@@ -13,110 +15,150 @@
 import lupinvalve.statemachine.ReplicatedState;
 
 /**
- * What this member acts on and for how long it may: its lease, its entries, and, while it leads, the leases of all. On
- * the group's thread but for {@link #holds}.
+ * For how long this member may serve: renews its lease, and notes in the audit log what it serves on and when it may
+ * not. On the group's thread but for {@link #mayServe}.
  */
 final class LeaseHolder {
-    private static final long CONFIRM = 100_000, ANSWER = 1_000_000, DELIVER = 200_000, UNTOLD = -1;
+    /** How soon a lease is requested again that was not granted, or has less than half of its time left. */
+    private static final long RETRY_INTERVAL_MICROS = 100_000;
+
+    private static final long REQUEST_TIMEOUT_MICROS = 1_000_000;
+    private static final long NANOS_PER_MICRO = 1_000;
 
     /** What it needs of the member that it belongs to. */
-    interface Member {
+    interface Host {
+        /** This member's part in the group, or null. */
         RaftReplica replica();
 
+        /** The leader as far as is known here, or null. */
         MemberId leader();
 
-        /** Runs work, on the group's thread, once the pooler acts on all that it was told so far. */
-        void reached(Runnable then);
+        /** Runs work, on the group's thread, once the pooler has applied all that it was notified of so far. */
+        void runAfterApplied(Runnable then);
 
-        /** Why the pooler can't act on what holds, or empty. */
+        /** Why the pooler can't serve on the committed configuration, or empty. */
         String objection();
 
+        /** Sends a request to another member; there is a response within the time in any case. */
         void call(
-                MemberId whom,
-                String what,
+                MemberId member,
+                String name,
                 List<byte[]> arguments,
-                long withinMicros,
-                java.util.function.Consumer<WireMessages.Response> then);
+                long timeoutMicros,
+                Consumer<WireMessages.Response> then);
 
-        void propose(Command change, java.util.function.Consumer<Boolean> accepted);
+        /** Proposes a command; {@code then} is told whether it was committed. */
+        void propose(Command command, Consumer<Boolean> then);
 
-        /** The last change that matters to poolers, as applied here. */
-        long changed();
+        /** The last log index that matters to poolers, as applied here. */
+        long relevantIndex();
 
-        /** Up to which change those act that follow this member by a lease of its own. */
-        long followersFloor();
+        /** Up to which log index those serve that follow this member with leases of its own. */
+        long followersIndex();
 
-        /**
-         * This member may act until then; when that was granted, the leader had applied a change that matters to
-         * poolers.
-         */
-        void right(long untilMicros, long leadersChanged);
+        /** This member holds a lease; at its grant the leader had applied a relevant change at that index. */
+        void onLeaseGranted(long untilMicros, long leaderRelevantIndex);
     }
 
-    private final Member member;
+    private final Host host;
     private final String name;
-    private final boolean fences;
-    private final AuditLog book;
+    private final boolean fencingEnabled;
+    private final AuditLog auditLog;
+    private final AuditDelivery delivery;
+    private final LeaseGrantor grantor = new LeaseGrantor();
     private final Lease lease;
-    private LeaseManager leases;
-    private long acting, asked, confirmAsked, confirmed, delivered;
-    private boolean confirming, delivering, fenced;
-    private MemberId waiting;
-    private String version = "", shutOut = "";
-
-    LeaseHolder(Member member, String name, boolean fences, Disk disk, long lifeMicros) throws IOException {
-        this.member = member;
+    private long servedIndex;
+    private long requestedMicros;
+    private boolean fenced;
+    /** The member whose response is awaited, or null. */
+    private MemberId awaited;
+
+    private String version = "";
+    private String denialReason = "";
+
+    LeaseHolder(Host host, String name, boolean fencingEnabled, Disk disk, long incarnationMicros) throws IOException {
+        this.host = host;
         this.name = name;
-        this.fences = fences;
-        book = new AuditLog(disk, name, lifeMicros);
-        lease = new Lease(clock());
-        fenced = fences;
-        book.note(AuditEntry.Event.STARTED, "", 0, lifeMicros, "");
-        if (fences) {
-            book.note(AuditEntry.Event.FENCED, "", 0, lifeMicros, "no lease yet");
+        this.fencingEnabled = fencingEnabled;
+        auditLog = new AuditLog(disk, name, incarnationMicros);
+        delivery = new AuditDelivery(auditLog, host::propose);
+        lease = new Lease(monotonicMicros());
+        fenced = fencingEnabled;
+        auditLog.append(AuditEntry.Event.STARTED, "", 0, incarnationMicros, "");
+        if (fencingEnabled) {
+            auditLog.append(AuditEntry.Event.FENCED, "", 0, incarnationMicros, "no lease yet");
         }
     }
 
-    /** A clock that never jumps, in microseconds; leases are counted by it alone. */
-    static long clock() {
-        return System.nanoTime() / 1000;
+    /** A clock that never jumps; leases are counted by it alone. */
+    static long monotonicMicros() {
+        return System.nanoTime() / NANOS_PER_MICRO;
+    }
+
+    /** How a document is named as a version. */
+    static String versionOf(ReplicatedState.Document document) {
+        return document.revision() + "-" + document.digest();
+    }
+
+    /** Whether the pooler may serve now; from any thread. */
+    boolean mayServe() {
+        return !fencingEnabled || lease.isValid(monotonicMicros());
     }
 
-    /** Whether the pooler may act now; from any thread. */
-    boolean holds() {
-        return !fences || lease.isValid(clock());
+    /** The leases that this member grants while it leads. */
+    LeaseGrantor grantor() {
+        return grantor;
     }
 
-    // ---- entries ----
-    /** A version is about to be acted on: noted and forced first. False where the disk failed: then it must not be. */
-    boolean adopts(String next, long index, long nowMicros) {
-        look(nowMicros);
+    /** How much time the lease has left. */
+    long remainingMicros() {
+        return Math.max(0, lease.untilMicros() - monotonicMicros());
+    }
+
+    /** What the leader said where it last denied a lease, or empty. */
+    String denialReason() {
+        return denialReason;
+    }
+
+    /** Up to which log index the pooler serves. */
+    long servedIndex() {
+        return servedIndex;
+    }
+
+    // ---- audit entries; times are Unix times ----
+
+    /** A version is about to be applied: noted and forced first. False where the disk failed: then it must not be. */
+    boolean onAdopting(String next, long index, long nowMicros) {
+        noteFencing(nowMicros);
         return note(AuditEntry.Event.ADOPTED, next, index, nowMicros, "");
     }
 
-    /** The pooler acts on nothing but this version from now on. */
-    void acts(String next, long index, long nowMicros) {
-        look(nowMicros);
+    /** The pooler serves on nothing but this version from now on. */
+    void onAdopted(String next, long index, long nowMicros) {
+        noteFencing(nowMicros);
         version = next;
         note(AuditEntry.Event.CEASED_OTHERS, next, index, nowMicros, "");
     }
 
-    void refuses(String next, long index, long nowMicros, String why) {
-        note(AuditEntry.Event.REFUSED, next, index, nowMicros, why);
+    /** The pooler can't serve on a committed version. */
+    void onRejected(String next, long index, long nowMicros, String reason) {
+        note(AuditEntry.Event.REFUSED, next, index, nowMicros, reason);
     }
 
-    void inTouch(boolean now, long nowMicros) {
-        note(now ? AuditEntry.Event.BACK : AuditEntry.Event.CUT_OFF, version, acting, nowMicros, "");
+    /** Contact with a majority is lost, or there again. */
+    void onQuorumContact(boolean inTouch, long nowMicros) {
+        note(inTouch ? AuditEntry.Event.BACK : AuditEntry.Event.CUT_OFF, version, servedIndex, nowMicros, "");
     }
 
-    void ends(long nowMicros) {
-        note(AuditEntry.Event.ENDED, version, acting, nowMicros, "");
-        book.close();
+    /** The process ends; nothing may be noted afterwards. */
+    void close(long nowMicros) {
+        note(AuditEntry.Event.ENDED, version, servedIndex, nowMicros, "");
+        auditLog.close();
     }
 
-    private boolean note(AuditEntry.Event what, String of, long index, long nowMicros, String why) {
+    private boolean note(AuditEntry.Event event, String of, long index, long nowMicros, String reason) {
         try {
-            book.note(what, of, index, nowMicros, why);
+            auditLog.append(event, of, index, nowMicros, reason);
             return true;
         } catch (IOException e) {
             Log.error("store: an audit entry can't be kept: %s", e.getMessage());
@@ -124,187 +166,103 @@
         }
     }
 
-    // ---- leases ----
-    /** Called ten times a second. */
-    void tick(boolean leads, long nowMicros) {
-        long now = clock();
-        RaftReplica replica = member.replica();
-        if (!leads) {
-            leases = null;
-        }
-        if (leads && !confirming && now - confirmAsked >= CONFIRM) {
-            confirming = true;
-            confirmAsked = now;
-            replica.upToDate((fate, ok) -> {
-                confirming = false;
-                if (fate != RaftReplica.Completion.DONE) {
-                    return;
-                }
-                confirmed = now;
-                if (leases == null) { // All that leaders before have called done is in the ledger by now.
-                    leases = new LeaseManager(clock(), replica.ledger().appliedIndex());
-                }
-            });
-        }
-        if (replica != null) {
-            long upTo = replica.ledger().appliedIndex();
-            member.reached(() -> acting = Math.max(acting, upTo));
-        }
-        renew(leads, now);
-        look(nowMicros);
-        deliver(now);
-    }
-
     /**
      * Notes that the lease has ended, at the time when it did, or that there is one again. Before anything else is
      * noted, as a process that stood still hears of many things at once when it wakes.
      */
-    private void look(long nowMicros) {
-        long now = clock();
-        if (fences && fenced == lease.isValid(now)) {
+    private void noteFencing(long nowMicros) {
+        long monotonicMicros = monotonicMicros();
+        if (fencingEnabled && fenced == lease.isValid(monotonicMicros)) {
             fenced = !fenced;
             note(
                     fenced ? AuditEntry.Event.FENCED : AuditEntry.Event.RETURNED,
                     version,
-                    acting,
-                    fenced ? nowMicros - (now - lease.untilMicros()) : nowMicros,
-                    fenced ? shutOut : "");
-        }
-    }
-
-    private void renew(boolean leads, long now) {
-        MemberId leader = member.leader();
-        if (leader == null
-                || leader.equals(waiting)
-                || now - asked
-                        < (lease.untilMicros() - now > Lease.DURATION_MICROS / 2
-                                ? Lease.RENEW_INTERVAL_MICROS
-                                : CONFIRM)) {
-            return;
-        }
-        asked = now;
-        if (leads) {
-            granted(grant(name, acting, member.objection(), member.followersFloor()), now, member.changed());
-            return;
+                    servedIndex,
+                    fenced ? nowMicros - (monotonicMicros - lease.untilMicros()) : nowMicros,
+                    fenced ? denialReason : "");
         }
-        waiting = leader;
-        member.call(
-                leader,
-                "lease",
-                List.of(
-                        bytes(name),
-                        bytes(Long.toString(acting)),
-                        bytes(member.objection()),
-                        bytes(Long.toString(member.followersFloor()))),
-                ANSWER,
-                answer -> { // One who leads no more may answer late; what it granted still counts from when it was
-                    // asked.
-                    waiting = leader.equals(waiting) ? null : waiting;
-                    if (answer.status() == WireMessages.Status.OK) {
-                        granted(
-                                new LeaseManager.Renewal(Long.parseLong(answer.text()), ""),
-                                now,
-                                leadersChanged(answer));
-                    } else if (answer.status() == WireMessages.Status.REJECTED) {
-                        granted(new LeaseManager.Renewal(0, answer.text()), now, UNTOLD);
-                    }
-                });
     }
 
-    /** A leader of an earlier version does not tell: then nothing can be granted to subscribers. */
-    private static long leadersChanged(WireMessages.Response answer) {
-        try {
-            return answer.content().length == 0 ? UNTOLD : new Cbor.Reader(answer.content()).number();
-        } catch (IOException e) {
-            return UNTOLD;
-        }
-    }
+    // ---- the lease ----
 
-    private void granted(LeaseManager.Renewal granted, long askedAt, long leadersChanged) {
-        if (granted.durationMicros() > 0) {
-            lease.onGranted(askedAt, granted.durationMicros());
-            if (leadersChanged != UNTOLD) {
-                member.right(Lease.endMicros(askedAt, granted.durationMicros()), leadersChanged);
-            }
-            shutOut = "";
-        } else if (!granted.reason().isEmpty()) {
-            shutOut = granted.reason();
+    /** Called ten times a second. */
+    void tick(boolean leads, long nowMicros) {
+        long monotonicMicros = monotonicMicros();
+        RaftReplica replica = host.replica();
+        grantor.tick(leads, replica, monotonicMicros);
+        if (replica != null) {
+            long appliedIndex = replica.state().appliedIndex();
+            host.runAfterApplied(() -> servedIndex = Math.max(servedIndex, appliedIndex));
         }
+        renew(leads, monotonicMicros);
+        noteFencing(nowMicros);
+        delivery.tick(host.leader() != null, monotonicMicros);
     }
 
-    /**
-     * The leader's answer to a request for a lease. Nothing is granted past what it could be sure of when a majority
-     * last confirmed that it leads: a later leader counts its own wait from its election, which came after that.
-     */
-    LeaseManager.Renewal grant(String pooler, long actsOn, String objection, long followersFloor) {
-        long now = clock();
-        long left = leases == null ? 0 : confirmed + Lease.DURATION_MICROS - now;
-        if (left <= 0) {
-            return new LeaseManager.Renewal(0, "");
-        }
-        LeaseManager.Renewal granted = leases.renew(pooler, actsOn, objection, followersFloor, now);
-        return granted.durationMicros() == 0
-                ? granted
-                : new LeaseManager.Renewal(Math.min(left, granted.durationMicros()), "");
+    private boolean renewalDue(long nowMicros) {
+        boolean fresh = lease.untilMicros() - nowMicros > Lease.DURATION_MICROS / 2;
+        return nowMicros - requestedMicros >= (fresh ? Lease.RENEW_INTERVAL_MICROS : RETRY_INTERVAL_MICROS);
     }
 
-    /** The leader's: a strict change has been accepted. */
-    void strict(long index) {
-        if (leases != null) {
-            leases.requireIndex(index, clock());
+    private void renew(boolean leads, long nowMicros) {
+        MemberId leader = host.leader();
+        if (leader == null || leader.equals(awaited) || !renewalDue(nowMicros)) {
+            return;
         }
-    }
-
-    /**
-     * The leader's: who must be waited for before a change is done; null where it leads no more. A lease counts as
-     * ended only where it had when a majority last confirmed that this member leads: one that has stood still does not
-     * know what others have granted since.
-     */
-    List<String> waitedFor(long index, List<String> poolers) {
-        return leases == null ? null : leases.pendingPoolers(index, poolers, confirmed);
-    }
-
-    /** The leader's: who may not act, with reasons. */
-    java.util.Map<String, String> stragglers(List<String> poolers) {
-        return leases == null ? java.util.Map.of() : leases.excludedPoolers(poolers, clock());
-    }
-
-    // ---- delivery ----
-    private void deliver(long now) {
-        Command.AppendAudit due =
-                delivering || member.leader() == null || now - delivered < DELIVER ? null : book.due();
-        if (due == null) {
+        requestedMicros = nowMicros;
+        if (leads) {
+            LeaseManager.Renewal renewal = grantor.grant(name, servedIndex, host.objection(), host.followersIndex());
+            onRenewal(renewal, nowMicros, OptionalLong.of(host.relevantIndex()));
             return;
         }
-        delivering = true;
-        delivered = now;
-        member.propose(due, accepted -> {
-            delivering = false;
-            if (accepted) {
-                book.delivered(due);
-            }
+        awaited = leader;
+        List<byte[]> arguments = List.of(
+                bytes(name),
+                bytes(Long.toString(servedIndex)),
+                bytes(host.objection()),
+                bytes(Long.toString(host.followersIndex())));
+        host.call(leader, RequestHandler.LEASE, arguments, REQUEST_TIMEOUT_MICROS, response -> {
+            // One who leads no more may answer late; what it granted still counts from the request.
+            awaited = leader.equals(awaited) ? null : awaited;
+            onResponse(response, nowMicros);
         });
     }
 
-    /** What is told of it in the status: how long the lease has left, and what was said where it was not granted. */
-    long leaseMicros() {
-        return Math.max(0, lease.untilMicros() - clock());
+    private void onResponse(WireMessages.Response response, long requestMicros) {
+        if (response.status() == WireMessages.Status.OK) {
+            long durationMicros = Long.parseLong(response.text());
+            onRenewal(new LeaseManager.Renewal(durationMicros, ""), requestMicros, leaderRelevantIndex(response));
+        } else if (response.status() == WireMessages.Status.REJECTED) {
+            onRenewal(new LeaseManager.Renewal(0, response.text()), requestMicros, OptionalLong.empty());
+        }
     }
 
-    String shutOut() {
-        return shutOut;
+    /** A leader of an earlier version does not tell: then nothing can be granted to subscribers. */
+    private static OptionalLong leaderRelevantIndex(WireMessages.Response response) {
+        if (response.content().length == 0) {
+            return OptionalLong.empty();
+        }
+        try {
+            return OptionalLong.of(new Cbor.Reader(response.content()).number());
+        } catch (IOException e) {
+            return OptionalLong.empty();
+        }
     }
 
-    long acting() {
-        return acting;
+    private void onRenewal(LeaseManager.Renewal renewal, long requestMicros, OptionalLong leaderRelevantIndex) {
+        if (renewal.durationMicros() > 0) {
+            lease.onGranted(requestMicros, renewal.durationMicros());
+            if (leaderRelevantIndex.isPresent()) {
+                host.onLeaseGranted(
+                        Lease.endMicros(requestMicros, renewal.durationMicros()), leaderRelevantIndex.getAsLong());
+            }
+            denialReason = "";
+        } else if (!renewal.reason().isEmpty()) {
+            denialReason = renewal.reason();
+        }
     }
 
     private static byte[] bytes(String text) {
         return text.getBytes(StandardCharsets.UTF_8);
     }
-
-    /** How a document is named as a version. */
-    static String version(ReplicatedState.Document document) {
-        return document.revision() + "-" + document.digest();
-    }
 }
--- a/replication/src/main/java/lupinvalve/replication/LegacyStoreImport.java
+++ b/replication/src/main/java/lupinvalve/replication/LegacyStoreImport.java
@@ -5,9 +5,12 @@
 import java.util.function.Predicate;
 import lupinvalve.statemachine.Command;
 
-/** Brings what an earlier store left at this member into the group once the member leads. Without I/O of its own. */
+/**
+ * Brings what the store of an earlier version left at this member into the group once the member leads. Without I/O of
+ * its own.
+ */
 final class LegacyStoreImport {
-    /** What was left. */
+    /** What the earlier version left. */
     interface Source {
         /** The configuration, or null. */
         byte[] document();
@@ -15,36 +18,40 @@
         /** Sessions' last commits. */
         Map<String, Long> sessions();
 
-        /** It has been taken over and is not to be looked at again; whether that could be noted. */
-        boolean done();
+        /** Notes that all is imported and is not to be read again; whether that could be noted. */
+        boolean markImported();
     }
 
-    private Source left;
+    /** Null where there is nothing to import, or an import is under way. */
+    private Source source;
 
-    /** @param left null where nothing was */
-    LegacyStoreImport(Source left) {
-        this.left = left;
+    /** @param source null where nothing was left */
+    LegacyStoreImport(Source source) {
+        this.source = source;
     }
 
     /**
      * Called while this member leads: proposes what was left where the group has no configuration yet. Where it has
-     * one, that one stays, and what was left is done with.
+     * one, that one stays, and the import is over.
      *
-     * @param fits whether a document can be a configuration
+     * @param valid whether a document can be a configuration
+     * @param commits gets each session's last commit
      */
-    void lead(RaftReplica replica, Predicate<byte[]> fits, BiConsumer<String, Long> commits) {
-        Source what = left;
-        left = null;
-        if (what == null) {
+    void propose(RaftReplica leader, Predicate<byte[]> valid, BiConsumer<String, Long> commits) {
+        Source current = source;
+        source = null;
+        if (current == null) {
             return;
         }
-        what.sessions().forEach(commits);
-        if (what.document() == null || !fits.test(what.document())) {
-            left = what.done() ? null : what;
+        current.sessions().forEach(commits);
+        if (current.document() == null || !valid.test(current.document())) {
+            source = current.markImported() ? null : current;
             return;
         }
-        replica.propose(
-                new Command.PutDocument(0, what.document()),
-                (fate, outcome) -> left = fate == RaftReplica.Completion.DONE && what.done() ? null : what);
+        Command.PutDocument first = new Command.PutDocument(0, current.document());
+        leader.propose(first, (completion, outcome) -> {
+            boolean imported = completion == RaftReplica.Completion.DONE && current.markImported();
+            source = imported ? null : current;
+        });
     }
 }
--- a/replication/src/main/java/lupinvalve/replication/MemberEndpoint.java
+++ b/replication/src/main/java/lupinvalve/replication/MemberEndpoint.java
@@ -9,10 +9,10 @@
 import lupinvalve.statemachine.MemberId;
 
 /** A member as the library names it. */
-record MemberEndpoint(MemberId identity) implements RaftEndpoint {
+record MemberEndpoint(MemberId member) implements RaftEndpoint {
     @Override
     public Object getId() {
-        return identity;
+        return member;
     }
 
     static Set<MemberId> identities(Collection<RaftEndpoint> all) {
--- a/replication/src/main/java/lupinvalve/replication/NumberedFile.java
+++ b/replication/src/main/java/lupinvalve/replication/NumberedFile.java
@@ -13,11 +13,11 @@
     }
 
     /** The number of a file of a kind. */
-    static long number(String name, String kind) throws RecordFrames.Damaged {
+    static long number(String name, String kind) throws RecordFrames.CorruptException {
         try {
             return Long.parseLong(name.substring(kind.length()));
         } catch (NumberFormatException e) {
-            throw new RecordFrames.Damaged(name + ": not a name of this program's");
+            throw new RecordFrames.CorruptException(name + ": not a name of this program's");
         }
     }
 }
--- a/replication/src/main/java/lupinvalve/replication/OldStore.java
+++ b/replication/src/main/java/lupinvalve/replication/OldStore.java
@@ -93,7 +93,7 @@
     }
 
     @Override
-    public boolean done() {
+    public boolean markImported() {
         try {
             Files.move(folder.resolve(FILE), folder.resolve(DONE), StandardCopyOption.REPLACE_EXISTING);
             Log.info("store: what the earlier store left has been taken over; its file is now %s", DONE);
--- a/replication/src/main/java/lupinvalve/replication/PeerConnections.java
+++ b/replication/src/main/java/lupinvalve/replication/PeerConnections.java
@@ -10,6 +10,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
+import java.util.function.Consumer;
 import lupinvalve.core.Deadlines;
 import lupinvalve.core.Loop;
 import lupinvalve.log.Log;
@@ -20,408 +21,448 @@
 import lupinvalve.statemachine.MemberId;
 
 /**
- * The connections between members, and those of operators. Each member dials all others that it knows an address of; of
- * two connections to one, either does. On the store's own thread.
+ * The connections between members, and those of operators and subscribers. Each member dials all others that it knows
+ * an address of; of two connections to one, either does. On the group's thread.
  */
 final class PeerConnections implements RaftReplica.MessageSender {
-    private static final long RETRY = 300_000,
-            RETRY_MOST = 3_000_000,
-            BEAT = 500_000,
-            SILENCE = 2_500_000,
-            HELLO_WITHIN = 3_000_000;
-    /** Connections taken at most: members, operators with their tools, and subscribers. */
-    private static final int TAKEN_MOST = 64 + Followers.MOST;
-
-    private static final int CALLS_MOST = 1000;
-
-    /**
-     * Says who a connection's peer is by its certificate, or that it needs none; throws where it is not who it says.
-     */
-    interface Proof {
-        void check(Link link, String name, boolean member) throws IOException;
+    private static final long REDIAL_BACKOFF_MICROS = 300_000;
+    private static final long MAX_REDIAL_BACKOFF_MICROS = 3_000_000;
+    /** Of one backoff to the next, as a fraction. */
+    private static final int BACKOFF_NUMERATOR = 3;
+
+    private static final int BACKOFF_DENOMINATOR = 2;
+    /** How often each side of a connection shows that it lives. */
+    static final long HEARTBEAT_INTERVAL_MICROS = 500_000;
+
+    private static final long SILENCE_TIMEOUT_MICROS = 2_500_000;
+    private static final long HELLO_TIMEOUT_MICROS = 3_000_000;
+    private static final int MAX_MEMBER_CONNECTIONS = 64;
+    /** Connections accepted at most: members, operators with their tools, and subscribers. */
+    static final int MAX_ACCEPTED_CONNECTIONS = MAX_MEMBER_CONNECTIONS + Followers.MOST;
+
+    private static final int MAX_REQUESTS_IN_FLIGHT = 1000;
+
+    /** What this member says of itself on each connection. */
+    record Self(String cluster, String name, String address) {}
+
+    /** Checks by its certificate, where there is one, that a connection's peer is who it says. */
+    interface IdentityCheck {
+        void check(Link link, String name) throws IOException;
     }
 
-    /** Hears what comes. */
-    interface Heard {
-        void word(ClusterBootstrap.Announcement word, String address);
+    /** Is notified of what comes. */
+    interface Listener {
+        /** A member is connected and says how far its bootstrap is, and where it is reached. */
+        void announced(ClusterBootstrap.Announcement announcement, String address);
 
-        void lost(MemberId who);
+        /** No connection to a member is left. */
+        void disconnected(MemberId member);
 
-        void raft(byte[] message) throws IOException;
+        void raftMessage(byte[] message) throws IOException;
 
         /** @param caller the name that it has shown to be its own */
-        void call(String caller, WireMessages.Request call, java.util.function.Consumer<WireMessages.Response> answer);
+        void request(String caller, WireMessages.Request request, Consumer<WireMessages.Response> channel);
     }
 
     private final Net net;
     private final Loop loop;
-    private final String cluster, name, address;
-    private final Proof proof;
-    private final Heard heard;
-    private final Map<String, Dial> dials = new TreeMap<>();
-    private final Set<Conn> taken = new HashSet<>();
-    private final Map<MemberId, List<Conn>> up = new HashMap<>();
-    private ClusterBootstrap.Announcement word;
-    private Net.Listener listener;
+    private final Self self;
+    private final IdentityCheck identityCheck;
+    private final Listener listener;
+    /** By name. */
+    private final Map<String, DialedMember> dialed = new TreeMap<>();
+
+    private final Set<Connection> accepted = new HashSet<>();
+    private final Map<MemberId, List<Connection>> connected = new HashMap<>();
+    private ClusterBootstrap.Announcement announcement;
+    private Net.Listener server;
     private boolean stopped;
-    private long callNumber;
+    private long lastRequestId;
 
     PeerConnections(
             Net net,
             Loop loop,
-            String cluster,
-            String name,
-            String address,
-            ClusterBootstrap.Announcement word,
-            Proof proof,
-            Heard heard) {
+            Self self,
+            ClusterBootstrap.Announcement announcement,
+            IdentityCheck identityCheck,
+            Listener listener) {
         this.net = net;
         this.loop = loop;
-        this.cluster = cluster;
-        this.name = name;
-        this.address = address;
-        this.word = word;
-        this.proof = proof;
-        this.heard = heard;
+        this.self = self;
+        this.announcement = announcement;
+        this.identityCheck = identityCheck;
+        this.listener = listener;
     }
 
+    /** Begins to accept connections; from any thread, before all else. */
     void listen() throws IOException {
-        listener = net.listen(Addresses.parse(address), WireMessages::new, new Link.Events() {
-            private final Map<Link, Conn> conns = new HashMap<>();
-
-            @Override
-            public void opened(Link link) {
-                if (stopped || taken.size() >= TAKEN_MOST) {
-                    link.drop();
-                    return;
-                }
-                Conn conn = new Conn(link, null);
-                conns.put(link, conn);
-                taken.add(conn);
-                conn.begin();
-            }
-
-            @Override
-            public void messages(Link link, List<byte[]> messages, long atMicros) {
-                Conn conn = conns.get(link);
-                if (conn != null) {
-                    conn.messages(messages);
-                }
-            }
-
-            @Override
-            public void malformed(Link link, String why) {
-                Conn conn = conns.get(link);
-                if (conn != null) {
-                    conn.broken(why);
-                }
-            }
-
-            @Override
-            public void closed(Link link) {
-                Conn conn = conns.remove(link);
-                if (conn != null) {
-                    conn.over();
-                }
-            }
-        });
+        server = net.listen(Addresses.parse(self.address()), WireMessages::new, new Acceptor());
     }
 
     InetSocketAddress address() {
-        return listener.address();
+        return server.address();
     }
 
-    /** Keeps a connection to a member at an address; another address for the same name takes the place of the first. */
-    void place(String member, String at) {
-        Dial dial = dials.get(member);
-        if (stopped || member.equals(name) || dial != null && dial.at.equals(at)) {
+    /** Keeps a connection to a member at an address; another address for the same name replaces the first. */
+    void place(String member, String address) {
+        DialedMember current = dialed.get(member);
+        if (stopped || member.equals(self.name()) || current != null && current.address.equals(address)) {
             return;
         }
-        if (dial != null) {
-            dial.stop();
-            dials.remove(member);
+        if (current != null) {
+            current.stop();
+            dialed.remove(member);
         }
-        if (!at.isEmpty()) {
-            Dial next = new Dial(member, at);
-            dials.put(member, next);
+        if (!address.isEmpty()) {
+            DialedMember next = new DialedMember(member, address);
+            dialed.put(member, next);
             next.dial();
         }
     }
 
-    /** Says something else of itself from now on. */
-    void say(ClusterBootstrap.Announcement next) {
-        word = next;
-        up.values().forEach(conns -> conns.forEach(Conn::hello));
+    /** Announces something else of this member from now on, to all that are connected first. */
+    void announce(ClusterBootstrap.Announcement next) {
+        announcement = next;
+        connected.values().forEach(connections -> connections.forEach(Connection::hello));
     }
 
-    /** Who is connected. */
+    /** Which members are connected. */
     Set<MemberId> connected() {
-        return new TreeSet<>(up.keySet());
+        return new TreeSet<>(connected.keySet());
     }
 
     @Override
     public void send(MemberId to, byte[] message) {
-        List<Conn> conns = up.get(to);
-        if (conns != null) {
-            conns.get(0).link.write(WireMessages.message(WireMessages.Kind.RAFT, message));
+        List<Connection> connections = connected.get(to);
+        if (connections != null) {
+            connections.get(0).link.write(WireMessages.message(WireMessages.Kind.RAFT, message));
         }
     }
 
     @Override
-    public boolean reaches(MemberId who) {
-        return up.containsKey(who);
+    public boolean reaches(MemberId member) {
+        return connected.containsKey(member);
     }
 
-    /** Asks another member; there is an answer within the time in any case. */
+    /** Sends a request to another member; there is a response within the time in any case. */
     void call(
-            MemberId whom,
-            String what,
+            MemberId member,
+            String name,
             List<byte[]> arguments,
-            long withinMicros,
-            java.util.function.Consumer<WireMessages.Response> then) {
-        List<Conn> conns = up.get(whom);
-        long id = ++callNumber;
-        if (conns == null || conns.get(0).calls.size() >= CALLS_MOST) {
-            then.accept(new WireMessages.Response(id, WireMessages.Status.RETRY, whom.name() + " is not in reach"));
+            long timeoutMicros,
+            Consumer<WireMessages.Response> then) {
+        List<Connection> connections = connected.get(member);
+        long id = ++lastRequestId;
+        if (connections == null || connections.get(0).inFlight.size() >= MAX_REQUESTS_IN_FLIGHT) {
+            then.accept(new WireMessages.Response(id, WireMessages.Status.RETRY, member.name() + " is not in reach"));
             return;
         }
-        Conn conn = conns.get(0);
-        conn.calls.put(id, then);
-        conn.link.write(new WireMessages.Request(id, what, arguments).write());
+        Connection connection = connections.get(0);
+        connection.inFlight.put(id, then);
+        connection.link.write(new WireMessages.Request(id, name, arguments).write());
         loop.after(
-                withinMicros,
-                () -> conn.answered(new WireMessages.Response(
-                        id, WireMessages.Status.INDETERMINATE, "no answer from " + whom.name() + " in time")));
+                timeoutMicros,
+                () -> connection.complete(indeterminate(id, "no answer from " + member.name() + " in time")));
+    }
+
+    private static WireMessages.Response indeterminate(long id, String reason) {
+        return new WireMessages.Response(id, WireMessages.Status.INDETERMINATE, reason);
     }
 
+    /** Drops all connections and dials no more. */
     void stop() {
         stopped = true;
-        if (listener != null) {
-            listener.stop();
-        }
-        dials.values().forEach(Dial::stop);
-        new ArrayList<>(taken).forEach(conn -> {
-            conn.link.drop();
-            conn.over();
-        });
+        if (server != null) {
+            server.stop();
+        }
+        dialed.values().forEach(DialedMember::stop);
+        new ArrayList<>(accepted).forEach(Connection::drop);
+    }
+
+    /** Takes connections of others. */
+    private final class Acceptor implements Link.Events {
+        private final Map<Link, Connection> connections = new HashMap<>();
+
+        @Override
+        public void opened(Link link) {
+            if (stopped || accepted.size() >= MAX_ACCEPTED_CONNECTIONS) {
+                link.drop();
+                return;
+            }
+            Connection connection = new Connection(link, null);
+            connections.put(link, connection);
+            accepted.add(connection);
+            connection.begin();
+        }
+
+        @Override
+        public void messages(Link link, List<byte[]> messages, long atMicros) {
+            Connection connection = connections.get(link);
+            if (connection != null) {
+                connection.onMessages(messages);
+            }
+        }
+
+        @Override
+        public void malformed(Link link, String why) {
+            Connection connection = connections.get(link);
+            if (connection != null) {
+                connection.fail(why);
+            }
+        }
+
+        @Override
+        public void closed(Link link) {
+            Connection connection = connections.remove(link);
+            if (connection != null) {
+                connection.onClosed();
+            }
+        }
     }
 
     /** One connection, from either side. */
-    private final class Conn {
-        final Link link;
-        final Dial dial;
-        final Map<Long, java.util.function.Consumer<WireMessages.Response>> calls = new HashMap<>();
-        private MemberId who;
+    private final class Connection {
+        private final Link link;
+        /** Null for one that was accepted. */
+        private final DialedMember dialedMember;
+
+        private final Map<Long, Consumer<WireMessages.Response>> inFlight = new HashMap<>();
+        /** The member at the other end; null for an operator or a subscriber, and before its greeting. */
+        private MemberId member;
+
         private String caller = "";
-        private boolean greeted, over, follows;
-        private Deadlines.Deadline silence, beat;
+        private boolean greeted;
+        private boolean closed;
+        private boolean subscriber;
+        private Deadlines.Deadline silence;
+        private Deadlines.Deadline heartbeat;
 
-        Conn(Link link, Dial dial) {
+        Connection(Link link, DialedMember dialedMember) {
             this.link = link;
-            this.dial = dial;
+            this.dialedMember = dialedMember;
         }
 
-        void begin() { // Who was dialled speaks first: MINA's filter holds back what comes together with a
-            // handshake's last word
-            // until something else comes.
-            if (dial == null) {
+        void begin() {
+            // Who was dialled speaks first: MINA's filter holds back what comes together with a handshake's last
+            // message until something else comes.
+            if (dialedMember == null) {
                 hello();
             }
-            silence = loop.after(HELLO_WITHIN, () -> broken("it says nothing"));
-            beat();
+            silence = loop.after(HELLO_TIMEOUT_MICROS, () -> fail("it says nothing"));
+            scheduleHeartbeat();
         }
 
         void hello() {
-            link.write(new WireMessages.Hello(cluster, name, address, word).write());
+            link.write(new WireMessages.Hello(self.cluster(), self.name(), self.address(), announcement).write());
         }
 
-        private void beat() {
-            beat = loop.after(
-                    BEAT,
-                    () -> { // A subscriber hears something each time that it asks.
-                        if (!follows) {
-                            link.write(WireMessages.message(WireMessages.Kind.HEARTBEAT, new byte[0]));
-                        }
-                        beat();
-                    });
+        private void scheduleHeartbeat() {
+            heartbeat = loop.after(HEARTBEAT_INTERVAL_MICROS, () -> {
+                // A subscriber gets a response each time that it polls.
+                if (!subscriber) {
+                    link.write(WireMessages.message(WireMessages.Kind.HEARTBEAT, new byte[0]));
+                }
+                scheduleHeartbeat();
+            });
         }
 
-        void messages(List<byte[]> messages) {
+        void onMessages(List<byte[]> messages) {
             loop.drop(silence);
-            silence = loop.after(SILENCE, () -> broken("it has fallen silent"));
+            silence = loop.after(SILENCE_TIMEOUT_MICROS, () -> fail("it has fallen silent"));
             try {
                 for (byte[] message : messages) {
-                    if (!over) {
-                        message(WireMessages.kind(message), WireMessages.body(message));
+                    if (!closed) {
+                        onMessage(WireMessages.kind(message), WireMessages.body(message));
                     }
                 }
             } catch (IOException e) {
-                broken(e.getMessage());
+                fail(e.getMessage());
             }
         }
 
-        private void message(WireMessages.Kind kind, byte[] body) throws IOException {
+        private void onMessage(WireMessages.Kind kind, byte[] body) throws IOException {
             if (!greeted && kind != WireMessages.Kind.HELLO) {
                 throw new IOException("no greeting");
             }
             switch (kind) {
-                case HELLO -> greeting(WireMessages.Hello.read(body));
+                case HELLO -> onHello(WireMessages.Hello.read(body));
                 case RAFT -> {
-                    if (who == null) {
+                    if (member == null) {
                         throw new IOException("an operator has no part in the group");
                     }
-                    heard.raft(body);
-                }
-                case REQUEST -> {
-                    WireMessages.Request call = WireMessages.Request.read(body);
-                    follows |= call.name().equals(Followers.CALL);
-                    heard.call(caller, call, answer -> {
-                        if (!over) {
-                            link.write(answer.write());
-                        }
-                    });
+                    listener.raftMessage(body);
                 }
-                case RESPONSE -> answered(WireMessages.Response.read(body));
-                default -> { // A beat.
+                case REQUEST -> onRequest(WireMessages.Request.read(body));
+                case RESPONSE -> complete(WireMessages.Response.read(body));
+                case HEARTBEAT -> {
+                    // That it came is all.
                 }
             }
         }
 
-        private void greeting(WireMessages.Hello hello) throws IOException {
-            if (!hello.cluster().equals(cluster)) {
-                throw new IOException(hello.name() + " is of the cluster " + hello.cluster());
-            }
-            boolean member = hello.word() != null;
-            if (member && !hello.word().member().name().equals(hello.name())
-                    || hello.name().equals(name) && member) {
-                throw new IOException(hello.name() + " is not its own name, or this member's");
-            }
-            if (dial != null && !hello.name().equals(dial.member)) {
-                throw new IOException("at " + dial.at + " is " + hello.name() + ", not " + dial.member);
-            }
-            proof.check(link, hello.name(), member);
-            if (dial != null && !greeted) {
+        private void onRequest(WireMessages.Request request) {
+            subscriber |= request.name().equals(Followers.CALL);
+            listener.request(caller, request, response -> {
+                if (!closed) {
+                    link.write(response.write());
+                }
+            });
+        }
+
+        private void onHello(WireMessages.Hello hello) throws IOException {
+            checkHello(hello);
+            identityCheck.check(link, hello.name());
+            if (dialedMember != null && !greeted) {
                 hello();
             }
             greeted = true;
             caller = hello.name();
-            if (!member) {
+            if (hello.announcement() == null) {
                 return;
             }
-            MemberId is = hello.word().member();
-            if (who != null && !who.equals(is)) {
+            MemberId announced = hello.announcement().member();
+            if (member != null && !member.equals(announced)) {
                 throw new IOException(hello.name() + " has changed its disk");
             }
-            if (who == null) {
-                who = is;
-                boolean first = !up.containsKey(is);
-                up.computeIfAbsent(is, i -> new ArrayList<>(2)).add(this);
-                if (dial != null) {
-                    dial.retry = RETRY;
-                }
-                if (first) {
-                    Log.info("store: %s is connected", is);
-                }
+            if (member == null) {
+                onConnected(announced);
+            }
+            listener.announced(hello.announcement(), hello.address());
+        }
+
+        private void checkHello(WireMessages.Hello hello) throws IOException {
+            if (!hello.cluster().equals(self.cluster())) {
+                throw new IOException(hello.name() + " is of the cluster " + hello.cluster());
+            }
+            ClusterBootstrap.Announcement announced = hello.announcement();
+            if (announced != null
+                    && (!announced.member().name().equals(hello.name())
+                            || hello.name().equals(self.name()))) {
+                throw new IOException(hello.name() + " is not its own name, or this member's");
+            }
+            if (dialedMember != null && !hello.name().equals(dialedMember.name)) {
+                throw new IOException(
+                        "at " + dialedMember.address + " is " + hello.name() + ", not " + dialedMember.name);
             }
-            heard.word(hello.word(), hello.address());
         }
 
-        private void answered(WireMessages.Response answer) {
-            java.util.function.Consumer<WireMessages.Response> then = calls.remove(answer.id());
+        private void onConnected(MemberId announced) {
+            member = announced;
+            boolean first = !connected.containsKey(announced);
+            connected.computeIfAbsent(announced, key -> new ArrayList<>(2)).add(this);
+            if (dialedMember != null) {
+                dialedMember.backoffMicros = REDIAL_BACKOFF_MICROS;
+            }
+            if (first) {
+                Log.info("store: %s is connected", announced);
+            }
+        }
+
+        private void complete(WireMessages.Response response) {
+            Consumer<WireMessages.Response> then = inFlight.remove(response.id());
             if (then != null) {
-                then.accept(answer);
+                then.accept(response);
             }
         }
 
-        void broken(String why) {
-            if (!over) {
-                Log.warn(
-                        "store: connection with %s ended: %s",
-                        who != null ? who.toString() : dial != null ? dial.member + " at " + dial.at : "a stranger",
-                        why);
-                link.drop();
-                over();
+        /** Ends the connection as the other side, or the way to it, does not do as it should. */
+        void fail(String reason) {
+            if (!closed) {
+                Log.warn("store: connection with %s ended: %s", peer(), reason);
+                drop();
             }
         }
 
-        void over() {
-            if (over) {
+        private String peer() {
+            if (member != null) {
+                return member.toString();
+            }
+            return dialedMember != null ? dialedMember.name + " at " + dialedMember.address : "a stranger";
+        }
+
+        void drop() {
+            link.drop();
+            onClosed();
+        }
+
+        void onClosed() {
+            if (closed) {
                 return;
             }
-            over = true;
+            closed = true;
             loop.drop(silence);
-            loop.drop(beat);
-            taken.remove(this);
-            List<Conn> conns = who == null ? null : up.get(who);
-            if (conns != null && conns.remove(this) && conns.isEmpty()) {
-                up.remove(who);
-                Log.info("store: %s is out of reach", who);
-                heard.lost(who);
+            loop.drop(heartbeat);
+            accepted.remove(this);
+            List<Connection> connections = member == null ? null : connected.get(member);
+            if (connections != null && connections.remove(this) && connections.isEmpty()) {
+                connected.remove(member);
+                Log.info("store: %s is out of reach", member);
+                listener.disconnected(member);
             }
-            new ArrayList<>(calls.keySet())
-                    .forEach(id -> answered(
-                            new WireMessages.Response(id, WireMessages.Status.INDETERMINATE, "the connection broke")));
-            if (dial != null) {
-                dial.again();
+            new ArrayList<>(inFlight.keySet()).forEach(id -> complete(indeterminate(id, "the connection broke")));
+            if (dialedMember != null) {
+                dialedMember.redial();
             }
         }
     }
 
-    /** A member that this one dials. */
-    private final class Dial implements Link.Events {
-        final String member, at;
-        long retry = RETRY;
-        private Conn conn;
-        private boolean given;
-
-        Dial(String member, String at) {
-            this.member = member;
-            this.at = at;
+    /** A member that this one dials, again with backoff where the connection ends. */
+    private final class DialedMember implements Link.Events {
+        private final String name;
+        private final String address;
+        private long backoffMicros = REDIAL_BACKOFF_MICROS;
+        private Connection connection;
+        /** Another address has replaced this one, or this member stops. */
+        private boolean abandoned;
+
+        DialedMember(String name, String address) {
+            this.name = name;
+            this.address = address;
         }
 
         void dial() {
-            if (given || stopped) {
+            if (abandoned || stopped) {
                 return;
             }
-            InetSocketAddress to = Addresses.parse(at);
-            conn = new Conn(net.dial(to, new WireMessages(), this), this);
-            conn.silence = loop.after(HELLO_WITHIN, () -> conn.broken("it can't be reached"));
+            InetSocketAddress to = Addresses.parse(address);
+            connection = new Connection(net.dial(to, new WireMessages(), this), this);
+            connection.silence = loop.after(HELLO_TIMEOUT_MICROS, () -> connection.fail("it can't be reached"));
         }
 
-        void again() {
-            if (!given && !stopped) {
-                loop.after(retry, this::dial);
-                retry = Math.min(RETRY_MOST, retry * 3 / 2);
+        void redial() {
+            if (!abandoned && !stopped) {
+                loop.after(backoffMicros, this::dial);
+                backoffMicros =
+                        Math.min(MAX_REDIAL_BACKOFF_MICROS, backoffMicros * BACKOFF_NUMERATOR / BACKOFF_DENOMINATOR);
             }
         }
 
         void stop() {
-            given = true;
-            if (conn != null && !conn.over) {
-                conn.link.drop();
-                conn.over();
+            abandoned = true;
+            if (connection != null && !connection.closed) {
+                connection.drop();
             }
         }
 
         @Override
         public void opened(Link link) {
-            loop.drop(conn.silence);
-            conn.begin();
+            loop.drop(connection.silence);
+            connection.begin();
         }
 
         @Override
         public void messages(Link link, List<byte[]> messages, long atMicros) {
-            conn.messages(messages);
+            connection.onMessages(messages);
         }
 
         @Override
         public void malformed(Link link, String why) {
-            conn.broken(why);
+            connection.fail(why);
         }
 
         @Override
         public void closed(Link link) {
-            conn.over();
+            connection.onClosed();
         }
     }
 }
--- a/replication/src/main/java/lupinvalve/replication/RaftCodec.java
+++ b/replication/src/main/java/lupinvalve/replication/RaftCodec.java
@@ -26,10 +26,30 @@
 import lupinvalve.statemachine.Cbor;
 import lupinvalve.statemachine.MemberId;
 
-/** The library's messages and log entries as CBOR. Changes are bytes already and go in as they are. */
+/** Encodes the library's messages and log entries as CBOR. Commands are bytes already and go in as they are. */
 final class RaftCodec {
     static final RaftModelFactory FACTORY = new DefaultRaftModelFactory();
-    private static final int ENTRIES_MOST = 100_000, PIECES_MOST = 10_000;
+    private static final int MAX_ENTRIES = 100_000;
+    private static final int MAX_CHUNKS = 10_000;
+    /** Members at most that are read; a group that changes may name more than it has. */
+    private static final int MAX_ENDPOINTS = 4 * MemberId.MAX_MEMBERS;
+
+    // An operation's kind; the numbers are the wire's and the disk's.
+    private static final int COMMAND_OPERATION = 0;
+    private static final int MEMBERSHIP_OPERATION = 1;
+
+    // A message's kind; the numbers are the wire's.
+    private static final int APPEND_ENTRIES = 1;
+    private static final int APPEND_ENTRIES_SUCCESS = 2;
+    private static final int APPEND_ENTRIES_FAILURE = 3;
+    private static final int INSTALL_SNAPSHOT = 4;
+    private static final int INSTALL_SNAPSHOT_RESPONSE = 5;
+    private static final int PRE_VOTE = 6;
+    private static final int PRE_VOTE_RESPONSE = 7;
+    private static final int VOTE = 8;
+    private static final int VOTE_RESPONSE = 9;
+    private static final int TRIGGER_ELECTION = 10;
+    private static final int MAX_KIND = 100;
 
     private RaftCodec() {}
 
@@ -51,7 +71,7 @@
 
     static List<RaftEndpoint> endpoints(Cbor.Reader in) throws IOException {
         List<RaftEndpoint> all = new ArrayList<>();
-        for (int left = in.count(4 * MemberId.MAX_MEMBERS); left > 0; left--) {
+        for (int left = in.count(MAX_ENDPOINTS); left > 0; left--) {
             all.add(endpoint(in));
         }
         return all;
@@ -70,10 +90,10 @@
     }
 
     private static void operation(Cbor.Writer out, Object operation) {
-        if (operation instanceof byte[] change) {
-            out.number(0).bytes(change);
+        if (operation instanceof byte[] command) {
+            out.number(COMMAND_OPERATION).bytes(command);
         } else if (operation instanceof UpdateRaftGroupMembersOp op) {
-            endpoints(endpoints(out.number(1), op.getMembers()), op.getVotingMembers());
+            endpoints(endpoints(out.number(MEMBERSHIP_OPERATION), op.getMembers()), op.getVotingMembers());
             endpoint(out, op.getEndpoint()).text(op.getMode().name());
         } else {
             throw new IllegalArgumentException("an operation of " + operation.getClass());
@@ -81,7 +101,7 @@
     }
 
     private static Object operation(Cbor.Reader in) throws IOException {
-        if (in.count(1) == 0) {
+        if (in.count(MEMBERSHIP_OPERATION) == COMMAND_OPERATION) {
             return in.bytes();
         }
         return FACTORY.createUpdateRaftGroupMembersOpBuilder()
@@ -117,170 +137,209 @@
         return FACTORY.createSnapshotChunkBuilder()
                 .setIndex(in.number())
                 .setTerm((int) in.number())
-                .setSnapshotChunkIndex(in.count(PIECES_MOST))
-                .setSnapshotChunkCount(in.count(PIECES_MOST))
+                .setSnapshotChunkIndex(in.count(MAX_CHUNKS))
+                .setSnapshotChunkCount(in.count(MAX_CHUNKS))
                 .setGroupMembersView(view(in))
                 .setOperation(in.bytes())
                 .build();
     }
 
     // ---- messages ----
+
     /** The group's name is not sent: who is connected is of the same cluster. */
     static byte[] write(RaftMessage message) {
         Cbor.Writer out = new Cbor.Writer();
-        if (message instanceof AppendEntriesRequest m) {
-            begin(out, 1, m)
-                    .number(m.getPreviousLogTerm())
-                    .number(m.getPreviousLogIndex())
-                    .number(m.getCommitIndex())
-                    .number(m.getQuerySequenceNumber())
-                    .number(m.getFlowControlSequenceNumber())
-                    .number(m.getLogEntries().size());
-            m.getLogEntries().forEach(entry -> entry(out, entry));
-        } else if (message instanceof AppendEntriesSuccessResponse m) {
-            begin(out, 2, m)
-                    .number(m.getLastLogIndex())
-                    .number(m.getQuerySequenceNumber())
-                    .number(m.getFlowControlSequenceNumber());
-        } else if (message instanceof AppendEntriesFailureResponse m) {
-            begin(out, 3, m)
-                    .number(m.getExpectedNextIndex())
-                    .number(m.getQuerySequenceNumber())
-                    .number(m.getFlowControlSequenceNumber());
-        } else if (message instanceof InstallSnapshotRequest m) {
-            begin(out, 4, m)
-                    .flag(m.isSenderLeader())
-                    .number(m.getSnapshotTerm())
-                    .number(m.getSnapshotIndex())
-                    .number(m.getTotalSnapshotChunkCount())
-                    .flag(m.getSnapshotChunk() != null);
-            if (m.getSnapshotChunk() != null) {
-                chunk(out, m.getSnapshotChunk());
-            }
-            view(endpoints(out, m.getSnapshottedMembers()), m.getGroupMembersView())
-                    .number(m.getQuerySequenceNumber())
-                    .number(m.getFlowControlSequenceNumber());
-        } else if (message instanceof InstallSnapshotResponse m) {
-            begin(out, 5, m)
-                    .number(m.getSnapshotIndex())
-                    .number(m.getRequestedSnapshotChunkIndex())
-                    .number(m.getQuerySequenceNumber())
-                    .number(m.getFlowControlSequenceNumber());
-        } else if (message instanceof PreVoteRequest m) {
-            begin(out, 6, m).number(m.getLastLogTerm()).number(m.getLastLogIndex());
-        } else if (message instanceof PreVoteResponse m) {
-            begin(out, 7, m).flag(m.isGranted());
-        } else if (message instanceof VoteRequest m) {
-            begin(out, 8, m)
-                    .number(m.getLastLogTerm())
-                    .number(m.getLastLogIndex())
-                    .flag(m.isSticky());
-        } else if (message instanceof VoteResponse m) {
-            begin(out, 9, m).flag(m.isGranted());
-        } else if (message instanceof TriggerLeaderElectionRequest m) {
-            begin(out, 10, m).number(m.getLastLogTerm()).number(m.getLastLogIndex());
+        if (message instanceof AppendEntriesRequest request) {
+            writeAppendEntries(out, request);
+        } else if (message instanceof AppendEntriesSuccessResponse response) {
+            header(out, APPEND_ENTRIES_SUCCESS, response)
+                    .number(response.getLastLogIndex())
+                    .number(response.getQuerySequenceNumber())
+                    .number(response.getFlowControlSequenceNumber());
+        } else if (message instanceof AppendEntriesFailureResponse response) {
+            header(out, APPEND_ENTRIES_FAILURE, response)
+                    .number(response.getExpectedNextIndex())
+                    .number(response.getQuerySequenceNumber())
+                    .number(response.getFlowControlSequenceNumber());
+        } else if (message instanceof InstallSnapshotRequest request) {
+            writeInstallSnapshot(out, request);
+        } else if (message instanceof InstallSnapshotResponse response) {
+            header(out, INSTALL_SNAPSHOT_RESPONSE, response)
+                    .number(response.getSnapshotIndex())
+                    .number(response.getRequestedSnapshotChunkIndex())
+                    .number(response.getQuerySequenceNumber())
+                    .number(response.getFlowControlSequenceNumber());
         } else {
-            throw new IllegalArgumentException("a message of " + message.getClass());
+            writeElection(out, message);
         }
         return out.toByteArray();
     }
 
-    private static Cbor.Writer begin(Cbor.Writer out, int kind, RaftMessage message) {
+    private static void writeElection(Cbor.Writer out, RaftMessage message) {
+        if (message instanceof PreVoteRequest request) {
+            header(out, PRE_VOTE, request).number(request.getLastLogTerm()).number(request.getLastLogIndex());
+        } else if (message instanceof PreVoteResponse response) {
+            header(out, PRE_VOTE_RESPONSE, response).flag(response.isGranted());
+        } else if (message instanceof VoteRequest request) {
+            header(out, VOTE, request)
+                    .number(request.getLastLogTerm())
+                    .number(request.getLastLogIndex())
+                    .flag(request.isSticky());
+        } else if (message instanceof VoteResponse response) {
+            header(out, VOTE_RESPONSE, response).flag(response.isGranted());
+        } else if (message instanceof TriggerLeaderElectionRequest request) {
+            header(out, TRIGGER_ELECTION, request)
+                    .number(request.getLastLogTerm())
+                    .number(request.getLastLogIndex());
+        } else {
+            throw new IllegalArgumentException("a message of " + message.getClass());
+        }
+    }
+
+    private static void writeAppendEntries(Cbor.Writer out, AppendEntriesRequest request) {
+        header(out, APPEND_ENTRIES, request)
+                .number(request.getPreviousLogTerm())
+                .number(request.getPreviousLogIndex())
+                .number(request.getCommitIndex())
+                .number(request.getQuerySequenceNumber())
+                .number(request.getFlowControlSequenceNumber())
+                .number(request.getLogEntries().size());
+        request.getLogEntries().forEach(entry -> entry(out, entry));
+    }
+
+    private static void writeInstallSnapshot(Cbor.Writer out, InstallSnapshotRequest request) {
+        header(out, INSTALL_SNAPSHOT, request)
+                .flag(request.isSenderLeader())
+                .number(request.getSnapshotTerm())
+                .number(request.getSnapshotIndex())
+                .number(request.getTotalSnapshotChunkCount())
+                .flag(request.getSnapshotChunk() != null);
+        if (request.getSnapshotChunk() != null) {
+            chunk(out, request.getSnapshotChunk());
+        }
+        view(endpoints(out, request.getSnapshottedMembers()), request.getGroupMembersView())
+                .number(request.getQuerySequenceNumber())
+                .number(request.getFlowControlSequenceNumber());
+    }
+
+    private static Cbor.Writer header(Cbor.Writer out, int kind, RaftMessage message) {
         return endpoint(out.number(kind), message.getSender()).number(message.getTerm());
     }
 
+    /** What each message begins with, behind its kind. */
+    private record Header(Object group, RaftEndpoint sender, int term) {}
+
     static RaftMessage read(Object group, byte[] bytes) throws IOException {
         Cbor.Reader in = new Cbor.Reader(bytes);
-        int kind = in.count(100);
-        RaftEndpoint sender = endpoint(in);
-        int term = (int) in.number();
+        int kind = in.count(MAX_KIND);
+        Header header = new Header(group, endpoint(in), (int) in.number());
         return switch (kind) {
-            case 1 -> {
-                var m = FACTORY.createAppendEntriesRequestBuilder();
-                m.setGroupId(group).setSender(sender).setTerm(term);
-                m.setPreviousLogTerm((int) in.number())
-                        .setPreviousLogIndex(in.number())
-                        .setCommitIndex(in.number())
-                        .setQuerySequenceNumber(in.number())
-                        .setFlowControlSequenceNumber(in.number());
-                List<LogEntry> entries = new ArrayList<>();
-                for (int left = in.count(ENTRIES_MOST); left > 0; left--) {
-                    entries.add(entry(in));
-                }
-                yield m.setLogEntries(entries).build();
-            }
-            case 2 -> {
-                var m = FACTORY.createAppendEntriesSuccessResponseBuilder();
-                m.setGroupId(group).setSender(sender).setTerm(term);
-                yield m.setLastLogIndex(in.number())
-                        .setQuerySequenceNumber(in.number())
-                        .setFlowControlSequenceNumber(in.number())
-                        .build();
-            }
-            case 3 -> {
-                var m = FACTORY.createAppendEntriesFailureResponseBuilder();
-                m.setGroupId(group).setSender(sender).setTerm(term);
-                yield m.setExpectedNextIndex(in.number())
-                        .setQuerySequenceNumber(in.number())
-                        .setFlowControlSequenceNumber(in.number())
-                        .build();
-            }
-            case 4 -> {
-                var m = FACTORY.createInstallSnapshotRequestBuilder();
-                m.setGroupId(group).setSender(sender).setTerm(term);
-                m.setSenderLeader(in.flag())
-                        .setSnapshotTerm((int) in.number())
-                        .setSnapshotIndex(in.number())
-                        .setTotalSnapshotChunkCount(in.count(PIECES_MOST))
-                        .setSnapshotChunk(in.flag() ? chunk(in) : null);
-                yield m.setSnapshottedMembers(endpoints(in))
-                        .setGroupMembersView(view(in))
-                        .setQuerySequenceNumber(in.number())
-                        .setFlowControlSequenceNumber(in.number())
-                        .build();
-            }
-            case 5 -> {
-                var m = FACTORY.createInstallSnapshotResponseBuilder();
-                m.setGroupId(group).setSender(sender).setTerm(term);
-                yield m.setSnapshotIndex(in.number())
-                        .setRequestedSnapshotChunkIndex((int) in.number())
-                        .setQuerySequenceNumber(in.number())
-                        .setFlowControlSequenceNumber(in.number())
-                        .build();
-            }
-            case 6 -> {
-                var m = FACTORY.createPreVoteRequestBuilder();
-                m.setGroupId(group).setSender(sender).setTerm(term);
-                yield m.setLastLogTerm((int) in.number())
-                        .setLastLogIndex(in.number())
-                        .build();
-            }
-            case 7 -> {
-                var m = FACTORY.createPreVoteResponseBuilder();
-                m.setGroupId(group).setSender(sender).setTerm(term);
-                yield m.setGranted(in.flag()).build();
-            }
-            case 8 -> {
-                var m = FACTORY.createVoteRequestBuilder();
-                m.setGroupId(group).setSender(sender).setTerm(term);
-                yield m.setLastLogTerm((int) in.number())
-                        .setLastLogIndex(in.number())
-                        .setSticky(in.flag())
-                        .build();
-            }
-            case 9 -> {
-                var m = FACTORY.createVoteResponseBuilder();
-                m.setGroupId(group).setSender(sender).setTerm(term);
-                yield m.setGranted(in.flag()).build();
-            }
-            case 10 -> {
-                var m = FACTORY.createTriggerLeaderElectionRequestBuilder();
-                m.setGroupId(group).setSender(sender).setTerm(term);
-                yield m.setLastLogTerm((int) in.number())
-                        .setLastLogIndex(in.number())
-                        .build();
-            }
+            case APPEND_ENTRIES -> readAppendEntries(in, header);
+            case APPEND_ENTRIES_SUCCESS -> readAppendEntriesSuccess(in, header);
+            case APPEND_ENTRIES_FAILURE -> readAppendEntriesFailure(in, header);
+            case INSTALL_SNAPSHOT -> readInstallSnapshot(in, header);
+            case INSTALL_SNAPSHOT_RESPONSE -> readInstallSnapshotResponse(in, header);
+            case PRE_VOTE -> readPreVote(in, header);
+            case PRE_VOTE_RESPONSE -> readPreVoteResponse(in, header);
+            case VOTE -> readVote(in, header);
+            case VOTE_RESPONSE -> readVoteResponse(in, header);
+            case TRIGGER_ELECTION -> readTriggerElection(in, header);
             default -> throw new IOException("a message of the unknown kind " + kind);
         };
     }
+
+    private static RaftMessage readAppendEntries(Cbor.Reader in, Header header) throws IOException {
+        var builder = FACTORY.createAppendEntriesRequestBuilder();
+        builder.setGroupId(header.group()).setSender(header.sender()).setTerm(header.term());
+        builder.setPreviousLogTerm((int) in.number())
+                .setPreviousLogIndex(in.number())
+                .setCommitIndex(in.number())
+                .setQuerySequenceNumber(in.number())
+                .setFlowControlSequenceNumber(in.number());
+        List<LogEntry> entries = new ArrayList<>();
+        for (int left = in.count(MAX_ENTRIES); left > 0; left--) {
+            entries.add(entry(in));
+        }
+        return builder.setLogEntries(entries).build();
+    }
+
+    private static RaftMessage readAppendEntriesSuccess(Cbor.Reader in, Header header) throws IOException {
+        var builder = FACTORY.createAppendEntriesSuccessResponseBuilder();
+        builder.setGroupId(header.group()).setSender(header.sender()).setTerm(header.term());
+        return builder.setLastLogIndex(in.number())
+                .setQuerySequenceNumber(in.number())
+                .setFlowControlSequenceNumber(in.number())
+                .build();
+    }
+
+    private static RaftMessage readAppendEntriesFailure(Cbor.Reader in, Header header) throws IOException {
+        var builder = FACTORY.createAppendEntriesFailureResponseBuilder();
+        builder.setGroupId(header.group()).setSender(header.sender()).setTerm(header.term());
+        return builder.setExpectedNextIndex(in.number())
+                .setQuerySequenceNumber(in.number())
+                .setFlowControlSequenceNumber(in.number())
+                .build();
+    }
+
+    private static RaftMessage readInstallSnapshot(Cbor.Reader in, Header header) throws IOException {
+        var builder = FACTORY.createInstallSnapshotRequestBuilder();
+        builder.setGroupId(header.group()).setSender(header.sender()).setTerm(header.term());
+        builder.setSenderLeader(in.flag())
+                .setSnapshotTerm((int) in.number())
+                .setSnapshotIndex(in.number())
+                .setTotalSnapshotChunkCount(in.count(MAX_CHUNKS))
+                .setSnapshotChunk(in.flag() ? chunk(in) : null);
+        return builder.setSnapshottedMembers(endpoints(in))
+                .setGroupMembersView(view(in))
+                .setQuerySequenceNumber(in.number())
+                .setFlowControlSequenceNumber(in.number())
+                .build();
+    }
+
+    private static RaftMessage readInstallSnapshotResponse(Cbor.Reader in, Header header) throws IOException {
+        var builder = FACTORY.createInstallSnapshotResponseBuilder();
+        builder.setGroupId(header.group()).setSender(header.sender()).setTerm(header.term());
+        return builder.setSnapshotIndex(in.number())
+                .setRequestedSnapshotChunkIndex((int) in.number())
+                .setQuerySequenceNumber(in.number())
+                .setFlowControlSequenceNumber(in.number())
+                .build();
+    }
+
+    private static RaftMessage readPreVote(Cbor.Reader in, Header header) throws IOException {
+        var builder = FACTORY.createPreVoteRequestBuilder();
+        builder.setGroupId(header.group()).setSender(header.sender()).setTerm(header.term());
+        return builder.setLastLogTerm((int) in.number())
+                .setLastLogIndex(in.number())
+                .build();
+    }
+
+    private static RaftMessage readPreVoteResponse(Cbor.Reader in, Header header) throws IOException {
+        var builder = FACTORY.createPreVoteResponseBuilder();
+        builder.setGroupId(header.group()).setSender(header.sender()).setTerm(header.term());
+        return builder.setGranted(in.flag()).build();
+    }
+
+    private static RaftMessage readVote(Cbor.Reader in, Header header) throws IOException {
+        var builder = FACTORY.createVoteRequestBuilder();
+        builder.setGroupId(header.group()).setSender(header.sender()).setTerm(header.term());
+        return builder.setLastLogTerm((int) in.number())
+                .setLastLogIndex(in.number())
+                .setSticky(in.flag())
+                .build();
+    }
+
+    private static RaftMessage readVoteResponse(Cbor.Reader in, Header header) throws IOException {
+        var builder = FACTORY.createVoteResponseBuilder();
+        builder.setGroupId(header.group()).setSender(header.sender()).setTerm(header.term());
+        return builder.setGranted(in.flag()).build();
+    }
+
+    private static RaftMessage readTriggerElection(Cbor.Reader in, Header header) throws IOException {
+        var builder = FACTORY.createTriggerLeaderElectionRequestBuilder();
+        builder.setGroupId(header.group()).setSender(header.sender()).setTerm(header.term());
+        return builder.setLastLogTerm((int) in.number())
+                .setLastLogIndex(in.number())
+                .build();
+    }
 }
--- a/replication/src/main/java/lupinvalve/replication/RecordFrames.java
+++ b/replication/src/main/java/lupinvalve/replication/RecordFrames.java
@@ -11,30 +11,37 @@
  */
 final class RecordFrames {
     /** Of one record's content. */
-    static final int MOST = 64 << 20;
+    static final int MAX_CONTENT_BYTES = 64 << 20;
 
-    private static final int HEAD = 8, TAIL = 8, END = 0x4C757049;
+    private static final int HEADER_BYTES = 8;
+    private static final int TRAILER_BYTES = 8;
+    private static final int END_MARK = 0x4C757049;
+    /** In place of a position: the record is cut short. */
+    private static final int TORN = -1;
+    /** In place of a position: a checksum is wrong. */
+    private static final int CORRUPT = -2;
 
     private RecordFrames() {}
 
     /** A file, or a part of it, that is not what was written. */
-    static final class Damaged extends IOException {
+    static final class CorruptException extends IOException {
         private static final long serialVersionUID = 1L;
 
-        Damaged(String what) {
-            super(what);
+        CorruptException(String message) {
+            super(message);
         }
     }
 
+    /** A record as it stands in a file. */
     static byte[] frame(byte[] content) {
         CRC32C crc = new CRC32C();
         crc.update(content);
-        return ByteBuffer.allocate(HEAD + content.length + TAIL)
+        return ByteBuffer.allocate(HEADER_BYTES + content.length + TRAILER_BYTES)
                 .putInt(content.length)
                 .putInt(~content.length)
                 .put(content)
                 .putInt((int) crc.getValue())
-                .putInt(END)
+                .putInt(END_MARK)
                 .array();
     }
 
@@ -44,7 +51,7 @@
      * @param last whether a torn record may stand at its end
      * @return how many bytes hold whole records
      */
-    static long read(String name, byte[] file, boolean last, List<byte[]> contents) throws Damaged {
+    static long read(String name, byte[] file, boolean last, List<byte[]> contents) throws CorruptException {
         int at = 0;
         while (at < file.length) {
             int next = next(file, at);
@@ -53,46 +60,44 @@
                 if (next == TORN && last) {
                     return at;
                 }
-                throw new Damaged(name + ", byte " + at + ": " + why);
+                throw new CorruptException(name + ", byte " + at + ": " + why);
             }
-            byte[] content = new byte[next - at - HEAD - TAIL];
-            System.arraycopy(file, at + HEAD, content, 0, content.length);
+            byte[] content = new byte[next - at - HEADER_BYTES - TRAILER_BYTES];
+            System.arraycopy(file, at + HEADER_BYTES, content, 0, content.length);
             contents.add(content);
             at = next;
         }
         return at;
     }
 
-    private static final int TORN = -1, WRONG = -2;
-
     /** Where the next record begins, or why this one is none. */
     private static int next(byte[] file, int at) {
-        if (file.length - at < HEAD) {
+        if (file.length - at < HEADER_BYTES) {
             return TORN;
         }
         ByteBuffer in = ByteBuffer.wrap(file, at, file.length - at);
         int length = in.getInt();
         int inverted = in.getInt();
-        if (length != ~inverted || length < 0 || length > MOST) {
+        if (length != ~inverted || length < 0 || length > MAX_CONTENT_BYTES) {
             // Space that was set aside and never written is all zeros, to the end.
-            return zeros(file, at + HEAD) ? TORN : WRONG;
+            return allZeros(file, at + HEADER_BYTES) ? TORN : CORRUPT;
         }
-        if (in.remaining() < length + TAIL) {
+        if (in.remaining() < length + TRAILER_BYTES) {
             return TORN;
         }
         CRC32C crc = new CRC32C();
-        crc.update(file, at + HEAD, length);
+        crc.update(file, at + HEADER_BYTES, length);
         in.position(in.position() + length);
         int written = in.getInt();
-        if (in.getInt() != END) {
+        if (in.getInt() != END_MARK) {
             // The mark ends in a byte that is not zero, so that one which is there in part can be told from a wrong
             // one.
-            return zeros(file, at + HEAD + length + TAIL - 1) ? TORN : WRONG;
+            return allZeros(file, at + HEADER_BYTES + length + TRAILER_BYTES - 1) ? TORN : CORRUPT;
         }
-        return written == (int) crc.getValue() ? at + HEAD + length + TAIL : WRONG;
+        return written == (int) crc.getValue() ? at + HEADER_BYTES + length + TRAILER_BYTES : CORRUPT;
     }
 
-    private static boolean zeros(byte[] file, int from) {
+    private static boolean allZeros(byte[] file, int from) {
         for (int i = from; i < file.length; i++) {
             if (file[i] != 0) {
                 return false;
--- a/replication/src/main/java/lupinvalve/replication/Scheduler.java
+++ b/replication/src/main/java/lupinvalve/replication/Scheduler.java
@@ -4,15 +4,16 @@
 
 /** Where a member's work runs, one piece after another, and what time it is there. */
 public interface Scheduler {
+    /** What time it is, in microseconds. */
     long now();
 
     /** Runs work soon; from any thread. */
     void post(Runnable work);
 
-    /** Runs work after so many microseconds; from this schedule's own work only. */
+    /** Runs work after so many microseconds; from this scheduler's own work only. */
     void after(long micros, Runnable work);
 
-    /** A thread of its own: forces of the disk would hold up the requests on the core's. */
+    /** Runs work on a loop. */
     static Scheduler of(Loop loop) {
         return new Scheduler() {
             @Override
--- a/replication/src/main/java/lupinvalve/replication/SegmentedLog.java
+++ b/replication/src/main/java/lupinvalve/replication/SegmentedLog.java
@@ -85,7 +85,7 @@
             log.keep(new ClusterBootstrap.Announcement(
                     new MemberId(name, diskName), ClusterBootstrap.Phase.UNBOUND, Set.of()));
         } else {
-            throw new RecordFrames.Damaged(IdentityFile.NAME + " is missing beside " + names.get(0));
+            throw new RecordFrames.CorruptException(IdentityFile.NAME + " is missing beside " + names.get(0));
         }
         log.load(names, true);
         log.roll();
@@ -116,7 +116,7 @@
         SegmentedLog log = new SegmentedLog(disk, null);
         List<String> names = disk.names();
         if (!names.contains(IdentityFile.NAME)) {
-            throw new RecordFrames.Damaged(IdentityFile.NAME + " is missing");
+            throw new RecordFrames.CorruptException(IdentityFile.NAME + " is missing");
         }
         log.word = IdentityFile.read(disk, null, null);
         log.load(names, false);
--- a/replication/src/main/java/lupinvalve/replication/SessionTokens.java
+++ b/replication/src/main/java/lupinvalve/replication/SessionTokens.java
@@ -7,19 +7,25 @@
 import lupinvalve.statemachine.SessionTable;
 
 /**
- * Sessions' last commits on the core thread: this pooler's own at once, all others' once a majority holds them. A
- * booking's answer may wait for that, within a bound: its session then reads its own writes at any pooler.
+ * Sessions' last commits, for causal reads: this pooler's own at once, all others' once a majority holds them. The
+ * response to a write may wait for that, within a bound: its session then reads its own writes at any pooler. On the
+ * core thread.
  */
 public final class SessionTokens implements Marks {
     private final Loop loop;
-    private final ControlPlane group;
+    private final ControlPlane controlPlane;
     private final long waitMicros;
     private final SessionTable sessions = new SessionTable();
 
-    /** @param known what was accepted before this start */
-    public SessionTokens(Loop loop, ControlPlane group, long waitMicros, Command.SessionCommits known) {
+    /**
+     * Session tokens that start from what was committed before.
+     *
+     * @param waitMicros how long a write's response may wait for a majority; 0 for not at all
+     * @param known what was committed before this start
+     */
+    public SessionTokens(Loop loop, ControlPlane controlPlane, long waitMicros, Command.SessionCommits known) {
         this.loop = loop;
-        this.group = group;
+        this.controlPlane = controlPlane;
         this.waitMicros = waitMicros;
         sessions.apply(known.atMicros(), known.positions());
     }
@@ -37,7 +43,7 @@
     @Override
     public void committed(String session, long position) {
         sessions.apply(loop.now(), Map.of(session, position));
-        group.publishCommit(session, position, null);
+        controlPlane.publishCommit(session, position, null);
     }
 
     @Override
@@ -47,9 +53,9 @@
             then.run();
             return;
         }
-        sessions.apply(
-                loop.now(), Map.of(session, position)); // Whichever comes first: the second time changes nothing.
-        group.publishCommit(session, position, () -> loop.post(then));
+        sessions.apply(loop.now(), Map.of(session, position));
+        // Whichever comes first: the second time changes nothing.
+        controlPlane.publishCommit(session, position, () -> loop.post(then));
         loop.after(waitMicros, then);
     }
 }
--- a/replication/src/main/java/lupinvalve/replication/StoredHistory.java
+++ b/replication/src/main/java/lupinvalve/replication/StoredHistory.java
@@ -44,7 +44,8 @@
     private long readEntry(String segment, Cbor.Reader in) throws IOException {
         LogEntry entry = RaftCodec.entry(in);
         if (!entries.isEmpty() && entry.getIndex() <= entries.lastKey()) {
-            throw new RecordFrames.Damaged(segment + ": change " + entry.getIndex() + " follows " + entries.lastKey());
+            throw new RecordFrames.CorruptException(
+                    segment + ": change " + entry.getIndex() + " follows " + entries.lastKey());
         } else if (!entries.isEmpty()
                 && entry.getIndex()
                         > entries.lastKey()
@@ -63,7 +64,7 @@
         if (first != Long.MAX_VALUE && first > base + 1) {
             throw found.fault() != null
                     ? found.fault()
-                    : new RecordFrames.Damaged(
+                    : new RecordFrames.CorruptException(
                             SegmentedLog.SEGMENT + "*: changes " + (base + 1) + " to " + (first - 1) + " are missing");
         } else if (found.fault() != null && entries.isEmpty()) {
             throw found.fault();
--- /dev/null
+++ b/replication/src/main/java/lupinvalve/replication/StrictChanges.java
@@ -0,0 +1,81 @@
+package lupinvalve.replication;
+
+import io.microraft.report.RaftNodeReport;
+import java.io.IOException;
+import java.util.List;
+import java.util.function.Consumer;
+import lupinvalve.statemachine.MemberId;
+
+/**
+ * Holds back the response to a strict change until each pooler serves on it, or may serve no more. On the group's
+ * thread.
+ */
+final class StrictChanges {
+    /** How long the leader waits for all poolers at most. */
+    static final long TIMEOUT_MICROS = 6_000_000;
+
+    private static final long POLL_INTERVAL_MICROS = 20_000;
+    private static final long MICROS_PER_MILLI = 1_000;
+
+    private final MemberRuntime member;
+
+    StrictChanges(MemberRuntime member) {
+        this.member = member;
+    }
+
+    /** A responder that sends a success only once no pooler serves on what held before. */
+    Responder wrap(Responder responder) throws IOException {
+        if (member.leaseHolder() == null) {
+            throw new IOException("strict changes need store.audit at the leader, and at each member");
+        }
+        long startedMicros = member.loop().now();
+        Consumer<WireMessages.Response> channel = response -> {
+            if (response.status() != WireMessages.Status.OK) {
+                responder.channel().accept(response);
+                return;
+            }
+            long index = member.replica().state().appliedIndex();
+            member.leaseHolder().grantor().requireIndex(index);
+            await(new Pending(responder, response.text(), index, startedMicros), List.of());
+        };
+        return new Responder(responder.requestId(), channel);
+    }
+
+    /** A strict change that is committed and not yet served on by all. */
+    private record Pending(Responder responder, String json, long index, long startedMicros) {}
+
+    private void await(Pending change, List<String> lastPending) {
+        member.replica().report((completion, report) -> {
+            List<String> pending = completion == RaftReplica.Completion.DONE ? pendingPoolers(change, report) : null;
+            long tookMicros = member.loop().now() - change.startedMicros();
+            if (pending == null) {
+                change.responder()
+                        .send(
+                                WireMessages.Status.INDETERMINATE,
+                                "accepted, but the leader changed before all were known to act on it");
+            } else if (tookMicros > TIMEOUT_MICROS) {
+                change.responder()
+                        .send(
+                                WireMessages.Status.INDETERMINATE,
+                                "accepted, but not known to be acted on by " + pending);
+            } else if (pending.isEmpty()) {
+                change.responder().ok(Json.with(change.json(), out -> {
+                    out.writeStringField("waited_for", String.join(", ", lastPending));
+                    out.writeNumberField("strict_ms", tookMicros / MICROS_PER_MILLI);
+                }));
+            } else {
+                member.loop().after(POLL_INTERVAL_MICROS, () -> await(change, pending));
+            }
+        });
+    }
+
+    /** Null where this member leads no more. */
+    private List<String> pendingPoolers(Pending change, RaftNodeReport report) {
+        return member.leaseHolder().grantor().pendingPoolers(change.index(), voters(report));
+    }
+
+    /** The names of the members that vote. */
+    List<String> voters(RaftNodeReport report) {
+        return member.groupView(report).voters().stream().map(MemberId::name).toList();
+    }
+}
--- a/replication/src/main/java/lupinvalve/replication/Subscriber.java
+++ b/replication/src/main/java/lupinvalve/replication/Subscriber.java
@@ -105,7 +105,7 @@
         this.net = own ? new Net(loop, false, tls) : net;
         keeper = new DocumentKeeper(disk, config.cluster(), writes);
         kept = kept();
-        state = new FollowState(config.audit() != OperatorConfig.Audit.OFF, kept, LeaseHolder.clock());
+        state = new FollowState(config.audit() != OperatorConfig.Audit.OFF, kept, LeaseHolder.monotonicMicros());
         schedule = new FollowSchedule(config.name(), config.members().keySet(), seed);
     }
 
@@ -157,7 +157,7 @@
         @Override
         public void greeted(FollowLink which) {
             if (which == candidate) {
-                schedule.home(true, LeaseHolder.clock());
+                schedule.home(true, LeaseHolder.monotonicMicros());
                 link.drop();
                 link = candidate;
                 candidate = null;
@@ -171,7 +171,7 @@
         public void over(FollowLink which, String why) {
             if (which == candidate) {
                 candidate = null;
-                schedule.home(false, LeaseHolder.clock());
+                schedule.home(false, LeaseHolder.monotonicMicros());
             } else {
                 move(which.member() + ": " + why);
             }
@@ -214,7 +214,7 @@
         say("can't follow " + why);
         link.drop();
         moves++;
-        connect(schedule.failed(LeaseHolder.clock()));
+        connect(schedule.failed(LeaseHolder.monotonicMicros()));
     }
 
     /** Once for each that differs from the last. */
@@ -230,19 +230,19 @@
             return;
         }
         boolean greeted = link != null && link.greeted();
-        String line = state.adoption().onQuorumContact(greeted && link.asks(), LeaseHolder.clock());
+        String line = state.adoption().onQuorumContact(greeted && link.asks(), LeaseHolder.monotonicMicros());
         if (line != null) {
             Log.warn("%s: %s", of, line);
         }
         if (greeted
                 && !link.asks()
-                && LeaseHolder.clock() - idleSince
+                && LeaseHolder.monotonicMicros() - idleSince
                         > IDLE_MOST) { // The pooler takes long to act on what it was told: the member hears that this
             // one is there, and what it
             // acts on.
             ask();
         }
-        if (greeted && candidate == null && schedule.homeDue(LeaseHolder.clock())) {
+        if (greeted && candidate == null && schedule.homeDue(LeaseHolder.monotonicMicros())) {
             candidate = to(schedule.first());
         }
         loop.after(TICK, this::tick);
@@ -254,7 +254,7 @@
             return;
         }
         calls++;
-        long asked = LeaseHolder.clock();
+        long asked = LeaseHolder.monotonicMicros();
         FollowLink by = link;
         FollowRequest request =
                 state.request(); // One without a lease has nothing to lose by waiting, and a whole document may be
@@ -280,12 +280,12 @@
     }
 
     private void heard(FollowAnswer answer, long asked) {
-        idleSince = LeaseHolder.clock();
+        idleSince = LeaseHolder.monotonicMicros();
         wholes += answer.news() instanceof FollowAnswer.News.Whole ? 1 : 0;
         differences += answer.news() instanceof FollowAnswer.News.Differences all
                 ? all.steps().size()
                 : 0;
-        FollowState.Heard news = state.heard(answer, asked, LeaseHolder.clock(), pooler::validationError);
+        FollowState.Heard news = state.heard(answer, asked, LeaseHolder.monotonicMicros(), pooler::validationError);
         look();
         if (!news.wrong().isEmpty()) {
             Log.warn("%s: %s; the whole is asked for", of, news.wrong());
@@ -320,7 +320,7 @@
                 && state.adoption().unreadableReason().isEmpty();
         if (answer.leaseMicros() > 0 && answer.leaseMicros() < FollowSchedule.MOVE_BELOW) {
             move(link.member() + ": it is losing its own lease");
-        } else if (wanted && answer.leaseMicros() == 0 && schedule.denied(LeaseHolder.clock())) {
+        } else if (wanted && answer.leaseMicros() == 0 && schedule.denied(LeaseHolder.monotonicMicros())) {
             move(link.member() + ": it grants no lease: " + answer.why());
         } else {
             schedule.answered();
@@ -335,7 +335,7 @@
         if (!fencingEnabled()) {
             return;
         }
-        long left = state.until() - LeaseHolder.clock();
+        long left = state.until() - LeaseHolder.monotonicMicros();
         if (fenced == left > 0) {
             fenced = left <= 0;
             Log.info(
@@ -357,7 +357,7 @@
     // ---- from any thread ----
     @Override
     public boolean mayServe() {
-        return !fencingEnabled() || state.holds(LeaseHolder.clock());
+        return !fencingEnabled() || state.holds(LeaseHolder.monotonicMicros());
     }
 
     @Override
@@ -367,7 +367,7 @@
 
     /** How long it may act yet, by the last lease; 0 without one. */
     public long leaseMicros() {
-        return Math.max(0, state.until() - LeaseHolder.clock());
+        return Math.max(0, state.until() - LeaseHolder.monotonicMicros());
     }
 
     /** When its right to act ends or has ended, by {@link System#nanoTime} in microseconds. */
--- a/replication/src/main/java/lupinvalve/replication/WireMessages.java
+++ b/replication/src/main/java/lupinvalve/replication/WireMessages.java
@@ -9,7 +9,10 @@
 import lupinvalve.statemachine.Cbor;
 import lupinvalve.statemachine.ClusterBootstrap;
 
-/** The store's own wire: a length, a kind, and CBOR. */
+/**
+ * The messages between members, operators and subscribers: a length, a kind, and CBOR. Cuts them off a stream; one
+ * instance a connection, on that connection's thread.
+ */
 public final class WireMessages implements Framer {
     /** What a message is. */
     enum Kind {
@@ -20,7 +23,7 @@
         HEARTBEAT
     }
 
-    /** How a call ended; the numbers are the wire's. */
+    /** How a request ended; the numbers are the wire's. */
     public enum Status {
         OK,
         /** The revision expected is not the one that holds. */
@@ -33,25 +36,30 @@
         INDETERMINATE
     }
 
-    private static final int VERSION = 1, LENGTH_MOST = 16 << 20, ARGUMENTS_MOST = 16;
-    /** Of whose first word nothing is known but that it came: a client's, or no word of this wire's. */
-    private static final int FIRST_MOST = 64 << 10;
+    private static final int VERSION = 1;
+    /** Of one message. */
+    static final int MAX_LENGTH_BYTES = 16 << 20;
+    /** Of the first message of a connection: nothing is known of its peer yet. */
+    private static final int MAX_FIRST_LENGTH_BYTES = 64 << 10;
+
+    private static final int MAX_ARGUMENTS = 16;
+    private static final int LENGTH_BYTES = 4;
 
     /**
-     * Who speaks. A member says what it is of the group; an operator says nothing of that.
+     * Who is at this end of a connection.
      *
-     * @param word null for an operator
+     * @param announcement how far a member's bootstrap is; null for an operator or a subscriber
      */
-    record Hello(String cluster, String name, String address, ClusterBootstrap.Announcement word) {
+    record Hello(String cluster, String name, String address, ClusterBootstrap.Announcement announcement) {
         byte[] write() {
             Cbor.Writer out = new Cbor.Writer()
                     .number(VERSION)
                     .text(cluster)
                     .text(name)
                     .text(address)
-                    .flag(word != null);
-            if (word != null) {
-                word.write(out);
+                    .flag(announcement != null);
+            if (announcement != null) {
+                announcement.write(out);
             }
             return message(Kind.HELLO, out.toByteArray());
         }
@@ -67,7 +75,11 @@
         }
     }
 
-    /** Something asked of a member. */
+    /**
+     * A request to a member.
+     *
+     * @param id numbers the requests of one connection; the response has the same
+     */
     public record Request(long id, String name, List<byte[]> arguments) {
         byte[] write() {
             Cbor.Writer out = new Cbor.Writer().number(id).text(name).number(arguments.size());
@@ -80,7 +92,7 @@
             long id = in.number();
             String name = in.text();
             List<byte[]> arguments = new ArrayList<>();
-            for (int left = in.count(ARGUMENTS_MOST); left > 0; left--) {
+            for (int left = in.count(MAX_ARGUMENTS); left > 0; left--) {
                 arguments.add(in.bytes());
             }
             return new Request(id, name, arguments);
@@ -88,11 +100,12 @@
     }
 
     /**
-     * What came of a call: a JSON text, or why not.
+     * The response to a request: a JSON text, or why there is none.
      *
-     * @param content what is no text, or empty; programs of before subscriptions neither send nor see it
+     * @param content what is no text, or empty; versions before subscriptions neither send nor see it
      */
     public record Response(long id, Status status, String text, byte[] content) {
+        /** A response without content. */
         public Response(long id, Status status, String text) {
             this(id, status, text, new byte[0]);
         }
@@ -111,7 +124,7 @@
     }
 
     static byte[] message(Kind kind, byte[] body) {
-        return ByteBuffer.allocate(5 + body.length)
+        return ByteBuffer.allocate(LENGTH_BYTES + 1 + body.length)
                 .putInt(1 + body.length)
                 .put((byte) kind.ordinal())
                 .put(body)
@@ -129,21 +142,22 @@
         return Arrays.copyOfRange(message, 1, message.length);
     }
 
+    /** Whether a first message has come. */
     private boolean greeted;
 
     @Override
     public int cut(byte[] bytes, int from, int to, List<byte[]> out) throws Malformed {
         int at = from;
-        while (to - at >= 4) {
-            int length = ByteBuffer.wrap(bytes, at, 4).getInt();
-            if (length < 1 || length > (greeted ? LENGTH_MOST : FIRST_MOST)) {
+        while (to - at >= LENGTH_BYTES) {
+            int length = ByteBuffer.wrap(bytes, at, LENGTH_BYTES).getInt();
+            if (length < 1 || length > (greeted ? MAX_LENGTH_BYTES : MAX_FIRST_LENGTH_BYTES)) {
                 throw new Malformed("a message of " + length + " bytes");
             }
-            if (to - at - 4 < length) {
+            if (to - at - LENGTH_BYTES < length) {
                 break;
             }
-            out.add(Arrays.copyOfRange(bytes, at + 4, at + 4 + length));
-            at += 4 + length;
+            out.add(Arrays.copyOfRange(bytes, at + LENGTH_BYTES, at + LENGTH_BYTES + length));
+            at += LENGTH_BYTES + length;
             greeted = true;
         }
         return at;
--- a/scale/src/main/java/lupinvalve/scale/Operator.java
+++ b/scale/src/main/java/lupinvalve/scale/Operator.java
@@ -53,7 +53,7 @@
         history.proposed(revision + 1, digest);
         long began = System.nanoTime();
         GroupClient.Result said =
-                client().ask("put", List.of(bytes(Long.toString(revision)), document), false, CALL_MILLIS);
+                client().call("put", List.of(bytes(Long.toString(revision)), document), false, CALL_MILLIS);
         long ended = System.nanoTime();
         if (said.status() != WireMessages.Status.OK) {
             if (said.status() == WireMessages.Status.REJECTED) {
@@ -72,7 +72,7 @@
     /** Reads what holds, linearizably; whether there was an answer. */
     synchronized boolean read() throws IOException {
         long began = System.nanoTime();
-        GroupClient.Result said = client().ask("get", List.of(new byte[0]), true, CALL_MILLIS);
+        GroupClient.Result said = client().call("get", List.of(new byte[0]), true, CALL_MILLIS);
         if (said.status() != WireMessages.Status.OK) {
             return false;
         }
@@ -100,14 +100,14 @@
         if (now) {
             arguments.add(bytes("scale run"));
         }
-        GroupClient.Result said = client().ask(now ? "hold" : "release", arguments, true, CALL_MILLIS);
+        GroupClient.Result said = client().call(now ? "hold" : "release", arguments, true, CALL_MILLIS);
         return said.status() == WireMessages.Status.OK ? System.nanoTime() : -1;
     }
 
     /** Has a pooler become a member. Throws with what the group says where it can't, or not in time. */
     void add(String name, long withinSeconds) throws IOException, InterruptedException {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(withinSeconds);
-        GroupClient.Result said = client().ask("add", List.of(bytes(name)), true, ADD_MILLIS);
+        GroupClient.Result said = client().call("add", List.of(bytes(name)), true, ADD_MILLIS);
         while (said.status() != WireMessages.Status.OK) {
             boolean never = said.status() == WireMessages.Status.REJECTED
                     && !said.text().contains("not connected");
@@ -115,7 +115,7 @@
                 throw new IOException("add " + name + ": " + said.text());
             }
             Thread.sleep(PAUSE_MILLIS);
-            said = client().ask("add", List.of(bytes(name)), true, ADD_MILLIS);
+            said = client().call("add", List.of(bytes(name)), true, ADD_MILLIS);
         }
     }
 
