--- a/capacity/src/test/java/lupinvalve/capacity/CodeFactsTest.java
+++ b/capacity/src/test/java/lupinvalve/capacity/CodeFactsTest.java
@@ -47,13 +47,16 @@
 
     @Test
     void theDecisionsBoundsAreTheProgramsOwn() throws ReflectiveOperationException {
-        assertEquals(CodeFacts.LIMIT_START, constant("lupinvalve.routing.Limits", "LIMIT_START"));
-        assertEquals(CodeFacts.MEMORY_SECONDS, constant("lupinvalve.routing.Limits", "MEMORY") / MICROS);
-        assertEquals(CodeFacts.ANSWERS_FOR_A_PICTURE, constant("lupinvalve.routing.Limits", "NEWEST"));
-        assertEquals(CodeFacts.COLD_ALONE, constant("lupinvalve.routing.Limits", "COLD_ALONE"));
-        assertEquals(CodeFacts.PROBES_PER_REQUEST, constant("lupinvalve.routing.Health", "PROBES_SPARSE"));
+        assertEquals(CodeFacts.LIMIT_START, constant("lupinvalve.routing.InFlightLimit", "INITIAL_ATTEMPTS"));
+        assertEquals(CodeFacts.MEMORY_SECONDS, constant("lupinvalve.routing.DecayingMean", "MEMORY_MICROS") / MICROS);
+        assertEquals(CodeFacts.ANSWERS_FOR_A_PICTURE, constant("lupinvalve.routing.DecayingMean", "MAX_SAMPLES"));
+        assertEquals(CodeFacts.COLD_ALONE, constant("lupinvalve.routing.SlowStart", "NO_WARM_SERVER_ATTEMPTS"));
         assertEquals(
-                CodeFacts.CHANGE_PROBE_SECONDS, constant("lupinvalve.routing.Router", "CHANGE_PROBE_PACE") / MICROS);
+                CodeFacts.PROBES_PER_REQUEST,
+                constant("lupinvalve.routing.HealthChecker", "SPARSE_BUDGET_PER_REQUEST_CHECKS"));
+        assertEquals(
+                CodeFacts.CHANGE_PROBE_SECONDS,
+                constant("lupinvalve.routing.PrimarySearch", "CHECK_ROUND_MICROS") / MICROS);
         assertEquals(CodeFacts.SURPLUS_LEAST_SECONDS, constant("lupinvalve.net.Pool", "SURPLUS_LEAST") / MICROS);
     }
 
@@ -96,7 +99,7 @@
         String list = "{\"revision\":1,\"complete\":true,\"members\":[" + entry + "]}";
         ListReader.Listed read =
                 new ListReader(List.of("region-1-zone-b"), null).read(list.getBytes(UTF_8), 0, list.length());
-        assertEquals(EndpointState.LIVE, read.entries().get(0).member().state());
+        assertEquals(EndpointState.LIVE, read.entries().get(0).endpoint().state());
         assertEquals(CodeFacts.LIST_ENTRY, entry.length() + 1, "entry and comma");
     }
 }
--- a/daemon/src/main/java/lupinvalve/cli/Daemon.java
+++ b/daemon/src/main/java/lupinvalve/cli/Daemon.java
@@ -11,15 +11,16 @@
 import lupinvalve.admin.AdminServer;
 import lupinvalve.config.NodeConfig;
 import lupinvalve.config.OperatorConfig;
-import lupinvalve.core.Directory;
-import lupinvalve.core.FirstWord;
-import lupinvalve.core.Loop;
+import lupinvalve.core.DiscoveredEndpoint;
+import lupinvalve.core.DiscoveryReadiness;
+import lupinvalve.core.EndpointDiscovery;
+import lupinvalve.core.EventLoop;
 import lupinvalve.core.Pooler;
 import lupinvalve.discovery.DnsDirectory;
 import lupinvalve.discovery.HttpDirectory;
 import lupinvalve.discovery.ListReader;
 import lupinvalve.log.Log;
-import lupinvalve.maintenance.Drain;
+import lupinvalve.maintenance.ClientDrain;
 import lupinvalve.mysql.MysqlBackend;
 import lupinvalve.mysql.MysqlFront;
 import lupinvalve.net.Addresses;
@@ -58,7 +59,7 @@
     private static final long FIRST_WORD_MILLIS = 4_000;
 
     private final NodeConfig config;
-    private final Loop loop = new Loop();
+    private final EventLoop loop = new EventLoop();
     private final Net net = new Net(loop);
     /**
      * For discovery alone, with a thread of its own: a departure binds 250 ms after it was told, and the moment after a
@@ -67,10 +68,12 @@
     private final Net listing = new Net(loop, true);
 
     private final Pooler pooler;
-    private final PgFront front; // One of them is the directory.
+    private final PgFront front;
+    // One of them is the directory.
     private HttpDirectory http;
     private DnsDirectory dns;
-    private volatile Net.Listener listener; // What an operator may turn on.
+    private volatile Net.Listener listener;
+    // What an operator may turn on.
     private OperatorConfig operator;
     private final OperatorConfig local;
     private MysqlFront mysql;
@@ -122,16 +125,16 @@
                 config.site().keepaliveMicros() * 7 / 10,
                 PROBE);
         backend(PgFront.PROTOCOL, new PgBackend(net, pooler, bounds, "api", "ledger"));
-        if (file.mysql()
-                != null) { // Where a group keeps the configuration, the one accepted has the accounts, and there may be
-            // none yet.
+        if (file.mysql() != null) {
+            // Where a group keeps the configuration, the one accepted has the accounts, and there may be none yet.
             OperatorConfig.Mysql m = operator.mysql() == null ? file.mysql() : operator.mysql();
             mysql = new MysqlFront(pooler, clients, m.user(), m.password());
             mysqlNodes = new MysqlBackend(net, pooler, bounds, m.nodeUser(), m.nodePassword(), m.database());
             backend(MysqlFront.PROTOCOL, mysqlNodes);
         }
-        pooler.directory(directory());
-        if (config.operator() != null) { // Poolers of other names may share the folder where it is no pooler's own.
+        pooler.discovery(directory());
+        if (config.operator() != null) {
+            // Poolers of other names may share the folder where it is no pooler's own.
             Path stem = folder == null
                     ? null
                     : folder.resolve("lupinvalve-" + config.name().replaceAll("[^A-Za-z0-9_.-]", "_"));
@@ -143,7 +146,7 @@
 
     private void backend(String protocol, Pool pool) {
         pools.add(pool);
-        pooler.backend(protocol, pool);
+        pooler.addBackend(protocol, pool);
     }
 
     private void endConnections() {
@@ -185,18 +188,18 @@
         if (operations != null) {
             operations.held(byGroup);
         }
-        pooler.drain().hold(byGroup, loop.now());
+        pooler.clientDrain().setDrainedByGroup(byGroup, loop.now());
         if (byGroup) {
-            loop.after(Drain.ENDS_AFTER, this::endConnections);
+            loop.after(ClientDrain.CLOSE_DELAY_MICROS, this::endConnections);
         }
     }
 
     /** Asks nobody, until it is known whom. */
-    private static final class Late implements Directory {
-        private Directory is;
+    private static final class Late implements EndpointDiscovery {
+        private EndpointDiscovery is;
         private boolean active, wanted;
 
-        void is(Directory known) {
+        void is(EndpointDiscovery known) {
             is = known;
             if (active) {
                 is.subscribe(true);
@@ -222,7 +225,7 @@
         }
     }
 
-    private Directory directory() {
+    private EndpointDiscovery directory() {
         Integer port = operator.mysql() == null ? null : operator.mysql().nodePort();
         if (operator.dnsSd() != null) {
             return dnsDirectory(operator.dnsSd());
@@ -262,9 +265,8 @@
      */
     public void reconfigure(NodeConfig next, OperatorConfig nextOperator) {
         OperatorConfig.DnsSd place = nextOperator.dnsSd();
-        InetSocketAddress at = http != null && next.discovery() != null
-                ? Addresses.parse(next.discovery())
-                : null; // What a group keeps is not changed by one member's file.
+        InetSocketAddress at = http != null && next.discovery() != null ? Addresses.parse(next.discovery()) : null;
+        // What a group keeps is not changed by one member's file.
         InetSocketAddress resolver =
                 dns != null && place != null && shared == null ? Addresses.parse(place.resolver()) : null;
         if (at != null && at.isUnresolved() || resolver != null && resolver.isUnresolved()) {
@@ -299,7 +301,8 @@
                 throw new IOException("operator: " + config.operator() + " can't be listened on: " + e.getMessage(), e);
             }
         }
-        if (operations != null) { // Operators may call from now on, and each call must be answered within a second.
+        if (operations != null) {
+            // Operators may call from now on, and each call must be answered within a second.
             operations.start();
         } // Discovery is asked first: its answer comes while the code warms up.
         startCore();
@@ -334,8 +337,8 @@
             return;
         }
         long passed = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - askedNanos);
-        FirstWord.Outcome outcome = pooler.firstWord().await(FIRST_WORD_MILLIS - passed);
-        if (outcome != FirstWord.Outcome.TOLD) {
+        DiscoveryReadiness.Outcome outcome = pooler.discoveryReadiness().await(FIRST_WORD_MILLIS - passed);
+        if (outcome != DiscoveryReadiness.Outcome.LIST_RECEIVED) {
             Log.warn(
                     "discovery: %s after %d ms: %s serves from the list of its file, revision %d",
                     outcome,
@@ -378,13 +381,13 @@
     private void startCore() {
         loop.start();
         loop.post(() -> {
-            List<Directory.Entry> known = config.known().entries();
+            List<DiscoveredEndpoint> known = config.known().entries();
             pooler.start(config.seed(), known.isEmpty() && shared != null ? shared.entries() : known);
             if (shared != null) {
                 shared.follow();
             }
             if (operations != null) {
-                pooler.count();
+                pooler.publishMetrics();
             }
         });
     }
@@ -424,18 +427,18 @@
         loop.post(() -> {
             Log.info(
                     "ending%s: %d requests, %d clients",
-                    succeeded ? " after a successor's start" : "", pooler.open(), front.open());
+                    succeeded ? " after a successor's start" : "", pooler.openRequests(), front.open());
             long longest = 0;
             for (RequestClass kind : config.site().settings().classes()) {
                 longest = Math.max(longest, kind.deadlineMicros());
             }
             long left = Math.min(longest, LONGEST) + KILL - ANSWERED;
-            pooler.lastAnswer(loop.now() + left);
+            pooler.answerBy(loop.now() + left);
             if (operations != null) {
                 operations.serves(false);
             }
-            if (listener
-                    == null) { // The start failed, or was not over: nobody was let in, and nobody waits for an answer.
+            if (listener == null) {
+                // The start failed, or was not over: nobody was let in, and nobody waits for an answer.
                 then.run();
             } else if (succeeded) {
                 leave(then);
@@ -446,7 +449,7 @@
     }
 
     private void leave(Runnable then) {
-        pooler.drain().leave();
+        pooler.clientDrain().shutDown();
         listener.stop(() -> {
             endConnections();
             settle(then, 0);
@@ -460,17 +463,16 @@
      * Ends once nothing is due any more. There is no bound: what the program leaves unanswered by its own end is lost,
      * while what SIGKILL finds unanswered is not, if it came early enough.
      */
-    private void settle(
-            Runnable then,
-            int quiet) { // A connection that its front has ended may still have its last answer with MINA's thread,
-        // for as long as that
+    private void settle(Runnable then, int quiet) {
+        // A connection that its front has ended may still have its last answer with MINA's thread, for as long as that
         // thread gets no time or the client does not read.
-        boolean over = pooler.open() == 0
+        boolean over = pooler.openRequests() == 0
                 && front.open() == 0
                 && (mysql == null || mysql.open() == 0)
                 && listener.open() == 0
                 && (mysqlListener == null || mysqlListener.open() == 0);
-        if (over && quiet >= QUIET) { // The last connections taken have been heard of by now.
+        if (over && quiet >= QUIET) {
+            // The last connections taken have been heard of by now.
             then.run();
         } else {
             loop.after(SETTLE, () -> settle(then, over ? quiet + 1 : 0));
--- a/replication/src/main/java/lupinvalve/replication/AuditLog.java
+++ b/replication/src/main/java/lupinvalve/replication/AuditLog.java
@@ -3,7 +3,6 @@
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Locale;
 import lupinvalve.audit.AuditEntry;
 import lupinvalve.audit.AuditJournal;
 import lupinvalve.log.Log;
@@ -102,7 +101,7 @@
         }
         Log.info(
                 "store: audit: %s %s, change %s%s",
-                event.name().toLowerCase(Locale.ROOT), version, index, reason.isEmpty() ? "" : ": " + reason);
+                event.text(), version, index, reason.isEmpty() ? "" : ": " + reason);
     }
 
     /** What is to be proposed to the group next, or null. */
--- a/replication/src/main/java/lupinvalve/replication/ConfigurationActivator.java
+++ b/replication/src/main/java/lupinvalve/replication/ConfigurationActivator.java
@@ -1,6 +1,6 @@
 package lupinvalve.replication;
 
-import lupinvalve.core.Loop;
+import lupinvalve.core.EventLoop;
 import lupinvalve.log.Log;
 import lupinvalve.statemachine.ActiveConfiguration;
 import lupinvalve.statemachine.ReplicatedState;
@@ -10,13 +10,13 @@
  * thread.
  */
 final class ConfigurationActivator {
-    private final Loop loop;
+    private final EventLoop loop;
     /** Null where the audit is off. */
     private final LeaseHolder leaseHolder;
 
     private final ActiveConfiguration active;
 
-    ConfigurationActivator(Loop loop, LeaseHolder leaseHolder) {
+    ConfigurationActivator(EventLoop loop, LeaseHolder leaseHolder) {
         this.loop = loop;
         this.leaseHolder = leaseHolder;
         active = new ActiveConfiguration(loop.now());
--- a/replication/src/main/java/lupinvalve/replication/Followers.java
+++ b/replication/src/main/java/lupinvalve/replication/Followers.java
@@ -116,7 +116,7 @@
                             + group.termination().reason()
                     : "the group is not founded yet";
         }
-        if (group.configuration().isCutOff()) {
+        if (group.configuration().isQuorumLost()) {
             return "cut off from the majority";
         }
         return service.powerless(LeaseHolder.monotonicMicros()) ? "this member has no lease itself" : null;
--- a/replication/src/main/java/lupinvalve/replication/MemberRuntime.java
+++ b/replication/src/main/java/lupinvalve/replication/MemberRuntime.java
@@ -8,7 +8,7 @@
 import java.util.TreeSet;
 import java.util.function.Consumer;
 import lupinvalve.config.OperatorConfig;
-import lupinvalve.core.Loop;
+import lupinvalve.core.EventLoop;
 import lupinvalve.log.Log;
 import lupinvalve.net.Net;
 import lupinvalve.statemachine.ActiveConfiguration;
@@ -31,7 +31,7 @@
     private static final long MAX_REOPEN_BACKOFF_MICROS = 16_000_000;
 
     private final OperatorConfig.Store config;
-    private final Loop loop;
+    private final EventLoop loop;
     private final RaftMember.Interceptors interceptors;
     private final Scheduler scheduler;
     private final Disk disk;
@@ -65,7 +65,7 @@
     /** Opens the folder; throws with one line that says what is wrong with it and where. */
     MemberRuntime(
             OperatorConfig.Store config,
-            Loop loop,
+            EventLoop loop,
             Net net,
             PeerConnections.IdentityCheck identityCheck,
             RaftMember.Interceptors interceptors)
@@ -175,7 +175,7 @@
         if (line != null) {
             Log.warn("store: %s", line);
             if (leaseHolder != null) {
-                leaseHolder.onQuorumContact(!activator.active().isCutOff(), loop.now());
+                leaseHolder.onQuorumContact(!activator.active().isQuorumLost(), loop.now());
             }
         }
     }
@@ -480,7 +480,7 @@
         return log;
     }
 
-    Loop loop() {
+    EventLoop loop() {
         return loop;
     }
 
--- a/replication/src/main/java/lupinvalve/replication/PeerConnections.java
+++ b/replication/src/main/java/lupinvalve/replication/PeerConnections.java
@@ -11,8 +11,8 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.function.Consumer;
-import lupinvalve.core.Deadlines;
-import lupinvalve.core.Loop;
+import lupinvalve.core.EventLoop;
+import lupinvalve.core.TimerQueue;
 import lupinvalve.log.Log;
 import lupinvalve.net.Addresses;
 import lupinvalve.net.Link;
@@ -65,7 +65,7 @@
     }
 
     private final Net net;
-    private final Loop loop;
+    private final EventLoop loop;
     private final Self self;
     private final IdentityCheck identityCheck;
     private final Listener listener;
@@ -81,7 +81,7 @@
 
     PeerConnections(
             Net net,
-            Loop loop,
+            EventLoop loop,
             Self self,
             ClusterBootstrap.Announcement announcement,
             IdentityCheck identityCheck,
@@ -234,8 +234,8 @@
         private boolean greeted;
         private boolean closed;
         private boolean subscriber;
-        private Deadlines.Deadline silence;
-        private Deadlines.Deadline heartbeat;
+        private TimerQueue.Timer silence;
+        private TimerQueue.Timer heartbeat;
 
         Connection(Link link, DialedMember dialedMember) {
             this.link = link;
@@ -267,7 +267,7 @@
         }
 
         void onMessages(List<byte[]> messages) {
-            loop.drop(silence);
+            loop.cancel(silence);
             silence = loop.after(SILENCE_TIMEOUT_MICROS, () -> fail("it has fallen silent"));
             try {
                 for (byte[] message : messages) {
@@ -390,8 +390,8 @@
                 return;
             }
             closed = true;
-            loop.drop(silence);
-            loop.drop(heartbeat);
+            loop.cancel(silence);
+            loop.cancel(heartbeat);
             accepted.remove(this);
             List<Connection> connections = member == null ? null : connected.get(member);
             if (connections != null && connections.remove(this) && connections.isEmpty()) {
@@ -446,7 +446,7 @@
 
         @Override
         public void opened(Link link) {
-            loop.drop(connection.silence);
+            loop.cancel(connection.silence);
             connection.begin();
         }
 
--- a/replication/src/main/java/lupinvalve/replication/RaftMember.java
+++ b/replication/src/main/java/lupinvalve/replication/RaftMember.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicBoolean;
 import lupinvalve.config.OperatorConfig;
-import lupinvalve.core.Loop;
+import lupinvalve.core.EventLoop;
 import lupinvalve.log.Log;
 import lupinvalve.net.Addresses;
 import lupinvalve.net.Link;
@@ -46,7 +46,7 @@
     }
 
     private final OperatorConfig.Store config;
-    private final Loop loop = new Loop("store");
+    private final EventLoop loop = new EventLoop("store");
     /** Null where no connection leaves the machine. */
     private final Tls tls;
 
--- a/replication/src/main/java/lupinvalve/replication/RaftReplica.java
+++ b/replication/src/main/java/lupinvalve/replication/RaftReplica.java
@@ -189,16 +189,11 @@
         if (terminated) {
             return;
         }
-        detach();
-        listener.terminated(reason);
-    }
-
-    /** The same, without a notice: another node goes on with the folder. */
-    void detach() {
         terminated = true;
         node.terminate();
         // The library's own last work is to fail what is in flight; it must not reach a disk that is closed.
         scheduler.post(executor::stop);
+        listener.terminated(reason);
     }
 
     /** What the committed log led to, as far as it is applied here. */
--- a/replication/src/main/java/lupinvalve/replication/Scheduler.java
+++ b/replication/src/main/java/lupinvalve/replication/Scheduler.java
@@ -1,6 +1,6 @@
 package lupinvalve.replication;
 
-import lupinvalve.core.Loop;
+import lupinvalve.core.EventLoop;
 
 /** Where a member's work runs, one piece after another, and what time it is there. */
 public interface Scheduler {
@@ -14,7 +14,7 @@
     void after(long micros, Runnable work);
 
     /** Runs work on a loop. */
-    static Scheduler of(Loop loop) {
+    static Scheduler of(EventLoop loop) {
         return new Scheduler() {
             @Override
             public long now() {
--- a/replication/src/main/java/lupinvalve/replication/SessionCommitPublisher.java
+++ b/replication/src/main/java/lupinvalve/replication/SessionCommitPublisher.java
@@ -7,7 +7,7 @@
 import java.util.function.BiConsumer;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
-import lupinvalve.core.Loop;
+import lupinvalve.core.EventLoop;
 import lupinvalve.statemachine.Command;
 import lupinvalve.statemachine.SessionCommitBatcher;
 
@@ -19,7 +19,7 @@
     /** Callbacks that wait at once; those beyond run when their own time limit is over. */
     private static final int MAX_WAITING_CALLBACKS = 10_000;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final BooleanSupplier canPropose;
     private final BiConsumer<Command, Consumer<Boolean>> proposer;
     private final SessionCommitBatcher batcher = new SessionCommitBatcher();
@@ -34,7 +34,8 @@
      * @param canPropose whether this member takes part and knows a leader
      * @param proposer proposes a command, and tells whether it was committed
      */
-    SessionCommitPublisher(Loop loop, BooleanSupplier canPropose, BiConsumer<Command, Consumer<Boolean>> proposer) {
+    SessionCommitPublisher(
+            EventLoop loop, BooleanSupplier canPropose, BiConsumer<Command, Consumer<Boolean>> proposer) {
         this.loop = loop;
         this.canPropose = canPropose;
         this.proposer = proposer;
--- a/replication/src/main/java/lupinvalve/replication/SessionTokens.java
+++ b/replication/src/main/java/lupinvalve/replication/SessionTokens.java
@@ -1,8 +1,8 @@
 package lupinvalve.replication;
 
 import java.util.Map;
-import lupinvalve.core.Loop;
-import lupinvalve.core.Marks;
+import lupinvalve.core.EventLoop;
+import lupinvalve.core.SessionTokenStore;
 import lupinvalve.statemachine.Command;
 import lupinvalve.statemachine.SessionTable;
 
@@ -11,8 +11,8 @@
  * response to a write may wait for that, within a bound: its session then reads its own writes at any pooler. On the
  * core thread.
  */
-public final class SessionTokens implements Marks {
-    private final Loop loop;
+public final class SessionTokens implements SessionTokenStore {
+    private final EventLoop loop;
     private final ControlPlane controlPlane;
     private final long waitMicros;
     private final SessionTable sessions = new SessionTable();
@@ -23,7 +23,7 @@
      * @param waitMicros how long a write's response may wait for a majority; 0 for not at all
      * @param known what was committed before this start
      */
-    public SessionTokens(Loop loop, ControlPlane controlPlane, long waitMicros, Command.SessionCommits known) {
+    public SessionTokens(EventLoop loop, ControlPlane controlPlane, long waitMicros, Command.SessionCommits known) {
         this.loop = loop;
         this.controlPlane = controlPlane;
         this.waitMicros = waitMicros;
--- a/replication/src/main/java/lupinvalve/replication/StatusReport.java
+++ b/replication/src/main/java/lupinvalve/replication/StatusReport.java
@@ -71,7 +71,7 @@
         out.writeStringField("phase", own.phase().statusName());
         out.writeStringField("leader", leader == null ? "" : leader.name());
         out.writeBooleanField("leads", member.isLeader());
-        out.writeBooleanField("cut_off", member.configuration().isCutOff());
+        out.writeBooleanField("cut_off", member.configuration().isQuorumLost());
     }
 
     private void configuration(JsonGenerator out) throws IOException {
--- a/replication/src/main/java/lupinvalve/replication/StoredHistory.java
+++ b/replication/src/main/java/lupinvalve/replication/StoredHistory.java
@@ -46,10 +46,8 @@
         if (!entries.isEmpty() && entry.getIndex() <= entries.lastKey()) {
             throw new RecordFrames.CorruptException(
                     segment + ": change " + entry.getIndex() + " follows " + entries.lastKey());
-        } else if (!entries.isEmpty()
-                && entry.getIndex()
-                        > entries.lastKey()
-                                + 1) { // A snapshot must cover the gap, which is looked at once all is read.
+        } else if (!entries.isEmpty() && entry.getIndex() > entries.lastKey() + 1) {
+            // A snapshot must cover the gap, which is looked at once all is read.
             entries.clear();
         }
         entries.put(entry.getIndex(), entry);
