--- a/replication/src/main/java/lupinvalve/replication/AuditQueries.java
+++ b/replication/src/main/java/lupinvalve/replication/AuditQueries.java
@@ -36,8 +36,8 @@
         return new AuditHistory(entries);
     }
 
-    /** The answer to a query; throws IOException where it is none. */
-    static String answer(AuditHistory history, List<String> query) throws IOException {
+    /** The answer to a query; throws InvalidRequestException where it is none. */
+    static String answer(AuditHistory history, List<String> query) throws InvalidRequestException {
         String kind = query.isEmpty() ? "" : query.get(0);
         String argument = query.size() > 1 ? query.get(1) : "";
         return switch (kind) {
@@ -46,7 +46,8 @@
             case "version" -> spans(history, history.spansUnder(argument));
             case "between" -> between(
                     history, micros(argument), micros(query.size() > END_ARGUMENT ? query.get(END_ARGUMENT) : ""));
-            default -> throw new IOException("audit at TIME, between T1 T2, pooler NAME or version V; not " + kind);
+            default -> throw new InvalidRequestException(
+                    "audit at TIME, between T1 T2, pooler NAME or version V; not " + kind);
         };
     }
 
@@ -71,13 +72,14 @@
         });
     }
 
-    private static long micros(String text) throws IOException {
+    private static long micros(String text) throws InvalidRequestException {
         try {
             return text.matches("[0-9]+")
                     ? Long.parseLong(text)
                     : Instant.parse(text).toEpochMilli() * MICROS_PER_MILLI;
         } catch (DateTimeException | ArithmeticException | NumberFormatException e) {
-            throw new IOException("no time: " + text + "; a Unix time in microseconds, or 2026-01-31T12:00:00Z", e);
+            throw new InvalidRequestException(
+                    "no time: " + text + "; a Unix time in microseconds, or 2026-01-31T12:00:00Z", e);
         }
     }
 
--- a/replication/src/main/java/lupinvalve/replication/ControlPlane.java
+++ b/replication/src/main/java/lupinvalve/replication/ControlPlane.java
@@ -7,21 +7,23 @@
 import lupinvalve.statemachine.ReplicatedState;
 
 /**
- * What a pooler has beside it that tells it the agreed configuration: a member of the group, or one that follows
- * members.
+ * Notifies a pooler of the configuration that the group has committed: a member of the group, or a subscriber to
+ * members. Methods may be called from any thread unless they say otherwise.
  */
 public interface ControlPlane {
     /**
-     * What was accepted as far as this process knows by itself.
+     * What was committed as far as this process knows by itself.
      *
-     * @param document null where none was accepted yet
+     * @param document the configuration; null where none was committed yet
+     * @param nodes the db nodes that were known last
+     * @param commits sessions' last commits
      */
     record InitialState(
             ReplicatedState.Document document, List<Command.KnownEndpoint> nodes, Command.SessionCommits commits) {}
 
-    /** What the pooler beside is notified of. Called on the control plane's own thread, one call after another. */
+    /** What a pooler is notified of and asked. Called on the control plane's own thread, one call after another. */
     interface Listener {
-        /** Why this version can't act on a configuration, or null. */
+        /** Why this version can't serve on a configuration, or null. */
         String validationError(byte[] document);
 
         /** Why running poolers could not go from one configuration (null for none yet) to another, or null. */
@@ -38,36 +40,49 @@
         void configurationAccepted(ReplicatedState.Document document);
 
         /** Operators' drains as they now stand. */
-        void drainsChanged(Map<Command.DrainTarget, ReplicatedState.Drain> holds);
+        void drainsChanged(Map<Command.DrainTarget, ReplicatedState.Drain> drains);
 
         /** Sessions' commits of any pooler that a majority now holds. */
         void commitsAccepted(Command.SessionCommits commits);
     }
 
-    /** Before {@link #start}. */
+    /** What is known before {@link #start}. */
     InitialState initialState();
 
-    /** Begins; {@code listener} hears first what was accepted before. */
+    /**
+     * Begins; {@code listener} is notified first of what was committed before.
+     *
+     * @throws IOException where it can't listen or connect
+     */
     void start(Listener listener) throws IOException;
 
-    /** Whether the pooler beside may act on what it knows; from any thread. */
+    /** Whether the pooler may serve: it holds a lease, or needs none. */
     boolean mayServe();
 
-    /** Whether the right to act can end here. */
+    /** Whether a pooler whose lease has ended must not serve. */
     boolean fencingEnabled();
 
-    /** Whether this one tells the others of the list of db nodes; from any thread. */
+    /** Whether this one leads, and so publishes the list of db nodes to all. */
     boolean isLeader();
 
-    /** A session's commit here; {@code then}, if any, runs once it is held as firmly as it will be. From any thread. */
-    void publishCommit(String session, long position, Runnable then);
+    /**
+     * Publishes a session's commit.
+     *
+     * @param position the log position in Unix microseconds
+     * @param onCommitted runs, on the control plane's thread, once the commit is held as firmly as it will be; or null
+     */
+    void publishCommit(String session, long position, Runnable onCommitted);
 
-    /** The list of db nodes as this pooler has it. From any thread. */
+    /** Publishes the list of db nodes as this pooler has it; only the leader's goes to all. */
     void publishEndpoints(List<Command.KnownEndpoint> nodes);
 
-    /** Keys and certificates as the files have them now; from any thread. Throws where they can't be used. */
+    /**
+     * Takes keys and certificates as the files have them now; connections that are up keep theirs.
+     *
+     * @throws IOException where they can't be used; then nothing changes
+     */
     void reloadCertificates() throws IOException;
 
-    /** Ends at once. From any thread but its own. */
+    /** Ends at once. From any thread but the control plane's own. */
     void stop();
 }
--- a/replication/src/main/java/lupinvalve/replication/Json.java
+++ b/replication/src/main/java/lupinvalve/replication/Json.java
@@ -10,17 +10,19 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
 
-/** Answers for operators, as JSON texts. */
+/** Writes and masks JSON texts for operators. Safe for all threads. */
 final class Json {
     private static final JsonFactory JSON = new JsonFactory();
     private static final String MASKED = "***";
 
     private Json() {}
 
+    /** Writes the fields of an object. */
     interface Fields {
         void to(JsonGenerator out) throws IOException;
     }
 
+    /** An object with these fields. */
     static String object(Fields fields) {
         StringWriter text = new StringWriter();
         try (JsonGenerator out = JSON.createGenerator(text)) {
@@ -68,6 +70,7 @@
         return text.toString();
     }
 
+    /** A document as it is, with its secrets. */
     static String text(byte[] document) {
         return new String(document, StandardCharsets.UTF_8);
     }
--- a/replication/src/main/java/lupinvalve/replication/LeaseGrantor.java
+++ b/replication/src/main/java/lupinvalve/replication/LeaseGrantor.java
@@ -2,6 +2,7 @@
 
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import lupinvalve.audit.Lease;
 import lupinvalve.audit.LeaseManager;
 
@@ -73,12 +74,12 @@
     }
 
     /**
-     * Who may still serve on what held before a change; null where this member leads no more. A lease counts as ended
+     * Who may still serve on what held before a change; empty where this member leads no more. A lease counts as ended
      * only where it had when a majority last confirmed this leader: one that has stood still does not know what others
      * have granted since.
      */
-    List<String> pendingPoolers(long index, List<String> poolers) {
-        return leases == null ? null : leases.pendingPoolers(index, poolers, confirmedMicros);
+    Optional<List<String>> pendingPoolers(long index, List<String> poolers) {
+        return Optional.ofNullable(leases).map(granted -> granted.pendingPoolers(index, poolers, confirmedMicros));
     }
 
     /** Who has no lease, with reasons. */
--- a/replication/src/main/java/lupinvalve/replication/PeerConnections.java
+++ b/replication/src/main/java/lupinvalve/replication/PeerConnections.java
@@ -282,13 +282,13 @@
 
         private void onMessage(WireMessages.Kind kind, byte[] body) throws IOException {
             if (!greeted && kind != WireMessages.Kind.HELLO) {
-                throw new IOException("no greeting");
+                throw new HandshakeException("no greeting");
             }
             switch (kind) {
                 case HELLO -> onHello(WireMessages.Hello.read(body));
                 case RAFT -> {
                     if (member == null) {
-                        throw new IOException("an operator has no part in the group");
+                        throw new HandshakeException("an operator has no part in the group");
                     }
                     listener.raftMessage(body);
                 }
@@ -322,7 +322,7 @@
             }
             MemberId announced = hello.announcement().member();
             if (member != null && !member.equals(announced)) {
-                throw new IOException(hello.name() + " has changed its disk");
+                throw new HandshakeException(hello.name() + " has changed its disk");
             }
             if (member == null) {
                 onConnected(announced);
@@ -332,16 +332,16 @@
 
         private void checkHello(WireMessages.Hello hello) throws IOException {
             if (!hello.cluster().equals(self.cluster())) {
-                throw new IOException(hello.name() + " is of the cluster " + hello.cluster());
+                throw new HandshakeException(hello.name() + " is of the cluster " + hello.cluster());
             }
             ClusterBootstrap.Announcement announced = hello.announcement();
             if (announced != null
                     && (!announced.member().name().equals(hello.name())
                             || hello.name().equals(self.name()))) {
-                throw new IOException(hello.name() + " is not its own name, or this member's");
+                throw new HandshakeException(hello.name() + " is not its own name, or this member's");
             }
             if (dialedMember != null && !hello.name().equals(dialedMember.name)) {
-                throw new IOException(
+                throw new HandshakeException(
                         "at " + dialedMember.address + " is " + hello.name() + ", not " + dialedMember.name);
             }
         }
@@ -377,7 +377,7 @@
             if (member != null) {
                 return member.toString();
             }
-            return dialedMember != null ? dialedMember.name + " at " + dialedMember.address : "a stranger";
+            return dialedMember != null ? dialedMember.name + " at " + dialedMember.address : "an unknown peer";
         }
 
         void drop() {
--- a/replication/src/main/java/lupinvalve/replication/RaftCodec.java
+++ b/replication/src/main/java/lupinvalve/replication/RaftCodec.java
@@ -24,6 +24,7 @@
 import java.util.Collection;
 import java.util.List;
 import lupinvalve.statemachine.Cbor;
+import lupinvalve.statemachine.DecodingException;
 import lupinvalve.statemachine.MemberId;
 
 /** Encodes the library's messages and log entries as CBOR. Commands are bytes already and go in as they are. */
@@ -244,7 +245,7 @@
             case VOTE -> readVote(in, header);
             case VOTE_RESPONSE -> readVoteResponse(in, header);
             case TRIGGER_ELECTION -> readTriggerElection(in, header);
-            default -> throw new IOException("a message of the unknown kind " + kind);
+            default -> throw new DecodingException("a message of the unknown kind " + kind);
         };
     }
 
--- a/replication/src/main/java/lupinvalve/replication/RecordBatch.java
+++ b/replication/src/main/java/lupinvalve/replication/RecordBatch.java
@@ -5,15 +5,15 @@
 import java.util.function.Consumer;
 import lupinvalve.statemachine.Cbor;
 
-/** Records that gather until they are written together: their count, then one after another. */
+/** Collects records that are written together: their count, then one after another. Not safe for threads. */
 final class RecordBatch {
-    /** A buffer that has grown beyond this is not kept. */
-    private static final int BUFFER_MOST = 1 << 20;
+    /** A buffer that has grown beyond this is replaced. */
+    private static final int MAX_RETAINED_BUFFER_BYTES = 1 << 20;
 
     private ByteArrayOutputStream pending = new ByteArrayOutputStream();
     private int records;
 
-    /** Adds what is written. */
+    /** Adds one record. */
     void add(Consumer<Cbor.Writer> record) {
         Cbor.Writer out = new Cbor.Writer();
         record.accept(out);
@@ -21,6 +21,7 @@
         records++;
     }
 
+    /** Whether no record was added since the last {@link #clear}. */
     boolean isEmpty() {
         return records == 0;
     }
@@ -33,8 +34,9 @@
         return RecordFrames.frame(content.toByteArray());
     }
 
+    /** Forgets all records. */
     void clear() {
-        pending = pending.size() > BUFFER_MOST ? new ByteArrayOutputStream() : pending;
+        pending = pending.size() > MAX_RETAINED_BUFFER_BYTES ? new ByteArrayOutputStream() : pending;
         pending.reset();
         records = 0;
     }
--- a/replication/src/main/java/lupinvalve/replication/RequestHandler.java
+++ b/replication/src/main/java/lupinvalve/replication/RequestHandler.java
@@ -116,9 +116,9 @@
         }
     }
 
-    private static String argument(WireMessages.Request request, int position) throws IOException {
+    private static String argument(WireMessages.Request request, int position) throws InvalidRequestException {
         if (request.arguments().size() <= position) {
-            throw new IOException(request.name() + " lacks an argument");
+            throw new InvalidRequestException(request.name() + " lacks an argument");
         }
         return new String(request.arguments().get(position), StandardCharsets.UTF_8);
     }
@@ -128,23 +128,23 @@
         return !request.arguments().isEmpty() && request.arguments().get(0).length > 0;
     }
 
-    private static Command.DrainTarget target(WireMessages.Request request) throws IOException {
+    private static Command.DrainTarget target(WireMessages.Request request) throws InvalidRequestException {
         String kind = argument(request, 0);
         if (!kind.equals("node") && !kind.equals("pooler")) {
-            throw new IOException("what is held is a node or a pooler, not a " + kind);
+            throw new InvalidRequestException("what is held is a node or a pooler, not a " + kind);
         }
         return new Command.DrainTarget(
                 kind.equals("node") ? Command.TargetKind.NODE : Command.TargetKind.POOLER, argument(request, 1));
     }
 
     private Responder strictIfRequested(WireMessages.Request request, int position, Responder responder)
-            throws IOException {
+            throws InvalidRequestException {
         boolean strict = request.arguments().size() > position
                 && argument(request, position).equals(STRICT);
         return strict ? strictChanges.wrap(responder) : responder;
     }
 
-    private void put(WireMessages.Request request, Responder responder) throws IOException {
+    private void put(WireMessages.Request request, Responder responder) throws InvalidRequestException {
         long expectedRevision = Long.parseLong(argument(request, 0));
         byte[] document = request.arguments().get(1);
         // Checked before it is proposed: what a majority accepts is a configuration that can be served on.
@@ -164,7 +164,7 @@
     }
 
     /** Another member requests a lease, or this one's own operator sees why there is none. */
-    private void lease(WireMessages.Request request, Responder responder) throws IOException {
+    private void lease(WireMessages.Request request, Responder responder) throws InvalidRequestException {
         // A member of an earlier version has no subscribers.
         long followersIndex = request.arguments().size() > LEASE_FOLLOWERS_ARGUMENT
                 ? Long.parseLong(argument(request, LEASE_FOLLOWERS_ARGUMENT))
@@ -190,14 +190,14 @@
         }
     }
 
-    private void audit(WireMessages.Request request, Responder responder) throws IOException {
+    private void audit(WireMessages.Request request, Responder responder) throws InvalidRequestException {
         List<String> query = new ArrayList<>();
         for (int i = 0; i < request.arguments().size(); i++) {
             query.add(argument(request, i));
         }
         if (query.equals(List.of("stragglers"))) {
             if (member.leaseHolder() == null) {
-                throw new IOException("audit is off at the leader");
+                throw new InvalidRequestException("audit is off at the leader");
             }
             member.replica()
                     .report(responder.whenCompleted(report -> status.excludedPoolers(
@@ -218,7 +218,7 @@
         try {
             answer = AuditQueries.answer(
                     AuditQueries.history(member.replica().state().auditEntries().values()), query);
-        } catch (IOException e) {
+        } catch (InvalidRequestException e) {
             responder.reject(e.getMessage());
             return;
         }
--- a/replication/src/main/java/lupinvalve/replication/StrictChanges.java
+++ b/replication/src/main/java/lupinvalve/replication/StrictChanges.java
@@ -1,8 +1,8 @@
 package lupinvalve.replication;
 
 import io.microraft.report.RaftNodeReport;
-import java.io.IOException;
 import java.util.List;
+import java.util.Optional;
 import java.util.function.Consumer;
 import lupinvalve.statemachine.MemberId;
 
@@ -24,9 +24,9 @@
     }
 
     /** A responder that sends a success only once no pooler serves on what held before. */
-    Responder wrap(Responder responder) throws IOException {
+    Responder wrap(Responder responder) throws InvalidRequestException {
         if (member.leaseHolder() == null) {
-            throw new IOException("strict changes need store.audit at the leader, and at each member");
+            throw new InvalidRequestException("strict changes need store.audit at the leader, and at each member");
         }
         long startedMicros = member.loop().now();
         Consumer<WireMessages.Response> channel = response -> {
@@ -42,36 +42,37 @@
     }
 
     /** A strict change that is committed and not yet served on by all. */
-    private record Pending(Responder responder, String json, long index, long startedMicros) {}
+    private record Pending(Responder responder, String json, long index, long startedMicros) {
+        void fail(String reason) {
+            responder.send(WireMessages.Status.INDETERMINATE, reason);
+        }
+    }
 
     private void await(Pending change, List<String> lastPending) {
         member.replica().report((completion, report) -> {
-            List<String> pending = completion == RaftReplica.Completion.DONE ? pendingPoolers(change, report) : null;
-            long tookMicros = member.loop().now() - change.startedMicros();
-            if (pending == null) {
-                change.responder()
-                        .send(
-                                WireMessages.Status.INDETERMINATE,
-                                "accepted, but the leader changed before all were known to act on it");
-            } else if (tookMicros > TIMEOUT_MICROS) {
-                change.responder()
-                        .send(
-                                WireMessages.Status.INDETERMINATE,
-                                "accepted, but not known to be acted on by " + pending);
-            } else if (pending.isEmpty()) {
-                change.responder().ok(Json.with(change.json(), out -> {
-                    out.writeStringField("waited_for", String.join(", ", lastPending));
-                    out.writeNumberField("strict_ms", tookMicros / MICROS_PER_MILLI);
-                }));
+            Optional<List<String>> pending = completion == RaftReplica.Completion.DONE
+                    ? member.leaseHolder().grantor().pendingPoolers(change.index(), voters(report))
+                    : Optional.empty();
+            if (pending.isEmpty()) {
+                change.fail("accepted, but the leader changed before all were known to act on it");
             } else {
-                member.loop().after(POLL_INTERVAL_MICROS, () -> await(change, pending));
+                check(change, pending.get(), lastPending);
             }
         });
     }
 
-    /** Null where this member leads no more. */
-    private List<String> pendingPoolers(Pending change, RaftNodeReport report) {
-        return member.leaseHolder().grantor().pendingPoolers(change.index(), voters(report));
+    private void check(Pending change, List<String> pending, List<String> lastPending) {
+        long tookMicros = member.loop().now() - change.startedMicros();
+        if (tookMicros > TIMEOUT_MICROS) {
+            change.fail("accepted, but not known to be acted on by " + pending);
+        } else if (pending.isEmpty()) {
+            change.responder().ok(Json.with(change.json(), out -> {
+                out.writeStringField("waited_for", String.join(", ", lastPending));
+                out.writeNumberField("strict_ms", tookMicros / MICROS_PER_MILLI);
+            }));
+        } else {
+            member.loop().after(POLL_INTERVAL_MICROS, () -> await(change, pending));
+        }
     }
 
     /** The names of the members that vote. */
--- a/replication/src/main/java/lupinvalve/replication/Tls.java
+++ b/replication/src/main/java/lupinvalve/replication/Tls.java
@@ -61,6 +61,7 @@
         return filter;
     }
 
+    /** What the files have: own key and certificate, and the authority that peers' must be of. */
     static SSLContext context(OperatorConfig.Tls files) throws IOException {
         try {
             List<X509Certificate> chain = certificates(files.certificate());
@@ -117,14 +118,15 @@
         }
     }
 
-    /** Whether the peer's certificate names it as it says. */
+    /** Throws where the peer's certificate does not name it as it says. */
     static void check(Link link, String name) throws IOException {
         if (!(link.attribute(SslFilter.SSL_SECURED) instanceof SSLSession session)) {
-            throw new IOException("no TLS");
+            throw new HandshakeException("no TLS");
         }
         check(session, name);
     }
 
+    /** The same for a session of a plain socket. */
     static void check(SSLSession session, String name) throws IOException {
         try {
             Collection<List<?>> names =
@@ -133,10 +135,10 @@
                     || names.stream()
                             .noneMatch(one ->
                                     one.get(0).equals(DNS_NAME) && one.get(1).equals(name))) {
-                throw new IOException("its certificate is not for " + name);
+                throw new HandshakeException("its certificate is not for " + name);
             }
         } catch (GeneralSecurityException | SSLPeerUnverifiedException e) {
-            throw new IOException("its certificate: " + e.getMessage(), e);
+            throw new HandshakeException("its certificate: " + e.getMessage(), e);
         }
     }
 }
--- a/replication/src/main/java/lupinvalve/replication/WireMessages.java
+++ b/replication/src/main/java/lupinvalve/replication/WireMessages.java
@@ -8,6 +8,7 @@
 import lupinvalve.net.Framer;
 import lupinvalve.statemachine.Cbor;
 import lupinvalve.statemachine.ClusterBootstrap;
+import lupinvalve.statemachine.DecodingException;
 
 /**
  * The messages between members, operators and subscribers: a length, a kind, and CBOR. Cuts them off a stream; one
@@ -68,7 +69,8 @@
             Cbor.Reader in = new Cbor.Reader(body);
             long version = in.number();
             if (version != VERSION) {
-                throw new IOException("version " + version + " of the store's wire; this program speaks " + VERSION);
+                throw new DecodingException(
+                        "version " + version + " of the store's wire; this program speaks " + VERSION);
             }
             return new Hello(
                     in.text(), in.text(), in.text(), in.flag() ? ClusterBootstrap.Announcement.read(in) : null);
@@ -133,7 +135,7 @@
 
     static Kind kind(byte[] message) throws IOException {
         if (message[0] < 0 || message[0] >= Kind.values().length) {
-            throw new IOException("a message of the unknown kind " + message[0]);
+            throw new DecodingException("a message of the unknown kind " + message[0]);
         }
         return Kind.values()[message[0]];
     }
--- a/replication/src/main/java/lupinvalve/replication/package-info.java
+++ b/replication/src/main/java/lupinvalve/replication/package-info.java
@@ -1,2 +1,2 @@
-/** Carries the ledger's changes between the members of a group and to their disks: Raft (MicroRaft), MINA, files. */
+/** Replicates the state machine's commands between members and to their disks: Raft (MicroRaft), MINA, files. */
 package lupinvalve.replication;
