--- a/core/src/main/java/lupinvalve/core/Pooler.java
+++ b/core/src/main/java/lupinvalve/core/Pooler.java
@@ -58,7 +58,6 @@
     }
 
     // ---- parts ----
-
     /** Whether this pooler's clients are drained. */
     public ClientDrain clientDrain() {
         return clientDrain;
@@ -129,7 +128,6 @@
     }
 
     // ---- requests ----
-
     /**
      * Whether a request with this id of its client's is open. Another with the same id must not be submitted: db nodes
      * would take the two for one.
@@ -164,7 +162,6 @@
     }
 
     // ---- attempts ----
-
     /** An answer has started to come, of which the backend has not all; says what to do with it. */
     public StreamDecision answerStarted(long attempt, Object first, Backend.StreamSource source) {
         return lifecycle.answerStarted(attempt, first, source);
@@ -224,7 +221,6 @@
     }
 
     // ---- endpoints ----
-
     /** The endpoint list, or a watch event of it, has come. */
     public void onEndpointListEvent(EndpointListEvent event) {
         endpointUpdates.onEndpointListEvent(event);
@@ -271,7 +267,6 @@
     }
 
     // ---- the router's actions ----
-
     private void perform(RouterAction action) {
         if (action instanceof RouterAction.StartAttempt start) {
             startAttempt(start);
