--- a/lab/src/main/java/lupinvalve/lab/StoreBench.java
+++ b/lab/src/main/java/lupinvalve/lab/StoreBench.java
@@ -57,7 +57,7 @@
         }
 
         @Override
-        public void holdsChanged(Map<Command.DrainTarget, ReplicatedState.Drain> holds) { // Likewise.
+        public void drainsChanged(Map<Command.DrainTarget, ReplicatedState.Drain> holds) { // Likewise.
         }
 
         @Override
--- a/scale/src/main/java/lupinvalve/scale/HollowPooler.java
+++ b/scale/src/main/java/lupinvalve/scale/HollowPooler.java
@@ -82,7 +82,7 @@
     }
 
     @Override
-    public void holdsChanged(Map<Command.DrainTarget, ReplicatedState.Drain> holds) {
+    public void drainsChanged(Map<Command.DrainTarget, ReplicatedState.Drain> holds) {
         events.accept(HostEvent.holds(name, holds.size()));
     }
 
