--- a/routing/src/main/java/lupinvalve/routing/OutlierDetection.java
+++ b/routing/src/main/java/lupinvalve/routing/OutlierDetection.java
@@ -4,12 +4,15 @@
  * Outlier detection: which servers are left out for failing attempts, and how they come back.
  *
  * <p>A server is ejected for connections that fail, for more than one broken connection with no answer between, and for
- * more than one silent timeout. Once its ejection is over, a health check, or where none can tell a single request,
- * tries it; any served request ends the ejection. A server that errs at requests that others serve is paused for reads
- * instead; writes have nowhere else to go.
+ * more than one silent timeout. It comes back on trial (half-open): once its pause is over or it has answered anything,
+ * a health check, or where none can tell the next request, decides. A served request ends the ejection; another failure
+ * ejects it for longer. A server that errs at requests that others serve is paused for reads instead; writes have
+ * nowhere else to go.
  */
 final class OutlierDetection {
-    /** Moving average of errors at served-elsewhere requests above which a served request does not end the pause. */
+    /**
+     * Part of errors among a server's requests, as a moving average, above which a served one does not end the pause.
+     */
     private static final double PAUSED_ERROR_RATIO = 0.25;
     /** Weight of the newest request in that average. */
     private static final double NEWEST_WEIGHT_RATIO = 0.5;
@@ -99,7 +102,7 @@
         healthChecker.serverAnswered(server);
     }
 
-    /** The server served a request. Servers at which the same request met an error before are blamed for it. */
+    /** The server served a request. An error that the same request met elsewhere before counts from now on. */
     void recordServed(Server server, PendingRequest request) {
         State state = server.outlier;
         state.errorRatio *= 1 - NEWEST_WEIGHT_RATIO;
@@ -112,7 +115,7 @@
         }
     }
 
-    /** Requests that fail anywhere blame nobody, so an error counts only now. */
+    /** A request that fails anywhere tells nothing of a server, so an error counts once another served the request. */
     private void recordServedElsewhere(Server erred) {
         State state = erred.outlier;
         state.errorRatio += NEWEST_WEIGHT_RATIO * (1 - state.errorRatio);
--- a/routing/src/main/java/lupinvalve/routing/PendingRequest.java
+++ b/routing/src/main/java/lupinvalve/routing/PendingRequest.java
@@ -97,7 +97,7 @@
         return closed;
     }
 
-    /** Called by {@link RequestCompletion} alone. */
+    /** Called by {@link RequestLifecycle} alone. */
     void close() {
         closed = true;
     }
--- a/routing/src/main/java/lupinvalve/routing/QueuedRequests.java
+++ b/routing/src/main/java/lupinvalve/routing/QueuedRequests.java
@@ -10,7 +10,7 @@
 
 /**
  * The requests that wait for a server, in a queue for each class of each group, and how many they are. Bookkeeping
- * only; {@link RequestQueue} decides what waits and in which order it goes on.
+ * only; {@link RequestQueue} decides what waits and in which order it is served.
  */
 final class QueuedRequests {
     private int size;
--- a/routing/src/main/java/lupinvalve/routing/ReplicaSelector.java
+++ b/routing/src/main/java/lupinvalve/routing/ReplicaSelector.java
@@ -5,7 +5,7 @@
 /**
  * Which replica a read goes to: of those that are usable, fresh enough and have capacity, the one that costs least,
  * where cost is the work ahead of the read there, weighted by zone, long reads and earlier attempts. Members are looked
- * at in turn, beginning behind the one selected last. Where there is none, {@link PrimaryFallback} decides.
+ * at in turn, beginning behind the one selected last. Where none is left, {@link PrimaryFallback} decides.
  */
 final class ReplicaSelector {
     /** What a replica in another zone costs at least against one in the own. */
--- a/routing/src/main/java/lupinvalve/routing/RetryPolicy.java
+++ b/routing/src/main/java/lupinvalve/routing/RetryPolicy.java
@@ -93,7 +93,9 @@
         return request.history.attempts < context.settings().limits().maxAttempts();
     }
 
-    /** Whether it may go to a member only to find the primary: half of the attempts are kept for the real one. */
+    /**
+     * Whether it may go to a member only to find the primary: half of the attempts are reserved for the primary itself.
+     */
     boolean maySearchPrimary(PendingRequest request) {
         return request.history.attempts <= context.settings().limits().maxAttempts() / 2;
     }
--- a/routing/src/main/java/lupinvalve/routing/SlowStart.java
+++ b/routing/src/main/java/lupinvalve/routing/SlowStart.java
@@ -10,14 +10,15 @@
     /** Part of what a server in slow start bears that it is given. */
     private static final double USED_CAPACITY_RATIO = 0.75;
 
+    /** Budget that a router saves for a server; where routers are many, multiplied by what one request uses up. */
     private static final double MAX_SAVED_REQUESTS = 3;
-    /** Attempts of all routers together that may be in flight to a server while no server is warm, as a mean. */
+    /** While no server is warm, each router admits a request with this probability divided by the number of routers. */
     private static final double NO_WARM_SERVER_ATTEMPTS = 10;
     /** Attempts of one router in flight to a server while no server is warm. */
     private static final int NO_WARM_SERVER_WRITES = 3;
 
     private static final int NO_WARM_SERVER_READS = 1;
-    /** Make of a request's draw one for each server, without drawing again. */
+    /** Derive from a request's draw one for each server. */
     private static final double DRAW_SCALE = 1e4;
 
     private static final double SERVER_DRAW_STEP = 0.618;
@@ -67,7 +68,7 @@
 
     /**
      * Whether the rule lets a server have this request. What many routers saved must not go out at once: where they are
-     * many, each request uses up some, a read an equal share for each replica, and goes once these add up to one.
+     * many, each request uses up a part, a read that of one replica, and is admitted once the parts add up to one.
      */
     boolean admits(Server server, PendingRequest request) {
         if (!inSlowStart(server)) {
--- a/routing/src/main/java/lupinvalve/routing/SlowStartBudget.java
+++ b/routing/src/main/java/lupinvalve/routing/SlowStartBudget.java
@@ -2,7 +2,7 @@
 
 /**
  * How many attempts one router may start at a server in slow start, in requests: what was earned and is not used up,
- * and how far it is to the next one that goes there. {@link SlowStart} decides how much is earned and used up.
+ * and how far it is to the next one that is admitted. {@link SlowStart} decides how much is earned and used up.
  */
 final class SlowStartBudget {
     private double servedBefore;
