--- a/routing/src/main/java/lupinvalve/routing/Router.java
+++ b/routing/src/main/java/lupinvalve/routing/Router.java
@@ -63,18 +63,9 @@
         PrimaryFallback fallback = new PrimaryFallback(context, lag, load, eligibility, admission, dispatcher);
         longReads = new LongReadPlacement(context, eligibility, slowStart, admission, fallback, dispatcher);
         WritePlacement writes = new WritePlacement(primarySearch, eligibility, admission, retryPolicy, dispatcher);
+        ReplicaCost costs = new ReplicaCost(context, load, limit, slowStart);
         ReplicaSelector reads = new ReplicaSelector(
-                context,
-                lag,
-                load,
-                limit,
-                eligibility,
-                admission,
-                slowStart,
-                longReads,
-                fallback,
-                healthChecker,
-                dispatcher);
+                context, lag, eligibility, admission, costs, longReads, fallback, healthChecker, dispatcher);
         RequestPlacement placement = new RequestPlacement(retryPolicy, writes, longReads, reads);
         QueuedRequests queued = new QueuedRequests();
         lifecycle = new RequestLifecycle(context, queued, retryPolicy, new RetryAfter(context));
--- a/routing/src/main/java/lupinvalve/routing/ServerTable.java
+++ b/routing/src/main/java/lupinvalve/routing/ServerTable.java
@@ -4,6 +4,7 @@
 import java.util.Comparator;
 import java.util.LinkedHashMap;
 import java.util.Map;
+import java.util.function.Predicate;
 
 /** The servers and groups that the router knows, in the order in which they were first listed. */
 final class ServerTable {
@@ -40,7 +41,7 @@
     }
 
     /** Removes each server that the list has dropped for good. */
-    void removeServersIf(java.util.function.Predicate<Server> condition) {
+    void removeServersIf(Predicate<Server> condition) {
         servers.values().removeIf(server -> {
             boolean removed = condition.test(server);
             if (removed) {
