--- a/daemon/src/main/java/lupinvalve/cli/Shared.java
+++ b/daemon/src/main/java/lupinvalve/cli/Shared.java
@@ -9,9 +9,10 @@
 import java.util.TreeSet;
 import java.util.function.Consumer;
 import lupinvalve.config.OperatorConfig;
-import lupinvalve.core.Directory;
+import lupinvalve.core.DiscoveredEndpoint;
+import lupinvalve.core.EndpointStatus;
 import lupinvalve.core.Pooler;
-import lupinvalve.maintenance.Maintenance.Orders;
+import lupinvalve.maintenance.DrainCommands;
 import lupinvalve.replication.ControlPlane;
 import lupinvalve.replication.RaftMember;
 import lupinvalve.replication.SessionTokens;
@@ -34,7 +35,7 @@
     private final String name;
     private final Consumer<byte[]> adopted;
     private final Consumer<Boolean> held;
-    private Orders orders = Orders.NONE;
+    private DrainCommands orders = DrainCommands.NONE;
     private List<Endpoint> told = List.of();
     private long toldAt;
 
@@ -59,7 +60,7 @@
                 : config.role() == OperatorConfig.Role.SUBSCRIBER ? new Subscriber(config) : new RaftMember(config);
         known = plane.initialState();
         tokens = new SessionTokens(pooler.loop(), plane, config.waitMicros(), known.commits());
-        pooler.marks(tokens);
+        pooler.sessionTokens(tokens);
     }
 
     ControlPlane plane() {
@@ -72,10 +73,10 @@
     }
 
     /** The db nodes that were known last, for a start before discovery answers. */
-    List<Directory.Entry> entries() {
-        List<Directory.Entry> entries = new ArrayList<>();
+    List<DiscoveredEndpoint> entries() {
+        List<DiscoveredEndpoint> entries = new ArrayList<>();
         for (Command.KnownEndpoint listed : known.nodes()) {
-            entries.add(new Directory.Entry(listed.endpoint(), listed.addresses()));
+            entries.add(new DiscoveredEndpoint(listed.endpoint(), listed.addresses()));
         }
         return entries;
     }
@@ -88,7 +89,7 @@
     void follow() {
         for (Command.KnownEndpoint listed : known.nodes()) {
             if (listed.logPosition() != LogPosition.UNKNOWN) {
-                pooler.probed(
+                pooler.healthCheckEnded(
                         listed.endpoint().node(),
                         AttemptOutcome.SERVED,
                         0,
@@ -101,15 +102,16 @@
 
     /** The leader's pooler tells: one list for all is enough, and all poolers see the same db nodes. */
     private void look() {
-        List<Pooler.Known> nodes = pooler.known();
-        List<Endpoint> members = nodes.stream().map(one -> one.entry().member()).toList();
+        List<EndpointStatus> nodes = pooler.endpointStatuses();
+        List<Endpoint> members =
+                nodes.stream().map(one -> one.discovered().endpoint()).toList();
         long now = pooler.loop().now();
         if (plane.isLeader() && !nodes.isEmpty() && (!members.equals(told) || now - toldAt > REFRESH)) {
             told = members;
             toldAt = now;
             plane.publishEndpoints(nodes.stream()
                     .map(one -> new Command.KnownEndpoint(
-                            one.entry().member(), one.entry().addresses(), one.position()))
+                            one.discovered().endpoint(), one.discovered().addresses(), one.position()))
                     .toList());
         }
         pooler.loop().after(LOOK, this::look);
@@ -118,12 +120,12 @@
     // ---- the group's thread ----
     @Override
     public String validationError(byte[] document) {
-        return OperatorConfig.objection(document);
+        return OperatorConfig.validationError(document).orElse(null);
     }
 
     @Override
     public String transitionError(byte[] current, byte[] next) {
-        return OperatorConfig.refusal(current, next);
+        return OperatorConfig.changeRejection(current, next).orElse(null);
     }
 
     @Override
@@ -143,14 +145,14 @@
                 .filter(one -> one.kind() == Command.TargetKind.NODE)
                 .forEach(one -> out.add(one.name()));
         boolean self = holds.containsKey(new Command.DrainTarget(Command.TargetKind.POOLER, name));
-        pooler.loop().urgent(() -> {
-            Map<String, Long> back = new HashMap<>(orders.back());
+        pooler.loop().postUrgent(() -> {
+            Map<String, Long> back = new HashMap<>(orders.restoredAtMicros());
             back.keySet().removeAll(out);
-            orders.out().stream()
+            orders.drained().stream()
                     .filter(id -> !out.contains(id))
                     .forEach(id -> back.put(id, pooler.loop().now()));
-            orders = new Orders(out, back);
-            pooler.maintain(BY, orders);
+            orders = new DrainCommands(out, back);
+            pooler.applyDrainCommands(BY, orders);
             held.accept(self);
         });
     }
--- a/daemon/src/test/java/lupinvalve/net/ClientEndsTest.java
+++ b/daemon/src/test/java/lupinvalve/net/ClientEndsTest.java
@@ -7,25 +7,25 @@
 import java.io.PrintStream;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
-import lupinvalve.core.Loop;
+import lupinvalve.core.EventLoop;
 import lupinvalve.log.Log;
 import org.junit.jupiter.api.Test;
 
 /** What the log at the default level tells of clients' connections that have ended. */
 class ClientEndsTest {
-    private final Loop loop = new Loop();
+    private final EventLoop loop = new EventLoop();
     private final ClientEnds ends = new ClientEnds(loop);
     private final Link link = new Link(loop, (bytes, from, to, out) -> to, null);
 
     private List<String> logged(Runnable work) {
         ByteArrayOutputStream said = new ByteArrayOutputStream();
-        Log.to(new PrintStream(said, true, StandardCharsets.UTF_8));
-        Log.leastHere(Log.Level.INFO);
+        Log.setOutput(new PrintStream(said, true, StandardCharsets.UTF_8));
+        Log.setThreadLevel(Log.Level.INFO);
         try {
             work.run();
         } finally {
-            Log.leastHere(null);
-            Log.to(System.err);
+            Log.setThreadLevel(null);
+            Log.setOutput(System.err);
         }
         return said.toString(StandardCharsets.UTF_8)
                 .lines()
--- a/faultinjection/src/main/java/lupinvalve/faultinjection/HandOff.java
+++ b/faultinjection/src/main/java/lupinvalve/faultinjection/HotRestartScenario.java
@@ -8,17 +8,17 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import lupinvalve.faultinjection.Points.Fault;
-import lupinvalve.faultinjection.Points.Kind;
+import lupinvalve.faultinjection.FailPoints.Fault;
+import lupinvalve.faultinjection.FailPoints.StepKind;
 import lupinvalve.hotrestart.DrainCommandsFile;
 import lupinvalve.hotrestart.SharedDirectory;
-import lupinvalve.maintenance.Maintenance.Orders;
+import lupinvalve.maintenance.DrainCommands;
 
 /**
  * An upgrade in which operators take db nodes out and call them back at both processes: each order that got a yes must
  * hold at every process from its next look on, and at one that starts later, whatever fails in between. All in memory.
  */
-public final class HandOff {
+public final class HotRestartScenario {
     /** The process has ended. */
     private static final class Ended extends RuntimeException {
         private static final long serialVersionUID = 1;
@@ -27,23 +27,23 @@
     /** What the folder holds; it outlives processes. */
     private final Map<String, byte[]> files = new TreeMap<>();
 
-    private final Points points;
+    private final FailPoints points;
     private final List<String> broken = new ArrayList<>();
     /** Whether a db node is out by the last order with a yes; null where an order of unknown outcome came since. */
     private final Map<String, Boolean> truth = new TreeMap<>();
 
     private long now = 1;
 
-    private HandOff(Points points) {
+    private HotRestartScenario(FailPoints points) {
         this.points = points;
     }
 
     /** Plays an upgrade with the faults that the points name, and gives what was broken. */
-    public static List<String> play(Points points) {
-        HandOff play = new HandOff(points);
-        points.count(true);
+    public static List<String> run(FailPoints points) {
+        HotRestartScenario play = new HotRestartScenario(points);
+        points.setEnabled(true);
         play.upgrade();
-        points.count(false);
+        points.setEnabled(false);
         for (Process last : List.of(play.new Process(), play.new Process())) {
             last.look();
             play.check(last, "a process that starts later");
@@ -53,7 +53,7 @@
 
     private final class Process {
         private DrainCommandsFile file = new DrainCommandsFile(new Counted(), "p");
-        private Orders held = Orders.NONE;
+        private DrainCommands held = DrainCommands.NONE;
         private boolean ended;
 
         /** An operator's call. */
@@ -65,8 +65,7 @@
             try {
                 held = file.update(held, orders -> orders.with(out, id, now++));
                 truth.put(id, out);
-            } catch (IOException e) {
-                // A no: it may hold or not.
+            } catch (IOException e) { // A no: it may hold or not.
             } catch (Ended e) {
                 ended = true;
             }
@@ -75,7 +74,7 @@
         /** Looks for the other process's orders. */
         void look() {
             try {
-                Orders other = ended ? null : file.readIfChanged(held);
+                DrainCommands other = ended ? null : file.readIfChanged(held);
                 held = other == null ? held : other;
             } catch (Ended e) {
                 ended = true;
@@ -86,7 +85,7 @@
         void back() {
             if (ended) {
                 ended = false;
-                held = Orders.NONE;
+                held = DrainCommands.NONE;
                 file = new DrainCommandsFile(new Counted(), "p");
                 look();
             }
@@ -119,11 +118,11 @@
     }
 
     private void check(Process process, String who) {
-        points.count(false);
+        points.setEnabled(false);
         process.look();
         if (!process.ended) {
             truth.forEach((id, out) -> {
-                if (out != null && process.held.out().contains(id) != out) {
+                if (out != null && process.held.drained().contains(id) != out) {
                     broken.add(who
                             + (out
                                     ? " uses " + id + ", which was taken out with a yes"
@@ -131,7 +130,7 @@
                 }
             });
         }
-        points.count(true);
+        points.setEnabled(true);
     }
 
     /** One process's way to the folder, on which each call is a numbered point. */
@@ -140,8 +139,8 @@
             T go() throws IOException;
         }
 
-        private <T> T step(Kind kind, Step<T> step, Step<T> torn) throws IOException {
-            Fault fault = points.next(kind);
+        private <T> T step(StepKind kind, Step<T> step, Step<T> torn) throws IOException {
+            Fault fault = points.nextFault(kind);
             if (fault == null) {
                 return step.go();
             } else if (fault == Fault.FAIL) {
@@ -164,30 +163,30 @@
 
         @Override
         public long size(String name) throws IOException {
-            return step(Kind.READ, () -> (long) get(name).length, () -> 0L);
+            return step(StepKind.READ, () -> (long) get(name).length, () -> 0L);
         }
 
         @Override
         public byte[] read(String name) throws IOException {
-            return step(Kind.READ, () -> get(name).clone(), () -> new byte[0]);
+            return step(StepKind.READ, () -> get(name).clone(), () -> new byte[0]);
         }
 
         @Override
         public void write(String name, byte[] content) throws IOException {
             step(
-                    Kind.WRITE,
+                    StepKind.WRITE,
                     () -> files.put(name, content.clone()),
                     () -> files.put(name, Arrays.copyOf(content, content.length / 2)));
         }
 
         @Override
         public void move(String name, String to) throws IOException {
-            step(Kind.REPLACE, () -> files.put(to, files.remove(name)), () -> null);
+            step(StepKind.REPLACE, () -> files.put(to, files.remove(name)), () -> null);
         }
 
         @Override
         public Closeable lock(String name) throws IOException {
-            step(Kind.CREATE, () -> null, () -> null);
+            step(StepKind.CREATE, () -> null, () -> null);
             return () -> {};
         }
     }
--- a/replication/src/main/java/lupinvalve/replication/Scheduler.java
+++ b/replication/src/main/java/lupinvalve/replication/Scheduler.java
@@ -1,6 +1,6 @@
 package lupinvalve.replication;
 
-import lupinvalve.core.Loop;
+import lupinvalve.core.EventLoop;
 
 /** Where a member's work runs, one piece after another, and what time it is there. */
 public interface Scheduler {
@@ -13,7 +13,7 @@
     void after(long micros, Runnable work);
 
     /** A thread of its own: forces of the disk would hold up the requests on the core's. */
-    static Scheduler of(Loop loop) {
+    static Scheduler of(EventLoop loop) {
         return new Scheduler() {
             @Override
             public long now() {
