--- a/faultinjection/src/main/java/lupinvalve/faultinjection/FailPoints.java
+++ b/faultinjection/src/main/java/lupinvalve/faultinjection/FailPoints.java
@@ -11,28 +11,40 @@
 import java.util.function.Supplier;
 
 /**
- * Numbers the steps at which a process meets the world, and says which fault, if any, comes at one. It counts only
- * while it is on, so that a scenario's own steps are numbered and not those that lead to it. No I/O, no clock.
+ * Numbers the steps at which a process meets its disk, the network or a timer, and says which fault, if any, comes at
+ * one. Counts only while enabled, so that a scenario's own steps are numbered and not those that lead to it. No I/O, no
+ * clock; not thread-safe.
  */
 public final class FailPoints {
-    /** What a process is about to do at a point. */
+    /** What a process is about to do. */
     public enum StepKind {
+        /** Read a file or a directory. */
         READ,
+        /** Create a file. */
         CREATE,
+        /** Write to a file. */
         WRITE,
+        /** Force a file to disk. */
         FORCE,
+        /** Replace a file atomically. */
         REPLACE,
+        /** Truncate a file. */
         CUT,
+        /** Delete a file. */
         DELETE,
+        /** Send a message. */
         SEND,
+        /** Receive a message. */
         ARRIVE,
+        /** Run what its scheduler hands it. */
         TIMER
     }
 
     /** What may go wrong there. */
     public enum Fault {
-        /** The process dies before the step, or after it; its disk loses some of what was not forced. */
+        /** The process dies before the step; its disk loses some of what was not forced. */
         DIE_BEFORE(true, EnumSet.allOf(StepKind.class)),
+        /** The process dies after the step; its disk loses some of what was not forced. */
         DIE_AFTER(true, EnumSet.complementOf(EnumSet.of(StepKind.TIMER))),
         /** Half of what was to be written is, then the process dies. */
         TORN(true, EnumSet.of(StepKind.WRITE)),
@@ -40,7 +52,9 @@
         POWER_CUT(true, EnumSet.of(StepKind.FORCE, StepKind.SEND, StepKind.ARRIVE, StepKind.REPLACE, StepKind.DELETE)),
         /** The call fails and the process goes on. */
         FAIL(false, EnumSet.range(StepKind.READ, StepKind.DELETE)),
+        /** The message is lost. */
         LOST(false, EnumSet.of(StepKind.SEND)),
+        /** The message arrives twice. */
         DOUBLED(false, EnumSet.of(StepKind.SEND)),
         /** The message comes 2 s later, behind those sent after it. */
         LATE(false, EnumSet.of(StepKind.SEND)),
@@ -52,8 +66,8 @@
 
         private final Set<StepKind> fits;
 
-        Fault(boolean ends, Set<StepKind> fits) {
-            this.endsProcess = ends;
+        Fault(boolean endsProcess, Set<StepKind> fits) {
+            this.endsProcess = endsProcess;
             this.fits = fits;
         }
 
@@ -63,14 +77,18 @@
         }
     }
 
-    /** A fault at a point, by its number from 1. */
+    /**
+     * A fault at a point.
+     *
+     * @param point its number, from 1
+     */
     public record PlannedFault(int point, Fault fault) {
         @Override
         public String toString() {
             return point + ":" + fault;
         }
 
-        /** Reads what {@link #toString} wrote; throws IllegalArgumentException where it is none. */
+        /** Parses what {@link #toString} gives; throws IllegalArgumentException where the text is none. */
         public static PlannedFault parse(String text) {
             int colon = text.indexOf(':');
             if (colon < 0) {
@@ -86,55 +104,52 @@
     private boolean enabled;
     private Consumer<String> tracer;
 
-    /** With faults at the points named. */
+    /** With the faults that are to come. */
     public FailPoints(PlannedFault... faults) {
-        for (PlannedFault at : faults) {
-            plan.put(at.point(), at.fault());
+        for (PlannedFault planned : faults) {
+            plan.put(planned.point(), planned.fault());
         }
     }
 
-    /** Counts from here on, or no more. */
-    public void setEnabled(boolean now) {
-        enabled = now;
+    /** Counts points from here on, or no more. */
+    public void setEnabled(boolean enabled) {
+        this.enabled = enabled;
     }
 
-    /** The next point is reached: the fault that comes there, or null. */
+    /** The next point is reached: returns the fault that comes there, or null. */
     public Fault nextFault(StepKind kind) {
         if (!enabled) {
             return null;
         }
         reachedSteps.add(kind);
         Fault fault = plan.get(reachedSteps.size());
-        // After a first fault a course is another one: a later point may be of a kind that the fault does not fit.
-        if (fault != null && !fault.fits(kind)) {
-            return null;
-        }
-        return fault;
+        // After a first fault a run goes another way: a later point may be of a kind that the fault does not fit.
+        return fault != null && fault.fits(kind) ? fault : null;
     }
 
-    /** Hears what happens at each step from now on. */
-    public void setTracer(Consumer<String> to) {
-        tracer = to;
+    /** Gives all further trace lines to {@code tracer}. */
+    public void setTracer(Consumer<String> tracer) {
+        this.tracer = tracer;
     }
 
-    /** Says what happens, where anybody listens; told only then. */
-    public void trace(Supplier<String> what) {
+    /** Traces a line, with the number of the point before it; {@code line} is called only where there is a tracer. */
+    public void trace(Supplier<String> line) {
         if (tracer != null) {
-            tracer.accept((enabled ? reachedSteps.size() + " " : "- ") + what.get());
+            tracer.accept((enabled ? reachedSteps.size() + " " : "- ") + line.get());
         }
     }
 
-    /** The kinds of the points met, in order. */
+    /** The kinds of the steps at the points reached so far, in order; a view. */
     public List<StepKind> reachedSteps() {
         return Collections.unmodifiableList(reachedSteps);
     }
 
-    /** Each fault that fits at each point of a course without faults. */
-    public static List<PlannedFault> allSingleFaults(List<StepKind> course) {
+    /** Each fault that fits at each of the points with such steps. */
+    public static List<PlannedFault> allSingleFaults(List<StepKind> steps) {
         List<PlannedFault> all = new ArrayList<>();
-        for (int i = 0; i < course.size(); i++) {
+        for (int i = 0; i < steps.size(); i++) {
             for (Fault fault : Fault.values()) {
-                if (fault.fits(course.get(i))) {
+                if (fault.fits(steps.get(i))) {
                     all.add(new PlannedFault(i + 1, fault));
                 }
             }
--- a/faultinjection/src/main/java/lupinvalve/faultinjection/HotRestartScenario.java
+++ b/faultinjection/src/main/java/lupinvalve/faultinjection/HotRestartScenario.java
@@ -15,143 +15,143 @@
 import lupinvalve.maintenance.Maintenance.Orders;
 
 /**
- * An upgrade in which operators take db nodes out and call them back at both processes: each order that got a yes must
- * hold at every process from its next look on, and at one that starts later, whatever fails in between. All in memory.
+ * A hot restart in which operators drain db nodes and return them at both processes: each command that was acknowledged
+ * must hold at every process from its next poll on, and at one that starts later, whatever fails in between. In memory.
  */
 public final class HotRestartScenario {
-    /** The process has ended. */
-    private static final class Ended extends RuntimeException {
+    /** Thrown through the code under test as its process dies. */
+    private static final class ProcessEnded extends RuntimeException {
         private static final long serialVersionUID = 1;
     }
 
-    /** What the folder holds; it outlives processes. */
+    /** The shared directory; it outlives processes. */
     private final Map<String, byte[]> files = new TreeMap<>();
 
     private final FailPoints points;
-    private final List<String> broken = new ArrayList<>();
-    /** Whether a db node is out by the last order with a yes; null where an order of unknown outcome came since. */
-    private final Map<String, Boolean> truth = new TreeMap<>();
+    private final List<String> violations = new ArrayList<>();
+    /** Whether a db node is drained by the last acknowledged command; null after one of unknown outcome. */
+    private final Map<String, Boolean> expectedDrained = new TreeMap<>();
 
-    private long now = 1;
+    private long nextMicros = 1;
 
     private HotRestartScenario(FailPoints points) {
         this.points = points;
     }
 
-    /** Plays an upgrade with the faults that the points name, and gives what was broken. */
+    /** Runs a hot restart with the faults that the points name; returns what was broken. */
     public static List<String> run(FailPoints points) {
-        HotRestartScenario play = new HotRestartScenario(points);
+        HotRestartScenario scenario = new HotRestartScenario(points);
         points.setEnabled(true);
-        play.upgrade();
+        scenario.restart();
         points.setEnabled(false);
-        for (Process last : List.of(play.new Process(), play.new Process())) {
-            last.look();
-            play.check(last, "a process that starts later");
+        for (Process later : List.of(scenario.new Process(), scenario.new Process())) {
+            later.poll();
+            scenario.check(later, "a process that starts later");
         }
-        return play.broken;
+        return scenario.violations;
     }
 
     private final class Process {
-        private DrainCommandsFile file = new DrainCommandsFile(new Counted(), "p");
-        private Orders held = Orders.NONE;
+        private DrainCommandsFile file = new DrainCommandsFile(new FailPointDirectory(), "p");
+        private Orders known = Orders.NONE;
         private boolean ended;
 
-        /** An operator's call. */
-        void order(boolean out, String id) {
+        /** An operator's command. */
+        void command(boolean drain, String id) {
             if (ended) {
                 return;
             }
-            truth.put(id, null);
+            expectedDrained.put(id, null);
             try {
-                held = file.update(held, orders -> orders.with(out, id, now++));
-                truth.put(id, out);
+                known = file.update(known, commands -> commands.with(drain, id, nextMicros++));
+                expectedDrained.put(id, drain);
             } catch (IOException e) {
-                // A no: it may hold or not.
-            } catch (Ended e) {
+                // Rejected: it may hold or not.
+            } catch (ProcessEnded e) {
                 ended = true;
             }
         }
 
-        /** Looks for the other process's orders. */
-        void look() {
+        /** Polls for the other process's commands. */
+        void poll() {
             try {
-                Orders other = ended ? null : file.readIfChanged(held);
-                held = other == null ? held : other;
-            } catch (Ended e) {
+                Orders other = ended ? null : file.readIfChanged(known);
+                known = other == null ? known : other;
+            } catch (ProcessEnded e) {
                 ended = true;
             }
         }
 
-        /** Starts again where it has ended. */
-        void back() {
+        /** Starts again where it has died. */
+        void restartIfEnded() {
             if (ended) {
                 ended = false;
-                held = Orders.NONE;
-                file = new DrainCommandsFile(new Counted(), "p");
-                look();
+                known = Orders.NONE;
+                file = new DrainCommandsFile(new FailPointDirectory(), "p");
+                poll();
             }
         }
     }
 
-    private void upgrade() {
+    private void restart() {
         Process before = new Process();
-        before.look();
-        before.order(true, "a");
-        before.order(true, "b");
+        before.poll();
+        before.command(true, "a");
+        before.command(true, "b");
         Process after = new Process();
-        after.look();
-        after.order(true, "c");
-        before.back();
-        before.order(true, "d");
-        after.back();
-        after.look();
+        after.poll();
+        after.command(true, "c");
+        before.restartIfEnded();
+        before.command(true, "d");
+        after.restartIfEnded();
+        after.poll();
         check(after, "the new process");
-        after.order(false, "a");
-        before.look();
+        after.command(false, "a");
+        before.poll();
         check(before, "the old process");
-        before.order(false, "d");
+        before.command(false, "d");
         before.ended = true;
-        after.back();
-        after.look();
-        after.order(false, "b");
-        after.order(true, "e");
+        after.restartIfEnded();
+        after.poll();
+        after.command(false, "b");
+        after.command(true, "e");
         check(after, "the new process alone");
     }
 
     private void check(Process process, String who) {
         points.setEnabled(false);
-        process.look();
+        process.poll();
         if (!process.ended) {
-            truth.forEach((id, out) -> {
-                if (out != null && process.held.out().contains(id) != out) {
-                    broken.add(who
-                            + (out
-                                    ? " uses " + id + ", which was taken out with a yes"
-                                    : " leaves " + id + " out, which was called back with a yes"));
+            expectedDrained.forEach((id, drained) -> {
+                if (drained != null && process.known.out().contains(id) != drained) {
+                    violations.add(who
+                            + (drained
+                                    ? " uses " + id + ", whose drain was acknowledged"
+                                    : " drains " + id + ", whose return was acknowledged"));
                 }
             });
         }
         points.setEnabled(true);
     }
 
-    /** One process's way to the folder, on which each call is a numbered point. */
-    private final class Counted implements SharedDirectory {
+    /** One process's access to the directory, on which each call is a fail point. */
+    private final class FailPointDirectory implements SharedDirectory {
         private interface Step<T> {
-            T go() throws IOException;
+            T run() throws IOException;
         }
 
-        private <T> T step(StepKind kind, Step<T> step, Step<T> torn) throws IOException {
+        private <T> T step(StepKind kind, Step<T> step, Step<T> tornStep) throws IOException {
             Fault fault = points.nextFault(kind);
             if (fault == null) {
-                return step.go();
+                return step.run();
             } else if (fault == Fault.FAIL) {
                 throw new IOException("Input/output error");
             } else if (fault == Fault.TORN) {
-                torn.go();
+                tornStep.run();
             } else if (fault == Fault.DIE_AFTER) {
-                step.go();
+                step.run();
             }
-            throw new Ended();
+            throw new ProcessEnded();
         }
 
         private byte[] get(String name) throws IOException {
--- a/faultinjection/src/main/java/lupinvalve/replication/FailPointDisk.java
+++ b/faultinjection/src/main/java/lupinvalve/replication/FailPointDisk.java
@@ -7,11 +7,11 @@
 import lupinvalve.faultinjection.FailPoints.Fault;
 import lupinvalve.faultinjection.FailPoints.StepKind;
 
-/** A process's way to its disk, on which each call is a numbered point. */
+/** One process's access to its disk, on which each call is a fail point. */
 final class FailPointDisk implements Disk {
     /** The process whose disk it is. */
     interface Process {
-        /** Whether it has ended: nothing that it still does reaches the disk. */
+        /** Whether it has ended: no further call reaches the disk. */
         boolean hasEnded();
 
         /** Ends it. */
@@ -19,42 +19,42 @@
     }
 
     private interface Step<T> {
-        T go() throws IOException;
+        T run() throws IOException;
     }
 
     private final Disk disk;
-    private final Function<StepKind, Fault> points;
-    private final Process life;
+    private final Function<StepKind, Fault> nextFault;
+    private final Process process;
 
-    /** @param points gives the fault that comes at the next point, or null */
-    FailPointDisk(Disk disk, Function<StepKind, Fault> points, Process life) {
+    /** @param nextFault gives the fault that comes at the next point, or null */
+    FailPointDisk(Disk disk, Function<StepKind, Fault> nextFault, Process process) {
         this.disk = disk;
-        this.points = points;
-        this.life = life;
+        this.nextFault = nextFault;
+        this.process = process;
     }
 
-    private static IOException gone() {
-        return new IOException("this process is gone");
+    private static IOException processEnded() {
+        return new IOException("this process has ended");
     }
 
-    private <T> T step(StepKind kind, Step<T> step, Step<T> torn) throws IOException {
-        if (life.hasEnded()) {
-            throw gone();
+    private <T> T step(StepKind kind, Step<T> step, Step<T> tornStep) throws IOException {
+        if (process.hasEnded()) {
+            throw processEnded();
         }
-        Fault fault = points.apply(kind);
+        Fault fault = nextFault.apply(kind);
         if (fault == null) {
-            return step.go();
+            return step.run();
         }
         if (fault == Fault.FAIL) {
             throw new IOException("Input/output error");
         }
         if (fault == Fault.TORN) {
-            torn.go();
+            tornStep.run();
         } else if (fault == Fault.DIE_AFTER) {
-            step.go();
+            step.run();
         }
-        life.end(fault);
-        throw gone();
+        process.end(fault);
+        throw processEnded();
     }
 
     private <T> T step(StepKind kind, Step<T> step) throws IOException {
@@ -77,10 +77,10 @@
         return new Out() {
             @Override
             public void write(byte[] bytes) throws IOException {
-                step(StepKind.WRITE, () -> whole(bytes), () -> whole(Arrays.copyOf(bytes, bytes.length / 2)));
+                step(StepKind.WRITE, () -> writeBytes(bytes), () -> writeBytes(Arrays.copyOf(bytes, bytes.length / 2)));
             }
 
-            private Void whole(byte[] bytes) throws IOException {
+            private Void writeBytes(byte[] bytes) throws IOException {
                 out.write(bytes);
                 return null;
             }
--- a/faultinjection/src/main/java/lupinvalve/replication/FaultSweep.java
+++ b/faultinjection/src/main/java/lupinvalve/replication/FaultSweep.java
@@ -5,29 +5,43 @@
 import java.util.List;
 import java.util.Random;
 import java.util.concurrent.atomic.AtomicInteger;
+import java.util.function.Consumer;
 import java.util.stream.Stream;
 import lupinvalve.faultinjection.FailPoints;
 import lupinvalve.faultinjection.FailPoints.PlannedFault;
 import lupinvalve.faultinjection.HotRestartScenario;
 
 /**
- * Plays a scenario once to count its points, then once for each fault at each of them, then for pairs drawn by seed,
- * and looks after each at what must hold: one history, nothing acknowledged lost, one leader a term, and a group that
- * goes on.
+ * Runs a scenario once to count its fail points, then once for each fault at each of them, then for pairs drawn by
+ * seed. Checks after each run what must hold: members agree, nothing acknowledged is lost, one leader a term, and the
+ * group makes progress. Deterministic by seed.
  */
 public final class FaultSweep {
-    /** What a test makes the members do wrong, to see the sweep find it. */
+    /** By then messages that were late have arrived and members that stood still have woken. */
+    private static final long SETTLE_MICROS = 11_000_000;
+
+    private static final int REVIVE_EVERY_STEPS = 100;
+
+    /** What members do wrong in a test of the sweep itself. */
     public enum SeededBug {
+        /** Nothing. */
         NONE,
-        /** A disk that says it has forced what it has not: all is acknowledged before the force. */
+        /** The disk reports a force that it has not done: all is acknowledged before it is forced. */
         ACK_BEFORE_FORCE,
-        /** Records that hold no change (a vote, a term) are not forced. */
+        /** Records without a command (a vote, a term) are not forced. */
         VOTE_NOT_FORCED,
-        /** A file takes another's place before it was forced. */
+        /** A file replaces another before it was forced. */
         RENAME_WITHOUT_FORCE
     }
 
-    /** One play: what it broke, and whether the group stood still for good. */
+    /**
+     * One run of a scenario.
+     *
+     * @param faults that were planned for it
+     * @param violations what it broke
+     * @param hung whether the group made no progress after all faults had been repaired
+     * @param reachedSteps the steps at its fail points, in order
+     */
     public record Run(
             Scenario scenario,
             long seed,
@@ -35,125 +49,131 @@
             List<String> violations,
             boolean hung,
             List<FailPoints.StepKind> reachedSteps) {
+        /** Whether nothing was found. */
         public boolean isGood() {
             return violations.isEmpty() && !hung;
         }
     }
 
-    /** What came of a scenario's sweep. */
+    /**
+     * The sweep of one scenario.
+     *
+     * @param pointCount fail points of a run without faults
+     * @param runCount runs with faults
+     */
     public record Result(Scenario scenario, int pointCount, int runCount, List<Run> badRuns) {}
 
     private FaultSweep() {}
 
-    /** The kinds of the points that a scenario meets without a fault. */
+    /** The steps at the fail points of a run without faults. */
     public static List<FailPoints.StepKind> faultFreeSteps(Scenario scenario, long seed) {
         FailPoints points = new FailPoints();
         runOnce(scenario, seed, SeededBug.NONE, points, List.of());
         return points.reachedSteps();
     }
 
-    /** One play with faults at the points named. */
-    public static Run runOnce(Scenario scenario, long seed, SeededBug planted, List<PlannedFault> faults) {
-        return runOnce(scenario, seed, planted, new FailPoints(faults.toArray(PlannedFault[]::new)), faults);
+    /** One run with faults. */
+    public static Run runOnce(Scenario scenario, long seed, SeededBug bug, List<PlannedFault> faults) {
+        return runOnce(scenario, seed, bug, new FailPoints(faults.toArray(PlannedFault[]::new)), faults);
     }
 
-    /** The same, told step by step. */
+    /** The same; {@code tracer} is given a line for each message. */
     public static Run runOnce(
-            Scenario scenario,
-            long seed,
-            SeededBug planted,
-            List<PlannedFault> faults,
-            java.util.function.Consumer<String> trace) {
+            Scenario scenario, long seed, SeededBug bug, List<PlannedFault> faults, Consumer<String> tracer) {
         FailPoints points = new FailPoints(faults.toArray(PlannedFault[]::new));
-        points.setTracer(trace);
-        return runOnce(scenario, seed, planted, points, faults);
+        points.setTracer(tracer);
+        return runOnce(scenario, seed, bug, points, faults);
     }
 
     private static Run runOnce(
-            Scenario scenario, long seed, SeededBug planted, FailPoints points, List<PlannedFault> faults) {
+            Scenario scenario, long seed, SeededBug bug, FailPoints points, List<PlannedFault> faults) {
         if (scenario == Scenario.HOT_RESTART) {
-            List<String> found = HotRestartScenario.run(points);
-            return new Run(scenario, seed, faults, found, false, List.copyOf(points.reachedSteps()));
+            List<String> violations = HotRestartScenario.run(points);
+            return new Run(scenario, seed, faults, violations, false, List.copyOf(points.reachedSteps()));
         }
         boolean hung = false;
-        List<String> broken = new ArrayList<>();
+        List<String> violations = new ArrayList<>();
         try {
             points.setEnabled(scenario == Scenario.BOOTSTRAP);
-            Simulation sim = new Simulation(seed, scenario.founderCount, scenario.laterMemberCount, points, planted);
-            Simulation.Clients clients = sim.new Clients();
+            Simulation sim = new Simulation(seed, scenario.founderCount, scenario.laterMemberCount, points, bug);
+            SimulatedClients clients = new SimulatedClients(sim);
             if (scenario != Scenario.BOOTSTRAP) {
                 sim.runUntil(() -> sim.leader() != null);
                 scenario.prepare(sim, clients);
             }
             points.setEnabled(true);
-            scenario.play(sim, clients);
+            scenario.run(sim, clients);
             points.setEnabled(false);
             hung = !settles(scenario, sim, clients);
-            broken.addAll(sim.violations);
+            violations.addAll(sim.violations);
         } catch (IOException | RuntimeException e) {
-            broken.add(e + " at " + e.getStackTrace()[0]);
+            violations.add(e + " at " + e.getStackTrace()[0]);
         }
-        return new Run(scenario, seed, faults, broken, hung, List.copyOf(points.reachedSteps()));
+        return new Run(scenario, seed, faults, violations, hung, List.copyOf(points.reachedSteps()));
     }
 
-    /**
-     * MicroRaftWorkarounds all faults, starts what is down, and waits until a new change is accepted and all members
-     * have all.
-     */
-    private static boolean settles(Scenario scenario, Simulation sim, Simulation.Clients clients) throws IOException {
+    /** Repairs all faults, starts what is down, and waits until a new change is committed and all members have all. */
+    private static boolean settles(Scenario scenario, Simulation sim, SimulatedClients clients) throws IOException {
         sim.restoreNetwork();
-        sim.run(11_000_000);
-        revive(sim);
+        sim.run(SETTLE_MICROS);
+        restartStopped(sim);
+        if (!makesProgress(sim, clients) || !scenario.settle(sim)) {
+            return false;
+        }
+        List<SimulatedMember> remaining =
+                sim.members.stream().filter(scenario::remainsMember).toList();
+        boolean same = sim.runUntil(() -> remaining.stream().allMatch(clients::caughtUp));
+        remaining.forEach(clients::checkAcknowledged);
+        return same;
+    }
+
+    private static boolean makesProgress(Simulation sim, SimulatedClients clients) {
         int before = clients.acknowledgedDigests.size();
-        AtomicInteger turns = new AtomicInteger();
-        boolean goesOn = sim.runUntil(() -> {
-            if (turns.incrementAndGet() % 100 == 0) {
-                revive(sim);
+        AtomicInteger steps = new AtomicInteger();
+        return sim.runUntil(() -> {
+            if (steps.incrementAndGet() % REVIVE_EVERY_STEPS == 0) {
+                restartStopped(sim);
             }
             Scenario.putAndReadAtLeader(sim, clients);
             return clients.acknowledgedDigests.size() > before;
         });
-        if (!goesOn || !scenario.settle(sim)) {
-            return false;
-        }
-        List<Simulation.Member> stay =
-                sim.members.stream().filter(scenario::remainsMember).toList();
-        boolean same = sim.runUntil(() -> stay.stream().allMatch(clients::caughtUp));
-        stay.forEach(clients::checkAcknowledged);
-        return same;
     }
 
-    /** Whoever is down, or has given up for a fault of its disk, starts again from what is on it. */
-    private static void revive(Simulation sim) {
-        for (Simulation.Member m : sim.members) {
-            boolean expected = m.number < sim.founders.size() || m.started;
-            if (m.replica != null && m.stopReason != null) {
-                m.kill();
+    /** Restarts members that are down or have stopped for a fault of their disk. */
+    private static void restartStopped(Simulation sim) {
+        for (SimulatedMember member : sim.members) {
+            boolean expected = member.number < sim.founders.size() || member.started;
+            if (member.replica != null && member.stopReason != null) {
+                member.kill();
             }
-            if (expected && m.replica == null) {
-                Scenario.start(m);
+            if (expected && member.replica == null) {
+                Scenario.start(member);
             }
         }
     }
 
-    /** The sweep of one scenario, on all cores; {@code pairs} of points are drawn by the seed. */
-    public static Result sweep(Scenario scenario, long seed, SeededBug planted, int pairs) {
-        List<FailPoints.StepKind> course = faultFreeSteps(scenario, seed);
-        List<PlannedFault> all = FailPoints.allSingleFaults(course);
+    /** Sweeps one scenario, on all cores; {@code pairCount} pairs of points are drawn by the seed. */
+    public static Result sweep(Scenario scenario, long seed, SeededBug bug, int pairCount) {
+        List<FailPoints.StepKind> steps = faultFreeSteps(scenario, seed);
+        List<PlannedFault> single = FailPoints.allSingleFaults(steps);
+        List<List<PlannedFault>> pairs = drawPairs(single, seed, pairCount);
+        List<Run> bad = Stream.concat(single.stream().map(List::of), pairs.stream()).toList().parallelStream()
+                .map(faults -> runOnce(scenario, seed, bug, faults))
+                .filter(run -> !run.isGood())
+                .toList();
+        return new Result(scenario, steps.size(), single.size() + pairs.size(), bad);
+    }
+
+    private static List<List<PlannedFault>> drawPairs(List<PlannedFault> single, long seed, int count) {
         Random random = new Random(seed);
-        Stream<List<PlannedFault>> single = all.stream().map(List::of);
-        List<List<PlannedFault>> drawn = new ArrayList<>();
-        for (int i = 0; i < pairs && !all.isEmpty(); i++) {
-            PlannedFault one = all.get(random.nextInt(all.size()));
-            PlannedFault other = all.get(random.nextInt(all.size()));
-            if (one.point() != other.point()) {
-                drawn.add(List.of(one, other));
+        List<List<PlannedFault>> pairs = new ArrayList<>();
+        for (int i = 0; i < count && !single.isEmpty(); i++) {
+            PlannedFault first = single.get(random.nextInt(single.size()));
+            PlannedFault second = single.get(random.nextInt(single.size()));
+            if (first.point() != second.point()) {
+                pairs.add(List.of(first, second));
             }
         }
-        List<Run> bad = Stream.concat(single, drawn.stream()).toList().parallelStream()
-                .map(faults -> runOnce(scenario, seed, planted, faults))
-                .filter(p -> !p.isGood())
-                .toList();
-        return new Result(scenario, course.size(), all.size() + drawn.size(), bad);
+        return pairs;
     }
 }
--- a/faultinjection/src/main/java/lupinvalve/replication/SimulatedDisk.java
+++ b/faultinjection/src/main/java/lupinvalve/replication/SimulatedDisk.java
@@ -6,26 +6,28 @@
 import java.util.Random;
 import java.util.TreeMap;
 
-/** A disk that loses what was not forced, and may fail or lie. */
+/** A disk in memory that loses what was not forced as its process dies, may be full, and may have a seeded bug. */
 final class SimulatedDisk implements Disk {
+    /** Any record with a command of the scenarios is longer. */
     private static final int MAX_VOTE_RECORD_BYTES = 40;
 
     private static final class File {
         byte[] bytes = {};
-        int forced;
+        int forcedBytes;
     }
 
     final TreeMap<String, File> files = new TreeMap<>();
-    /** Bytes that it still takes; a disk that is full takes the part that fits. */
+    /** How much it can still store; of a write that is too long the first part is stored. */
     long freeBytes = Long.MAX_VALUE;
-    /** What is done wrong on purpose. */
+
     FaultSweep.SeededBug seededBug = FaultSweep.SeededBug.NONE;
 
-    /** Loses power: of each file's unforced bytes some of the first remain. */
+    /** Its process dies: of each file's unforced bytes some of the first remain. */
     void crash(Random random) {
         files.values().forEach(file -> {
-            file.bytes = Arrays.copyOf(file.bytes, file.forced + random.nextInt(file.bytes.length - file.forced + 1));
-            file.forced = file.bytes.length;
+            file.bytes = Arrays.copyOf(
+                    file.bytes, file.forcedBytes + random.nextInt(file.bytes.length - file.forcedBytes + 1));
+            file.forcedBytes = file.bytes.length;
         });
     }
 
@@ -36,7 +38,7 @@
     void put(String name, byte[] bytes) {
         File file = new File();
         file.bytes = bytes;
-        file.forced = bytes.length;
+        file.forcedBytes = bytes.length;
         files.put(name, file);
     }
 
@@ -46,8 +48,8 @@
         return copy;
     }
 
-    private void take(int count) throws IOException {
-        freeBytes -= count;
+    private void reserve(int byteCount) throws IOException {
+        freeBytes -= byteCount;
         if (freeBytes < 0) {
             freeBytes = 0;
             throw new IOException("No space left on device");
@@ -66,43 +68,43 @@
 
     @Override
     public Out create(String name) throws IOException {
-        take(0);
+        reserve(0);
         File file = new File();
         files.put(name, file);
         return new Out() {
-            /** Whether the last write is too short to hold a change of the scenarios'. */
-            private boolean small;
+            /** Whether the last write had no command. */
+            private boolean voteRecord;
 
             @Override
             public void write(byte[] bytes) throws IOException {
-                small = bytes.length < MAX_VOTE_RECORD_BYTES;
-                int fits = (int) Math.min(bytes.length, freeBytes);
-                int at = file.bytes.length;
-                file.bytes = Arrays.copyOf(file.bytes, at + fits);
-                System.arraycopy(bytes, 0, file.bytes, at, fits);
-                take(bytes.length);
+                voteRecord = bytes.length < MAX_VOTE_RECORD_BYTES;
+                int fitting = (int) Math.min(bytes.length, freeBytes);
+                int end = file.bytes.length;
+                file.bytes = Arrays.copyOf(file.bytes, end + fitting);
+                System.arraycopy(bytes, 0, file.bytes, end, fitting);
+                reserve(bytes.length);
             }
 
             @Override
             public void force() {
-                boolean skipped = seededBug == FaultSweep.SeededBug.ACK_BEFORE_FORCE
-                        || seededBug == FaultSweep.SeededBug.VOTE_NOT_FORCED && small;
-                file.forced = skipped ? file.forced : file.bytes.length;
+                boolean skipForce = seededBug == FaultSweep.SeededBug.ACK_BEFORE_FORCE
+                        || seededBug == FaultSweep.SeededBug.VOTE_NOT_FORCED && voteRecord;
+                file.forcedBytes = skipForce ? file.forcedBytes : file.bytes.length;
             }
 
             @Override
             public void close() {
-                // Nothing is held.
+                // Nothing to release.
             }
         };
     }
 
     @Override
     public void replace(String name, byte[] content) throws IOException {
-        take(content.length);
+        reserve(content.length);
         put(name, content);
         if (seededBug == FaultSweep.SeededBug.RENAME_WITHOUT_FORCE) {
-            files.get(name).forced = 0;
+            files.get(name).forcedBytes = 0;
         }
     }
 
@@ -118,6 +120,6 @@
 
     @Override
     public void close() {
-        // Nothing is held.
+        // Nothing to release.
     }
 }
--- /dev/null
+++ b/faultinjection/src/main/java/lupinvalve/replication/SimulatedMember.java
@@ -0,0 +1,253 @@
+package lupinvalve.replication;
+
+import java.io.IOException;
+import java.util.Map;
+import java.util.Random;
+import java.util.TreeMap;
+import lupinvalve.faultinjection.FailPoints.Fault;
+import lupinvalve.faultinjection.FailPoints.StepKind;
+import lupinvalve.statemachine.ClusterBootstrap;
+import lupinvalve.statemachine.Command;
+import lupinvalve.statemachine.MemberId;
+import lupinvalve.statemachine.ReplicatedState;
+
+/** One member of a {@link Simulation} through all its incarnations, and its disk. */
+final class SimulatedMember {
+    private static final String CLUSTER = "sim";
+    private static final long STOPPED_MICROS = 10_000_000;
+    private static final long LATE_MICROS = 2_000_000;
+    private static final long REVIVE_MICROS = 500_000;
+
+    final int number;
+    final MemberId identity;
+    SimulatedDisk disk = new SimulatedDisk();
+    /** Of the process that runs, or null. */
+    RaftReplica replica;
+    /** Why the replica has stopped, or null. */
+    String stopReason;
+
+    boolean started;
+    /** Counts up as the process dies. */
+    int incarnation;
+
+    long pausedUntilMicros;
+    /** Digests of the configurations that it has applied, by log index. */
+    final TreeMap<Long, String> appliedDigests = new TreeMap<>();
+    /** What an earlier store left at this member, until that is imported. */
+    byte[] legacyDocument;
+
+    private final Simulation simulation;
+    private LegacyStoreImport legacyImport;
+
+    SimulatedMember(Simulation simulation, int number) {
+        this.simulation = simulation;
+        this.number = number;
+        identity = new MemberId("m" + number, "d" + number);
+    }
+
+    /** One process of the member: after its end nothing that it does has an effect. */
+    private final class Incarnation
+            implements Scheduler, FailPointDisk.Process, RaftReplica.MessageSender, LegacyStoreImport.Source {
+        private final int own = incarnation;
+
+        @Override
+        public long now() {
+            return simulation.nowMicros;
+        }
+
+        @Override
+        public void post(Runnable work) {
+            after(1, work);
+        }
+
+        @Override
+        public void after(long micros, Runnable work) {
+            simulation.schedule(micros, () -> run(work));
+        }
+
+        private void run(Runnable work) {
+            if (hasEnded()) {
+                return;
+            }
+            if (now() >= pausedUntilMicros) {
+                Fault fault = simulation.failPoints.nextFault(StepKind.TIMER);
+                if (fault == Fault.STOPPED) {
+                    pausedUntilMicros = now() + STOPPED_MICROS;
+                } else if (fault != null) {
+                    die(fault);
+                    return;
+                }
+            }
+            if (now() < pausedUntilMicros) {
+                after(pausedUntilMicros - now(), work);
+            } else {
+                work.run();
+                checkOneLeaderPerTerm();
+            }
+        }
+
+        @Override
+        public boolean hasEnded() {
+            return own != incarnation;
+        }
+
+        @Override
+        public void end(Fault fault) {
+            die(fault);
+        }
+
+        @Override
+        public void send(MemberId to, byte[] message) {
+            if (hasEnded()) {
+                return;
+            }
+            SimulatedMember receiver = simulation.member(to);
+            Fault fault = simulation.failPoints.nextFault(StepKind.SEND);
+            if (fault == null || fault == Fault.DOUBLED || fault == Fault.DIE_AFTER) {
+                simulation.transmit(SimulatedMember.this, receiver, message, 0);
+            } else if (fault == Fault.LATE) {
+                simulation.transmit(SimulatedMember.this, receiver, message, LATE_MICROS);
+            }
+            if (fault == Fault.DOUBLED) {
+                simulation.transmit(SimulatedMember.this, receiver, message, 0);
+            } else if (fault != null && fault.endsProcess) {
+                die(fault);
+            }
+        }
+
+        @Override
+        public boolean reaches(MemberId member) {
+            return true;
+        }
+
+        @Override
+        public byte[] document() {
+            return legacyDocument;
+        }
+
+        @Override
+        public Map<String, Long> sessions() {
+            return Map.of();
+        }
+
+        @Override
+        public boolean done() {
+            if (hasEnded()) {
+                return false;
+            }
+            Fault fault = simulation.failPoints.nextFault(StepKind.REPLACE);
+            if (fault == null || fault == Fault.DIE_AFTER) {
+                legacyDocument = null;
+            }
+            if (fault != null && fault.endsProcess) {
+                die(fault);
+            }
+            return legacyDocument == null;
+        }
+    }
+
+    private final class StateListener implements RaftReplica.StateListener {
+        @Override
+        public void applied(long index, Command command, ReplicatedState.Outcome outcome) {
+            if (command instanceof Command.PutDocument && outcome.result() == ReplicatedState.Result.APPLIED) {
+                checkSameAsOthers(replica.ledger().document());
+            }
+        }
+
+        @Override
+        public void restored() {
+            if (replica.ledger().document() != null) {
+                checkSameAsOthers(replica.ledger().document());
+            }
+        }
+
+        @Override
+        public void ended(String reason) {
+            stopReason = reason;
+            new Incarnation().after(REVIVE_MICROS, SimulatedMember.this::revive);
+        }
+    }
+
+    /** Starts a process from what is on the disk. */
+    void start() throws IOException {
+        started = true;
+        startReplica(SegmentedLog.open(accessDisk(), CLUSTER, identity.name(), identity.diskId()));
+    }
+
+    /** Starts the replica again in the same process, as a member does whose disk is good again. */
+    private void revive() {
+        if (replica == null || !RaftReplica.DISK.equals(stopReason)) {
+            return;
+        }
+        try {
+            startReplica(SegmentedLog.reopen(accessDisk(), CLUSTER, identity.name()));
+        } catch (IOException e) {
+            new Incarnation().after(REVIVE_MICROS, this::revive);
+        }
+    }
+
+    private Disk accessDisk() {
+        return new FailPointDisk(disk, simulation.failPoints::nextFault, new Incarnation());
+    }
+
+    private void startReplica(SegmentedLog log) throws IOException {
+        Incarnation process = new Incarnation();
+        legacyImport = new LegacyStoreImport(legacyDocument == null ? null : process);
+        if (log.word().phase() == ClusterBootstrap.Phase.UNBOUND) {
+            boolean founder = simulation.founders.contains(identity);
+            log.keep(new ClusterBootstrap.Announcement(
+                    identity,
+                    founder ? ClusterBootstrap.Phase.BOOTSTRAPPED : ClusterBootstrap.Phase.JOINING,
+                    simulation.founders));
+        }
+        stopReason = null;
+        Random replicaRandom = new Random(simulation.random.nextLong());
+        replica = new RaftReplica(process, log, simulation.founders, process, replicaRandom, new StateListener());
+        replica.start();
+    }
+
+    /** Imports what an earlier store left here, as long as this member leads. */
+    void importLegacy() {
+        if (isRunning() && replica.leads()) {
+            legacyImport.lead(replica, document -> true, (session, position) -> {});
+        }
+    }
+
+    /** Ends the process; the disk loses some of what was not forced. */
+    void kill() {
+        incarnation++;
+        replica = null;
+        disk.crash(simulation.random);
+    }
+
+    /** Ends this process, or all where the power is cut. */
+    void die(Fault fault) {
+        if (fault == Fault.POWER_CUT) {
+            simulation.forEachMember(SimulatedMember::kill);
+        } else {
+            kill();
+        }
+    }
+
+    boolean isRunning() {
+        return replica != null && stopReason == null;
+    }
+
+    private void checkOneLeaderPerTerm() {
+        if (isRunning() && replica.leads()) {
+            Integer other = simulation.leaderByTerm.putIfAbsent(replica.term(), number);
+            if (other != null && other != number) {
+                simulation.violations.add("term " + replica.term() + " is led by m" + other + " and m" + number);
+            }
+        }
+    }
+
+    private void checkSameAsOthers(ReplicatedState.Document document) {
+        String before = appliedDigests.putIfAbsent(document.index(), document.digest());
+        String committed = simulation.committedDigests.putIfAbsent(document.index(), document.digest());
+        if (committed != null && !committed.equals(document.digest())
+                || before != null && !before.equals(document.digest())) {
+            simulation.violations.add("change " + document.index() + " is " + document.digest() + " and " + committed);
+        }
+    }
+}
--- a/faultinjection/src/main/java/lupinvalve/replication/Simulation.java
+++ b/faultinjection/src/main/java/lupinvalve/replication/Simulation.java
@@ -10,298 +10,71 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
+import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import lupinvalve.faultinjection.FailPoints;
 import lupinvalve.faultinjection.FailPoints.Fault;
 import lupinvalve.faultinjection.FailPoints.StepKind;
-import lupinvalve.statemachine.ClusterBootstrap;
-import lupinvalve.statemachine.Command;
 import lupinvalve.statemachine.MemberId;
-import lupinvalve.statemachine.ReplicatedState;
 
 /**
- * Members, their disks and the network between them in virtual time: one seed, one course of events. Each step at which
- * a member meets the world is a point, at which {@link Points} may name a fault.
+ * A group in virtual time: its members, the network between them, and what must hold of them together. One seed, one
+ * sequence of events. Each step at which a member meets its disk, the network or a timer is a fail point. For one
+ * thread.
  */
 final class Simulation {
-    private record Event(long at, long order, Runnable work) implements Comparable<Event> {
+    private static final int MAX_TRACE_CHARS = 400;
+    private static final long MIN_LATENCY_MICROS = 200;
+    private static final int LATENCY_SPREAD_MICROS = 3_000;
+    private static final int MAX_WAIT_STEPS = 3_000;
+    private static final long WAIT_STEP_MICROS = 10_000;
+    private static final long AVAILABILITY_STEP_MICROS = 50_000;
+
+    private record Event(long atMicros, long sequence, Runnable work) implements Comparable<Event> {
         @Override
         public int compareTo(Event other) {
-            int by = Long.compare(at, other.at);
-            return by != 0 ? by : Long.compare(order, other.order);
+            int byTime = Long.compare(atMicros, other.atMicros);
+            return byTime != 0 ? byTime : Long.compare(sequence, other.sequence);
         }
     }
 
-    /** One member through all its lives. */
-    final class Member {
-        final int number;
-        final MemberId identity;
-        SimulatedDisk disk = new SimulatedDisk();
-        RaftReplica replica;
-        String stopReason;
-        boolean started;
-        int incarnation;
-        long pausedUntilMicros;
-        final TreeMap<Long, String> activatedDigests = new TreeMap<>();
-        /** What an earlier store left at this member, until that is taken over. */
-        byte[] legacyDocument;
-
-        private LegacyStoreImport legacyImport;
-
-        Member(int number) {
-            this.number = number;
-            identity = new MemberId("m" + number, "d" + number);
-        }
-
-        private final class Incarnation implements Scheduler {
-            private final int mine = incarnation;
-
-            @Override
-            public long now() {
-                return nowMicros;
-            }
-
-            @Override
-            public void post(Runnable work) {
-                after(1, work);
-            }
-
-            @Override
-            public void after(long micros, Runnable work) {
-                schedule(micros, () -> run(work));
-            }
-
-            private void run(Runnable work) {
-                if (mine != incarnation) {
-                    return;
-                }
-                if (nowMicros >= pausedUntilMicros) {
-                    Fault fault = failPoints.nextFault(StepKind.TIMER);
-                    if (fault == Fault.STOPPED) {
-                        pausedUntilMicros = nowMicros + STOPPED_MICROS;
-                    } else if (fault != null) {
-                        die(fault);
-                        return;
-                    }
-                }
-                if (nowMicros < pausedUntilMicros) {
-                    schedule(pausedUntilMicros - nowMicros, () -> run(work));
-                } else {
-                    work.run();
-                    watch();
-                }
-            }
-        }
-
-        /** Ends this process, or all where the power is cut. */
-        private void die(Fault fault) {
-            if (fault == Fault.POWER_CUT) {
-                forEachMember(Member::kill);
-            } else {
-                kill();
-            }
-        }
-
-        /** Nobody leads in a term in which another has led. */
-        private void watch() {
-            if (isRunning() && replica.leads()) {
-                Integer other = leaderByTerm.putIfAbsent(replica.term(), number);
-                if (other != null && other != number) {
-                    violations.add("term " + replica.term() + " is led by m" + other + " and m" + number);
-                }
-            }
-        }
-
-        /** This life's way to the disk: after its end nothing it does reaches it. */
-        private Disk access() {
-            int mine = incarnation;
-            return new FailPointDisk(disk, failPoints::nextFault, new FailPointDisk.Process() {
-                @Override
-                public boolean hasEnded() {
-                    return mine != incarnation;
-                }
-
-                @Override
-                public void end(Fault fault) {
-                    die(fault);
-                }
-            });
-        }
-
-        void start() throws IOException {
-            started = true;
-            begin(SegmentedLog.open(access(), "sim", identity.name(), identity.diskId()));
-        }
-
-        /** Takes part again in the same life, as a member does whose disk is good again. */
-        private void revive() {
-            if (replica == null || !RaftReplica.DISK.equals(stopReason)) {
-                return;
-            }
-            try {
-                begin(SegmentedLog.reopen(access(), "sim", identity.name()));
-            } catch (IOException e) {
-                new Incarnation().after(REVIVE_MICROS, this::revive);
-            }
-        }
-
-        private void begin(SegmentedLog log) throws IOException {
-            legacyImport = new LegacyStoreImport(legacyDocument == null ? null : new LegacyFolder());
-            if (log.word().phase() == ClusterBootstrap.Phase.UNBOUND) {
-                boolean founder = founders.contains(identity);
-                log.keep(new ClusterBootstrap.Announcement(
-                        identity,
-                        founder ? ClusterBootstrap.Phase.BOOTSTRAPPED : ClusterBootstrap.Phase.JOINING,
-                        founders));
-            }
-            stopReason = null;
-            replica = new RaftReplica(
-                    new Incarnation(),
-                    log,
-                    founders,
-                    new RaftReplica.MessageSender() {
-                        private final int mine = incarnation;
-
-                        @Override
-                        public void send(MemberId to, byte[] message) {
-                            if (mine != incarnation) {
-                                return;
-                            }
-                            Member there = members.stream()
-                                    .filter(m -> m.identity.equals(to))
-                                    .findFirst()
-                                    .orElse(null);
-                            Fault fault = failPoints.nextFault(StepKind.SEND);
-                            boolean goes = fault == null || fault == Fault.DOUBLED || fault == Fault.DIE_AFTER;
-                            if (goes || fault == Fault.LATE) {
-                                transmit(Member.this, there, message, fault == Fault.LATE ? LATE_MICROS : 0);
-                            }
-                            if (fault == Fault.DOUBLED) {
-                                transmit(Member.this, there, message, 0);
-                            } else if (fault != null && fault.endsProcess) {
-                                die(fault);
-                            }
-                        }
-
-                        @Override
-                        public boolean reaches(MemberId who) {
-                            return true;
-                        }
-                    },
-                    new Random(random.nextLong()),
-                    new RaftReplica.StateListener() {
-                        @Override
-                        public void applied(long index, Command change, ReplicatedState.Outcome outcome) {
-                            if (change instanceof Command.PutDocument
-                                    && outcome.result() == ReplicatedState.Result.APPLIED) {
-                                adopt(replica.ledger().document());
-                            }
-                        }
-
-                        @Override
-                        public void restored() {
-                            if (replica.ledger().document() != null) {
-                                adopt(replica.ledger().document());
-                            }
-                        }
-
-                        @Override
-                        public void ended(String why) {
-                            stopReason = why;
-                            new Incarnation().after(REVIVE_MICROS, Member.this::revive);
-                        }
-                    });
-            replica.start();
-        }
-
-        private final class LegacyFolder implements LegacyStoreImport.Source {
-            private final int mine = incarnation;
-
-            @Override
-            public byte[] document() {
-                return legacyDocument;
-            }
-
-            @Override
-            public java.util.Map<String, Long> sessions() {
-                return java.util.Map.of();
-            }
-
-            @Override
-            public boolean done() {
-                if (mine != incarnation) {
-                    return false;
-                }
-                Fault fault = failPoints.nextFault(StepKind.REPLACE);
-                if (fault == null || fault == Fault.DIE_AFTER) {
-                    legacyDocument = null;
-                }
-                if (fault != null && fault.endsProcess) {
-                    die(fault);
-                }
-                return legacyDocument == null;
-            }
-        }
-
-        /** Takes over what was left here, as long as this member leads. */
-        void importLegacy() {
-            if (isRunning() && replica.leads()) {
-                legacyImport.lead(replica, document -> true, (session, position) -> {});
-            }
-        }
-
-        private void adopt(ReplicatedState.Document document) {
-            String before = activatedDigests.putIfAbsent(document.index(), document.digest());
-            String agreed = committedDigests.putIfAbsent(document.index(), document.digest());
-            if (agreed != null && !agreed.equals(document.digest())
-                    || before != null && !before.equals(document.digest())) {
-                violations.add("change " + document.index() + " is " + document.digest() + " and " + agreed);
-            }
-        }
-
-        void kill() {
-            incarnation++;
-            replica = null;
-            disk.crash(random);
-        }
-
-        boolean isRunning() {
-            return replica != null && stopReason == null;
-        }
-    }
-
-    private static final long STOPPED_MICROS = 10_000_000, LATE_MICROS = 2_000_000, REVIVE_MICROS = 500_000;
-    private static final int MAX_TRACE_CHARS = 400;
     final FailPoints failPoints;
-    final TreeMap<Integer, Integer> leaderByTerm = new TreeMap<>();
     final Random random;
-    final List<Member> members = new ArrayList<>();
+    final List<SimulatedMember> members = new ArrayList<>();
     final Set<MemberId> founders = new TreeSet<>();
-    final boolean[][] linkDown;
+    /** Which member led first in each term. */
+    final TreeMap<Integer, Integer> leaderByTerm = new TreeMap<>();
+    /** Digests of the configurations that any member has applied, by log index. */
     final TreeMap<Long, String> committedDigests = new TreeMap<>();
+    /** What was found broken. */
     final List<String> violations = new ArrayList<>();
-    long nowMicros = 1_000_000_000L;
+    /** Whether messages from one member, by number, to another are lost. */
+    final boolean[][] linkDown;
+
     double messageLossRatio;
+    long nowMicros = 1_000_000_000L;
     private final PriorityQueue<Event> events = new PriorityQueue<>();
     private long nextSequence;
 
-    Simulation(long seed, int founding, int later) throws IOException {
-        this(seed, founding, later, new FailPoints(), FaultSweep.SeededBug.NONE);
+    Simulation(long seed, int founderCount, int laterMemberCount) throws IOException {
+        this(seed, founderCount, laterMemberCount, new FailPoints(), FaultSweep.SeededBug.NONE);
     }
 
-    Simulation(long seed, int founding, int later, FailPoints points, FaultSweep.SeededBug planted) throws IOException {
+    Simulation(long seed, int founderCount, int laterMemberCount, FailPoints failPoints, FaultSweep.SeededBug bug)
+            throws IOException {
         random = new Random(seed);
-        this.failPoints = points;
-        linkDown = new boolean[founding + later][founding + later];
-        for (int i = 0; i < founding + later; i++) {
-            Member member = new Member(i);
-            member.disk.seededBug = planted;
+        this.failPoints = failPoints;
+        int memberCount = founderCount + laterMemberCount;
+        linkDown = new boolean[memberCount][memberCount];
+        for (int i = 0; i < memberCount; i++) {
+            SimulatedMember member = new SimulatedMember(this, i);
+            member.disk.seededBug = bug;
             members.add(member);
-            if (i < founding) {
+            if (i < founderCount) {
                 founders.add(member.identity);
             }
         }
-        for (Member member : members.subList(0, founding)) {
+        for (SimulatedMember member : members.subList(0, founderCount)) {
             Scenario.start(member);
         }
     }
@@ -310,30 +83,35 @@
         events.add(new Event(nowMicros + inMicros, nextSequence++, work));
     }
 
-    private void transmit(Member from, Member to, byte[] message, long later) {
+    /** Sends a message; it is lost where the receiver dies, or the link breaks, before it arrives. */
+    void transmit(SimulatedMember from, SimulatedMember to, byte[] message, long delayMicros) {
         if (to == null || linkDown[from.number][to.number] || random.nextDouble() < messageLossRatio) {
             return;
         }
-        int life = to.incarnation;
+        int receivingIncarnation = to.incarnation;
         failPoints.trace(() -> nowMicros / 1000 + " ms: " + from.identity.name() + " to " + to.identity.name() + ": "
                 + describe(message));
-        schedule(later + 200 + random.nextInt(3000), () -> {
-            if (to.incarnation == life && to.replica != null && !linkDown[from.number][to.number]) {
-                Fault fault = failPoints.nextFault(StepKind.ARRIVE);
-                try {
-                    if (fault != Fault.DIE_BEFORE && fault != Fault.POWER_CUT) {
-                        to.replica.handle(message);
-                    }
-                    if (fault != null) {
-                        to.die(fault);
-                    }
-                } catch (IOException e) {
-                    violations.add("a message can't be read: " + e.getMessage());
-                }
+        schedule(delayMicros + MIN_LATENCY_MICROS + random.nextInt(LATENCY_SPREAD_MICROS), () -> {
+            if (to.incarnation == receivingIncarnation && to.replica != null && !linkDown[from.number][to.number]) {
+                receive(to, message);
             }
         });
     }
 
+    private void receive(SimulatedMember member, byte[] message) {
+        Fault fault = failPoints.nextFault(StepKind.ARRIVE);
+        try {
+            if (fault != Fault.DIE_BEFORE && fault != Fault.POWER_CUT) {
+                member.replica.handle(message);
+            }
+            if (fault != null) {
+                member.die(fault);
+            }
+        } catch (IOException e) {
+            violations.add("a message can't be read: " + e.getMessage());
+        }
+    }
+
     private static String describe(byte[] message) {
         try {
             String text = String.valueOf(RaftCodec.read(RaftReplica.GROUP, message));
@@ -343,136 +121,77 @@
         }
     }
 
+    /** Lets virtual time pass. */
     void run(long micros) {
-        long end = nowMicros + micros;
-        while (!events.isEmpty() && events.peek().at() <= end) {
+        long endMicros = nowMicros + micros;
+        while (!events.isEmpty() && events.peek().atMicros() <= endMicros) {
             Event next = events.poll();
-            nowMicros = next.at();
+            nowMicros = next.atMicros();
             next.work().run();
         }
-        nowMicros = end;
-    }
-
-    Member leader() {
-        return members.stream()
-                .filter(m -> m.isRunning() && m.replica.leads())
-                .findFirst()
-                .orElse(null);
+        nowMicros = endMicros;
     }
 
-    /** Runs until something holds, within virtual 30 s. */
-    boolean runUntil(java.util.function.BooleanSupplier holds) {
-        for (int i = 0; i < 3000 && !holds.getAsBoolean(); i++) {
-            run(10_000);
+    /** Runs until a condition holds, for 30 s of virtual time at most; returns whether it holds. */
+    boolean runUntil(BooleanSupplier condition) {
+        for (int i = 0; i < MAX_WAIT_STEPS && !condition.getAsBoolean(); i++) {
+            run(WAIT_STEP_MICROS);
         }
-        return holds.getAsBoolean();
+        return condition.getAsBoolean();
     }
 
     /**
-     * Lets time pass; where as many as a majority run and hear each other throughout, it must not end without a leader,
-     * whoever is down.
+     * Lets time pass; where a majority runs throughout and its members hear each other, it must not end without a
+     * leader, whoever is down.
      */
     void runExpectingLeader(long micros) {
-        boolean stood = true;
-        long end = nowMicros + micros;
-        while (nowMicros < end) {
-            run(50_000);
-            stood &= 2
-                            * members.stream()
-                                    .filter(m -> m.isRunning() && nowMicros >= m.pausedUntilMicros)
-                                    .count()
-                    > founders.size();
-        }
-        if (stood && leader() == null) {
+        boolean majorityThroughout = true;
+        long endMicros = nowMicros + micros;
+        while (nowMicros < endMicros) {
+            run(AVAILABILITY_STEP_MICROS);
+            long runningCount = members.stream()
+                    .filter(member -> member.isRunning() && nowMicros >= member.pausedUntilMicros)
+                    .count();
+            majorityThroughout &= 2 * runningCount > founders.size();
+        }
+        if (majorityThroughout && leader() == null) {
             violations.add(
                     "no leader " + micros / 1000 + " ms after the last one's end, though a majority runs throughout");
         }
     }
 
-    void restoreNetwork() {
-        for (boolean[] row : linkDown) {
-            Arrays.fill(row, false);
-        }
-        messageLossRatio = 0;
+    /** A member that claims to lead, or null. */
+    SimulatedMember leader() {
+        return members.stream()
+                .filter(member -> member.isRunning() && member.replica.leads())
+                .findFirst()
+                .orElse(null);
     }
 
-    static byte[] document(String text) {
-        return text.getBytes(StandardCharsets.UTF_8);
+    /** The member with an identity, or null. */
+    SimulatedMember member(MemberId identity) {
+        return members.stream()
+                .filter(member -> member.identity.equals(identity))
+                .findFirst()
+                .orElse(null);
     }
 
-    /** Clients that put configurations at whoever leads by its own word, and what they were told. */
-    final class Clients {
-        final TreeMap<Long, String> acknowledgedDigests = new TreeMap<>();
-        private int nextNumber;
-
-        void put(Member at) {
-            put(at, "");
-        }
-
-        void put(Member at, String filler) {
-            if (!at.isRunning()) {
-                return;
-            }
-            byte[] content = document("{\"n\":\"" + nextNumber++ + filler + "\"}");
-            long expected = at.replica.ledger().revision();
-            at.replica.propose(new Command.PutDocument(expected, content), (fate, outcome) -> {
-                if (fate == RaftReplica.Completion.DONE && outcome.result() == ReplicatedState.Result.APPLIED) {
-                    String other = acknowledgedDigests.putIfAbsent(outcome.revision(), ReplicatedState.digest(content));
-                    if (other != null) {
-                        violations.add("revision " + outcome.revision() + " was acknowledged twice");
-                    }
-                }
-            });
-        }
-
-        void read(Member at) {
-            if (!at.isRunning()) {
-                return;
-            }
-            long least = acknowledgedDigests.isEmpty() ? 0 : acknowledgedDigests.lastKey();
-            at.replica.upToDate((fate, ok) -> {
-                if (fate == RaftReplica.Completion.DONE && at.replica.ledger().revision() < least) {
-                    violations.add("a read came back with revision "
-                            + at.replica.ledger().revision() + " after " + least);
-                }
-            });
-        }
-
-        boolean caughtUp(Member member) {
-            return member.isRunning()
-                    && !acknowledgedDigests.isEmpty()
-                    && member.replica.ledger().revision() >= acknowledgedDigests.lastKey();
-        }
+    SimulatedMember randomMember() {
+        return members.get(random.nextInt(members.size()));
+    }
 
-        /** Whether all that was acknowledged is in a member's history, at the revision that was told. */
-        void checkAcknowledged(Member member) {
-            if (!caughtUp(member)) {
-                long last = acknowledgedDigests.isEmpty() ? 0 : acknowledgedDigests.lastKey();
-                violations.add(member.identity
-                        + (member.isRunning()
-                                ? " has only revision "
-                                        + member.replica.ledger().revision() + " after " + last + ", term "
-                                        + member.replica.term() + " of " + leaderByTerm.lastKey()
-                                : " does not run: " + member.stopReason));
-                return;
-            }
-            List<String> digests = new ArrayList<>(committedDigests
-                    .headMap(member.replica.ledger().appliedIndex(), true)
-                    .values());
-            acknowledgedDigests.forEach((revision, digest) -> {
-                if (digests.size() < revision
-                        || !digests.get((int) (revision - 1)).equals(digest)) {
-                    violations.add("revision " + revision + " was acknowledged and is lost");
-                }
-            });
-        }
+    void forEachMember(Consumer<SimulatedMember> work) {
+        members.forEach(work);
     }
 
-    Member randomMember() {
-        return members.get(random.nextInt(members.size()));
+    void restoreNetwork() {
+        for (boolean[] links : linkDown) {
+            Arrays.fill(links, false);
+        }
+        messageLossRatio = 0;
     }
 
-    void forEachMember(Consumer<Member> work) {
-        members.forEach(work);
+    static byte[] document(String text) {
+        return text.getBytes(StandardCharsets.UTF_8);
     }
 }
--- a/faultinjection/src/test/java/lupinvalve/replication/SegmentedLogTest.java
+++ b/faultinjection/src/test/java/lupinvalve/replication/SegmentedLogTest.java
@@ -108,8 +108,9 @@
                 bytes[at] ^= (byte) (1 << at % 8);
                 damaged.put(name, bytes);
                 int where = at;
-                IOException e = assertThrows(IOException.class, () -> open(damaged), () -> name + " byte " + where);
-                assertTrue(e.getMessage().startsWith(name + ", byte "), e.getMessage());
+                IOException refused =
+                        assertThrows(IOException.class, () -> open(damaged), () -> name + " byte " + where);
+                assertTrue(refused.getMessage().startsWith(name + ", byte "), refused.getMessage());
             }
         }
     }
--- a/faultinjection/src/test/java/lupinvalve/replication/SimulationTest.java
+++ b/faultinjection/src/test/java/lupinvalve/replication/SimulationTest.java
@@ -37,7 +37,7 @@
     private static List<String> schedule(long seed, boolean lying) {
         try {
             Simulation sim = new Simulation(seed, seed % 3 == 0 ? 5 : 3, 0);
-            Simulation.Clients clients = sim.new Clients();
+            SimulatedClients clients = new SimulatedClients(sim);
             sim.forEachMember(
                     m -> m.disk.seededBug = lying ? FaultSweep.SeededBug.ACK_BEFORE_FORCE : FaultSweep.SeededBug.NONE);
             for (int step = 0; step < 60; step++) {
@@ -45,7 +45,7 @@
                     case 0 -> fault(sim);
                     case 1 -> sim.restoreNetwork();
                     case 2 -> {
-                        for (Simulation.Member m : sim.members) {
+                        for (SimulatedMember m : sim.members) {
                             if (m.replica == null) {
                                 m.start();
                             }
@@ -63,7 +63,7 @@
                 sim.run(20_000 + sim.random.nextInt(150_000));
             }
             sim.restoreNetwork();
-            for (Simulation.Member m : sim.members) {
+            for (SimulatedMember m : sim.members) {
                 if (m.replica == null) {
                     m.start();
                 }
@@ -88,8 +88,8 @@
     }
 
     private static void fault(Simulation sim) {
-        Simulation.Member one = sim.randomMember();
-        Simulation.Member other = sim.randomMember();
+        SimulatedMember one = sim.randomMember();
+        SimulatedMember other = sim.randomMember();
         switch (sim.random.nextInt(6)) {
             case 0 -> one.kill();
             case 1 -> sim.linkDown[one.number][other.number] = true;
@@ -100,7 +100,7 @@
             case 3 -> one.pausedUntilMicros = sim.nowMicros + 10_000_000;
             case 4 -> sim.messageLossRatio = 0.3;
             default -> { // The leader, while its changes are on their way.
-                Simulation.Member leader = sim.leader();
+                SimulatedMember leader = sim.leader();
                 if (leader != null) {
                     leader.kill();
                 }
@@ -130,7 +130,7 @@
             Simulation one = new Simulation(seed, 3, 0);
             Simulation two = new Simulation(seed, 3, 0);
             for (Simulation sim : List.of(one, two)) {
-                Simulation.Clients clients = sim.new Clients();
+                SimulatedClients clients = new SimulatedClients(sim);
                 for (int i = 0; i < 50; i++) {
                     sim.forEachMember(clients::put);
                     sim.run(50_000);
@@ -147,7 +147,7 @@
         return sim;
     }
 
-    private static RaftReplica.Completion put(Simulation sim, Simulation.Member at, long expected, String text) {
+    private static RaftReplica.Completion put(Simulation sim, SimulatedMember at, long expected, String text) {
         AtomicReference<RaftReplica.Completion> got = new AtomicReference<>();
         AtomicReference<ReplicatedState.Outcome> outcome = new AtomicReference<>();
         at.replica.propose(new Command.PutDocument(expected, Simulation.document(text)), (fate, result) -> {
@@ -163,7 +163,7 @@
     @Test
     void aLeaderAloneDecidesNothingAndKnowsItSoon() throws IOException {
         Simulation sim = led(3, 0);
-        Simulation.Member old = sim.leader();
+        SimulatedMember old = sim.leader();
         assertEquals(RaftReplica.Completion.DONE, put(sim, old, 0, "{}"));
         sim.forEachMember(m -> {
             if (m != old) {
@@ -214,7 +214,7 @@
     @Test
     void aDiskThatIsFullStepsDownAndTheOthersGoOn() throws IOException {
         Simulation sim = led(3, 0);
-        Simulation.Member old = sim.leader();
+        SimulatedMember old = sim.leader();
         old.disk.freeBytes = 30;
         assertTrue(put(sim, old, 0, "{\"long\":\"" + "x".repeat(100) + "\"}") != RaftReplica.Completion.DONE);
         assertEquals("the disk fails", old.stopReason);
@@ -235,7 +235,7 @@
         assertEquals(List.of(), sim.violations);
     }
 
-    static void change(Simulation sim, boolean in, Simulation.Member who) {
+    static void change(Simulation sim, boolean in, SimulatedMember who) {
         MembershipChange.Request wish = new MembershipChange.Request(in, who.identity.name());
         Set<lupinvalve.statemachine.MemberId> all = new TreeSet<>();
         sim.forEachMember(m -> {
@@ -274,10 +274,10 @@
                 sim.leader().disk.names().stream()
                         .filter(name -> name.startsWith("snapshot"))
                         .count());
-        Simulation.Member newcomer = sim.members.get(3);
+        SimulatedMember newcomer = sim.members.get(3);
         newcomer.start();
         sim.members.get(4).start();
-        Simulation.Clients clients = sim.new Clients();
+        SimulatedClients clients = new SimulatedClients(sim);
         for (int i = 1; i < 100; i++) {
             sim.schedule(i * 20_000, () -> sim.forEachMember(clients::put));
         }
@@ -287,7 +287,7 @@
         assertEquals(
                 sim.leader().replica.ledger().revision(),
                 newcomer.replica.ledger().revision()); // The leader is to go as well: it hands over first.
-        Simulation.Member old = sim.leader();
+        SimulatedMember old = sim.leader();
         change(sim, false, old);
         assertTrue(sim.leader()
                 != old); // One that is no member any more can't disturb the others, nor can its disk under its old
@@ -307,13 +307,13 @@
     @Test
     void aMemberThatSleptWakesAsAFollowerAndNobodyBelievesIt() throws IOException {
         Simulation sim = led(3, 0);
-        Simulation.Member old = sim.leader();
+        SimulatedMember old = sim.leader();
         old.pausedUntilMicros = sim.nowMicros + 10_000_000;
         AtomicReference<RaftReplica.Completion> late = new AtomicReference<>();
         old.replica.propose(
                 new Command.PutDocument(0, Simulation.document("{\"old\":1}")), (fate, outcome) -> late.set(fate));
         assertTrue(sim.runUntil(() -> sim.members.stream().anyMatch(m -> m != old && m.replica.leads())));
-        Simulation.Member next = sim.members.stream()
+        SimulatedMember next = sim.members.stream()
                 .filter(m -> m != old && m.replica.leads())
                 .findFirst()
                 .orElseThrow();
@@ -331,9 +331,9 @@
     void aMemberWhoseDiskWasFullTakesPartAgainInTheSameLifeFromWhatIsThere() throws IOException {
         for (long seed = 1; seed <= 20; seed++) {
             Simulation sim = new Simulation(seed, 3, 0);
-            Simulation.Clients clients = sim.new Clients();
+            SimulatedClients clients = new SimulatedClients(sim);
             assertTrue(sim.runUntil(() -> sim.leader() != null));
-            Simulation.Member full = sim.members.stream()
+            SimulatedMember full = sim.members.stream()
                     .filter(m -> m != sim.leader())
                     .findFirst()
                     .orElseThrow();
