--- a/faultinjection/src/main/java/lupinvalve/faultinjection/HotRestartScenario.java
+++ b/faultinjection/src/main/java/lupinvalve/faultinjection/HotRestartScenario.java
@@ -12,7 +12,7 @@
 import lupinvalve.faultinjection.FailPoints.StepKind;
 import lupinvalve.hotrestart.DrainCommandsFile;
 import lupinvalve.hotrestart.SharedDirectory;
-import lupinvalve.maintenance.Maintenance.Orders;
+import lupinvalve.maintenance.DrainCommands;
 
 /**
  * A hot restart in which operators drain db nodes and return them at both processes: each command that was acknowledged
@@ -53,7 +53,7 @@
 
     private final class Process {
         private DrainCommandsFile file = new DrainCommandsFile(new FailPointDirectory(), "p");
-        private Orders known = Orders.NONE;
+        private DrainCommands known = DrainCommands.NONE;
         private boolean ended;
 
         /** An operator's command. */
@@ -75,7 +75,7 @@
         /** Polls for the other process's commands. */
         void poll() {
             try {
-                Orders other = ended ? null : file.readIfChanged(known);
+                DrainCommands other = ended ? null : file.readIfChanged(known);
                 known = other == null ? known : other;
             } catch (ProcessEnded e) {
                 ended = true;
@@ -86,7 +86,7 @@
         void restartIfEnded() {
             if (ended) {
                 ended = false;
-                known = Orders.NONE;
+                known = DrainCommands.NONE;
                 file = new DrainCommandsFile(new FailPointDirectory(), "p");
                 poll();
             }
@@ -123,7 +123,7 @@
         process.poll();
         if (!process.ended) {
             expectedDrained.forEach((id, drained) -> {
-                if (drained != null && process.known.out().contains(id) != drained) {
+                if (drained != null && process.known.drained().contains(id) != drained) {
                     violations.add(who
                             + (drained
                                     ? " uses " + id + ", whose drain was acknowledged"
--- a/faultinjection/src/test/java/lupinvalve/replication/SimulationTest.java
+++ b/faultinjection/src/test/java/lupinvalve/replication/SimulationTest.java
@@ -77,7 +77,8 @@
             });
             if (!settled) {
                 sim.violations.add("nothing was accepted after all was healed");
-            } else { // Those that were still asleep catch up as well.
+            } else {
+                // Those that were still asleep catch up as well.
                 sim.runUntil(() -> sim.members.stream().allMatch(clients::caughtUp));
                 sim.forEachMember(clients::checkAcknowledged);
             }
@@ -99,7 +100,8 @@
             });
             case 3 -> one.pausedUntilMicros = sim.nowMicros + 10_000_000;
             case 4 -> sim.messageLossRatio = 0.3;
-            default -> { // The leader, while its changes are on their way.
+            default -> {
+                // The leader, while its changes are on their way.
                 SimulatedMember leader = sim.leader();
                 if (leader != null) {
                     leader.kill();
@@ -221,11 +223,8 @@
         assertTrue(sim.runUntil(() -> sim.leader() != null));
         assertEquals(
                 RaftReplica.Completion.DONE,
-                put(
-                        sim,
-                        sim.leader(),
-                        sim.leader().replica.ledger().revision(),
-                        "{}")); // With room again it comes back with what it had.
+                put(sim, sim.leader(), sim.leader().replica.ledger().revision(), "{}"));
+        // With room again it comes back with what it had.
         old.kill();
         old.disk.freeBytes = Long.MAX_VALUE;
         old.start();
@@ -286,12 +285,12 @@
         sim.run(3_000_000);
         assertEquals(
                 sim.leader().replica.ledger().revision(),
-                newcomer.replica.ledger().revision()); // The leader is to go as well: it hands over first.
+                newcomer.replica.ledger().revision());
+        // The leader is to go as well: it hands over first.
         SimulatedMember old = sim.leader();
         change(sim, false, old);
-        assertTrue(sim.leader()
-                != old); // One that is no member any more can't disturb the others, nor can its disk under its old
-        // name.
+        assertTrue(sim.leader() != old);
+        // One that is no member any more can't disturb the others, nor can its disk under its old name.
         int term = sim.leader().replica.term();
         old.kill();
         old.start();
--- a/hotrestart/src/main/java/lupinvalve/hotrestart/DrainCommandsFile.java
+++ b/hotrestart/src/main/java/lupinvalve/hotrestart/DrainCommandsFile.java
@@ -16,7 +16,7 @@
 import java.util.Set;
 import java.util.function.UnaryOperator;
 import lupinvalve.log.Log;
-import lupinvalve.maintenance.Maintenance.Orders;
+import lupinvalve.maintenance.DrainCommands;
 
 /**
  * The operators' drain commands in a file that the two processes of a hot restart share. It is written whole to a
@@ -24,9 +24,9 @@
  */
 public final class DrainCommandsFile {
     private static final JsonFactory JSON = new JsonFactory();
-    /** The stored name of {@link Orders#out}. */
+    /** The stored name of {@link DrainCommands#out}. */
     private static final String DRAINED_FIELD = "out";
-    /** The stored name of {@link Orders#back}. */
+    /** The stored name of {@link DrainCommands#back}. */
     private static final String RETURNED_FIELD = "back";
     /** More than a pooler ever writes. */
     private static final long MAX_FILE_BYTES = 1 << 20;
@@ -64,7 +64,7 @@
      *
      * @param current the commands that this process knows
      */
-    public Orders readIfChanged(Orders current) {
+    public DrainCommands readIfChanged(DrainCommands current) {
         try {
             return readNewVersion(current);
         } catch (IOException e) {
@@ -73,7 +73,7 @@
         }
     }
 
-    private Orders readNewVersion(Orders current) throws IOException {
+    private DrainCommands readNewVersion(DrainCommands current) throws IOException {
         byte[] content;
         try {
             content = directory.size(fileName) > MAX_FILE_BYTES ? TOO_LONG : directory.read(fileName);
@@ -94,11 +94,11 @@
      *
      * @param current the commands that this process knows
      */
-    public Orders update(Orders current, UnaryOperator<Orders> change) throws IOException {
+    public DrainCommands update(DrainCommands current, UnaryOperator<DrainCommands> change) throws IOException {
         Closeable lock = directory.lock(lockName);
         try {
-            Orders other = readNewVersion(current);
-            Orders next = change.apply(other == null ? current : other);
+            DrainCommands other = readNewVersion(current);
+            DrainCommands next = change.apply(other == null ? current : other);
             byte[] content = encode(next);
             directory.write(temporaryName, content);
             directory.move(temporaryName, fileName);
@@ -110,7 +110,7 @@
         }
     }
 
-    private Orders decode(byte[] content, Orders current) {
+    private DrainCommands decode(byte[] content, DrainCommands current) {
         Set<String> drained = new HashSet<>();
         Map<String, Long> returned = new HashMap<>();
         try (JsonParser in = JSON.createParser(content)) {
@@ -125,10 +125,10 @@
             }
             expect(in, in.currentToken() == JsonToken.END_OBJECT && in.nextToken() == null);
             errorReported = false;
-            return new Orders(drained, returned);
+            return new DrainCommands(drained, returned);
         } catch (IOException e) {
             report("is corrupt, what could be read is merged with the current commands: " + e.getMessage());
-            return current.and(new Orders(drained, Map.of()));
+            return current.union(new DrainCommands(drained, Map.of()));
         }
     }
 
@@ -161,17 +161,17 @@
         }
     }
 
-    private static byte[] encode(Orders commands) throws IOException {
+    private static byte[] encode(DrainCommands commands) throws IOException {
         ByteArrayOutputStream content = new ByteArrayOutputStream();
         try (JsonGenerator out = JSON.createGenerator(content)) {
             out.writeStartObject();
             out.writeArrayFieldStart(DRAINED_FIELD);
-            for (String id : commands.out()) {
+            for (String id : commands.drained()) {
                 out.writeString(id);
             }
             out.writeEndArray();
             out.writeObjectFieldStart(RETURNED_FIELD);
-            for (Map.Entry<String, Long> returned : commands.back().entrySet()) {
+            for (Map.Entry<String, Long> returned : commands.restoredAtMicros().entrySet()) {
                 out.writeNumberField(returned.getKey(), returned.getValue());
             }
             out.writeEndObject();
--- a/replication/src/main/java/lupinvalve/replication/PeerConnections.java
+++ b/replication/src/main/java/lupinvalve/replication/PeerConnections.java
@@ -10,8 +10,8 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import lupinvalve.core.Deadlines;
-import lupinvalve.core.Loop;
+import lupinvalve.core.EventLoop;
+import lupinvalve.core.TimerQueue;
 import lupinvalve.log.Log;
 import lupinvalve.net.Addresses;
 import lupinvalve.net.Link;
@@ -54,7 +54,7 @@
     }
 
     private final Net net;
-    private final Loop loop;
+    private final EventLoop loop;
     private final String cluster, name, address;
     private final Proof proof;
     private final Heard heard;
@@ -68,7 +68,7 @@
 
     PeerConnections(
             Net net,
-            Loop loop,
+            EventLoop loop,
             String cluster,
             String name,
             String address,
@@ -214,15 +214,15 @@
         private MemberId who;
         private String caller = "";
         private boolean greeted, over, follows;
-        private Deadlines.Deadline silence, beat;
+        private TimerQueue.Timer silence, beat;
 
         Conn(Link link, Dial dial) {
             this.link = link;
             this.dial = dial;
         }
 
-        void begin() { // Who was dialled speaks first: MINA's filter holds back what comes together with a
-            // handshake's last word
+        void begin() {
+            // Who was dialled speaks first: MINA's filter holds back what comes together with a handshake's last word
             // until something else comes.
             if (dial == null) {
                 hello();
@@ -236,18 +236,17 @@
         }
 
         private void beat() {
-            beat = loop.after(
-                    BEAT,
-                    () -> { // A subscriber hears something each time that it asks.
-                        if (!follows) {
-                            link.write(WireMessages.message(WireMessages.Kind.HEARTBEAT, new byte[0]));
-                        }
-                        beat();
-                    });
+            beat = loop.after(BEAT, () -> {
+                // A subscriber hears something each time that it asks.
+                if (!follows) {
+                    link.write(WireMessages.message(WireMessages.Kind.HEARTBEAT, new byte[0]));
+                }
+                beat();
+            });
         }
 
         void messages(List<byte[]> messages) {
-            loop.drop(silence);
+            loop.cancel(silence);
             silence = loop.after(SILENCE, () -> broken("it has fallen silent"));
             try {
                 for (byte[] message : messages) {
@@ -282,7 +281,8 @@
                     });
                 }
                 case RESPONSE -> answered(WireMessages.Response.read(body));
-                default -> { // A beat.
+                default -> {
+                    // A beat.
                 }
             }
         }
@@ -349,8 +349,8 @@
                 return;
             }
             over = true;
-            loop.drop(silence);
-            loop.drop(beat);
+            loop.cancel(silence);
+            loop.cancel(beat);
             taken.remove(this);
             List<Conn> conns = who == null ? null : up.get(who);
             if (conns != null && conns.remove(this) && conns.isEmpty()) {
@@ -405,7 +405,7 @@
 
         @Override
         public void opened(Link link) {
-            loop.drop(conn.silence);
+            loop.cancel(conn.silence);
             conn.begin();
         }
 
--- a/replication/src/main/java/lupinvalve/replication/RaftMember.java
+++ b/replication/src/main/java/lupinvalve/replication/RaftMember.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.function.Consumer;
 import lupinvalve.config.OperatorConfig;
-import lupinvalve.core.Loop;
+import lupinvalve.core.EventLoop;
 import lupinvalve.log.Log;
 import lupinvalve.net.Addresses;
 import lupinvalve.net.Net;
@@ -40,7 +40,7 @@
     private static final long REVIVE = 500_000, REVIVE_MOST = 16_000_000;
 
     private final OperatorConfig.Store config;
-    private final Loop loop = new Loop("store");
+    private final EventLoop loop = new EventLoop("store");
     private final Interceptors interceptors;
     private final Scheduler schedule;
     private final Tls tls;
@@ -243,7 +243,6 @@
     }
 
     // ---- the group ----
-
     private final RaftReplica.MessageSender sender = new RaftReplica.MessageSender() {
         @Override
         public void send(MemberId to, byte[] message) {
@@ -371,8 +370,7 @@
     private final class Watching implements RaftReplica.StateListener {
         @Override
         public void applied(long index, Command change, ReplicatedState.Outcome outcome) {
-            if (replica == null) {
-                // A node that has been left; the next one comes to it as well.
+            if (replica == null) { // A node that has been left; the next one comes to it as well.
                 return;
             }
             followers.applied(replica.ledger(), change, outcome);
@@ -408,8 +406,8 @@
         }
     }
 
-    private void place(String member, String address) {
-        // The operator's own file goes before: it knows the way from here.
+    private void place(
+            String member, String address) { // The operator's own file goes before: it knows the way from here.
         if (!config.members().containsKey(member)) {
             peers.place(member, address);
         }
@@ -444,8 +442,7 @@
                             LeaseHolder.version(document), document.index(), loop.now(), adoption.unreadableReason());
                 }
             }
-            default -> {
-                // The one that is acted on.
+            default -> { // The one that is acted on.
             }
         }
     }
@@ -537,7 +534,6 @@
     }
 
     // ---- the pooler's changes ----
-
     /** A session's commit here; {@code then} runs, on the group's thread, once a majority holds it. From any thread. */
     @Override
     public void publishCommit(String session, long position, Runnable then) {
@@ -607,7 +603,6 @@
     }
 
     // ---- what questions look at ----
-
     RaftReplica replica() {
         return replica;
     }
@@ -654,7 +649,7 @@
         return log;
     }
 
-    Loop loop() {
+    EventLoop loop() {
         return loop;
     }
 }
--- a/replication/src/main/java/lupinvalve/replication/SessionTokens.java
+++ b/replication/src/main/java/lupinvalve/replication/SessionTokens.java
@@ -1,8 +1,8 @@
 package lupinvalve.replication;
 
 import java.util.Map;
-import lupinvalve.core.Loop;
-import lupinvalve.core.Marks;
+import lupinvalve.core.EventLoop;
+import lupinvalve.core.SessionTokenStore;
 import lupinvalve.statemachine.Command;
 import lupinvalve.statemachine.SessionTable;
 
@@ -10,14 +10,14 @@
  * Sessions' last commits on the core thread: this pooler's own at once, all others' once a majority holds them. A
  * booking's answer may wait for that, within a bound: its session then reads its own writes at any pooler.
  */
-public final class SessionTokens implements Marks {
-    private final Loop loop;
+public final class SessionTokens implements SessionTokenStore {
+    private final EventLoop loop;
     private final ControlPlane group;
     private final long waitMicros;
     private final SessionTable sessions = new SessionTable();
 
     /** @param known what was accepted before this start */
-    public SessionTokens(Loop loop, ControlPlane group, long waitMicros, Command.SessionCommits known) {
+    public SessionTokens(EventLoop loop, ControlPlane group, long waitMicros, Command.SessionCommits known) {
         this.loop = loop;
         this.group = group;
         this.waitMicros = waitMicros;
@@ -47,8 +47,8 @@
             then.run();
             return;
         }
-        sessions.apply(
-                loop.now(), Map.of(session, position)); // Whichever comes first: the second time changes nothing.
+        sessions.apply(loop.now(), Map.of(session, position));
+        // Whichever comes first: the second time changes nothing.
         group.publishCommit(session, position, () -> loop.post(then));
         loop.after(waitMicros, then);
     }
