--- a/hotrestart/src/test/java/lupinvalve/hotrestart/ProcessMarkersTest.java
+++ b/hotrestart/src/test/java/lupinvalve/hotrestart/ProcessMarkersTest.java
@@ -21,7 +21,7 @@
 
     @AfterEach
     void restoreLog() {
-        Log.to(System.err);
+        Log.setOutput(System.err);
     }
 
     @Test
@@ -37,7 +37,7 @@
         assertTrue(markers.isSuperseded());
         other.destroyForcibly().waitFor();
         assertFalse(markers.isSuperseded());
-        Log.to(new PrintStream(log, true));
+        Log.setOutput(new PrintStream(log, true));
         Files.writeString(marker, "12x");
         assertFalse(markers.isSuperseded());
         assertTrue(log.toString().contains("can't be read"));
