--- a/capacity/src/main/java/lupinvalve/capacity/CodeFacts.java
+++ b/capacity/src/main/java/lupinvalve/capacity/CodeFacts.java
@@ -14,7 +14,8 @@
     /** Each of two members dials the other. */
     static final int CONNECTIONS_PER_PAIR = 2;
     /**
-     * {@code Peers.TAKEN_MOST}: connections that a member takes. {@code Followers.MOST}: poolers that may follow it.
+     * {@code Peers.TAKEN_MOST}: connections that a member takes. {@code SubscriptionServer.SUBSCRIBERS_MAX_COUNT}:
+     * poolers that may follow it.
      */
     static final int TAKEN_MOST = 1088;
 
--- a/capacity/src/main/java/lupinvalve/capacity/ConfigurationFigures.java
+++ b/capacity/src/main/java/lupinvalve/capacity/ConfigurationFigures.java
@@ -77,7 +77,7 @@
                         Unit.SECONDS,
                         Basis.GUESSED,
                         from + "; the link is a guess",
-                        "subscription/WholeDocuments.java")
+                        "subscription/FullDocumentLimiter.java")
                 .in(Figure.Scope.SUBSCRIPTIONS));
         out.add(Figure.plain(
                 "log of one day, each change a whole document",
@@ -85,7 +85,7 @@
                 Unit.BYTES,
                 basis,
                 from,
-                "group/SegmentedLog.java"));
+                "replication/SegmentedLog.java"));
         return out;
     }
 
--- a/capacity/src/main/java/lupinvalve/capacity/DocumentDifferences.java
+++ b/capacity/src/main/java/lupinvalve/capacity/DocumentDifferences.java
@@ -17,7 +17,7 @@
             int entry = databases * place / (PLACES + 1);
             after[entry * bytesEach + bytesEach / 2]++;
         }
-        return DocumentDelta.between(before, after).size();
+        return DocumentDelta.between(before, after).sizeBytes();
     }
 
     /** Entries that differ by their numbers, as names and addresses do. */
--- a/capacity/src/main/java/lupinvalve/capacity/RegionFigures.java
+++ b/capacity/src/main/java/lupinvalve/capacity/RegionFigures.java
@@ -48,10 +48,10 @@
         out.add(Figure.of(
                         "changes missed in the hour, against the differences that a member keeps",
                         missed,
-                        RevisionHistory.STEPS_MOST,
+                        RevisionHistory.DELTAS_MAX_COUNT,
                         Unit.COUNT,
                         Basis.COMPUTED,
-                        "`RevisionHistory.STEPS_MOST`",
+                        "`RevisionHistory.DELTAS_MAX_COUNT`",
                         "subscription/RevisionHistory.java")
                 .in(Figure.Scope.SUBSCRIPTIONS));
         String fetched = "what one of the region's " + Unit.number(Math.floor(d.poolersPerRegion()))
@@ -78,7 +78,7 @@
                 Unit.SECONDS,
                 Basis.GUESSED,
                 "the link is a guess",
-                "subscription/WholeDocuments.java"));
+                "subscription/FullDocumentLimiter.java"));
         out.add(Figure.of(
                 "another leader where the leader's region is lost, worst seen",
                 Past.FAILOVER_MOST_SECONDS,
--- a/capacity/src/main/java/lupinvalve/capacity/RoleFigures.java
+++ b/capacity/src/main/java/lupinvalve/capacity/RoleFigures.java
@@ -11,7 +11,7 @@
 /** What scale runs tell of each role, before and after. */
 final class RoleFigures {
     private static final String MEMBERS_BY = "group/Replica.java";
-    private static final String SUBSCRIPTIONS_BY = "group/Subscriber.java";
+    private static final String SUBSCRIPTIONS_BY = "replication/Subscriber.java";
     /** What {@link FailureTable} tells. */
     private static final Set<Metric> BY_FAILURE = EnumSet.of(
             Metric.FAILOVER_MS, Metric.RACK_READY_MS, Metric.HERD_READY_MS, Metric.REGION_READY_MS, Metric.JOIN_MS);
--- a/capacity/src/main/java/lupinvalve/capacity/StateFigures.java
+++ b/capacity/src/main/java/lupinvalve/capacity/StateFigures.java
@@ -27,7 +27,7 @@
                         Unit.BYTES,
                         basis,
                         "deploy/run.sh has 40 MB",
-                        "group/Subscriber.java"),
+                        "replication/Subscriber.java"),
                 Figure.plain(
                         "pooler: clients' connections",
                         d.connections() / d.poolers(),
@@ -49,8 +49,8 @@
                                 CodeFacts.FOLLOWERS_MOST,
                                 Unit.COUNT,
                                 Basis.COMPUTED,
-                                "`Followers.MOST`",
-                                "group/Followers.java")
+                                "`SubscriptionServer.SUBSCRIBERS_MAX_COUNT`",
+                                "replication/SubscriptionServer.java")
                         .in(Figure.Scope.SUBSCRIPTIONS),
                 Figure.of(
                                 "control member: poolers that follow the last of three",
@@ -58,8 +58,8 @@
                                 CodeFacts.FOLLOWERS_MOST,
                                 Unit.COUNT,
                                 Basis.COMPUTED,
-                                "`Followers.MOST`",
-                                "group/Followers.java")
+                                "`SubscriptionServer.SUBSCRIBERS_MAX_COUNT`",
+                                "replication/SubscriptionServer.java")
                         .in(Figure.Scope.SUBSCRIPTIONS),
                 Figure.plain(
                         "db node: statements",
--- a/capacity/src/main/java/lupinvalve/capacity/SubscriptionFigures.java
+++ b/capacity/src/main/java/lupinvalve/capacity/SubscriptionFigures.java
@@ -2,13 +2,13 @@
 
 import java.util.List;
 import lupinvalve.audit.Lease;
-import lupinvalve.subscription.FollowService;
-import lupinvalve.subscription.SubscriberTable;
+import lupinvalve.subscription.SubscriberLeases;
+import lupinvalve.subscription.WatchService;
 
 /** What following a control member costs where nothing changes, by the program's paces and sizes. */
 final class SubscriptionFigures {
     private static final double MICROS = 1e6;
-    private static final String SIZES = "`FollowService.HOLD`, `CodeFactsTest`";
+    private static final String SIZES = "`WatchService.LONG_POLL_MICROS`, `CodeFactsTest`";
     private final Demand d;
 
     SubscriptionFigures(Demand demand) {
@@ -16,7 +16,7 @@
     }
 
     List<Figure> figures() {
-        double perSecond = MICROS / FollowService.HOLD;
+        double perSecond = MICROS / WatchService.LONG_POLL_MICROS;
         double bytes = perSecond * (CodeFacts.FOLLOW + CodeFacts.FOLLOW_ANSWER);
         List<Figure> all = List.of(
                 Figure.of(
@@ -26,14 +26,14 @@
                         Unit.BYTES_PER_SECOND,
                         Basis.COMPUTED,
                         SIZES,
-                        "subscription/FollowService.java"),
+                        "subscription/WatchService.java"),
                 Figure.plain(
                         "requests and answers at a control member, all three up",
                         2 * perSecond * d.poolers() / d.controlMembers(),
                         Unit.PER_SECOND,
                         Basis.COMPUTED,
                         SIZES,
-                        "group/Followers.java"),
+                        "replication/SubscriptionServer.java"),
                 Figure.of(
                         "all 910 at the last of three, bytes",
                         bytes * d.poolers(),
@@ -41,23 +41,23 @@
                         Unit.BYTES_PER_SECOND,
                         Basis.GUESSED,
                         SIZES + "; the link is a guess",
-                        "group/Followers.java"),
+                        "replication/SubscriptionServer.java"),
                 Figure.of(
                         "a change in force at a pooler, or its lease ended, at most, drift not counted",
-                        (2 * Lease.LENGTH + SubscriberTable.CATCH_UP) / MICROS,
+                        (2 * Lease.LENGTH + SubscriberLeases.CATCH_UP_MICROS) / MICROS,
                         d.inForceSeconds(),
                         Unit.SECONDS,
                         Basis.COMPUTED,
                         "two leases and the time to catch up",
-                        "subscription/SubscriberTable.java"),
+                        "subscription/SubscriberLeases.java"),
                 Figure.of(
                         "a request lost and one at another member, before a lease ends",
-                        2 * FollowService.HOLD / MICROS,
+                        2 * WatchService.LONG_POLL_MICROS / MICROS,
                         Lease.LENGTH / MICROS,
                         Unit.SECONDS,
                         Basis.COMPUTED,
-                        "`FollowService.HOLD`, `Lease.LENGTH`",
-                        "subscription/FollowSchedule.java"));
+                        "`WatchService.LONG_POLL_MICROS`, `Lease.LENGTH`",
+                        "subscription/MemberSelector.java"));
         return all.stream().map(figure -> figure.in(Figure.Scope.SUBSCRIPTIONS)).toList();
     }
 }
--- a/capacity/src/test/java/lupinvalve/capacity/CodeFactsTest.java
+++ b/capacity/src/test/java/lupinvalve/capacity/CodeFactsTest.java
@@ -33,7 +33,7 @@
         assertEquals(CodeFacts.CONFIRMS_PER_SECOND, MICROS / constant(group + "Acting", "CONFIRM"));
         assertEquals(CodeFacts.BEATS_PER_SECOND, MICROS / constant(group + "Peers", "BEAT"));
         assertEquals(CodeFacts.TAKEN_MOST, constant(group + "Peers", "TAKEN_MOST"));
-        assertEquals(CodeFacts.FOLLOWERS_MOST, constant(group + "Followers", "MOST"));
+        assertEquals(CodeFacts.FOLLOWERS_MOST, constant(group + "SubscriptionServer", "SUBSCRIBERS_MAX_COUNT"));
         assertEquals(CodeFacts.MEMBERSHIP_STEP_SECONDS, constant(group + "Questions", "STEP") / MICROS);
         assertEquals(CodeFacts.BUNDLE_SECONDS, constant("lupinvalve.statemachine.Outbox", "BUNDLE") / MICROS);
     }
--- a/capacity/src/test/java/lupinvalve/replication/MessageSizes.java
+++ b/capacity/src/test/java/lupinvalve/replication/MessageSizes.java
@@ -12,8 +12,8 @@
 import lupinvalve.statemachine.Change;
 import lupinvalve.statemachine.Encoding;
 import lupinvalve.statemachine.Identity;
-import lupinvalve.subscription.FollowAnswer;
-import lupinvalve.subscription.FollowRequest;
+import lupinvalve.subscription.WatchRequest;
+import lupinvalve.subscription.WatchResponse;
 
 /**
  * What the program's own encoders make of messages as a group of hundreds would send them, in bytes above TCP without
@@ -80,13 +80,14 @@
     public static int follow() {
         String digest = "0011223344556677";
         byte[] request =
-                new FollowRequest(FollowRequest.VERSION, INDEX, REVISION, digest, digest, true, false, "").write();
-        return new Messages.Call(INDEX, Followers.CALL, List.of(request)).write().length;
+                new WatchRequest(WatchRequest.VERSION, INDEX, REVISION, digest, digest, true, false, "").write();
+        return new Messages.Call(INDEX, SubscriptionServer.CALL, List.of(request)).write().length;
     }
 
     /** What that is answered where there is nothing new: a lease. */
     public static int followAnswer() {
-        byte[] content = new FollowAnswer(2_000_000, 500_000, "", INDEX, 0, new FollowAnswer.News.None(), null).write();
+        byte[] content =
+                new WatchResponse(2_000_000, 500_000, "", INDEX, 0, new WatchResponse.Event.Unchanged(), null).write();
         return new Messages.Answer(INDEX, Messages.Code.OK, "", content).write().length;
     }
 
--- a/daemon/src/test/java/lupinvalve/cli/SubscriberTest.java
+++ b/daemon/src/test/java/lupinvalve/cli/SubscriberTest.java
@@ -27,7 +27,7 @@
 import lupinvalve.replication.Subscriber;
 import lupinvalve.statemachine.Change;
 import lupinvalve.statemachine.Ledger;
-import lupinvalve.subscription.FollowSchedule;
+import lupinvalve.subscription.MemberSelector;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -136,7 +136,7 @@
     }
 
     private boolean allAt(List<Subscriber> all, long revision) {
-        return all.stream().allMatch(one -> one.actingRevision() == revision && one.mayAct());
+        return all.stream().allMatch(one -> one.appliedRevision() == revision && one.mayAct());
     }
 
     private List<Subscriber> many(OperatorConfig.Audit audit) {
@@ -160,11 +160,10 @@
         World.await("all follow with a lease", () -> allAt(all, 1));
         put(1, "two-of-a-name-that-is-as-long-as-a-difference", "strict");
         assertTrue(
-                all.stream().allMatch(one -> one.actingRevision() == 2 || !one.mayAct()),
+                all.stream().allMatch(one -> one.appliedRevision() == 2 || !one.mayAct()),
                 "by the time of a strict answer");
         World.await("all act on it", () -> allAt(all, 2));
-        assertEquals(
-                0, all.stream().filter(one -> one.traffic().differences() == 0).count());
+        assertEquals(0, all.stream().filter(one -> one.traffic().deltas() == 0).count());
         Client.Said held = ask("hold", "node", "db-7", "disk", "strict");
         assertEquals(Messages.Code.OK, held.code(), held.text());
         World.await(
@@ -186,7 +185,7 @@
         // Nobody of a group without a majority grants anything.
         groups.remove(groups.keySet().iterator().next()).stop();
         World.await("fenced", () -> all.stream().noneMatch(Subscriber::mayAct));
-        assertTrue(all.stream().allMatch(one -> one.actingRevision() == 3));
+        assertTrue(all.stream().allMatch(one -> one.appliedRevision() == 3));
     }
 
     @Test
@@ -202,16 +201,17 @@
         member(without, OperatorConfig.Audit.OFF);
         String name = IntStream.range(0, 100)
                 .mapToObj(i -> "s" + i)
-                .filter(one -> new FollowSchedule(one, NAMES, 1).first().equals(without))
+                .filter(one ->
+                        new MemberSelector(one, NAMES, 1).preferredMember().equals(without))
                 .findFirst()
                 .orElseThrow();
         World.await(
                 "it takes part",
                 () -> acting.containsKey(without) && groups.values().stream().anyMatch(Group::leads));
         Subscriber subscriber = subscriber(name, OperatorConfig.Audit.FENCE);
-        World.await("adopted", () -> subscriber.actingRevision() == 1);
+        World.await("adopted", () -> subscriber.appliedRevision() == 1);
         World.await("let act by another", subscriber::mayAct);
-        assertTrue(subscriber.traffic().moves() > 0);
+        assertTrue(subscriber.traffic().failovers() > 0);
     }
 
     @Test
@@ -221,7 +221,7 @@
         put(0, "one");
         Subscriber serves = subscriber("serves", OperatorConfig.Audit.OFF);
         Subscriber fences = subscriber("fences", OperatorConfig.Audit.FENCE);
-        World.await("adopted", () -> serves.actingRevision() == 1 && fences.actingRevision() == 1);
+        World.await("adopted", () -> serves.appliedRevision() == 1 && fences.appliedRevision() == 1);
         assertTrue(serves.mayAct() && !fences.mayAct(), "members without audit grant no lease");
         ask("hold", "node", "db-7", "disk");
         World.await("held", () -> holds.getOrDefault("serves", Map.of()).size() == 1);
@@ -233,7 +233,7 @@
         Subscriber again = subscriber("serves", OperatorConfig.Audit.OFF);
         World.await(
                 "acts on what it kept",
-                () -> again.actingRevision() == 1
+                () -> again.appliedRevision() == 1
                         && holds.getOrDefault("serves", Map.of()).size() == 1);
         again.stop();
         byte[] kept = Files.readAllBytes(folder.resolve("serves/followed"));
--- a/daemon/src/test/java/lupinvalve/replication/OldMemberTest.java
+++ b/daemon/src/test/java/lupinvalve/replication/OldMemberTest.java
@@ -25,8 +25,8 @@
 import lupinvalve.statemachine.Founding;
 import lupinvalve.statemachine.Identity;
 import lupinvalve.statemachine.Ledger;
-import lupinvalve.subscription.FollowAnswer;
-import lupinvalve.subscription.FollowRequest;
+import lupinvalve.subscription.WatchRequest;
+import lupinvalve.subscription.WatchResponse;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -86,7 +86,8 @@
 
     private static byte[] newAnswer(Messages.Call call) {
         Ledger.Document document = new Ledger.Document(1, 1, Ledger.digest(DOCUMENT), DOCUMENT);
-        byte[] content = new FollowAnswer(0, 0, "", 1, 20, new FollowAnswer.News.Whole(document), Map.of()).write();
+        byte[] content =
+                new WatchResponse(0, 0, "", 1, 20, new WatchResponse.Event.FullDocument(document), Map.of()).write();
         return new Messages.Answer(call.id(), Messages.Code.OK, "", content).write();
     }
 
@@ -108,8 +109,8 @@
             // A name whose first member is the old one.
             String name = java.util.stream.IntStream.range(0, 100)
                     .mapToObj(i -> "s" + i)
-                    .filter(one -> new lupinvalve.subscription.FollowSchedule(one, members.keySet(), 1)
-                            .first()
+                    .filter(one -> new lupinvalve.subscription.MemberSelector(one, members.keySet(), 1)
+                            .preferredMember()
                             .equals("a"))
                     .findFirst()
                     .orElseThrow();
@@ -163,7 +164,7 @@
         try {
             group.start(pooler(new AtomicReference<>()));
             World.await("led", group::leads);
-            byte[] newer = new FollowRequest(FollowRequest.VERSION + 1, 0, 0, "", "", false, false, "").write();
+            byte[] newer = new WatchRequest(WatchRequest.VERSION + 1, 0, 0, "", "", false, false, "").write();
             Client.Said said = new Client("plant", members, null).ask("follow", List.of(newer), false, 5_000);
             assertEquals(
                     new Client.Said(Messages.Code.REFUSED, "version 2 of following is asked for; this member speaks 1"),
--- a/faultinjection/src/test/java/lupinvalve/replication/KeptDocumentTest.java
+++ b/faultinjection/src/test/java/lupinvalve/replication/CachedDocumentFileTest.java
@@ -15,17 +15,17 @@
 import lupinvalve.faultinjection.Points;
 import lupinvalve.statemachine.Change;
 import lupinvalve.statemachine.Ledger;
-import lupinvalve.subscription.FollowState;
+import lupinvalve.subscription.SubscriberState;
 import org.junit.jupiter.api.Test;
 
-/** What a subscriber keeps for its restart: the old or the new, whole, or nothing that is believed. */
-class KeptDocumentTest {
+/** What a subscriber caches for its restart: the old state or the new one, complete, or an error. */
+class CachedDocumentFileTest {
     private static final String CLUSTER = "plant";
     private final MemoryDisk disk = new MemoryDisk();
 
-    private static FollowState.Kept kept(long revision) {
+    private static SubscriberState.Cached cached(long revision) {
         byte[] content = ("{\"revision\":" + revision + "}").getBytes(StandardCharsets.UTF_8);
-        return new FollowState.Kept(
+        return new SubscriberState.Cached(
                 new Ledger.Document(revision, revision, Ledger.digest(content), content),
                 new TreeMap<>(Map.of(new Change.Holding(Change.Kind.NODE, "n" + revision), new Ledger.Held("why", 7))),
                 revision);
@@ -33,30 +33,30 @@
 
     @Test
     void aFaultAtEachPointLeavesTheOldOrTheNew() throws IOException {
-        Points course = new Points();
-        course.count(true);
-        twoLives(new MemoryDisk(), course, null);
-        List<Points.At> faults = Points.all(course.met());
+        Points counted = new Points();
+        counted.count(true);
+        twoWrites(new MemoryDisk(), counted, null);
+        List<Points.At> faults = Points.all(counted.met());
         assertTrue(faults.size() >= 6, faults.toString());
         for (Points.At at : faults) {
             MemoryDisk own = new MemoryDisk();
             Points points = new Points(at);
             points.count(true);
-            long seen = twoLives(own, points, new Random(at.point()));
-            FollowState.Kept left = KeptDocument.read(own, CLUSTER);
+            long seen = twoWrites(own, points, new Random(at.point()));
+            SubscriberState.Cached left = CachedDocumentFile.read(own, CLUSTER);
             long revision = left.document() == null ? 0 : left.document().revision();
             assertTrue(revision >= seen && revision <= 2, at + ": " + revision + " after " + seen);
             assertEquals(
                     revision == 0
-                            ? FollowState.Kept.NOTHING.holds()
-                            : kept(revision).holds(),
-                    left.holds(),
+                            ? SubscriberState.Cached.EMPTY.drains()
+                            : cached(revision).drains(),
+                    left.drains(),
                     at.toString());
         }
     }
 
-    /** Keeps one document, then, after a look at it, another; which one was surely kept. */
-    private static long twoLives(MemoryDisk disk, Points points, Random crash) {
+    /** Writes one state, reads it, and writes another; returns the revision that was surely written. */
+    private static long twoWrites(MemoryDisk disk, Points points, Random crash) {
         boolean[] over = new boolean[1];
         Disk counted = new CountedDisk(disk, points::next, new CountedDisk.Life() {
             @Override
@@ -75,8 +75,8 @@
         long sure = 0;
         for (long revision = 1; revision <= 2; revision++) {
             try {
-                KeptDocument.read(counted, CLUSTER);
-                KeptDocument.write(counted, CLUSTER, kept(revision));
+                CachedDocumentFile.read(counted, CLUSTER);
+                CachedDocumentFile.write(counted, CLUSTER, cached(revision));
                 sure = revision;
             } catch (IOException e) {
                 // The subscriber goes on, or its process has ended.
@@ -86,49 +86,49 @@
     }
 
     @Test
-    void whatIsTornOrChangedOrOfAnotherClusterIsNotBelieved() throws IOException {
-        KeptDocument.write(disk, CLUSTER, kept(1));
-        byte[] whole = disk.content(KeptDocument.FILE);
+    void whatIsTornOrChangedOrOfAnotherClusterIsAnError() throws IOException {
+        CachedDocumentFile.write(disk, CLUSTER, cached(1));
+        byte[] whole = disk.content(CachedDocumentFile.NAME);
         assertArrayEquals(
-                kept(1).document().content(),
-                KeptDocument.read(disk, CLUSTER).document().content());
+                cached(1).document().content(),
+                CachedDocumentFile.read(disk, CLUSTER).document().content());
         for (int length = 0; length < whole.length; length++) {
-            disk.put(KeptDocument.FILE, Arrays.copyOf(whole, length));
-            assertThrows(IOException.class, () -> KeptDocument.read(disk, CLUSTER));
+            disk.put(CachedDocumentFile.NAME, Arrays.copyOf(whole, length));
+            assertThrows(IOException.class, () -> CachedDocumentFile.read(disk, CLUSTER));
         }
         for (int at = 0; at < whole.length; at++) {
             byte[] changed = whole.clone();
             changed[at] ^= (byte) (1 << at % 8);
-            disk.put(KeptDocument.FILE, changed);
-            assertThrows(IOException.class, () -> KeptDocument.read(disk, CLUSTER));
+            disk.put(CachedDocumentFile.NAME, changed);
+            assertThrows(IOException.class, () -> CachedDocumentFile.read(disk, CLUSTER));
         }
-        disk.put(KeptDocument.FILE, whole);
+        disk.put(CachedDocumentFile.NAME, whole);
         assertEquals(
                 "followed: of the cluster plant",
-                assertThrows(IOException.class, () -> KeptDocument.read(disk, "another"))
+                assertThrows(IOException.class, () -> CachedDocumentFile.read(disk, "another"))
                         .getMessage());
     }
 
     @Test
     void ofThoseThatWaitForTheDiskTheLastIsWrittenAndItIsClosedAfterwards() throws Exception {
         List<Runnable> waiting = new java.util.ArrayList<>();
-        DocumentKeeper keeper = new DocumentKeeper(disk, CLUSTER, waiting::add);
-        keeper.keep(kept(1));
-        keeper.keep(kept(2));
-        keeper.close();
+        CachedDocumentWriter writer = new CachedDocumentWriter(disk, CLUSTER, waiting::add);
+        writer.write(cached(1));
+        writer.write(cached(2));
+        writer.close();
         assertEquals(1, waiting.size());
         assertEquals(List.of(), disk.names(), "nobody has waited for the disk");
-        assertTrue(!keeper.closedWithin(0));
+        assertTrue(!writer.awaitClosed(0));
         waiting.remove(0).run();
-        assertEquals(2, KeptDocument.read(disk, CLUSTER).document().revision());
-        assertTrue(keeper.closedWithin(0));
+        assertEquals(2, CachedDocumentFile.read(disk, CLUSTER).document().revision());
+        assertTrue(writer.awaitClosed(0));
     }
 
     @Test
     void aDiskThatRenamesWithoutForcingIsFoundOut() throws IOException {
         disk.planted = Sweep.Planted.RENAME_WITHOUT_FORCE;
-        KeptDocument.write(disk, CLUSTER, kept(1));
+        CachedDocumentFile.write(disk, CLUSTER, cached(1));
         disk.crash(new Random(3));
-        assertThrows(IOException.class, () -> KeptDocument.read(disk, CLUSTER));
+        assertThrows(IOException.class, () -> CachedDocumentFile.read(disk, CLUSTER));
     }
 }
--- /dev/null
+++ b/replication/src/main/java/lupinvalve/replication/CachedDocumentFile.java
@@ -0,0 +1,72 @@
+package lupinvalve.replication;
+
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import lupinvalve.statemachine.Cbor;
+import lupinvalve.statemachine.Change;
+import lupinvalve.statemachine.Ledger;
+import lupinvalve.subscription.SubscriberState;
+import lupinvalve.subscription.WatchResponse;
+
+/**
+ * A subscriber's one file: the last state that it received, for a restart before any member responds. It is replaced
+ * atomically, and read only if its checksum, its cluster and the document's digest are right.
+ */
+final class CachedDocumentFile {
+    /** The file's name in the subscriber's folder. */
+    static final String NAME = "followed";
+
+    private static final int FORMAT_VERSION = 1;
+
+    private CachedDocumentFile() {}
+
+    /** Replaces the file. */
+    static void write(Disk disk, String cluster, SubscriberState.Cached state) throws IOException {
+        Cbor.Out out = new Cbor.Out().number(FORMAT_VERSION).text(cluster).number(state.index());
+        WatchResponse.writeDrains(out, state.drains());
+        Ledger.Document document = state.document();
+        out.flag(document != null);
+        if (document != null) {
+            out.number(document.revision())
+                    .number(document.index())
+                    .text(document.digest())
+                    .bytes(document.content());
+        }
+        disk.replace(NAME, Frames.frame(out.done()));
+    }
+
+    /**
+     * The cached state; {@link SubscriberState.Cached#EMPTY} if there is no file.
+     *
+     * @throws IOException if the file is damaged, or of another cluster or version
+     */
+    static SubscriberState.Cached read(Disk disk, String cluster) throws IOException {
+        if (!disk.names().contains(NAME)) {
+            return SubscriberState.Cached.EMPTY;
+        }
+        List<byte[]> records = new ArrayList<>();
+        Frames.read(NAME, disk.read(NAME), false, records);
+        if (records.size() != 1) {
+            throw new IOException(NAME + ": " + records.size() + " records in place of one");
+        }
+        Cbor.In in = new Cbor.In(records.get(0));
+        long version = in.number();
+        if (version != FORMAT_VERSION) {
+            throw new IOException(NAME + ": version " + version + "; this program knows " + FORMAT_VERSION);
+        }
+        String fileCluster = in.text();
+        if (!fileCluster.equals(cluster)) {
+            throw new IOException(NAME + ": of the cluster " + fileCluster);
+        }
+        long index = in.number();
+        Map<Change.Holding, Ledger.Held> drains = WatchResponse.readDrains(in);
+        Ledger.Document document =
+                in.flag() ? new Ledger.Document(in.number(), in.number(), in.text(), in.bytes()) : null;
+        if (document != null && !Ledger.digest(document.content()).equals(document.digest())) {
+            throw new IOException(NAME + ": the document's digest is wrong");
+        }
+        return new SubscriberState.Cached(document, drains, index);
+    }
+}
--- a/replication/src/main/java/lupinvalve/replication/Group.java
+++ b/replication/src/main/java/lupinvalve/replication/Group.java
@@ -95,7 +95,7 @@
     /** Null where the operator's file does not turn it on. */
     private final Acting acting;
 
-    private final Followers followers;
+    private final SubscriptionServer subscriptions;
     private volatile boolean leading;
 
     /** Where a member meets the world. The program's own are these; a laboratory counts what goes through others. */
@@ -154,7 +154,7 @@
         acting = config.audit() == OperatorConfig.Audit.OFF
                 ? null
                 : new Acting(new Acts(), config.name(), config.audit() == OperatorConfig.Audit.FENCE, disk, loop.now());
-        followers = new Followers(this, warm);
+        subscriptions = new SubscriptionServer(this, warm);
         adoption = new Adoption(loop.now());
         founding = new Founding(log.word(), config.members().keySet());
         peers = new Peers(
@@ -349,17 +349,17 @@
 
         @Override
         public long changed() {
-            return followers.changed();
+            return subscriptions.lastChangeIndex();
         }
 
         @Override
         public long followersFloor() {
-            return followers.floor();
+            return subscriptions.appliedFloor();
         }
 
         @Override
         public void right(long untilMicros, long leadersChanged) {
-            followers.right(untilMicros, leadersChanged);
+            subscriptions.onOwnLease(untilMicros, leadersChanged);
         }
     }
 
@@ -397,7 +397,7 @@
                 // A node that has been left; the next one comes to it as well.
                 return;
             }
-            followers.applied(replica.ledger(), change, outcome);
+            subscriptions.onApplied(replica.ledger(), change, outcome);
             if (change instanceof Change.Put && outcome.result() == Ledger.Result.DONE) {
                 adopt(replica.ledger().document());
             } else if (change instanceof Change.Hold || change instanceof Change.Release) {
@@ -415,7 +415,7 @@
                 return;
             }
             Ledger ledger = replica.ledger();
-            followers.restored(ledger);
+            subscriptions.onRestored(ledger);
             if (ledger.document() != null) {
                 adopt(ledger.document());
             }
@@ -653,8 +653,8 @@
         return pooler;
     }
 
-    Followers followers() {
-        return followers;
+    SubscriptionServer subscriptions() {
+        return subscriptions;
     }
 
     /** Null where it is off. */
--- /dev/null
+++ b/replication/src/main/java/lupinvalve/replication/MemberConnection.java
@@ -0,0 +1,162 @@
+package lupinvalve.replication;
+
+import java.io.IOException;
+import java.util.List;
+import java.util.function.Consumer;
+import lupinvalve.core.Deadlines;
+import lupinvalve.core.Loop;
+import lupinvalve.net.Addresses;
+import lupinvalve.net.Link;
+import lupinvalve.net.Net;
+
+/** A subscriber's connection to one member, with one request in flight at most. Only the loop's thread uses it. */
+final class MemberConnection implements Link.Events {
+    /** Size of the length field before each message on the wire. */
+    private static final int LENGTH_FIELD_BYTES = 4;
+
+    /** Is notified on the loop's thread. */
+    interface Listener {
+        /** The handshake is complete: requests may be sent. */
+        void onReady(MemberConnection connection);
+
+        /** The connection has failed or was closed by the member; nothing more is notified. */
+        void onClosed(MemberConnection connection, String reason);
+
+        /** Bytes were sent or received. */
+        void onTraffic(long sentBytes, long receivedBytes);
+    }
+
+    /** The two ends of a connection, and whether it has TLS. */
+    record Route(String cluster, String subscriber, String member, String address, boolean secured) {}
+
+    private final Loop loop;
+    private final Route route;
+    private final Listener listener;
+    private Link link;
+    private boolean ready;
+    private boolean closed;
+    private long lastCallId;
+    /** Takes the response to the request in flight; null if there is none. */
+    private Consumer<Messages.Answer> responseHandler;
+
+    private Deadlines.Deadline timeout;
+
+    MemberConnection(Loop loop, Route route, Listener listener) {
+        this.loop = loop;
+        this.route = route;
+        this.listener = listener;
+    }
+
+    String member() {
+        return route.member();
+    }
+
+    boolean isReady() {
+        return ready && !closed;
+    }
+
+    boolean hasRequestInFlight() {
+        return responseHandler != null;
+    }
+
+    /** Connects; fails if the handshake takes longer than the timeout. */
+    void connect(Net net, long timeoutMicros) {
+        link = net.dial(Addresses.parse(route.address()), new Messages(), this);
+        timeout = loop.after(timeoutMicros, () -> fail("it can't be reached, or says nothing"));
+    }
+
+    /** Sends a request; the connection fails if there is no response within the timeout. */
+    void send(byte[] request, long timeoutMicros, Consumer<Messages.Answer> handler) {
+        responseHandler = handler;
+        write(new Messages.Call(++lastCallId, SubscriptionServer.CALL, List.of(request)).write());
+        timeout = loop.after(timeoutMicros, () -> fail("no answer in time"));
+    }
+
+    private void write(byte[] message) {
+        listener.onTraffic(message.length, 0);
+        link.write(message);
+    }
+
+    /** Closes without notifying the listener. */
+    void close() {
+        if (!closed) {
+            closed = true;
+            loop.drop(timeout);
+            link.drop();
+        }
+    }
+
+    private void fail(String reason) {
+        if (!closed) {
+            close();
+            listener.onClosed(this, reason);
+        }
+    }
+
+    @Override
+    public void opened(Link opened) {
+        // The member sends the first message of the handshake.
+    }
+
+    @Override
+    public void messages(Link from, List<byte[]> messages, long atMicros) {
+        try {
+            for (byte[] message : messages) {
+                listener.onTraffic(0, LENGTH_FIELD_BYTES + message.length);
+                if (!closed) {
+                    onMessage(Messages.kind(message), Messages.body(message));
+                }
+            }
+        } catch (IOException e) {
+            fail(e.getMessage());
+        }
+    }
+
+    private void onMessage(Messages.Kind kind, byte[] body) throws IOException {
+        if (kind == Messages.Kind.HELLO) {
+            onHandshake(Messages.Hello.read(body));
+        } else if (!ready) {
+            throw new IOException("no greeting");
+        } else if (kind == Messages.Kind.ANSWER) {
+            onResponse(Messages.Answer.read(body));
+        }
+    }
+
+    private void onResponse(Messages.Answer response) {
+        if (responseHandler == null || response.id() != lastCallId) {
+            return;
+        }
+        loop.drop(timeout);
+        Consumer<Messages.Answer> handler = responseHandler;
+        responseHandler = null;
+        handler.accept(response);
+    }
+
+    private void onHandshake(Messages.Hello hello) throws IOException {
+        if (ready) {
+            return;
+        }
+        boolean expected =
+                hello.cluster().equals(route.cluster()) && hello.name().equals(route.member()) && hello.word() != null;
+        if (!expected) {
+            throw new IOException("at " + route.address() + " is " + hello.name() + " of " + hello.cluster());
+        }
+        if (route.secured()) {
+            Tls.check(link, route.member());
+        }
+        loop.drop(timeout);
+        ready = true;
+        write(new Messages.Hello(route.cluster(), route.subscriber(), "", null).write());
+        listener.onReady(this);
+    }
+
+    @Override
+    public void malformed(Link from, String why) {
+        fail(why);
+    }
+
+    @Override
+    public void closed(Link from) {
+        fail("it was closed");
+    }
+}
--- a/replication/src/main/java/lupinvalve/replication/Peers.java
+++ b/replication/src/main/java/lupinvalve/replication/Peers.java
@@ -30,7 +30,7 @@
             SILENCE = 2_500_000,
             HELLO_WITHIN = 3_000_000;
     /** Connections taken at most: members, operators with their tools, and subscribers. */
-    private static final int TAKEN_MOST = 64 + Followers.MOST;
+    private static final int TAKEN_MOST = 64 + SubscriptionServer.SUBSCRIBERS_MAX_COUNT;
 
     private static final int CALLS_MOST = 1000;
 
@@ -273,7 +273,7 @@
                 }
                 case CALL -> {
                     Messages.Call call = Messages.Call.read(body);
-                    follows |= call.name().equals(Followers.CALL);
+                    follows |= call.name().equals(SubscriptionServer.CALL);
                     heard.call(caller, call, answer -> {
                         if (!over) {
                             link.write(answer.write());
--- a/replication/src/main/java/lupinvalve/replication/Questions.java
+++ b/replication/src/main/java/lupinvalve/replication/Questions.java
@@ -46,8 +46,8 @@
 
     void call(String caller, Messages.Call call, Consumer<Messages.Answer> answer) {
         try {
-            if (call.name().equals(Followers.CALL)) {
-                group.followers().call(caller, call, answer);
+            if (call.name().equals(SubscriptionServer.CALL)) {
+                group.subscriptions().onRequest(caller, call, answer);
             } else if (call.name().equals("status")) {
                 status(text -> answer.accept(new Messages.Answer(call.id(), Messages.Code.OK, text)));
             } else if (group.replica() == null || group.ended() != null) {
@@ -199,7 +199,7 @@
                 call.id(),
                 code,
                 granted.lengthMicros() > 0 ? Long.toString(granted.lengthMicros()) : granted.why(),
-                new Cbor.Out().number(group.followers().changed()).done()));
+                new Cbor.Out().number(group.subscriptions().lastChangeIndex()).done()));
     }
 
     private void audit(Messages.Call call, Consumer<Messages.Answer> answer) throws IOException {
@@ -446,7 +446,7 @@
             out.writeNumberField("lease_ms", group.acting().leaseMicros() / 1000);
             out.writeStringField("shut_out", group.acting().shutOut());
         }
-        group.followers().status(out);
+        group.subscriptions().writeStatus(out);
         out.writeNumberField("sessions", ledger.sessionCount());
         out.writeNumberField("holds", ledger.holds().size());
         out.writeNumberField("listed_nodes", ledger.listing().nodes().size());
--- a/replication/src/main/java/lupinvalve/replication/Subscriber.java
+++ b/replication/src/main/java/lupinvalve/replication/Subscriber.java
@@ -3,6 +3,7 @@
 import java.io.IOException;
 import java.net.InetAddress;
 import java.util.List;
+import java.util.Map;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.Executor;
 import java.util.concurrent.TimeUnit;
@@ -16,53 +17,57 @@
 import lupinvalve.net.Net;
 import lupinvalve.statemachine.Change;
 import lupinvalve.statemachine.Ledger;
-import lupinvalve.subscription.FollowAnswer;
-import lupinvalve.subscription.FollowRequest;
-import lupinvalve.subscription.FollowSchedule;
-import lupinvalve.subscription.FollowState;
+import lupinvalve.subscription.SubscriberState;
+import lupinvalve.subscription.WatchRequest;
+import lupinvalve.subscription.WatchResponse;
 
 /**
- * Follows the group's configuration and holds from one member at a time, without being a member. Hundreds of them may
- * share one loop and one {@link Net} in a process; the daemon's has its own.
+ * Watches the group's configuration and the operators' drains without being a member, by long polls at one member at a
+ * time, and applies them to the pooler beside it. Hundreds of them may share one loop and one {@link Net} in a process;
+ * the daemon's has its own.
+ *
+ * <p>All private state belongs to the loop's thread; public methods are safe for all threads but the loop's own.
  */
 public final class Subscriber implements ControlPlane {
-    private static final long TICK = 1_000_000;
-    /** Between an answer and the next call; a member ends what is silent for 2.5 s. */
-    private static final long IDLE_MOST = 1_000_000;
-    /** Before the whole is asked for where differences came to something else. */
-    private static final int WRONG_MILLIS = 200;
+    private static final long TICK_MICROS = 1_000_000;
+    /** Between a response and the next request, even if the pooler is slow; a member closes after 2.5 s of silence. */
+    private static final long REQUEST_INTERVAL_MAX_MICROS = 1_000_000;
+    /** Before the full document is requested after a corrupt event. */
+    private static final int CORRUPTION_RETRY_MILLIS = 200;
+
+    private static final long STOP_TIMEOUT_MILLIS = 3_000;
+    private static final long MICROS_PER_MILLI = 1_000;
 
     private final OperatorConfig.Store config;
     private final Loop loop;
     private final Net net;
     private final Tls tls;
-    private final Disk disk;
-    private final DocumentKeeper keeper;
-    private final boolean own;
-    /** What its lines in the log begin with: its name too where there are many. */
-    private final String of;
-
-    private final FollowState.Kept kept;
-    private final FollowState state;
-    private final FollowSchedule schedule;
-    private final AtomicBoolean ending = new AtomicBoolean();
-    private final AtomicLong bytesOut = new AtomicLong();
-    private final AtomicLong bytesIn = new AtomicLong();
+    private final CachedDocumentWriter cacheWriter;
+    /** Whether loop and net are this subscriber's own. */
+    private final boolean ownsLoop;
+    /** Begins each line in the log; it has the subscriber's name if there are many in the process. */
+    private final String logPrefix;
+
+    private final SubscriberState.Cached cached;
+    private final SubscriberState state;
+    private final MemberFailover members;
+    private final AtomicBoolean stopRequested = new AtomicBoolean();
+    private final AtomicLong requestCount = new AtomicLong();
+    private final AtomicLong fullDocumentCount = new AtomicLong();
+    private final AtomicLong deltaCount = new AtomicLong();
     private Group.Pooler pooler;
-    private FollowLink link;
-    /** To the first member, tried beside the one that is followed. */
-    private FollowLink candidate;
-
-    private boolean stopped, fenced;
-    private long idleSince;
-    private Deadlines.Deadline leaseEnd;
-    private String said = "";
-    private volatile Ledger.Document acting;
-    private volatile long calls, wholes, differences, moves, acted;
+    private boolean stopped;
+    private boolean fenced;
+    private long lastResponseMicros;
+    private Deadlines.Deadline leaseEndTimer;
+    private String lastLine = "";
+    /** Written on the pooler's thread once it has applied the document. */
+    private volatile Ledger.Document appliedDocument;
 
     /**
-     * The daemon's: with a thread and connections of its own. Throws with one line that says what is wrong with the
-     * folder.
+     * The daemon's subscriber, with its own thread and connections.
+     *
+     * @throws IOException with one line that says what is wrong with the folder or the settings
      */
     public Subscriber(OperatorConfig.Store config) throws IOException {
         this(
@@ -70,48 +75,48 @@
                 new Loop("store"),
                 null,
                 new FolderDisk(config.folder(), true),
-                DocumentKeeper.thread(),
-                System.nanoTime(),
-                true);
+                CachedDocumentWriter.newDiskExecutor(),
+                System.nanoTime());
     }
 
     /**
-     * One of many in a process.
+     * One of many subscribers in a process.
      *
      * @param loop runs it; not started or stopped here
-     * @param net carries its connections, on the same loop; not closed here
-     * @param disk keeps the last accepted document, written on the loop; closed by {@link #stop}
-     * @param seed of its pauses
+     * @param net has its connections, on the same loop; not closed here
+     * @param disk has the cached document, written on the loop; closed by {@link #stop}
+     * @param seed of its jitter
      */
     public Subscriber(OperatorConfig.Store config, Loop loop, Net net, Disk disk, long seed) throws IOException {
-        this(config, loop, net, disk, Runnable::run, seed, false);
+        this(config, loop, net, disk, Runnable::run, seed);
     }
 
     private Subscriber(
-            OperatorConfig.Store config, Loop loop, Net net, Disk disk, Executor writes, long seed, boolean own)
+            OperatorConfig.Store config, Loop loop, Net sharedNet, Disk disk, Executor diskExecutor, long seed)
             throws IOException {
         this.config = config;
         this.loop = loop;
-        this.disk = disk;
-        this.own = own;
-        of = own ? "store" : "store: " + config.name();
+        ownsLoop = sharedNet == null;
+        logPrefix = ownsLoop ? "store" : "store: " + config.name();
         try {
             tls = config.tls() == null ? null : new Tls(config.tls());
-            unsecured(config);
+            requireTlsOrLoopback(config);
         } catch (IOException e) {
             disk.close();
             throw e;
         }
-        this.net = own ? new Net(loop, false, tls) : net;
-        keeper = new DocumentKeeper(disk, config.cluster(), writes);
-        kept = kept();
-        state = new FollowState(config.audit() != OperatorConfig.Audit.OFF, kept, Acting.clock());
-        schedule = new FollowSchedule(config.name(), config.members().keySet(), seed);
+        net = ownsLoop ? new Net(loop, false, tls) : sharedNet;
+        cacheWriter = new CachedDocumentWriter(disk, config.cluster(), diskExecutor);
+        cached = readCache(disk);
+        state = new SubscriberState(leasesOn(), cached, Acting.clock());
+        members = new MemberFailover(config, loop, net, seed, new FailoverListener());
     }
 
-    private static void unsecured(OperatorConfig.Store config) throws IOException {
-        for (String address :
-                config.tls() != null ? List.<String>of() : config.members().values()) {
+    private static void requireTlsOrLoopback(OperatorConfig.Store config) throws IOException {
+        if (config.tls() != null) {
+            return;
+        }
+        for (String address : config.members().values()) {
             InetAddress host = Addresses.parse(address).getAddress();
             if (host == null || !host.isLoopbackAddress()) {
                 throw new IOException("store.tls is missing: " + address + " is not on loopback");
@@ -119,110 +124,59 @@
         }
     }
 
-    /** A file that is not what was written is not believed: members tell all anew. */
-    private FollowState.Kept kept() {
+    /** The cached state; empty if the file can't be used, as members send everything again. */
+    private SubscriberState.Cached readCache(Disk disk) {
         try {
-            return KeptDocument.read(disk, config.cluster());
+            return CachedDocumentFile.read(disk, config.cluster());
         } catch (IOException e) {
-            Log.warn("store: %s: %s; what holds is asked for anew", config.folder(), e.getMessage());
-            return FollowState.Kept.NOTHING;
+            Log.warn("store: %s: %s; the cached document is ignored", config.folder(), e.getMessage());
+            return SubscriberState.Cached.EMPTY;
         }
     }
 
+    private boolean leasesOn() {
+        return config.audit() != OperatorConfig.Audit.OFF;
+    }
+
     @Override
     public Known known() {
-        return new Known(kept.document(), List.of(), new Change.Commits(0, java.util.Map.of()));
+        return new Known(cached.document(), List.of(), new Change.Commits(0, Map.of()));
     }
 
     @Override
     public void start(Group.Pooler beside) {
         pooler = beside;
-        if (own) {
+        if (ownsLoop) {
             loop.start();
         }
         loop.post(() -> {
-            Ledger.Document document = state.begin(pooler::objection);
+            Ledger.Document document = state.restoreCached(pooler::objection);
             if (document != null) {
                 adopt(document);
             }
-            pooler.holds(state.holds());
-            look();
-            connect(0);
+            pooler.holds(state.drains());
+            updateFence();
+            members.connect(0);
             tick();
         });
     }
 
-    // ---- connections ----
-
-    private final FollowLink.Heard hearing = new FollowLink.Heard() {
+    private final class FailoverListener implements MemberFailover.Listener {
         @Override
-        public void greeted(FollowLink which) {
-            if (which == candidate) {
-                schedule.home(true, Acting.clock());
-                link.drop();
-                link = candidate;
-                candidate = null;
-                moves++;
-            }
-            say("follows " + which.member());
-            ask();
+        public void onReady() {
+            sendRequest();
         }
 
         @Override
-        public void over(FollowLink which, String why) {
-            if (which == candidate) {
-                candidate = null;
-                schedule.home(false, Acting.clock());
-            } else {
-                move(which.member() + ": " + why);
-            }
+        public void logOnce(String line) {
+            Subscriber.this.logOnce(line);
         }
-
-        @Override
-        public void moved(long out, long in) {
-            bytesOut.addAndGet(out);
-            bytesIn.addAndGet(in);
-        }
-    };
-
-    private FollowLink to(String member) {
-        FollowLink next = new FollowLink(
-                loop,
-                new FollowLink.Way(
-                        config.cluster(),
-                        config.name(),
-                        member,
-                        config.members().get(member),
-                        tls != null),
-                hearing);
-        next.dial(net, schedule.greetingWithin());
-        return next;
-    }
-
-    private void connect(long afterMicros) {
-        loop.after(afterMicros, () -> {
-            if (!stopped) {
-                link = to(schedule.member());
-            }
-        });
     }
 
-    /** Leaves the member for the next. */
-    private void move(String why) {
-        if (stopped) {
-            return;
-        }
-        say("can't follow " + why);
-        link.drop();
-        moves++;
-        connect(schedule.failed(Acting.clock()));
-    }
-
-    /** Once for each that differs from the last. */
-    private void say(String line) {
-        if (!line.equals(said)) {
-            said = line;
-            Log.info("%s: %s", of, line);
+    private void logOnce(String line) {
+        if (!line.equals(lastLine)) {
+            lastLine = line;
+            Log.info("%s: %s", logPrefix, line);
         }
     }
 
@@ -230,132 +184,126 @@
         if (stopped) {
             return;
         }
-        boolean greeted = link != null && link.greeted();
-        String line = state.adoption().touch(greeted && link.asks(), Acting.clock());
+        boolean ready = members.isReady();
+        boolean waiting = members.hasRequestInFlight();
+        String line = state.adoption().touch(ready && waiting, Acting.clock());
         if (line != null) {
-            Log.warn("%s: %s", of, line);
-        }
-        if (greeted && !link.asks() && Acting.clock() - idleSince > IDLE_MOST) {
-            // The pooler takes long to act on what it was told: the member hears that this one is there, and what it
-            // acts on.
-            ask();
+            Log.warn("%s: %s", logPrefix, line);
         }
-        if (greeted && candidate == null && schedule.homeDue(Acting.clock())) {
-            candidate = to(schedule.first());
+        if (ready && !waiting && Acting.clock() - lastResponseMicros > REQUEST_INTERVAL_MAX_MICROS) {
+            // The pooler is slow to apply the last response; the member must see that this subscriber is alive.
+            sendRequest();
         }
-        loop.after(TICK, this::tick);
+        members.retryPreferred();
+        loop.after(TICK_MICROS, this::tick);
     }
 
-    // ---- following ----
+    // ---- requests and responses ----
 
-    private void ask() {
-        if (stopped || !link.greeted() || link.asks()) {
+    private void sendRequest() {
+        if (stopped || !members.isReady() || members.hasRequestInFlight()) {
             return;
         }
-        calls++;
-        long asked = Acting.clock();
-        FollowLink by = link;
-        FollowRequest request = state.request();
-        // One without a lease has nothing to lose by waiting, and a whole document may be on its way.
-        boolean patient = !state.holds(asked) || request.whole() || request.revision() == 0;
-        by.ask(request.write(), schedule.answerWithin(patient), answer -> answered(by, answer, asked));
+        requestCount.incrementAndGet();
+        long requestedMicros = Acting.clock();
+        MemberConnection connection = members.current();
+        WatchRequest request = state.request();
+        // Without a lease there is nothing to lose by waiting, and a full document takes longer.
+        boolean patient = !state.hasLease(requestedMicros) || request.wantsFullDocument() || request.revision() == 0;
+        connection.send(
+                request.write(),
+                members.responseTimeoutMicros(patient),
+                answer -> onAnswer(connection, answer, requestedMicros));
     }
 
-    private void answered(FollowLink by, Messages.Answer answer, long asked) {
-        if (by != link) {
+    private void onAnswer(MemberConnection connection, Messages.Answer answer, long requestedMicros) {
+        if (connection != members.current()) {
             return;
         }
         if (answer.code() != Messages.Code.OK) {
-            move(by.member() + ": " + answer.text());
+            members.failOver(connection.member() + ": " + answer.text());
             return;
         }
         try {
-            heard(FollowAnswer.read(answer.content()), asked);
+            onResponse(WatchResponse.read(answer.content()), requestedMicros);
         } catch (IOException | IllegalArgumentException e) {
-            move(by.member() + ": " + e.getMessage());
+            members.failOver(connection.member() + ": " + e.getMessage());
         }
     }
 
-    private void heard(FollowAnswer answer, long asked) {
-        idleSince = Acting.clock();
-        wholes += answer.news() instanceof FollowAnswer.News.Whole ? 1 : 0;
-        differences += answer.news() instanceof FollowAnswer.News.Differences all
-                ? all.steps().size()
-                : 0;
-        FollowState.Heard news = state.heard(answer, asked, Acting.clock(), pooler::objection);
-        look();
-        if (!news.wrong().isEmpty()) {
-            Log.warn("%s: %s; the whole is asked for", of, news.wrong());
+    private void onResponse(WatchResponse response, long requestedMicros) {
+        lastResponseMicros = Acting.clock();
+        count(response.event());
+        SubscriberState.Update update = state.onResponse(response, requestedMicros, Acting.clock(), pooler::objection);
+        updateFence();
+        boolean corrupt = !update.corruption().isEmpty();
+        if (corrupt) {
+            Log.warn("%s: %s; the full document is requested", logPrefix, update.corruption());
         }
-        if (news.adopt() != null) {
-            adopt(news.adopt());
-        } else if (!state.adoption().unreadable().isEmpty()) {
-            say("serves on, " + state.adoption().acting());
-        }
-        if (news.holds() != null) {
-            pooler.holds(news.holds());
-        }
-        if (news.adopt() != null || news.holds() != null) {
-            keeper.keep(state.kept());
+        apply(update);
+        if (!state.leaseDenial().isEmpty()) {
+            logOnce("has no lease: " + state.leaseDenial());
         }
-        if (!state.shutOut().isEmpty()) {
-            say("has no lease: " + state.shutOut());
-        }
-        int pause = news.wrong().isEmpty() ? answer.comeBackMillis() : WRONG_MILLIS;
-        long upTo = state.heardUpTo();
+        long delayMicros = MICROS_PER_MILLI * (corrupt ? CORRUPTION_RETRY_MILLIS : response.retryAfterMillis());
+        long receivedIndex = state.receivedIndex();
         pooler.reached(() -> loop.post(() -> {
-            state.acted(upTo);
-            acted = state.acting();
-            loop.after(pause * 1_000L, this::ask);
+            state.onApplied(receivedIndex);
+            loop.after(delayMicros, this::sendRequest);
         }));
-        judge(answer);
+        members.judge(response, leasesOn() && state.adoption().unreadable().isEmpty());
     }
 
-    /** Whether the member that answered will do. */
-    private void judge(FollowAnswer answer) {
-        boolean wanted = config.audit() != OperatorConfig.Audit.OFF
-                && state.adoption().unreadable().isEmpty();
-        if (answer.leaseMicros() > 0 && answer.leaseMicros() < FollowSchedule.MOVE_BELOW) {
-            move(link.member() + ": it is losing its own lease");
-        } else if (wanted && answer.leaseMicros() == 0 && schedule.denied(Acting.clock())) {
-            move(link.member() + ": it grants no lease: " + answer.why());
-        } else {
-            schedule.answered();
-            if (!wanted || answer.leaseMicros() > 0) {
-                schedule.granted();
-            }
+    private void count(WatchResponse.Event event) {
+        if (event instanceof WatchResponse.Event.FullDocument) {
+            fullDocumentCount.incrementAndGet();
+        } else if (event instanceof WatchResponse.Event.Deltas changed) {
+            deltaCount.addAndGet(changed.deltas().size());
         }
     }
 
-    /** Says when the right to act ends, and when it is there again. */
-    private void look() {
-        if (!fences()) {
-            return;
+    private void apply(SubscriberState.Update update) {
+        if (update.document() != null) {
+            adopt(update.document());
+        } else if (!state.adoption().unreadable().isEmpty()) {
+            logOnce("serves on, " + state.adoption().acting());
+        }
+        if (update.drains() != null) {
+            pooler.holds(update.drains());
         }
-        long left = state.until() - Acting.clock();
-        if (fenced == left > 0) {
-            fenced = left <= 0;
-            Log.info(
-                    "%s: %s",
-                    of, fenced ? "fenced" + (state.shutOut().isEmpty() ? "" : ": " + state.shutOut()) : "returned");
+        if (update.changesState()) {
+            cacheWriter.write(state.toCache());
         }
-        loop.drop(leaseEnd);
-        leaseEnd = left > 0 ? loop.after(left, this::look) : null;
     }
 
     private void adopt(Ledger.Document document) {
         Log.info(
                 "%s: adopted revision %s, change %s, digest %s",
-                of, document.revision(), document.index(), document.digest());
+                logPrefix, document.revision(), document.index(), document.digest());
         pooler.adopt(document);
-        pooler.reached(() -> acting = document);
+        pooler.reached(() -> appliedDocument = document);
+    }
+
+    /** Logs when the lease has ended and when there is one again. */
+    private void updateFence() {
+        if (!fences()) {
+            return;
+        }
+        long leaseLeftMicros = state.leaseUntilMicros() - Acting.clock();
+        boolean leaseEnded = leaseLeftMicros <= 0;
+        if (leaseEnded != fenced) {
+            fenced = leaseEnded;
+            String denial = state.leaseDenial().isEmpty() ? "" : ": " + state.leaseDenial();
+            Log.info("%s: %s", logPrefix, fenced ? "fenced" + denial : "returned");
+        }
+        loop.drop(leaseEndTimer);
+        leaseEndTimer = leaseEnded ? null : loop.after(leaseLeftMicros, this::updateFence);
     }
 
     // ---- from any thread ----
 
     @Override
     public boolean mayAct() {
-        return !fences() || state.holds(Acting.clock());
+        return !fences() || state.hasLease(Acting.clock());
     }
 
     @Override
@@ -363,46 +311,39 @@
         return config.audit() == OperatorConfig.Audit.FENCE;
     }
 
-    /** How long it may act yet, by the last lease; 0 without one. */
-    public long leaseMicros() {
-        return Math.max(0, state.until() - Acting.clock());
+    /** When the lease ends or has ended, by {@link System#nanoTime} in microseconds. */
+    public long leaseUntilMicros() {
+        return state.leaseUntilMicros();
     }
 
-    /** When its right to act ends or has ended, by {@link System#nanoTime} in microseconds. */
-    public long leaseEndMicros() {
-        return state.until();
-    }
-
-    /** Which revision the pooler beside acts on, 0 for none. */
-    public long actingRevision() {
-        Ledger.Document now = acting;
-        return now == null ? 0 : now.revision();
-    }
-
-    /** The digest of what it acts on, empty for none. */
-    public String actingDigest() {
-        Ledger.Document now = acting;
-        return now == null ? "" : now.digest();
-    }
-
-    /** Up to which change of the agreed history it acts, as it last said. */
-    public long actingChange() {
-        return acted;
+    /** The revision that the pooler has applied, 0 for none. */
+    public long appliedRevision() {
+        Ledger.Document document = appliedDocument;
+        return document == null ? 0 : document.revision();
     }
 
     /**
      * Sums since the start.
      *
-     * @param calls that were asked
-     * @param wholes whole documents that came
-     * @param differences that came, one a revision
-     * @param moves from one member to another
+     * @param sentBytes without what TLS adds
+     * @param receivedBytes without what TLS adds
+     * @param requests that were sent
+     * @param fullDocuments that were received
+     * @param deltas that were received, one a revision
+     * @param failovers from one member to another
      */
-    public record Traffic(long bytesOut, long bytesIn, long calls, long wholes, long differences, long moves) {}
+    public record Traffic(
+            long sentBytes, long receivedBytes, long requests, long fullDocuments, long deltas, long failovers) {}
 
-    /** What has gone over its connections, without what TLS adds. */
+    /** The sums since the start. */
     public Traffic traffic() {
-        return new Traffic(bytesOut.get(), bytesIn.get(), calls, wholes, differences, moves);
+        return new Traffic(
+                members.sentBytes(),
+                members.receivedBytes(),
+                requestCount.get(),
+                fullDocumentCount.get(),
+                deltaCount.get(),
+                members.failoverCount());
     }
 
     @Override
@@ -410,7 +351,7 @@
         return false;
     }
 
-    /** Members hear nothing of sessions here: sessions that stay at one pooler need nothing else. */
+    /** Subscribers take no part in the replication of sessions' commits: {@code then} runs at once. */
     @Override
     public void committed(String session, long position, Runnable then) {
         if (then != null) {
@@ -420,14 +361,14 @@
 
     @Override
     public void listing(List<Change.Listed> nodes) {
-        // Members tell of the list.
+        // Only members replicate the list of db nodes.
     }
 
     @Override
     public void reload() throws IOException {
         if (tls != null) {
             tls.reload();
-            if (own) {
+            if (ownsLoop) {
                 net.secureAnew();
             }
             Log.info("store: keys and certificates read anew");
@@ -436,29 +377,25 @@
 
     @Override
     public void stop() {
-        if (ending.getAndSet(true)) {
+        if (stopRequested.getAndSet(true)) {
             return;
         }
-        CountDownLatch done = new CountDownLatch(1);
+        CountDownLatch connectionsClosed = new CountDownLatch(1);
         loop.post(() -> {
             stopped = true;
-            if (link != null) {
-                link.drop();
-            }
-            if (candidate != null) {
-                candidate.drop();
-            }
-            keeper.close();
-            done.countDown();
+            members.close();
+            cacheWriter.close();
+            connectionsClosed.countDown();
         });
         try {
-            if (!done.await(3, TimeUnit.SECONDS) || !keeper.closedWithin(3_000)) {
-                Log.warn("store: the end took too long");
+            if (!connectionsClosed.await(STOP_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
+                    || !cacheWriter.awaitClosed(STOP_TIMEOUT_MILLIS)) {
+                Log.warn("store: graceful shutdown timed out");
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        if (own) {
+        if (ownsLoop) {
             net.close();
             loop.stop();
         }
--- /dev/null
+++ b/replication/src/main/java/lupinvalve/replication/SubscriptionServer.java
@@ -0,0 +1,174 @@
+package lupinvalve.replication;
+
+import com.fasterxml.jackson.core.JsonGenerator;
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.function.Consumer;
+import lupinvalve.config.OperatorConfig;
+import lupinvalve.statemachine.Change;
+import lupinvalve.statemachine.Ledger;
+import lupinvalve.subscription.WatchRequest;
+import lupinvalve.subscription.WatchResponse;
+import lupinvalve.subscription.WatchService;
+
+/**
+ * Serves a member's subscribers by long polls: requests wait here for an update, for a bounded time. The group's thread
+ * runs all of it.
+ */
+final class SubscriptionServer {
+    /** The name of the subscribers' call on the wire. */
+    static final String CALL = "follow";
+    /** Subscribers of one member at most. */
+    static final int SUBSCRIBERS_MAX_COUNT = 1024;
+    /** Waiting requests are responded to in batches, so that a document is not sent to all subscribers at once. */
+    private static final int BATCH_COUNT = 32;
+
+    private static final long BATCH_INTERVAL_MICROS = 1_000;
+
+    private record PendingRequest(
+            long callId, WatchRequest request, long sinceMicros, Consumer<Messages.Answer> responder) {}
+
+    private final Group group;
+    private final WatchService service;
+    private final Map<String, PendingRequest> pendingBySubscriber = new HashMap<>();
+    private long lastChangeIndex;
+    private long requestCount;
+    private long fullDocumentCount;
+    private long deltaResponseCount;
+    private long responseBytes;
+
+    /**
+     * Starts without subscribers.
+     *
+     * @param restoredState what this member knows to be committed before the start
+     */
+    SubscriptionServer(Group group, Ledger restoredState) {
+        this.group = group;
+        boolean grantsLeases = group.config().audit() != OperatorConfig.Audit.OFF;
+        service = new WatchService(
+                grantsLeases ? "" : "store.audit is off at " + group.config().name(), Acting.clock());
+        onRestored(restoredState);
+    }
+
+    /** The log index of the last change that matters to subscribers, applied here or known to be committed. */
+    long lastChangeIndex() {
+        return lastChangeIndex;
+    }
+
+    /** See {@link WatchService#appliedFloor}. */
+    long appliedFloor() {
+        return service.appliedFloor(Acting.clock());
+    }
+
+    /** See {@link WatchService#onOwnLease}. */
+    void onOwnLease(long untilMicros, long leaderIndex) {
+        service.onOwnLease(untilMicros, leaderIndex, Acting.clock());
+    }
+
+    /** A change has been applied here. */
+    void onApplied(Ledger ledger, Change change, Ledger.Outcome outcome) {
+        boolean mattersToSubscribers =
+                change instanceof Change.Put || change instanceof Change.Hold || change instanceof Change.Release;
+        if (mattersToSubscribers && outcome.result() == Ledger.Result.DONE) {
+            onRestored(ledger);
+        }
+        service.advanceAppliedIndex(ledger.applied());
+    }
+
+    /** The state has been restored from a snapshot, or document or drains have changed. */
+    void onRestored(Ledger ledger) {
+        lastChangeIndex = Math.max(lastChangeIndex, ledger.applied());
+        service.onApplied(ledger.document(), ledger.holds(), ledger.applied(), Acting.clock());
+        List<String> due = new ArrayList<>();
+        pendingBySubscriber.forEach((subscriber, pending) -> {
+            if (service.hasUpdate(pending.request())) {
+                due.add(subscriber);
+            }
+        });
+        for (int from = 0; from < due.size(); from += BATCH_COUNT) {
+            List<String> batch = due.subList(from, Math.min(due.size(), from + BATCH_COUNT));
+            group.loop().after(from / BATCH_COUNT * BATCH_INTERVAL_MICROS, () -> batch.forEach(this::respond));
+        }
+    }
+
+    /** Takes a subscriber's request; {@code responder} is called once, now or later. */
+    void onRequest(String subscriber, Messages.Call call, Consumer<Messages.Answer> responder) throws IOException {
+        if (call.arguments().isEmpty()) {
+            throw new IOException(CALL + " lacks an argument");
+        }
+        WatchRequest request = WatchRequest.read(call.arguments().get(0));
+        requestCount++;
+        service.onRequest(subscriber);
+        PendingRequest pending = new PendingRequest(call.id(), request, Acting.clock(), responder);
+        if (!pendingBySubscriber.containsKey(subscriber) && pendingBySubscriber.size() >= SUBSCRIBERS_MAX_COUNT) {
+            reject(pending, "too many follow this member");
+            return;
+        }
+        pendingBySubscriber.put(subscriber, pending);
+        if (service.hasUpdate(request)
+                || unavailableReason() != null
+                || service.canAdmit(subscriber, request, Acting.clock())) {
+            respond(subscriber, pending);
+        } else {
+            group.loop().after(WatchService.LONG_POLL_MICROS, () -> respond(subscriber, pending));
+        }
+    }
+
+    /** Why a subscriber had better go to another member, or null. */
+    private String unavailableReason() {
+        if (group.ended() != null) {
+            return "this member takes no part any more: " + group.ended();
+        }
+        if (group.replica() == null) {
+            return "the group is not founded yet";
+        }
+        if (group.adoption().cutOff()) {
+            return "cut off from the majority";
+        }
+        return service.lacksOwnLease(Acting.clock()) ? "this member has no lease itself" : null;
+    }
+
+    private static void reject(PendingRequest pending, String reason) {
+        pending.responder().accept(new Messages.Answer(pending.callId(), Messages.Code.AGAIN, reason));
+    }
+
+    private void respond(String subscriber) {
+        PendingRequest pending = pendingBySubscriber.get(subscriber);
+        if (pending != null) {
+            respond(subscriber, pending);
+        }
+    }
+
+    /** Responds to a request unless that was done before or a later request has replaced it. */
+    private void respond(String subscriber, PendingRequest pending) {
+        if (!pendingBySubscriber.remove(subscriber, pending)) {
+            return;
+        }
+        String unavailable = unavailableReason();
+        if (unavailable != null) {
+            reject(pending, unavailable);
+            return;
+        }
+        long nowMicros = Acting.clock();
+        WatchResponse response =
+                service.respond(subscriber, pending.request(), nowMicros - pending.sinceMicros(), nowMicros);
+        fullDocumentCount += response.event() instanceof WatchResponse.Event.FullDocument ? 1 : 0;
+        deltaResponseCount += response.event() instanceof WatchResponse.Event.Deltas ? 1 : 0;
+        byte[] content = response.write();
+        responseBytes += content.length;
+        pending.responder().accept(new Messages.Answer(pending.callId(), Messages.Code.OK, "", content));
+    }
+
+    /** Writes the fields of the status call; counts and bytes of responses are sums since the start. */
+    void writeStatus(JsonGenerator out) throws IOException {
+        out.writeNumberField("subscribers_waiting", pendingBySubscriber.size());
+        out.writeNumberField("subscribers_with_lease", service.leaseCount(Acting.clock()));
+        out.writeNumberField("follow_calls", requestCount);
+        out.writeNumberField("follow_wholes", fullDocumentCount);
+        out.writeNumberField("follow_differences", deltaResponseCount);
+        out.writeNumberField("follow_bytes", responseBytes);
+    }
+}
--- a/scale/src/main/java/lupinvalve/scale/OpenPlane.java
+++ b/scale/src/main/java/lupinvalve/scale/OpenPlane.java
@@ -28,8 +28,8 @@
                 subscriber,
                 () -> {
                     Subscriber.Traffic traffic = subscriber.traffic();
-                    return new Net.Traffic(traffic.bytesOut(), traffic.bytesIn(), traffic.calls());
+                    return new Net.Traffic(traffic.sentBytes(), traffic.receivedBytes(), traffic.requests());
                 },
-                () -> TimeUnit.MICROSECONDS.toNanos(subscriber.leaseEndMicros()));
+                () -> TimeUnit.MICROSECONDS.toNanos(subscriber.leaseUntilMicros()));
     }
 }
--- a/subscription/src/main/java/lupinvalve/subscription/BlockIndex.java
+++ b/subscription/src/main/java/lupinvalve/subscription/BlockIndex.java
@@ -4,98 +4,123 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Finds parts of one text in another, by a hash of each of its blocks that rolls along the other. */
+/**
+ * Finds parts of one text in another by a rolling hash: blocks of the source are indexed by hash, and the hash of a
+ * window is rolled along the target. Immutable once built.
+ */
 final class BlockIndex {
-    /** Bytes of a block; shorter parts are not found. */
-    static final int BLOCK = 24;
-    /** Blocks of the same hash that are looked at, and those that are kept. */
-    private static final int LOOKED_AT = 8;
+    /** Size of an indexed block; shorter common parts are not found. */
+    static final int BLOCK_BYTES = 24;
+    /** Blocks with the same hash that are indexed and compared. */
+    private static final int CANDIDATES_MAX_COUNT = 8;
 
-    private static final int FACTOR = 0x01000193;
+    private static final int HASH_MULTIPLIER = 0x01000193;
 
-    /** A part of the new text that stands in the old one. */
-    record Match(int from, int at, int length) {}
+    /** A part of the target that is also in the source. */
+    record Match(int sourceOffset, int targetOffset, int length) {
+        int sourceEnd() {
+            return sourceOffset + length;
+        }
+
+        int targetEnd() {
+            return targetOffset + length;
+        }
+    }
 
-    private final byte[] text;
-    private final Map<Integer, int[]> blocks = new HashMap<>();
-    private int top = 1;
+    private final byte[] source;
+    private final Map<Integer, int[]> offsetsByHash = new HashMap<>();
+    /** The factor of a window's oldest byte in its hash. */
+    private final int oldestByteFactor;
 
-    BlockIndex(byte[] text) {
-        this.text = text;
-        for (int i = 1; i < BLOCK; i++) {
-            top *= FACTOR;
+    BlockIndex(byte[] source) {
+        this.source = source;
+        int factor = 1;
+        for (int i = 1; i < BLOCK_BYTES; i++) {
+            factor *= HASH_MULTIPLIER;
         }
-        for (int at = 0; at + BLOCK <= text.length; at += BLOCK) {
-            add(hash(text, at), at);
+        oldestByteFactor = factor;
+        for (int offset = 0; offset + BLOCK_BYTES <= source.length; offset += BLOCK_BYTES) {
+            add(hash(source, offset), offset);
         }
     }
 
-    private void add(int hash, int at) {
-        int[] known = blocks.get(hash);
-        if (known == null) {
-            blocks.put(hash, new int[] {at});
-        } else if (known.length < LOOKED_AT) {
-            int[] more = Arrays.copyOf(known, known.length + 1);
-            more[known.length] = at;
-            blocks.put(hash, more);
+    private void add(int hash, int offset) {
+        int[] offsets = offsetsByHash.get(hash);
+        if (offsets == null) {
+            offsetsByHash.put(hash, new int[] {offset});
+        } else if (offsets.length < CANDIDATES_MAX_COUNT) {
+            int[] longer = Arrays.copyOf(offsets, offsets.length + 1);
+            longer[offsets.length] = offset;
+            offsetsByHash.put(hash, longer);
         }
     }
 
-    private static int hash(byte[] bytes, int at) {
+    private static int hash(byte[] bytes, int offset) {
         int hash = 0;
-        for (int i = at; i < at + BLOCK; i++) {
-            hash = hash * FACTOR + bytes[i];
+        for (int i = offset; i < offset + BLOCK_BYTES; i++) {
+            hash = hash * HASH_MULTIPLIER + bytes[i];
         }
         return hash;
     }
 
     /**
-     * The next part of another text that stands in this one, or null.
+     * The next part of a target that is also in the source, or null.
      *
-     * @param from where to look from
-     * @param free how far back the part may begin
-     * @param likely where it would stand in this text, had as many bytes been replaced as have come
+     * @param startOffset where in the target to start
+     * @param unmatchedOffset where the target's unmatched bytes begin: a match is extended back to there at most
+     * @param expectedSourceOffset where in the source the unmatched bytes would be, had bytes only been replaced
      */
-    Match next(byte[] other, int from, int free, int likely) {
-        if (from + BLOCK > other.length) {
+    Match next(byte[] target, int startOffset, int unmatchedOffset, int expectedSourceOffset) {
+        if (startOffset + BLOCK_BYTES > target.length) {
             return null;
         }
-        int hash = hash(other, from);
-        for (int at = from; ; at++) {
-            Match best = longest(other, at, free, likely + at - free, blocks.get(hash));
-            if (best != null) {
-                return best;
+        int hash = hash(target, startOffset);
+        for (int offset = startOffset; ; offset++) {
+            int expected = expectedSourceOffset + offset - unmatchedOffset;
+            Match longest = longestMatch(target, offset, unmatchedOffset, expected, offsetsByHash.get(hash));
+            if (longest != null) {
+                return longest;
             }
-            if (at + BLOCK >= other.length) {
+            if (offset + BLOCK_BYTES >= target.length) {
                 return null;
             }
-            hash = (hash - other[at] * top) * FACTOR + other[at + BLOCK];
+            hash = (hash - target[offset] * oldestByteFactor) * HASH_MULTIPLIER + target[offset + BLOCK_BYTES];
         }
     }
 
-    private Match longest(byte[] other, int at, int free, int likely, int[] candidates) {
-        Match best = match(other, at, free, likely);
-        for (int i = 0; candidates != null && i < candidates.length; i++) {
-            Match one = match(other, at, free, candidates[i]);
-            best = one != null && (best == null || one.length() > best.length()) ? one : best;
+    private Match longestMatch(
+            byte[] target, int targetOffset, int unmatchedOffset, int expectedSourceOffset, int[] candidates) {
+        Match longest = match(target, targetOffset, unmatchedOffset, expectedSourceOffset);
+        if (candidates == null) {
+            return longest;
+        }
+        for (int sourceOffset : candidates) {
+            Match match = match(target, targetOffset, unmatchedOffset, sourceOffset);
+            if (match != null && (longest == null || match.length() > longest.length())) {
+                longest = match;
+            }
         }
-        return best;
+        return longest;
     }
 
-    /** What is the same around a place in both texts, or null where that is less than a block. */
-    private Match match(byte[] other, int at, int free, int from) {
-        if (from < 0 || from + BLOCK > text.length || at + BLOCK > other.length) {
+    /** The common part around an offset of the target and one of the source; null if shorter than a block. */
+    private Match match(byte[] target, int targetOffset, int unmatchedOffset, int sourceOffset) {
+        if (sourceOffset < 0
+                || sourceOffset + BLOCK_BYTES > source.length
+                || targetOffset + BLOCK_BYTES > target.length) {
             return null;
         }
-        int same = Arrays.mismatch(text, from, text.length, other, at, other.length);
-        int length = same < 0 ? Math.min(text.length - from, other.length - at) : same;
-        if (length < BLOCK) {
+        int mismatch = Arrays.mismatch(source, sourceOffset, source.length, target, targetOffset, target.length);
+        int length = mismatch < 0 ? Math.min(source.length - sourceOffset, target.length - targetOffset) : mismatch;
+        if (length < BLOCK_BYTES) {
             return null;
         }
         int back = 0;
-        while (back < at - free && back < from && text[from - back - 1] == other[at - back - 1]) {
+        while (back < targetOffset - unmatchedOffset
+                && back < sourceOffset
+                && source[sourceOffset - back - 1] == target[targetOffset - back - 1]) {
             back++;
         }
-        return new Match(from - back, at - back, length + back);
+        return new Match(sourceOffset - back, targetOffset - back, length + back);
     }
 }
--- a/subscription/src/main/java/lupinvalve/subscription/DocumentDelta.java
+++ b/subscription/src/main/java/lupinvalve/subscription/DocumentDelta.java
@@ -8,78 +8,97 @@
 import lupinvalve.statemachine.Cbor;
 import lupinvalve.statemachine.Ledger;
 
-/** How one text of bytes comes from another: pieces of the old one, each followed by bytes of the new one. */
-public record DocumentDelta(List<Piece> pieces) {
-    /** Pieces of a difference at most; one that would need more is sent as bytes from there on. */
-    public static final int PIECES_MOST = 4_096;
-    /** What a piece takes on the wire beside its bytes, at most. */
-    private static final int FRAME = 16;
+/** The difference between two texts: parts copied from the old one, each followed by inserted bytes. */
+public record DocumentDelta(List<Instruction> instructions) {
+    /** Instructions of a delta at most; where a delta would need more, the rest of the text is inserted. */
+    public static final int INSTRUCTIONS_MAX_COUNT = 4_096;
+    /** An instruction's size on the wire without its inserted bytes, at most. */
+    private static final int INSTRUCTION_OVERHEAD_BYTES = 16;
 
     /**
-     * A part of the old text, then bytes that are new.
+     * Copies a part of the old text, then inserts bytes.
      *
-     * @param from where the part begins in the old text
-     * @param length of the part; 0 for none
+     * @param copyOffset where the part begins in the old text
+     * @param copyLength of the part; 0 for none
+     * @param inserted what follows the part in the new text
      */
-    public record Piece(int from, int length, byte[] bytes) {}
+    public record Instruction(int copyOffset, int copyLength, byte[] inserted) {}
 
+    /** Takes an immutable copy of the list. */
     public DocumentDelta {
-        pieces = List.copyOf(pieces);
+        instructions = List.copyOf(instructions);
     }
 
-    /** The difference from one text to another. */
+    /** Computes the delta from one text to another. */
     public static DocumentDelta between(byte[] before, byte[] after) {
         BlockIndex index = new BlockIndex(before);
-        List<Piece> pieces = new ArrayList<>();
+        List<Instruction> instructions = new ArrayList<>();
         BlockIndex.Match last = new BlockIndex.Match(0, 0, 0);
-        int at = 0;
-        while (at < after.length && pieces.size() < PIECES_MOST - 1) {
-            int taken = last.at() + last.length();
-            BlockIndex.Match next = index.next(after, at, taken, last.from() + last.length());
+        while (last.targetEnd() < after.length && instructions.size() < INSTRUCTIONS_MAX_COUNT - 1) {
+            BlockIndex.Match next = index.next(after, last.targetEnd(), last.targetEnd(), last.sourceEnd());
             if (next == null) {
                 break;
             }
-            pieces.add(new Piece(last.from(), last.length(), Arrays.copyOfRange(after, taken, next.at())));
+            instructions.add(instruction(last, after, next.targetOffset()));
             last = next;
-            at = next.at() + next.length();
         }
-        pieces.add(new Piece(
-                last.from(), last.length(), Arrays.copyOfRange(after, last.at() + last.length(), after.length)));
-        return new DocumentDelta(pieces);
+        instructions.add(instruction(last, after, after.length));
+        return new DocumentDelta(instructions);
     }
 
-    /** The new text. Throws where the old one can't be what this was made from, or the new one would be too long. */
+    private static Instruction instruction(BlockIndex.Match copied, byte[] after, int insertedEnd) {
+        byte[] inserted = Arrays.copyOfRange(after, copied.targetEnd(), insertedEnd);
+        return new Instruction(copied.sourceOffset(), copied.length(), inserted);
+    }
+
+    /**
+     * The new text.
+     *
+     * @throws IOException if this delta was not made from the old text given, or the new text would be too long
+     */
     public byte[] apply(byte[] before) throws IOException {
         ByteArrayOutputStream after = new ByteArrayOutputStream(before.length);
-        for (Piece piece : pieces) {
-            if (piece.from() < 0 || piece.length() < 0 || (long) piece.from() + piece.length() > before.length) {
-                throw new IOException("a difference that takes " + piece.length() + " bytes from " + piece.from()
-                        + " of " + before.length);
+        for (Instruction instruction : instructions) {
+            int offset = instruction.copyOffset();
+            int length = instruction.copyLength();
+            if (offset < 0 || length < 0 || (long) offset + length > before.length) {
+                throw new IOException(
+                        "a delta that copies " + length + " bytes from offset " + offset + " of " + before.length);
             }
-            if ((long) after.size() + piece.length() + piece.bytes().length > Ledger.DOCUMENT_MOST) {
-                throw new IOException("a difference that comes to more than " + Ledger.DOCUMENT_MOST + " bytes");
+            if ((long) after.size() + length + instruction.inserted().length > Ledger.DOCUMENT_MOST) {
+                throw new IOException("a delta to a document of more than " + Ledger.DOCUMENT_MOST + " bytes");
             }
-            after.write(before, piece.from(), piece.length());
-            after.write(piece.bytes());
+            after.write(before, offset, length);
+            after.write(instruction.inserted());
         }
         return after.toByteArray();
     }
 
-    /** Bytes on the wire, about. */
-    public int size() {
-        return pieces.stream().mapToInt(piece -> FRAME + piece.bytes().length).sum();
+    /** Estimated size on the wire, in bytes. */
+    public int sizeBytes() {
+        int size = 0;
+        for (Instruction instruction : instructions) {
+            size += INSTRUCTION_OVERHEAD_BYTES + instruction.inserted().length;
+        }
+        return size;
     }
 
     void write(Cbor.Out out) {
-        out.number(pieces.size());
-        pieces.forEach(piece -> out.number(piece.from()).number(piece.length()).bytes(piece.bytes()));
+        out.number(instructions.size());
+        for (Instruction instruction : instructions) {
+            out.number(instruction.copyOffset())
+                    .number(instruction.copyLength())
+                    .bytes(instruction.inserted());
+        }
     }
 
     static DocumentDelta read(Cbor.In in) throws IOException {
-        List<Piece> pieces = new ArrayList<>();
-        for (int left = in.count(PIECES_MOST); left > 0; left--) {
-            pieces.add(new Piece(in.count(Integer.MAX_VALUE), in.count(Integer.MAX_VALUE), in.bytes()));
+        List<Instruction> instructions = new ArrayList<>();
+        for (int count = in.count(INSTRUCTIONS_MAX_COUNT); count > 0; count--) {
+            int copyOffset = in.count(Integer.MAX_VALUE);
+            int copyLength = in.count(Integer.MAX_VALUE);
+            instructions.add(new Instruction(copyOffset, copyLength, in.bytes()));
         }
-        return new DocumentDelta(pieces);
+        return new DocumentDelta(instructions);
     }
 }
--- a/subscription/src/main/java/lupinvalve/subscription/RevisionHistory.java
+++ b/subscription/src/main/java/lupinvalve/subscription/RevisionHistory.java
@@ -5,59 +5,60 @@
 import java.util.List;
 import lupinvalve.statemachine.Ledger;
 
-/** The document that holds and the differences that led to it, as many as are worth keeping. */
+/** The current document and a bounded number of deltas that led to it. One thread uses it. */
 public final class RevisionHistory {
-    /** Bounds of what is kept: half an hour of 3,800 changes a day is 80. */
-    public static final int STEPS_MOST = 256, BYTES_MOST = 1 << 20;
+    /** Deltas that are retained at most. */
+    public static final int DELTAS_MAX_COUNT = 256;
+    /** Size of all retained deltas, at most. */
+    public static final int DELTAS_MAX_BYTES = 1 << 20;
 
-    /** From one revision to the next. */
-    private record Step(long from, String fromDigest, DocumentDelta delta) {}
+    /** The delta from one revision to the next. */
+    private record Step(long fromRevision, String fromDigest, DocumentDelta delta) {}
 
     private final ArrayDeque<Step> steps = new ArrayDeque<>();
-    private long bytes;
+    private long retainedBytes;
     private Ledger.Document current;
 
-    /** A majority has accepted a document. An older one, or the same again, changes nothing. */
-    public void accepted(Ledger.Document next) {
+    /** A majority has accepted a document. One of the current revision or an older one changes nothing. */
+    public void onAccepted(Ledger.Document next) {
         if (next == null || current != null && next.revision() <= current.revision()) {
             return;
         }
         if (current != null && next.revision() == current.revision() + 1) {
-            Step step = new Step(
-                    current.revision(), current.digest(), DocumentDelta.between(current.content(), next.content()));
-            steps.addLast(step);
-            bytes += step.delta().size();
+            DocumentDelta delta = DocumentDelta.between(current.content(), next.content());
+            steps.addLast(new Step(current.revision(), current.digest(), delta));
+            retainedBytes += delta.sizeBytes();
         } else {
-            // Revisions were passed over, as a snapshot does.
+            // A snapshot may skip revisions.
             steps.clear();
-            bytes = 0;
+            retainedBytes = 0;
         }
         current = next;
-        while (steps.size() > STEPS_MOST || bytes > BYTES_MOST) {
-            bytes -= steps.removeFirst().delta().size();
+        while (steps.size() > DELTAS_MAX_COUNT || retainedBytes > DELTAS_MAX_BYTES) {
+            retainedBytes -= steps.removeFirst().delta().sizeBytes();
         }
     }
 
-    /** The document that holds, or null. */
+    /** The current document, or null. */
     public Ledger.Document current() {
         return current;
     }
 
     /**
-     * What leads from a revision with a content to the one that holds, oldest first; null where the whole is to be
-     * sent.
+     * The deltas from a revision with a given digest to the current one, oldest first; null if they are not retained or
+     * not smaller than the full document.
      */
     public List<DocumentDelta> since(long revision, String digest) {
-        List<DocumentDelta> out = new ArrayList<>();
-        long size = 0;
+        List<DocumentDelta> deltas = new ArrayList<>();
+        long sizeBytes = 0;
         boolean found = false;
         for (Step step : steps) {
-            found |= step.from() == revision && step.fromDigest().equals(digest);
+            found |= step.fromRevision() == revision && step.fromDigest().equals(digest);
             if (found) {
-                out.add(step.delta());
-                size += step.delta().size();
+                deltas.add(step.delta());
+                sizeBytes += step.delta().sizeBytes();
             }
         }
-        return found && size < current.content().length ? out : null;
+        return found && sizeBytes < current.content().length ? deltas : null;
     }
 }
--- /dev/null
+++ b/subscription/src/main/java/lupinvalve/subscription/SubscriberState.java
@@ -0,0 +1,211 @@
+package lupinvalve.subscription;
+
+import java.io.IOException;
+import java.util.Map;
+import java.util.function.Function;
+import lupinvalve.audit.Lease;
+import lupinvalve.statemachine.Adoption;
+import lupinvalve.statemachine.Change;
+import lupinvalve.statemachine.Ledger;
+
+/**
+ * A subscriber's state: what it has received, what its pooler has applied, its lease, and what its next request says.
+ * It never goes back behind what it has received, whichever member responds.
+ *
+ * <p>Times are of one monotonic clock, in microseconds. One thread uses it; {@link #hasLease} and
+ * {@link #leaseUntilMicros} are safe for all threads.
+ */
+public final class SubscriberState {
+    /**
+     * What a subscriber caches on its disk for a restart.
+     *
+     * @param document the last applied one, or null
+     * @param drains the operators' drains
+     * @param index the log index up to which both are complete, 0 for none
+     */
+    public record Cached(Ledger.Document document, Map<Change.Holding, Ledger.Held> drains, long index) {
+        /** Nothing was received yet. */
+        public static final Cached EMPTY = new Cached(null, Map.of(), 0);
+    }
+
+    /**
+     * What the pooler must do after a response.
+     *
+     * @param document to apply, or null
+     * @param drains the operators' drains as they are now, or null if they have not changed
+     * @param corruption what was wrong with the event, or empty; the next request is for the full document
+     */
+    public record Update(Ledger.Document document, Map<Change.Holding, Ledger.Held> drains, String corruption) {
+        private static final Update NONE = new Update(null, null, "");
+
+        /** Whether there is anything that a restart must know. */
+        public boolean changesState() {
+            return document != null || drains != null;
+        }
+    }
+
+    private final boolean wantsLease;
+    private final Lease lease;
+    private final Adoption adoption;
+    private Ledger.Document document;
+    private Map<Change.Holding, Ledger.Held> drains;
+    private String drainsDigest;
+    private String leaseDenial = "";
+    private long appliedIndex;
+    private long receivedIndex;
+    private boolean needsFullDocument;
+
+    /**
+     * Starts from what an earlier run cached.
+     *
+     * @param wantsLease whether requests ask for a lease
+     */
+    public SubscriberState(boolean wantsLease, Cached cached, long nowMicros) {
+        this.wantsLease = wantsLease;
+        lease = new Lease(nowMicros);
+        adoption = new Adoption(nowMicros);
+        document = cached.document();
+        drains = cached.drains();
+        drainsDigest = cached.index() == 0 ? "" : WatchResponse.digest(drains);
+        appliedIndex = cached.index();
+        receivedIndex = appliedIndex;
+    }
+
+    /**
+     * The cached document if it is to be applied, else null.
+     *
+     * @param validator says why this version can't apply a document, or null if it can
+     */
+    public Ledger.Document restoreCached(Function<byte[], String> validator) {
+        return document == null ? null : applicableDocument(validator);
+    }
+
+    /** The next request. */
+    public WatchRequest request() {
+        return new WatchRequest(
+                WatchRequest.VERSION,
+                appliedIndex,
+                document == null ? 0 : document.revision(),
+                document == null ? "" : document.digest(),
+                drainsDigest,
+                wantsLease,
+                needsFullDocument,
+                adoption.unreadable());
+    }
+
+    /**
+     * Takes up a member's response.
+     *
+     * @param requestedMicros a time before the request was sent
+     * @param validator says why this version can't apply a document, or null if it can
+     */
+    public Update onResponse(
+            WatchResponse response, long requestedMicros, long nowMicros, Function<byte[], String> validator) {
+        renewLease(response, requestedMicros, nowMicros);
+        boolean stale = response.completeIndex() != WatchResponse.INCOMPLETE && response.completeIndex() < appliedIndex;
+        if (stale) {
+            return Update.NONE;
+        }
+        Map<Change.Holding, Ledger.Held> newDrains = response.drains();
+        if (newDrains != null) {
+            drains = newDrains;
+            drainsDigest = WatchResponse.digest(drains);
+        }
+        Ledger.Document newDocument = null;
+        if (!(response.event() instanceof WatchResponse.Event.Unchanged)) {
+            try {
+                document = documentAfter(response.event());
+                needsFullDocument = false;
+            } catch (IOException e) {
+                needsFullDocument = true;
+                return new Update(null, newDrains, e.getMessage());
+            }
+            newDocument = applicableDocument(validator);
+        }
+        if (response.completeIndex() != WatchResponse.INCOMPLETE
+                && adoption.unreadable().isEmpty()) {
+            receivedIndex = response.completeIndex();
+        }
+        return new Update(newDocument, newDrains, "");
+    }
+
+    private void renewLease(WatchResponse response, long requestedMicros, long nowMicros) {
+        if (response.leaseMicros() <= 0) {
+            leaseDenial = response.leaseDenial();
+            return;
+        }
+        leaseDenial = "";
+        // The member received the request after it was sent, and granted the lease this much later by its own clock.
+        long queuedMicros = (long) (Math.max(0, response.queuedMicros()) * (1 - Lease.DRIFT));
+        lease.granted(
+                Math.min(nowMicros, requestedMicros + queuedMicros), Math.min(Lease.LENGTH, response.leaseMicros()));
+    }
+
+    private Ledger.Document documentAfter(WatchResponse.Event event) throws IOException {
+        Ledger.Document next;
+        if (event instanceof WatchResponse.Event.FullDocument full) {
+            next = full.document();
+        } else {
+            WatchResponse.Event.Deltas changed = (WatchResponse.Event.Deltas) event;
+            byte[] content = document == null ? new byte[0] : document.content();
+            for (DocumentDelta delta : changed.deltas()) {
+                content = delta.apply(content);
+            }
+            next = new Ledger.Document(changed.revision(), changed.index(), changed.digest(), content);
+        }
+        if (!Ledger.digest(next.content()).equals(next.digest())) {
+            throw new IOException("revision " + next.revision() + " comes to another digest than " + next.digest());
+        }
+        return next;
+    }
+
+    private Ledger.Document applicableDocument(Function<byte[], String> validator) {
+        Adoption.Verdict verdict = adoption.accepted(document, validator.apply(document.content()));
+        return verdict == Adoption.Verdict.ADOPT ? document : null;
+    }
+
+    /** The log index up to which everything was received. */
+    public long receivedIndex() {
+        return receivedIndex;
+    }
+
+    /** The pooler has applied the log up to here. */
+    public void onApplied(long index) {
+        appliedIndex = Math.max(appliedIndex, index);
+    }
+
+    /** The log index up to which the pooler has applied everything. */
+    public long appliedIndex() {
+        return appliedIndex;
+    }
+
+    /** What to cache for a restart. */
+    public Cached toCache() {
+        return new Cached(adoption.running(), drains, adoption.unreadable().isEmpty() ? receivedIndex : appliedIndex);
+    }
+
+    /** Whether there is a valid lease; safe for all threads. */
+    public boolean hasLease(long nowMicros) {
+        return lease.holds(nowMicros);
+    }
+
+    /** When the lease ends or has ended; safe for all threads. */
+    public long leaseUntilMicros() {
+        return lease.until();
+    }
+
+    /** Why the last response granted no lease, or empty. */
+    public String leaseDenial() {
+        return leaseDenial;
+    }
+
+    /** The operators' drains as received last. */
+    public Map<Change.Holding, Ledger.Held> drains() {
+        return drains;
+    }
+
+    /** Which document is applied, and why a newer one is not. */
+    public Adoption adoption() {
+        return adoption;
+    }
+}
--- a/subscription/src/main/java/lupinvalve/subscription/package-info.java
+++ b/subscription/src/main/java/lupinvalve/subscription/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Decisions for poolers that follow the group without being members of it, and for the members that they follow. No
- * I/O.
+ * Decisions for poolers that subscribe to the group's configuration without being members, and for the members that
+ * serve them. No I/O and no threads: callers pass in the time.
  */
 package lupinvalve.subscription;
--- /dev/null
+++ b/subscription/src/test/java/lupinvalve/subscription/CorruptedResponse.java
@@ -0,0 +1,47 @@
+package lupinvalve.subscription;
+
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.List;
+import lupinvalve.statemachine.Ledger;
+
+/** Deltas with a wrong result, as if member and subscriber had started from different contents. */
+final class CorruptedResponse {
+    private CorruptedResponse() {}
+
+    /**
+     * The response with one byte too many at the end of its deltas.
+     *
+     * @param applied the document that the deltas start from
+     * @param matchingDigest whether its digest is that of the wrong result, as if nobody checked it
+     */
+    static WatchResponse of(WatchResponse response, Ledger.Document applied, boolean matchingDigest) {
+        WatchResponse.Event.Deltas event = (WatchResponse.Event.Deltas) response.event();
+        List<DocumentDelta> deltas = new ArrayList<>(event.deltas());
+        List<DocumentDelta.Instruction> instructions =
+                new ArrayList<>(deltas.remove(deltas.size() - 1).instructions());
+        instructions.add(new DocumentDelta.Instruction(0, 0, new byte[] {'?'}));
+        deltas.add(new DocumentDelta(instructions));
+        String digest = matchingDigest ? resultDigest(applied, deltas) : event.digest();
+        return new WatchResponse(
+                response.leaseMicros(),
+                response.queuedMicros(),
+                response.leaseDenial(),
+                response.completeIndex(),
+                response.retryAfterMillis(),
+                new WatchResponse.Event.Deltas(event.revision(), event.index(), digest, deltas),
+                response.drains());
+    }
+
+    private static String resultDigest(Ledger.Document applied, List<DocumentDelta> deltas) {
+        byte[] content = applied == null ? new byte[0] : applied.content();
+        try {
+            for (DocumentDelta delta : deltas) {
+                content = delta.apply(content);
+            }
+        } catch (IOException e) {
+            return "none";
+        }
+        return Ledger.digest(content);
+    }
+}
--- a/subscription/src/test/java/lupinvalve/subscription/DecisionsTest.java
+++ b/subscription/src/test/java/lupinvalve/subscription/DecisionsTest.java
@@ -28,20 +28,20 @@
         return new Ledger.Document(revision, revision * 10, Ledger.digest(content), content);
     }
 
-    private static FollowRequest request(long index, Ledger.Document holding) {
-        return new FollowRequest(
-                FollowRequest.VERSION,
+    private static WatchRequest request(long index, Ledger.Document holding) {
+        return new WatchRequest(
+                WatchRequest.VERSION,
                 index,
                 holding == null ? 0 : holding.revision(),
                 holding == null ? "" : holding.digest(),
-                FollowAnswer.digest(Map.of()),
+                WatchResponse.digest(Map.of()),
                 true,
                 false,
                 "");
     }
 
     @Test
-    void aDifferenceLeadsFromAnyTextToAnyOther() throws IOException {
+    void aDeltaLeadsFromAnyTextToAnyOther() throws IOException {
         Random random = new Random(1);
         for (int i = 0; i < 5_000; i++) {
             // Few letters, so that beginnings and ends overlap.
@@ -50,13 +50,13 @@
             DocumentDelta delta = DocumentDelta.between(before, after);
             assertArrayEquals(after, delta.apply(before));
         }
-        refused(new DocumentDelta.Piece(3, 3, new byte[0]), 5);
-        refused(new DocumentDelta.Piece(Integer.MAX_VALUE, Integer.MAX_VALUE, new byte[0]), 5);
-        refused(new DocumentDelta.Piece(-1, 1, new byte[0]), 5);
-        refused(new DocumentDelta.Piece(0, 1, new byte[Ledger.DOCUMENT_MOST]), 5);
+        assertRejected(new DocumentDelta.Instruction(3, 3, new byte[0]), 5);
+        assertRejected(new DocumentDelta.Instruction(Integer.MAX_VALUE, Integer.MAX_VALUE, new byte[0]), 5);
+        assertRejected(new DocumentDelta.Instruction(-1, 1, new byte[0]), 5);
+        assertRejected(new DocumentDelta.Instruction(0, 1, new byte[Ledger.DOCUMENT_MOST]), 5);
     }
 
-    private static void refused(DocumentDelta.Piece piece, int length) {
+    private static void assertRejected(DocumentDelta.Instruction piece, int length) {
         assertThrows(IOException.class, () -> new DocumentDelta(List.of(piece)).apply(new byte[length]));
     }
 
@@ -76,14 +76,15 @@
             byte[] after = document(entries);
             DocumentDelta delta = DocumentDelta.between(before, after);
             assertArrayEquals(after, delta.apply(before));
-            assertTrue(delta.size() < 900, delta.size() + " bytes of " + after.length);
+            assertTrue(delta.sizeBytes() < 900, delta.sizeBytes() + " bytes of " + after.length);
             before = after;
         }
     }
 
-    private static String entry(int i, int value) {
-        return "{\"name\":\"db-" + i + "\",\"address\":\"10.0." + i / 256 + "." + i % 256 + ":" + value
-                + "\",\"locality\":\"zone-" + i % 7 + "\",\"weight\":" + value % 100 + ",\"owner\":\"team-" + value % 40
+    private static String entry(int number, int value) {
+        return "{\"name\":\"db-" + number + "\",\"address\":\"10.0." + number / 256 + "." + number % 256 + ":" + value
+                + "\",\"locality\":\"zone-" + number % 7 + "\",\"weight\":" + value % 100 + ",\"owner\":\"team-"
+                + value % 40
                 + "\"},";
     }
 
@@ -100,211 +101,227 @@
     }
 
     @Test
-    void aHistoryIsBoundedAndGivesUpWhereRevisionsWerePassedOver() {
+    void aHistoryIsBoundedAndClearedWhereRevisionsWereSkipped() {
         RevisionHistory history = new RevisionHistory();
         Ledger.Document first = document(1, "x".repeat(2_000) + "1");
-        history.accepted(first);
-        for (int revision = 2; revision <= RevisionHistory.STEPS_MOST + 2; revision++) {
-            history.accepted(document(revision, "x".repeat(2_000) + revision));
+        history.onAccepted(first);
+        for (int revision = 2; revision <= RevisionHistory.DELTAS_MAX_COUNT + 2; revision++) {
+            history.onAccepted(document(revision, "x".repeat(2_000) + revision));
         }
         assertNull(history.since(1, first.digest()), "too long ago");
-        Ledger.Document last =
-                document(RevisionHistory.STEPS_MOST + 1, "x".repeat(2_000) + (RevisionHistory.STEPS_MOST + 1));
+        Ledger.Document last = document(
+                RevisionHistory.DELTAS_MAX_COUNT + 1, "x".repeat(2_000) + (RevisionHistory.DELTAS_MAX_COUNT + 1));
         assertEquals(1, history.since(last.revision(), last.digest()).size());
         assertNull(history.since(last.revision(), "another content"));
-        history.accepted(first);
-        assertEquals(RevisionHistory.STEPS_MOST + 2, history.current().revision(), "never back");
-        history.accepted(document(1_000, "y".repeat(100)));
+        history.onAccepted(first);
+        assertEquals(RevisionHistory.DELTAS_MAX_COUNT + 2, history.current().revision(), "never back");
+        history.onAccepted(document(1_000, "y".repeat(100)));
         assertNull(history.since(last.revision(), last.digest()));
-        history.accepted(document(1_001, "z".repeat(100)));
+        history.onAccepted(document(1_001, "z".repeat(100)));
         assertNull(history.since(1_000, history.current().digest()), "a difference as long as the whole is none");
     }
 
     @Test
-    void requestsAndAnswersComeThroughAndANewerRequestIsTold() throws IOException {
-        FollowRequest request = new FollowRequest(FollowRequest.VERSION, 7, 2, "d", "h", true, false, "o");
-        assertEquals(request, FollowRequest.read(request.write()));
-        FollowRequest newer = new FollowRequest(FollowRequest.VERSION + 1, 7, 2, "d", "h", true, false, "o");
+    void requestsAndResponsesAreReadAsWrittenAndANewerRequestIsRejected() throws IOException {
+        WatchRequest request = new WatchRequest(WatchRequest.VERSION, 7, 2, "d", "h", true, false, "o");
+        assertEquals(request, WatchRequest.read(request.write()));
+        WatchRequest newer = new WatchRequest(WatchRequest.VERSION + 1, 7, 2, "d", "h", true, false, "o");
         assertEquals(
                 "version 2 of following is asked for; this member speaks 1",
-                assertThrows(FollowRequest.Newer.class, () -> FollowRequest.read(newer.write()))
+                assertThrows(WatchRequest.UnsupportedVersionException.class, () -> WatchRequest.read(newer.write()))
                         .getMessage());
         Map<Change.Holding, Ledger.Held> holds = new TreeMap<>();
         holds.put(new Change.Holding(Change.Kind.POOLER, "p"), new Ledger.Held("w", 5));
-        FollowAnswer answer = new FollowAnswer(1, 2, "why", 3, 4, new FollowAnswer.News.None(), holds);
-        assertEquals(answer, FollowAnswer.read(answer.write()));
+        WatchResponse answer = new WatchResponse(1, 2, "why", 3, 4, new WatchResponse.Event.Unchanged(), holds);
+        assertEquals(answer, WatchResponse.read(answer.write()));
         Ledger.Document whole = document(3, "{}");
-        FollowAnswer all =
-                FollowAnswer.read(new FollowAnswer(1, 2, "", 3, 4, new FollowAnswer.News.Whole(whole), null).write());
+        WatchResponse all = WatchResponse.read(
+                new WatchResponse(1, 2, "", 3, 4, new WatchResponse.Event.FullDocument(whole), null).write());
         assertArrayEquals(
                 whole.content(),
-                ((FollowAnswer.News.Whole) all.news()).document().content());
+                ((WatchResponse.Event.FullDocument) all.event()).document().content());
     }
 
     @Test
-    void aMemberGrantsNothingPastItsOwnRightNorToOneThatStaysBehind() {
-        SubscriberTable table = new SubscriberTable(0);
-        assertEquals(0, table.renew("s", 5, "", 0).lengthMicros(), "it has no right itself");
-        table.right(1_500_000, 5, 0);
-        assertEquals(1_500_000, table.renew("s", 5, "", 0).lengthMicros());
-        table.right(10_000_000, 5, 100);
-        assertEquals(Lease.LENGTH, table.renew("s", 5, "", 100).lengthMicros());
-        table.known(9, 200);
-        assertTrue(table.renew("s", 5, "", 200 + SubscriberTable.CATCH_UP - 1).lengthMicros() > 0);
-        SubscriberTable.Granted late = table.renew("s", 5, "", 200 + SubscriberTable.CATCH_UP);
-        assertEquals(new SubscriberTable.Granted(0, "acts on change 5, 9 is wanted"), late);
+    void aMemberGrantsNothingPastItsOwnLeaseNorToASubscriberThatLags() {
+        SubscriberLeases leases = new SubscriberLeases(0);
+        assertEquals(0, leases.renew("s", 5, "", 0).lengthMicros(), "it has no right itself");
+        leases.onOwnLease(1_500_000, 5, 0);
+        assertEquals(1_500_000, leases.renew("s", 5, "", 0).lengthMicros());
+        leases.onOwnLease(10_000_000, 5, 100);
+        assertEquals(Lease.LENGTH, leases.renew("s", 5, "", 100).lengthMicros());
+        leases.onChange(9, 200);
+        assertTrue(leases.renew("s", 5, "", 200 + SubscriberLeases.CATCH_UP_MICROS - 1)
+                        .lengthMicros()
+                > 0);
+        SubscriberLeases.Grant late = leases.renew("s", 5, "", 200 + SubscriberLeases.CATCH_UP_MICROS);
+        assertEquals(new SubscriberLeases.Grant(0, "acts on change 5, 9 is wanted"), late);
         assertEquals(
                 "can't",
-                table.renew("s", 5, "can't", 200 + SubscriberTable.CATCH_UP).why());
-        assertEquals(0, table.renew("new", 8, "", 300).lengthMicros(), "one without a lease may have been passed over");
-        assertFalse(table.mayBeLetIn("new", 8, 300));
-        assertTrue(table.mayBeLetIn("new", 9, 300));
+                leases.renew("s", 5, "can't", 200 + SubscriberLeases.CATCH_UP_MICROS)
+                        .denial());
+        assertEquals(
+                0, leases.renew("new", 8, "", 300).lengthMicros(), "one without a lease may have been passed over");
+        assertFalse(leases.canAdmit("new", 8, 300));
+        assertTrue(leases.canAdmit("new", 9, 300));
         assertTrue(
-                table.renew("s", 9, "", 300 + SubscriberTable.CATCH_UP).lengthMicros() > 0,
+                leases.renew("s", 9, "", 300 + SubscriberLeases.CATCH_UP_MICROS).lengthMicros() > 0,
                 "it comes back by acting on it");
         assertEquals(
-                0, table.renew("s", 8, "", 400 + SubscriberTable.CATCH_UP).lengthMicros(), "one that has gone back");
+                0,
+                leases.renew("s", 8, "", 400 + SubscriberLeases.CATCH_UP_MICROS).lengthMicros(),
+                "one that has gone back");
     }
 
     @Test
-    void theFloorIsWhatTheSlowestWithALeaseActsOn() {
-        SubscriberTable table = new SubscriberTable(0);
-        table.right(60_000_000, 5, 0);
-        table.renew("s", 5, "", 0);
-        assertEquals(0, table.floor(7, 0), "leases of an earlier life may last");
+    void theFloorIsWhatTheSlowestSubscriberWithALeaseHasApplied() {
+        SubscriberLeases leases = new SubscriberLeases(0);
+        leases.onOwnLease(60_000_000, 5, 0);
+        leases.renew("s", 5, "", 0);
+        assertEquals(0, leases.appliedFloor(7, 0), "leases of an earlier incarnation may last");
         long later = 2_100_000;
-        assertEquals(7, table.floor(7, later), "its lease has ended");
-        table.renew("s", 6, "", later);
-        table.renew("t", 7, "", later);
-        assertEquals(6, table.floor(7, later));
-        table.renew("s", 9, "", later);
-        assertEquals(7, table.floor(9, later));
-        assertEquals(2, table.holding(later));
+        assertEquals(7, leases.appliedFloor(7, later), "its lease has ended");
+        leases.renew("s", 6, "", later);
+        leases.renew("t", 7, "", later);
+        assertEquals(6, leases.appliedFloor(7, later));
+        leases.renew("s", 9, "", later);
+        assertEquals(7, leases.appliedFloor(9, later));
+        assertEquals(2, leases.activeCount(later));
     }
 
     @Test
-    void aHerdGetsWholeDocumentsByTurns() {
-        WholeDocuments wholes = new WholeDocuments();
+    void aBurstOfSubscribersGetsFullDocumentsInTurns() {
+        FullDocumentLimiter limiter = new FullDocumentLimiter();
         int size = 1 << 20;
-        int let = 0;
+        int admitted = 0;
         for (int i = 0; i < 300; i++) {
-            let += wholes.admit("s" + i, size, 0) ? 1 : 0;
+            admitted += limiter.admit("s" + i, size, 0) ? 1 : 0;
         }
-        assertEquals(WholeDocuments.BYTES_MOST / size, let);
-        int first = wholes.comeBackMillis(0);
-        int second = wholes.comeBackMillis(0);
-        assertTrue(first < second && second <= WholeDocuments.LATE_MILLIS);
-        wholes.arrived("s0");
-        assertTrue(wholes.admit("s299", size, 0));
-        assertFalse(wholes.admit("s298", size, 0));
-        assertTrue(wholes.admit("s298", size, WholeDocuments.COUNTS), "what was not confirmed counts no longer");
-        WholeDocuments large = new WholeDocuments();
-        assertTrue(large.admit("s", (int) WholeDocuments.BYTES_MOST + 1, 0), "one goes out whatever its size");
+        assertEquals(FullDocumentLimiter.IN_FLIGHT_MAX_BYTES / size, admitted);
+        int first = limiter.retryAfterMillis(0);
+        int second = limiter.retryAfterMillis(0);
+        assertTrue(first < second && second <= FullDocumentLimiter.RETRY_MAX_MILLIS);
+        limiter.confirm("s0");
+        assertTrue(limiter.admit("s299", size, 0));
+        assertFalse(limiter.admit("s298", size, 0));
+        assertTrue(
+                limiter.admit("s298", size, FullDocumentLimiter.CONFIRM_TIMEOUT_MICROS),
+                "what was not confirmed counts no longer");
+        FullDocumentLimiter large = new FullDocumentLimiter();
+        assertTrue(
+                large.admit("s", (int) FullDocumentLimiter.IN_FLIGHT_MAX_BYTES + 1, 0),
+                "one goes out whatever its size");
     }
 
     @Test
-    void namesAreSpreadOverMembersAndPausesGrowToTheirBound() {
+    void subscribersAreSpreadOverMembersAndBackoffGrowsToItsBound() {
         Map<String, Integer> first = new HashMap<>();
         for (int i = 0; i < 910; i++) {
-            first.merge(new FollowSchedule("pooler-" + i, MEMBERS, 1).member(), 1, Integer::sum);
+            first.merge(new MemberSelector("pooler-" + i, MEMBERS, 1).currentMember(), 1, Integer::sum);
         }
         assertTrue(first.size() == 3 && first.values().stream().allMatch(n -> n > 250 && n < 360), first.toString());
-        FollowSchedule schedule = new FollowSchedule("s", MEMBERS, 1);
+        MemberSelector selector = new MemberSelector("s", MEMBERS, 1);
         long longest = 0;
         long before = 0;
         for (int round = 0; round < 12; round++) {
             for (int i = 0; i < MEMBERS.size(); i++) {
-                before = schedule.failed(0);
+                before = selector.failOver(0);
             }
             longest = Math.max(longest, before);
-            assertTrue(before <= FollowSchedule.BACKOFF_MOST);
+            assertTrue(before <= MemberSelector.BACKOFF_MAX_MICROS);
         }
-        assertTrue(longest > FollowSchedule.BACKOFF_MOST / 2);
-        assertEquals(FollowSchedule.GREETING_MOST, schedule.greetingWithin());
-        schedule.answered();
-        assertEquals(FollowSchedule.GREETING, schedule.greetingWithin());
-        assertTrue(schedule.failed(0) < FollowSchedule.BACKOFF, "the next member is tried soon");
-        assertFalse(schedule.homeDue(FollowSchedule.HOME - 1));
-        assertTrue(schedule.homeDue(2 * FollowSchedule.HOME));
-        schedule.home(true, 0);
-        assertEquals(schedule.first(), schedule.member());
+        assertTrue(longest > MemberSelector.BACKOFF_MAX_MICROS / 2);
+        assertEquals(MemberSelector.HANDSHAKE_TIMEOUT_MAX_MICROS, selector.handshakeTimeoutMicros());
+        selector.onSuccess();
+        assertEquals(MemberSelector.HANDSHAKE_TIMEOUT_MIN_MICROS, selector.handshakeTimeoutMicros());
+        assertTrue(selector.failOver(0) < MemberSelector.BACKOFF_MIN_MICROS, "the next member is tried soon");
+        assertFalse(selector.isPreferredDue(MemberSelector.PREFERRED_RETRY_MICROS - 1));
+        assertTrue(selector.isPreferredDue(2 * MemberSelector.PREFERRED_RETRY_MICROS));
+        selector.onPreferredAttempted(true, 0);
+        assertEquals(selector.preferredMember(), selector.currentMember());
     }
 
     @Test
-    void aMemberThatAnswersAndGrantsNothingIsLeftAfterAWhileEverMoreRarely() {
-        FollowSchedule schedule = new FollowSchedule("s", MEMBERS, 1);
-        assertFalse(schedule.denied(100));
-        assertFalse(schedule.denied(99 + FollowSchedule.DENIED));
-        assertTrue(schedule.denied(100 + FollowSchedule.DENIED));
-        assertFalse(schedule.denied(100 + 2 * FollowSchedule.DENIED), "twice as long the next time");
-        assertTrue(schedule.denied(100 + 3 * FollowSchedule.DENIED));
-        schedule.granted();
-        assertFalse(schedule.denied(100 + 9 * FollowSchedule.DENIED), "counted anew");
-        assertTrue(schedule.denied(100 + 10 * FollowSchedule.DENIED));
+    void aMemberThatDeniesLeasesIsLeftAfterATimeoutThatDoubles() {
+        MemberSelector selector = new MemberSelector("s", MEMBERS, 1);
+        assertFalse(selector.onLeaseDenied(100));
+        assertFalse(selector.onLeaseDenied(99 + MemberSelector.DENIED_TIMEOUT_MIN_MICROS));
+        assertTrue(selector.onLeaseDenied(100 + MemberSelector.DENIED_TIMEOUT_MIN_MICROS));
+        assertFalse(
+                selector.onLeaseDenied(100 + 2 * MemberSelector.DENIED_TIMEOUT_MIN_MICROS),
+                "twice as long the next time");
+        assertTrue(selector.onLeaseDenied(100 + 3 * MemberSelector.DENIED_TIMEOUT_MIN_MICROS));
+        selector.onLeaseGranted();
+        assertFalse(selector.onLeaseDenied(100 + 9 * MemberSelector.DENIED_TIMEOUT_MIN_MICROS), "counted anew");
+        assertTrue(selector.onLeaseDenied(100 + 10 * MemberSelector.DENIED_TIMEOUT_MIN_MICROS));
     }
 
     @Test
-    void aSubscriberNeverGoesBackAndAsksForTheWholeWhereADifferenceIsWrong() {
-        FollowState state = new FollowState(true, FollowState.Kept.NOTHING, 0);
+    void aSubscriberNeverGoesBackAndRequestsTheFullDocumentWhereADeltaIsWrong() {
+        SubscriberState state = new SubscriberState(true, SubscriberState.Cached.EMPTY, 0);
         Ledger.Document one = document(1, "{\"a\":1}");
         Ledger.Document two = document(2, "{\"a\":2}");
-        FollowAnswer whole = new FollowAnswer(0, 0, "", 10, 0, new FollowAnswer.News.Whole(one), Map.of());
-        assertEquals(one, state.heard(whole, 0, 0, content -> null).adopt());
-        assertEquals(0, state.acting(), "until its pooler acts on it");
-        state.acted(state.heardUpTo());
+        WatchResponse whole = new WatchResponse(0, 0, "", 10, 0, new WatchResponse.Event.FullDocument(one), Map.of());
+        assertEquals(one, state.onResponse(whole, 0, 0, content -> null).document());
+        assertEquals(0, state.appliedIndex(), "until its pooler acts on it");
+        state.onApplied(state.receivedIndex());
         DocumentDelta wrong = DocumentDelta.between(one.content(), "{\"a\":3}".getBytes(StandardCharsets.UTF_8));
-        FollowAnswer.News differences = new FollowAnswer.News.Differences(2, 20, two.digest(), List.of(wrong));
-        FollowAnswer other = new FollowAnswer(0, 0, "", 20, 0, differences, null);
-        assertTrue(state.heard(other, 0, 0, content -> null).wrong().startsWith("revision 2 comes to another digest"));
-        assertTrue(state.request().whole() && state.request().revision() == 1 && state.heardUpTo() == 10);
-        FollowAnswer good = new FollowAnswer(0, 0, "", 20, 0, new FollowAnswer.News.Whole(two), null);
-        assertEquals(two, state.heard(good, 0, 0, content -> null).adopt());
-        state.acted(state.heardUpTo());
-        assertNull(state.heard(whole, 0, 0, content -> null).adopt(), "a member that is behind");
+        WatchResponse.Event differences = new WatchResponse.Event.Deltas(2, 20, two.digest(), List.of(wrong));
+        WatchResponse other = new WatchResponse(0, 0, "", 20, 0, differences, null);
+        assertTrue(state.onResponse(other, 0, 0, content -> null)
+                .corruption()
+                .startsWith("revision 2 comes to another digest"));
+        assertTrue(
+                state.request().wantsFullDocument() && state.request().revision() == 1 && state.receivedIndex() == 10);
+        WatchResponse good = new WatchResponse(0, 0, "", 20, 0, new WatchResponse.Event.FullDocument(two), null);
+        assertEquals(two, state.onResponse(good, 0, 0, content -> null).document());
+        state.onApplied(state.receivedIndex());
+        assertNull(state.onResponse(whole, 0, 0, content -> null).document(), "a member that is behind");
         assertEquals(2, state.request().revision());
         Ledger.Document unreadable = document(3, "{\"new\":1}");
-        FollowAnswer next = new FollowAnswer(0, 0, "", 30, 0, new FollowAnswer.News.Whole(unreadable), null);
-        assertNull(state.heard(next, 0, 0, content -> "unknown").adopt());
-        state.acted(state.heardUpTo());
-        assertEquals(20, state.request().index(), "it does not act on what it can't read");
+        WatchResponse next = new WatchResponse(0, 0, "", 30, 0, new WatchResponse.Event.FullDocument(unreadable), null);
+        assertNull(state.onResponse(next, 0, 0, content -> "unknown").document());
+        state.onApplied(state.receivedIndex());
+        assertEquals(20, state.request().appliedIndex(), "it does not act on what it can't read");
         assertEquals("revision 3 can't be used: unknown", state.request().objection());
-        assertEquals(2, state.kept().document().revision());
+        assertEquals(2, state.toCache().document().revision());
     }
 
     @Test
     void aLeaseCountsFromWhenTheMemberGrantedItAtTheEarliest() {
-        FollowState state = new FollowState(true, FollowState.Kept.NOTHING, 0);
+        SubscriberState state = new SubscriberState(true, SubscriberState.Cached.EMPTY, 0);
         long granted = 1_000_000 + (long) (400_000 * (1 - Lease.DRIFT));
-        FollowAnswer answer = new FollowAnswer(Lease.LENGTH, 400_000, "", 1, 0, new FollowAnswer.News.None(), null);
-        state.heard(answer, 1_000_000, 1_450_000, content -> null);
-        assertEquals(Lease.end(granted, Lease.LENGTH), state.until());
+        WatchResponse answer =
+                new WatchResponse(Lease.LENGTH, 400_000, "", 1, 0, new WatchResponse.Event.Unchanged(), null);
+        state.onResponse(answer, 1_000_000, 1_450_000, content -> null);
+        assertEquals(Lease.end(granted, Lease.LENGTH), state.leaseUntilMicros());
         // A member that says it had the request for longer than it was away is not believed.
-        FollowState other = new FollowState(true, FollowState.Kept.NOTHING, 0);
-        other.heard(
-                new FollowAnswer(60_000_000, 90_000_000, "", 1, 0, new FollowAnswer.News.None(), null),
+        SubscriberState other = new SubscriberState(true, SubscriberState.Cached.EMPTY, 0);
+        other.onResponse(
+                new WatchResponse(60_000_000, 90_000_000, "", 1, 0, new WatchResponse.Event.Unchanged(), null),
                 1_000_000,
                 1_450_000,
                 content -> null);
-        assertEquals(Lease.end(1_450_000, Lease.LENGTH), other.until());
+        assertEquals(Lease.end(1_450_000, Lease.LENGTH), other.leaseUntilMicros());
     }
 
     @Test
-    void aServiceTellsTheShortestWayAndHoldsARequestThatHasAll() {
-        FollowService service = new FollowService("", 0);
+    void aServiceSendsTheSmallestUpdateAndHasNoneForARequestThatHasAll() {
+        WatchService service = new WatchService("", 0);
         Ledger.Document one = document(1, "x".repeat(500) + 1);
         Ledger.Document two = document(2, "x".repeat(500) + 2);
-        service.applied(one, Map.of(), 10, 0);
-        service.applied(two, Map.of(), 20, 0);
-        assertFalse(service.hasNews(request(20, two)));
-        assertTrue(service.hasNews(request(10, one)));
-        assertTrue(service.answer("s", request(10, one), 0, 0).news() instanceof FollowAnswer.News.Differences);
-        assertTrue(service.answer("s", request(0, null), 0, 0).news() instanceof FollowAnswer.News.Whole);
-        assertFalse(service.hasNews(request(30, document(3, "later"))), "one that is ahead of this member");
-        service.applied(one, Map.of(), 10, 0);
-        assertFalse(service.hasNews(request(20, two)), "an older state, as after a disk's failure, changes nothing");
-        assertTrue(service.powerless(0));
+        service.onApplied(one, Map.of(), 10, 0);
+        service.onApplied(two, Map.of(), 20, 0);
+        assertFalse(service.hasUpdate(request(20, two)));
+        assertTrue(service.hasUpdate(request(10, one)));
+        assertTrue(service.respond("s", request(10, one), 0, 0).event() instanceof WatchResponse.Event.Deltas);
+        assertTrue(service.respond("s", request(0, null), 0, 0).event() instanceof WatchResponse.Event.FullDocument);
+        assertFalse(service.hasUpdate(request(30, document(3, "later"))), "one that is ahead of this member");
+        service.onApplied(one, Map.of(), 10, 0);
+        assertFalse(service.hasUpdate(request(20, two)), "an older state, as after a disk's failure, changes nothing");
+        assertTrue(service.lacksOwnLease(0));
         assertEquals(
                 "off",
-                new FollowService("off", 0).answer("s", request(0, null), 0, 0).why());
+                new WatchService("off", 0).respond("s", request(0, null), 0, 0).leaseDenial());
     }
 }
--- /dev/null
+++ b/subscription/src/test/java/lupinvalve/subscription/SimulatedMember.java
@@ -0,0 +1,195 @@
+package lupinvalve.subscription;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.Map;
+import java.util.function.Consumer;
+import lupinvalve.audit.Lease;
+import lupinvalve.audit.Leases;
+import lupinvalve.subscription.SimulatedGroup.CommittedChange;
+import lupinvalve.subscription.SimulatedGroup.PlantedFault;
+
+/** A member in virtual time: applies the leader's log, has a lease of the leader, and serves subscribers. */
+final class SimulatedMember extends VirtualProcess {
+    private static final long CONFIRM_INTERVAL_MICROS = 100_000;
+    private static final long RENEW_INTERVAL_MICROS = 300_000;
+    private static final long REPLICATION_MIN_MICROS = 5_000;
+    private static final int REPLICATION_SPREAD_MICROS = 20_000;
+    private static final double LEADERSHIP_LOSS_NOTICED_RATIO = 0.3;
+    private static final long PLANTED_EXTRA_MICROS = 20_000_000;
+
+    private record PendingRequest(WatchRequest request, Runnable responder) {}
+
+    private final SimulatedGroup group;
+    private final VirtualNetwork network;
+    private final Map<String, PendingRequest> pendingBySubscriber = new HashMap<>();
+    private WatchService service;
+    /** The leases that this member grants to members while it leads, or null. */
+    private Leases memberLeases;
+
+    private long appliedIndex;
+    private long confirmedMicros;
+    private int appliedCount;
+    private boolean lagging;
+
+    SimulatedMember(SimulatedGroup group, VirtualNetwork network, String name) {
+        super(network, name);
+        this.group = group;
+        this.network = network;
+    }
+
+    void start() {
+        service = new WatchService("", clockMicros());
+        memberLeases = null;
+        pendingBySubscriber.clear();
+        // What its disk has is known at the start.
+        apply();
+        runLater(network.randomDelayMicros(), this::replicate);
+        renewOwnLease();
+        confirmLeadership();
+    }
+
+    /** Applies what the leader's log has, if the leader can be heard. */
+    private void replicate() {
+        SimulatedMember leader = group.leader();
+        boolean hearsLeader = this == leader || !lagging && leader.responds() && !network.isBlocked(leader, this);
+        if (hearsLeader && appliedCount < group.committedCount()) {
+            applyAll();
+        }
+        runLater(
+                REPLICATION_MIN_MICROS + (long) (network.random.nextDouble() * REPLICATION_SPREAD_MICROS),
+                this::replicate);
+    }
+
+    /** Applies everything that is committed. */
+    void applyAll() {
+        appliedCount = group.committedCount();
+        apply();
+    }
+
+    private void apply() {
+        for (CommittedChange change : group.committed(appliedCount)) {
+            // Each document by itself, so that there are deltas.
+            service.onApplied(
+                    change.document(), SimulatedGroup.drains(change.drainNumber()), change.index(), clockMicros());
+            appliedIndex = Math.max(appliedIndex, change.index());
+        }
+        for (String subscriber : new ArrayList<>(pendingBySubscriber.keySet())) {
+            if (service.hasUpdate(pendingBySubscriber.get(subscriber).request())) {
+                pendingBySubscriber.remove(subscriber).responder().run();
+            }
+        }
+    }
+
+    private void confirmLeadership() {
+        long startedMicros = clockMicros();
+        if (leads() && group.hasMajority(this)) {
+            runLater(network.randomDelayMicros(), () -> {
+                if (leads() && group.hasMajority(this)) {
+                    confirmedMicros = startedMicros;
+                    memberLeases = memberLeases == null ? new Leases(clockMicros(), appliedIndex) : memberLeases;
+                }
+            });
+        } else if (!leads() && network.random.nextDouble() < LEADERSHIP_LOSS_NOTICED_RATIO) {
+            // It learns sooner or later that it does not lead any more.
+            memberLeases = null;
+        }
+        runLater(CONFIRM_INTERVAL_MICROS, this::confirmLeadership);
+    }
+
+    private boolean leads() {
+        return group.leader() == this;
+    }
+
+    private void renewOwnLease() {
+        long requestedMicros = clockMicros();
+        long appliedFloor = service.appliedFloor(clockMicros());
+        SimulatedMember leader = group.leader();
+        if (leader == this) {
+            onOwnLease(grantMemberLease(name(), appliedIndex, appliedFloor), requestedMicros, appliedIndex);
+        } else {
+            network.send(this, leader, () -> {
+                Leases.Granted granted = leader.grantMemberLease(name(), appliedIndex, appliedFloor);
+                long leaderIndex = leader.appliedIndex;
+                leader.runLater(
+                        0, () -> network.send(leader, this, () -> onOwnLease(granted, requestedMicros, leaderIndex)));
+            });
+        }
+        runLater(RENEW_INTERVAL_MICROS, this::renewOwnLease);
+    }
+
+    private Leases.Granted grantMemberLease(String member, long memberIndex, long appliedFloor) {
+        long leftMicros = memberLeases == null ? 0 : confirmedMicros + Lease.LENGTH - clockMicros();
+        if (leftMicros <= 0) {
+            return new Leases.Granted(0, "");
+        }
+        Leases.Granted granted = memberLeases.renew(member, memberIndex, "", appliedFloor, clockMicros());
+        return new Leases.Granted(Math.min(leftMicros, granted.lengthMicros()), granted.why());
+    }
+
+    private void onOwnLease(Leases.Granted granted, long requestedMicros, long leaderIndex) {
+        if (granted.lengthMicros() > 0) {
+            long extraMicros = group.planted() == PlantedFault.GRANTS_PAST_OWN_LEASE ? PLANTED_EXTRA_MICROS : 0;
+            service.onOwnLease(
+                    Lease.end(requestedMicros, granted.lengthMicros()) + extraMicros,
+                    group.planted() == PlantedFault.LEADER_INDEX_IGNORED ? 0 : leaderIndex,
+                    clockMicros());
+        }
+    }
+
+    /** Takes a request as {@code SubscriptionServer} does; the handler is given null where the member rejects it. */
+    void onRequest(SimulatedSubscriber subscriber, WatchRequest request, Consumer<WatchResponse> handler) {
+        service.onRequest(subscriber.name());
+        long receivedMicros = clockMicros();
+        WatchRequest seen =
+                group.planted() == PlantedFault.ADMITS_LAGGING_SUBSCRIBER ? withHighestIndex(request) : request;
+        Runnable responder = () -> {
+            WatchResponse response = service.lacksOwnLease(clockMicros())
+                    ? null
+                    : service.respond(subscriber.name(), seen, clockMicros() - receivedMicros, clockMicros());
+            network.send(this, subscriber, () -> handler.accept(response));
+        };
+        if (service.hasUpdate(request)
+                || service.lacksOwnLease(clockMicros())
+                || service.canAdmit(subscriber.name(), request, clockMicros())) {
+            responder.run();
+            return;
+        }
+        PendingRequest pending = new PendingRequest(request, responder);
+        pendingBySubscriber.put(subscriber.name(), pending);
+        runLater(WatchService.LONG_POLL_MICROS, () -> {
+            if (pendingBySubscriber.remove(subscriber.name(), pending)) {
+                responder.run();
+            }
+        });
+    }
+
+    private static WatchRequest withHighestIndex(WatchRequest request) {
+        return new WatchRequest(
+                request.version(),
+                Long.MAX_VALUE,
+                request.revision(),
+                request.digest(),
+                request.drainsDigest(),
+                request.wantsLease(),
+                request.wantsFullDocument(),
+                request.objection());
+    }
+
+    Leases memberLeases() {
+        return memberLeases;
+    }
+
+    long confirmedMicros() {
+        return confirmedMicros;
+    }
+
+    void onElected() {
+        memberLeases = null;
+        applyAll();
+    }
+
+    void setLagging(boolean now) {
+        lagging = now;
+    }
+}
--- a/subscription/src/test/java/lupinvalve/subscription/SubscriptionSimulationTest.java
+++ b/subscription/src/test/java/lupinvalve/subscription/SubscriptionSimulationTest.java
@@ -8,88 +8,103 @@
 import java.util.Set;
 import java.util.TreeSet;
 import lupinvalve.audit.Lease;
+import lupinvalve.subscription.SimulatedGroup.PlantedFault;
 import org.junit.jupiter.api.Test;
 
 /**
- * Drawn courses of faults in virtual time: nobody acts on what is old or was never accepted, and all are well soon
- * after.
+ * Random faults in virtual time: no subscriber that may act has applied what is old or was never committed, and all are
+ * healthy soon after the faults.
  */
 class SubscriptionSimulationTest {
-    private static final long SECOND = 1_000_000, LASTS = 14 * SECOND, QUIET = 10 * SECOND;
-    private static final int COURSES = 1_000, SUBSCRIBERS = 8, LARGE_COURSES = 6, LARGE = 200;
+    private static final long SECOND_MICROS = 1_000_000;
+    private static final long FAULTS_MICROS = 14 * SECOND_MICROS;
+    private static final long QUIET_MICROS = 10 * SECOND_MICROS;
+    private static final long FAULT_MAX_MICROS = 12 * SECOND_MICROS;
+    private static final long CHECK_INTERVAL_MICROS = 20_000;
+    private static final int RUNS_COUNT = 1_000;
+    private static final int SUBSCRIBERS_COUNT = 8;
+    private static final int LARGE_RUNS_COUNT = 6;
+    private static final int LARGE_SUBSCRIBERS_COUNT = 200;
+    private static final int CHANGES_COUNT = 16;
 
-    /** Plays one course; what was wrong. */
-    private static SubscriptionWorld play(long seed, int subscribers, SubscriptionWorld.Planted planted) {
-        SubscriptionWorld world = new SubscriptionWorld(seed, subscribers, planted);
-        Random random = world.random;
-        world.watch(20_000);
-        world.corrupt(random.nextBoolean() ? 0.05 : 0);
-        for (int i = 0; i < 16; i++) {
-            boolean hold = random.nextInt(4) == 0;
+    private static SimulatedGroup run(long seed, int subscriberCount, PlantedFault planted) {
+        VirtualNetwork network = new VirtualNetwork(seed);
+        SimulatedGroup group = new SimulatedGroup(network, subscriberCount, planted);
+        SimulatedFaults faults = new SimulatedFaults(network, group);
+        Random random = network.random;
+        group.checkEach(CHECK_INTERVAL_MICROS);
+        group.corrupt(random.nextBoolean() ? 0.05 : 0);
+        for (int i = 0; i < CHANGES_COUNT; i++) {
+            boolean drain = random.nextInt(4) == 0;
             boolean strict = random.nextInt(3) == 0;
-            world.at((long) (random.nextDouble() * LASTS), () -> world.change(hold, strict));
+            network.runAt((long) (random.nextDouble() * FAULTS_MICROS), () -> group.commit(drain, strict));
         }
         for (int i = random.nextInt(7); i > 0; i--) {
-            int kind = random.nextInt(8);
-            // A member that is parted for long, with those that stay at it, is what leases are for.
-            double part = kind == 2 ? random.nextDouble() : random.nextDouble() * random.nextDouble();
-            long lasts = (long) (part * 12 * SECOND);
-            world.at((long) (random.nextDouble() * LASTS), () -> {
-                switch (kind) {
-                    case 0, 1 -> world.cutSomething(lasts);
-                    case 2 -> world.part(lasts);
-                    case 3 -> world.stand(true, lasts);
-                    case 4 -> world.stand(false, lasts);
-                    case 5 -> world.restartMember(lasts);
-                    case 6 -> world.herd(random.nextDouble());
-                    default -> world.lag(lasts);
-                }
-            });
+            scheduleFault(network, faults);
         }
-        world.play(LASTS);
-        world.heal();
-        world.play(LASTS + QUIET - SECOND);
-        world.change(false, false);
-        world.play(LASTS + QUIET + 6 * SECOND);
-        return world;
+        network.advanceTo(FAULTS_MICROS);
+        faults.heal();
+        network.advanceTo(FAULTS_MICROS + QUIET_MICROS - SECOND_MICROS);
+        group.commit(false, false);
+        network.advanceTo(FAULTS_MICROS + QUIET_MICROS + 6 * SECOND_MICROS);
+        return group;
+    }
+
+    private static void scheduleFault(VirtualNetwork network, SimulatedFaults faults) {
+        Random random = network.random;
+        int kind = random.nextInt(8);
+        // Long partitions, with subscribers that stay at the member, are what leases are for.
+        double ratio = kind == 2 ? random.nextDouble() : random.nextDouble() * random.nextDouble();
+        long forMicros = (long) (ratio * FAULT_MAX_MICROS);
+        network.runAt((long) (random.nextDouble() * FAULTS_MICROS), () -> {
+            switch (kind) {
+                case 0, 1 -> faults.blockOneWay(forMicros);
+                case 2 -> faults.partition(forMicros);
+                case 3 -> faults.pauseMember(forMicros);
+                case 4 -> faults.pauseSubscriber(forMicros);
+                case 5 -> faults.restartMember(forMicros);
+                case 6 -> faults.restartSubscribers(random.nextDouble());
+                default -> faults.lag(forMicros);
+            }
+        });
     }
 
     @Test
-    void nobodyActsOnWhatIsOldOrWasNeverAccepted() {
+    void nobodyActsOnWhatIsOldOrWasNeverCommitted() {
         Set<String> findings = new TreeSet<>();
-        long adopted = 0;
+        long updates = 0;
         long strict = 0;
-        long wrong = 0;
-        long latest = 0;
-        for (int seed = 0; seed < COURSES + LARGE_COURSES; seed++) {
-            SubscriptionWorld world = play(seed, seed < COURSES ? SUBSCRIBERS : LARGE, SubscriptionWorld.Planted.NONE);
-            for (String finding : world.findings()) {
+        long corruptions = 0;
+        long latestMicros = 0;
+        for (int seed = 0; seed < RUNS_COUNT + LARGE_RUNS_COUNT; seed++) {
+            SimulatedGroup group =
+                    run(seed, seed < RUNS_COUNT ? SUBSCRIBERS_COUNT : LARGE_SUBSCRIBERS_COUNT, PlantedFault.NONE);
+            for (String finding : group.findings()) {
                 findings.add("seed " + seed + ": " + finding);
             }
-            List<String> unwell = world.unwell();
-            if (!unwell.isEmpty()) {
-                findings.add("seed " + seed + ": not well in the end: " + unwell);
+            List<String> unhealthy = group.unhealthy();
+            if (!unhealthy.isEmpty()) {
+                findings.add("seed " + seed + ": not healthy in the end: " + unhealthy);
             }
-            adopted += world.adopted;
-            strict += world.strictDone;
-            wrong += world.wrongDigests;
-            latest = Math.max(latest, world.latestMicros);
+            updates += group.updateCount();
+            strict += group.strictDoneCount();
+            corruptions += group.corruptionCount();
+            latestMicros = Math.max(latestMicros, group.latestUnappliedMicros());
         }
         assertEquals(Set.of(), findings);
         // A lease's length until the member knows, the time to catch up, a lease's length again; with clocks that
         // drift.
+        double boundMicros = 2 * Lease.LENGTH * (1 + 2 * Lease.DRIFT) + SubscriberLeases.CATCH_UP_MICROS;
+        assertTrue(latestMicros > 3 * SECOND_MICROS && latestMicros < boundMicros, latestMicros + " us");
         assertTrue(
-                latest > 3 * SECOND && latest < 2 * Lease.LENGTH * (1 + 2 * Lease.DRIFT) + SubscriberTable.CATCH_UP,
-                latest + " us");
-        assertTrue(
-                adopted > 50_000 && strict > 1_000 && wrong > 100,
-                adopted + " taken up, " + strict + " strict, " + wrong + " wrong");
+                updates > 50_000 && strict > 1_000 && corruptions > 100,
+                updates + " updates, " + strict + " strict, " + corruptions + " corruptions");
     }
 
-    /** Whether one of the first courses shows what is planted. */
-    private static boolean found(SubscriptionWorld.Planted planted, String what) {
-        for (int seed = 0; seed < COURSES; seed++) {
-            if (play(seed, SUBSCRIBERS, planted).findings().stream().anyMatch(one -> one.contains(what))) {
+    /** Whether one of the first runs finds a planted fault. */
+    private static boolean finds(PlantedFault planted, String what) {
+        for (int seed = 0; seed < RUNS_COUNT; seed++) {
+            if (run(seed, SUBSCRIBERS_COUNT, planted).findings().stream().anyMatch(finding -> finding.contains(what))) {
                 return true;
             }
         }
@@ -97,16 +112,11 @@
     }
 
     @Test
-    void theCheckerBitesOnWhatIsPlanted() {
-        assertTrue(found(SubscriptionWorld.Planted.LEASE_FROM_ANSWER, "strict"), "a lease counted from its answer");
-        assertTrue(
-                found(SubscriptionWorld.Planted.DIGEST_UNCHECKED, "nobody accepted"), "a digest that is not checked");
-        assertTrue(
-                found(SubscriptionWorld.Planted.GRANTS_PAST_ITS_OWN, "late"),
-                "a member that grants past its own lease");
-        assertTrue(
-                found(SubscriptionWorld.Planted.LEADERS_CHANGE_UNHEARD, "late"),
-                "a member that does not hear what the leader has");
-        assertTrue(found(SubscriptionWorld.Planted.LET_IN_BEHIND, "strict"), "one let in that acts on less");
+    void theCheckerFindsPlantedFaults() {
+        assertTrue(finds(PlantedFault.LEASE_COUNTED_FROM_RESPONSE, "strict"), "a lease counted from its response");
+        assertTrue(finds(PlantedFault.DIGEST_UNCHECKED, "nobody accepted"), "a digest that is not checked");
+        assertTrue(finds(PlantedFault.GRANTS_PAST_OWN_LEASE, "late"), "a member that grants past its own lease");
+        assertTrue(finds(PlantedFault.LEADER_INDEX_IGNORED, "late"), "a member that does not know what the leader has");
+        assertTrue(finds(PlantedFault.ADMITS_LAGGING_SUBSCRIBER, "strict"), "a lease for one that has not caught up");
     }
 }
