--- a/capacity/src/main/java/lupinvalve/capacity/SubscriptionFigures.java
+++ b/capacity/src/main/java/lupinvalve/capacity/SubscriptionFigures.java
@@ -44,7 +44,7 @@
                         "replication/SubscriptionServer.java"),
                 Figure.of(
                         "a change in force at a pooler, or its lease ended, at most, drift not counted",
-                        (2 * Lease.LENGTH + SubscriberLeases.CATCH_UP_MICROS) / MICROS,
+                        (2 * Lease.DURATION_MICROS + SubscriberLeases.CATCH_UP_MICROS) / MICROS,
                         d.inForceSeconds(),
                         Unit.SECONDS,
                         Basis.COMPUTED,
@@ -53,10 +53,10 @@
                 Figure.of(
                         "a request lost and one at another member, before a lease ends",
                         2 * WatchService.LONG_POLL_MICROS / MICROS,
-                        Lease.LENGTH / MICROS,
+                        Lease.DURATION_MICROS / MICROS,
                         Unit.SECONDS,
                         Basis.COMPUTED,
-                        "`WatchService.LONG_POLL_MICROS`, `Lease.LENGTH`",
+                        "`WatchService.LONG_POLL_MICROS`, `Lease.DURATION_MICROS`",
                         "subscription/MemberSelector.java"));
         return all.stream().map(figure -> figure.in(Figure.Scope.SUBSCRIPTIONS)).toList();
     }
--- a/daemon/src/main/java/lupinvalve/cli/Daemon.java
+++ b/daemon/src/main/java/lupinvalve/cli/Daemon.java
@@ -7,8 +7,8 @@
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import lupinvalve.admin.Calls;
-import lupinvalve.admin.Door;
+import lupinvalve.admin.AdminCommands;
+import lupinvalve.admin.AdminServer;
 import lupinvalve.config.NodeConfig;
 import lupinvalve.config.OperatorConfig;
 import lupinvalve.core.Directory;
@@ -29,7 +29,7 @@
 import lupinvalve.pg.PgFront;
 import lupinvalve.replication.ControlPlane;
 import lupinvalve.replication.Group;
-import lupinvalve.routing.Routing;
+import lupinvalve.routing.RequestClass;
 
 /** One pooler with all its parts. */
 public final class Daemon {
@@ -79,7 +79,7 @@
     private MysqlBackend mysqlNodes;
     private volatile Net.Listener mysqlListener;
     private Operations operations;
-    private Door door;
+    private AdminServer door;
     private final List<Pool> pools = new ArrayList<>();
     private Shared shared;
     private Late late;
@@ -140,7 +140,7 @@
                     : folder.resolve("lupinvalve-" + config.name().replaceAll("[^A-Za-z0-9_.-]", "_"));
             operations = new Operations(
                     pooler, stem, this::endConnections, another -> pools.forEach(pool -> pool.beside(another)));
-            door = new Door(new Calls(operations));
+            door = new AdminServer(new AdminCommands(operations));
         }
     }
 
@@ -296,7 +296,7 @@
     public void start() throws IOException, InterruptedException {
         if (door != null) {
             try {
-                door.listen(config.operator());
+                door.bind(config.operator());
             } catch (IOException e) {
                 throw new IOException("operator: " + config.operator() + " can't be listened on: " + e.getMessage(), e);
             }
@@ -430,7 +430,7 @@
                     "ending%s: %d requests, %d clients",
                     succeeded ? " after a successor's start" : "", pooler.open(), front.open());
             long longest = 0;
-            for (Routing.RequestClass kind : config.site().settings().classes()) {
+            for (RequestClass kind : config.site().settings().classes()) {
                 longest = Math.max(longest, kind.deadlineMicros());
             }
             long left = Math.min(longest, LONGEST) + KILL - ANSWERED;
@@ -504,7 +504,7 @@
     public void stop() {
         leaveGroup();
         if (door != null) {
-            door.stop();
+            door.close();
             operations.stop();
         }
         net.close();
--- a/daemon/src/main/java/lupinvalve/cli/Shared.java
+++ b/daemon/src/main/java/lupinvalve/cli/Shared.java
@@ -16,9 +16,12 @@
 import lupinvalve.replication.Group;
 import lupinvalve.replication.Subscriber;
 import lupinvalve.replication.Tokens;
-import lupinvalve.routing.Routing;
-import lupinvalve.statemachine.Change;
-import lupinvalve.statemachine.Ledger;
+import lupinvalve.routing.AttemptOutcome;
+import lupinvalve.routing.Endpoint;
+import lupinvalve.routing.LogPosition;
+import lupinvalve.routing.ServerRole;
+import lupinvalve.statemachine.Command;
+import lupinvalve.statemachine.ReplicatedState;
 
 /** What the group has accepted, brought to the core thread, and what the core knows brought to the group. */
 final class Shared implements Group.Pooler {
@@ -32,7 +35,7 @@
     private final Consumer<byte[]> adopted;
     private final Consumer<Boolean> held;
     private Orders orders = Orders.NONE;
-    private List<Routing.Member> told = List.of();
+    private List<Endpoint> told = List.of();
     private long toldAt;
 
     /**
@@ -71,8 +74,8 @@
     /** The db nodes that were known last, for a start before discovery answers. */
     List<Directory.Entry> entries() {
         List<Directory.Entry> entries = new ArrayList<>();
-        for (Change.Listed listed : known.nodes()) {
-            entries.add(new Directory.Entry(listed.member(), listed.addresses()));
+        for (Command.KnownEndpoint listed : known.nodes()) {
+            entries.add(new Directory.Entry(listed.endpoint(), listed.addresses()));
         }
         return entries;
     }
@@ -83,14 +86,14 @@
 
     /** Begins to tell the group of the list; core thread, once the pooler has started. */
     void follow() {
-        for (Change.Listed listed : known.nodes()) {
-            if (listed.position() != Routing.NO_POSITION) {
+        for (Command.KnownEndpoint listed : known.nodes()) {
+            if (listed.logPosition() != LogPosition.UNKNOWN) {
                 pooler.probed(
-                        listed.member().node(),
-                        Routing.Ending.SERVED,
+                        listed.endpoint().node(),
+                        AttemptOutcome.SERVED,
                         0,
-                        listed.position(),
-                        listed.member().listedPrimary() ? Routing.Role.PRIMARY : Routing.Role.REPLICA);
+                        listed.logPosition(),
+                        listed.endpoint().listedPrimary() ? ServerRole.PRIMARY : ServerRole.REPLICA);
             }
         }
         look();
@@ -99,15 +102,14 @@
     /** The leader's pooler tells: one list for all is enough, and all poolers see the same db nodes. */
     private void look() {
         List<Pooler.Known> nodes = pooler.known();
-        List<Routing.Member> members =
-                nodes.stream().map(one -> one.entry().member()).toList();
+        List<Endpoint> members = nodes.stream().map(one -> one.entry().member()).toList();
         long now = pooler.loop().now();
         if (plane.leads() && !nodes.isEmpty() && (!members.equals(told) || now - toldAt > REFRESH)) {
             told = members;
             toldAt = now;
             plane.listing(nodes.stream()
-                    .map(one ->
-                            new Change.Listed(one.entry().member(), one.entry().addresses(), one.position()))
+                    .map(one -> new Command.KnownEndpoint(
+                            one.entry().member(), one.entry().addresses(), one.position()))
                     .toList());
         }
         pooler.loop().after(LOOK, this::look);
@@ -131,15 +133,17 @@
     }
 
     @Override
-    public void adopt(Ledger.Document document) {
+    public void adopt(ReplicatedState.Document document) {
         pooler.loop().post(() -> adopted.accept(document.content()));
     }
 
     @Override
-    public void holds(Map<Change.Holding, Ledger.Held> holds) {
+    public void holds(Map<Command.DrainTarget, ReplicatedState.Drain> holds) {
         Set<String> out = new TreeSet<>();
-        holds.keySet().stream().filter(one -> one.kind() == Change.Kind.NODE).forEach(one -> out.add(one.name()));
-        boolean self = holds.containsKey(new Change.Holding(Change.Kind.POOLER, name));
+        holds.keySet().stream()
+                .filter(one -> one.kind() == Command.TargetKind.NODE)
+                .forEach(one -> out.add(one.name()));
+        boolean self = holds.containsKey(new Command.DrainTarget(Command.TargetKind.POOLER, name));
         pooler.loop().urgent(() -> {
             Map<String, Long> back = new HashMap<>(orders.back());
             back.keySet().removeAll(out);
@@ -153,7 +157,7 @@
     }
 
     @Override
-    public void commits(Change.Commits commits) {
+    public void commits(Command.SessionCommits commits) {
         pooler.loop().post(() -> tokens.accepted(commits));
     }
 }
--- a/daemon/src/test/java/lupinvalve/replication/OldMemberTest.java
+++ b/daemon/src/test/java/lupinvalve/replication/OldMemberTest.java
@@ -21,10 +21,10 @@
 import lupinvalve.integration.World;
 import lupinvalve.log.Log;
 import lupinvalve.statemachine.Cbor;
-import lupinvalve.statemachine.Change;
-import lupinvalve.statemachine.Founding;
-import lupinvalve.statemachine.Identity;
-import lupinvalve.statemachine.Ledger;
+import lupinvalve.statemachine.ClusterBootstrap;
+import lupinvalve.statemachine.Command;
+import lupinvalve.statemachine.MemberId;
+import lupinvalve.statemachine.ReplicatedState;
 import lupinvalve.subscription.WatchRequest;
 import lupinvalve.subscription.WatchResponse;
 import org.junit.jupiter.api.Test;
@@ -46,8 +46,7 @@
             while (!server.isClosed()) {
                 try (Socket socket = server.accept()) {
                     serve(socket, name, calls, answers);
-                } catch (IOException e) {
-                    // It has gone, or this one is over.
+                } catch (IOException e) { // It has gone, or this one is over.
                 }
             }
         });
@@ -59,8 +58,8 @@
     private static void serve(
             Socket socket, String name, AtomicInteger calls, java.util.function.Function<Messages.Call, byte[]> answers)
             throws IOException {
-        Founding.Word word = new Founding.Word(
-                new Identity(name, "disk"), Founding.Phase.FOUNDED, Set.of(new Identity(name, "disk")));
+        ClusterBootstrap.Announcement word = new ClusterBootstrap.Announcement(
+                new MemberId(name, "disk"), ClusterBootstrap.Phase.BOOTSTRAPPED, Set.of(new MemberId(name, "disk")));
         socket.getOutputStream().write(new Messages.Hello("plant", name, "127.0.0.1:1", word).write());
         DataInputStream in = new DataInputStream(socket.getInputStream());
         while (true) {
@@ -77,15 +76,16 @@
     private static byte[] oldAnswer(Messages.Call call) {
         return Messages.message(
                 Messages.Kind.ANSWER,
-                new Cbor.Out()
+                new Cbor.Writer()
                         .number(call.id())
                         .number(Messages.Code.REFUSED.ordinal())
                         .text("no such call: " + call.name())
-                        .done());
+                        .toByteArray());
     }
 
     private static byte[] newAnswer(Messages.Call call) {
-        Ledger.Document document = new Ledger.Document(1, 1, Ledger.digest(DOCUMENT), DOCUMENT);
+        ReplicatedState.Document document =
+                new ReplicatedState.Document(1, 1, ReplicatedState.digest(DOCUMENT), DOCUMENT);
         byte[] content =
                 new WatchResponse(0, 0, "", 1, 20, new WatchResponse.Event.FullDocument(document), Map.of()).write();
         return new Messages.Answer(call.id(), Messages.Code.OK, "", content).write();
@@ -96,17 +96,20 @@
         ByteArrayOutputStream lines = new ByteArrayOutputStream();
         AtomicInteger old = new AtomicInteger();
         AtomicInteger current = new AtomicInteger();
-        AtomicReference<Ledger.Document> acting = new AtomicReference<>();
-        // Other tests' world makes the log quiet as it is set up: not after this one has made it loud.
+        AtomicReference<ReplicatedState.Document> acting =
+                new AtomicReference<>(); // Other tests' world makes the log quiet as it is set up: not after this one
+        // has made it loud.
         World.await("the world is there", () -> true);
         Log.Level before = Log.least();
         try (ServerSocket a = member("a", old, OldMemberTest::oldAnswer);
                 ServerSocket b = member("b", current, OldMemberTest::newAnswer)) {
             Log.to(new PrintStream(lines, true));
             Log.least(Log.Level.INFO);
-            Map<String, String> members =
-                    Map.of("a", "127.0.0.1:" + a.getLocalPort(), "b", "127.0.0.1:" + b.getLocalPort());
-            // A name whose first member is the old one.
+            Map<String, String> members = Map.of(
+                    "a",
+                    "127.0.0.1:" + a.getLocalPort(),
+                    "b",
+                    "127.0.0.1:" + b.getLocalPort()); // A name whose first member is the old one.
             String name = java.util.stream.IntStream.range(0, 100)
                     .mapToObj(i -> "s" + i)
                     .filter(one -> new lupinvalve.subscription.MemberSelector(one, members.keySet(), 1)
@@ -129,7 +132,7 @@
         assertTrue(said.contains("store: follows b"), said);
     }
 
-    private static Group.Pooler pooler(AtomicReference<Ledger.Document> acting) {
+    private static Group.Pooler pooler(AtomicReference<ReplicatedState.Document> acting) {
         return new Group.Pooler() {
             @Override
             public String objection(byte[] document) {
@@ -137,18 +140,16 @@
             }
 
             @Override
-            public void adopt(Ledger.Document document) {
+            public void adopt(ReplicatedState.Document document) {
                 acting.set(document);
             }
 
             @Override
-            public void holds(Map<Change.Holding, Ledger.Held> holds) {
-                // None are told.
+            public void holds(Map<Command.DrainTarget, ReplicatedState.Drain> holds) { // None are told.
             }
 
             @Override
-            public void commits(Change.Commits commits) {
-                // Subscribers are told of none.
+            public void commits(Command.SessionCommits commits) { // Subscribers are told of none.
             }
         };
     }
--- a/daemon/src/test/java/lupinvalve/replication/StoredFolderTest.java
+++ b/daemon/src/test/java/lupinvalve/replication/StoredFolderTest.java
@@ -22,17 +22,19 @@
 import java.util.TreeMap;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.stream.Stream;
-import lupinvalve.audit.Entry;
+import lupinvalve.audit.AuditEntry;
 import lupinvalve.config.OperatorConfig;
-import lupinvalve.hotrestart.OrdersFile;
+import lupinvalve.hotrestart.DrainCommandsFile;
 import lupinvalve.integration.World;
 import lupinvalve.maintenance.Maintenance.Orders;
-import lupinvalve.routing.Routing;
-import lupinvalve.statemachine.Change;
-import lupinvalve.statemachine.Encoding;
-import lupinvalve.statemachine.Founding;
-import lupinvalve.statemachine.Identity;
-import lupinvalve.statemachine.Ledger;
+import lupinvalve.routing.Endpoint;
+import lupinvalve.routing.EndpointState;
+import lupinvalve.statemachine.ClusterBootstrap;
+import lupinvalve.statemachine.Command;
+import lupinvalve.statemachine.CommandCodec;
+import lupinvalve.statemachine.MemberId;
+import lupinvalve.statemachine.ReplicatedState;
+import lupinvalve.statemachine.SnapshotCodec;
 import lupinvalve.subscription.SubscriberState;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -49,39 +51,39 @@
     private static final int TERM = 2;
     private static final Map<String, String> DISK_BY_MEMBER =
             new TreeMap<>(Map.of("a", "c876e5246182ce42", "b", "a8fbc8210afc91b7", "c", "f15e070c7b571e53"));
-    private static final Change.Holding DB_1 = new Change.Holding(Change.Kind.NODE, "db-1");
-    private static final Change.Holding DB_2 = new Change.Holding(Change.Kind.NODE, "db-2");
-    private static final Change.Holding DB_3 = new Change.Holding(Change.Kind.NODE, "db-3");
-    private static final Change.Holding POOLER_7 = new Change.Holding(Change.Kind.POOLER, "pooler-7");
-    private static final Change.Holding POOLER_8 = new Change.Holding(Change.Kind.POOLER, "pooler-8");
+    private static final Command.DrainTarget DB_1 = new Command.DrainTarget(Command.TargetKind.NODE, "db-1");
+    private static final Command.DrainTarget DB_2 = new Command.DrainTarget(Command.TargetKind.NODE, "db-2");
+    private static final Command.DrainTarget DB_3 = new Command.DrainTarget(Command.TargetKind.NODE, "db-3");
+    private static final Command.DrainTarget POOLER_7 = new Command.DrainTarget(Command.TargetKind.POOLER, "pooler-7");
+    private static final Command.DrainTarget POOLER_8 = new Command.DrainTarget(Command.TargetKind.POOLER, "pooler-8");
 
     /** What was put before the leader's snapshot. */
-    private static final List<Change> BEFORE_SNAPSHOT = List.of(
+    private static final List<Command> BEFORE_SNAPSHOT = List.of(
             put(0, "first"),
             put(1, "second"),
             // Turned down, as revision 2 held by then.
             put(1, "conflicting"),
-            new Change.Hold(DB_1, "disk", PUT_MICROS + 1),
-            new Change.Hold(POOLER_7, "upgrade", PUT_MICROS + 2),
-            new Change.Hold(DB_2, "mistake", PUT_MICROS + 3),
-            new Change.Release(DB_2),
+            new Command.StartDrain(DB_1, "disk", PUT_MICROS + 1),
+            new Command.StartDrain(POOLER_7, "upgrade", PUT_MICROS + 2),
+            new Command.StartDrain(DB_2, "mistake", PUT_MICROS + 3),
+            new Command.EndDrain(DB_2),
             commits(PUT_MICROS, 0, 300),
             listing(10, 3),
             notes(1, 3),
-            new Change.Place("d", "127.0.0.1:4004"),
-            new Change.Place("e", "127.0.0.1:4005"));
+            new Command.SetMemberAddress("d", "127.0.0.1:4004"),
+            new Command.SetMemberAddress("e", "127.0.0.1:4005"));
 
     /** What was put after it, and after the restart of all members. */
-    private static final List<Change> AFTER_SNAPSHOT = List.of(
+    private static final List<Command> AFTER_SNAPSHOT = List.of(
             put(2, "third"),
-            new Change.Hold(POOLER_8, "", PUT_MICROS + 4),
+            new Command.StartDrain(POOLER_8, "", PUT_MICROS + 4),
             commits(PUT_MICROS + 1_000, 250, 350),
             listing(11, 5),
             notes(4, 2),
-            new Change.Place("e", ""),
+            new Command.SetMemberAddress("e", ""),
             put(3, "fourth"),
-            new Change.Release(DB_1),
-            new Change.Hold(DB_3, "grüße", PUT_MICROS + 5));
+            new Command.EndDrain(DB_1),
+            new Command.StartDrain(DB_3, "grüße", PUT_MICROS + 5));
 
     @TempDir
     private Path folder;
@@ -105,35 +107,35 @@
         return ("{\"mysql\":{\"user\":\"" + user + "\"}}").getBytes(StandardCharsets.UTF_8);
     }
 
-    private static Change put(long expectedRevision, String user) {
-        return new Change.Put(expectedRevision, document(user));
+    private static Command put(long expectedRevision, String user) {
+        return new Command.PutDocument(expectedRevision, document(user));
     }
 
-    private static Change.Commits commits(long atMicros, int from, int to) {
+    private static Command.SessionCommits commits(long atMicros, int from, int to) {
         Map<String, Long> positions = new HashMap<>();
         for (int i = from; i < to; i++) {
             positions.put("session-" + i, atMicros + i);
         }
-        return new Change.Commits(atMicros, positions);
+        return new Command.SessionCommits(atMicros, positions);
     }
 
-    private static Change.Listing listing(long revision, int count) {
-        List<Change.Listed> nodes = new ArrayList<>();
+    private static Command.EndpointList listing(long revision, int count) {
+        List<Command.KnownEndpoint> nodes = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            Routing.Health health = i == 4 ? Routing.Health.DRAINING : Routing.Health.LIVE;
-            Routing.Member member = new Routing.Member("db-" + i, i / 3, i % 2, health, i % 3 == 0, PUT_MICROS + i);
+            EndpointState state = i == 4 ? EndpointState.DRAINING : EndpointState.LIVE;
+            Endpoint endpoint = new Endpoint("db-" + i, i / 3, i % 2, state, i % 3 == 0, PUT_MICROS + i);
             Map<String, String> addresses = Map.of("pg", "127.0.0.1:" + (5400 + i), "mysql", "127.0.0.1:" + (3300 + i));
-            nodes.add(new Change.Listed(member, addresses, PUT_MICROS + 100L * i));
+            nodes.add(new Command.KnownEndpoint(endpoint, addresses, PUT_MICROS + 100L * i));
         }
-        return new Change.Listing(revision, nodes);
+        return new Command.EndpointList(revision, nodes);
     }
 
-    private static Entry note(long number) {
-        return new Entry(
+    private static AuditEntry note(long number) {
+        return new AuditEntry(
                 "pooler-x",
                 PUT_MICROS,
                 number,
-                Entry.What.ADOPTED,
+                AuditEntry.Event.ADOPTED,
                 "rev-" + number,
                 number,
                 PUT_MICROS + number,
@@ -142,12 +144,12 @@
                 "00");
     }
 
-    private static Change.Noted notes(long first, int count) {
+    private static Command.AppendAudit notes(long first, int count) {
         List<byte[]> entries = new ArrayList<>();
         for (long number = first; number < first + count; number++) {
-            entries.add(note(number).write());
+            entries.add(note(number).encode());
         }
-        return new Change.Noted("pooler-x", PUT_MICROS, first, entries);
+        return new Command.AppendAudit("pooler-x", PUT_MICROS, first, entries);
     }
 
     private static Map<String, Long> lastCommits() {
@@ -156,9 +158,9 @@
         return all;
     }
 
-    private static Set<Identity> founders() {
-        Set<Identity> founders = new java.util.TreeSet<>();
-        DISK_BY_MEMBER.forEach((name, disk) -> founders.add(new Identity(name, disk)));
+    private static Set<MemberId> founders() {
+        Set<MemberId> founders = new java.util.TreeSet<>();
+        DISK_BY_MEMBER.forEach((name, disk) -> founders.add(new MemberId(name, disk)));
         return founders;
     }
 
@@ -171,19 +173,23 @@
     @Test
     void eachMemberHasItsIdentityTermVoteAndFounders() throws IOException {
         for (Map.Entry<String, String> member : DISK_BY_MEMBER.entrySet()) {
-            Identity identity = new Identity(member.getKey(), member.getValue());
+            MemberId identity = new MemberId(member.getKey(), member.getValue());
             SegmentedLog log = SegmentedLog.open(disk(member.getKey()), CLUSTER, member.getKey(), "unused");
-            assertEquals(new Founding.Word(identity, Founding.Phase.FOUNDED, founders()), log.word());
+            assertEquals(
+                    new ClusterBootstrap.Announcement(identity, ClusterBootstrap.Phase.BOOTSTRAPPED, founders()),
+                    log.word());
             assertEquals(TERM, log.termNumber());
             RestoredRaftState restored = log.restored();
             assertEquals(
                     identity,
-                    Endpoint.of(restored.getLocalEndpointPersistentState().getLocalEndpoint()));
+                    lupinvalve.replication.Endpoint.of(
+                            restored.getLocalEndpointPersistentState().getLocalEndpoint()));
             assertTrue(restored.getLocalEndpointPersistentState().isVoting());
             assertEquals(TERM, restored.getTermPersistentState().getTerm());
             assertEquals(
-                    new Identity("b", DISK_BY_MEMBER.get("b")),
-                    Endpoint.of(restored.getTermPersistentState().getVotedFor()));
+                    new MemberId("b", DISK_BY_MEMBER.get("b")),
+                    lupinvalve.replication.Endpoint.of(
+                            restored.getTermPersistentState().getVotedFor()));
             assertEquals(3, restored.getInitialGroupMembers().getMembers().size());
             log.close(true);
         }
@@ -199,24 +205,24 @@
         }
     }
 
-    private static void assertState(Ledger ledger) {
-        assertEquals(LAST_INDEX, ledger.applied());
-        assertEquals(4, ledger.revision());
-        assertArrayEquals(document("fourth"), ledger.document().content());
-        assertEquals("921e36fb7a3e3de3", ledger.document().digest());
-        Map<Change.Holding, Ledger.Held> drains = new TreeMap<>();
-        drains.put(POOLER_7, new Ledger.Held("upgrade", PUT_MICROS + 2));
-        drains.put(POOLER_8, new Ledger.Held("", PUT_MICROS + 4));
-        drains.put(DB_3, new Ledger.Held("grüße", PUT_MICROS + 5));
-        assertEquals(drains, ledger.holds());
-        assertEquals(lastCommits(), Encoding.commits(ledger).positions());
-        assertEquals(PUT_MICROS + 1_000, Encoding.commits(ledger).atMicros());
-        assertEquals(listing(11, 5), ledger.listing());
-        assertEquals("127.0.0.1:4004", ledger.places().get("d"));
-        assertEquals(null, ledger.places().get("e"));
+    private static void assertState(ReplicatedState state) {
+        assertEquals(LAST_INDEX, state.appliedIndex());
+        assertEquals(4, state.revision());
+        assertArrayEquals(document("fourth"), state.document().content());
+        assertEquals("921e36fb7a3e3de3", state.document().digest());
+        Map<Command.DrainTarget, ReplicatedState.Drain> drains = new TreeMap<>();
+        drains.put(POOLER_7, new ReplicatedState.Drain("upgrade", PUT_MICROS + 2));
+        drains.put(POOLER_8, new ReplicatedState.Drain("", PUT_MICROS + 4));
+        drains.put(DB_3, new ReplicatedState.Drain("grüße", PUT_MICROS + 5));
+        assertEquals(drains, state.drains());
+        assertEquals(lastCommits(), state.sessionCommits().positions());
+        assertEquals(PUT_MICROS + 1_000, state.sessionCommits().atMicros());
+        assertEquals(listing(11, 5), state.endpointList());
+        assertEquals("127.0.0.1:4004", state.memberAddresses().get("d"));
+        assertEquals(null, state.memberAddresses().get("e"));
         for (long number = 1; number <= 5; number++) {
-            byte[] entry = ledger.noted().get("pooler-x/" + PUT_MICROS + "/" + number);
-            assertArrayEquals(note(number).write(), entry, "note " + number);
+            byte[] entry = state.auditEntries().get("pooler-x/" + PUT_MICROS + "/" + number);
+            assertArrayEquals(note(number).encode(), entry, "note " + number);
         }
     }
 
@@ -225,25 +231,26 @@
         List<String> changes = new ArrayList<>();
         for (LogEntry entry : log.restored().getLogEntries()) {
             if (entry.getOperation() instanceof byte[] bytes) {
-                Change change = Encoding.read(bytes);
-                boolean ownNote = change instanceof Change.Noted noted && DISK_BY_MEMBER.containsKey(noted.pooler());
-                if (!ownNote && !(change instanceof Change.Nothing)) {
-                    changes.add(HexFormat.of().formatHex(Encoding.write(change)));
+                Command change = CommandCodec.decode(bytes);
+                boolean ownNote =
+                        change instanceof Command.AppendAudit noted && DISK_BY_MEMBER.containsKey(noted.pooler());
+                if (!ownNote && !(change instanceof Command.NoOp)) {
+                    changes.add(HexFormat.of().formatHex(CommandCodec.encode(change)));
                 }
             }
         }
         return changes;
     }
 
-    private static List<String> bytes(List<Change> changes) {
+    private static List<String> bytes(List<Command> changes) {
         return changes.stream()
-                .map(change -> HexFormat.of().formatHex(Encoding.write(change)))
+                .map(change -> HexFormat.of().formatHex(CommandCodec.encode(change)))
                 .toList();
     }
 
     @Test
     void membersWithoutASnapshotHaveEachChangeInOrder() throws IOException {
-        List<Change> all = new ArrayList<>(BEFORE_SNAPSHOT);
+        List<Command> all = new ArrayList<>(BEFORE_SNAPSHOT);
         all.addAll(AFTER_SNAPSHOT);
         for (String member : List.of("b", "c")) {
             SegmentedLog log = SegmentedLog.open(disk(member), CLUSTER, member, "unused");
@@ -258,25 +265,24 @@
         SegmentedLog log = SegmentedLog.open(disk("a"), CLUSTER, "a", "unused");
         assertEquals(SNAPSHOT_INDEX, log.restored().getSnapshotEntry().getIndex());
         assertEquals(bytes(AFTER_SNAPSHOT), changes(log));
-        Ledger ledger = new Ledger();
-        Encoding.restore(ledger, log.snapshotPieces());
-        assertEquals(SNAPSHOT_INDEX, ledger.applied());
-        assertEquals(2, ledger.revision());
-        assertArrayEquals(document("second"), ledger.document().content());
+        ReplicatedState state = new ReplicatedState();
+        SnapshotCodec.restore(state, log.snapshotPieces());
+        assertEquals(SNAPSHOT_INDEX, state.appliedIndex());
+        assertEquals(2, state.revision());
+        assertArrayEquals(document("second"), state.document().content());
         assertEquals(
                 Map.of(
                         DB_1,
-                        new Ledger.Held("disk", PUT_MICROS + 1),
+                        new ReplicatedState.Drain("disk", PUT_MICROS + 1),
                         POOLER_7,
-                        new Ledger.Held("upgrade", PUT_MICROS + 2)),
-                ledger.holds());
+                        new ReplicatedState.Drain("upgrade", PUT_MICROS + 2)),
+                state.drains());
         assertEquals(
-                commits(PUT_MICROS, 0, 300).positions(),
-                Encoding.commits(ledger).positions());
-        assertEquals(listing(10, 3), ledger.listing());
-        assertEquals("127.0.0.1:4004", ledger.places().get("d"));
-        assertEquals("127.0.0.1:4005", ledger.places().get("e"));
-        assertArrayEquals(note(3).write(), ledger.noted().get("pooler-x/" + PUT_MICROS + "/3"));
+                commits(PUT_MICROS, 0, 300).positions(), state.sessionCommits().positions());
+        assertEquals(listing(10, 3), state.endpointList());
+        assertEquals("127.0.0.1:4004", state.memberAddresses().get("d"));
+        assertEquals("127.0.0.1:4005", state.memberAddresses().get("e"));
+        assertArrayEquals(note(3).encode(), state.auditEntries().get("pooler-x/" + PUT_MICROS + "/3"));
         log.close(true);
     }
 
@@ -306,24 +312,24 @@
             assertEquals(3, cached.document().revision());
             assertArrayEquals(document("third"), cached.document().content());
             assertEquals("74b992bccade1b13", cached.document().digest());
-            Map<Change.Holding, Ledger.Held> drains = new TreeMap<>();
-            drains.put(DB_1, new Ledger.Held("disk", PUT_MICROS + 1));
-            drains.put(POOLER_7, new Ledger.Held("upgrade", PUT_MICROS + 2));
-            drains.put(POOLER_8, new Ledger.Held("", PUT_MICROS + 4));
+            Map<Command.DrainTarget, ReplicatedState.Drain> drains = new TreeMap<>();
+            drains.put(DB_1, new ReplicatedState.Drain("disk", PUT_MICROS + 1));
+            drains.put(POOLER_7, new ReplicatedState.Drain("upgrade", PUT_MICROS + 2));
+            drains.put(POOLER_8, new ReplicatedState.Drain("", PUT_MICROS + 4));
             assertEquals(drains, cached.drains());
             assertTrue(cached.index() > SNAPSHOT_INDEX && cached.index() < LAST_INDEX, cached.index() + "");
         }
     }
 
     @Test
-    void theOrdersFileHasWhatWasTakenOutAndBack() {
-        Orders orders = new OrdersFile(folder.resolve("orders/pooler")).changed(Orders.NONE);
+    void theDrainCommandsFileHasWhatWasTakenOutAndBack() {
+        Orders orders = new DrainCommandsFile(folder.resolve("orders/pooler")).readIfChanged(Orders.NONE);
         assertEquals(new Orders(Set.of("db-4"), Map.of("db-1", PUT_MICROS + 2)), orders);
     }
 
     // ---- all of it running ----
 
-    private static Group.Pooler pooler(Map<String, Ledger.Document> documents, String name) {
+    private static Group.Pooler pooler(Map<String, ReplicatedState.Document> documents, String name) {
         return new Group.Pooler() {
             @Override
             public String objection(byte[] document) {
@@ -331,17 +337,17 @@
             }
 
             @Override
-            public void adopt(Ledger.Document document) {
+            public void adopt(ReplicatedState.Document document) {
                 documents.put(name, document);
             }
 
             @Override
-            public void holds(Map<Change.Holding, Ledger.Held> holds) {
+            public void holds(Map<Command.DrainTarget, ReplicatedState.Drain> holds) {
                 // The state has been looked at above.
             }
 
             @Override
-            public void commits(Change.Commits commits) {
+            public void commits(Command.SessionCommits commits) {
                 // The state has been looked at above.
             }
         };
@@ -364,7 +370,7 @@
     @Test
     void theGroupGoesOnFromIt() throws Exception {
         Map<String, String> addresses = freeAddresses();
-        Map<String, Ledger.Document> documents = new ConcurrentHashMap<>();
+        Map<String, ReplicatedState.Document> documents = new ConcurrentHashMap<>();
         List<ControlPlane> running = new ArrayList<>();
         List<Group> members = new ArrayList<>();
         try {
--- a/replication/src/main/java/lupinvalve/replication/CachedDocumentFile.java
+++ b/replication/src/main/java/lupinvalve/replication/CachedDocumentFile.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import java.util.Map;
 import lupinvalve.statemachine.Cbor;
-import lupinvalve.statemachine.Change;
-import lupinvalve.statemachine.Ledger;
+import lupinvalve.statemachine.Command;
+import lupinvalve.statemachine.ReplicatedState;
 import lupinvalve.subscription.SubscriberState;
 import lupinvalve.subscription.WatchResponse;
 
@@ -24,9 +24,9 @@
 
     /** Replaces the file. */
     static void write(Disk disk, String cluster, SubscriberState.Cached state) throws IOException {
-        Cbor.Out out = new Cbor.Out().number(FORMAT_VERSION).text(cluster).number(state.index());
+        Cbor.Writer out = new Cbor.Writer().number(FORMAT_VERSION).text(cluster).number(state.index());
         WatchResponse.writeDrains(out, state.drains());
-        Ledger.Document document = state.document();
+        ReplicatedState.Document document = state.document();
         out.flag(document != null);
         if (document != null) {
             out.number(document.revision())
@@ -34,7 +34,7 @@
                     .text(document.digest())
                     .bytes(document.content());
         }
-        disk.replace(NAME, Frames.frame(out.done()));
+        disk.replace(NAME, Frames.frame(out.toByteArray()));
     }
 
     /**
@@ -51,7 +51,7 @@
         if (records.size() != 1) {
             throw new IOException(NAME + ": " + records.size() + " records in place of one");
         }
-        Cbor.In in = new Cbor.In(records.get(0));
+        Cbor.Reader in = new Cbor.Reader(records.get(0));
         long version = in.number();
         if (version != FORMAT_VERSION) {
             throw new IOException(NAME + ": version " + version + "; this program knows " + FORMAT_VERSION);
@@ -61,10 +61,10 @@
             throw new IOException(NAME + ": of the cluster " + fileCluster);
         }
         long index = in.number();
-        Map<Change.Holding, Ledger.Held> drains = WatchResponse.readDrains(in);
-        Ledger.Document document =
-                in.flag() ? new Ledger.Document(in.number(), in.number(), in.text(), in.bytes()) : null;
-        if (document != null && !Ledger.digest(document.content()).equals(document.digest())) {
+        Map<Command.DrainTarget, ReplicatedState.Drain> drains = WatchResponse.readDrains(in);
+        ReplicatedState.Document document =
+                in.flag() ? new ReplicatedState.Document(in.number(), in.number(), in.text(), in.bytes()) : null;
+        if (document != null && !ReplicatedState.digest(document.content()).equals(document.digest())) {
             throw new IOException(NAME + ": the document's digest is wrong");
         }
         return new SubscriberState.Cached(document, drains, index);
--- a/replication/src/main/java/lupinvalve/replication/Subscriber.java
+++ b/replication/src/main/java/lupinvalve/replication/Subscriber.java
@@ -15,8 +15,8 @@
 import lupinvalve.log.Log;
 import lupinvalve.net.Addresses;
 import lupinvalve.net.Net;
-import lupinvalve.statemachine.Change;
-import lupinvalve.statemachine.Ledger;
+import lupinvalve.statemachine.Command;
+import lupinvalve.statemachine.ReplicatedState;
 import lupinvalve.subscription.SubscriberState;
 import lupinvalve.subscription.WatchRequest;
 import lupinvalve.subscription.WatchResponse;
@@ -62,7 +62,7 @@
     private Deadlines.Deadline leaseEndTimer;
     private String lastLine = "";
     /** Written on the pooler's thread once it has applied the document. */
-    private volatile Ledger.Document appliedDocument;
+    private volatile ReplicatedState.Document appliedDocument;
 
     /**
      * The daemon's subscriber, with its own thread and connections.
@@ -140,7 +140,7 @@
 
     @Override
     public Known known() {
-        return new Known(cached.document(), List.of(), new Change.Commits(0, Map.of()));
+        return new Known(cached.document(), List.of(), new Command.SessionCommits(0, Map.of()));
     }
 
     @Override
@@ -150,7 +150,7 @@
             loop.start();
         }
         loop.post(() -> {
-            Ledger.Document document = state.restoreCached(pooler::objection);
+            ReplicatedState.Document document = state.restoreCached(pooler::objection);
             if (document != null) {
                 adopt(document);
             }
@@ -186,7 +186,7 @@
         }
         boolean ready = members.isReady();
         boolean waiting = members.hasRequestInFlight();
-        String line = state.adoption().touch(ready && waiting, Acting.clock());
+        String line = state.configuration().onQuorumContact(ready && waiting, Acting.clock());
         if (line != null) {
             Log.warn("%s: %s", logPrefix, line);
         }
@@ -250,7 +250,8 @@
             state.onApplied(receivedIndex);
             loop.after(delayMicros, this::sendRequest);
         }));
-        members.judge(response, leasesOn() && state.adoption().unreadable().isEmpty());
+        members.judge(
+                response, leasesOn() && state.configuration().unreadableReason().isEmpty());
     }
 
     private void count(WatchResponse.Event event) {
@@ -264,8 +265,8 @@
     private void apply(SubscriberState.Update update) {
         if (update.document() != null) {
             adopt(update.document());
-        } else if (!state.adoption().unreadable().isEmpty()) {
-            logOnce("serves on, " + state.adoption().acting());
+        } else if (!state.configuration().unreadableReason().isEmpty()) {
+            logOnce("serves on, " + state.configuration().describe());
         }
         if (update.drains() != null) {
             pooler.holds(update.drains());
@@ -275,7 +276,7 @@
         }
     }
 
-    private void adopt(Ledger.Document document) {
+    private void adopt(ReplicatedState.Document document) {
         Log.info(
                 "%s: adopted revision %s, change %s, digest %s",
                 logPrefix, document.revision(), document.index(), document.digest());
@@ -318,7 +319,7 @@
 
     /** The revision that the pooler has applied, 0 for none. */
     public long appliedRevision() {
-        Ledger.Document document = appliedDocument;
+        ReplicatedState.Document document = appliedDocument;
         return document == null ? 0 : document.revision();
     }
 
@@ -360,7 +361,7 @@
     }
 
     @Override
-    public void listing(List<Change.Listed> nodes) {
+    public void listing(List<Command.KnownEndpoint> nodes) {
         // Only members replicate the list of db nodes.
     }
 
--- a/replication/src/main/java/lupinvalve/replication/SubscriptionServer.java
+++ b/replication/src/main/java/lupinvalve/replication/SubscriptionServer.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import lupinvalve.config.OperatorConfig;
-import lupinvalve.statemachine.Change;
-import lupinvalve.statemachine.Ledger;
+import lupinvalve.statemachine.Command;
+import lupinvalve.statemachine.ReplicatedState;
 import lupinvalve.subscription.WatchRequest;
 import lupinvalve.subscription.WatchResponse;
 import lupinvalve.subscription.WatchService;
@@ -45,7 +45,7 @@
      *
      * @param restoredState what this member knows to be committed before the start
      */
-    SubscriptionServer(Group group, Ledger restoredState) {
+    SubscriptionServer(Group group, ReplicatedState restoredState) {
         this.group = group;
         boolean grantsLeases = group.config().audit() != OperatorConfig.Audit.OFF;
         service = new WatchService(
@@ -69,19 +69,20 @@
     }
 
     /** A change has been applied here. */
-    void onApplied(Ledger ledger, Change change, Ledger.Outcome outcome) {
-        boolean mattersToSubscribers =
-                change instanceof Change.Put || change instanceof Change.Hold || change instanceof Change.Release;
-        if (mattersToSubscribers && outcome.result() == Ledger.Result.DONE) {
-            onRestored(ledger);
+    void onApplied(ReplicatedState state, Command command, ReplicatedState.Outcome outcome) {
+        boolean mattersToSubscribers = command instanceof Command.PutDocument
+                || command instanceof Command.StartDrain
+                || command instanceof Command.EndDrain;
+        if (mattersToSubscribers && outcome.result() == ReplicatedState.Result.APPLIED) {
+            onRestored(state);
         }
-        service.advanceAppliedIndex(ledger.applied());
+        service.advanceAppliedIndex(state.appliedIndex());
     }
 
     /** The state has been restored from a snapshot, or document or drains have changed. */
-    void onRestored(Ledger ledger) {
-        lastChangeIndex = Math.max(lastChangeIndex, ledger.applied());
-        service.onApplied(ledger.document(), ledger.holds(), ledger.applied(), Acting.clock());
+    void onRestored(ReplicatedState state) {
+        lastChangeIndex = Math.max(lastChangeIndex, state.appliedIndex());
+        service.onApplied(state.document(), state.drains(), state.appliedIndex(), Acting.clock());
         List<String> due = new ArrayList<>();
         pendingBySubscriber.forEach((subscriber, pending) -> {
             if (service.hasUpdate(pending.request())) {
@@ -125,7 +126,7 @@
         if (group.replica() == null) {
             return "the group is not founded yet";
         }
-        if (group.adoption().cutOff()) {
+        if (group.adoption().isCutOff()) {
             return "cut off from the majority";
         }
         return service.lacksOwnLease(Acting.clock()) ? "this member has no lease itself" : null;
--- a/subscription/src/main/java/lupinvalve/subscription/DocumentDelta.java
+++ b/subscription/src/main/java/lupinvalve/subscription/DocumentDelta.java
@@ -6,7 +6,7 @@
 import java.util.Arrays;
 import java.util.List;
 import lupinvalve.statemachine.Cbor;
-import lupinvalve.statemachine.Ledger;
+import lupinvalve.statemachine.ReplicatedState;
 
 /** The difference between two texts: parts copied from the old one, each followed by inserted bytes. */
 public record DocumentDelta(List<Instruction> instructions) {
@@ -65,8 +65,9 @@
                 throw new IOException(
                         "a delta that copies " + length + " bytes from offset " + offset + " of " + before.length);
             }
-            if ((long) after.size() + length + instruction.inserted().length > Ledger.DOCUMENT_MOST) {
-                throw new IOException("a delta to a document of more than " + Ledger.DOCUMENT_MOST + " bytes");
+            if ((long) after.size() + length + instruction.inserted().length > ReplicatedState.MAX_DOCUMENT_BYTES) {
+                throw new IOException(
+                        "a delta to a document of more than " + ReplicatedState.MAX_DOCUMENT_BYTES + " bytes");
             }
             after.write(before, offset, length);
             after.write(instruction.inserted());
@@ -83,7 +84,7 @@
         return size;
     }
 
-    void write(Cbor.Out out) {
+    void write(Cbor.Writer out) {
         out.number(instructions.size());
         for (Instruction instruction : instructions) {
             out.number(instruction.copyOffset())
@@ -92,7 +93,7 @@
         }
     }
 
-    static DocumentDelta read(Cbor.In in) throws IOException {
+    static DocumentDelta read(Cbor.Reader in) throws IOException {
         List<Instruction> instructions = new ArrayList<>();
         for (int count = in.count(INSTRUCTIONS_MAX_COUNT); count > 0; count--) {
             int copyOffset = in.count(Integer.MAX_VALUE);
--- a/subscription/src/main/java/lupinvalve/subscription/RevisionHistory.java
+++ b/subscription/src/main/java/lupinvalve/subscription/RevisionHistory.java
@@ -3,7 +3,7 @@
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
-import lupinvalve.statemachine.Ledger;
+import lupinvalve.statemachine.ReplicatedState;
 
 /** The current document and a bounded number of deltas that led to it. One thread uses it. */
 public final class RevisionHistory {
@@ -17,10 +17,10 @@
 
     private final ArrayDeque<Step> steps = new ArrayDeque<>();
     private long retainedBytes;
-    private Ledger.Document current;
+    private ReplicatedState.Document current;
 
     /** A majority has accepted a document. One of the current revision or an older one changes nothing. */
-    public void onAccepted(Ledger.Document next) {
+    public void onAccepted(ReplicatedState.Document next) {
         if (next == null || current != null && next.revision() <= current.revision()) {
             return;
         }
@@ -28,8 +28,7 @@
             DocumentDelta delta = DocumentDelta.between(current.content(), next.content());
             steps.addLast(new Step(current.revision(), current.digest(), delta));
             retainedBytes += delta.sizeBytes();
-        } else {
-            // A snapshot may skip revisions.
+        } else { // A snapshot may skip revisions.
             steps.clear();
             retainedBytes = 0;
         }
@@ -40,7 +39,7 @@
     }
 
     /** The current document, or null. */
-    public Ledger.Document current() {
+    public ReplicatedState.Document current() {
         return current;
     }
 
--- a/subscription/src/main/java/lupinvalve/subscription/SubscriberLeases.java
+++ b/subscription/src/main/java/lupinvalve/subscription/SubscriberLeases.java
@@ -55,7 +55,7 @@
      * @param nowMicros the member's start: leases that it granted before are not known here, and may last for a while
      */
     public SubscriberLeases(long nowMicros) {
-        previousIncarnationUntilMicros = nowMicros + (long) (Lease.LENGTH * (1 + Lease.DRIFT));
+        previousIncarnationUntilMicros = nowMicros + (long) (Lease.DURATION_MICROS * (1 + Lease.MAX_CLOCK_DRIFT_RATIO));
     }
 
     /** There is a change that subscribers must apply: applied here, or known from the leader. */
@@ -114,7 +114,7 @@
                             ? "acts on change " + appliedIndex + ", " + leastIndex + " is wanted"
                             : objection);
         }
-        long lengthMicros = Math.min(Lease.LENGTH, ownLeftMicros);
+        long lengthMicros = Math.min(Lease.DURATION_MICROS, ownLeftMicros);
         lease.untilMicros = Math.max(lease.untilMicros, nowMicros + lengthMicros);
         return new Grant(lengthMicros, "");
     }
--- a/subscription/src/main/java/lupinvalve/subscription/SubscriberState.java
+++ b/subscription/src/main/java/lupinvalve/subscription/SubscriberState.java
@@ -4,9 +4,9 @@
 import java.util.Map;
 import java.util.function.Function;
 import lupinvalve.audit.Lease;
-import lupinvalve.statemachine.Adoption;
-import lupinvalve.statemachine.Change;
-import lupinvalve.statemachine.Ledger;
+import lupinvalve.statemachine.ActiveConfiguration;
+import lupinvalve.statemachine.Command;
+import lupinvalve.statemachine.ReplicatedState;
 
 /**
  * A subscriber's state: what it has received, what its pooler has applied, its lease, and what its next request says.
@@ -23,7 +23,8 @@
      * @param drains the operators' drains
      * @param index the log index up to which both are complete, 0 for none
      */
-    public record Cached(Ledger.Document document, Map<Change.Holding, Ledger.Held> drains, long index) {
+    public record Cached(
+            ReplicatedState.Document document, Map<Command.DrainTarget, ReplicatedState.Drain> drains, long index) {
         /** Nothing was received yet. */
         public static final Cached EMPTY = new Cached(null, Map.of(), 0);
     }
@@ -35,7 +36,10 @@
      * @param drains the operators' drains as they are now, or null if they have not changed
      * @param corruption what was wrong with the event, or empty; the next request is for the full document
      */
-    public record Update(Ledger.Document document, Map<Change.Holding, Ledger.Held> drains, String corruption) {
+    public record Update(
+            ReplicatedState.Document document,
+            Map<Command.DrainTarget, ReplicatedState.Drain> drains,
+            String corruption) {
         private static final Update NONE = new Update(null, null, "");
 
         /** Whether there is anything that a restart must know. */
@@ -46,9 +50,9 @@
 
     private final boolean wantsLease;
     private final Lease lease;
-    private final Adoption adoption;
-    private Ledger.Document document;
-    private Map<Change.Holding, Ledger.Held> drains;
+    private final ActiveConfiguration configuration;
+    private ReplicatedState.Document document;
+    private Map<Command.DrainTarget, ReplicatedState.Drain> drains;
     private String drainsDigest;
     private String leaseDenial = "";
     private long appliedIndex;
@@ -63,7 +67,7 @@
     public SubscriberState(boolean wantsLease, Cached cached, long nowMicros) {
         this.wantsLease = wantsLease;
         lease = new Lease(nowMicros);
-        adoption = new Adoption(nowMicros);
+        configuration = new ActiveConfiguration(nowMicros);
         document = cached.document();
         drains = cached.drains();
         drainsDigest = cached.index() == 0 ? "" : WatchResponse.digest(drains);
@@ -76,7 +80,7 @@
      *
      * @param validator says why this version can't apply a document, or null if it can
      */
-    public Ledger.Document restoreCached(Function<byte[], String> validator) {
+    public ReplicatedState.Document restoreCached(Function<byte[], String> validator) {
         return document == null ? null : applicableDocument(validator);
     }
 
@@ -90,7 +94,7 @@
                 drainsDigest,
                 wantsLease,
                 needsFullDocument,
-                adoption.unreadable());
+                configuration.unreadableReason());
     }
 
     /**
@@ -106,12 +110,12 @@
         if (stale) {
             return Update.NONE;
         }
-        Map<Change.Holding, Ledger.Held> newDrains = response.drains();
+        Map<Command.DrainTarget, ReplicatedState.Drain> newDrains = response.drains();
         if (newDrains != null) {
             drains = newDrains;
             drainsDigest = WatchResponse.digest(drains);
         }
-        Ledger.Document newDocument = null;
+        ReplicatedState.Document newDocument = null;
         if (!(response.event() instanceof WatchResponse.Event.Unchanged)) {
             try {
                 document = documentAfter(response.event());
@@ -123,7 +127,7 @@
             newDocument = applicableDocument(validator);
         }
         if (response.completeIndex() != WatchResponse.INCOMPLETE
-                && adoption.unreadable().isEmpty()) {
+                && configuration.unreadableReason().isEmpty()) {
             receivedIndex = response.completeIndex();
         }
         return new Update(newDocument, newDrains, "");
@@ -136,13 +140,14 @@
         }
         leaseDenial = "";
         // The member received the request after it was sent, and granted the lease this much later by its own clock.
-        long queuedMicros = (long) (Math.max(0, response.queuedMicros()) * (1 - Lease.DRIFT));
-        lease.granted(
-                Math.min(nowMicros, requestedMicros + queuedMicros), Math.min(Lease.LENGTH, response.leaseMicros()));
+        long queuedMicros = (long) (Math.max(0, response.queuedMicros()) * (1 - Lease.MAX_CLOCK_DRIFT_RATIO));
+        lease.onGranted(
+                Math.min(nowMicros, requestedMicros + queuedMicros),
+                Math.min(Lease.DURATION_MICROS, response.leaseMicros()));
     }
 
-    private Ledger.Document documentAfter(WatchResponse.Event event) throws IOException {
-        Ledger.Document next;
+    private ReplicatedState.Document documentAfter(WatchResponse.Event event) throws IOException {
+        ReplicatedState.Document next;
         if (event instanceof WatchResponse.Event.FullDocument full) {
             next = full.document();
         } else {
@@ -151,17 +156,17 @@
             for (DocumentDelta delta : changed.deltas()) {
                 content = delta.apply(content);
             }
-            next = new Ledger.Document(changed.revision(), changed.index(), changed.digest(), content);
+            next = new ReplicatedState.Document(changed.revision(), changed.index(), changed.digest(), content);
         }
-        if (!Ledger.digest(next.content()).equals(next.digest())) {
+        if (!ReplicatedState.digest(next.content()).equals(next.digest())) {
             throw new IOException("revision " + next.revision() + " comes to another digest than " + next.digest());
         }
         return next;
     }
 
-    private Ledger.Document applicableDocument(Function<byte[], String> validator) {
-        Adoption.Verdict verdict = adoption.accepted(document, validator.apply(document.content()));
-        return verdict == Adoption.Verdict.ADOPT ? document : null;
+    private ReplicatedState.Document applicableDocument(Function<byte[], String> validator) {
+        ActiveConfiguration.Verdict verdict = configuration.onCommitted(document, validator.apply(document.content()));
+        return verdict == ActiveConfiguration.Verdict.ACTIVATE ? document : null;
     }
 
     /** The log index up to which everything was received. */
@@ -181,17 +186,20 @@
 
     /** What to cache for a restart. */
     public Cached toCache() {
-        return new Cached(adoption.running(), drains, adoption.unreadable().isEmpty() ? receivedIndex : appliedIndex);
+        return new Cached(
+                configuration.active(),
+                drains,
+                configuration.unreadableReason().isEmpty() ? receivedIndex : appliedIndex);
     }
 
     /** Whether there is a valid lease; safe for all threads. */
     public boolean hasLease(long nowMicros) {
-        return lease.holds(nowMicros);
+        return lease.isValid(nowMicros);
     }
 
     /** When the lease ends or has ended; safe for all threads. */
     public long leaseUntilMicros() {
-        return lease.until();
+        return lease.untilMicros();
     }
 
     /** Why the last response granted no lease, or empty. */
@@ -200,12 +208,12 @@
     }
 
     /** The operators' drains as received last. */
-    public Map<Change.Holding, Ledger.Held> drains() {
+    public Map<Command.DrainTarget, ReplicatedState.Drain> drains() {
         return drains;
     }
 
     /** Which document is applied, and why a newer one is not. */
-    public Adoption adoption() {
-        return adoption;
+    public ActiveConfiguration configuration() {
+        return configuration;
     }
 }
--- a/subscription/src/main/java/lupinvalve/subscription/WatchRequest.java
+++ b/subscription/src/main/java/lupinvalve/subscription/WatchRequest.java
@@ -39,7 +39,7 @@
 
     /** The bytes for the wire; the version is the first field in every version. */
     public byte[] write() {
-        return new Cbor.Out()
+        return new Cbor.Writer()
                 .number(version)
                 .number(appliedIndex)
                 .number(revision)
@@ -48,7 +48,7 @@
                 .flag(wantsLease)
                 .flag(wantsFullDocument)
                 .text(objection)
-                .done();
+                .toByteArray();
     }
 
     /**
@@ -57,7 +57,7 @@
      * @throws UnsupportedVersionException if the request has a version that this program does not support
      */
     public static WatchRequest read(byte[] bytes) throws IOException {
-        Cbor.In in = new Cbor.In(bytes);
+        Cbor.Reader in = new Cbor.Reader(bytes);
         int version = in.count(Integer.MAX_VALUE);
         if (version != VERSION) {
             throw new UnsupportedVersionException(version);
--- a/subscription/src/main/java/lupinvalve/subscription/WatchResponse.java
+++ b/subscription/src/main/java/lupinvalve/subscription/WatchResponse.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 import java.util.TreeMap;
 import lupinvalve.statemachine.Cbor;
-import lupinvalve.statemachine.Change;
-import lupinvalve.statemachine.Ledger;
+import lupinvalve.statemachine.Command;
+import lupinvalve.statemachine.ReplicatedState;
 
 /**
  * A member's response to a {@link WatchRequest}.
@@ -29,7 +29,7 @@
         long completeIndex,
         int retryAfterMillis,
         Event event,
-        Map<Change.Holding, Ledger.Held> drains) {
+        Map<Command.DrainTarget, ReplicatedState.Drain> drains) {
     /** The complete index of a response that leaves something out. */
     public static final long INCOMPLETE = 0;
 
@@ -47,7 +47,7 @@
         record Unchanged() implements Event {}
 
         /** A new document. */
-        record FullDocument(Ledger.Document document) implements Event {}
+        record FullDocument(ReplicatedState.Document document) implements Event {}
 
         /**
          * Deltas from the subscriber's document to the new one, oldest first.
@@ -64,7 +64,7 @@
 
     /** The bytes for the wire. */
     public byte[] write() {
-        Cbor.Out out = new Cbor.Out()
+        Cbor.Writer out = new Cbor.Writer()
                 .number(leaseMicros)
                 .number(queuedMicros)
                 .text(leaseDenial)
@@ -75,12 +75,12 @@
         if (drains != null) {
             writeDrains(out, drains);
         }
-        return out.done();
+        return out.toByteArray();
     }
 
-    private void writeEvent(Cbor.Out out) {
+    private void writeEvent(Cbor.Writer out) {
         if (event instanceof Event.FullDocument full) {
-            Ledger.Document document = full.document();
+            ReplicatedState.Document document = full.document();
             out.number(KIND_FULL_DOCUMENT)
                     .number(document.revision())
                     .number(document.index())
@@ -100,19 +100,19 @@
 
     /** Reads what {@link #write} wrote. */
     public static WatchResponse read(byte[] bytes) throws IOException {
-        Cbor.In in = new Cbor.In(bytes);
+        Cbor.Reader in = new Cbor.Reader(bytes);
         long leaseMicros = in.number();
         long queuedMicros = in.number();
         String leaseDenial = in.text();
         long completeIndex = in.number();
         int retryAfterMillis = in.count(RETRY_AFTER_MAX_MILLIS);
         Event event = readEvent(in);
-        Map<Change.Holding, Ledger.Held> drains = in.flag() ? readDrains(in) : null;
+        Map<Command.DrainTarget, ReplicatedState.Drain> drains = in.flag() ? readDrains(in) : null;
         return new WatchResponse(
                 leaseMicros, queuedMicros, leaseDenial, completeIndex, retryAfterMillis, event, drains);
     }
 
-    private static Event readEvent(Cbor.In in) throws IOException {
+    private static Event readEvent(Cbor.Reader in) throws IOException {
         int kind = in.count(KIND_DELTAS);
         if (kind == KIND_UNCHANGED) {
             return new Event.Unchanged();
@@ -121,7 +121,7 @@
         long index = in.number();
         String digest = in.text();
         if (kind == KIND_FULL_DOCUMENT) {
-            return new Event.FullDocument(new Ledger.Document(revision, index, digest, in.bytes()));
+            return new Event.FullDocument(new ReplicatedState.Document(revision, index, digest, in.bytes()));
         }
         List<DocumentDelta> deltas = new ArrayList<>();
         for (int count = in.count(RevisionHistory.DELTAS_MAX_COUNT); count > 0; count--) {
@@ -131,30 +131,30 @@
     }
 
     /** Writes operators' drains in the form of the wire and of a subscriber's cache file. */
-    public static void writeDrains(Cbor.Out out, Map<Change.Holding, Ledger.Held> drains) {
+    public static void writeDrains(Cbor.Writer out, Map<Command.DrainTarget, ReplicatedState.Drain> drains) {
         out.number(drains.size());
         new TreeMap<>(drains)
                 .forEach((target, drain) -> out.number(target.kind().ordinal())
                         .text(target.name())
-                        .text(drain.why())
-                        .number(drain.atMicros()));
+                        .text(drain.reason())
+                        .number(drain.sinceMicros()));
     }
 
     /** Reads what {@link #writeDrains} wrote. */
-    public static Map<Change.Holding, Ledger.Held> readDrains(Cbor.In in) throws IOException {
-        Map<Change.Holding, Ledger.Held> drains = new TreeMap<>();
-        for (int count = in.count(Ledger.HOLDS_MOST); count > 0; count--) {
-            Change.Kind kind = Change.Kind.values()[in.count(Change.Kind.values().length - 1)];
-            Change.Holding target = new Change.Holding(kind, in.text());
-            drains.put(target, new Ledger.Held(in.text(), in.number()));
+    public static Map<Command.DrainTarget, ReplicatedState.Drain> readDrains(Cbor.Reader in) throws IOException {
+        Map<Command.DrainTarget, ReplicatedState.Drain> drains = new TreeMap<>();
+        for (int count = in.count(ReplicatedState.MAX_DRAINS); count > 0; count--) {
+            Command.TargetKind kind = Command.TargetKind.values()[in.count(Command.TargetKind.values().length - 1)];
+            Command.DrainTarget target = new Command.DrainTarget(kind, in.text());
+            drains.put(target, new ReplicatedState.Drain(in.text(), in.number()));
         }
         return drains;
     }
 
     /** The digest that stands for drains in a request. */
-    public static String digest(Map<Change.Holding, Ledger.Held> drains) {
-        Cbor.Out out = new Cbor.Out();
+    public static String digest(Map<Command.DrainTarget, ReplicatedState.Drain> drains) {
+        Cbor.Writer out = new Cbor.Writer();
         writeDrains(out, drains);
-        return Ledger.digest(out.done());
+        return ReplicatedState.digest(out.toByteArray());
     }
 }
--- a/subscription/src/main/java/lupinvalve/subscription/WatchService.java
+++ b/subscription/src/main/java/lupinvalve/subscription/WatchService.java
@@ -3,8 +3,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import lupinvalve.statemachine.Change;
-import lupinvalve.statemachine.Ledger;
+import lupinvalve.statemachine.Command;
+import lupinvalve.statemachine.ReplicatedState;
 
 /**
  * Decides what a member responds to its subscribers: watch events, leases, and Retry-After. Times are of the member's
@@ -20,7 +20,7 @@
     private final RevisionHistory history = new RevisionHistory();
     private final SubscriberLeases leases;
     private final FullDocumentLimiter fullDocuments = new FullDocumentLimiter();
-    private Map<Change.Holding, Ledger.Held> drains = Map.of();
+    private Map<Command.DrainTarget, ReplicatedState.Drain> drains = Map.of();
     private String drainsDigest = WatchResponse.digest(Map.of());
     private long appliedIndex;
 
@@ -46,7 +46,10 @@
      * @param index the last change of document or drains
      */
     public void onApplied(
-            Ledger.Document document, Map<Change.Holding, Ledger.Held> currentDrains, long index, long nowMicros) {
+            ReplicatedState.Document document,
+            Map<Command.DrainTarget, ReplicatedState.Drain> currentDrains,
+            long index,
+            long nowMicros) {
         leases.onChange(index, nowMicros);
         if (index < appliedIndex) {
             return;
@@ -94,7 +97,7 @@
     }
 
     private boolean documentDiffers(WatchRequest request) {
-        Ledger.Document document = history.current();
+        ReplicatedState.Document document = history.current();
         if (document == null) {
             return false;
         }
@@ -127,7 +130,8 @@
                 retryAfterMillis = fullDocuments.retryAfterMillis(nowMicros);
             }
         }
-        Map<Change.Holding, Ledger.Held> changedDrains = isAhead(request) || !drainsDiffer(request) ? null : drains;
+        Map<Command.DrainTarget, ReplicatedState.Drain> changedDrains =
+                isAhead(request) || !drainsDiffer(request) ? null : drains;
         return new WatchResponse(
                 lease.lengthMicros(),
                 queuedMicros,
@@ -150,7 +154,7 @@
 
     /** Deltas or the full document; null if only a full document would do and the limiter rejects it. */
     private WatchResponse.Event documentUpdate(String subscriber, WatchRequest request, long nowMicros) {
-        Ledger.Document document = history.current();
+        ReplicatedState.Document document = history.current();
         List<DocumentDelta> deltas =
                 request.wantsFullDocument() ? null : history.since(request.revision(), request.digest());
         if (deltas != null) {
--- a/subscription/src/test/java/lupinvalve/subscription/CorruptedResponse.java
+++ b/subscription/src/test/java/lupinvalve/subscription/CorruptedResponse.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
-import lupinvalve.statemachine.Ledger;
+import lupinvalve.statemachine.ReplicatedState;
 
 /** Deltas with a wrong result, as if member and subscriber had started from different contents. */
 final class CorruptedResponse {
@@ -15,7 +15,7 @@
      * @param applied the document that the deltas start from
      * @param matchingDigest whether its digest is that of the wrong result, as if nobody checked it
      */
-    static WatchResponse of(WatchResponse response, Ledger.Document applied, boolean matchingDigest) {
+    static WatchResponse of(WatchResponse response, ReplicatedState.Document applied, boolean matchingDigest) {
         WatchResponse.Event.Deltas event = (WatchResponse.Event.Deltas) response.event();
         List<DocumentDelta> deltas = new ArrayList<>(event.deltas());
         List<DocumentDelta.Instruction> instructions =
@@ -33,7 +33,7 @@
                 response.drains());
     }
 
-    private static String resultDigest(Ledger.Document applied, List<DocumentDelta> deltas) {
+    private static String resultDigest(ReplicatedState.Document applied, List<DocumentDelta> deltas) {
         byte[] content = applied == null ? new byte[0] : applied.content();
         try {
             for (DocumentDelta delta : deltas) {
@@ -42,6 +42,6 @@
         } catch (IOException e) {
             return "none";
         }
-        return Ledger.digest(content);
+        return ReplicatedState.digest(content);
     }
 }
--- a/subscription/src/test/java/lupinvalve/subscription/DecisionsTest.java
+++ b/subscription/src/test/java/lupinvalve/subscription/DecisionsTest.java
@@ -15,20 +15,20 @@
 import java.util.Random;
 import java.util.TreeMap;
 import lupinvalve.audit.Lease;
-import lupinvalve.statemachine.Change;
-import lupinvalve.statemachine.Ledger;
+import lupinvalve.statemachine.Command;
+import lupinvalve.statemachine.ReplicatedState;
 import org.junit.jupiter.api.Test;
 
 /** What members and subscribers decide, each by itself. */
 class DecisionsTest {
     private static final List<String> MEMBERS = List.of("a", "b", "c");
 
-    private static Ledger.Document document(long revision, String text) {
+    private static ReplicatedState.Document document(long revision, String text) {
         byte[] content = text.getBytes(StandardCharsets.UTF_8);
-        return new Ledger.Document(revision, revision * 10, Ledger.digest(content), content);
+        return new ReplicatedState.Document(revision, revision * 10, ReplicatedState.digest(content), content);
     }
 
-    private static WatchRequest request(long index, Ledger.Document holding) {
+    private static WatchRequest request(long index, ReplicatedState.Document holding) {
         return new WatchRequest(
                 WatchRequest.VERSION,
                 index,
@@ -43,8 +43,7 @@
     @Test
     void aDeltaLeadsFromAnyTextToAnyOther() throws IOException {
         Random random = new Random(1);
-        for (int i = 0; i < 5_000; i++) {
-            // Few letters, so that beginnings and ends overlap.
+        for (int i = 0; i < 5_000; i++) { // Few letters, so that beginnings and ends overlap.
             byte[] before = text(random);
             byte[] after = text(random);
             DocumentDelta delta = DocumentDelta.between(before, after);
@@ -53,7 +52,7 @@
         assertRejected(new DocumentDelta.Instruction(3, 3, new byte[0]), 5);
         assertRejected(new DocumentDelta.Instruction(Integer.MAX_VALUE, Integer.MAX_VALUE, new byte[0]), 5);
         assertRejected(new DocumentDelta.Instruction(-1, 1, new byte[0]), 5);
-        assertRejected(new DocumentDelta.Instruction(0, 1, new byte[Ledger.DOCUMENT_MOST]), 5);
+        assertRejected(new DocumentDelta.Instruction(0, 1, new byte[ReplicatedState.MAX_DOCUMENT_BYTES]), 5);
     }
 
     private static void assertRejected(DocumentDelta.Instruction piece, int length) {
@@ -84,8 +83,7 @@
     private static String entry(int number, int value) {
         return "{\"name\":\"db-" + number + "\",\"address\":\"10.0." + number / 256 + "." + number % 256 + ":" + value
                 + "\",\"locality\":\"zone-" + number % 7 + "\",\"weight\":" + value % 100 + ",\"owner\":\"team-"
-                + value % 40
-                + "\"},";
+                + value % 40 + "\"},";
     }
 
     private static byte[] document(String[] entries) {
@@ -103,13 +101,13 @@
     @Test
     void aHistoryIsBoundedAndClearedWhereRevisionsWereSkipped() {
         RevisionHistory history = new RevisionHistory();
-        Ledger.Document first = document(1, "x".repeat(2_000) + "1");
+        ReplicatedState.Document first = document(1, "x".repeat(2_000) + "1");
         history.onAccepted(first);
         for (int revision = 2; revision <= RevisionHistory.DELTAS_MAX_COUNT + 2; revision++) {
             history.onAccepted(document(revision, "x".repeat(2_000) + revision));
         }
         assertNull(history.since(1, first.digest()), "too long ago");
-        Ledger.Document last = document(
+        ReplicatedState.Document last = document(
                 RevisionHistory.DELTAS_MAX_COUNT + 1, "x".repeat(2_000) + (RevisionHistory.DELTAS_MAX_COUNT + 1));
         assertEquals(1, history.since(last.revision(), last.digest()).size());
         assertNull(history.since(last.revision(), "another content"));
@@ -130,11 +128,11 @@
                 "version 2 of following is asked for; this member speaks 1",
                 assertThrows(WatchRequest.UnsupportedVersionException.class, () -> WatchRequest.read(newer.write()))
                         .getMessage());
-        Map<Change.Holding, Ledger.Held> holds = new TreeMap<>();
-        holds.put(new Change.Holding(Change.Kind.POOLER, "p"), new Ledger.Held("w", 5));
+        Map<Command.DrainTarget, ReplicatedState.Drain> holds = new TreeMap<>();
+        holds.put(new Command.DrainTarget(Command.TargetKind.POOLER, "p"), new ReplicatedState.Drain("w", 5));
         WatchResponse answer = new WatchResponse(1, 2, "why", 3, 4, new WatchResponse.Event.Unchanged(), holds);
         assertEquals(answer, WatchResponse.read(answer.write()));
-        Ledger.Document whole = document(3, "{}");
+        ReplicatedState.Document whole = document(3, "{}");
         WatchResponse all = WatchResponse.read(
                 new WatchResponse(1, 2, "", 3, 4, new WatchResponse.Event.FullDocument(whole), null).write());
         assertArrayEquals(
@@ -149,7 +147,7 @@
         leases.onOwnLease(1_500_000, 5, 0);
         assertEquals(1_500_000, leases.renew("s", 5, "", 0).lengthMicros());
         leases.onOwnLease(10_000_000, 5, 100);
-        assertEquals(Lease.LENGTH, leases.renew("s", 5, "", 100).lengthMicros());
+        assertEquals(Lease.DURATION_MICROS, leases.renew("s", 5, "", 100).lengthMicros());
         leases.onChange(9, 200);
         assertTrue(leases.renew("s", 5, "", 200 + SubscriberLeases.CATCH_UP_MICROS - 1)
                         .lengthMicros()
@@ -259,8 +257,8 @@
     @Test
     void aSubscriberNeverGoesBackAndRequestsTheFullDocumentWhereADeltaIsWrong() {
         SubscriberState state = new SubscriberState(true, SubscriberState.Cached.EMPTY, 0);
-        Ledger.Document one = document(1, "{\"a\":1}");
-        Ledger.Document two = document(2, "{\"a\":2}");
+        ReplicatedState.Document one = document(1, "{\"a\":1}");
+        ReplicatedState.Document two = document(2, "{\"a\":2}");
         WatchResponse whole = new WatchResponse(0, 0, "", 10, 0, new WatchResponse.Event.FullDocument(one), Map.of());
         assertEquals(one, state.onResponse(whole, 0, 0, content -> null).document());
         assertEquals(0, state.appliedIndex(), "until its pooler acts on it");
@@ -278,7 +276,7 @@
         state.onApplied(state.receivedIndex());
         assertNull(state.onResponse(whole, 0, 0, content -> null).document(), "a member that is behind");
         assertEquals(2, state.request().revision());
-        Ledger.Document unreadable = document(3, "{\"new\":1}");
+        ReplicatedState.Document unreadable = document(3, "{\"new\":1}");
         WatchResponse next = new WatchResponse(0, 0, "", 30, 0, new WatchResponse.Event.FullDocument(unreadable), null);
         assertNull(state.onResponse(next, 0, 0, content -> "unknown").document());
         state.onApplied(state.receivedIndex());
@@ -290,26 +288,28 @@
     @Test
     void aLeaseCountsFromWhenTheMemberGrantedItAtTheEarliest() {
         SubscriberState state = new SubscriberState(true, SubscriberState.Cached.EMPTY, 0);
-        long granted = 1_000_000 + (long) (400_000 * (1 - Lease.DRIFT));
+        long granted = 1_000_000 + (long) (400_000 * (1 - Lease.MAX_CLOCK_DRIFT_RATIO));
         WatchResponse answer =
-                new WatchResponse(Lease.LENGTH, 400_000, "", 1, 0, new WatchResponse.Event.Unchanged(), null);
+                new WatchResponse(Lease.DURATION_MICROS, 400_000, "", 1, 0, new WatchResponse.Event.Unchanged(), null);
         state.onResponse(answer, 1_000_000, 1_450_000, content -> null);
-        assertEquals(Lease.end(granted, Lease.LENGTH), state.leaseUntilMicros());
-        // A member that says it had the request for longer than it was away is not believed.
+        assertEquals(
+                Lease.endMicros(granted, Lease.DURATION_MICROS),
+                state.leaseUntilMicros()); // A member that says it had the request for longer than it was away is
+        // not believed.
         SubscriberState other = new SubscriberState(true, SubscriberState.Cached.EMPTY, 0);
         other.onResponse(
                 new WatchResponse(60_000_000, 90_000_000, "", 1, 0, new WatchResponse.Event.Unchanged(), null),
                 1_000_000,
                 1_450_000,
                 content -> null);
-        assertEquals(Lease.end(1_450_000, Lease.LENGTH), other.leaseUntilMicros());
+        assertEquals(Lease.endMicros(1_450_000, Lease.DURATION_MICROS), other.leaseUntilMicros());
     }
 
     @Test
     void aServiceSendsTheSmallestUpdateAndHasNoneForARequestThatHasAll() {
         WatchService service = new WatchService("", 0);
-        Ledger.Document one = document(1, "x".repeat(500) + 1);
-        Ledger.Document two = document(2, "x".repeat(500) + 2);
+        ReplicatedState.Document one = document(1, "x".repeat(500) + 1);
+        ReplicatedState.Document two = document(2, "x".repeat(500) + 2);
         service.onApplied(one, Map.of(), 10, 0);
         service.onApplied(two, Map.of(), 20, 0);
         assertFalse(service.hasUpdate(request(20, two)));
--- a/subscription/src/test/java/lupinvalve/subscription/SimulatedGroup.java
+++ b/subscription/src/test/java/lupinvalve/subscription/SimulatedGroup.java
@@ -8,9 +8,9 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Predicate;
-import lupinvalve.audit.Leases;
-import lupinvalve.statemachine.Change;
-import lupinvalve.statemachine.Ledger;
+import lupinvalve.audit.LeaseManager;
+import lupinvalve.statemachine.Command;
+import lupinvalve.statemachine.ReplicatedState;
 
 /**
  * Three members and their subscribers in virtual time, and the checker of what subscribers apply. Of the replicated log
@@ -30,14 +30,14 @@
     /** A change must be applied by all that may act within this. */
     static final long IN_FORCE_MAX_MICROS = 6_000_000;
 
-    private static final Change.Holding DRAINED = new Change.Holding(Change.Kind.NODE, "n");
+    private static final Command.DrainTarget DRAINED = new Command.DrainTarget(Command.TargetKind.NODE, "n");
     private static final int MEMBERS_COUNT = 3;
     private static final int START_SPREAD_MICROS = 500_000;
     private static final long STRICT_CHECK_INTERVAL_MICROS = 20_000;
     private static final int DOCUMENT_FILLER_CHARS = 300;
 
     /** A committed change: the document and the drain's number after it. */
-    record CommittedChange(long index, long atMicros, Ledger.Document document, int drainNumber) {}
+    record CommittedChange(long index, long atMicros, ReplicatedState.Document document, int drainNumber) {}
 
     private final VirtualNetwork network;
     private final PlantedFault planted;
@@ -122,12 +122,12 @@
         return log.subList(0, count);
     }
 
-    static Map<Change.Holding, Ledger.Held> drains(int number) {
-        return number == 0 ? Map.of() : Map.of(DRAINED, new Ledger.Held("hold " + number, number));
+    static Map<Command.DrainTarget, ReplicatedState.Drain> drains(int number) {
+        return number == 0 ? Map.of() : Map.of(DRAINED, new ReplicatedState.Drain("hold " + number, number));
     }
 
-    static int drainNumber(Map<Change.Holding, Ledger.Held> drains) {
-        return drains.isEmpty() ? 0 : (int) drains.get(DRAINED).atMicros();
+    static int drainNumber(Map<Command.DrainTarget, ReplicatedState.Drain> drains) {
+        return drains.isEmpty() ? 0 : (int) drains.get(DRAINED).sinceMicros();
     }
 
     /**
@@ -141,34 +141,36 @@
         }
         CommittedChange last = log.isEmpty() ? new CommittedChange(0, 0, null, 0) : log.get(log.size() - 1);
         lastIndex += 1 + network.random.nextInt(5);
-        Ledger.Document document = drain && last.document() != null ? last.document() : nextDocument(last.document());
+        ReplicatedState.Document document =
+                drain && last.document() != null ? last.document() : nextDocument(last.document());
         CommittedChange change = new CommittedChange(
                 lastIndex, network.nowMicros(), document, drain ? last.drainNumber() + 1 : last.drainNumber());
         log.add(change);
         SimulatedMember committer = leader;
         committer.applyAll();
-        Leases leases = committer.memberLeases();
+        LeaseManager leases = committer.memberLeases();
         if (strict && leases != null) {
-            leases.strict(change.index(), committer.clockMicros());
+            leases.requireIndex(change.index(), committer.clockMicros());
             committer.runLater(STRICT_CHECK_INTERVAL_MICROS, () -> awaitStrict(committer, leases, change));
         }
     }
 
-    private Ledger.Document nextDocument(Ledger.Document before) {
+    private ReplicatedState.Document nextDocument(ReplicatedState.Document before) {
         long revision = before == null ? 1 : before.revision() + 1;
         String text = "{\"databases\":\"" + "x".repeat(DOCUMENT_FILLER_CHARS) + "\",\"revision\":" + revision
                 + ",\"seed\":" + network.random.nextInt(1000) + "}";
         byte[] content = text.getBytes(StandardCharsets.UTF_8);
-        Ledger.Document document = new Ledger.Document(revision, lastIndex, Ledger.digest(content), content);
+        ReplicatedState.Document document =
+                new ReplicatedState.Document(revision, lastIndex, ReplicatedState.digest(content), content);
         digestByRevision.put(revision, document.digest());
         return document;
     }
 
-    private void awaitStrict(SimulatedMember committer, Leases leases, CommittedChange change) {
+    private void awaitStrict(SimulatedMember committer, LeaseManager leases, CommittedChange change) {
         if (committer.memberLeases() != leases) {
             return;
         }
-        if (!leases.waitedFor(change.index(), memberNames(), committer.confirmedMicros())
+        if (!leases.pendingPoolers(change.index(), memberNames(), committer.confirmedMicros())
                 .isEmpty()) {
             committer.runLater(STRICT_CHECK_INTERVAL_MICROS, () -> awaitStrict(committer, leases, change));
             return;
@@ -197,7 +199,7 @@
         });
     }
 
-    boolean isCommitted(Ledger.Document document) {
+    boolean isCommitted(ReplicatedState.Document document) {
         return document.digest().equals(digestByRevision.get(document.revision()));
     }
 
--- a/subscription/src/test/java/lupinvalve/subscription/SimulatedMember.java
+++ b/subscription/src/test/java/lupinvalve/subscription/SimulatedMember.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import lupinvalve.audit.Lease;
-import lupinvalve.audit.Leases;
+import lupinvalve.audit.LeaseManager;
 import lupinvalve.subscription.SimulatedGroup.CommittedChange;
 import lupinvalve.subscription.SimulatedGroup.PlantedFault;
 
@@ -25,7 +25,7 @@
     private final Map<String, PendingRequest> pendingBySubscriber = new HashMap<>();
     private WatchService service;
     /** The leases that this member grants to members while it leads, or null. */
-    private Leases memberLeases;
+    private LeaseManager memberLeases;
 
     private long appliedIndex;
     private long confirmedMicros;
@@ -87,7 +87,7 @@
             runLater(network.randomDelayMicros(), () -> {
                 if (leads() && group.hasMajority(this)) {
                     confirmedMicros = startedMicros;
-                    memberLeases = memberLeases == null ? new Leases(clockMicros(), appliedIndex) : memberLeases;
+                    memberLeases = memberLeases == null ? new LeaseManager(clockMicros(), appliedIndex) : memberLeases;
                 }
             });
         } else if (!leads() && network.random.nextDouble() < LEADERSHIP_LOSS_NOTICED_RATIO) {
@@ -109,7 +109,7 @@
             onOwnLease(grantMemberLease(name(), appliedIndex, appliedFloor), requestedMicros, appliedIndex);
         } else {
             network.send(this, leader, () -> {
-                Leases.Granted granted = leader.grantMemberLease(name(), appliedIndex, appliedFloor);
+                LeaseManager.Renewal granted = leader.grantMemberLease(name(), appliedIndex, appliedFloor);
                 long leaderIndex = leader.appliedIndex;
                 leader.runLater(
                         0, () -> network.send(leader, this, () -> onOwnLease(granted, requestedMicros, leaderIndex)));
@@ -118,20 +118,20 @@
         runLater(RENEW_INTERVAL_MICROS, this::renewOwnLease);
     }
 
-    private Leases.Granted grantMemberLease(String member, long memberIndex, long appliedFloor) {
-        long leftMicros = memberLeases == null ? 0 : confirmedMicros + Lease.LENGTH - clockMicros();
+    private LeaseManager.Renewal grantMemberLease(String member, long memberIndex, long appliedFloor) {
+        long leftMicros = memberLeases == null ? 0 : confirmedMicros + Lease.DURATION_MICROS - clockMicros();
         if (leftMicros <= 0) {
-            return new Leases.Granted(0, "");
+            return new LeaseManager.Renewal(0, "");
         }
-        Leases.Granted granted = memberLeases.renew(member, memberIndex, "", appliedFloor, clockMicros());
-        return new Leases.Granted(Math.min(leftMicros, granted.lengthMicros()), granted.why());
+        LeaseManager.Renewal granted = memberLeases.renew(member, memberIndex, "", appliedFloor, clockMicros());
+        return new LeaseManager.Renewal(Math.min(leftMicros, granted.durationMicros()), granted.reason());
     }
 
-    private void onOwnLease(Leases.Granted granted, long requestedMicros, long leaderIndex) {
-        if (granted.lengthMicros() > 0) {
+    private void onOwnLease(LeaseManager.Renewal granted, long requestedMicros, long leaderIndex) {
+        if (granted.durationMicros() > 0) {
             long extraMicros = group.planted() == PlantedFault.GRANTS_PAST_OWN_LEASE ? PLANTED_EXTRA_MICROS : 0;
             service.onOwnLease(
-                    Lease.end(requestedMicros, granted.lengthMicros()) + extraMicros,
+                    Lease.endMicros(requestedMicros, granted.durationMicros()) + extraMicros,
                     group.planted() == PlantedFault.LEADER_INDEX_IGNORED ? 0 : leaderIndex,
                     clockMicros());
         }
@@ -176,7 +176,7 @@
                 request.objection());
     }
 
-    Leases memberLeases() {
+    LeaseManager memberLeases() {
         return memberLeases;
     }
 
--- a/subscription/src/test/java/lupinvalve/subscription/SimulatedSubscriber.java
+++ b/subscription/src/test/java/lupinvalve/subscription/SimulatedSubscriber.java
@@ -1,7 +1,7 @@
 package lupinvalve.subscription;
 
 import java.util.concurrent.atomic.AtomicBoolean;
-import lupinvalve.statemachine.Ledger;
+import lupinvalve.statemachine.ReplicatedState;
 import lupinvalve.subscription.SimulatedGroup.CommittedChange;
 import lupinvalve.subscription.SimulatedGroup.PlantedFault;
 
@@ -22,7 +22,7 @@
     private int connectionNumber;
 
     private boolean requestSent;
-    private Ledger.Document appliedDocument;
+    private ReplicatedState.Document appliedDocument;
     private int appliedDrainNumber;
     private long poolerBusyUntilMicros;
     /** A strict change that was reported as done. */
