--- a/daemon/src/test/java/lupinvalve/cli/SubscriberTest.java
+++ b/daemon/src/test/java/lupinvalve/cli/SubscriberTest.java
@@ -74,7 +74,8 @@
             }
 
             @Override
-            public void commits(Command.SessionCommits commits) { // Positions are of no matter here.
+            public void commits(Command.SessionCommits commits) {
+                // Positions are of no matter here.
             }
         };
     }
--- a/daemon/src/test/java/lupinvalve/replication/OldMemberTest.java
+++ b/daemon/src/test/java/lupinvalve/replication/OldMemberTest.java
@@ -46,7 +46,8 @@
             while (!server.isClosed()) {
                 try (Socket socket = server.accept()) {
                     serve(socket, name, calls, answers);
-                } catch (IOException e) { // It has gone, or this one is over.
+                } catch (IOException e) {
+                    // It has gone, or this one is over.
                 }
             }
         });
@@ -96,20 +97,17 @@
         ByteArrayOutputStream lines = new ByteArrayOutputStream();
         AtomicInteger old = new AtomicInteger();
         AtomicInteger current = new AtomicInteger();
-        AtomicReference<ReplicatedState.Document> acting =
-                new AtomicReference<>(); // Other tests' world makes the log quiet as it is set up: not after this one
-        // has made it loud.
+        AtomicReference<ReplicatedState.Document> acting = new AtomicReference<>();
+        // Other tests' world makes the log quiet as it is set up: not after this one has made it loud.
         World.await("the world is there", () -> true);
         Log.Level before = Log.least();
         try (ServerSocket a = member("a", old, OldMemberTest::oldAnswer);
                 ServerSocket b = member("b", current, OldMemberTest::newAnswer)) {
             Log.to(new PrintStream(lines, true));
             Log.least(Log.Level.INFO);
-            Map<String, String> members = Map.of(
-                    "a",
-                    "127.0.0.1:" + a.getLocalPort(),
-                    "b",
-                    "127.0.0.1:" + b.getLocalPort()); // A name whose first member is the old one.
+            Map<String, String> members =
+                    Map.of("a", "127.0.0.1:" + a.getLocalPort(), "b", "127.0.0.1:" + b.getLocalPort());
+            // A name whose first member is the old one.
             String name = java.util.stream.IntStream.range(0, 100)
                     .mapToObj(i -> "s" + i)
                     .filter(one -> new lupinvalve.subscription.MemberSelector(one, members.keySet(), 1)
@@ -145,11 +143,13 @@
             }
 
             @Override
-            public void holds(Map<Command.DrainTarget, ReplicatedState.Drain> holds) { // None are told.
+            public void holds(Map<Command.DrainTarget, ReplicatedState.Drain> holds) {
+                // None are told.
             }
 
             @Override
-            public void commits(Command.SessionCommits commits) { // Subscribers are told of none.
+            public void commits(Command.SessionCommits commits) {
+                // Subscribers are told of none.
             }
         };
     }
--- a/faultinjection/src/test/java/lupinvalve/replication/CachedDocumentFileTest.java
+++ b/faultinjection/src/test/java/lupinvalve/replication/CachedDocumentFileTest.java
@@ -80,7 +80,8 @@
                 CachedDocumentFile.read(counted, CLUSTER);
                 CachedDocumentFile.write(counted, CLUSTER, cached(revision));
                 sure = revision;
-            } catch (IOException e) { // The subscriber goes on, or its process has ended.
+            } catch (IOException e) {
+                // The subscriber goes on, or its process has ended.
             }
         }
         return sure;
--- a/replication/src/main/java/lupinvalve/replication/Group.java
+++ b/replication/src/main/java/lupinvalve/replication/Group.java
@@ -392,7 +392,8 @@
     private final class Watching implements Replica.Watcher {
         @Override
         public void applied(long index, Command change, ReplicatedState.Outcome outcome) {
-            if (replica == null) { // A node that has been left; the next one comes to it as well.
+            if (replica == null) {
+                // A node that has been left; the next one comes to it as well.
                 return;
             }
             subscriptions.onApplied(replica.ledger(), change, outcome);
@@ -428,8 +429,8 @@
         }
     }
 
-    private void place(
-            String member, String address) { // The operator's own file goes before: it knows the way from here.
+    private void place(String member, String address) {
+        // The operator's own file goes before: it knows the way from here.
         if (!config.members().containsKey(member)) {
             peers.place(member, address);
         }
@@ -463,7 +464,8 @@
                     acting.refuses(Acting.version(document), document.index(), loop.now(), adoption.unreadableReason());
                 }
             }
-            default -> { // The one that is acted on.
+            default -> {
+                // The one that is acted on.
             }
         }
     }
--- a/replication/src/main/java/lupinvalve/replication/Questions.java
+++ b/replication/src/main/java/lupinvalve/replication/Questions.java
@@ -171,9 +171,8 @@
 
     private void put(Messages.Call call, Consumer<Messages.Answer> answer) throws IOException {
         long expected = Long.parseLong(argument(call, 0));
-        byte[] document = call.arguments()
-                .get(1); // Checked whole before it is proposed: what a majority accepts is a configuration that can
-        // be acted on.
+        byte[] document = call.arguments().get(1);
+        // Checked whole before it is proposed: what a majority accepts is a configuration that can be acted on.
         String objection = group.pooler().objection(document);
         ReplicatedState.Document holds = group.replica().ledger().document();
         if (objection == null) {
@@ -187,8 +186,8 @@
     }
 
     /** Another member asks for a lease, or this one's own operator sees why there is none. */
-    private void lease(Messages.Call call, Consumer<Messages.Answer> answer)
-            throws IOException { // A member of an earlier version has no subscribers.
+    private void lease(Messages.Call call, Consumer<Messages.Answer> answer) throws IOException {
+        // A member of an earlier version has no subscribers.
         long followersFloor = call.arguments().size() > 3 ? Long.parseLong(argument(call, 3)) : Long.MAX_VALUE;
         LeaseManager.Renewal granted = group.acting() == null
                 ? new LeaseManager.Renewal(0, "audit is off at the leader")
@@ -399,7 +398,8 @@
                 group.replica().step(next, report, (stepFate, ok) -> {
                     if (next instanceof MembershipChange.Step.TransferLeadership) {
                         then.done(Messages.Code.AGAIN, "another member leads now; ask again to go on");
-                    } else { // Whether it was taken shows in what the group looks like next.
+                    } else {
+                        // Whether it was taken shows in what the group looks like next.
                         group.loop().after(STEP, () -> change(wish, until, then));
                     }
                 });
--- a/subscription/src/main/java/lupinvalve/subscription/RevisionHistory.java
+++ b/subscription/src/main/java/lupinvalve/subscription/RevisionHistory.java
@@ -28,7 +28,8 @@
             DocumentDelta delta = DocumentDelta.between(current.content(), next.content());
             steps.addLast(new Step(current.revision(), current.digest(), delta));
             retainedBytes += delta.sizeBytes();
-        } else { // A snapshot may skip revisions.
+        } else {
+            // A snapshot may skip revisions.
             steps.clear();
             retainedBytes = 0;
         }
--- a/subscription/src/test/java/lupinvalve/subscription/DecisionsTest.java
+++ b/subscription/src/test/java/lupinvalve/subscription/DecisionsTest.java
@@ -43,7 +43,8 @@
     @Test
     void aDeltaLeadsFromAnyTextToAnyOther() throws IOException {
         Random random = new Random(1);
-        for (int i = 0; i < 5_000; i++) { // Few letters, so that beginnings and ends overlap.
+        for (int i = 0; i < 5_000; i++) {
+            // Few letters, so that beginnings and ends overlap.
             byte[] before = text(random);
             byte[] after = text(random);
             DocumentDelta delta = DocumentDelta.between(before, after);
@@ -292,10 +293,8 @@
         WatchResponse answer =
                 new WatchResponse(Lease.DURATION_MICROS, 400_000, "", 1, 0, new WatchResponse.Event.Unchanged(), null);
         state.onResponse(answer, 1_000_000, 1_450_000, content -> null);
-        assertEquals(
-                Lease.endMicros(granted, Lease.DURATION_MICROS),
-                state.leaseUntilMicros()); // A member that says it had the request for longer than it was away is
-        // not believed.
+        assertEquals(Lease.endMicros(granted, Lease.DURATION_MICROS), state.leaseUntilMicros());
+        // A member that says it had the request for longer than it was away is not believed.
         SubscriberState other = new SubscriberState(true, SubscriberState.Cached.EMPTY, 0);
         other.onResponse(
                 new WatchResponse(60_000_000, 90_000_000, "", 1, 0, new WatchResponse.Event.Unchanged(), null),
--- a/subscription/src/test/java/lupinvalve/subscription/SubscriptionSimulationTest.java
+++ b/subscription/src/test/java/lupinvalve/subscription/SubscriptionSimulationTest.java
@@ -52,8 +52,8 @@
 
     private static void scheduleFault(VirtualNetwork network, SimulatedFaults faults) {
         Random random = network.random;
-        int kind = random.nextInt(
-                8); // Long partitions, with subscribers that stay at the member, are what leases are for.
+        int kind = random.nextInt(8);
+        // Long partitions, with subscribers that stay at the member, are what leases are for.
         double ratio = kind == 2 ? random.nextDouble() : random.nextDouble() * random.nextDouble();
         long forMicros = (long) (ratio * FAULT_MAX_MICROS);
         network.runAt((long) (random.nextDouble() * FAULTS_MICROS), () -> {
@@ -91,10 +91,8 @@
             corruptions += group.corruptionCount();
             latestMicros = Math.max(latestMicros, group.latestUnappliedMicros());
         }
-        assertEquals(
-                Set.of(),
-                findings); // A lease's length until the member knows, the time to catch up, a lease's length again;
-        // with clocks that
+        assertEquals(Set.of(), findings);
+        // A lease's length until the member knows, the time to catch up, a lease's length again; with clocks that
         // drift.
         double boundMicros =
                 2 * Lease.DURATION_MICROS * (1 + 2 * Lease.MAX_CLOCK_DRIFT_RATIO) + SubscriberLeases.CATCH_UP_MICROS;
