--- a/capacity/src/test/java/lupinvalve/replication/MessageSizes.java
+++ b/capacity/src/test/java/lupinvalve/replication/MessageSizes.java
@@ -31,7 +31,7 @@
     private MessageSizes() {}
 
     private static Endpoint sender() {
-        return new Endpoint(new MemberId(NAME, SegmentedLog.diskName()));
+        return new Endpoint(new MemberId(NAME, SegmentedLog.newDiskId()));
     }
 
     private static int sent(RaftMessage message) {
--- a/daemon/src/test/java/lupinvalve/replication/StoredFolderTest.java
+++ b/daemon/src/test/java/lupinvalve/replication/StoredFolderTest.java
@@ -177,9 +177,9 @@
             SegmentedLog log = SegmentedLog.open(disk(member.getKey()), CLUSTER, member.getKey(), "unused");
             assertEquals(
                     new ClusterBootstrap.Announcement(identity, ClusterBootstrap.Phase.BOOTSTRAPPED, founders()),
-                    log.word());
-            assertEquals(TERM, log.termNumber());
-            RestoredRaftState restored = log.restored();
+                    log.announcement());
+            assertEquals(TERM, log.currentTerm());
+            RestoredRaftState restored = log.restoredState();
             assertEquals(
                     identity,
                     lupinvalve.replication.Endpoint.of(
@@ -229,7 +229,7 @@
     /** The changes of a log but for leaders' first entries and what members noted of themselves, as bytes. */
     private static List<String> changes(SegmentedLog log) throws IOException {
         List<String> changes = new ArrayList<>();
-        for (LogEntry entry : log.restored().getLogEntries()) {
+        for (LogEntry entry : log.restoredState().getLogEntries()) {
             if (entry.getOperation() instanceof byte[] bytes) {
                 Command change = CommandCodec.decode(bytes);
                 boolean ownNote =
@@ -263,10 +263,10 @@
     @Test
     void theMemberWithASnapshotHasItAndEachChangeAfterIt() throws IOException {
         SegmentedLog log = SegmentedLog.open(disk("a"), CLUSTER, "a", "unused");
-        assertEquals(SNAPSHOT_INDEX, log.restored().getSnapshotEntry().getIndex());
+        assertEquals(SNAPSHOT_INDEX, log.restoredState().getSnapshotEntry().getIndex());
         assertEquals(bytes(AFTER_SNAPSHOT), changes(log));
         ReplicatedState state = new ReplicatedState();
-        SnapshotCodec.restore(state, log.snapshotPieces());
+        SnapshotCodec.restore(state, log.snapshotChunks());
         assertEquals(SNAPSHOT_INDEX, state.appliedIndex());
         assertEquals(2, state.revision());
         assertArrayEquals(document("second"), state.document().content());
--- a/faultinjection/src/main/java/lupinvalve/replication/CountedDisk.java
+++ b/faultinjection/src/main/java/lupinvalve/replication/CountedDisk.java
@@ -72,9 +72,9 @@
     }
 
     @Override
-    public Out create(String name) throws IOException {
-        Out out = step(Kind.CREATE, () -> disk.create(name));
-        return new Out() {
+    public AppendFile create(String name) throws IOException {
+        AppendFile out = step(Kind.CREATE, () -> disk.create(name));
+        return new AppendFile() {
             @Override
             public void write(byte[] bytes) throws IOException {
                 step(Kind.WRITE, () -> whole(bytes), () -> whole(Arrays.copyOf(bytes, bytes.length / 2)));
--- a/faultinjection/src/main/java/lupinvalve/replication/MemoryDisk.java
+++ b/faultinjection/src/main/java/lupinvalve/replication/MemoryDisk.java
@@ -65,11 +65,11 @@
     }
 
     @Override
-    public Out create(String name) throws IOException {
+    public AppendFile create(String name) throws IOException {
         take(0);
         File file = new File();
         files.put(name, file);
-        return new Out() {
+        return new AppendFile() {
             /** Whether the last write is too short to hold a change of the scenarios'. */
             private boolean small;
 
--- a/faultinjection/src/main/java/lupinvalve/replication/Simulation.java
+++ b/faultinjection/src/main/java/lupinvalve/replication/Simulation.java
@@ -139,7 +139,7 @@
                 return;
             }
             try {
-                begin(SegmentedLog.reopen(access(), "sim", identity.name()));
+                begin(SegmentedLog.reopenAfterFault(access(), "sim", identity.name()));
             } catch (IOException e) {
                 new Life().after(REVIVE_MICROS, this::revive);
             }
@@ -147,9 +147,9 @@
 
         private void begin(SegmentedLog log) throws IOException {
             takeOver = new TakeOver(left == null ? null : new Left());
-            if (log.word().phase() == ClusterBootstrap.Phase.UNBOUND) {
+            if (log.announcement().phase() == ClusterBootstrap.Phase.UNBOUND) {
                 boolean founder = founders.contains(identity);
-                log.keep(new ClusterBootstrap.Announcement(
+                log.persistAnnouncement(new ClusterBootstrap.Announcement(
                         identity,
                         founder ? ClusterBootstrap.Phase.BOOTSTRAPPED : ClusterBootstrap.Phase.JOINING,
                         founders));
--- a/faultinjection/src/test/java/lupinvalve/replication/SegmentedLogTest.java
+++ b/faultinjection/src/test/java/lupinvalve/replication/SegmentedLogTest.java
@@ -37,7 +37,7 @@
     }
 
     private static void begin(SegmentedLog log) throws IOException {
-        log.keep(new ClusterBootstrap.Announcement(ME, ClusterBootstrap.Phase.BOOTSTRAPPED, Set.of(ME)));
+        log.persistAnnouncement(new ClusterBootstrap.Announcement(ME, ClusterBootstrap.Phase.BOOTSTRAPPED, Set.of(ME)));
         log.persistAndFlushLocalEndpoint(Models.FACTORY
                 .createRaftEndpointPersistentStateBuilder()
                 .setLocalEndpoint(new Endpoint(ME))
@@ -149,7 +149,7 @@
     @Test
     void termVoteMembersAndWhatWasAcceptedOutliveSegments() throws Exception {
         SegmentedLog log = written();
-        log.accepted(12);
+        log.advanceCommitIndex(12);
         ReplicatedState ledger = new ReplicatedState();
         for (int i = 1; i <= 15; i++) {
             ledger.apply(i, CommandCodec.decode((byte[]) entry(i, 3).getOperation()));
@@ -189,13 +189,14 @@
     @Test
     void aRestartKnowsByItselfWhatWasAccepted() throws Exception {
         SegmentedLog log = written();
-        log.accepted(12);
+        log.advanceCommitIndex(12);
         log.flush();
         SegmentedLog again = open(disk);
         assertEquals(12, Replica.warm(again).revision());
-        assertEquals(3, again.restored().getTermPersistentState().getTerm());
-        assertEquals(ME, Endpoint.of(again.restored().getTermPersistentState().getVotedFor()));
-        assertEquals(20, again.restored().getLogEntries().size());
+        assertEquals(3, again.restoredState().getTermPersistentState().getTerm());
+        assertEquals(
+                ME, Endpoint.of(again.restoredState().getTermPersistentState().getVotedFor()));
+        assertEquals(20, again.restoredState().getLogEntries().size());
     }
 
     @Test
--- a/replication/src/main/java/lupinvalve/replication/AuditBook.java
+++ b/replication/src/main/java/lupinvalve/replication/AuditBook.java
@@ -28,7 +28,7 @@
 
     private final AuditJournal journal;
     private final List<Command.AppendAudit> earlier = new ArrayList<>();
-    private Disk.Out out;
+    private Disk.AppendFile out;
 
     /** @param lifeMicros when this process started, which names its file */
     AuditBook(Disk disk, String pooler, long lifeMicros) throws IOException {
--- a/replication/src/main/java/lupinvalve/replication/Client.java
+++ b/replication/src/main/java/lupinvalve/replication/Client.java
@@ -189,9 +189,9 @@
             lupinvalve.statemachine.ReplicatedState ledger = Replica.warm(log);
             List<String> files = new ArrayList<>(disk.names());
             return Json.object(out -> {
-                out.writeStringField("member", log.word().member().toString());
-                out.writeStringField("phase", log.word().phase().statusName());
-                out.writeNumberField("term", log.termNumber());
+                out.writeStringField("member", log.announcement().member().toString());
+                out.writeStringField("phase", log.announcement().phase().statusName());
+                out.writeNumberField("term", log.currentTerm());
                 out.writeNumberField("last_change", log.lastIndex());
                 out.writeNumberField("accepted_change", ledger.appliedIndex());
                 out.writeNumberField("revision", ledger.revision());
--- a/replication/src/main/java/lupinvalve/replication/Disk.java
+++ b/replication/src/main/java/lupinvalve/replication/Disk.java
@@ -4,30 +4,36 @@
 import java.io.IOException;
 import java.util.List;
 
-/** A folder of files: the system's, or a stand-in that loses what was not forced. */
+/**
+ * A folder of files: the file system's, or a simulated one that loses what was not forced. One thread at a time uses
+ * it.
+ */
 public interface Disk extends Closeable {
     /** A file that is being appended to. */
-    interface Out extends Closeable {
+    interface AppendFile extends Closeable {
+        /** Appends bytes, which are durable only after {@link #force}. */
         void write(byte[] bytes) throws IOException;
 
-        /** Returns once all that was written will be there after a loss of power. */
+        /** Returns once all that was written is durable: it survives a loss of power. */
         void force() throws IOException;
     }
 
-    /** Names of all files, sorted. */
+    /** Names of all files of this program, sorted. */
     List<String> names() throws IOException;
 
+    /** The content of a file. */
     byte[] read(String name) throws IOException;
 
-    /** A new file, which will be there after a loss of power once it was forced. */
-    Out create(String name) throws IOException;
+    /** Creates a file, or empties it if it is there; it is durable once it was forced. */
+    AppendFile create(String name) throws IOException;
 
-    /** Puts a whole file in the place of another or of none, so that after a crash it is the old one or the new. */
+    /** Replaces a file atomically and durably: after a crash it has the old content or the new one. */
     void replace(String name, byte[] content) throws IOException;
 
-    /** Cuts a file, durably. */
-    void truncate(String name, long size) throws IOException;
+    /** Truncates a file durably. */
+    void truncate(String name, long sizeBytes) throws IOException;
 
+    /** Deletes a file if it is there. */
     void delete(String name) throws IOException;
 
     @Override
--- a/replication/src/main/java/lupinvalve/replication/FolderDisk.java
+++ b/replication/src/main/java/lupinvalve/replication/FolderDisk.java
@@ -12,42 +12,71 @@
 import java.nio.file.attribute.FileAttribute;
 import java.nio.file.attribute.PosixFilePermissions;
 import java.util.List;
+import java.util.regex.Pattern;
 import java.util.stream.Stream;
 
 /**
- * A folder of the system's, for one process at a time; what is in it is for its owner alone, since it holds secrets.
+ * A folder of the file system, locked for one process at a time. Folder and files are for their owner alone, since they
+ * have secrets.
  */
 public final class FolderDisk implements Disk {
-    private static final String LOCK = "lock", BESIDE = ".new", NAMES = "identity|followed|(history|snapshot|audit)-.*";
+    private static final String LOCK_FILE = "lock";
+    private static final String TEMPORARY_SUFFIX = ".new";
+    private static final Pattern FILE_NAMES = Pattern.compile("identity|followed|(history|snapshot|audit)-.*");
+    private static final String OWNER_FOLDER = "rwx------";
+    private static final String OWNER_FILE = "rw-------";
+
     private final Path folder;
-    private final FileChannel lockFile;
-    private final FileLock lock;
+    /** Has the lock; null if the folder is only read. */
+    private final FileChannel lockChannel;
 
-    /** @param writes whether files are to be changed: then nobody else may have the folder open */
-    public FolderDisk(Path folder, boolean writes) throws IOException {
+    /**
+     * Opens a folder, and creates it if it is to be written.
+     *
+     * @param writable whether files may be changed: the folder is locked then
+     * @throws IOException if the folder is to be written and another process has it open
+     */
+    public FolderDisk(Path folder, boolean writable) throws IOException {
         this.folder = folder;
-        if (!writes) {
-            lockFile = null;
-            lock = null;
-            return;
+        if (writable) {
+            Files.createDirectories(folder, permissions(OWNER_FOLDER, folder));
+            lockChannel = lock(folder);
+        } else {
+            lockChannel = null;
         }
-        Files.createDirectories(folder, owner("rwx------", folder));
-        lockFile = FileChannel.open(folder.resolve(LOCK), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
-        FileLock got = null;
+    }
+
+    private static FileChannel lock(Path folder) throws IOException {
+        FileChannel channel =
+                FileChannel.open(folder.resolve(LOCK_FILE), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+        boolean locked = false;
         try {
-            got = lockFile.tryLock();
-        } catch (OverlappingFileLockException e) {
-            // Held by this very process.
+            locked = tryLock(channel);
+        } finally {
+            if (!locked) {
+                channel.close();
+            }
         }
-        if (got == null) {
-            lockFile.close();
+        if (!locked) {
             throw new IOException(folder + ": in use by another process");
         }
-        lock = got;
+        return channel;
     }
 
-    private static FileAttribute<?>[] owner(String rights, Path where) {
-        return where.getFileSystem().supportedFileAttributeViews().contains("posix")
+    /** Whether the lock was taken; it is released as the channel is closed. */
+    private static boolean tryLock(FileChannel channel) throws IOException {
+        try {
+            FileLock lock = channel.tryLock();
+            return lock != null;
+        } catch (OverlappingFileLockException e) {
+            // This very process has the folder open.
+            return false;
+        }
+    }
+
+    private static FileAttribute<?>[] permissions(String rights, Path path) {
+        boolean posix = path.getFileSystem().supportedFileAttributeViews().contains("posix");
+        return posix
                 ? new FileAttribute<?>[] {PosixFilePermissions.asFileAttribute(PosixFilePermissions.fromString(rights))}
                 : new FileAttribute<?>[0];
     }
@@ -56,7 +85,7 @@
     public List<String> names() throws IOException {
         try (Stream<Path> files = Files.list(folder)) {
             return files.map(file -> file.getFileName().toString())
-                    .filter(name -> name.matches(NAMES))
+                    .filter(name -> FILE_NAMES.matcher(name).matches())
                     .sorted()
                     .toList();
         }
@@ -67,23 +96,27 @@
         return Files.readAllBytes(folder.resolve(name));
     }
 
-    private FileChannel make(Path file) throws IOException {
+    private static FileChannel createChannel(Path file) throws IOException {
         Files.deleteIfExists(file);
-        Files.createFile(file, owner("rw-------", file));
+        Files.createFile(file, permissions(OWNER_FILE, file));
         return FileChannel.open(file, StandardOpenOption.WRITE);
     }
 
+    private static void writeFully(FileChannel channel, byte[] bytes) throws IOException {
+        ByteBuffer remaining = ByteBuffer.wrap(bytes);
+        while (remaining.hasRemaining()) {
+            channel.write(remaining);
+        }
+    }
+
     @Override
-    public Out create(String name) throws IOException {
-        FileChannel channel = make(folder.resolve(name));
+    public AppendFile create(String name) throws IOException {
+        FileChannel channel = createChannel(folder.resolve(name));
         forceFolder();
-        return new Out() {
+        return new AppendFile() {
             @Override
             public void write(byte[] bytes) throws IOException {
-                ByteBuffer rest = ByteBuffer.wrap(bytes);
-                while (rest.hasRemaining()) {
-                    channel.write(rest);
-                }
+                writeFully(channel, bytes);
             }
 
             @Override
@@ -106,22 +139,20 @@
 
     @Override
     public void replace(String name, byte[] content) throws IOException {
-        Path beside = folder.resolve(name + BESIDE);
-        try (FileChannel channel = make(beside)) {
-            ByteBuffer rest = ByteBuffer.wrap(content);
-            while (rest.hasRemaining()) {
-                channel.write(rest);
-            }
+        Path temporary = folder.resolve(name + TEMPORARY_SUFFIX);
+        try (FileChannel channel = createChannel(temporary)) {
+            writeFully(channel, content);
             channel.force(true);
         }
-        Files.move(beside, folder.resolve(name), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        Files.move(
+                temporary, folder.resolve(name), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
         forceFolder();
     }
 
     @Override
-    public void truncate(String name, long size) throws IOException {
+    public void truncate(String name, long sizeBytes) throws IOException {
         try (FileChannel channel = FileChannel.open(folder.resolve(name), StandardOpenOption.WRITE)) {
-            channel.truncate(size);
+            channel.truncate(sizeBytes);
             channel.force(true);
         }
     }
@@ -133,9 +164,8 @@
 
     @Override
     public void close() throws IOException {
-        if (lockFile != null) {
-            lock.release();
-            lockFile.close();
+        if (lockChannel != null) {
+            lockChannel.close();
         }
     }
 }
--- a/replication/src/main/java/lupinvalve/replication/Group.java
+++ b/replication/src/main/java/lupinvalve/replication/Group.java
@@ -144,26 +144,26 @@
         net = new Net(loop, false, tls);
         disk = seams.disk(new FolderDisk(config.folder(), true));
         try {
-            log = SegmentedLog.open(disk, config.cluster(), config.name(), SegmentedLog.diskName());
+            log = SegmentedLog.open(disk, config.cluster(), config.name(), SegmentedLog.newDiskId());
             warm = Replica.warm(log);
         } catch (IOException | IllegalArgumentException e) {
             disk.close();
             throw new IOException("store " + config.folder() + ": " + e.getMessage(), e);
         }
-        takeOver = new TakeOver(OldStore.read(config.folder()));
+        takeOver = new TakeOver(LegacyStoreFile.read(config.folder()));
         acting = config.audit() == OperatorConfig.Audit.OFF
                 ? null
                 : new Acting(new Acts(), config.name(), config.audit() == OperatorConfig.Audit.FENCE, disk, loop.now());
         subscriptions = new SubscriptionServer(this, warm);
         adoption = new ActiveConfiguration(loop.now());
-        founding = new ClusterBootstrap(log.word(), config.members().keySet());
+        founding = new ClusterBootstrap(log.announcement(), config.members().keySet());
         peers = new Peers(
                 net,
                 loop,
                 config.cluster(),
                 config.name(),
                 config.listen(),
-                log.word(),
+                log.announcement(),
                 (link, name, member) -> {
                     if (tls != null) {
                         Tls.check(link, name);
@@ -365,26 +365,26 @@
     /** Brings the own word to disk, then to the others; joins the group once there is one. */
     private void settle() {
         try {
-            while (!founding.own().equals(log.word())) {
-                log.keep(founding.own());
+            while (!founding.own().equals(log.announcement())) {
+                log.persistAnnouncement(founding.own());
                 Log.info(
                         "store: %s %s",
-                        log.word().member(),
-                        switch (log.word().phase()) {
+                        log.announcement().member(),
+                        switch (log.announcement().phase()) {
                             case BOUND -> "is bound to found the group";
                             case BOOTSTRAPPED -> "has founded the group";
                             default -> "is no member yet: it waits for `store add " + config.name() + "`";
                         });
-                peers.say(log.word());
+                peers.say(log.announcement());
             }
         } catch (IOException e) {
             end(Replica.DISK);
             return;
         }
-        ClusterBootstrap.Phase phase = log.word().phase();
+        ClusterBootstrap.Phase phase = log.announcement().phase();
         boolean grouped = phase == ClusterBootstrap.Phase.BOOTSTRAPPED || phase == ClusterBootstrap.Phase.JOINING;
         if (grouped && replica == null && ended == null && !stopped) {
-            replica = new Replica(schedule, log, log.word().founders(), sending, new Random(), new Watching());
+            replica = new Replica(schedule, log, log.announcement().founders(), sending, new Random(), new Watching());
             replica.start();
         }
     }
@@ -499,7 +499,7 @@
                 acting.inTouch(!adoption.isCutOff(), loop.now());
             }
         }
-        ClusterBootstrap.Phase phase = log.word().phase();
+        ClusterBootstrap.Phase phase = log.announcement().phase();
         if (phase == ClusterBootstrap.Phase.UNBOUND || phase == ClusterBootstrap.Phase.BOUND) {
             if (!founding.pendingReason().equals(waitsFor)) {
                 waitsFor = founding.pendingReason();
@@ -530,7 +530,7 @@
         reviveAfter = Math.min(REVIVE_MOST, reviveAfter * 2);
         reviveAt = loop.now() + reviveAfter;
         try {
-            SegmentedLog again = SegmentedLog.reopen(disk, config.cluster(), config.name());
+            SegmentedLog again = SegmentedLog.reopenAfterFault(disk, config.cluster(), config.name());
             log.close(false);
             log = again;
         } catch (IOException e) {
--- a/replication/src/main/java/lupinvalve/replication/IdentityFile.java
+++ b/replication/src/main/java/lupinvalve/replication/IdentityFile.java
@@ -6,14 +6,22 @@
 import lupinvalve.statemachine.Cbor;
 import lupinvalve.statemachine.ClusterBootstrap;
 
-/** The file that says whose folder it is, and how far the founding of the member's group is. */
+/** The file with a member's identity: cluster, name, disk id, and how far the group's bootstrap is. */
 final class IdentityFile {
+    /** The file's name in the member's folder. */
     static final String NAME = "identity";
-    private static final int FORMAT = 1;
+
+    private static final int FORMAT_VERSION = 1;
 
     private IdentityFile() {}
 
-    /** Reads it; fails where it is not that of this cluster and member. Either is not looked at where it is null. */
+    /**
+     * Reads the file.
+     *
+     * @param cluster that it must be of; null for any
+     * @param member that it must be of; null for any
+     * @throws IOException if it is damaged, of another cluster or member, or of a later format
+     */
     static ClusterBootstrap.Announcement read(Disk disk, String cluster, String member) throws IOException {
         List<byte[]> contents = new ArrayList<>();
         Frames.read(NAME, disk.read(NAME), false, contents);
@@ -22,24 +30,25 @@
         }
         Cbor.Reader in = new Cbor.Reader(contents.get(0));
         long format = in.number();
-        if (format != FORMAT) {
-            throw new IOException(NAME + ": format " + format + "; this program reads " + FORMAT);
+        if (format != FORMAT_VERSION) {
+            throw new IOException(NAME + ": format " + format + "; this program reads " + FORMAT_VERSION);
         }
-        String of = in.text();
-        ClusterBootstrap.Announcement word = ClusterBootstrap.Announcement.read(in);
-        if (cluster != null && !of.equals(cluster)) {
-            throw new IOException(NAME + ": of the cluster " + of + ", not of " + cluster);
+        String fileCluster = in.text();
+        ClusterBootstrap.Announcement announcement = ClusterBootstrap.Announcement.read(in);
+        if (cluster != null && !fileCluster.equals(cluster)) {
+            throw new IOException(NAME + ": of the cluster " + fileCluster + ", not of " + cluster);
         }
-        if (member != null && !word.member().name().equals(member)) {
-            throw new IOException(NAME + ": of the member " + word.member().name() + ", not of " + member);
+        String fileMember = announcement.member().name();
+        if (member != null && !fileMember.equals(member)) {
+            throw new IOException(NAME + ": of the member " + fileMember + ", not of " + member);
         }
-        return word;
+        return announcement;
     }
 
-    /** Puts it in the place of the one before. */
-    static void write(Disk disk, String cluster, ClusterBootstrap.Announcement word) throws IOException {
-        Cbor.Writer out = new Cbor.Writer().number(FORMAT).text(cluster);
-        word.write(out);
+    /** Replaces the file. */
+    static void write(Disk disk, String cluster, ClusterBootstrap.Announcement announcement) throws IOException {
+        Cbor.Writer out = new Cbor.Writer().number(FORMAT_VERSION).text(cluster);
+        announcement.write(out);
         disk.replace(NAME, Frames.frame(out.toByteArray()));
     }
 }
--- a/replication/src/main/java/lupinvalve/replication/Questions.java
+++ b/replication/src/main/java/lupinvalve/replication/Questions.java
@@ -427,8 +427,8 @@
         ReplicatedState.Document running = group.adoption().active();
         out.writeStringField("cluster", group.config().cluster());
         out.writeStringField("name", group.config().name());
-        out.writeStringField("disk", group.log().word().member().diskId());
-        out.writeStringField("phase", group.log().word().phase().statusName());
+        out.writeStringField("disk", group.log().announcement().member().diskId());
+        out.writeStringField("phase", group.log().announcement().phase().statusName());
         out.writeStringField(
                 "leader", group.leader() == null ? "" : group.leader().name());
         out.writeBooleanField("leads", group.leads());
@@ -438,8 +438,8 @@
                 group.ended() != null
                         ? "takes no part any more: " + group.ended() + "; "
                                 + group.adoption().describe()
-                        : group.log().word().phase() == ClusterBootstrap.Phase.UNBOUND
-                                        || group.log().word().phase() == ClusterBootstrap.Phase.BOUND
+                        : group.log().announcement().phase() == ClusterBootstrap.Phase.UNBOUND
+                                        || group.log().announcement().phase() == ClusterBootstrap.Phase.BOUND
                                 ? "the group is not founded yet: "
                                         + group.founding().pendingReason()
                                 : group.adoption().describe());
@@ -456,7 +456,7 @@
         out.writeNumberField("sessions", ledger.sessionCount());
         out.writeNumberField("holds", ledger.drains().size());
         out.writeNumberField("listed_nodes", ledger.endpointList().endpoints().size());
-        out.writeNumberField("history_bytes", group.log().historyBytes());
+        out.writeNumberField("history_bytes", group.log().logBytes());
         out.writeNumberField("snapshot_bytes", group.log().snapshotBytes());
         if (report != null) {
             out.writeNumberField("term", report.getTerm().getTerm());
--- a/replication/src/main/java/lupinvalve/replication/Replica.java
+++ b/replication/src/main/java/lupinvalve/replication/Replica.java
@@ -118,7 +118,7 @@
         this.log = log;
         this.sending = sending;
         this.watcher = watcher;
-        self = log.word().member();
+        self = log.announcement().member();
         pace = new Pace(schedule);
         RaftNode.RaftNodeBuilder builder = RaftNode.newBuilder()
                 .setGroupId(GROUP)
@@ -138,7 +138,7 @@
                 .setModelFactory(Models.FACTORY)
                 .setRandom(random)
                 .setClock(pace);
-        RestoredRaftState restored = log.restored();
+        RestoredRaftState restored = log.restoredState();
         if (restored != null) {
             builder.setRestoredState(restored);
         } else {
@@ -155,7 +155,7 @@
                 schedule.post(() -> end("start: " + failure.getMessage()));
             }
         });
-        log.forget();
+        log.releaseRestored();
     }
 
     /** Takes no part any more; what was asked and not answered may have happened. */
@@ -214,7 +214,7 @@
             }
             ReplicatedState.Outcome outcome = ledger.apply(index, change);
             try {
-                log.accepted(index);
+                log.advanceCommitIndex(index);
                 if (change instanceof Command.PutDocument) {
                     // It is acted on from now on, so that a restart without the others must know of it.
                     log.flush();
@@ -224,12 +224,12 @@
                 return outcome;
             }
             watcher.applied(index, change, outcome);
-            keptBytes = Math.min(keptBytes, log.historyBytes());
-            if (!snapshotting && CompactionPolicy.isDue(log.historyBytes(), keptBytes, log.snapshotBytes())) {
+            keptBytes = Math.min(keptBytes, log.logBytes());
+            if (!snapshotting && CompactionPolicy.isDue(log.logBytes(), keptBytes, log.snapshotBytes())) {
                 snapshotting = true;
                 schedule.post(() -> node.takeSnapshot().whenComplete((report, failure) -> {
                     snapshotting = false;
-                    keptBytes = log.historyBytes();
+                    keptBytes = log.logBytes();
                 }));
             }
             return outcome;
@@ -245,7 +245,7 @@
             try {
                 SnapshotCodec.restore(
                         ledger, pieces.stream().map(piece -> (byte[]) piece).toList());
-                log.accepted(index);
+                log.advanceCommitIndex(index);
             } catch (IOException e) {
                 Log.error("store: the snapshot at %s can't be read: %s", index, e.getMessage());
                 schedule.post(() -> end("the snapshot is of a later version"));
@@ -384,11 +384,11 @@
     /** What was accepted as far as this member's own disk tells: the state to start from before others are heard. */
     static ReplicatedState warm(SegmentedLog log) throws IOException {
         ReplicatedState ledger = new ReplicatedState();
-        List<byte[]> pieces = log.snapshotPieces();
+        List<byte[]> pieces = log.snapshotChunks();
         if (!pieces.isEmpty()) {
             SnapshotCodec.restore(ledger, pieces);
         }
-        Collection<LogEntry> accepted = log.accepted().values();
+        Collection<LogEntry> accepted = log.committedEntries().values();
         for (LogEntry entry : accepted) {
             if (entry.getOperation() instanceof byte[] change) {
                 ledger.apply(entry.getIndex(), CommandCodec.decode(change));
--- a/replication/src/main/java/lupinvalve/replication/SegmentedLog.java
+++ b/replication/src/main/java/lupinvalve/replication/SegmentedLog.java
@@ -9,12 +9,10 @@
 import io.microraft.persistence.RestoredRaftState;
 import java.io.IOException;
 import java.security.SecureRandom;
-import java.util.ArrayList;
 import java.util.HexFormat;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import java.util.TreeMap;
 import java.util.function.Consumer;
 import lupinvalve.log.Log;
 import lupinvalve.statemachine.Cbor;
@@ -22,241 +20,211 @@
 import lupinvalve.statemachine.MemberId;
 
 /**
- * A member's memory on disk: the history in segments, snapshots in files of their own, and whose folder it is. Changes
- * gather until a flush, which writes them as one record with one force: that is the group commit.
+ * A member's persistent Raft state: the log in segments, snapshots in files of their own, and the member's identity.
+ * Records are batched until a flush, which writes them with one force of the disk (group commit).
  *
- * <p>Each segment begins with what older ones said of term, vote and members, so that they can go whole. After the
- * first fault of the disk nothing is written any more and each call fails: what a disk that has failed once holds is
- * not known.
+ * <p>Each segment begins with a {@link SegmentHeader}, so that older ones can be deleted. After the first fault of the
+ * disk each call fails, as it is not known what the disk has. All calls are on the group's thread.
  */
 final class SegmentedLog implements RaftStore {
-    /** What the names of segments begin with; their number follows. */
-    static final String SEGMENT = "history-";
-
-    private static final int SEGMENT_MOST = 1 << 20;
+    private static final int DISK_ID_BYTES = 8;
 
     private final Disk disk;
     private final String cluster;
+    private final SegmentFiles segments;
     private final SnapshotFiles snapshots;
-    private final SegmentHead head = new SegmentHead();
-    private final StoredHistory stored = new StoredHistory(head);
+    private final SegmentHeader header = new SegmentHeader();
+    private final RestoredLog restored = new RestoredLog(header);
     private final RecordBatch batch = new RecordBatch();
-    private final TreeMap<Long, ClosedSegment> closed = new TreeMap<>();
-    private ClusterBootstrap.Announcement word;
-    private Disk.Out segment;
-    private long number;
-    /** The highest index of an entry in the segment that is being written, and that segment's size. */
-    private long highest;
-
-    private long size;
-    /** Bytes of all segments that are there. */
-    private long historyBytes;
-    /** Whether the head's accepted index is due to be written. */
-    private boolean committedUnsaid;
+    private ClusterBootstrap.Announcement announcement;
+    /** Whether the commit index must be written with the next flush. */
+    private boolean commitIndexChanged;
 
     private IOException failure;
     private Runnable onFailure = () -> {};
 
-    /** A segment that is not written to any more: the highest index of an entry in it, and its size. */
-    private record ClosedSegment(long highest, long bytes) {}
-
     private SegmentedLog(Disk disk, String cluster) {
         this.disk = disk;
         this.cluster = cluster;
+        segments = new SegmentFiles(disk);
         snapshots = new SnapshotFiles(disk);
     }
 
-    // ---- start ----
+    // ---- opening ----
 
-    /** A name that no other disk has. */
-    static String diskName() {
-        byte[] random = new byte[8];
+    /** A random id for a disk. */
+    static String newDiskId() {
+        byte[] random = new byte[DISK_ID_BYTES];
         new SecureRandom().nextBytes(random);
         return HexFormat.of().formatHex(random);
     }
 
-    /** Opens a member's folder; an empty one becomes this member's, with the disk name given. */
-    static SegmentedLog open(Disk disk, String cluster, String name, String diskName) throws IOException {
+    /**
+     * Opens a member's folder; an empty one becomes this member's, with the disk id given.
+     *
+     * @throws IOException if the folder is damaged or another member's
+     */
+    static SegmentedLog open(Disk disk, String cluster, String member, String newDiskId) throws IOException {
         SegmentedLog log = new SegmentedLog(disk, cluster);
         List<String> names = disk.names();
         if (names.contains(IdentityFile.NAME)) {
-            log.word = IdentityFile.read(disk, cluster, name);
-        } else if (names.stream().noneMatch(SegmentedLog::holdsHistory)) {
-            log.keep(new ClusterBootstrap.Announcement(
-                    new MemberId(name, diskName), ClusterBootstrap.Phase.UNBOUND, Set.of()));
+            log.announcement = IdentityFile.read(disk, cluster, member);
+        } else if (names.stream().noneMatch(SegmentedLog::hasLogData)) {
+            log.persistAnnouncement(new ClusterBootstrap.Announcement(
+                    new MemberId(member, newDiskId), ClusterBootstrap.Phase.UNBOUND, Set.of()));
         } else {
             throw new Frames.Damaged(IdentityFile.NAME + " is missing beside " + names.get(0));
         }
         log.load(names, true);
-        log.roll();
-        // A crash may have come between a snapshot and the end of what it makes superfluous.
-        log.truncateLogEntriesUntil(log.stored.snapshotIndex());
+        log.startNextSegment();
+        // A crash may have come between a snapshot and the deletion of the segments before it.
+        log.truncateLogEntriesUntil(log.restored.snapshotIndex());
         return log;
     }
 
-    private static boolean holdsHistory(String file) {
-        return file.startsWith(SEGMENT) || file.startsWith(SnapshotFiles.KIND);
+    private static boolean hasLogData(String file) {
+        return file.startsWith(SegmentFiles.PREFIX) || file.startsWith(SnapshotFiles.PREFIX);
     }
 
     /**
-     * Opens a folder again after its disk has failed. What a force that failed left in the system's memory may not be
-     * on the disk and yet be read, so each file is put there anew first.
+     * Opens a folder again after a fault of its disk. What a failed force has left in the page cache can be read but
+     * may not be durable, so each file is written again first.
      */
-    static SegmentedLog reopen(Disk disk, String cluster, String name) throws IOException {
+    static SegmentedLog reopenAfterFault(Disk disk, String cluster, String member) throws IOException {
         for (String file : disk.names()) {
-            if (file.equals(IdentityFile.NAME) || holdsHistory(file)) {
+            if (file.equals(IdentityFile.NAME) || hasLogData(file)) {
                 disk.replace(file, disk.read(file));
             }
         }
-        return open(disk, cluster, name, "");
+        return open(disk, cluster, member, "");
     }
 
-    /** Reads a stopped member's folder without changing it; gives what it holds. */
+    /** Reads a stopped member's folder without changing it. */
     static SegmentedLog inspect(Disk disk) throws IOException {
         SegmentedLog log = new SegmentedLog(disk, null);
         List<String> names = disk.names();
         if (!names.contains(IdentityFile.NAME)) {
             throw new Frames.Damaged(IdentityFile.NAME + " is missing");
         }
-        log.word = IdentityFile.read(disk, null, null);
+        log.announcement = IdentityFile.read(disk, null, null);
         log.load(names, false);
         return log;
     }
 
-    /** Keeps what this member says of itself, before it says so. */
-    void keep(ClusterBootstrap.Announcement said) throws IOException {
-        check();
-        try {
-            IdentityFile.write(disk, cluster, said);
-        } catch (IOException e) {
-            throw failed(e);
-        }
-        word = said;
+    private void load(List<String> names, boolean repair) throws IOException {
+        segments.load(names, repair, restored);
+        restored.startFrom(snapshots.load(names, repair));
     }
 
-    /** What this member says of itself. */
-    ClusterBootstrap.Announcement word() {
-        return word;
-    }
+    // ---- identity ----
 
-    private void load(List<String> names, boolean mends) throws IOException {
-        List<String> segments =
-                names.stream().filter(name -> name.startsWith(SEGMENT)).toList();
-        for (int i = 0; i < segments.size(); i++) {
-            loadSegment(segments.get(i), i == segments.size() - 1, mends);
-        }
-        stored.startFrom(snapshots.load(names, mends));
-        for (ClosedSegment old : closed.values()) {
-            historyBytes += old.bytes();
+    /** Makes an announcement durable, before it is sent to others. */
+    void persistAnnouncement(ClusterBootstrap.Announcement next) throws IOException {
+        checkNotFailed();
+        try {
+            IdentityFile.write(disk, cluster, next);
+        } catch (IOException e) {
+            throw recordFailure(e);
         }
+        announcement = next;
     }
 
-    private void loadSegment(String name, boolean last, boolean mends) throws IOException {
-        byte[] file = disk.read(name);
-        List<byte[]> contents = new ArrayList<>();
-        long whole = Frames.read(name, file, last, contents);
-        if (whole < file.length) {
-            Log.warn("store: %s: cut at byte %s, where a crash had torn what followed", name, whole);
-            if (mends) {
-                disk.truncate(name, whole);
-            }
-        }
-        long highestRead = 0;
-        for (byte[] content : contents) {
-            highestRead = stored.readRecords(name, content, highestRead);
-        }
-        number = NumberedFile.number(name, SEGMENT);
-        closed.put(number, new ClosedSegment(highestRead, whole));
+    /** The member's identity and how far its bootstrap is. */
+    ClusterBootstrap.Announcement announcement() {
+        return announcement;
     }
 
-    /** What the library starts from, or null where this member has never run in a group. */
-    RestoredRaftState restored() {
-        return stored.restored();
+    // ---- what was restored ----
+
+    /** What MicroRaft starts from, or null if this member has never run in a group. */
+    RestoredRaftState restoredState() {
+        return restored.toRaftState();
     }
 
-    /** The pieces of the snapshot that was found. */
-    List<byte[]> snapshotPieces() {
-        return stored.snapshotPieces();
+    /** The chunks of the snapshot that was found. */
+    List<byte[]> snapshotChunks() {
+        return restored.snapshotChunks();
     }
 
-    /** The changes behind that snapshot that were known to be accepted. */
-    Map<Long, LogEntry> accepted() {
-        return stored.accepted();
+    /** The entries after that snapshot that were known to be committed, by index. */
+    Map<Long, LogEntry> committedEntries() {
+        return restored.committedEntries();
     }
 
-    /** Index of the last change that was found. */
+    /** Index of the last entry that was found. */
     long lastIndex() {
-        return stored.lastIndex();
+        return restored.lastIndex();
     }
 
     /** The term, 0 before the first. */
-    int termNumber() {
-        return head.termNumber();
+    int currentTerm() {
+        return header.currentTerm();
     }
 
-    /** The library has taken over what was read. */
-    void forget() {
-        stored.forget();
+    /** Frees the memory of what was restored, once MicroRaft has taken it over. */
+    void releaseRestored() {
+        restored.release();
     }
 
-    // ---- while it runs ----
+    // ---- faults ----
 
-    /** What is to run once the disk has failed. */
-    void onFailure(Runnable then) {
-        onFailure = then;
+    /** Sets what to run at the first fault of the disk. */
+    void onFailure(Runnable action) {
+        onFailure = action;
     }
 
-    /** Whether the disk has failed. */
     boolean hasFailed() {
         return failure != null;
     }
 
-    private void check() throws IOException {
+    private void checkNotFailed() throws IOException {
         if (failure != null) {
             throw failure;
         }
     }
 
-    private IOException failed(IOException e) {
+    private IOException recordFailure(IOException fault) {
         if (failure == null) {
-            failure = e;
-            Log.error("store: the disk fails: %s; nothing more is acknowledged", e.getMessage());
+            failure = fault;
+            Log.error("store: the disk fails: %s; nothing more is acknowledged", fault.getMessage());
             onFailure.run();
         }
-        return e;
+        return fault;
     }
 
+    // ---- records ----
+
     private void add(Consumer<Cbor.Writer> record) throws IOException {
-        check();
+        checkNotFailed();
         batch.add(record);
     }
 
     @Override
     public void persistAndFlushLocalEndpoint(RaftEndpointPersistentState state) throws IOException {
-        head.self = state;
-        add(head::writeSelf);
+        header.setLocalMember(state);
+        add(header::writeLocalMember);
         flush();
     }
 
     @Override
     public void persistAndFlushInitialGroupMembers(RaftGroupMembersView members) throws IOException {
-        head.founders = members;
-        add(head::writeFounders);
+        header.setInitialMembers(members);
+        add(header::writeInitialMembers);
         flush();
     }
 
     @Override
     public void persistAndFlushTerm(RaftTermPersistentState state) throws IOException {
-        head.term = state;
-        add(head::writeTerm);
+        header.setTerm(state);
+        add(header::writeTerm);
         flush();
     }
 
     @Override
-    public void persistLogEntries(List<LogEntry> added) throws IOException {
-        for (LogEntry entry : added) {
+    public void persistLogEntries(List<LogEntry> entries) throws IOException {
+        for (LogEntry entry : entries) {
             add(out -> Models.entry(out.number(RecordKind.ENTRY), entry));
-            highest = Math.max(highest, entry.getIndex());
+            segments.onEntryAdded(entry.getIndex());
         }
     }
 
@@ -265,110 +233,86 @@
         add(out -> out.number(RecordKind.CUT_FROM).number(index));
     }
 
-    /** A majority has accepted all up to here; on disk with the next flush, so that a restart knows it by itself. */
-    void accepted(long index) throws IOException {
-        check();
-        committedUnsaid |= index > head.committed;
-        head.committed = Math.max(head.committed, index);
+    /** A majority has committed the log up to here; durable with the next flush. */
+    void advanceCommitIndex(long index) throws IOException {
+        checkNotFailed();
+        commitIndexChanged |= header.advanceCommitIndex(index);
     }
 
     @Override
     public void truncateLogEntriesUntil(long index) throws IOException {
-        check();
+        checkNotFailed();
         try {
-            while (!closed.isEmpty() && closed.firstEntry().getValue().highest() <= index) {
-                long first = closed.firstKey();
-                historyBytes -= closed.remove(first).bytes();
-                disk.delete(NumberedFile.name(SEGMENT, first));
-            }
+            segments.deleteUpTo(index);
         } catch (IOException e) {
-            throw failed(e);
+            throw recordFailure(e);
         }
     }
 
     @Override
     public void persistSnapshotChunk(SnapshotChunk chunk) throws IOException {
-        check();
+        checkNotFailed();
         try {
             snapshots.add(chunk);
         } catch (IOException e) {
-            throw failed(e);
+            throw recordFailure(e);
         }
     }
 
     @Override
     public void deleteSnapshotChunks(long index, int count) throws IOException {
-        check();
+        checkNotFailed();
         try {
             snapshots.delete(index);
         } catch (IOException e) {
-            throw failed(e);
+            throw recordFailure(e);
         }
     }
 
     @Override
     public void flush() throws IOException {
-        check();
+        checkNotFailed();
         try {
-            if (snapshots.unforced()) {
+            if (snapshots.hasUnforced()) {
                 snapshots.force();
-                write();
-                // What the snapshot makes superfluous is to lie in segments that can go whole.
-                roll();
+                writeBatch();
+                // The entries in the snapshot are then in segments that can be deleted.
+                startNextSegment();
                 snapshots.deleteOlder();
             } else {
-                write();
-                if (size > SEGMENT_MOST) {
-                    roll();
+                writeBatch();
+                if (segments.isFull()) {
+                    startNextSegment();
                 }
             }
         } catch (IOException e) {
-            throw failed(e);
+            throw recordFailure(e);
         }
     }
 
-    private void write() throws IOException {
-        if (committedUnsaid) {
-            committedUnsaid = false;
-            add(head::writeCommitted);
-        }
-        if (batch.isEmpty()) {
-            return;
-        }
-        byte[] frame = batch.frame();
-        segment.write(frame);
-        segment.force();
-        size += frame.length;
-        historyBytes += frame.length;
-        batch.clear();
-    }
-
-    /** Begins a new segment. */
-    private void roll() throws IOException {
-        if (segment != null) {
-            segment.close();
-            closed.put(number, new ClosedSegment(highest, size));
-        }
-        number++;
-        highest = 0;
-        size = 0;
-        segment = disk.create(NumberedFile.name(SEGMENT, number));
-        if (head.self != null) {
-            add(head::writeSelf);
-        }
-        if (head.founders != null) {
-            add(head::writeFounders);
+    private void writeBatch() throws IOException {
+        if (commitIndexChanged) {
+            commitIndexChanged = false;
+            add(header::writeCommitIndex);
         }
-        if (head.term != null) {
-            add(head::writeTerm);
+        if (!batch.isEmpty()) {
+            segments.append(batch.frame());
+            batch.clear();
         }
-        committedUnsaid = head.committed > 0;
-        write();
     }
 
+    private void startNextSegment() throws IOException {
+        segments.startNext();
+        header.writeTo(batch::add);
+        commitIndexChanged = header.commitIndex() > 0;
+        writeBatch();
+    }
+
+    // ---- sizes and end ----
+
     /** Bytes of all segments. */
-    long historyBytes() {
-        return historyBytes;
+    long logBytes() {
+        return segments.totalBytes();
     }
 
     /** Bytes of the newest snapshot. */
@@ -376,17 +320,19 @@
         return snapshots.newestBytes();
     }
 
-    /** Lets go of the files, and of the folder as well where nobody is to go on with it. */
-    void close(boolean folder) {
+    /**
+     * Writes what is pending and closes the files.
+     *
+     * @param closeDisk whether to close the disk as well, if no other log goes on with it
+     */
+    void close(boolean closeDisk) {
         try {
             if (failure == null) {
-                write();
-            }
-            if (segment != null) {
-                segment.close();
+                writeBatch();
             }
+            segments.close();
             snapshots.close();
-            if (folder) {
+            if (closeDisk) {
                 disk.close();
             }
         } catch (IOException e) {
--- a/replication/src/main/java/lupinvalve/replication/SnapshotFiles.java
+++ b/replication/src/main/java/lupinvalve/replication/SnapshotFiles.java
@@ -13,22 +13,25 @@
 
 /** The snapshots in a member's folder, each in a file of its own, and the one that is being written. */
 final class SnapshotFiles {
-    /** What the files' names begin with; the index of a snapshot follows. */
-    static final String KIND = "snapshot-";
+    /** The prefix of the files' names; a snapshot's index follows. */
+    static final String PREFIX = "snapshot-";
 
     private final Disk disk;
-    /** The files' sizes by index. */
-    private final TreeMap<Long, Long> sizes = new TreeMap<>();
+    private final TreeMap<Long, Long> sizeBytesByIndex = new TreeMap<>();
+    private Disk.AppendFile current;
+    private long currentIndex;
+    /** The numbers of the chunks of the current snapshot that were added. */
+    private final Set<Integer> currentChunks = new TreeSet<>();
 
-    private Disk.Out out;
-    private long index;
-    /** Which pieces of the snapshot that is being written are there, and whether those are all. */
-    private final Set<Integer> pieces = new TreeSet<>();
-
-    private boolean whole;
+    private boolean currentComplete;
     private boolean unforced;
 
-    /** The newest whole snapshot or null, and why one that should be whole could not be read, or null. */
+    /**
+     * What was found in a folder.
+     *
+     * @param newest complete snapshot, or null
+     * @param fault why a snapshot that should be complete could not be read, or null
+     */
     record Found(SnapshotEntry newest, IOException fault) {}
 
     SnapshotFiles(Disk disk) {
@@ -36,20 +39,21 @@
     }
 
     /**
-     * Finds the newest whole snapshot among a folder's files.
+     * Finds the newest complete snapshot among a folder's files.
      *
-     * @param mends whether files of older snapshots are deleted
+     * @param names of all files in the folder, sorted
+     * @param repair whether files of older snapshots are deleted
      */
-    Found load(List<String> names, boolean mends) throws IOException {
+    Found load(List<String> names, boolean repair) throws IOException {
         List<String> files = new ArrayList<>(
-                names.stream().filter(name -> name.startsWith(KIND)).toList());
+                names.stream().filter(name -> name.startsWith(PREFIX)).toList());
         Collections.reverse(files);
         SnapshotEntry newest = null;
         IOException fault = null;
         for (String name : files) {
-            long at = NumberedFile.number(name, KIND);
+            long index = NumberedFileName.number(name, PREFIX);
             if (newest != null) {
-                if (mends) {
+                if (repair) {
                     disk.delete(name);
                 }
                 continue;
@@ -60,14 +64,14 @@
             } catch (IOException e) {
                 fault = e;
             }
-            if (newest != null && newest.getIndex() == at) {
-                sizes.put(at, (long) file.length);
+            if (newest != null && newest.getIndex() == index) {
+                sizeBytesByIndex.put(index, (long) file.length);
             }
         }
         return new Found(newest, fault);
     }
 
-    /** A snapshot with all its pieces, or null where its writing or its transfer was broken off. */
+    /** A snapshot with all its chunks, or null if it was interrupted while it was written or transferred. */
     private static SnapshotEntry read(String name, byte[] file) throws IOException {
         List<byte[]> contents = new ArrayList<>();
         Frames.read(name, file, true, contents);
@@ -79,73 +83,78 @@
         if (chunks.isEmpty() || chunks.size() < chunks.firstEntry().getValue().getSnapshotChunkCount()) {
             return null;
         }
-        SnapshotChunk any = chunks.firstEntry().getValue();
+        SnapshotChunk first = chunks.firstEntry().getValue();
         return Models.FACTORY
                 .createSnapshotEntryBuilder()
-                .setIndex(any.getIndex())
-                .setTerm(any.getTerm())
+                .setIndex(first.getIndex())
+                .setTerm(first.getTerm())
                 .setSnapshotChunks(new ArrayList<>(chunks.values()))
-                .setGroupMembersView(any.getGroupMembersView())
+                .setGroupMembersView(first.getGroupMembersView())
                 .build();
     }
 
-    /** Writes a piece of a snapshot, in a new file where it is of another than the last piece. */
+    /** Writes a chunk, to a new file if it is of another snapshot than the last chunk. */
     void add(SnapshotChunk chunk) throws IOException {
-        if (out == null || index != chunk.getIndex()) {
-            if (out != null) {
-                out.close();
-            }
-            index = chunk.getIndex();
-            sizes.put(index, 0L);
-            pieces.clear();
-            out = disk.create(NumberedFile.name(KIND, index));
+        if (current == null || currentIndex != chunk.getIndex()) {
+            startFile(chunk.getIndex());
         }
         byte[] frame = Frames.frame(Models.chunk(new Cbor.Writer(), chunk).toByteArray());
-        out.write(frame);
-        sizes.merge(index, (long) frame.length, Long::sum);
+        current.write(frame);
+        sizeBytesByIndex.merge(currentIndex, (long) frame.length, Long::sum);
         unforced = true;
-        pieces.add(chunk.getSnapshotChunkIndex());
-        whole = pieces.size() == chunk.getSnapshotChunkCount();
+        currentChunks.add(chunk.getSnapshotChunkIndex());
+        currentComplete = currentChunks.size() == chunk.getSnapshotChunkCount();
+    }
+
+    private void startFile(long index) throws IOException {
+        if (current != null) {
+            current.close();
+        }
+        currentIndex = index;
+        sizeBytesByIndex.put(index, 0L);
+        currentChunks.clear();
+        current = disk.create(NumberedFileName.of(PREFIX, index));
     }
 
     /** Deletes a snapshot, also the one that is being written. */
-    void delete(long at) throws IOException {
-        if (at == index && out != null) {
-            out.close();
-            out = null;
+    void delete(long index) throws IOException {
+        if (index == currentIndex && current != null) {
+            current.close();
+            current = null;
         }
-        if (sizes.remove(at) != null) {
-            disk.delete(NumberedFile.name(KIND, at));
+        if (sizeBytesByIndex.remove(index) != null) {
+            disk.delete(NumberedFileName.of(PREFIX, index));
         }
     }
 
-    /** Whether a piece was written that a loss of power could still take. */
-    boolean unforced() {
+    /** Whether a chunk was written that is not durable yet. */
+    boolean hasUnforced() {
         return unforced;
     }
 
-    /** Returns once all pieces written will be there after a loss of power. */
+    /** Returns once all chunks that were written are durable. */
     void force() throws IOException {
-        out.force();
+        current.force();
         unforced = false;
     }
 
-    /** Once the last snapshot is whole, deletes those before it: the library asks for that of broken-off ones only. */
+    /** Deletes the snapshots before the current one if that is complete; MicroRaft deletes only interrupted ones. */
     void deleteOlder() throws IOException {
-        while (whole && sizes.firstKey() < index) {
-            disk.delete(NumberedFile.name(KIND, sizes.pollFirstEntry().getKey()));
+        while (currentComplete && sizeBytesByIndex.firstKey() < currentIndex) {
+            long oldestIndex = sizeBytesByIndex.pollFirstEntry().getKey();
+            disk.delete(NumberedFileName.of(PREFIX, oldestIndex));
         }
     }
 
-    /** Bytes of the newest snapshot. */
+    /** Bytes of the newest snapshot, 0 without one. */
     long newestBytes() {
-        return sizes.isEmpty() ? 0 : sizes.lastEntry().getValue();
+        return sizeBytesByIndex.isEmpty() ? 0 : sizeBytesByIndex.lastEntry().getValue();
     }
 
-    /** Lets go of the file that is being written. */
+    /** Closes the file that is being written. */
     void close() throws IOException {
-        if (out != null) {
-            out.close();
+        if (current != null) {
+            current.close();
         }
     }
 }
