--- a/capacity/src/main/java/lupinvalve/capacity/CodeFacts.java
+++ b/capacity/src/main/java/lupinvalve/capacity/CodeFacts.java
@@ -5,24 +5,24 @@
  * bytes above TCP without TLS. {@code CodeFactsTest} compares each with the program.
  */
 final class CodeFacts {
-    /** {@code Replica.HEARTBEAT_SECONDS} at the pace of {@code Pace.FACTOR}. */
+    /** {@code RaftReplica.HEARTBEAT_SECONDS} at the pace of {@code AcceleratedExecutor.FACTOR}. */
     static final double HEARTBEATS_PER_SECOND = 10;
-    /** {@code Acting.CONFIRM}: with the audit on, the leader asks a majority each 0.1 s whether it still leads. */
+    /** {@code LeaseHolder.CONFIRM}: with the audit on, the leader asks a majority each 0.1 s whether it still leads. */
     static final double CONFIRMS_PER_SECOND = 10;
-    /** {@code Peers.BEAT}. */
+    /** {@code PeerConnections.BEAT}. */
     static final double BEATS_PER_SECOND = 2;
     /** Each of two members dials the other. */
     static final int CONNECTIONS_PER_PAIR = 2;
     /**
-     * {@code Peers.TAKEN_MOST}: connections that a member takes. {@code SubscriptionServer.SUBSCRIBERS_MAX_COUNT}:
-     * poolers that may follow it.
+     * {@code PeerConnections.TAKEN_MOST}: connections that a member takes.
+     * {@code SubscriptionServer.SUBSCRIBERS_MAX_COUNT}: poolers that may follow it.
      */
     static final int TAKEN_MOST = 1088;
 
     static final int FOLLOWERS_MOST = 1024;
     /** {@code Shared.REFRESH}: how often the leader's pooler tells all of the db nodes. */
     static final double LISTING_SECONDS = 10;
-    /** {@code Questions.STEP}, after each step of a change of members. */
+    /** {@code RequestHandler.STEP}, after each step of a change of members. */
     static final double MEMBERSHIP_STEP_SECONDS = 0.05;
     /** Out, learn, vote, and its place: what a replaced member takes. */
     static final int CHANGES_PER_REPLACED = 4;
@@ -54,17 +54,22 @@
     /** A word that only says that the connection stands. */
     static final int BEAT = 5;
 
-    /** {@code Limits.LIMIT_START}: attempts out at a db node, of all poolers together. */
+    /** {@code InFlightLimit.INITIAL_ATTEMPTS}: attempts out at a db node, of all poolers together. */
     static final double LIMIT_START = 16;
-    /** {@code Limits.MEMORY} and {@code NEWEST}: how long an answer counts, and how many make a picture of its own. */
+    /**
+     * {@code DecayingMean.MEMORY_MICROS} and {@code MAX_SAMPLES}: how long an answer counts, and how many make a
+     * picture of its own.
+     */
     static final double MEMORY_SECONDS = 3;
 
     static final double ANSWERS_FOR_A_PICTURE = 12;
-    /** {@code Limits.COLD_ALONE}: tries at a cold db node where none is warm, of all poolers together. */
+    /**
+     * {@code SlowStart.NO_WARM_SERVER_ATTEMPTS}: tries at a cold db node where none is warm, of all poolers together.
+     */
     static final double COLD_ALONE = 10;
-    /** {@code Health.PROBES_SPARSE}: probes a request where poolers are many. */
+    /** {@code HealthChecker.SPARSE_BUDGET_PER_REQUEST_CHECKS}: probes a request where poolers are many. */
     static final double PROBES_PER_REQUEST = 0.03;
-    /** {@code Router.CHANGE_PROBE_PACE}: a round of one group's members while its primary is missing. */
+    /** {@code PrimarySearch.CHECK_ROUND_MICROS}: a round of one group's members while its primary is missing. */
     static final double CHANGE_PROBE_SECONDS = 0.15;
     /** {@code WatchSchedule}: a watch beats so often, is doubted after, and a new one may take so long to answer. */
     static final double WATCH_BEAT_SECONDS = 2;
--- a/capacity/src/test/java/lupinvalve/capacity/CodeFactsTest.java
+++ b/capacity/src/test/java/lupinvalve/capacity/CodeFactsTest.java
@@ -29,12 +29,13 @@
         String group = "lupinvalve.replication.";
         assertEquals(
                 CodeFacts.HEARTBEATS_PER_SECOND,
-                constant(group + "Pace", "FACTOR") / constant(group + "Replica", "HEARTBEAT_SECONDS"));
-        assertEquals(CodeFacts.CONFIRMS_PER_SECOND, MICROS / constant(group + "Acting", "CONFIRM"));
-        assertEquals(CodeFacts.BEATS_PER_SECOND, MICROS / constant(group + "Peers", "BEAT"));
-        assertEquals(CodeFacts.TAKEN_MOST, constant(group + "Peers", "TAKEN_MOST"));
+                constant(group + "AcceleratedExecutor", "FACTOR")
+                        / constant(group + "RaftReplica", "HEARTBEAT_SECONDS"));
+        assertEquals(CodeFacts.CONFIRMS_PER_SECOND, MICROS / constant(group + "LeaseHolder", "CONFIRM"));
+        assertEquals(CodeFacts.BEATS_PER_SECOND, MICROS / constant(group + "PeerConnections", "BEAT"));
+        assertEquals(CodeFacts.TAKEN_MOST, constant(group + "PeerConnections", "TAKEN_MOST"));
         assertEquals(CodeFacts.FOLLOWERS_MOST, constant(group + "SubscriptionServer", "SUBSCRIBERS_MAX_COUNT"));
-        assertEquals(CodeFacts.MEMBERSHIP_STEP_SECONDS, constant(group + "Questions", "STEP") / MICROS);
+        assertEquals(CodeFacts.MEMBERSHIP_STEP_SECONDS, constant(group + "RequestHandler", "STEP") / MICROS);
         assertEquals(
                 CodeFacts.BUNDLE_SECONDS,
                 constant("lupinvalve.statemachine.SessionCommitBatcher", "BATCH_DELAY_MICROS") / MICROS);
@@ -42,13 +43,16 @@
 
     @Test
     void theDecisionsBoundsAreTheProgramsOwn() throws ReflectiveOperationException {
-        assertEquals(CodeFacts.LIMIT_START, constant("lupinvalve.routing.Limits", "LIMIT_START"));
-        assertEquals(CodeFacts.MEMORY_SECONDS, constant("lupinvalve.routing.Limits", "MEMORY") / MICROS);
-        assertEquals(CodeFacts.ANSWERS_FOR_A_PICTURE, constant("lupinvalve.routing.Limits", "NEWEST"));
-        assertEquals(CodeFacts.COLD_ALONE, constant("lupinvalve.routing.Limits", "COLD_ALONE"));
-        assertEquals(CodeFacts.PROBES_PER_REQUEST, constant("lupinvalve.routing.Health", "PROBES_SPARSE"));
+        assertEquals(CodeFacts.LIMIT_START, constant("lupinvalve.routing.InFlightLimit", "INITIAL_ATTEMPTS"));
+        assertEquals(CodeFacts.MEMORY_SECONDS, constant("lupinvalve.routing.DecayingMean", "MEMORY_MICROS") / MICROS);
+        assertEquals(CodeFacts.ANSWERS_FOR_A_PICTURE, constant("lupinvalve.routing.DecayingMean", "MAX_SAMPLES"));
+        assertEquals(CodeFacts.COLD_ALONE, constant("lupinvalve.routing.SlowStart", "NO_WARM_SERVER_ATTEMPTS"));
         assertEquals(
-                CodeFacts.CHANGE_PROBE_SECONDS, constant("lupinvalve.routing.Router", "CHANGE_PROBE_PACE") / MICROS);
+                CodeFacts.PROBES_PER_REQUEST,
+                constant("lupinvalve.routing.HealthChecker", "SPARSE_BUDGET_PER_REQUEST_CHECKS"));
+        assertEquals(
+                CodeFacts.CHANGE_PROBE_SECONDS,
+                constant("lupinvalve.routing.PrimarySearch", "CHECK_ROUND_MICROS") / MICROS);
         assertEquals(CodeFacts.SURPLUS_LEAST_SECONDS, constant("lupinvalve.net.Pool", "SURPLUS_LEAST") / MICROS);
     }
 
@@ -91,7 +95,7 @@
         String list = "{\"revision\":1,\"complete\":true,\"members\":[" + entry + "]}";
         ListReader.Listed read =
                 new ListReader(List.of("region-1-zone-b"), null).read(list.getBytes(UTF_8), 0, list.length());
-        assertEquals(EndpointState.LIVE, read.entries().get(0).member().state());
+        assertEquals(EndpointState.LIVE, read.entries().get(0).endpoint().state());
         assertEquals(CodeFacts.LIST_ENTRY, entry.length() + 1, "entry and comma");
     }
 }
--- a/daemon/src/main/java/lupinvalve/cli/Shared.java
+++ b/daemon/src/main/java/lupinvalve/cli/Shared.java
@@ -9,13 +9,14 @@
 import java.util.TreeSet;
 import java.util.function.Consumer;
 import lupinvalve.config.OperatorConfig;
-import lupinvalve.core.Directory;
+import lupinvalve.core.DiscoveredEndpoint;
+import lupinvalve.core.EndpointStatus;
 import lupinvalve.core.Pooler;
-import lupinvalve.maintenance.Maintenance.Orders;
+import lupinvalve.maintenance.DrainCommands;
 import lupinvalve.replication.ControlPlane;
-import lupinvalve.replication.Group;
+import lupinvalve.replication.RaftMember;
+import lupinvalve.replication.SessionTokens;
 import lupinvalve.replication.Subscriber;
-import lupinvalve.replication.Tokens;
 import lupinvalve.routing.AttemptOutcome;
 import lupinvalve.routing.Endpoint;
 import lupinvalve.routing.LogPosition;
@@ -24,17 +25,17 @@
 import lupinvalve.statemachine.ReplicatedState;
 
 /** What the group has accepted, brought to the core thread, and what the core knows brought to the group. */
-final class Shared implements Group.Pooler {
+final class Shared implements ControlPlane.Listener {
     private static final long LOOK = 1_000_000, REFRESH = 10_000_000;
     private static final String BY = "group";
     private final Pooler pooler;
     private final ControlPlane plane;
-    private final ControlPlane.Known known;
-    private final Tokens tokens;
+    private final ControlPlane.InitialState known;
+    private final SessionTokens tokens;
     private final String name;
     private final Consumer<byte[]> adopted;
     private final Consumer<Boolean> held;
-    private Orders orders = Orders.NONE;
+    private DrainCommands orders = DrainCommands.NONE;
     private List<Endpoint> told = List.of();
     private long toldAt;
 
@@ -56,10 +57,10 @@
         name = config.name();
         plane = opening != null
                 ? opening.open(config)
-                : config.role() == OperatorConfig.Role.SUBSCRIBER ? new Subscriber(config) : new Group(config);
-        known = plane.known();
-        tokens = new Tokens(pooler.loop(), plane, config.waitMicros(), known.commits());
-        pooler.marks(tokens);
+                : config.role() == OperatorConfig.Role.SUBSCRIBER ? new Subscriber(config) : new RaftMember(config);
+        known = plane.initialState();
+        tokens = new SessionTokens(pooler.loop(), plane, config.waitMicros(), known.commits());
+        pooler.sessionTokens(tokens);
     }
 
     ControlPlane plane() {
@@ -72,10 +73,10 @@
     }
 
     /** The db nodes that were known last, for a start before discovery answers. */
-    List<Directory.Entry> entries() {
-        List<Directory.Entry> entries = new ArrayList<>();
+    List<DiscoveredEndpoint> entries() {
+        List<DiscoveredEndpoint> entries = new ArrayList<>();
         for (Command.KnownEndpoint listed : known.nodes()) {
-            entries.add(new Directory.Entry(listed.endpoint(), listed.addresses()));
+            entries.add(new DiscoveredEndpoint(listed.endpoint(), listed.addresses()));
         }
         return entries;
     }
@@ -88,7 +89,7 @@
     void follow() {
         for (Command.KnownEndpoint listed : known.nodes()) {
             if (listed.logPosition() != LogPosition.UNKNOWN) {
-                pooler.probed(
+                pooler.healthCheckEnded(
                         listed.endpoint().node(),
                         AttemptOutcome.SERVED,
                         0,
@@ -101,63 +102,63 @@
 
     /** The leader's pooler tells: one list for all is enough, and all poolers see the same db nodes. */
     private void look() {
-        List<Pooler.Known> nodes = pooler.known();
-        List<Endpoint> members = nodes.stream().map(one -> one.entry().member()).toList();
+        List<EndpointStatus> nodes = pooler.endpointStatuses();
+        List<Endpoint> members =
+                nodes.stream().map(one -> one.discovered().endpoint()).toList();
         long now = pooler.loop().now();
-        if (plane.leads() && !nodes.isEmpty() && (!members.equals(told) || now - toldAt > REFRESH)) {
+        if (plane.isLeader() && !nodes.isEmpty() && (!members.equals(told) || now - toldAt > REFRESH)) {
             told = members;
             toldAt = now;
-            plane.listing(nodes.stream()
+            plane.publishEndpoints(nodes.stream()
                     .map(one -> new Command.KnownEndpoint(
-                            one.entry().member(), one.entry().addresses(), one.position()))
+                            one.discovered().endpoint(), one.discovered().addresses(), one.position()))
                     .toList());
         }
         pooler.loop().after(LOOK, this::look);
     }
 
     // ---- the group's thread ----
-
     @Override
-    public String objection(byte[] document) {
+    public String validationError(byte[] document) {
         return OperatorConfig.objection(document);
     }
 
     @Override
-    public String refusal(byte[] current, byte[] next) {
+    public String transitionError(byte[] current, byte[] next) {
         return OperatorConfig.refusal(current, next);
     }
 
     @Override
-    public void reached(Runnable then) {
+    public void runAfterApplied(Runnable then) {
         pooler.loop().post(then);
     }
 
     @Override
-    public void adopt(ReplicatedState.Document document) {
+    public void configurationAccepted(ReplicatedState.Document document) {
         pooler.loop().post(() -> adopted.accept(document.content()));
     }
 
     @Override
-    public void holds(Map<Command.DrainTarget, ReplicatedState.Drain> holds) {
+    public void drainsChanged(Map<Command.DrainTarget, ReplicatedState.Drain> holds) {
         Set<String> out = new TreeSet<>();
         holds.keySet().stream()
                 .filter(one -> one.kind() == Command.TargetKind.NODE)
                 .forEach(one -> out.add(one.name()));
         boolean self = holds.containsKey(new Command.DrainTarget(Command.TargetKind.POOLER, name));
-        pooler.loop().urgent(() -> {
-            Map<String, Long> back = new HashMap<>(orders.back());
+        pooler.loop().postUrgent(() -> {
+            Map<String, Long> back = new HashMap<>(orders.restoredAtMicros());
             back.keySet().removeAll(out);
-            orders.out().stream()
+            orders.drained().stream()
                     .filter(id -> !out.contains(id))
                     .forEach(id -> back.put(id, pooler.loop().now()));
-            orders = new Orders(out, back);
-            pooler.maintain(BY, orders);
+            orders = new DrainCommands(out, back);
+            pooler.applyDrainCommands(BY, orders);
             held.accept(self);
         });
     }
 
     @Override
-    public void commits(Command.SessionCommits commits) {
+    public void commitsAccepted(Command.SessionCommits commits) {
         pooler.loop().post(() -> tokens.accepted(commits));
     }
 }
--- a/daemon/src/test/java/lupinvalve/replication/StoredFolderTest.java
+++ b/daemon/src/test/java/lupinvalve/replication/StoredFolderTest.java
@@ -26,7 +26,7 @@
 import lupinvalve.config.OperatorConfig;
 import lupinvalve.hotrestart.DrainCommandsFile;
 import lupinvalve.integration.World;
-import lupinvalve.maintenance.Maintenance.Orders;
+import lupinvalve.maintenance.DrainCommands;
 import lupinvalve.routing.Endpoint;
 import lupinvalve.routing.EndpointState;
 import lupinvalve.statemachine.ClusterBootstrap;
@@ -182,14 +182,12 @@
             RestoredRaftState restored = log.restoredState();
             assertEquals(
                     identity,
-                    lupinvalve.replication.Endpoint.of(
-                            restored.getLocalEndpointPersistentState().getLocalEndpoint()));
+                    MemberEndpoint.of(restored.getLocalEndpointPersistentState().getLocalEndpoint()));
             assertTrue(restored.getLocalEndpointPersistentState().isVoting());
             assertEquals(TERM, restored.getTermPersistentState().getTerm());
             assertEquals(
                     new MemberId("b", DISK_BY_MEMBER.get("b")),
-                    lupinvalve.replication.Endpoint.of(
-                            restored.getTermPersistentState().getVotedFor()));
+                    MemberEndpoint.of(restored.getTermPersistentState().getVotedFor()));
             assertEquals(3, restored.getInitialGroupMembers().getMembers().size());
             log.close(true);
         }
@@ -200,7 +198,7 @@
         for (String member : DISK_BY_MEMBER.keySet()) {
             SegmentedLog log = SegmentedLog.open(disk(member), CLUSTER, member, "unused");
             assertEquals(LAST_INDEX, log.lastIndex());
-            assertState(Replica.warm(log));
+            assertState(RaftReplica.warm(log));
             log.close(true);
         }
     }
@@ -290,14 +288,14 @@
     void theCommandLineVerifiesEachMemberAndItsAuditEntries() throws IOException {
         for (Map.Entry<String, String> member : DISK_BY_MEMBER.entrySet()) {
             Path path = folder.resolve("member-" + member.getKey());
-            String verified = Client.verify(path, true);
+            String verified = GroupClient.verify(path, true);
             assertTrue(
                     verified.startsWith("{\"member\":\"" + member.getKey() + "/" + member.getValue()
                             + "\",\"phase\":\"founded\",\"term\":2,\"last_change\":37,\"accepted_change\":37,"
                             + "\"revision\":4,\"digest\":\"921e36fb7a3e3de3\",\"sessions\":350,\"holds\":3,"),
                     verified);
             assertTrue(verified.endsWith("\"document\":{\"mysql\":{\"user\":\"fourth\"}}}"), verified);
-            String audit = Client.verifyAudit(path);
+            String audit = GroupClient.verifyAudit(path);
             assertTrue(audit.startsWith("{\"entries\":14,\"lives\":2,\"acted\":[\"1-8f0f526f46bda7c6 from "), audit);
             assertTrue(audit.contains("\"4-921e36fb7a3e3de3 from ") && audit.endsWith("\"chain_breaks\":[]}"), audit);
         }
@@ -322,32 +320,33 @@
     }
 
     @Test
-    void theDrainCommandsFileHasWhatWasTakenOutAndBack() {
-        Orders orders = new DrainCommandsFile(folder.resolve("orders/pooler")).readIfChanged(Orders.NONE);
-        assertEquals(new Orders(Set.of("db-4"), Map.of("db-1", PUT_MICROS + 2)), orders);
+    void theDrainCommandsFileHasWhatWasDrainedAndRestored() {
+        DrainCommands commands =
+                new DrainCommandsFile(folder.resolve("orders/pooler")).readIfChanged(DrainCommands.NONE);
+        assertEquals(new DrainCommands(Set.of("db-4"), Map.of("db-1", PUT_MICROS + 2)), commands);
     }
 
     // ---- all of it running ----
 
-    private static Group.Pooler pooler(Map<String, ReplicatedState.Document> documents, String name) {
-        return new Group.Pooler() {
+    private static ControlPlane.Listener pooler(Map<String, ReplicatedState.Document> documents, String name) {
+        return new ControlPlane.Listener() {
             @Override
-            public String objection(byte[] document) {
+            public String validationError(byte[] document) {
                 return OperatorConfig.objection(document);
             }
 
             @Override
-            public void adopt(ReplicatedState.Document document) {
+            public void configurationAccepted(ReplicatedState.Document document) {
                 documents.put(name, document);
             }
 
             @Override
-            public void holds(Map<Command.DrainTarget, ReplicatedState.Drain> holds) {
+            public void drainsChanged(Map<Command.DrainTarget, ReplicatedState.Drain> holds) {
                 // The state has been looked at above.
             }
 
             @Override
-            public void commits(Command.SessionCommits commits) {
+            public void commitsAccepted(Command.SessionCommits commits) {
                 // The state has been looked at above.
             }
         };
@@ -372,10 +371,10 @@
         Map<String, String> addresses = freeAddresses();
         Map<String, ReplicatedState.Document> documents = new ConcurrentHashMap<>();
         List<ControlPlane> running = new ArrayList<>();
-        List<Group> members = new ArrayList<>();
+        List<RaftMember> members = new ArrayList<>();
         try {
             for (String name : DISK_BY_MEMBER.keySet()) {
-                Group member = new Group(new OperatorConfig.Store(
+                RaftMember member = new RaftMember(new OperatorConfig.Store(
                         CLUSTER,
                         name,
                         folder.resolve("member-" + name),
@@ -392,14 +391,15 @@
             Subscriber subscriber = new Subscriber(OperatorConfig.Store.subscriber(
                     CLUSTER, "follower", folder.resolve("subscriber"), addresses, null, OperatorConfig.Audit.OFF));
             running.add(subscriber);
-            assertArrayEquals(document("third"), subscriber.known().document().content());
+            assertArrayEquals(
+                    document("third"), subscriber.initialState().document().content());
             subscriber.start(pooler(documents, "follower"));
-            World.await("led", () -> members.stream().anyMatch(Group::leads));
+            World.await("led", () -> members.stream().anyMatch(RaftMember::isLeader));
             World.await("the subscriber has the last document", () -> subscriber.appliedRevision() == 4);
             assertArrayEquals(document("fourth"), documents.get("follower").content());
-            Client.Said said = new Client(CLUSTER, addresses, null)
+            GroupClient.Result result = new GroupClient(CLUSTER, addresses, null)
                     .ask("put", List.of("4".getBytes(StandardCharsets.UTF_8), document("fifth")), false, 20_000);
-            assertEquals(new Client.Said(Messages.Code.OK, "{\"changed\":true,\"revision\":5}"), said);
+            assertEquals(new GroupClient.Result(WireMessages.Status.OK, "{\"changed\":true,\"revision\":5}"), result);
             World.await(
                     "all have the new document",
                     () -> documents.size() == 4
@@ -408,7 +408,7 @@
             running.forEach(ControlPlane::stop);
         }
         for (String name : DISK_BY_MEMBER.keySet()) {
-            String verified = Client.verify(folder.resolve("member-" + name), true);
+            String verified = GroupClient.verify(folder.resolve("member-" + name), true);
             assertTrue(verified.endsWith("\"document\":{\"mysql\":{\"user\":\"fifth\"}}}"), verified);
         }
     }
--- a/faultinjection/src/test/java/lupinvalve/replication/SegmentedLogTest.java
+++ b/faultinjection/src/test/java/lupinvalve/replication/SegmentedLogTest.java
@@ -27,7 +27,7 @@
     }
 
     private static LogEntry entry(long index, int term) {
-        return Models.FACTORY
+        return RaftCodec.FACTORY
                 .createLogEntryBuilder()
                 .setIndex(index)
                 .setTerm(term)
@@ -38,21 +38,21 @@
 
     private static void begin(SegmentedLog log) throws IOException {
         log.persistAnnouncement(new ClusterBootstrap.Announcement(ME, ClusterBootstrap.Phase.BOOTSTRAPPED, Set.of(ME)));
-        log.persistAndFlushLocalEndpoint(Models.FACTORY
+        log.persistAndFlushLocalEndpoint(RaftCodec.FACTORY
                 .createRaftEndpointPersistentStateBuilder()
-                .setLocalEndpoint(new Endpoint(ME))
+                .setLocalEndpoint(new MemberEndpoint(ME))
                 .setVoting(true)
                 .build());
-        log.persistAndFlushInitialGroupMembers(Models.FACTORY
+        log.persistAndFlushInitialGroupMembers(RaftCodec.FACTORY
                 .createRaftGroupMembersViewBuilder()
                 .setLogIndex(0)
-                .setMembers(List.of(new Endpoint(ME)))
-                .setVotingMembers(List.of(new Endpoint(ME)))
+                .setMembers(List.of(new MemberEndpoint(ME)))
+                .setVotingMembers(List.of(new MemberEndpoint(ME)))
                 .build());
-        log.persistAndFlushTerm(Models.FACTORY
+        log.persistAndFlushTerm(RaftCodec.FACTORY
                 .createRaftTermPersistentStateBuilder()
                 .setTerm(3)
-                .setVotedFor(new Endpoint(ME))
+                .setVotedFor(new MemberEndpoint(ME))
                 .build());
     }
 
@@ -130,7 +130,8 @@
         MemoryDisk newer = disk.copy();
         newer.put(
                 "identity",
-                Frames.frame(new lupinvalve.statemachine.Cbor.Writer().number(2).toByteArray()));
+                RecordFrames.frame(
+                        new lupinvalve.statemachine.Cbor.Writer().number(2).toByteArray()));
         assertEquals(
                 "identity: format 2; this program reads 1",
                 assertThrows(IOException.class, () -> open(newer)).getMessage());
@@ -156,18 +157,18 @@
         }
         List<byte[]> pieces = SnapshotCodec.encode(ledger);
         for (int i = 0; i < pieces.size(); i++) {
-            log.persistSnapshotChunk(Models.FACTORY
+            log.persistSnapshotChunk(RaftCodec.FACTORY
                     .createSnapshotChunkBuilder()
                     .setIndex(15)
                     .setTerm(3)
                     .setSnapshotChunkIndex(i)
                     .setSnapshotChunkCount(pieces.size())
                     .setOperation(pieces.get(i))
-                    .setGroupMembersView(Models.FACTORY
+                    .setGroupMembersView(RaftCodec.FACTORY
                             .createRaftGroupMembersViewBuilder()
                             .setLogIndex(0)
-                            .setMembers(List.of(new Endpoint(ME)))
-                            .setVotingMembers(List.of(new Endpoint(ME)))
+                            .setMembers(List.of(new MemberEndpoint(ME)))
+                            .setVotingMembers(List.of(new MemberEndpoint(ME)))
                             .build())
                     .build());
         }
@@ -192,10 +193,11 @@
         log.advanceCommitIndex(12);
         log.flush();
         SegmentedLog again = open(disk);
-        assertEquals(12, Replica.warm(again).revision());
+        assertEquals(12, RaftReplica.warm(again).revision());
         assertEquals(3, again.restoredState().getTermPersistentState().getTerm());
         assertEquals(
-                ME, Endpoint.of(again.restoredState().getTermPersistentState().getVotedFor()));
+                ME,
+                MemberEndpoint.of(again.restoredState().getTermPersistentState().getVotedFor()));
         assertEquals(20, again.restoredState().getLogEntries().size());
     }
 
@@ -212,7 +214,7 @@
         assertThrows(IOException.class, log::flush);
         assertThrows(
                 IOException.class,
-                () -> log.persistAndFlushTerm(Models.FACTORY
+                () -> log.persistAndFlushTerm(RaftCodec.FACTORY
                         .createRaftTermPersistentStateBuilder()
                         .setTerm(9)
                         .setVotedFor(null)
--- a/hotrestart/src/test/java/lupinvalve/hotrestart/DrainCommandsFileTest.java
+++ b/hotrestart/src/test/java/lupinvalve/hotrestart/DrainCommandsFileTest.java
@@ -15,13 +15,13 @@
 import java.util.Map;
 import java.util.Set;
 import lupinvalve.log.Log;
-import lupinvalve.maintenance.Maintenance.Orders;
+import lupinvalve.maintenance.DrainCommands;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
 class DrainCommandsFileTest {
-    private static final Orders HELD = new Orders(Set.of("s-9"), Map.of("s-8", 77L));
+    private static final DrainCommands HELD = new DrainCommands(Set.of("s-9"), Map.of("s-8", 77L));
 
     @TempDir
     private Path folder;
@@ -45,45 +45,45 @@
     void eachProcessReadsAndKeepsWhatTheOtherWrote() throws IOException {
         DrainCommandsFile one = process();
         DrainCommandsFile two = process();
-        assertNull(one.readIfChanged(Orders.NONE));
-        Orders first = one.update(Orders.NONE, held -> held.with(true, "s-1", 5));
+        assertNull(one.readIfChanged(DrainCommands.NONE));
+        DrainCommands first = one.update(DrainCommands.NONE, held -> held.with(true, "s-1", 5));
         assertNull(one.readIfChanged(first), "its own change is no news");
         // The second has not looked since: its change must not undo the first.
-        Orders both = two.update(Orders.NONE, held -> held.with(true, "s-2", 6));
-        assertEquals(Set.of("s-1", "s-2"), both.out());
+        DrainCommands both = two.update(DrainCommands.NONE, held -> held.with(true, "s-2", 6));
+        assertEquals(Set.of("s-1", "s-2"), both.drained());
         assertEquals(both, one.readIfChanged(first));
-        Orders back = two.update(both, held -> held.with(false, "s-1", 7));
-        assertEquals(new Orders(Set.of("s-2"), Map.of("s-1", 7L)), back);
+        DrainCommands back = two.update(both, held -> held.with(false, "s-1", 7));
+        assertEquals(new DrainCommands(Set.of("s-2"), Map.of("s-1", 7L)), back);
         assertEquals(back, one.readIfChanged(both));
-        assertEquals(back, process().readIfChanged(Orders.NONE), "one that starts reads it all");
+        assertEquals(back, process().readIfChanged(DrainCommands.NONE), "one that starts reads it all");
     }
 
     @Test
     void aFileCutAnywhereIsReportedAndBringsNothingBack() throws IOException {
-        Orders whole = process().update(Orders.NONE, held -> HELD.with(true, "s-1", 5));
+        DrainCommands whole = process().update(DrainCommands.NONE, held -> HELD.with(true, "s-1", 5));
         byte[] bytes = Files.readAllBytes(file());
         Log.to(new PrintStream(log, true));
         for (int length = 0; length < bytes.length; length++) {
             Files.write(file(), Arrays.copyOf(bytes, length));
             log.reset();
-            Orders read = process().readIfChanged(HELD);
+            DrainCommands read = process().readIfChanged(HELD);
             // An empty file is all that a process knows before it looks, so that one is no news.
-            Orders held = read == null ? HELD : read;
-            assertTrue(held.out().contains("s-9"), "cut at " + length);
+            DrainCommands held = read == null ? HELD : read;
+            assertTrue(held.drained().contains("s-9"), "cut at " + length);
             assertTrue(length == 0 || log.toString().contains("spoilt"), "cut at " + length);
-            assertTrue(whole.out().containsAll(held.out()) || length < bytes.length, "cut at " + length);
+            assertTrue(whole.drained().containsAll(held.drained()) || length < bytes.length, "cut at " + length);
         }
         Files.writeString(file(), "{\"out\":[\"s-1\"],\"back\":{}} more");
-        assertEquals(Set.of("s-1", "s-9"), process().readIfChanged(HELD).out());
+        assertEquals(Set.of("s-1", "s-9"), process().readIfChanged(HELD).drained());
         Files.write(file(), new byte[2 << 20]);
-        assertEquals(HELD.out(), process().readIfChanged(HELD).out());
+        assertEquals(HELD.drained(), process().readIfChanged(HELD).drained());
     }
 
     @Test
     void anOrderThatCantBeWrittenIsNotGiven() throws IOException {
         DrainCommandsFile lost =
                 new DrainCommandsFile(folder.resolve("no such folder").resolve("p"));
-        assertThrows(IOException.class, () -> lost.update(Orders.NONE, held -> held.with(true, "s-1", 5)));
+        assertThrows(IOException.class, () -> lost.update(DrainCommands.NONE, held -> held.with(true, "s-1", 5)));
     }
 
     @Test
--- a/replication/src/main/java/lupinvalve/replication/AuditBook.java
+++ b/replication/src/main/java/lupinvalve/replication/AuditLog.java
@@ -12,7 +12,7 @@
  * A member's entries on its own disk, one file for each life, each entry forced before it is acted on; and what of them
  * the group has not been told yet, those of earlier lives first. On the group's thread.
  */
-final class AuditBook {
+final class AuditLog {
     static final String FILE = "audit-";
     private static final int LIVES_MOST = 8, AT_ONCE = 100;
     /**
@@ -31,7 +31,7 @@
     private Disk.AppendFile out;
 
     /** @param lifeMicros when this process started, which names its file */
-    AuditBook(Disk disk, String pooler, long lifeMicros) throws IOException {
+    AuditLog(Disk disk, String pooler, long lifeMicros) throws IOException {
         this.disk = disk;
         this.pooler = pooler;
         name = String.format("%s%020d", FILE, lifeMicros);
@@ -50,7 +50,7 @@
     /** All entries of a file; a torn end is left out. */
     static List<AuditEntry> read(Disk disk, String file) throws IOException {
         List<byte[]> contents = new ArrayList<>();
-        Frames.read(file, disk.read(file), true, contents);
+        RecordFrames.read(file, disk.read(file), true, contents);
         List<AuditEntry> entries = new ArrayList<>();
         for (byte[] content : contents) {
             entries.add(AuditEntry.decode(content));
@@ -86,7 +86,7 @@
                 out = disk.create(name + (part == 0 ? "" : "-" + part));
             }
             for (AuditEntry entry : added) {
-                out.write(Frames.frame(entry.encode()));
+                out.write(RecordFrames.frame(entry.encode()));
             }
             out.force();
         } catch (IOException e) {
@@ -95,9 +95,7 @@
             out = null;
             throw e;
         }
-        Log.info(
-                "store: audit: %s %s, change %s%s",
-                what.name().toLowerCase(java.util.Locale.ROOT), version, index, why.isEmpty() ? "" : ": " + why);
+        Log.info("store: audit: %s %s, change %s%s", what.text(), version, index, why.isEmpty() ? "" : ": " + why);
     }
 
     /** What the group is to be told next, or null. */
--- a/replication/src/main/java/lupinvalve/replication/CachedDocumentFile.java
+++ b/replication/src/main/java/lupinvalve/replication/CachedDocumentFile.java
@@ -34,7 +34,7 @@
                     .text(document.digest())
                     .bytes(document.content());
         }
-        disk.replace(NAME, Frames.frame(out.toByteArray()));
+        disk.replace(NAME, RecordFrames.frame(out.toByteArray()));
     }
 
     /**
@@ -47,7 +47,7 @@
             return SubscriberState.Cached.EMPTY;
         }
         List<byte[]> records = new ArrayList<>();
-        Frames.read(NAME, disk.read(NAME), false, records);
+        RecordFrames.read(NAME, disk.read(NAME), false, records);
         if (records.size() != 1) {
             throw new IOException(NAME + ": " + records.size() + " records in place of one");
         }
--- a/replication/src/main/java/lupinvalve/replication/IdentityFile.java
+++ b/replication/src/main/java/lupinvalve/replication/IdentityFile.java
@@ -24,9 +24,9 @@
      */
     static ClusterBootstrap.Announcement read(Disk disk, String cluster, String member) throws IOException {
         List<byte[]> contents = new ArrayList<>();
-        Frames.read(NAME, disk.read(NAME), false, contents);
+        RecordFrames.read(NAME, disk.read(NAME), false, contents);
         if (contents.size() != 1) {
-            throw new Frames.Damaged(NAME + ": " + contents.size() + " records in place of one");
+            throw new RecordFrames.Damaged(NAME + ": " + contents.size() + " records in place of one");
         }
         Cbor.Reader in = new Cbor.Reader(contents.get(0));
         long format = in.number();
@@ -49,6 +49,6 @@
     static void write(Disk disk, String cluster, ClusterBootstrap.Announcement announcement) throws IOException {
         Cbor.Writer out = new Cbor.Writer().number(FORMAT_VERSION).text(cluster);
         announcement.write(out);
-        disk.replace(NAME, Frames.frame(out.toByteArray()));
+        disk.replace(NAME, RecordFrames.frame(out.toByteArray()));
     }
 }
--- a/replication/src/main/java/lupinvalve/replication/LegacyStoreFile.java
+++ b/replication/src/main/java/lupinvalve/replication/LegacyStoreFile.java
@@ -17,7 +17,7 @@
  * The file of the store before replication, {@code store.jsonl}: one entry a line, and a checksum. It is imported once,
  * by a group that has no configuration yet, and renamed then.
  */
-final class LegacyStoreFile implements TakeOver.Left {
+final class LegacyStoreFile implements LegacyStoreImport.Source {
     private static final String NAME = "store.jsonl";
     private static final String IMPORTED_NAME = "store.jsonl.imported";
     private static final String CHECKSUM_LINE_START = "{\"crc\":";
--- a/replication/src/main/java/lupinvalve/replication/MemberConnection.java
+++ b/replication/src/main/java/lupinvalve/replication/MemberConnection.java
@@ -3,8 +3,8 @@
 import java.io.IOException;
 import java.util.List;
 import java.util.function.Consumer;
-import lupinvalve.core.Deadlines;
-import lupinvalve.core.Loop;
+import lupinvalve.core.EventLoop;
+import lupinvalve.core.TimerQueue;
 import lupinvalve.net.Addresses;
 import lupinvalve.net.Link;
 import lupinvalve.net.Net;
@@ -29,7 +29,7 @@
     /** The two ends of a connection, and whether it has TLS. */
     record Route(String cluster, String subscriber, String member, String address, boolean secured) {}
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Route route;
     private final Listener listener;
     private Link link;
@@ -37,11 +37,11 @@
     private boolean closed;
     private long lastCallId;
     /** Takes the response to the request in flight; null if there is none. */
-    private Consumer<Messages.Answer> responseHandler;
+    private Consumer<WireMessages.Response> responseHandler;
 
-    private Deadlines.Deadline timeout;
+    private TimerQueue.Timer timeout;
 
-    MemberConnection(Loop loop, Route route, Listener listener) {
+    MemberConnection(EventLoop loop, Route route, Listener listener) {
         this.loop = loop;
         this.route = route;
         this.listener = listener;
@@ -61,14 +61,14 @@
 
     /** Connects; fails if the handshake takes longer than the timeout. */
     void connect(Net net, long timeoutMicros) {
-        link = net.dial(Addresses.parse(route.address()), new Messages(), this);
+        link = net.dial(Addresses.parse(route.address()), new WireMessages(), this);
         timeout = loop.after(timeoutMicros, () -> fail("it can't be reached, or says nothing"));
     }
 
     /** Sends a request; the connection fails if there is no response within the timeout. */
-    void send(byte[] request, long timeoutMicros, Consumer<Messages.Answer> handler) {
+    void send(byte[] request, long timeoutMicros, Consumer<WireMessages.Response> handler) {
         responseHandler = handler;
-        write(new Messages.Call(++lastCallId, SubscriptionServer.CALL, List.of(request)).write());
+        write(new WireMessages.Request(++lastCallId, SubscriptionServer.CALL, List.of(request)).write());
         timeout = loop.after(timeoutMicros, () -> fail("no answer in time"));
     }
 
@@ -81,7 +81,7 @@
     void close() {
         if (!closed) {
             closed = true;
-            loop.drop(timeout);
+            loop.cancel(timeout);
             link.drop();
         }
     }
@@ -104,7 +104,7 @@
             for (byte[] message : messages) {
                 listener.onTraffic(0, LENGTH_FIELD_BYTES + message.length);
                 if (!closed) {
-                    onMessage(Messages.kind(message), Messages.body(message));
+                    onMessage(WireMessages.kind(message), WireMessages.body(message));
                 }
             }
         } catch (IOException e) {
@@ -112,27 +112,27 @@
         }
     }
 
-    private void onMessage(Messages.Kind kind, byte[] body) throws IOException {
-        if (kind == Messages.Kind.HELLO) {
-            onHandshake(Messages.Hello.read(body));
+    private void onMessage(WireMessages.Kind kind, byte[] body) throws IOException {
+        if (kind == WireMessages.Kind.HELLO) {
+            onHandshake(WireMessages.Hello.read(body));
         } else if (!ready) {
             throw new IOException("no greeting");
-        } else if (kind == Messages.Kind.ANSWER) {
-            onResponse(Messages.Answer.read(body));
+        } else if (kind == WireMessages.Kind.RESPONSE) {
+            onResponse(WireMessages.Response.read(body));
         }
     }
 
-    private void onResponse(Messages.Answer response) {
+    private void onResponse(WireMessages.Response response) {
         if (responseHandler == null || response.id() != lastCallId) {
             return;
         }
-        loop.drop(timeout);
-        Consumer<Messages.Answer> handler = responseHandler;
+        loop.cancel(timeout);
+        Consumer<WireMessages.Response> handler = responseHandler;
         responseHandler = null;
         handler.accept(response);
     }
 
-    private void onHandshake(Messages.Hello hello) throws IOException {
+    private void onHandshake(WireMessages.Hello hello) throws IOException {
         if (ready) {
             return;
         }
@@ -144,9 +144,9 @@
         if (route.secured()) {
             Tls.check(link, route.member());
         }
-        loop.drop(timeout);
+        loop.cancel(timeout);
         ready = true;
-        write(new Messages.Hello(route.cluster(), route.subscriber(), "", null).write());
+        write(new WireMessages.Hello(route.cluster(), route.subscriber(), "", null).write());
         listener.onReady(this);
     }
 
--- a/replication/src/main/java/lupinvalve/replication/MemberFailover.java
+++ b/replication/src/main/java/lupinvalve/replication/MemberFailover.java
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.atomic.AtomicLong;
 import lupinvalve.config.OperatorConfig;
-import lupinvalve.core.Loop;
+import lupinvalve.core.EventLoop;
 import lupinvalve.net.Net;
 import lupinvalve.subscription.MemberSelector;
 import lupinvalve.subscription.WatchResponse;
@@ -22,7 +22,7 @@
     }
 
     private final OperatorConfig.Store config;
-    private final Loop loop;
+    private final EventLoop loop;
     private final Net net;
     private final MemberSelector selector;
     private final Listener listener;
@@ -36,7 +36,7 @@
 
     private boolean closed;
 
-    MemberFailover(OperatorConfig.Store config, Loop loop, Net net, long seed, Listener listener) {
+    MemberFailover(OperatorConfig.Store config, EventLoop loop, Net net, long seed, Listener listener) {
         this.config = config;
         this.loop = loop;
         this.net = net;
@@ -65,7 +65,7 @@
         @Override
         public void onReady(MemberConnection connection) {
             if (connection == candidate) {
-                selector.onPreferredAttempted(true, Acting.clock());
+                selector.onPreferredAttempted(true, LeaseHolder.clock());
                 current.close();
                 current = candidate;
                 candidate = null;
@@ -79,7 +79,7 @@
         public void onClosed(MemberConnection connection, String reason) {
             if (connection == candidate) {
                 candidate = null;
-                selector.onPreferredAttempted(false, Acting.clock());
+                selector.onPreferredAttempted(false, LeaseHolder.clock());
             } else {
                 failOver(connection.member() + ": " + reason);
             }
@@ -100,7 +100,7 @@
         listener.logOnce("can't follow " + reason);
         current.close();
         failoverCount.incrementAndGet();
-        connect(selector.failOver(Acting.clock()));
+        connect(selector.failOver(LeaseHolder.clock()));
     }
 
     /** Takes note of a good response, or leaves a member whose leases are denied or about to end. */
@@ -108,7 +108,7 @@
         boolean granted = response.leaseMicros() > 0;
         if (granted && response.leaseMicros() < MemberSelector.LEASE_MIN_MICROS) {
             failOver(current.member() + ": it is losing its own lease");
-        } else if (leaseWanted && response.leaseMicros() == 0 && selector.onLeaseDenied(Acting.clock())) {
+        } else if (leaseWanted && response.leaseMicros() == 0 && selector.onLeaseDenied(LeaseHolder.clock())) {
             failOver(current.member() + ": it grants no lease: " + response.leaseDenial());
         } else {
             selector.onSuccess();
@@ -120,7 +120,7 @@
 
     /** Tries the preferred member again if that is due. */
     void retryPreferred() {
-        if (isReady() && candidate == null && selector.isPreferredDue(Acting.clock())) {
+        if (isReady() && candidate == null && selector.isPreferredDue(LeaseHolder.clock())) {
             candidate = connectTo(selector.preferredMember());
         }
     }
--- a/replication/src/main/java/lupinvalve/replication/NumberedFileName.java
+++ b/replication/src/main/java/lupinvalve/replication/NumberedFileName.java
@@ -13,11 +13,11 @@
     }
 
     /** The number in the name of a file with this prefix. */
-    static long number(String name, String prefix) throws Frames.Damaged {
+    static long number(String name, String prefix) throws RecordFrames.Damaged {
         try {
             return Long.parseLong(name.substring(prefix.length()));
         } catch (NumberFormatException e) {
-            throw new Frames.Damaged(name + ": not a name of this program's");
+            throw new RecordFrames.Damaged(name + ": not a name of this program's");
         }
     }
 }
--- a/replication/src/main/java/lupinvalve/replication/Group.java
+++ b/replication/src/main/java/lupinvalve/replication/RaftMember.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.function.Consumer;
 import lupinvalve.config.OperatorConfig;
-import lupinvalve.core.Loop;
+import lupinvalve.core.EventLoop;
 import lupinvalve.log.Log;
 import lupinvalve.net.Addresses;
 import lupinvalve.net.Net;
@@ -31,7 +31,7 @@
  * the pooler beside it is told. It runs on a thread of its own, since a force of the disk takes as long as many
  * requests.
  */
-public final class Group implements ControlPlane {
+public final class RaftMember implements ControlPlane {
     /** Answers that wait for a majority at once; those beyond go out when their bound is over. */
     private static final int HELD_MOST = 10_000;
 
@@ -39,37 +39,10 @@
     /** How soon a disk that failed is tried again, and how late at most. */
     private static final long REVIVE = 500_000, REVIVE_MOST = 16_000_000;
 
-    /** The pooler's side. Called on the group's thread. */
-    public interface Pooler {
-        /** Why this version can't act on a configuration, or null. */
-        String objection(byte[] document);
-
-        /**
-         * Why running poolers could not act on a configuration after the one that holds (null for none yet), or null.
-         */
-        default String refusal(byte[] current, byte[] next) {
-            return null;
-        }
-
-        /** Runs work, on the pooler's own thread, once all that it was told so far is acted on. */
-        default void reached(Runnable then) {
-            then.run();
-        }
-
-        /** A configuration that a majority has accepted is to be acted on. */
-        void adopt(ReplicatedState.Document document);
-
-        /** Operators' holds as they now stand. */
-        void holds(Map<Command.DrainTarget, ReplicatedState.Drain> holds);
-
-        /** Sessions' commits of any pooler that a majority now holds. */
-        void commits(Command.SessionCommits commits);
-    }
-
     private final OperatorConfig.Store config;
-    private final Loop loop = new Loop("store");
-    private final Seams seams;
-    private final Schedule schedule;
+    private final EventLoop loop = new EventLoop("store");
+    private final Interceptors interceptors;
+    private final Scheduler schedule;
     private final Tls tls;
     private final Net net;
     private final Disk disk;
@@ -77,31 +50,31 @@
     private final ReplicatedState warm;
     private final ActiveConfiguration adoption;
     private final ClusterBootstrap founding;
-    private final Peers peers;
-    private final Questions questions = new Questions(this);
+    private final PeerConnections peers;
+    private final RequestHandler questions = new RequestHandler(this);
     private final SessionCommitBatcher outbox = new SessionCommitBatcher();
     private final TreeMap<Long, List<Runnable>> held = new TreeMap<>();
     private final Map<String, String> addresses = new HashMap<>();
     private final AtomicBoolean ending = new AtomicBoolean();
     private int heldCount;
-    private Pooler pooler;
-    private Replica replica;
+    private Listener listener;
+    private RaftReplica replica;
     private String ended;
     private MemberId leader;
     private String waitsFor = "";
     private boolean outboxTimer, stopped;
     private long reviveAt, reviveAfter = REVIVE;
-    private final TakeOver takeOver;
+    private final LegacyStoreImport takeOver;
     /** Null where the operator's file does not turn it on. */
-    private final Acting acting;
+    private final LeaseHolder acting;
 
     private final SubscriptionServer subscriptions;
     private volatile boolean leading;
 
     /** Where a member meets the world. The program's own are these; a laboratory counts what goes through others. */
-    public interface Seams {
+    public interface Interceptors {
         /** The program's own: the world as it is. */
-        Seams NONE = new Seams() {};
+        Interceptors NONE = new Interceptors() {};
 
         /** The way to a folder. */
         default Disk disk(Disk folder) {
@@ -109,7 +82,7 @@
         }
 
         /** Where the member's work runs. */
-        default Schedule schedule(Schedule own) {
+        default Scheduler schedule(Scheduler own) {
             return own;
         }
 
@@ -120,15 +93,15 @@
     }
 
     /** Opens the folder; throws with one line that says what is wrong with it and where. */
-    public Group(OperatorConfig.Store config) throws IOException {
-        this(config, Seams.NONE);
+    public RaftMember(OperatorConfig.Store config) throws IOException {
+        this(config, Interceptors.NONE);
     }
 
-    /** The same, through seams. */
-    public Group(OperatorConfig.Store config, Seams seams) throws IOException {
+    /** The same, with disk, scheduler and messages intercepted. */
+    public RaftMember(OperatorConfig.Store config, Interceptors interceptors) throws IOException {
         this.config = config;
-        this.seams = seams;
-        schedule = seams.schedule(Schedule.of(loop));
+        this.interceptors = interceptors;
+        schedule = interceptors.schedule(Scheduler.of(loop));
         tls = config.tls() == null ? null : new Tls(config.tls());
         if (tls == null) {
             List<String> all = new ArrayList<>(config.members().values());
@@ -142,22 +115,23 @@
             }
         }
         net = new Net(loop, false, tls);
-        disk = seams.disk(new FolderDisk(config.folder(), true));
+        disk = interceptors.disk(new FolderDisk(config.folder(), true));
         try {
             log = SegmentedLog.open(disk, config.cluster(), config.name(), SegmentedLog.newDiskId());
-            warm = Replica.warm(log);
+            warm = RaftReplica.warm(log);
         } catch (IOException | IllegalArgumentException e) {
             disk.close();
             throw new IOException("store " + config.folder() + ": " + e.getMessage(), e);
         }
-        takeOver = new TakeOver(LegacyStoreFile.read(config.folder()));
+        takeOver = new LegacyStoreImport(LegacyStoreFile.read(config.folder()));
         acting = config.audit() == OperatorConfig.Audit.OFF
                 ? null
-                : new Acting(new Acts(), config.name(), config.audit() == OperatorConfig.Audit.FENCE, disk, loop.now());
+                : new LeaseHolder(
+                        new Acts(), config.name(), config.audit() == OperatorConfig.Audit.FENCE, disk, loop.now());
         subscriptions = new SubscriptionServer(this, warm);
         adoption = new ActiveConfiguration(loop.now());
         founding = new ClusterBootstrap(log.announcement(), config.members().keySet());
-        peers = new Peers(
+        peers = new PeerConnections(
                 net,
                 loop,
                 config.cluster(),
@@ -178,21 +152,21 @@
     }
 
     @Override
-    public Known known() {
-        return new Known(warm.document(), warm.endpointList().endpoints(), warm.sessionCommits());
+    public InitialState initialState() {
+        return new InitialState(warm.document(), warm.endpointList().endpoints(), warm.sessionCommits());
     }
 
-    /** Begins to take part; {@code beside} hears first what was accepted before. */
+    /** Begins to take part; {@code callbacks} hears first what was accepted before. */
     @Override
-    public void start(Pooler beside) throws IOException {
-        pooler = beside;
+    public void start(Listener callbacks) throws IOException {
+        listener = callbacks;
         peers.listen();
         loop.start();
         loop.post(() -> {
             if (warm.document() != null) {
                 adopt(warm.document());
             }
-            pooler.holds(warm.drains());
+            listener.drainsChanged(warm.drains());
             config.members().forEach(peers::place);
             settle();
             tick();
@@ -205,19 +179,19 @@
 
     /** Whether the pooler beside may act on what it knows; from any thread. */
     @Override
-    public boolean mayAct() {
+    public boolean mayServe() {
         return acting == null || acting.holds();
     }
 
     /** Whether the right to act can end here. */
     @Override
-    public boolean fences() {
+    public boolean fencingEnabled() {
         return config.audit() == OperatorConfig.Audit.FENCE;
     }
 
     /** Whether this member leads, as far as it knows; from any thread. */
     @Override
-    public boolean leads() {
+    public boolean isLeader() {
         return leading;
     }
 
@@ -228,7 +202,7 @@
 
     /** Keys and certificates as the files have them now; from any thread. Throws where they can't be used. */
     @Override
-    public void reload() throws IOException {
+    public void reloadCertificates() throws IOException {
         if (tls != null) {
             tls.reload();
             net.secureAnew();
@@ -269,10 +243,10 @@
     }
 
     // ---- the group ----
-    private final Replica.Sending sending = new Replica.Sending() {
+    private final RaftReplica.MessageSender sender = new RaftReplica.MessageSender() {
         @Override
         public void send(MemberId to, byte[] message) {
-            if (seams.passes(true)) {
+            if (interceptors.passes(true)) {
                 peers.send(to, message);
             }
         }
@@ -283,7 +257,7 @@
         }
     };
 
-    private final class Hearing implements Peers.Heard {
+    private final class Hearing implements PeerConnections.Heard {
         @Override
         public void word(ClusterBootstrap.Announcement word, String address) {
             addresses.put(word.member().name(), address);
@@ -299,20 +273,20 @@
 
         @Override
         public void raft(byte[] message) throws IOException {
-            if (replica != null && seams.passes(false)) {
+            if (replica != null && interceptors.passes(false)) {
                 replica.handle(message);
             }
         }
 
         @Override
-        public void call(String caller, Messages.Call call, Consumer<Messages.Answer> answer) {
+        public void call(String caller, WireMessages.Request call, Consumer<WireMessages.Response> answer) {
             questions.call(caller, call, answer);
         }
     }
 
-    private final class Acts implements Acting.Member {
+    private final class Acts implements LeaseHolder.Member {
         @Override
-        public Replica replica() {
+        public RaftReplica replica() {
             return replica;
         }
 
@@ -323,7 +297,7 @@
 
         @Override
         public void reached(Runnable then) {
-            pooler.reached(() -> loop.post(then));
+            listener.runAfterApplied(() -> loop.post(then));
         }
 
         @Override
@@ -333,7 +307,11 @@
 
         @Override
         public void call(
-                MemberId whom, String what, List<byte[]> arguments, long withinMicros, Consumer<Messages.Answer> then) {
+                MemberId whom,
+                String what,
+                List<byte[]> arguments,
+                long withinMicros,
+                Consumer<WireMessages.Response> then) {
             peers.call(whom, what, arguments, withinMicros, then);
         }
 
@@ -342,7 +320,7 @@
             if (replica == null || leader == null || ended != null) {
                 accepted.accept(false);
             } else {
-                Group.this.propose(change, accepted);
+                RaftMember.this.propose(change, accepted);
             }
         }
 
@@ -378,31 +356,31 @@
                 peers.say(log.announcement());
             }
         } catch (IOException e) {
-            end(Replica.DISK);
+            end(RaftReplica.DISK);
             return;
         }
         ClusterBootstrap.Phase phase = log.announcement().phase();
         boolean grouped = phase == ClusterBootstrap.Phase.BOOTSTRAPPED || phase == ClusterBootstrap.Phase.JOINING;
         if (grouped && replica == null && ended == null && !stopped) {
-            replica = new Replica(schedule, log, log.announcement().founders(), sending, new Random(), new Watching());
+            replica =
+                    new RaftReplica(schedule, log, log.announcement().founders(), sender, new Random(), new Watching());
             replica.start();
         }
     }
 
-    private final class Watching implements Replica.Watcher {
+    private final class Watching implements RaftReplica.StateListener {
         @Override
         public void applied(long index, Command change, ReplicatedState.Outcome outcome) {
-            if (replica == null) {
-                // A node that has been left; the next one comes to it as well.
+            if (replica == null) { // A node that has been left; the next one comes to it as well.
                 return;
             }
             subscriptions.onApplied(replica.ledger(), change, outcome);
             if (change instanceof Command.PutDocument && outcome.result() == ReplicatedState.Result.APPLIED) {
                 adopt(replica.ledger().document());
             } else if (change instanceof Command.StartDrain || change instanceof Command.EndDrain) {
-                pooler.holds(replica.ledger().drains());
+                listener.drainsChanged(replica.ledger().drains());
             } else if (change instanceof Command.SessionCommits commits) {
-                pooler.commits(commits);
+                listener.commitsAccepted(commits);
             } else if (change instanceof Command.SetMemberAddress place) {
                 place(place.member(), place.address());
             }
@@ -418,9 +396,9 @@
             if (ledger.document() != null) {
                 adopt(ledger.document());
             }
-            pooler.holds(ledger.drains());
-            pooler.commits(ledger.sessionCommits());
-            ledger.memberAddresses().forEach(Group.this::place);
+            listener.drainsChanged(ledger.drains());
+            listener.commitsAccepted(ledger.sessionCommits());
+            ledger.memberAddresses().forEach(RaftMember.this::place);
         }
 
         @Override
@@ -429,43 +407,43 @@
         }
     }
 
-    private void place(String member, String address) {
-        // The operator's own file goes before: it knows the way from here.
+    private void place(
+            String member, String address) { // The operator's own file goes before: it knows the way from here.
         if (!config.members().containsKey(member)) {
             peers.place(member, address);
         }
     }
 
     private void adopt(ReplicatedState.Document document) {
-        String objection = pooler.objection(document.content());
+        String objection = listener.validationError(document.content());
         ReplicatedState.Document before = adoption.active();
         switch (adoption.onCommitted(document, objection)) {
             case ACTIVATE -> {
-                String version = Acting.version(document);
+                String version = LeaseHolder.version(document);
                 if (acting != null && !acting.adopts(version, document.index(), loop.now())) {
                     adoption.revertTo(before);
                     if (replica != null) {
-                        replica.end(Replica.DISK);
+                        replica.end(RaftReplica.DISK);
                     }
-                    end(Replica.DISK);
+                    end(RaftReplica.DISK);
                     return;
                 }
                 Log.info(
                         "store: adopted revision %s, change %s, digest %s",
                         document.revision(), document.index(), document.digest());
-                pooler.adopt(document);
+                listener.configurationAccepted(document);
                 if (acting != null) {
-                    pooler.reached(() -> loop.post(() -> acting.acts(version, document.index(), loop.now())));
+                    listener.runAfterApplied(() -> loop.post(() -> acting.acts(version, document.index(), loop.now())));
                 }
             }
             case UNREADABLE -> {
                 Log.error("store: %s", adoption.describe());
                 if (acting != null) {
-                    acting.refuses(Acting.version(document), document.index(), loop.now(), adoption.unreadableReason());
+                    acting.refuses(
+                            LeaseHolder.version(document), document.index(), loop.now(), adoption.unreadableReason());
                 }
             }
-            default -> {
-                // The one that is acted on.
+            default -> { // The one that is acted on.
             }
         }
     }
@@ -496,7 +474,7 @@
         if (line != null) {
             Log.warn("store: %s", line);
             if (acting != null) {
-                acting.inTouch(!adoption.isCutOff(), loop.now());
+                acting.inTouch(!adoption.isQuorumLost(), loop.now());
             }
         }
         ClusterBootstrap.Phase phase = log.announcement().phase();
@@ -509,10 +487,10 @@
             announce();
             takeOver.lead(
                     replica,
-                    document -> pooler.objection(document) == null,
+                    document -> listener.validationError(document) == null,
                     (session, position) -> outbox.add(session, position, loop.now()));
         }
-        if (acting != null && pooler != null) {
+        if (acting != null && listener != null) {
             acting.tick(leading, loop.now());
         }
         pump();
@@ -524,7 +502,7 @@
      * and forced anew before anything of it is believed. Tried ever more rarely.
      */
     private void revive() {
-        if (ended == null || !ended.equals(Replica.DISK) || loop.now() < reviveAt) {
+        if (ended == null || !ended.equals(RaftReplica.DISK) || loop.now() < reviveAt) {
             return;
         }
         reviveAfter = Math.min(REVIVE_MOST, reviveAfter * 2);
@@ -550,7 +528,7 @@
         for (MemberId who : peers.connected()) {
             String at = addresses.get(who.name());
             if (at != null && !config.members().containsKey(who.name()) && !at.equals(known.get(who.name()))) {
-                replica.propose(new Command.SetMemberAddress(who.name(), at), (fate, outcome) -> {});
+                replica.propose(new Command.SetMemberAddress(who.name(), at), (completion, outcome) -> {});
                 return;
             }
         }
@@ -559,7 +537,7 @@
     // ---- the pooler's changes ----
     /** A session's commit here; {@code then} runs, on the group's thread, once a majority holds it. From any thread. */
     @Override
-    public void committed(String session, long position, Runnable then) {
+    public void publishCommit(String session, long position, Runnable then) {
         loop.post(() -> {
             long bundle = outbox.add(session, position, loop.now());
             if (then != null && heldCount < HELD_MOST) {
@@ -603,29 +581,30 @@
 
     /** The list of db nodes as this pooler has it; the leader's goes to all. From any thread. */
     @Override
-    public void listing(List<Command.KnownEndpoint> nodes) {
+    public void publishEndpoints(List<Command.KnownEndpoint> nodes) {
         loop.post(() -> {
             if (leading) {
-                replica.propose(new Command.EndpointList(loop.now(), nodes), (fate, outcome) -> {});
+                replica.propose(new Command.EndpointList(loop.now(), nodes), (completion, outcome) -> {});
             }
         });
     }
 
     private void propose(Command change, Consumer<Boolean> accepted) {
         if (replica.leads()) {
-            replica.propose(change, (fate, outcome) -> accepted.accept(fate == Replica.Fate.DONE));
+            replica.propose(
+                    change, (completion, outcome) -> accepted.accept(completion == RaftReplica.Completion.DONE));
         } else {
             peers.call(
                     leader,
                     "propose",
                     List.of(CommandCodec.encode(change)),
-                    Questions.FORWARDED,
-                    answer -> accepted.accept(answer.code() == Messages.Code.OK));
+                    RequestHandler.FORWARDED,
+                    answer -> accepted.accept(answer.status() == WireMessages.Status.OK));
         }
     }
 
     // ---- what questions look at ----
-    Replica replica() {
+    RaftReplica replica() {
         return replica;
     }
 
@@ -642,12 +621,12 @@
         return leader;
     }
 
-    Peers peers() {
+    PeerConnections peers() {
         return peers;
     }
 
-    Pooler pooler() {
-        return pooler;
+    Listener listener() {
+        return listener;
     }
 
     SubscriptionServer subscriptions() {
@@ -655,7 +634,7 @@
     }
 
     /** Null where it is off. */
-    Acting acting() {
+    LeaseHolder acting() {
         return acting;
     }
 
@@ -671,7 +650,7 @@
         return log;
     }
 
-    Loop loop() {
+    EventLoop loop() {
         return loop;
     }
 }
--- a/replication/src/main/java/lupinvalve/replication/RestoredLog.java
+++ b/replication/src/main/java/lupinvalve/replication/RestoredLog.java
@@ -42,10 +42,10 @@
     }
 
     private long readEntry(String segment, Cbor.Reader in) throws IOException {
-        LogEntry entry = Models.entry(in);
+        LogEntry entry = RaftCodec.entry(in);
         long index = entry.getIndex();
         if (!entries.isEmpty() && index <= entries.lastKey()) {
-            throw new Frames.Damaged(segment + ": change " + index + " follows " + entries.lastKey());
+            throw new RecordFrames.Damaged(segment + ": change " + index + " follows " + entries.lastKey());
         }
         if (!entries.isEmpty() && index > entries.lastKey() + 1) {
             // A snapshot must cover the gap; startFrom checks that.
@@ -76,8 +76,8 @@
         entries.headMap(snapshotIndex, true).clear();
     }
 
-    private static Frames.Damaged missing(long firstIndex, long lastIndex) {
-        return new Frames.Damaged(
+    private static RecordFrames.Damaged missing(long firstIndex, long lastIndex) {
+        return new RecordFrames.Damaged(
                 SegmentFiles.PREFIX + "*: changes " + firstIndex + " to " + lastIndex + " are missing");
     }
 
--- a/replication/src/main/java/lupinvalve/replication/SegmentFiles.java
+++ b/replication/src/main/java/lupinvalve/replication/SegmentFiles.java
@@ -48,7 +48,7 @@
     private void loadSegment(String name, boolean last, boolean repair, RestoredLog target) throws IOException {
         byte[] file = disk.read(name);
         List<byte[]> contents = new ArrayList<>();
-        long completeBytes = Frames.read(name, file, last, contents);
+        long completeBytes = RecordFrames.read(name, file, last, contents);
         if (completeBytes < file.length) {
             Log.warn("store: %s: truncated at byte %s, as a crash has torn the record there", name, completeBytes);
             if (repair) {
--- a/replication/src/main/java/lupinvalve/replication/SegmentHeader.java
+++ b/replication/src/main/java/lupinvalve/replication/SegmentHeader.java
@@ -79,34 +79,34 @@
     }
 
     void readLocalMember(Cbor.Reader in) throws IOException {
-        localMember = Models.FACTORY
+        localMember = RaftCodec.FACTORY
                 .createRaftEndpointPersistentStateBuilder()
-                .setLocalEndpoint(Models.endpoints(in).get(0))
+                .setLocalEndpoint(RaftCodec.endpoints(in).get(0))
                 .setVoting(in.flag())
                 .build();
     }
 
     void writeLocalMember(Cbor.Writer out) {
-        Models.endpoints(out.number(RecordKind.SELF), List.of(localMember.getLocalEndpoint()))
+        RaftCodec.endpoints(out.number(RecordKind.SELF), List.of(localMember.getLocalEndpoint()))
                 .flag(localMember.isVoting());
     }
 
     void readInitialMembers(Cbor.Reader in) throws IOException {
-        initialMembers = Models.view(in);
+        initialMembers = RaftCodec.view(in);
     }
 
     void writeInitialMembers(Cbor.Writer out) {
-        Models.view(out.number(RecordKind.FOUNDERS), initialMembers);
+        RaftCodec.view(out.number(RecordKind.FOUNDERS), initialMembers);
     }
 
     void readTerm(Cbor.Reader in) throws IOException {
         int number = (int) in.number();
-        term = termAndVote(number, Models.endpoints(in));
+        term = termAndVote(number, RaftCodec.endpoints(in));
     }
 
     void writeTerm(Cbor.Writer out) {
         List<RaftEndpoint> vote = term.getVotedFor() == null ? List.of() : List.of(term.getVotedFor());
-        Models.endpoints(out.number(RecordKind.TERM).number(term.getTerm()), vote);
+        RaftCodec.endpoints(out.number(RecordKind.TERM).number(term.getTerm()), vote);
     }
 
     void writeCommitIndex(Cbor.Writer out) {
@@ -114,7 +114,7 @@
     }
 
     private static RaftTermPersistentState termAndVote(int number, List<RaftEndpoint> vote) {
-        return Models.FACTORY
+        return RaftCodec.FACTORY
                 .createRaftTermPersistentStateBuilder()
                 .setTerm(number)
                 .setVotedFor(vote.isEmpty() ? null : vote.get(0))
--- a/replication/src/main/java/lupinvalve/replication/SegmentedLog.java
+++ b/replication/src/main/java/lupinvalve/replication/SegmentedLog.java
@@ -73,7 +73,7 @@
             log.persistAnnouncement(new ClusterBootstrap.Announcement(
                     new MemberId(member, newDiskId), ClusterBootstrap.Phase.UNBOUND, Set.of()));
         } else {
-            throw new Frames.Damaged(IdentityFile.NAME + " is missing beside " + names.get(0));
+            throw new RecordFrames.Damaged(IdentityFile.NAME + " is missing beside " + names.get(0));
         }
         log.load(names, true);
         log.startNextSegment();
@@ -104,7 +104,7 @@
         SegmentedLog log = new SegmentedLog(disk, null);
         List<String> names = disk.names();
         if (!names.contains(IdentityFile.NAME)) {
-            throw new Frames.Damaged(IdentityFile.NAME + " is missing");
+            throw new RecordFrames.Damaged(IdentityFile.NAME + " is missing");
         }
         log.announcement = IdentityFile.read(disk, null, null);
         log.load(names, false);
@@ -223,7 +223,7 @@
     @Override
     public void persistLogEntries(List<LogEntry> entries) throws IOException {
         for (LogEntry entry : entries) {
-            add(out -> Models.entry(out.number(RecordKind.ENTRY), entry));
+            add(out -> RaftCodec.entry(out.number(RecordKind.ENTRY), entry));
             segments.onEntryAdded(entry.getIndex());
         }
     }
--- a/replication/src/main/java/lupinvalve/replication/SnapshotFiles.java
+++ b/replication/src/main/java/lupinvalve/replication/SnapshotFiles.java
@@ -74,17 +74,17 @@
     /** A snapshot with all its chunks, or null if it was interrupted while it was written or transferred. */
     private static SnapshotEntry read(String name, byte[] file) throws IOException {
         List<byte[]> contents = new ArrayList<>();
-        Frames.read(name, file, true, contents);
+        RecordFrames.read(name, file, true, contents);
         TreeMap<Integer, SnapshotChunk> chunks = new TreeMap<>();
         for (byte[] content : contents) {
-            SnapshotChunk chunk = Models.chunk(new Cbor.Reader(content));
+            SnapshotChunk chunk = RaftCodec.chunk(new Cbor.Reader(content));
             chunks.put(chunk.getSnapshotChunkIndex(), chunk);
         }
         if (chunks.isEmpty() || chunks.size() < chunks.firstEntry().getValue().getSnapshotChunkCount()) {
             return null;
         }
         SnapshotChunk first = chunks.firstEntry().getValue();
-        return Models.FACTORY
+        return RaftCodec.FACTORY
                 .createSnapshotEntryBuilder()
                 .setIndex(first.getIndex())
                 .setTerm(first.getTerm())
@@ -98,7 +98,8 @@
         if (current == null || currentIndex != chunk.getIndex()) {
             startFile(chunk.getIndex());
         }
-        byte[] frame = Frames.frame(Models.chunk(new Cbor.Writer(), chunk).toByteArray());
+        byte[] frame =
+                RecordFrames.frame(RaftCodec.chunk(new Cbor.Writer(), chunk).toByteArray());
         current.write(frame);
         sizeBytesByIndex.merge(currentIndex, (long) frame.length, Long::sum);
         unforced = true;
--- a/replication/src/main/java/lupinvalve/replication/Subscriber.java
+++ b/replication/src/main/java/lupinvalve/replication/Subscriber.java
@@ -10,8 +10,8 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicLong;
 import lupinvalve.config.OperatorConfig;
-import lupinvalve.core.Deadlines;
-import lupinvalve.core.Loop;
+import lupinvalve.core.EventLoop;
+import lupinvalve.core.TimerQueue;
 import lupinvalve.log.Log;
 import lupinvalve.net.Addresses;
 import lupinvalve.net.Net;
@@ -39,7 +39,7 @@
     private static final long MICROS_PER_MILLI = 1_000;
 
     private final OperatorConfig.Store config;
-    private final Loop loop;
+    private final EventLoop loop;
     private final Net net;
     private final Tls tls;
     private final CachedDocumentWriter cacheWriter;
@@ -55,11 +55,11 @@
     private final AtomicLong requestCount = new AtomicLong();
     private final AtomicLong fullDocumentCount = new AtomicLong();
     private final AtomicLong deltaCount = new AtomicLong();
-    private Group.Pooler pooler;
+    private ControlPlane.Listener pooler;
     private boolean stopped;
     private boolean fenced;
     private long lastResponseMicros;
-    private Deadlines.Deadline leaseEndTimer;
+    private TimerQueue.Timer leaseEndTimer;
     private String lastLine = "";
     /** Written on the pooler's thread once it has applied the document. */
     private volatile ReplicatedState.Document appliedDocument;
@@ -72,7 +72,7 @@
     public Subscriber(OperatorConfig.Store config) throws IOException {
         this(
                 config,
-                new Loop("store"),
+                new EventLoop("store"),
                 null,
                 new FolderDisk(config.folder(), true),
                 CachedDocumentWriter.newDiskExecutor(),
@@ -87,12 +87,12 @@
      * @param disk has the cached document, written on the loop; closed by {@link #stop}
      * @param seed of its jitter
      */
-    public Subscriber(OperatorConfig.Store config, Loop loop, Net net, Disk disk, long seed) throws IOException {
+    public Subscriber(OperatorConfig.Store config, EventLoop loop, Net net, Disk disk, long seed) throws IOException {
         this(config, loop, net, disk, Runnable::run, seed);
     }
 
     private Subscriber(
-            OperatorConfig.Store config, Loop loop, Net sharedNet, Disk disk, Executor diskExecutor, long seed)
+            OperatorConfig.Store config, EventLoop loop, Net sharedNet, Disk disk, Executor diskExecutor, long seed)
             throws IOException {
         this.config = config;
         this.loop = loop;
@@ -108,7 +108,7 @@
         net = ownsLoop ? new Net(loop, false, tls) : sharedNet;
         cacheWriter = new CachedDocumentWriter(disk, config.cluster(), diskExecutor);
         cached = readCache(disk);
-        state = new SubscriberState(leasesOn(), cached, Acting.clock());
+        state = new SubscriberState(leasesOn(), cached, LeaseHolder.clock());
         members = new MemberFailover(config, loop, net, seed, new FailoverListener());
     }
 
@@ -139,22 +139,22 @@
     }
 
     @Override
-    public Known known() {
-        return new Known(cached.document(), List.of(), new Command.SessionCommits(0, Map.of()));
+    public InitialState initialState() {
+        return new InitialState(cached.document(), List.of(), new Command.SessionCommits(0, Map.of()));
     }
 
     @Override
-    public void start(Group.Pooler beside) {
+    public void start(ControlPlane.Listener beside) {
         pooler = beside;
         if (ownsLoop) {
             loop.start();
         }
         loop.post(() -> {
-            ReplicatedState.Document document = state.restoreCached(pooler::objection);
+            ReplicatedState.Document document = state.restoreCached(pooler::validationError);
             if (document != null) {
                 adopt(document);
             }
-            pooler.holds(state.drains());
+            pooler.drainsChanged(state.drains());
             updateFence();
             members.connect(0);
             tick();
@@ -186,11 +186,11 @@
         }
         boolean ready = members.isReady();
         boolean waiting = members.hasRequestInFlight();
-        String line = state.configuration().onQuorumContact(ready && waiting, Acting.clock());
+        String line = state.configuration().onQuorumContact(ready && waiting, LeaseHolder.clock());
         if (line != null) {
             Log.warn("%s: %s", logPrefix, line);
         }
-        if (ready && !waiting && Acting.clock() - lastResponseMicros > REQUEST_INTERVAL_MAX_MICROS) {
+        if (ready && !waiting && LeaseHolder.clock() - lastResponseMicros > REQUEST_INTERVAL_MAX_MICROS) {
             // The pooler is slow to apply the last response; the member must see that this subscriber is alive.
             sendRequest();
         }
@@ -205,7 +205,7 @@
             return;
         }
         requestCount.incrementAndGet();
-        long requestedMicros = Acting.clock();
+        long requestedMicros = LeaseHolder.clock();
         MemberConnection connection = members.current();
         WatchRequest request = state.request();
         // Without a lease there is nothing to lose by waiting, and a full document takes longer.
@@ -216,11 +216,11 @@
                 answer -> onAnswer(connection, answer, requestedMicros));
     }
 
-    private void onAnswer(MemberConnection connection, Messages.Answer answer, long requestedMicros) {
+    private void onAnswer(MemberConnection connection, WireMessages.Response answer, long requestedMicros) {
         if (connection != members.current()) {
             return;
         }
-        if (answer.code() != Messages.Code.OK) {
+        if (answer.status() != WireMessages.Status.OK) {
             members.failOver(connection.member() + ": " + answer.text());
             return;
         }
@@ -232,9 +232,10 @@
     }
 
     private void onResponse(WatchResponse response, long requestedMicros) {
-        lastResponseMicros = Acting.clock();
+        lastResponseMicros = LeaseHolder.clock();
         count(response.event());
-        SubscriberState.Update update = state.onResponse(response, requestedMicros, Acting.clock(), pooler::objection);
+        SubscriberState.Update update =
+                state.onResponse(response, requestedMicros, LeaseHolder.clock(), pooler::validationError);
         updateFence();
         boolean corrupt = !update.corruption().isEmpty();
         if (corrupt) {
@@ -246,7 +247,7 @@
         }
         long delayMicros = MICROS_PER_MILLI * (corrupt ? CORRUPTION_RETRY_MILLIS : response.retryAfterMillis());
         long receivedIndex = state.receivedIndex();
-        pooler.reached(() -> loop.post(() -> {
+        pooler.runAfterApplied(() -> loop.post(() -> {
             state.onApplied(receivedIndex);
             loop.after(delayMicros, this::sendRequest);
         }));
@@ -269,7 +270,7 @@
             logOnce("serves on, " + state.configuration().describe());
         }
         if (update.drains() != null) {
-            pooler.holds(update.drains());
+            pooler.drainsChanged(update.drains());
         }
         if (update.changesState()) {
             cacheWriter.write(state.toCache());
@@ -280,35 +281,35 @@
         Log.info(
                 "%s: adopted revision %s, change %s, digest %s",
                 logPrefix, document.revision(), document.index(), document.digest());
-        pooler.adopt(document);
-        pooler.reached(() -> appliedDocument = document);
+        pooler.configurationAccepted(document);
+        pooler.runAfterApplied(() -> appliedDocument = document);
     }
 
     /** Logs when the lease has ended and when there is one again. */
     private void updateFence() {
-        if (!fences()) {
+        if (!fencingEnabled()) {
             return;
         }
-        long leaseLeftMicros = state.leaseUntilMicros() - Acting.clock();
+        long leaseLeftMicros = state.leaseUntilMicros() - LeaseHolder.clock();
         boolean leaseEnded = leaseLeftMicros <= 0;
         if (leaseEnded != fenced) {
             fenced = leaseEnded;
             String denial = state.leaseDenial().isEmpty() ? "" : ": " + state.leaseDenial();
             Log.info("%s: %s", logPrefix, fenced ? "fenced" + denial : "returned");
         }
-        loop.drop(leaseEndTimer);
+        loop.cancel(leaseEndTimer);
         leaseEndTimer = leaseEnded ? null : loop.after(leaseLeftMicros, this::updateFence);
     }
 
     // ---- from any thread ----
 
     @Override
-    public boolean mayAct() {
-        return !fences() || state.hasLease(Acting.clock());
+    public boolean mayServe() {
+        return !fencingEnabled() || state.hasLease(LeaseHolder.clock());
     }
 
     @Override
-    public boolean fences() {
+    public boolean fencingEnabled() {
         return config.audit() == OperatorConfig.Audit.FENCE;
     }
 
@@ -348,25 +349,25 @@
     }
 
     @Override
-    public boolean leads() {
+    public boolean isLeader() {
         return false;
     }
 
     /** Subscribers take no part in the replication of sessions' commits: {@code then} runs at once. */
     @Override
-    public void committed(String session, long position, Runnable then) {
+    public void publishCommit(String session, long position, Runnable then) {
         if (then != null) {
             then.run();
         }
     }
 
     @Override
-    public void listing(List<Command.KnownEndpoint> nodes) {
+    public void publishEndpoints(List<Command.KnownEndpoint> nodes) {
         // Only members replicate the list of db nodes.
     }
 
     @Override
-    public void reload() throws IOException {
+    public void reloadCertificates() throws IOException {
         if (tls != null) {
             tls.reload();
             if (ownsLoop) {
--- a/replication/src/main/java/lupinvalve/replication/SubscriptionServer.java
+++ b/replication/src/main/java/lupinvalve/replication/SubscriptionServer.java
@@ -29,9 +29,9 @@
     private static final long BATCH_INTERVAL_MICROS = 1_000;
 
     private record PendingRequest(
-            long callId, WatchRequest request, long sinceMicros, Consumer<Messages.Answer> responder) {}
+            long callId, WatchRequest request, long sinceMicros, Consumer<WireMessages.Response> responder) {}
 
-    private final Group group;
+    private final RaftMember group;
     private final WatchService service;
     private final Map<String, PendingRequest> pendingBySubscriber = new HashMap<>();
     private long lastChangeIndex;
@@ -45,11 +45,11 @@
      *
      * @param restoredState what this member knows to be committed before the start
      */
-    SubscriptionServer(Group group, ReplicatedState restoredState) {
+    SubscriptionServer(RaftMember group, ReplicatedState restoredState) {
         this.group = group;
         boolean grantsLeases = group.config().audit() != OperatorConfig.Audit.OFF;
         service = new WatchService(
-                grantsLeases ? "" : "store.audit is off at " + group.config().name(), Acting.clock());
+                grantsLeases ? "" : "store.audit is off at " + group.config().name(), LeaseHolder.clock());
         onRestored(restoredState);
     }
 
@@ -60,12 +60,12 @@
 
     /** See {@link WatchService#appliedFloor}. */
     long appliedFloor() {
-        return service.appliedFloor(Acting.clock());
+        return service.appliedFloor(LeaseHolder.clock());
     }
 
     /** See {@link WatchService#onOwnLease}. */
     void onOwnLease(long untilMicros, long leaderIndex) {
-        service.onOwnLease(untilMicros, leaderIndex, Acting.clock());
+        service.onOwnLease(untilMicros, leaderIndex, LeaseHolder.clock());
     }
 
     /** A change has been applied here. */
@@ -82,7 +82,7 @@
     /** The state has been restored from a snapshot, or document or drains have changed. */
     void onRestored(ReplicatedState state) {
         lastChangeIndex = Math.max(lastChangeIndex, state.appliedIndex());
-        service.onApplied(state.document(), state.drains(), state.appliedIndex(), Acting.clock());
+        service.onApplied(state.document(), state.drains(), state.appliedIndex(), LeaseHolder.clock());
         List<String> due = new ArrayList<>();
         pendingBySubscriber.forEach((subscriber, pending) -> {
             if (service.hasUpdate(pending.request())) {
@@ -96,14 +96,15 @@
     }
 
     /** Takes a subscriber's request; {@code responder} is called once, now or later. */
-    void onRequest(String subscriber, Messages.Call call, Consumer<Messages.Answer> responder) throws IOException {
+    void onRequest(String subscriber, WireMessages.Request call, Consumer<WireMessages.Response> responder)
+            throws IOException {
         if (call.arguments().isEmpty()) {
             throw new IOException(CALL + " lacks an argument");
         }
         WatchRequest request = WatchRequest.read(call.arguments().get(0));
         requestCount++;
         service.onRequest(subscriber);
-        PendingRequest pending = new PendingRequest(call.id(), request, Acting.clock(), responder);
+        PendingRequest pending = new PendingRequest(call.id(), request, LeaseHolder.clock(), responder);
         if (!pendingBySubscriber.containsKey(subscriber) && pendingBySubscriber.size() >= SUBSCRIBERS_MAX_COUNT) {
             reject(pending, "too many follow this member");
             return;
@@ -111,7 +112,7 @@
         pendingBySubscriber.put(subscriber, pending);
         if (service.hasUpdate(request)
                 || unavailableReason() != null
-                || service.canAdmit(subscriber, request, Acting.clock())) {
+                || service.canAdmit(subscriber, request, LeaseHolder.clock())) {
             respond(subscriber, pending);
         } else {
             group.loop().after(WatchService.LONG_POLL_MICROS, () -> respond(subscriber, pending));
@@ -126,14 +127,14 @@
         if (group.replica() == null) {
             return "the group is not founded yet";
         }
-        if (group.adoption().isCutOff()) {
+        if (group.adoption().isQuorumLost()) {
             return "cut off from the majority";
         }
-        return service.lacksOwnLease(Acting.clock()) ? "this member has no lease itself" : null;
+        return service.lacksOwnLease(LeaseHolder.clock()) ? "this member has no lease itself" : null;
     }
 
     private static void reject(PendingRequest pending, String reason) {
-        pending.responder().accept(new Messages.Answer(pending.callId(), Messages.Code.AGAIN, reason));
+        pending.responder().accept(new WireMessages.Response(pending.callId(), WireMessages.Status.RETRY, reason));
     }
 
     private void respond(String subscriber) {
@@ -153,20 +154,20 @@
             reject(pending, unavailable);
             return;
         }
-        long nowMicros = Acting.clock();
+        long nowMicros = LeaseHolder.clock();
         WatchResponse response =
                 service.respond(subscriber, pending.request(), nowMicros - pending.sinceMicros(), nowMicros);
         fullDocumentCount += response.event() instanceof WatchResponse.Event.FullDocument ? 1 : 0;
         deltaResponseCount += response.event() instanceof WatchResponse.Event.Deltas ? 1 : 0;
         byte[] content = response.write();
         responseBytes += content.length;
-        pending.responder().accept(new Messages.Answer(pending.callId(), Messages.Code.OK, "", content));
+        pending.responder().accept(new WireMessages.Response(pending.callId(), WireMessages.Status.OK, "", content));
     }
 
     /** Writes the fields of the status call; counts and bytes of responses are sums since the start. */
     void writeStatus(JsonGenerator out) throws IOException {
         out.writeNumberField("subscribers_waiting", pendingBySubscriber.size());
-        out.writeNumberField("subscribers_with_lease", service.leaseCount(Acting.clock()));
+        out.writeNumberField("subscribers_with_lease", service.leaseCount(LeaseHolder.clock()));
         out.writeNumberField("follow_calls", requestCount);
         out.writeNumberField("follow_wholes", fullDocumentCount);
         out.writeNumberField("follow_differences", deltaResponseCount);
