--- a/faultinjection/src/test/java/lupinvalve/replication/CachedDocumentFileTest.java
+++ b/faultinjection/src/test/java/lupinvalve/replication/CachedDocumentFileTest.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.TreeMap;
-import lupinvalve.faultinjection.Points;
+import lupinvalve.faultinjection.FailPoints;
 import lupinvalve.statemachine.Command;
 import lupinvalve.statemachine.ReplicatedState;
 import lupinvalve.subscription.SubscriberState;
@@ -21,7 +21,7 @@
 /** What a subscriber caches for its restart: the old state or the new one, complete, or an error. */
 class CachedDocumentFileTest {
     private static final String CLUSTER = "plant";
-    private final MemoryDisk disk = new MemoryDisk();
+    private final SimulatedDisk disk = new SimulatedDisk();
 
     private static SubscriberState.Cached cached(long revision) {
         byte[] content = ("{\"revision\":" + revision + "}").getBytes(StandardCharsets.UTF_8);
@@ -35,15 +35,15 @@
 
     @Test
     void aFaultAtEachPointLeavesTheOldOrTheNew() throws IOException {
-        Points counted = new Points();
-        counted.count(true);
-        twoWrites(new MemoryDisk(), counted, null);
-        List<Points.At> faults = Points.all(counted.met());
+        FailPoints counted = new FailPoints();
+        counted.setEnabled(true);
+        twoWrites(new SimulatedDisk(), counted, null);
+        List<FailPoints.PlannedFault> faults = FailPoints.allSingleFaults(counted.reachedSteps());
         assertTrue(faults.size() >= 6, faults.toString());
-        for (Points.At at : faults) {
-            MemoryDisk own = new MemoryDisk();
-            Points points = new Points(at);
-            points.count(true);
+        for (FailPoints.PlannedFault at : faults) {
+            SimulatedDisk own = new SimulatedDisk();
+            FailPoints points = new FailPoints(at);
+            points.setEnabled(true);
             long seen = twoWrites(own, points, new Random(at.point()));
             SubscriberState.Cached left = CachedDocumentFile.read(own, CLUSTER);
             long revision = left.document() == null ? 0 : left.document().revision();
@@ -58,16 +58,16 @@
     }
 
     /** Writes one state, reads it, and writes another; returns the revision that was surely written. */
-    private static long twoWrites(MemoryDisk disk, Points points, Random crash) {
+    private static long twoWrites(SimulatedDisk disk, FailPoints points, Random crash) {
         boolean[] over = new boolean[1];
-        Disk counted = new CountedDisk(disk, points::next, new CountedDisk.Life() {
+        Disk counted = new FailPointDisk(disk, points::nextFault, new FailPointDisk.Process() {
             @Override
-            public boolean over() {
+            public boolean hasEnded() {
                 return over[0];
             }
 
             @Override
-            public void end(Points.Fault fault) {
+            public void end(FailPoints.Fault fault) {
                 over[0] = true;
                 if (crash != null) {
                     disk.crash(crash);
@@ -128,7 +128,7 @@
 
     @Test
     void aDiskThatRenamesWithoutForcingIsFoundOut() throws IOException {
-        disk.planted = Sweep.Planted.RENAME_WITHOUT_FORCE;
+        disk.seededBug = FaultSweep.SeededBug.RENAME_WITHOUT_FORCE;
         CachedDocumentFile.write(disk, CLUSTER, cached(1));
         disk.crash(new Random(3));
         assertThrows(IOException.class, () -> CachedDocumentFile.read(disk, CLUSTER));
