--- a/daemon/src/test/java/lupinvalve/replication/StoredFolderTest.java
+++ b/daemon/src/test/java/lupinvalve/replication/StoredFolderTest.java
@@ -332,7 +332,7 @@
         return new ControlPlane.Listener() {
             @Override
             public String validationError(byte[] document) {
-                return OperatorConfig.objection(document);
+                return OperatorConfig.validationError(document).orElse(null);
             }
 
             @Override
--- a/hotrestart/src/test/java/lupinvalve/hotrestart/DrainCommandsFileTest.java
+++ b/hotrestart/src/test/java/lupinvalve/hotrestart/DrainCommandsFileTest.java
@@ -37,7 +37,7 @@
 
     @AfterEach
     void restoreLog() {
-        Log.to(System.err);
+        Log.setOutput(System.err);
     }
 
     @Test
@@ -61,7 +61,7 @@
     void aTruncatedFileIsReportedAndReturnsNoDrainedNode() throws IOException {
         DrainCommands whole = process().update(DrainCommands.NONE, commands -> CURRENT.with(true, "s-1", 5));
         byte[] bytes = Files.readAllBytes(file());
-        Log.to(new PrintStream(log, true));
+        Log.setOutput(new PrintStream(log, true));
         for (int length = 0; length < bytes.length; length++) {
             Files.write(file(), Arrays.copyOf(bytes, length));
             log.reset();
