--- a/daemon/src/test/java/lupinvalve/replication/StoredFolderTest.java
+++ b/daemon/src/test/java/lupinvalve/replication/StoredFolderTest.java
@@ -198,7 +198,7 @@
         for (String member : DISK_BY_MEMBER.keySet()) {
             SegmentedLog log = SegmentedLog.open(disk(member), CLUSTER, member, "unused");
             assertEquals(LAST_INDEX, log.lastIndex());
-            assertState(RaftReplica.warm(log));
+            assertState(RaftReplica.committedState(log));
             log.close(true);
         }
     }
@@ -288,14 +288,14 @@
     void theCommandLineVerifiesEachMemberAndItsAuditEntries() throws IOException {
         for (Map.Entry<String, String> member : DISK_BY_MEMBER.entrySet()) {
             Path path = folder.resolve("member-" + member.getKey());
-            String verified = GroupClient.verify(path, true);
+            String verified = FolderVerification.verify(path, true);
             assertTrue(
                     verified.startsWith("{\"member\":\"" + member.getKey() + "/" + member.getValue()
                             + "\",\"phase\":\"founded\",\"term\":2,\"last_change\":37,\"accepted_change\":37,"
                             + "\"revision\":4,\"digest\":\"921e36fb7a3e3de3\",\"sessions\":350,\"holds\":3,"),
                     verified);
             assertTrue(verified.endsWith("\"document\":{\"mysql\":{\"user\":\"fourth\"}}}"), verified);
-            String audit = GroupClient.verifyAudit(path);
+            String audit = FolderVerification.verifyAudit(path);
             assertTrue(audit.startsWith("{\"entries\":14,\"lives\":2,\"acted\":[\"1-8f0f526f46bda7c6 from "), audit);
             assertTrue(audit.contains("\"4-921e36fb7a3e3de3 from ") && audit.endsWith("\"chain_breaks\":[]}"), audit);
         }
@@ -385,7 +385,7 @@
                         OperatorConfig.Audit.SERVE));
                 running.add(member);
                 members.add(member);
-                assertState(member.warm());
+                assertState(member.initialReplicatedState());
                 member.start(pooler(documents, name));
             }
             Subscriber subscriber = new Subscriber(OperatorConfig.Store.subscriber(
@@ -398,7 +398,7 @@
             World.await("the subscriber has the last document", () -> subscriber.appliedRevision() == 4);
             assertArrayEquals(document("fourth"), documents.get("follower").content());
             GroupClient.Result result = new GroupClient(CLUSTER, addresses, null)
-                    .ask("put", List.of("4".getBytes(StandardCharsets.UTF_8), document("fifth")), false, 20_000);
+                    .call("put", List.of("4".getBytes(StandardCharsets.UTF_8), document("fifth")), false, 20_000);
             assertEquals(new GroupClient.Result(WireMessages.Status.OK, "{\"changed\":true,\"revision\":5}"), result);
             World.await(
                     "all have the new document",
@@ -408,7 +408,7 @@
             running.forEach(ControlPlane::stop);
         }
         for (String name : DISK_BY_MEMBER.keySet()) {
-            String verified = GroupClient.verify(folder.resolve("member-" + name), true);
+            String verified = FolderVerification.verify(folder.resolve("member-" + name), true);
             assertTrue(verified.endsWith("\"document\":{\"mysql\":{\"user\":\"fifth\"}}}"), verified);
         }
     }
--- a/faultinjection/src/test/java/lupinvalve/replication/SegmentedLogTest.java
+++ b/faultinjection/src/test/java/lupinvalve/replication/SegmentedLogTest.java
@@ -193,7 +193,7 @@
         log.advanceCommitIndex(12);
         log.flush();
         SegmentedLog again = open(disk);
-        assertEquals(12, RaftReplica.warm(again).revision());
+        assertEquals(12, RaftReplica.committedState(again).revision());
         assertEquals(3, again.restoredState().getTermPersistentState().getTerm());
         assertEquals(
                 ME,
--- a/replication/src/main/java/lupinvalve/replication/LegacyStoreFile.java
+++ b/replication/src/main/java/lupinvalve/replication/LegacyStoreFile.java
@@ -100,7 +100,7 @@
     }
 
     @Override
-    public boolean done() {
+    public boolean markImported() {
         try {
             Files.move(folder.resolve(NAME), folder.resolve(IMPORTED_NAME), StandardCopyOption.REPLACE_EXISTING);
             Log.info("store: the legacy store has been imported; its file is now %s", IMPORTED_NAME);
--- a/replication/src/main/java/lupinvalve/replication/MemberConnection.java
+++ b/replication/src/main/java/lupinvalve/replication/MemberConnection.java
@@ -136,8 +136,9 @@
         if (ready) {
             return;
         }
-        boolean expected =
-                hello.cluster().equals(route.cluster()) && hello.name().equals(route.member()) && hello.word() != null;
+        boolean expected = hello.cluster().equals(route.cluster())
+                && hello.name().equals(route.member())
+                && hello.announcement() != null;
         if (!expected) {
             throw new IOException("at " + route.address() + " is " + hello.name() + " of " + hello.cluster());
         }
--- a/replication/src/main/java/lupinvalve/replication/MemberFailover.java
+++ b/replication/src/main/java/lupinvalve/replication/MemberFailover.java
@@ -65,7 +65,7 @@
         @Override
         public void onReady(MemberConnection connection) {
             if (connection == candidate) {
-                selector.onPreferredAttempted(true, LeaseHolder.clock());
+                selector.onPreferredAttempted(true, LeaseHolder.monotonicMicros());
                 current.close();
                 current = candidate;
                 candidate = null;
@@ -79,7 +79,7 @@
         public void onClosed(MemberConnection connection, String reason) {
             if (connection == candidate) {
                 candidate = null;
-                selector.onPreferredAttempted(false, LeaseHolder.clock());
+                selector.onPreferredAttempted(false, LeaseHolder.monotonicMicros());
             } else {
                 failOver(connection.member() + ": " + reason);
             }
@@ -100,7 +100,7 @@
         listener.logOnce("can't follow " + reason);
         current.close();
         failoverCount.incrementAndGet();
-        connect(selector.failOver(LeaseHolder.clock()));
+        connect(selector.failOver(LeaseHolder.monotonicMicros()));
     }
 
     /** Takes note of a good response, or leaves a member whose leases are denied or about to end. */
@@ -108,7 +108,9 @@
         boolean granted = response.leaseMicros() > 0;
         if (granted && response.leaseMicros() < MemberSelector.LEASE_MIN_MICROS) {
             failOver(current.member() + ": it is losing its own lease");
-        } else if (leaseWanted && response.leaseMicros() == 0 && selector.onLeaseDenied(LeaseHolder.clock())) {
+        } else if (leaseWanted
+                && response.leaseMicros() == 0
+                && selector.onLeaseDenied(LeaseHolder.monotonicMicros())) {
             failOver(current.member() + ": it grants no lease: " + response.leaseDenial());
         } else {
             selector.onSuccess();
@@ -120,7 +122,7 @@
 
     /** Tries the preferred member again if that is due. */
     void retryPreferred() {
-        if (isReady() && candidate == null && selector.isPreferredDue(LeaseHolder.clock())) {
+        if (isReady() && candidate == null && selector.isPreferredDue(LeaseHolder.monotonicMicros())) {
             candidate = connectTo(selector.preferredMember());
         }
     }
--- a/replication/src/main/java/lupinvalve/replication/NumberedFileName.java
+++ b/replication/src/main/java/lupinvalve/replication/NumberedFileName.java
@@ -13,11 +13,11 @@
     }
 
     /** The number in the name of a file with this prefix. */
-    static long number(String name, String prefix) throws RecordFrames.Damaged {
+    static long number(String name, String prefix) throws RecordFrames.CorruptException {
         try {
             return Long.parseLong(name.substring(prefix.length()));
         } catch (NumberFormatException e) {
-            throw new RecordFrames.Damaged(name + ": not a name of this program's");
+            throw new RecordFrames.CorruptException(name + ": not a name of this program's");
         }
     }
 }
--- a/replication/src/main/java/lupinvalve/replication/RestoredLog.java
+++ b/replication/src/main/java/lupinvalve/replication/RestoredLog.java
@@ -45,7 +45,7 @@
         LogEntry entry = RaftCodec.entry(in);
         long index = entry.getIndex();
         if (!entries.isEmpty() && index <= entries.lastKey()) {
-            throw new RecordFrames.Damaged(segment + ": change " + index + " follows " + entries.lastKey());
+            throw new RecordFrames.CorruptException(segment + ": change " + index + " follows " + entries.lastKey());
         }
         if (!entries.isEmpty() && index > entries.lastKey() + 1) {
             // A snapshot must cover the gap; startFrom checks that.
@@ -76,8 +76,8 @@
         entries.headMap(snapshotIndex, true).clear();
     }
 
-    private static RecordFrames.Damaged missing(long firstIndex, long lastIndex) {
-        return new RecordFrames.Damaged(
+    private static RecordFrames.CorruptException missing(long firstIndex, long lastIndex) {
+        return new RecordFrames.CorruptException(
                 SegmentFiles.PREFIX + "*: changes " + firstIndex + " to " + lastIndex + " are missing");
     }
 
--- a/replication/src/main/java/lupinvalve/replication/SegmentedLog.java
+++ b/replication/src/main/java/lupinvalve/replication/SegmentedLog.java
@@ -73,7 +73,7 @@
             log.persistAnnouncement(new ClusterBootstrap.Announcement(
                     new MemberId(member, newDiskId), ClusterBootstrap.Phase.UNBOUND, Set.of()));
         } else {
-            throw new RecordFrames.Damaged(IdentityFile.NAME + " is missing beside " + names.get(0));
+            throw new RecordFrames.CorruptException(IdentityFile.NAME + " is missing beside " + names.get(0));
         }
         log.load(names, true);
         log.startNextSegment();
@@ -104,7 +104,7 @@
         SegmentedLog log = new SegmentedLog(disk, null);
         List<String> names = disk.names();
         if (!names.contains(IdentityFile.NAME)) {
-            throw new RecordFrames.Damaged(IdentityFile.NAME + " is missing");
+            throw new RecordFrames.CorruptException(IdentityFile.NAME + " is missing");
         }
         log.announcement = IdentityFile.read(disk, null, null);
         log.load(names, false);
--- a/replication/src/main/java/lupinvalve/replication/Subscriber.java
+++ b/replication/src/main/java/lupinvalve/replication/Subscriber.java
@@ -108,7 +108,7 @@
         net = ownsLoop ? new Net(loop, false, tls) : sharedNet;
         cacheWriter = new CachedDocumentWriter(disk, config.cluster(), diskExecutor);
         cached = readCache(disk);
-        state = new SubscriberState(leasesOn(), cached, LeaseHolder.clock());
+        state = new SubscriberState(leasesOn(), cached, LeaseHolder.monotonicMicros());
         members = new MemberFailover(config, loop, net, seed, new FailoverListener());
     }
 
@@ -186,11 +186,11 @@
         }
         boolean ready = members.isReady();
         boolean waiting = members.hasRequestInFlight();
-        String line = state.configuration().onQuorumContact(ready && waiting, LeaseHolder.clock());
+        String line = state.configuration().onQuorumContact(ready && waiting, LeaseHolder.monotonicMicros());
         if (line != null) {
             Log.warn("%s: %s", logPrefix, line);
         }
-        if (ready && !waiting && LeaseHolder.clock() - lastResponseMicros > REQUEST_INTERVAL_MAX_MICROS) {
+        if (ready && !waiting && LeaseHolder.monotonicMicros() - lastResponseMicros > REQUEST_INTERVAL_MAX_MICROS) {
             // The pooler is slow to apply the last response; the member must see that this subscriber is alive.
             sendRequest();
         }
@@ -205,7 +205,7 @@
             return;
         }
         requestCount.incrementAndGet();
-        long requestedMicros = LeaseHolder.clock();
+        long requestedMicros = LeaseHolder.monotonicMicros();
         MemberConnection connection = members.current();
         WatchRequest request = state.request();
         // Without a lease there is nothing to lose by waiting, and a full document takes longer.
@@ -232,10 +232,10 @@
     }
 
     private void onResponse(WatchResponse response, long requestedMicros) {
-        lastResponseMicros = LeaseHolder.clock();
+        lastResponseMicros = LeaseHolder.monotonicMicros();
         count(response.event());
         SubscriberState.Update update =
-                state.onResponse(response, requestedMicros, LeaseHolder.clock(), pooler::validationError);
+                state.onResponse(response, requestedMicros, LeaseHolder.monotonicMicros(), pooler::validationError);
         updateFence();
         boolean corrupt = !update.corruption().isEmpty();
         if (corrupt) {
@@ -290,7 +290,7 @@
         if (!fencingEnabled()) {
             return;
         }
-        long leaseLeftMicros = state.leaseUntilMicros() - LeaseHolder.clock();
+        long leaseLeftMicros = state.leaseUntilMicros() - LeaseHolder.monotonicMicros();
         boolean leaseEnded = leaseLeftMicros <= 0;
         if (leaseEnded != fenced) {
             fenced = leaseEnded;
@@ -305,7 +305,7 @@
 
     @Override
     public boolean mayServe() {
-        return !fencingEnabled() || state.hasLease(LeaseHolder.clock());
+        return !fencingEnabled() || state.hasLease(LeaseHolder.monotonicMicros());
     }
 
     @Override
--- a/replication/src/main/java/lupinvalve/replication/SubscriptionServer.java
+++ b/replication/src/main/java/lupinvalve/replication/SubscriptionServer.java
@@ -31,7 +31,7 @@
     private record PendingRequest(
             long callId, WatchRequest request, long sinceMicros, Consumer<WireMessages.Response> responder) {}
 
-    private final RaftMember group;
+    private final MemberRuntime group;
     private final WatchService service;
     private final Map<String, PendingRequest> pendingBySubscriber = new HashMap<>();
     private long lastChangeIndex;
@@ -45,11 +45,11 @@
      *
      * @param restoredState what this member knows to be committed before the start
      */
-    SubscriptionServer(RaftMember group, ReplicatedState restoredState) {
+    SubscriptionServer(MemberRuntime group, ReplicatedState restoredState) {
         this.group = group;
         boolean grantsLeases = group.config().audit() != OperatorConfig.Audit.OFF;
         service = new WatchService(
-                grantsLeases ? "" : "store.audit is off at " + group.config().name(), LeaseHolder.clock());
+                grantsLeases ? "" : "store.audit is off at " + group.config().name(), LeaseHolder.monotonicMicros());
         onRestored(restoredState);
     }
 
@@ -60,12 +60,12 @@
 
     /** See {@link WatchService#appliedFloor}. */
     long appliedFloor() {
-        return service.appliedFloor(LeaseHolder.clock());
+        return service.appliedFloor(LeaseHolder.monotonicMicros());
     }
 
     /** See {@link WatchService#onOwnLease}. */
     void onOwnLease(long untilMicros, long leaderIndex) {
-        service.onOwnLease(untilMicros, leaderIndex, LeaseHolder.clock());
+        service.onOwnLease(untilMicros, leaderIndex, LeaseHolder.monotonicMicros());
     }
 
     /** A change has been applied here. */
@@ -82,7 +82,7 @@
     /** The state has been restored from a snapshot, or document or drains have changed. */
     void onRestored(ReplicatedState state) {
         lastChangeIndex = Math.max(lastChangeIndex, state.appliedIndex());
-        service.onApplied(state.document(), state.drains(), state.appliedIndex(), LeaseHolder.clock());
+        service.onApplied(state.document(), state.drains(), state.appliedIndex(), LeaseHolder.monotonicMicros());
         List<String> due = new ArrayList<>();
         pendingBySubscriber.forEach((subscriber, pending) -> {
             if (service.hasUpdate(pending.request())) {
@@ -104,7 +104,7 @@
         WatchRequest request = WatchRequest.read(call.arguments().get(0));
         requestCount++;
         service.onRequest(subscriber);
-        PendingRequest pending = new PendingRequest(call.id(), request, LeaseHolder.clock(), responder);
+        PendingRequest pending = new PendingRequest(call.id(), request, LeaseHolder.monotonicMicros(), responder);
         if (!pendingBySubscriber.containsKey(subscriber) && pendingBySubscriber.size() >= SUBSCRIBERS_MAX_COUNT) {
             reject(pending, "too many follow this member");
             return;
@@ -112,7 +112,7 @@
         pendingBySubscriber.put(subscriber, pending);
         if (service.hasUpdate(request)
                 || unavailableReason() != null
-                || service.canAdmit(subscriber, request, LeaseHolder.clock())) {
+                || service.canAdmit(subscriber, request, LeaseHolder.monotonicMicros())) {
             respond(subscriber, pending);
         } else {
             group.loop().after(WatchService.LONG_POLL_MICROS, () -> respond(subscriber, pending));
@@ -121,16 +121,16 @@
 
     /** Why a subscriber had better go to another member, or null. */
     private String unavailableReason() {
-        if (group.ended() != null) {
-            return "this member takes no part any more: " + group.ended();
+        if (group.termination() != null) {
+            return "this member takes no part any more: " + group.termination().reason();
         }
         if (group.replica() == null) {
             return "the group is not founded yet";
         }
-        if (group.adoption().isQuorumLost()) {
+        if (group.configuration().isQuorumLost()) {
             return "cut off from the majority";
         }
-        return service.lacksOwnLease(LeaseHolder.clock()) ? "this member has no lease itself" : null;
+        return service.lacksOwnLease(LeaseHolder.monotonicMicros()) ? "this member has no lease itself" : null;
     }
 
     private static void reject(PendingRequest pending, String reason) {
@@ -154,7 +154,7 @@
             reject(pending, unavailable);
             return;
         }
-        long nowMicros = LeaseHolder.clock();
+        long nowMicros = LeaseHolder.monotonicMicros();
         WatchResponse response =
                 service.respond(subscriber, pending.request(), nowMicros - pending.sinceMicros(), nowMicros);
         fullDocumentCount += response.event() instanceof WatchResponse.Event.FullDocument ? 1 : 0;
@@ -167,7 +167,7 @@
     /** Writes the fields of the status call; counts and bytes of responses are sums since the start. */
     void writeStatus(JsonGenerator out) throws IOException {
         out.writeNumberField("subscribers_waiting", pendingBySubscriber.size());
-        out.writeNumberField("subscribers_with_lease", service.leaseCount(LeaseHolder.clock()));
+        out.writeNumberField("subscribers_with_lease", service.leaseCount(LeaseHolder.monotonicMicros()));
         out.writeNumberField("follow_calls", requestCount);
         out.writeNumberField("follow_wholes", fullDocumentCount);
         out.writeNumberField("follow_differences", deltaResponseCount);
