--- a/capacity/src/test/java/lupinvalve/capacity/CodeFactsTest.java
+++ b/capacity/src/test/java/lupinvalve/capacity/CodeFactsTest.java
@@ -36,7 +36,7 @@
         assertEquals(
                 CodeFacts.BEATS_PER_SECOND, MICROS / constant(group + "PeerConnections", "HEARTBEAT_INTERVAL_MICROS"));
         assertEquals(CodeFacts.TAKEN_MOST, constant(group + "PeerConnections", "MAX_ACCEPTED_CONNECTIONS"));
-        assertEquals(CodeFacts.FOLLOWERS_MOST, constant(group + "Followers", "MOST"));
+        assertEquals(CodeFacts.FOLLOWERS_MOST, constant(group + "SubscriptionServer", "SUBSCRIBERS_MAX_COUNT"));
         assertEquals(
                 CodeFacts.MEMBERSHIP_STEP_SECONDS,
                 constant(group + "MembershipChanges", "STEP_INTERVAL_MICROS") / MICROS);
--- a/replication/src/main/java/lupinvalve/replication/AuditLog.java
+++ b/replication/src/main/java/lupinvalve/replication/AuditLog.java
@@ -31,7 +31,7 @@
     /** Which of this incarnation's files: nothing is appended behind a write that failed. */
     private int part;
 
-    private Disk.Out out;
+    private Disk.AppendFile out;
 
     /** @param incarnationMicros when this process started, which names its file */
     AuditLog(Disk disk, String pooler, long incarnationMicros) throws IOException {
--- a/replication/src/main/java/lupinvalve/replication/RequestHandler.java
+++ b/replication/src/main/java/lupinvalve/replication/RequestHandler.java
@@ -52,8 +52,8 @@
     void handle(String caller, WireMessages.Request request, Consumer<WireMessages.Response> channel) {
         Responder responder = new Responder(request.id(), channel);
         try {
-            if (request.name().equals(Followers.CALL)) {
-                member.followers().call(caller, request, channel);
+            if (request.name().equals(SubscriptionServer.CALL)) {
+                member.subscriptions().onRequest(caller, request, channel);
             } else if (request.name().equals("status")) {
                 status.status(responder::ok);
             } else if (member.replica() == null || member.termination() != null) {
@@ -178,8 +178,9 @@
                                 Long.parseLong(argument(request, 1)),
                                 argument(request, 2),
                                 followersIndex);
-        byte[] relevantIndex =
-                new Cbor.Writer().number(member.followers().changed()).toByteArray();
+        byte[] relevantIndex = new Cbor.Writer()
+                .number(member.subscriptions().lastChangeIndex())
+                .toByteArray();
         if (renewal.durationMicros() > 0) {
             responder.send(WireMessages.Status.OK, Long.toString(renewal.durationMicros()), relevantIndex);
         } else {
--- a/replication/src/test/java/lupinvalve/replication/RecordedFramesTest.java
+++ b/replication/src/test/java/lupinvalve/replication/RecordedFramesTest.java
@@ -26,8 +26,8 @@
 import java.util.stream.Collectors;
 import lupinvalve.statemachine.Command;
 import lupinvalve.statemachine.CommandCodec;
-import lupinvalve.subscription.FollowAnswer;
-import lupinvalve.subscription.FollowRequest;
+import lupinvalve.subscription.WatchRequest;
+import lupinvalve.subscription.WatchResponse;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -98,7 +98,7 @@
                 request.arguments().isEmpty() ? null : request.arguments().get(0);
         return switch (request.name()) {
             case "propose" -> new FrameSamples.Proposal(request.id(), CommandCodec.decode(first));
-            case "follow" -> new FrameSamples.Follow(request.id(), FollowRequest.read(first));
+            case "follow" -> new FrameSamples.Follow(request.id(), WatchRequest.read(first));
             default -> request;
         };
     }
@@ -108,7 +108,7 @@
         WireMessages.Response response = (WireMessages.Response) decoded;
         assertEquals(WireMessages.Status.OK, response.status());
         assertEquals("", response.text());
-        return new FrameSamples.Followed(response.id(), FollowAnswer.read(response.content()));
+        return new FrameSamples.Followed(response.id(), WatchResponse.read(response.content()));
     }
 
     @Test
