--- a/statemachine/src/main/java/lupinvalve/statemachine/CommandCodec.java
+++ b/statemachine/src/main/java/lupinvalve/statemachine/CommandCodec.java
@@ -97,8 +97,8 @@
 
     static void writeEndpointList(Cbor.Writer out, Command.EndpointList list) {
         out.number(list.revision()).number(list.endpoints().size());
-        for (Command.KnownEndpoint endpoint : list.endpoints()) {
-            writeEndpoint(out, endpoint);
+        for (Command.KnownEndpoint known : list.endpoints()) {
+            writeEndpoint(out, known);
         }
     }
 
@@ -112,35 +112,35 @@
         return new Command.EndpointList(revision, endpoints);
     }
 
-    private static void writeEndpoint(Cbor.Writer out, Command.KnownEndpoint endpoint) {
-        Endpoint member = endpoint.endpoint();
-        out.text(member.node())
-                .number(member.group())
-                .number(member.zone())
-                .number(member.state().ordinal())
-                .flag(member.listedPrimary())
-                .number(member.startedAtMicros())
-                .number(endpoint.logPosition())
-                .number(endpoint.addresses().size());
-        new TreeMap<>(endpoint.addresses())
+    private static void writeEndpoint(Cbor.Writer out, Command.KnownEndpoint known) {
+        Endpoint endpoint = known.endpoint();
+        out.text(endpoint.node())
+                .number(endpoint.group())
+                .number(endpoint.zone())
+                .number(endpoint.state().ordinal())
+                .flag(endpoint.listedPrimary())
+                .number(endpoint.startedAtMicros())
+                .number(known.logPosition())
+                .number(known.addresses().size());
+        new TreeMap<>(known.addresses())
                 .forEach((protocol, address) -> out.text(protocol).text(address));
     }
 
     private static Command.KnownEndpoint readEndpoint(Cbor.Reader in) throws IOException {
-        EndpointState[] healths = EndpointState.values();
-        Endpoint member = new Endpoint(
+        EndpointState[] states = EndpointState.values();
+        Endpoint endpoint = new Endpoint(
                 in.text(),
                 (int) in.number(),
                 (int) in.number(),
-                healths[in.count(healths.length - 1)],
+                states[in.count(states.length - 1)],
                 in.flag(),
                 in.number());
         long logPosition = in.number();
         Map<String, String> addresses = new HashMap<>();
-        for (int left = in.count(MAX_ADDRESSES_PER_ENDPOINT); left > 0; left--) {
+        for (int remaining = in.count(MAX_ADDRESSES_PER_ENDPOINT); remaining > 0; remaining--) {
             addresses.put(in.text(), in.text());
         }
-        return new Command.KnownEndpoint(member, addresses, logPosition);
+        return new Command.KnownEndpoint(endpoint, addresses, logPosition);
     }
 
     private static void writeAudit(Cbor.Writer out, Command.AppendAudit append) {
@@ -153,7 +153,7 @@
 
     private static List<byte[]> readEntries(Cbor.Reader in) throws IOException {
         List<byte[]> entries = new ArrayList<>();
-        for (int left = in.count(ReplicatedState.MAX_AUDIT_ENTRIES_PER_COMMAND); left > 0; left--) {
+        for (int remaining = in.count(ReplicatedState.MAX_AUDIT_ENTRIES_PER_COMMAND); remaining > 0; remaining--) {
             entries.add(in.bytes());
         }
         return entries;
--- a/statemachine/src/main/java/lupinvalve/statemachine/SnapshotCodec.java
+++ b/statemachine/src/main/java/lupinvalve/statemachine/SnapshotCodec.java
@@ -119,7 +119,7 @@
 
     private static Map<Command.DrainTarget, ReplicatedState.Drain> readDrains(Cbor.Reader in) throws IOException {
         Map<Command.DrainTarget, ReplicatedState.Drain> drains = new HashMap<>();
-        for (int left = in.count(ReplicatedState.MAX_DRAINS); left > 0; left--) {
+        for (int remaining = in.count(ReplicatedState.MAX_DRAINS); remaining > 0; remaining--) {
             drains.put(CommandCodec.readTarget(in), new ReplicatedState.Drain(in.text(), in.number()));
         }
         return drains;
@@ -127,7 +127,7 @@
 
     private static Map<String, String> readMemberAddresses(Cbor.Reader in) throws IOException {
         Map<String, String> addresses = new HashMap<>();
-        for (int left = in.count(ReplicatedState.MAX_MEMBER_ADDRESSES); left > 0; left--) {
+        for (int remaining = in.count(ReplicatedState.MAX_MEMBER_ADDRESSES); remaining > 0; remaining--) {
             addresses.put(in.text(), in.text());
         }
         return addresses;
@@ -137,7 +137,7 @@
         Map<String, byte[]> entries = new LinkedHashMap<>();
         for (byte[] chunk : chunks) {
             Cbor.Reader in = new Cbor.Reader(chunk);
-            for (int left = in.count(MAX_ITEMS_PER_CHUNK); left > 0; left--) {
+            for (int remaining = in.count(MAX_ITEMS_PER_CHUNK); remaining > 0; remaining--) {
                 entries.put(in.text(), in.bytes());
             }
         }
