--- a/drills/src/main/java/lupinvalve/replication/PointSeams.java
+++ b/drills/src/main/java/lupinvalve/replication/PointSeams.java
@@ -95,7 +95,7 @@
     }
 
     @Override
-    public Scheduler schedule(Scheduler own) {
+    public Scheduler scheduler(Scheduler own) {
         return new Scheduler() {
             @Override
             public long now() {
@@ -129,7 +129,7 @@
     }
 
     @Override
-    public boolean passes(boolean sent) {
+    public boolean permitsMessage(boolean sent) {
         Fault fault = next(sent ? StepKind.SEND : StepKind.ARRIVE);
         if (fault == Fault.DIE_BEFORE || fault == Fault.POWER_CUT) {
             halt(fault);
--- a/faultinjection/src/main/java/lupinvalve/replication/Scenario.java
+++ b/faultinjection/src/main/java/lupinvalve/replication/Scenario.java
@@ -285,9 +285,9 @@
         });
         RaftReplica leader = sim.leader().replica;
         leader.report((completion, report) -> {
-            if (completion == RaftReplica.Completion.DONE && RaftReplica.leads(report)) {
-                step.set(MembershipChange.nextStep(request, RaftReplica.view(report, running, running)));
-                leader.step(step.get(), report, (stepCompletion, ok) -> {});
+            if (completion == RaftReplica.Completion.DONE && RaftReplica.isLeader(report)) {
+                step.set(MembershipChange.nextStep(request, RaftReplica.groupView(report, running, running)));
+                leader.changeMembership(step.get(), report, (stepCompletion, ok) -> {});
             }
         });
     }
--- a/faultinjection/src/main/java/lupinvalve/replication/SimulatedClients.java
+++ b/faultinjection/src/main/java/lupinvalve/replication/SimulatedClients.java
@@ -34,7 +34,7 @@
             return;
         }
         byte[] content = Simulation.document("{\"n\":\"" + nextNumber++ + filler + "\"}");
-        long expected = at.replica.ledger().revision();
+        long expected = at.replica.state().revision();
         at.replica.propose(new Command.PutDocument(expected, content), (completion, outcome) -> {
             if (completion == RaftReplica.Completion.DONE && outcome.result() == ReplicatedState.Result.APPLIED) {
                 String other = acknowledgedDigests.putIfAbsent(outcome.revision(), ReplicatedState.digest(content));
@@ -50,10 +50,10 @@
             return;
         }
         long expected = lastAcknowledged();
-        at.replica.upToDate((completion, ok) -> {
-            if (completion == RaftReplica.Completion.DONE && at.replica.ledger().revision() < expected) {
+        at.replica.readBarrier((completion, ok) -> {
+            if (completion == RaftReplica.Completion.DONE && at.replica.state().revision() < expected) {
                 simulation.violations.add(
-                        "a read came back with revision " + at.replica.ledger().revision() + " after " + expected);
+                        "a read came back with revision " + at.replica.state().revision() + " after " + expected);
             }
         });
     }
@@ -62,7 +62,7 @@
     boolean caughtUp(SimulatedMember member) {
         return member.isRunning()
                 && !acknowledgedDigests.isEmpty()
-                && member.replica.ledger().revision() >= acknowledgedDigests.lastKey();
+                && member.replica.state().revision() >= acknowledgedDigests.lastKey();
     }
 
     /** Notes a violation where a member lacks something acknowledged, or has it at another revision. */
@@ -73,7 +73,7 @@
         }
         List<String> digests = new ArrayList<>(simulation
                 .committedDigests
-                .headMap(member.replica.ledger().appliedIndex(), true)
+                .headMap(member.replica.state().appliedIndex(), true)
                 .values());
         acknowledgedDigests.forEach((revision, digest) -> {
             if (digests.size() < revision || !digests.get((int) (revision - 1)).equals(digest)) {
@@ -86,7 +86,7 @@
         if (!member.isRunning()) {
             return " does not run: " + member.stopReason;
         }
-        return " has only revision " + member.replica.ledger().revision() + " after " + lastAcknowledged() + ", term "
+        return " has only revision " + member.replica.state().revision() + " after " + lastAcknowledged() + ", term "
                 + member.replica.term() + " of " + simulation.leaderByTerm.lastKey();
     }
 }
--- a/faultinjection/src/main/java/lupinvalve/replication/SimulatedMember.java
+++ b/faultinjection/src/main/java/lupinvalve/replication/SimulatedMember.java
@@ -131,7 +131,7 @@
         }
 
         @Override
-        public boolean done() {
+        public boolean markImported() {
             if (hasEnded()) {
                 return false;
             }
@@ -150,20 +150,20 @@
         @Override
         public void applied(long index, Command command, ReplicatedState.Outcome outcome) {
             if (command instanceof Command.PutDocument && outcome.result() == ReplicatedState.Result.APPLIED) {
-                checkSameAsOthers(replica.ledger().document());
+                checkSameAsOthers(replica.state().document());
             }
         }
 
         @Override
         public void restored() {
-            if (replica.ledger().document() != null) {
-                checkSameAsOthers(replica.ledger().document());
+            if (replica.state().document() != null) {
+                checkSameAsOthers(replica.state().document());
             }
         }
 
         @Override
-        public void ended(String reason) {
-            stopReason = reason;
+        public void terminated(RaftReplica.Termination reason) {
+            stopReason = reason.reason();
             new Incarnation().after(REVIVE_MICROS, SimulatedMember.this::revive);
         }
     }
@@ -176,7 +176,7 @@
 
     /** Starts the replica again in the same process, as a member does whose disk is good again. */
     private void revive() {
-        if (replica == null || !RaftReplica.DISK.equals(stopReason)) {
+        if (replica == null || !RaftReplica.Termination.DISK_FAILURE.reason().equals(stopReason)) {
             return;
         }
         try {
@@ -208,8 +208,8 @@
 
     /** Imports what an earlier store left here, as long as this member leads. */
     void importLegacy() {
-        if (isRunning() && replica.leads()) {
-            legacyImport.lead(replica, document -> true, (session, position) -> {});
+        if (isRunning() && replica.isLeader()) {
+            legacyImport.propose(replica, document -> true, (session, position) -> {});
         }
     }
 
@@ -234,7 +234,7 @@
     }
 
     private void checkOneLeaderPerTerm() {
-        if (isRunning() && replica.leads()) {
+        if (isRunning() && replica.isLeader()) {
             Integer other = simulation.leaderByTerm.putIfAbsent(replica.term(), number);
             if (other != null && other != number) {
                 simulation.violations.add("term " + replica.term() + " is led by m" + other + " and m" + number);
--- a/faultinjection/src/main/java/lupinvalve/replication/Simulation.java
+++ b/faultinjection/src/main/java/lupinvalve/replication/Simulation.java
@@ -163,7 +163,7 @@
     /** A member that claims to lead, or null. */
     SimulatedMember leader() {
         return members.stream()
-                .filter(member -> member.isRunning() && member.replica.leads())
+                .filter(member -> member.isRunning() && member.replica.isLeader())
                 .findFirst()
                 .orElse(null);
     }
