--- a/faultinjection/src/main/java/lupinvalve/replication/SimulatedMember.java
+++ b/faultinjection/src/main/java/lupinvalve/replication/SimulatedMember.java
@@ -180,7 +180,7 @@
             return;
         }
         try {
-            startReplica(SegmentedLog.reopen(accessDisk(), CLUSTER, identity.name()));
+            startReplica(SegmentedLog.reopenAfterFault(accessDisk(), CLUSTER, identity.name()));
         } catch (IOException e) {
             new Incarnation().after(REVIVE_MICROS, this::revive);
         }
@@ -193,9 +193,9 @@
     private void startReplica(SegmentedLog log) throws IOException {
         Incarnation process = new Incarnation();
         legacyImport = new LegacyStoreImport(legacyDocument == null ? null : process);
-        if (log.word().phase() == ClusterBootstrap.Phase.UNBOUND) {
+        if (log.announcement().phase() == ClusterBootstrap.Phase.UNBOUND) {
             boolean founder = simulation.founders.contains(identity);
-            log.keep(new ClusterBootstrap.Announcement(
+            log.persistAnnouncement(new ClusterBootstrap.Announcement(
                     identity,
                     founder ? ClusterBootstrap.Phase.BOOTSTRAPPED : ClusterBootstrap.Phase.JOINING,
                     simulation.founders));
--- a/replication/src/main/java/lupinvalve/replication/MemberRuntime.java
+++ b/replication/src/main/java/lupinvalve/replication/MemberRuntime.java
@@ -40,7 +40,7 @@
     private final PeerConnections peers;
     private final MemberAddresses addresses;
     private final RequestHandler requests = new RequestHandler(this);
-    private final Followers followers;
+    private final SubscriptionServer subscriptions;
     private final LegacyStoreImport legacyImport;
     private final SessionCommitPublisher commits;
     private final ConfigurationActivator activator;
@@ -76,23 +76,23 @@
         scheduler = interceptors.scheduler(Scheduler.of(loop));
         disk = interceptors.disk(new FolderDisk(config.folder(), true));
         try {
-            log = SegmentedLog.open(disk, config.cluster(), config.name(), SegmentedLog.diskName());
+            log = SegmentedLog.open(disk, config.cluster(), config.name(), SegmentedLog.newDiskId());
             initialState = RaftReplica.committedState(log);
         } catch (IOException | IllegalArgumentException e) {
             disk.close();
             throw new IOException("store " + config.folder() + ": " + e.getMessage(), e);
         }
-        legacyImport = new LegacyStoreImport(OldStore.read(config.folder()));
+        legacyImport = new LegacyStoreImport(LegacyStoreFile.read(config.folder()));
         boolean fencing = config.audit() == OperatorConfig.Audit.FENCE;
         leaseHolder = config.audit() == OperatorConfig.Audit.OFF
                 ? null
                 : new LeaseHolder(new LeaseHost(), config.name(), fencing, disk, loop.now());
-        followers = new Followers(this, initialState);
+        subscriptions = new SubscriptionServer(this, initialState);
         activator = new ConfigurationActivator(loop, leaseHolder);
         commits = new SessionCommitPublisher(loop, this::canPropose, this::propose);
-        bootstrap = new ClusterBootstrap(log.word(), config.members().keySet());
+        bootstrap = new ClusterBootstrap(log.announcement(), config.members().keySet());
         PeerConnections.Self self = new PeerConnections.Self(config.cluster(), config.name(), config.listen());
-        peers = new PeerConnections(net, loop, self, log.word(), identityCheck, new PeerListener());
+        peers = new PeerConnections(net, loop, self, log.announcement(), identityCheck, new PeerListener());
         addresses = new MemberAddresses(config.members().keySet(), peers);
     }
 
@@ -181,7 +181,7 @@
     }
 
     private boolean awaitsBootstrap() {
-        ClusterBootstrap.Phase phase = log.word().phase();
+        ClusterBootstrap.Phase phase = log.announcement().phase();
         return phase == ClusterBootstrap.Phase.UNBOUND || phase == ClusterBootstrap.Phase.BOUND;
     }
 
@@ -195,17 +195,17 @@
     /** Brings the own announcement to disk, then to the others; joins the group once there is one. */
     private void advanceBootstrap() {
         try {
-            while (!bootstrap.own().equals(log.word())) {
-                log.keep(bootstrap.own());
+            while (!bootstrap.own().equals(log.announcement())) {
+                log.persistAnnouncement(bootstrap.own());
                 Log.info(
                         "store: %s %s",
-                        log.word().member(),
-                        switch (log.word().phase()) {
+                        log.announcement().member(),
+                        switch (log.announcement().phase()) {
                             case BOUND -> "is bound to found the group";
                             case BOOTSTRAPPED -> "has founded the group";
                             default -> "is no member yet: it waits for `store add " + config.name() + "`";
                         });
-                peers.announce(log.word());
+                peers.announce(log.announcement());
             }
         } catch (IOException e) {
             onTerminated(RaftReplica.Termination.DISK_FAILURE);
@@ -213,7 +213,7 @@
         }
         if (!awaitsBootstrap() && replica == null && termination == null && !stopped) {
             replica = new RaftReplica(
-                    scheduler, log, log.word().founders(), new Sender(), new Random(), new StateListener());
+                    scheduler, log, log.announcement().founders(), new Sender(), new Random(), new StateListener());
             replica.start();
         }
     }
@@ -253,7 +253,7 @@
         reopenBackoffMicros = Math.min(MAX_REOPEN_BACKOFF_MICROS, reopenBackoffMicros * 2);
         reopenAtMicros = loop.now() + reopenBackoffMicros;
         try {
-            SegmentedLog reopened = SegmentedLog.reopen(disk, config.cluster(), config.name());
+            SegmentedLog reopened = SegmentedLog.reopenAfterFault(disk, config.cluster(), config.name());
             log.close(false);
             log = reopened;
         } catch (IOException e) {
@@ -372,17 +372,17 @@
 
         @Override
         public long relevantIndex() {
-            return followers.changed();
+            return subscriptions.lastChangeIndex();
         }
 
         @Override
         public long followersIndex() {
-            return followers.floor();
+            return subscriptions.appliedFloor();
         }
 
         @Override
         public void onLeaseGranted(long untilMicros, long leaderRelevantIndex) {
-            followers.right(untilMicros, leaderRelevantIndex);
+            subscriptions.onOwnLease(untilMicros, leaderRelevantIndex);
         }
     }
 
@@ -393,7 +393,7 @@
                 // A node that has been left; the next one comes to it as well.
                 return;
             }
-            followers.applied(replica.state(), command, outcome);
+            subscriptions.onApplied(replica.state(), command, outcome);
             if (command instanceof Command.PutDocument && outcome.result() == ReplicatedState.Result.APPLIED) {
                 activate(replica.state().document());
             } else if (command instanceof Command.StartDrain || command instanceof Command.EndDrain) {
@@ -411,7 +411,7 @@
                 return;
             }
             ReplicatedState state = replica.state();
-            followers.restored(state);
+            subscriptions.onRestored(state);
             if (state.document() != null) {
                 activate(state.document());
             }
@@ -459,8 +459,8 @@
         return listener;
     }
 
-    Followers followers() {
-        return followers;
+    SubscriptionServer subscriptions() {
+        return subscriptions;
     }
 
     /** Null where the audit is off. */
--- a/replication/src/main/java/lupinvalve/replication/PeerConnections.java
+++ b/replication/src/main/java/lupinvalve/replication/PeerConnections.java
@@ -38,7 +38,7 @@
     private static final long HELLO_TIMEOUT_MICROS = 3_000_000;
     private static final int MAX_MEMBER_CONNECTIONS = 64;
     /** Connections accepted at most: members, operators with their tools, and subscribers. */
-    static final int MAX_ACCEPTED_CONNECTIONS = MAX_MEMBER_CONNECTIONS + Followers.MOST;
+    static final int MAX_ACCEPTED_CONNECTIONS = MAX_MEMBER_CONNECTIONS + SubscriptionServer.SUBSCRIBERS_MAX_COUNT;
 
     private static final int MAX_REQUESTS_IN_FLIGHT = 1000;
 
@@ -301,7 +301,7 @@
         }
 
         private void onRequest(WireMessages.Request request) {
-            subscriber |= request.name().equals(Followers.CALL);
+            subscriber |= request.name().equals(SubscriptionServer.CALL);
             listener.request(caller, request, response -> {
                 if (!closed) {
                     link.write(response.write());
