--- a/daemon/src/main/java/lupinvalve/cli/Daemon.java
+++ b/daemon/src/main/java/lupinvalve/cli/Daemon.java
@@ -113,7 +113,8 @@
                 pooler.fence(shared.plane()::mayServe);
                 net.fence(shared.plane()::mayServe);
             }
-        } // Two fronts and two pools share the sockets that one of each would have.
+        }
+        // Two fronts and two pools share the sockets that one of each would have.
         int parts = file.mysql() == null ? 1 : 2;
         int sockets = Math.max(64, config.sockets() - SPARE);
         net.bound(sockets + PARTING);
@@ -304,7 +305,8 @@
         if (operations != null) {
             // Operators may call from now on, and each call must be answered within a second.
             operations.start();
-        } // Discovery is asked first: its answer comes while the code warms up.
+        }
+        // Discovery is asked first: its answer comes while the code warms up.
         startCore();
         long asked = System.nanoTime();
         WarmUp.run(config);
--- a/routing/src/test/java/lupinvalve/routing/PolicyFileTest.java
+++ b/routing/src/test/java/lupinvalve/routing/PolicyFileTest.java
@@ -6,49 +6,53 @@
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.util.ArrayList;
 import java.util.List;
+import java.util.regex.MatchResult;
 import java.util.regex.Pattern;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The decision types, as the deploy file names them, are complete and each small enough to be read at a glance. */
+/** The decisions, as the deploy file names them, stay small enough to be read, and it names each file of the module. */
 class PolicyFileTest {
-    private static final String MODULE = "routing/src/main/java/lupinvalve/routing/";
-    private static final int MAX_LINES = 249;
-    private static final int MAX_COLUMNS = 120;
+    private static final String MODULE = "routing/src/main/java/lupinvalve/routing";
+    private static final int MAX_FILE_LINES = 249;
+    private static final int MAX_LINE_CHARS = 120;
 
     private static List<String> files(String key) throws IOException {
-        String named = Files.readString(Path.of("deploy/balancer.toml"))
+        String line = Files.readString(Path.of("deploy/balancer.toml"))
                 .lines()
-                .filter(line -> line.startsWith(key))
+                .filter(text -> text.startsWith(key + " "))
                 .findFirst()
                 .orElseThrow();
         return Pattern.compile("\"([^\"]+)\"")
-                .matcher(named)
+                .matcher(line)
                 .results()
-                .map(match -> match.group(1))
+                .map((MatchResult match) -> match.group(1))
                 .toList();
     }
 
     @Test
-    void eachDecisionTypeKeepsToItsSizeAndLineLength() throws IOException {
-        List<String> files = files("policy");
-        assertTrue(files.size() > 1, files.toString());
-        for (String file : files) {
+    void moduleKeepsToItsSizeAndLineLength() throws IOException {
+        List<String> policy = files("policy");
+        assertTrue(policy.size() > 1, policy.toString());
+        for (String file : policy) {
             List<String> lines = Files.readAllLines(Path.of(file));
-            assertTrue(lines.size() <= MAX_LINES, file + ": " + lines.size());
-            lines.forEach(line -> assertTrue(line.length() <= MAX_COLUMNS, line));
+            lines.forEach(line -> assertTrue(line.length() <= MAX_LINE_CHARS, line));
+            assertTrue(lines.size() <= MAX_FILE_LINES, file + " has lines: " + lines.size());
         }
     }
 
     @Test
     void eachFileOfTheModuleIsNamedOnce() throws IOException {
-        List<String> named = Stream.concat(files("policy").stream(), files("node").stream())
-                .filter(file -> file.startsWith(MODULE))
-                .sorted()
-                .toList();
-        try (Stream<Path> all = Files.list(Path.of(MODULE))) {
-            assertEquals(all.map(Path::toString).sorted().toList(), named);
+        List<String> named = new ArrayList<>(files("policy"));
+        named.addAll(files("node").stream()
+                .filter(file -> file.startsWith(MODULE + "/"))
+                .toList());
+        named.sort(null);
+        try (Stream<Path> folder = Files.list(Path.of(MODULE))) {
+            List<String> present = folder.map(Path::toString).sorted().toList();
+            assertEquals(present, named);
         }
     }
 }
