--- a/replication/src/main/java/lupinvalve/replication/LeaseHolder.java
+++ b/replication/src/main/java/lupinvalve/replication/LeaseHolder.java
@@ -161,7 +161,7 @@
             auditLog.append(event, of, index, nowMicros, reason);
             return true;
         } catch (IOException e) {
-            Log.error("store: an audit entry can't be kept: %s", e.getMessage());
+            Log.error("store: an audit entry can't be written: %s", e.getMessage());
             return false;
         }
     }
--- a/replication/src/main/java/lupinvalve/replication/MemberRuntime.java
+++ b/replication/src/main/java/lupinvalve/replication/MemberRuntime.java
@@ -234,7 +234,7 @@
             reopenAtMicros = loop.now() + reopenBackoffMicros;
             if (!stopped) {
                 Log.error(
-                        "store: takes no part any more: %s; %s",
+                        "store: the Raft node has terminated: %s; %s",
                         reason.reason(), activator.active().describe());
             }
         }
@@ -257,10 +257,10 @@
             log.close(false);
             log = reopened;
         } catch (IOException e) {
-            Log.warn("store: the disk still fails: %s", e.getMessage());
+            Log.warn("store: the disk can't be opened again yet: %s", e.getMessage());
             return;
         }
-        Log.info("store: the disk is good again; this member takes part from what is on it");
+        Log.info("store: the disk works again; the Raft node restarts from its log");
         termination = null;
         replica = null;
         reopenBackoffMicros = REOPEN_BACKOFF_MICROS;
--- a/replication/src/main/java/lupinvalve/replication/MembershipChanges.java
+++ b/replication/src/main/java/lupinvalve/replication/MembershipChanges.java
@@ -59,7 +59,7 @@
         } else if (next instanceof MembershipChange.Step.Wait) {
             goOn.run();
         } else {
-            Log.info("store: %s", next);
+            Log.info("store: membership change: %s", next);
             member.replica().changeMembership(next, report, (completion, ignored) -> {
                 if (next instanceof MembershipChange.Step.TransferLeadership) {
                     responder.retry("another member leads now; ask again to go on");
--- a/replication/src/main/java/lupinvalve/replication/PeerConnections.java
+++ b/replication/src/main/java/lupinvalve/replication/PeerConnections.java
@@ -41,6 +41,7 @@
     static final int MAX_ACCEPTED_CONNECTIONS = MAX_MEMBER_CONNECTIONS + Followers.MOST;
 
     private static final int MAX_REQUESTS_IN_FLIGHT = 1000;
+    private static final long MICROS_PER_MILLI = 1_000;
 
     /** What this member says of itself on each connection. */
     record Self(String cluster, String name, String address) {}
@@ -248,7 +249,9 @@
             if (dialedMember == null) {
                 hello();
             }
-            silence = loop.after(HELLO_TIMEOUT_MICROS, () -> fail("it says nothing"));
+            silence = loop.after(
+                    HELLO_TIMEOUT_MICROS,
+                    () -> fail("no greeting within " + HELLO_TIMEOUT_MICROS / MICROS_PER_MILLI + " ms"));
             scheduleHeartbeat();
         }
 
@@ -268,7 +271,9 @@
 
         void onMessages(List<byte[]> messages) {
             loop.cancel(silence);
-            silence = loop.after(SILENCE_TIMEOUT_MICROS, () -> fail("it has fallen silent"));
+            silence = loop.after(
+                    SILENCE_TIMEOUT_MICROS,
+                    () -> fail("no heartbeat within " + SILENCE_TIMEOUT_MICROS / MICROS_PER_MILLI + " ms"));
             try {
                 for (byte[] message : messages) {
                     if (!closed) {
@@ -354,7 +359,7 @@
                 dialedMember.backoffMicros = REDIAL_BACKOFF_MICROS;
             }
             if (first) {
-                Log.info("store: %s is connected", announced);
+                Log.info("store: member %s connected", announced);
             }
         }
 
@@ -396,7 +401,7 @@
             List<Connection> connections = member == null ? null : connected.get(member);
             if (connections != null && connections.remove(this) && connections.isEmpty()) {
                 connected.remove(member);
-                Log.info("store: %s is out of reach", member);
+                Log.info("store: member %s disconnected", member);
                 listener.disconnected(member);
             }
             new ArrayList<>(inFlight.keySet()).forEach(id -> complete(indeterminate(id, "the connection broke")));
@@ -426,7 +431,9 @@
             }
             InetSocketAddress to = Addresses.parse(address);
             connection = new Connection(net.dial(to, new WireMessages(), this), this);
-            connection.silence = loop.after(HELLO_TIMEOUT_MICROS, () -> connection.fail("it can't be reached"));
+            connection.silence = loop.after(
+                    HELLO_TIMEOUT_MICROS,
+                    () -> connection.fail("not connected within " + HELLO_TIMEOUT_MICROS / MICROS_PER_MILLI + " ms"));
         }
 
         void redial() {
--- a/replication/src/main/java/lupinvalve/replication/RaftMember.java
+++ b/replication/src/main/java/lupinvalve/replication/RaftMember.java
@@ -136,7 +136,7 @@
         if (tls != null) {
             tls.reload();
             net.secureAnew();
-            Log.info("store: keys and certificates read anew");
+            Log.info("store: keys and certificates reloaded");
         }
     }
 
@@ -160,7 +160,7 @@
         loop.post(() -> runtime.stop(done::countDown));
         try {
             if (!done.await(STOP_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
-                Log.warn("store: the end took too long");
+                Log.warn("store: not stopped within %s s", STOP_TIMEOUT_SECONDS);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/replication/src/main/java/lupinvalve/replication/RaftReplica.java
+++ b/replication/src/main/java/lupinvalve/replication/RaftReplica.java
@@ -247,7 +247,7 @@
                 return CommandCodec.decode(operation);
             } catch (IOException e) {
                 // To pass it over would be to hold another state than those who can read it.
-                Log.error("store: change %s can't be read: %s", index, e.getMessage());
+                Log.error("store: the command at index %s can't be decoded: %s", index, e.getMessage());
                 terminateSoon("change " + index + " is of a later version");
                 throw new IllegalStateException(e);
             }
@@ -276,7 +276,7 @@
                         state, chunks.stream().map(chunk -> (byte[]) chunk).toList());
                 log.accepted(index);
             } catch (IOException e) {
-                Log.error("store: the snapshot at %s can't be read: %s", index, e.getMessage());
+                Log.error("store: the snapshot at index %s can't be decoded: %s", index, e.getMessage());
                 terminateSoon("the snapshot is of a later version");
                 throw new IllegalStateException(e);
             }
@@ -342,7 +342,7 @@
                     if (failure != null) {
                         Completion completion = completionOf(failure);
                         if (completion == Completion.REJECTED) {
-                            Log.info("store: %s", failure.getMessage());
+                            Log.info("store: rejected: %s", failure.getMessage());
                         }
                         then.completed(completion, null);
                     } else if (log.hasFailed()) {
