--- a/capacity/src/main/java/lupinvalve/capacity/StateFigures.java
+++ b/capacity/src/main/java/lupinvalve/capacity/StateFigures.java
@@ -49,8 +49,8 @@
                                 CodeFacts.FOLLOWERS_MOST,
                                 Unit.COUNT,
                                 Basis.COMPUTED,
-                                "`Followers.MOST`",
-                                "replication/Followers.java")
+                                "`SubscriptionServer.SUBSCRIBERS_MAX_COUNT`",
+                                "replication/SubscriptionServer.java")
                         .in(Figure.Scope.SUBSCRIPTIONS),
                 Figure.of(
                                 "control member: poolers that follow the last of three",
@@ -58,8 +58,8 @@
                                 CodeFacts.FOLLOWERS_MOST,
                                 Unit.COUNT,
                                 Basis.COMPUTED,
-                                "`Followers.MOST`",
-                                "replication/Followers.java")
+                                "`SubscriptionServer.SUBSCRIBERS_MAX_COUNT`",
+                                "replication/SubscriptionServer.java")
                         .in(Figure.Scope.SUBSCRIPTIONS),
                 Figure.plain(
                         "db node: statements",
--- a/faultinjection/src/main/java/lupinvalve/replication/FailPointDisk.java
+++ b/faultinjection/src/main/java/lupinvalve/replication/FailPointDisk.java
@@ -72,9 +72,9 @@
     }
 
     @Override
-    public Out create(String name) throws IOException {
-        Out out = step(StepKind.CREATE, () -> disk.create(name));
-        return new Out() {
+    public AppendFile create(String name) throws IOException {
+        AppendFile out = step(StepKind.CREATE, () -> disk.create(name));
+        return new AppendFile() {
             @Override
             public void write(byte[] bytes) throws IOException {
                 step(StepKind.WRITE, () -> writeBytes(bytes), () -> writeBytes(Arrays.copyOf(bytes, bytes.length / 2)));
--- a/replication/src/main/java/lupinvalve/replication/RaftReplica.java
+++ b/replication/src/main/java/lupinvalve/replication/RaftReplica.java
@@ -138,7 +138,7 @@
         this.log = log;
         this.sender = sender;
         this.listener = listener;
-        self = log.word().member();
+        self = log.announcement().member();
         executor = new AcceleratedExecutor(scheduler);
         RaftNode.RaftNodeBuilder builder = RaftNode.newBuilder()
                 .setGroupId(GROUP)
@@ -150,7 +150,7 @@
                 .setModelFactory(RaftCodec.FACTORY)
                 .setRandom(random)
                 .setClock(executor);
-        RestoredRaftState restored = log.restored();
+        RestoredRaftState restored = log.restoredState();
         if (restored != null) {
             builder.setRestoredState(restored);
         } else {
@@ -181,7 +181,7 @@
                 scheduler.post(() -> terminate(new Termination(Termination.Cause.START_FAILED, reason)));
             }
         });
-        log.forget();
+        log.releaseRestored();
     }
 
     /** Takes no part any more; what was requested and not answered may have happened. */
@@ -228,7 +228,7 @@
             Command command = decode(index, (byte[]) operation);
             ReplicatedState.Outcome outcome = state.apply(index, command);
             try {
-                log.accepted(index);
+                log.advanceCommitIndex(index);
                 if (command instanceof Command.PutDocument) {
                     // It is served on from now on, so that a restart without the others must know of it.
                     log.flush();
@@ -254,12 +254,12 @@
         }
 
         private void compactIfDue() {
-            retainedBytes = Math.min(retainedBytes, log.historyBytes());
-            if (!snapshotting && CompactionPolicy.isDue(log.historyBytes(), retainedBytes, log.snapshotBytes())) {
+            retainedBytes = Math.min(retainedBytes, log.logBytes());
+            if (!snapshotting && CompactionPolicy.isDue(log.logBytes(), retainedBytes, log.snapshotBytes())) {
                 snapshotting = true;
                 scheduler.post(() -> node.takeSnapshot().whenComplete((report, failure) -> {
                     snapshotting = false;
-                    retainedBytes = log.historyBytes();
+                    retainedBytes = log.logBytes();
                 }));
             }
         }
@@ -274,7 +274,7 @@
             try {
                 SnapshotCodec.restore(
                         state, chunks.stream().map(chunk -> (byte[]) chunk).toList());
-                log.accepted(index);
+                log.advanceCommitIndex(index);
             } catch (IOException e) {
                 Log.error("store: the snapshot at index %s can't be decoded: %s", index, e.getMessage());
                 terminateSoon("the snapshot is of a later version");
@@ -294,7 +294,6 @@
     }
 
     // ---- messages, proposals and queries ----
-
     /** Handles a message of another member. */
     void handle(byte[] message) throws IOException {
         if (!terminated) {
@@ -375,7 +374,6 @@
     }
 
     // ---- membership ----
-
     /** All members, voters and learners. */
     static Set<MemberId> members(RaftNodeReport report) {
         Set<MemberId> members =
@@ -437,11 +435,11 @@
     /** What was committed as far as this member's own disk tells: the state to start from before others are heard. */
     static ReplicatedState committedState(SegmentedLog log) throws IOException {
         ReplicatedState state = new ReplicatedState();
-        List<byte[]> chunks = log.snapshotPieces();
+        List<byte[]> chunks = log.snapshotChunks();
         if (!chunks.isEmpty()) {
             SnapshotCodec.restore(state, chunks);
         }
-        for (LogEntry entry : log.accepted().values()) {
+        for (LogEntry entry : log.committedEntries().values()) {
             if (entry.getOperation() instanceof byte[] command) {
                 state.apply(entry.getIndex(), CommandCodec.decode(command));
             }
--- a/replication/src/main/java/lupinvalve/replication/StatusReport.java
+++ b/replication/src/main/java/lupinvalve/replication/StatusReport.java
@@ -48,11 +48,11 @@
             out.writeNumberField("lease_ms", lease.remainingMicros() / MICROS_PER_MILLI);
             out.writeStringField("shut_out", lease.denialReason());
         }
-        member.followers().status(out);
+        member.subscriptions().writeStatus(out);
         out.writeNumberField("sessions", state.sessionCount());
         out.writeNumberField("holds", state.drains().size());
         out.writeNumberField("listed_nodes", state.endpointList().endpoints().size());
-        out.writeNumberField("history_bytes", member.log().historyBytes());
+        out.writeNumberField("history_bytes", member.log().logBytes());
         out.writeNumberField("snapshot_bytes", member.log().snapshotBytes());
         if (report != null) {
             out.writeNumberField("term", report.getTerm().getTerm());
@@ -63,7 +63,7 @@
     }
 
     private void identity(JsonGenerator out) throws IOException {
-        ClusterBootstrap.Announcement own = member.log().word();
+        ClusterBootstrap.Announcement own = member.log().announcement();
         MemberId leader = member.leader();
         out.writeStringField("cluster", member.config().cluster());
         out.writeStringField("name", member.config().name());
@@ -83,7 +83,7 @@
     }
 
     private String summary() {
-        ClusterBootstrap.Phase phase = member.log().word().phase();
+        ClusterBootstrap.Phase phase = member.log().announcement().phase();
         String configuration = member.configuration().describe();
         if (member.termination() != null) {
             return "takes no part any more: " + member.termination().reason() + "; " + configuration;
