--- a/config/src/main/java/lupinvalve/config/NodeConfigParser.java
+++ b/config/src/main/java/lupinvalve/config/NodeConfigParser.java
@@ -93,7 +93,16 @@
         ListReader.Listed known = known(file, new ListReader(site.zones(), mysqlPort));
         int openRequests = Math.max(1, sockets / SOCKETS_PER_OPEN_REQUEST);
         return new NodeConfig(
-                name, listen, discovery, seed, cores, memoryMb, sockets, known, site.withOpen(openRequests), operator);
+                name,
+                listen,
+                discovery,
+                seed,
+                cores,
+                memoryMb,
+                sockets,
+                known,
+                site.withMaxOpenRequests(openRequests),
+                operator);
     }
 
     /** Parses a literal address with a port. */
--- a/daemon/src/main/java/lupinvalve/cli/Rehearse.java
+++ b/daemon/src/main/java/lupinvalve/cli/Rehearse.java
@@ -10,7 +10,7 @@
 import lupinvalve.log.Log;
 import lupinvalve.routing.RequestClass;
 import lupinvalve.warmup.ClientScript;
-import lupinvalve.warmup.StandIns;
+import lupinvalve.warmup.StubServers;
 
 /**
  * Plays a moment of service on loopback, from start to drain, so that the JVM that runs it has met every class of the
@@ -24,12 +24,12 @@
     public int run() throws Exception {
         NodeConfig config = node(OperatorConfig.NONE);
         int served = 0;
-        try (StandIns standIns = new StandIns()) {
+        try (StubServers stubServers = new StubServers()) {
             Daemon daemon = new Daemon(
                     new NodeConfig(
                             config.name(),
                             "127.0.0.1:0",
-                            standIns.discovery(),
+                            stubServers.discovery(),
                             config.seed(),
                             config.cores(),
                             config.memoryMb(),
@@ -57,7 +57,7 @@
         CountDownLatch left = new CountDownLatch(REQUESTS);
         ClientScript script = new ClientScript(classes, "r", REQUESTS, left);
         client.setSoTimeout(10_000);
-        client.getOutputStream().write(ClientScript.hello());
+        client.getOutputStream().write(ClientScript.startupMessage());
         ByteArrayOutputStream answer = new ByteArrayOutputStream();
         byte[] read = new byte[8192];
         while (left.getCount() > 0) {
--- a/daemon/src/main/java/lupinvalve/cli/WarmUp.java
+++ b/daemon/src/main/java/lupinvalve/cli/WarmUp.java
@@ -91,7 +91,7 @@
                 pooler.start(1, List.of());
                 pooler.onEndpointListEvent(new EndpointListEvent(ListForm.FULL, entries));
                 for (ClientScript client : clients) {
-                    net.connect(front.framer(), front, client, ClientScript.hello());
+                    net.connect(front.framer(), front, client, ClientScript.startupMessage());
                 }
             });
             left.await(MOST_MILLIS, TimeUnit.MILLISECONDS);
--- a/lab/src/main/java/lupinvalve/lab/StoreCost.java
+++ b/lab/src/main/java/lupinvalve/lab/StoreCost.java
@@ -19,7 +19,7 @@
 import lupinvalve.log.Log;
 import lupinvalve.routing.RequestClass;
 import lupinvalve.warmup.ClientScript;
-import lupinvalve.warmup.StandIns;
+import lupinvalve.warmup.StubServers;
 import org.HdrHistogram.Histogram;
 import org.kohsuke.args4j.Option;
 
@@ -47,7 +47,7 @@
             socket.setTcpNoDelay(true);
             socket.setSoTimeout(10_000);
             script = new ClientScript(classes, name, most, new CountDownLatch(most));
-            next = ClientScript.hello();
+            next = ClientScript.startupMessage();
         }
 
         void ask() throws IOException {
@@ -75,12 +75,12 @@
         }
     }
 
-    private Daemon daemon(NodeConfig from, StandIns standIns, OperatorConfig.Store store) throws Exception {
+    private Daemon daemon(NodeConfig from, StubServers stubServers, OperatorConfig.Store store) throws Exception {
         Daemon daemon = new Daemon(
                 new NodeConfig(
                         from.name(),
                         "127.0.0.1:0",
-                        standIns.discovery(),
+                        stubServers.discovery(),
                         from.seed(),
                         from.cores(),
                         from.memoryMb(),
@@ -100,12 +100,12 @@
         List<Daemon> daemons = new ArrayList<>();
         NodeConfig from = NodeConfig.read(config, null);
         Map<String, String> places = Scratch.places(List.of("a", "b", "c"));
-        try (StandIns standIns = new StandIns()) {
-            daemons.add(daemon(from, standIns, null));
+        try (StubServers stubServers = new StubServers()) {
+            daemons.add(daemon(from, stubServers, null));
             for (String name : places.keySet()) {
                 daemons.add(daemon(
                         from,
-                        standIns,
+                        stubServers,
                         new OperatorConfig.Store(
                                 "cost", name, folder.resolve(name), places.get(name), places, null, 0)));
             }
--- a/simulator/src/main/java/lupinvalve/simulator/ReplyWriter.java
+++ b/simulator/src/main/java/lupinvalve/simulator/ActionWriter.java
@@ -8,14 +8,16 @@
 import java.util.function.Consumer;
 import lupinvalve.routing.RouterAction;
 
-/** Writes the actions of one batch in the wire's words. */
-final class ReplyWriter implements Consumer<RouterAction> {
+/** Maps the {@link RouterAction}s of one batch to the messages of its reply. Not thread-safe. */
+final class ActionWriter implements Consumer<RouterAction> {
     private static final JsonFactory JSON = new JsonFactory();
-    private final ByteArrayOutputStream bytes = new ByteArrayOutputStream(512);
+    private static final int INITIAL_REPLY_BYTES = 512;
+
+    private final ByteArrayOutputStream bytes = new ByteArrayOutputStream(INITIAL_REPLY_BYTES);
     private final JsonGenerator out;
-    private int who;
+    private int router;
 
-    ReplyWriter() {
+    ActionWriter() {
         try {
             out = JSON.createGenerator(bytes);
             out.writeStartObject();
@@ -25,9 +27,9 @@
         }
     }
 
-    /** Names the router that the next actions are from. */
-    void speaker(int router) {
-        who = router;
+    /** Sets the router that the next actions come from. */
+    void source(int routerId) {
+        router = routerId;
     }
 
     @Override
@@ -45,10 +47,10 @@
             out.writeStringField("rid", send.id());
             out.writeNumberField("allow_for_us", send.timeoutMicros());
             out.writeStringField("node", send.node());
-        } else if (action instanceof RouterAction.Reject refuse) {
+        } else if (action instanceof RouterAction.Reject reject) {
             begin("TURN_AWAY");
-            out.writeStringField("rid", refuse.id());
-            out.writeNumberField("stay_away_us", refuse.retryAfterMicros());
+            out.writeStringField("rid", reject.id());
+            out.writeNumberField("stay_away_us", reject.retryAfterMicros());
         } else if (action instanceof RouterAction.Fail fail) {
             begin("END_FAILED");
             out.writeStringField("rid", fail.id());
@@ -56,28 +58,28 @@
             begin("UNDO_SEND");
             out.writeStringField("rid", cancel.id());
             out.writeNumberField("seq_no", cancel.attempt());
-        } else if (action instanceof RouterAction.CheckHealth probe) {
+        } else if (action instanceof RouterAction.CheckHealth check) {
             begin("POLL");
-            out.writeStringField("node", probe.node());
+            out.writeStringField("node", check.node());
         } else if (action instanceof RouterAction.CloseIdleConnections close) {
             begin("RELEASE");
             out.writeStringField("node", close.node());
-        } else if (action instanceof RouterAction.SendPeerMessage tell) {
+        } else if (action instanceof RouterAction.SendPeerMessage gossip) {
             begin("SAY");
-            out.writeNumberField("addressee", tell.to());
-            out.writeStringField("data", tell.text());
-        } else if (action instanceof RouterAction.WatchEndpoints subscribe) {
+            out.writeNumberField("addressee", gossip.to());
+            out.writeStringField("data", gossip.text());
+        } else if (action instanceof RouterAction.WatchEndpoints watch) {
             begin("TAIL");
-            out.writeBooleanField("active", subscribe.active());
+            out.writeBooleanField("active", watch.active());
         } else if (action instanceof RouterAction.FetchEndpoints) {
             begin("REFRESH");
         } else if (action instanceof RouterAction.SetTimer timer) {
             begin("WAKE_AT");
             out.writeNumberField("delay_us", timer.delayMicros());
             out.writeNumberField("handle", timer.handle());
-        } else if (action instanceof RouterAction.LogMessage note) {
+        } else if (action instanceof RouterAction.LogMessage message) {
             begin("JOURNAL_LINE");
-            out.writeStringField("text", note.text());
+            out.writeStringField("text", message.text());
         }
         out.writeEndObject();
     }
@@ -85,11 +87,11 @@
     private void begin(String message) throws IOException {
         out.writeStartObject();
         out.writeStringField("msg", message);
-        out.writeNumberField("who", who);
+        out.writeNumberField("who", router);
     }
 
-    /** Says that the decision code failed. */
-    void fault(RuntimeException failure) {
+    /** Reports an unexpected failure of a router to the simulator. */
+    void internalError(RuntimeException failure) {
         try {
             begin("INTERNAL_ERROR");
             StackTraceElement[] trace = failure.getStackTrace();
@@ -100,7 +102,7 @@
         }
     }
 
-    /** The whole reply, without a line end. */
+    /** Closes the reply and returns it, without a line end. */
     byte[] finish() {
         try {
             out.writeEndArray();
--- /dev/null
+++ b/simulator/src/main/java/lupinvalve/simulator/MessageFields.java
@@ -0,0 +1,117 @@
+package lupinvalve.simulator;
+
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+
+/** Typed access to the fields of one wire message; each error names the message and the field. */
+final class MessageFields {
+    private static final int MAX_SHOWN_CHARS = 60;
+
+    private final String path;
+    private final Map<String, Object> values;
+
+    MessageFields(String path, Map<String, Object> values) {
+        this.path = path;
+        this.values = values;
+    }
+
+    /** The error for a field whose value is not allowed. */
+    WireException invalid(String name, String problem) {
+        Object value = values.get(name);
+        return new WireException(
+                "message " + path + ": field " + name + " " + problem + (value == null ? "" : ": " + excerpt(value)));
+    }
+
+    /** The value as an error shows it: on one line and bounded in length. */
+    private static String excerpt(Object value) {
+        String text = String.valueOf(value).replaceAll("\\s+", " ");
+        return text.length() > MAX_SHOWN_CHARS ? text.substring(0, MAX_SHOWN_CHARS) + "..." : text;
+    }
+
+    private Object required(String name) {
+        Object value = values.get(name);
+        if (value == null) {
+            throw invalid(name, "is missing");
+        }
+        return value;
+    }
+
+    String text(String name) {
+        if (required(name) instanceof String text) {
+            return text;
+        }
+        throw invalid(name, "is not a text");
+    }
+
+    String textOrNull(String name) {
+        return values.get(name) == null ? null : text(name);
+    }
+
+    long integer(String name) {
+        Object value = required(name);
+        if (value instanceof Long integer) {
+            return integer;
+        }
+        if (value instanceof Double number && number == Math.rint(number)) {
+            return (long) (double) number;
+        }
+        throw invalid(name, "is not a whole number");
+    }
+
+    long integerOr(String name, long fallback) {
+        return values.get(name) == null ? fallback : integer(name);
+    }
+
+    double number(String name) {
+        if (required(name) instanceof Number number) {
+            return number.doubleValue();
+        }
+        throw invalid(name, "is not a number");
+    }
+
+    double numberOr(String name, double fallback) {
+        return values.get(name) == null ? fallback : number(name);
+    }
+
+    boolean flag(String name) {
+        if (required(name) instanceof Boolean flag) {
+            return flag;
+        }
+        throw invalid(name, "is not true or false");
+    }
+
+    boolean flagOr(String name, boolean fallback) {
+        return values.get(name) == null ? fallback : flag(name);
+    }
+
+    List<Object> array(String name) {
+        if (required(name) instanceof List<?> list) {
+            return List.copyOf(list.stream()
+                    .map(item -> item == null ? (Object) "" : (Object) item)
+                    .toList());
+        }
+        throw invalid(name, "is not an array");
+    }
+
+    boolean has(String name) {
+        return values.get(name) != null;
+    }
+
+    List<Object> arrayOrEmpty(String name) {
+        return values.get(name) == null ? List.of() : array(name);
+    }
+
+    MessageFields object(String name) {
+        return nested(name, required(name));
+    }
+
+    MessageFields nested(String name, Object value) {
+        if (!(value instanceof Map<?, ?> map)) {
+            throw invalid(name, "is not an object");
+        }
+        Map<String, Object> fields = new LinkedHashMap<>();
+        map.forEach((key, item) -> fields.put(String.valueOf(key), item));
+        return new MessageFields(path + " " + name, fields);
+    }
+}
--- a/simulator/src/main/java/lupinvalve/simulator/SettingsReader.java
+++ b/simulator/src/main/java/lupinvalve/simulator/SettingsReader.java
@@ -7,17 +7,19 @@
 import lupinvalve.routing.RequestClass;
 import lupinvalve.routing.RouterSettings;
 
-/** Reads the settings of a start; unknown ones are skipped. */
+/** Maps the keys and words of the settings object to {@link RouterSettings}; unknown keys are skipped. Stateless. */
 public final class SettingsReader {
+    private static final long DEFAULT_CONNECT_TIMEOUT_MICROS = 250_000;
+    private static final long DEFAULT_KEEPALIVE_MICROS = 15_000_000;
+
     private SettingsReader() {}
 
     /**
-     * The settings as a real pooler needs them.
+     * The settings as the daemon needs them: the router's and those of its connections.
      *
-     * @param connectMicros a connection not up within this time is given up
+     * @param connectMicros timeout of connecting to a db node
      * @param keepaliveMicros an idle connection is closed by the db node after this time
-     * @param ratePerSecond requests that one pooler may expect: the tenants' shares, over all poolers; 0 where none
-     *     says
+     * @param ratePerSecond the sum of the tenants' quotas divided by the number of poolers; 0 where none is set
      */
     public record Site(
             RouterSettings settings,
@@ -25,28 +27,27 @@
             long keepaliveMicros,
             List<String> zones,
             double ratePerSecond) {
-        /** The same with at most so many requests open. */
-        public Site withOpen(long most) {
-            RouterSettings s = settings;
-            RouterSettings.SiteLimits l = s.limits();
+        /** A copy whose limit of open requests is at most {@code maxOpenRequests}. */
+        public Site withMaxOpenRequests(long maxOpenRequests) {
+            RouterSettings.SiteLimits limits = settings.limits();
             return new Site(
                     new RouterSettings(
-                            s.instanceIndex(),
-                            s.instanceCount(),
-                            s.zone(),
-                            s.mustSubscribe(),
-                            s.classes(),
+                            settings.instanceIndex(),
+                            settings.instanceCount(),
+                            settings.zone(),
+                            settings.mustSubscribe(),
+                            settings.classes(),
                             new RouterSettings.SiteLimits(
-                                    l.maxAttempts(),
-                                    l.parallelAttempts(),
-                                    l.cancel(),
-                                    l.probe(),
-                                    l.retryAfter(),
-                                    l.maxRetryAfterMicros(),
-                                    Math.min(l.maxOpenRequests(), most)),
-                            s.rules(),
-                            s.replication(),
-                            s.crossZonePrice()),
+                                    limits.maxAttempts(),
+                                    limits.parallelAttempts(),
+                                    limits.cancel(),
+                                    limits.probe(),
+                                    limits.retryAfter(),
+                                    limits.maxRetryAfterMicros(),
+                                    Math.min(limits.maxOpenRequests(), maxOpenRequests)),
+                            settings.rules(),
+                            settings.replication(),
+                            settings.crossZonePrice()),
                     connectMicros,
                     keepaliveMicros,
                     zones,
@@ -54,145 +55,152 @@
         }
     }
 
-    /** Reads the settings object that the parser stands at. */
+    /**
+     * Reads the settings object whose start the parser has just read.
+     *
+     * @throws WireException if a field is missing or not allowed
+     * @throws IOException if the parser fails or the text is not JSON
+     */
     public static Site read(JsonParser in) throws IOException {
-        Fields env = new Fields("settings", BatchReader.object(in));
-        Fields limits = env.object("ceilings");
+        MessageFields env = new MessageFields("settings", JsonValues.object(in));
+        MessageFields limits = env.object("ceilings");
         List<String> zones = new ArrayList<>();
         env.arrayOrEmpty("dcs").forEach(zone -> zones.add(String.valueOf(zone)));
-        double rate = 0;
-        for (Object project : env.arrayOrEmpty("projects")) {
-            rate += env.inner("projects", project).numberOr("quota_per_s", 0);
+        double quotaPerSecond = 0;
+        for (Object tenant : env.arrayOrEmpty("projects")) {
+            quotaPerSecond += env.nested("projects", tenant).numberOr("quota_per_s", 0);
         }
         RouterSettings settings = read(env);
         return new Site(
                 settings,
-                time(limits, "connect_timeout_us", 250_000),
-                time(limits, "keepalive_us", 15_000_000),
+                positiveMicros(limits, "connect_timeout_us", DEFAULT_CONNECT_TIMEOUT_MICROS),
+                positiveMicros(limits, "keepalive_us", DEFAULT_KEEPALIVE_MICROS),
                 zones,
-                rate / settings.instanceCount());
+                quotaPerSecond / settings.instanceCount());
     }
 
-    private static long time(Fields limits, String name, long other) {
-        long micros = limits.wholeOr(name, other);
+    private static long positiveMicros(MessageFields limits, String name, long defaultMicros) {
+        long micros = limits.integerOr(name, defaultMicros);
         if (micros <= 0) {
-            throw limits.wrong(name, "is no time");
+            throw limits.invalid(name, "is no time");
         }
         return micros;
     }
 
-    /** A count that may be as good as unbounded. */
+    /** Clamps a count: the wire writes unbounded ones beyond the range of an int. */
     private static int count(long value) {
         return (int) Math.max(Integer.MIN_VALUE, Math.min(Integer.MAX_VALUE, value));
     }
 
-    static RouterSettings read(Fields env) {
-        Fields limits = env.object("ceilings");
-        Fields rules = env.object("guarantees");
-        Fields family = env.object("specifics");
+    /** Reads the settings of a router from the {@code env} of its start. */
+    static RouterSettings read(MessageFields env) {
+        MessageFields limits = env.object("ceilings");
+        MessageFields rules = env.object("guarantees");
+        MessageFields family = env.object("specifics");
         try {
             return new RouterSettings(
-                    count(env.whole("me")),
-                    count(env.whole("n_instances")),
-                    count(env.wholeOr("zone", 0)),
+                    count(env.integer("me")),
+                    count(env.integer("n_instances")),
+                    count(env.integerOr("zone", 0)),
                     env.text("registry_mode").equals("subscribe"),
                     classes(env, family),
                     new RouterSettings.SiteLimits(
-                            count(limits.whole("attempts_cap")),
+                            count(limits.integer("attempts_cap")),
                             limits.flagOr("parallel_tries", false),
                             limits.flagOr("may_cancel", false),
                             limits.flagOr("may_probe", false),
                             limits.flagOr("retry_after", false),
-                            limits.wholeOr("max_retry_after_us", 0),
-                            limits.wholeOr("max_open", Integer.MAX_VALUE)),
+                            limits.integerOr("max_retry_after_us", 0),
+                            limits.integerOr("max_open", Integer.MAX_VALUE)),
                     new RouterSettings.Rules(
-                            rules.wholeOr("answer_slack_us", 0),
-                            rules.whole("stop_sending_within_us"),
-                            rules.wholeOr("ask_within_us", 0),
+                            rules.integerOr("answer_slack_us", 0),
+                            rules.integer("stop_sending_within_us"),
+                            rules.integerOr("ask_within_us", 0),
                             rules.number("cold_from"),
-                            rules.whole("ramp_time_us"),
+                            rules.integer("ramp_time_us"),
                             rules.number("fall_multiple"),
-                            rules.whole("fall_us")),
-                    new RouterSettings.Replication(check(family), family.wholeOr("wait_us", 0), tokens(family)),
+                            rules.integer("fall_us")),
+                    new RouterSettings.Replication(
+                            freshnessCheck(family), family.integerOr("wait_us", 0), tokenSource(family)),
                     env.has("prices") ? env.object("prices").numberOr("cross_zone", 0) : 0);
         } catch (IllegalArgumentException e) {
             throw new WireException("message UP env: " + e.getMessage());
         }
     }
 
-    private static List<RequestClass> classes(Fields env, Fields family) {
+    private static List<RequestClass> classes(MessageFields env, MessageFields family) {
         List<RequestClass> classes = new ArrayList<>();
         List<Object> reads = family.array("class_read");
         List<Object> bounds = family.arrayOrEmpty("oldest_data_us");
         List<Object> entries = env.array("classes");
         if (reads.size() != entries.size()) {
-            throw family.wrong("class_read", "has not one entry for each class");
+            throw family.invalid("class_read", "has not one entry for each class");
         }
         for (int i = 0; i < entries.size(); i++) {
-            Fields entry = env.inner("classes", entries.get(i));
+            MessageFields entry = env.nested("classes", entries.get(i));
             Object bound = i < bounds.size() ? bounds.get(i) : Long.valueOf(0);
             if (!(bound instanceof Number number)) {
-                throw family.wrong("oldest_data_us", "holds an entry that is not a number");
+                throw family.invalid("oldest_data_us", "holds an entry that is not a number");
             }
             classes.add(new RequestClass(
                     entry.text("name"),
                     access(family, reads.get(i)),
                     number.longValue(),
                     effect(entry),
-                    scope(entry),
-                    entry.wholeOr("key_ttl_us", 0),
-                    entry.whole("aim_us"),
-                    entry.whole("deadline_us"),
+                    keyScope(entry),
+                    entry.integerOr("key_ttl_us", 0),
+                    entry.integer("aim_us"),
+                    entry.integer("deadline_us"),
                     entry.numberOr("worth", 1),
                     entry.numberOr("late_value", 0)));
         }
         return classes;
     }
 
-    private static RequestClass.Access access(Fields family, Object word) {
-        return switch (String.valueOf(word)) {
+    private static RequestClass.Access access(MessageFields family, Object read) {
+        return switch (String.valueOf(read)) {
             case "mutate" -> RequestClass.Access.WRITE;
             case "strong" -> RequestClass.Access.STRONG;
             case "causal" -> RequestClass.Access.SESSION;
             case "lag_bound" -> RequestClass.Access.BOUNDED;
             case "eventual" -> RequestClass.Access.ANY;
-            default -> throw family.wrong("class_read", "holds an unknown kind of read");
+            default -> throw family.invalid("class_read", "holds an unknown kind of read");
         };
     }
 
-    private static RequestClass.Effect effect(Fields entry) {
+    private static RequestClass.Effect effect(MessageFields entry) {
         return switch (entry.text("effect")) {
             case "safe" -> RequestClass.Effect.SAFE;
             case "keyed" -> RequestClass.Effect.KEYED;
             case "unsafe" -> RequestClass.Effect.UNSAFE;
-            default -> throw entry.wrong("effect", "is none of safe, keyed, unsafe");
+            default -> throw entry.invalid("effect", "is none of safe, keyed, unsafe");
         };
     }
 
-    private static RequestClass.KeyScope scope(Fields entry) {
-        String word = entry.textOrNull("group");
-        return switch (word == null ? "all" : word) {
+    private static RequestClass.KeyScope keyScope(MessageFields entry) {
+        String group = entry.textOrNull("group");
+        return switch (group == null ? "all" : group) {
             case "all" -> RequestClass.KeyScope.ALL;
             case "zone" -> RequestClass.KeyScope.ZONE;
             case "cell" -> RequestClass.KeyScope.GROUP;
-            default -> throw entry.wrong("group", "is none of all, zone, cell");
+            default -> throw entry.invalid("group", "is none of all, zone, cell");
         };
     }
 
-    private static RouterSettings.FreshnessCheck check(Fields family) {
+    private static RouterSettings.FreshnessCheck freshnessCheck(MessageFields family) {
         return switch (family.text("server_checks")) {
             case "silent" -> RouterSettings.FreshnessCheck.SILENT;
             case "bounce" -> RouterSettings.FreshnessCheck.BOUNCE;
             case "await" -> RouterSettings.FreshnessCheck.AWAIT;
-            default -> throw family.wrong("server_checks", "is none of silent, bounce, await");
+            default -> throw family.invalid("server_checks", "is none of silent, bounce, await");
         };
     }
 
-    private static RouterSettings.TokenSource tokens(Fields family) {
+    private static RouterSettings.TokenSource tokenSource(MessageFields family) {
         return switch (family.text("session_marks")) {
             case "brought" -> RouterSettings.TokenSource.CARRIED;
             case "kept" -> RouterSettings.TokenSource.REMEMBERED;
-            default -> throw family.wrong("session_marks", "is neither brought nor kept");
+            default -> throw family.invalid("session_marks", "is neither brought nor kept");
         };
     }
 }
--- a/simulator/src/main/java/lupinvalve/simulator/Host.java
+++ b/simulator/src/main/java/lupinvalve/simulator/SimulatorHost.java
@@ -8,16 +8,26 @@
 import java.util.Map;
 import lupinvalve.routing.Router;
 
-/** Hosts any number of routers: one line of events in, one line of actions out. The routers share nothing. */
-public final class Host {
+/**
+ * Runs routers for the simulator: reads one batch of events a line and writes one line of actions for each. Routers
+ * share no state. One thread may call {@link #run}.
+ */
+public final class SimulatorHost {
+    private static final int BUFFER_BYTES = 1 << 16;
+
     private final Map<Integer, Router> routers = new HashMap<>();
     private final BatchReader reader = new BatchReader();
 
-    /** Runs until the input ends. */
+    /**
+     * Runs until the input ends.
+     *
+     * @throws WireException if a batch is not allowed on the wire
+     * @throws IOException if reading or writing fails
+     */
     public void run(InputStream in, OutputStream out) throws IOException {
-        byte[] line = new byte[1 << 16];
+        byte[] line = new byte[BUFFER_BYTES];
         int length = 0;
-        byte[] chunk = new byte[1 << 16];
+        byte[] chunk = new byte[BUFFER_BYTES];
         int read;
         while ((read = in.read(chunk)) >= 0) {
             int from = 0;
@@ -28,13 +38,13 @@
                 line = append(line, length, chunk, from, i);
                 length += i - from;
                 from = i + 1;
-                answer(line, length, out);
+                processBatch(line, length, out);
                 length = 0;
             }
             line = append(line, length, chunk, from, read);
             length += read - from;
         }
-        answer(line, length, out);
+        processBatch(line, length, out);
     }
 
     private static byte[] append(byte[] line, int length, byte[] chunk, int from, int to) {
@@ -46,7 +56,7 @@
         return target;
     }
 
-    private void answer(byte[] line, int length, OutputStream out) throws IOException {
+    private void processBatch(byte[] line, int length, OutputStream out) throws IOException {
         boolean blank = true;
         for (int i = 0; i < length && blank; i++) {
             blank = line[i] == ' ' || line[i] == '\r' || line[i] == '\t';
@@ -55,30 +65,33 @@
             return;
         }
         BatchReader.Batch batch = reader.read(line, length);
-        ReplyWriter reply = new ReplyWriter();
-        for (BatchReader.Addressed news : batch.news()) {
-            int who = news.who();
-            reply.speaker(who);
+        ActionWriter actions = new ActionWriter();
+        for (RouterCommand command : batch.commands()) {
+            actions.source(command.router());
             try {
-                if (news.settings() != null) {
-                    routers.put(who, new Router(news.seed(), news.settings(), batch.timeMicros(), reply));
-                } else if (news.down()) {
-                    routers.remove(who);
-                } else {
-                    Router router = routers.get(who);
-                    if (router == null) {
-                        throw new WireException("field who: no router " + who + " is up");
-                    }
-                    router.handle(batch.timeMicros(), news.event(), reply);
-                }
+                execute(command, batch.timeMicros(), actions);
             } catch (WireException e) {
                 throw e;
             } catch (RuntimeException e) {
-                reply.fault(e);
+                actions.internalError(e);
             }
         }
-        out.write(reply.finish());
+        out.write(actions.finish());
         out.write('\n');
         out.flush();
     }
+
+    private void execute(RouterCommand command, long timeMicros, ActionWriter actions) {
+        if (command instanceof RouterCommand.Deliver deliver) {
+            Router router = routers.get(deliver.router());
+            if (router == null) {
+                throw new WireException("field who: no router " + deliver.router() + " is up");
+            }
+            router.handle(timeMicros, deliver.event(), actions);
+        } else if (command instanceof RouterCommand.Start start) {
+            routers.put(start.router(), new Router(start.seed(), start.settings(), timeMicros, actions));
+        } else {
+            routers.remove(command.router());
+        }
+    }
 }
--- a/simulator/src/test/java/lupinvalve/simulator/HostTest.java
+++ b/simulator/src/test/java/lupinvalve/simulator/SimulatorHostTest.java
@@ -10,8 +10,8 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** Whole host runs from lines written by hand. */
-class HostTest {
+/** Runs of a host over batches of the wire. */
+class SimulatorHostTest {
     private static final String ENV = "{\"me\":0,\"n_instances\":2,\"zone\":0,\"registry_mode\":\"subscribe\","
             + "\"unknown\":[1],\"classes\":[{\"name\":\"r\",\"aim_us\":200000,\"deadline_us\":800000,"
             + "\"effect\":\"safe\",\"group\":\"all\",\"worth\":1.0,\"late_value\":0.2}],"
@@ -28,13 +28,13 @@
     private static final String CALL = "{\"who\":3,\"msg\":\"CALL\",\"rid\":\"00000000000000aa\",\"cls\":0,"
             + "\"group_no\":1,\"expires_in_us\":800000}";
 
-    private static String batch(long time, String... news) {
-        return "{\"time_us\":" + time + ",\"news\":[" + String.join(",", news) + "]}\n";
+    private static String batch(long time, String... messages) {
+        return "{\"time_us\":" + time + ",\"news\":[" + String.join(",", messages) + "]}\n";
     }
 
     private static String run(String input) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        new Host().run(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), out);
+        new SimulatorHost().run(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), out);
         return out.toString(StandardCharsets.UTF_8);
     }
 
@@ -61,26 +61,26 @@
     }
 
     @Test
-    void instancesAreForgottenWhenDown() {
-        WireException e = assertThrows(
+    void routersAreRemovedWhenDown() {
+        WireException error = assertThrows(
                 WireException.class,
                 () -> run(batch(1, UP, LIST) + batch(2, "{\"msg\":\"DOWN\",\"who\":3}") + batch(3, CALL)));
-        assertTrue(e.getMessage().contains("who"));
+        assertTrue(error.getMessage().contains("who"));
     }
 
     @Test
-    void complaintsNameTheMessageAndTheField() {
-        assertComplaint("batch", "JSON", "not json\n");
-        assertComplaint("batch", "time_us", "{\"news\":[]}\n");
-        assertComplaint("CALL", "rid", batch(1, UP, LIST, "{\"msg\":\"CALL\",\"who\":3,\"cls\":0}"));
-        assertComplaint("CALL", "cls", batch(1, UP, LIST, CALL.replace("\"cls\":0", "\"cls\":\"x\"")));
-        assertComplaint("ROSTER_CHANGE", "list", batch(1, UP, LIST.replace("\"seq_no\":1,\"list\":0", "\"list\":9")));
-        assertComplaint("UP", "cold_from", batch(1, UP.replace("\"cold_from\":0.2,", "")));
-        assertComplaint("UP", "aim_us", batch(1, UP.replace("\"aim_us\":200000", "\"aim_us\":-1")));
+    void errorsNameTheMessageAndTheField() {
+        assertError("batch", "JSON", "not json\n");
+        assertError("batch", "time_us", "{\"news\":[]}\n");
+        assertError("CALL", "rid", batch(1, UP, LIST, "{\"msg\":\"CALL\",\"who\":3,\"cls\":0}"));
+        assertError("CALL", "cls", batch(1, UP, LIST, CALL.replace("\"cls\":0", "\"cls\":\"x\"")));
+        assertError("ROSTER_CHANGE", "list", batch(1, UP, LIST.replace("\"seq_no\":1,\"list\":0", "\"list\":9")));
+        assertError("UP", "cold_from", batch(1, UP.replace("\"cold_from\":0.2,", "")));
+        assertError("UP", "aim_us", batch(1, UP.replace("\"aim_us\":200000", "\"aim_us\":-1")));
     }
 
-    private static void assertComplaint(String message, String field, String input) {
-        WireException e = assertThrows(WireException.class, () -> run(input));
-        assertTrue(e.getMessage().contains(message) && e.getMessage().contains(field), e.getMessage());
+    private static void assertError(String message, String field, String input) {
+        WireException error = assertThrows(WireException.class, () -> run(input));
+        assertTrue(error.getMessage().contains(message) && error.getMessage().contains(field), error.getMessage());
     }
 }
--- a/warmup/src/main/java/lupinvalve/warmup/ClientScript.java
+++ b/warmup/src/main/java/lupinvalve/warmup/ClientScript.java
@@ -5,72 +5,81 @@
 import java.io.ByteArrayOutputStream;
 import java.io.DataOutputStream;
 import java.io.IOException;
+import java.nio.ByteBuffer;
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import lupinvalve.log.Log;
 import lupinvalve.net.Memory;
 import lupinvalve.routing.RequestClass;
 
-/** A client that asks one thing after another, reads and writes of all classes in turn. */
+/** A scripted client: one request after another, reads and writes of all classes in turn. Not thread-safe. */
 public final class ClientScript implements Memory.Peer {
+    private static final int STARTUP_HEADER_BYTES = 8;
+    private static final int PROTOCOL_VERSION = 3 << 16;
+    private static final int READY_FOR_QUERY_BYTES = 6;
+    private static final int KEY_COUNT = 20;
+    private static final int MICROS_PER_MILLI = 1000;
+
     private final List<RequestClass> classes;
     private final String name;
-    private final int most;
-    private final CountDownLatch left;
-    private int asked, served;
+    private final int requestCount;
+    private final CountDownLatch unanswered;
+    private int requested;
+    private int served;
 
     /**
      * @param name distinguishes its requests from those of other clients
-     * @param most how many requests it makes
-     * @param left counts answers down
+     * @param requestCount number of requests that it makes
+     * @param unanswered counted down with each answer
      */
-    public ClientScript(List<RequestClass> classes, String name, int most, CountDownLatch left) {
+    public ClientScript(List<RequestClass> classes, String name, int requestCount, CountDownLatch unanswered) {
         this.classes = classes;
         this.name = name;
-        this.most = most;
-        this.left = left;
+        this.requestCount = requestCount;
+        this.unanswered = unanswered;
     }
 
-    /** The startup message. */
-    public static byte[] hello() {
+    /** The startup message, which the client sends first. */
+    public static byte[] startupMessage() {
         byte[] names = "user\0api\0database\0ledger\0\0".getBytes(UTF_8);
-        return java.nio.ByteBuffer.allocate(8 + names.length)
-                .putInt(8 + names.length)
-                .putInt(3 << 16)
+        return ByteBuffer.allocate(STARTUP_HEADER_BYTES + names.length)
+                .putInt(STARTUP_HEADER_BYTES + names.length)
+                .putInt(PROTOCOL_VERSION)
                 .put(names)
                 .array();
     }
 
+    /** Number of requests answered with a row. */
     public int served() {
         return served;
     }
 
-    /** Takes one or several whole messages; the last of an answer is ReadyForQuery. */
+    /** Takes one or several complete messages; the last of an answer is ReadyForQuery. */
     @Override
     public byte[] answer(byte[] written) throws IOException {
         int end = written.length;
-        if (end < 6 || written[end - 6] != 'Z' || written[end - 1] != 'I') {
+        if (end < READY_FOR_QUERY_BYTES || written[end - READY_FOR_QUERY_BYTES] != 'Z' || written[end - 1] != 'I') {
             return new byte[0];
         }
-        if (asked > 0) {
+        if (requested > 0) {
             String text = new String(written, UTF_8);
             if (text.contains("row")) {
                 served++;
             } else {
-                Log.warn("%s-%d was not served: %s", name, asked - 1, text);
+                Log.warn("%s-%d was not served: %s", name, requested - 1, text);
             }
-            left.countDown();
+            unanswered.countDown();
         }
-        return asked < most ? query() : new byte[0];
+        return requested < requestCount ? query() : new byte[0];
     }
 
     private byte[] query() throws IOException {
-        RequestClass kind = classes.get(asked % classes.size());
-        String head = kind.access() == RequestClass.Access.WRITE
-                ? "INSERT INTO rows (handle, blob) VALUES ('k" + asked % 20 + "', '\\x9f') RETURNING blob"
-                : "SELECT blob FROM rows WHERE handle = 'k" + asked % 20 + "'";
-        byte[] text = (head + " /* id=" + name + "-" + asked++ + ",c=" + kind.name() + ",t=a,d="
-                        + kind.deadlineMicros() / 1000 + ",cluster=1 */\0")
+        RequestClass requestClass = classes.get(requested % classes.size());
+        String statement = requestClass.access() == RequestClass.Access.WRITE
+                ? "INSERT INTO rows (handle, blob) VALUES ('k" + requested % KEY_COUNT + "', '\\x9f') RETURNING blob"
+                : "SELECT blob FROM rows WHERE handle = 'k" + requested % KEY_COUNT + "'";
+        byte[] text = (statement + " /* id=" + name + "-" + requested++ + ",c=" + requestClass.name() + ",t=a,d="
+                        + requestClass.deadlineMicros() / MICROS_PER_MILLI + ",cluster=1 */\0")
                 .getBytes(UTF_8);
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(text.length + 5);
         DataOutputStream out = new DataOutputStream(bytes);
--- a/warmup/src/main/java/lupinvalve/warmup/NodeScript.java
+++ b/warmup/src/main/java/lupinvalve/warmup/NodeScript.java
@@ -9,12 +9,19 @@
 import java.nio.ByteBuffer;
 import lupinvalve.net.Memory;
 
-/** What a db node says on one connection: welcomes anybody, answers each read, and each write if it is a primary. */
+/**
+ * A scripted db node on one connection: accepts any user and answers each read, and each write if it is a primary. Not
+ * thread-safe.
+ */
 public final class NodeScript implements Memory.Peer {
+    private static final int BUFFER_BYTES = 16 << 10;
+    private static final int LENGTH_BYTES = 4;
+
     private final boolean primary;
-    private ByteBuffer in = ByteBuffer.allocate(16 << 10);
-    private boolean welcomed;
+    private ByteBuffer in = ByteBuffer.allocate(BUFFER_BYTES);
+    private boolean authenticated;
 
+    /** @param primary whether the db node accepts writes */
     public NodeScript(boolean primary) {
         this.primary = primary;
     }
@@ -24,43 +31,45 @@
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         DataOutputStream out = new DataOutputStream(bytes);
         in.put(written).flip();
-        for (int head = welcomed ? 1 : 0; whole(head); head = 1) {
-            if (welcomed) {
-                query(out);
+        for (int typeBytes = authenticated ? 1 : 0; hasMessage(typeBytes); typeBytes = 1) {
+            if (authenticated) {
+                answerQuery(out);
             } else {
                 in.position(in.getInt(0));
-                welcomed = true;
-                message(out, 'R', new byte[4]);
-                message(out, 'Z', new byte[] {'I'});
+                authenticated = true;
+                writeMessage(out, 'R', new byte[4]);
+                writeMessage(out, 'Z', new byte[] {'I'});
             }
         }
         in.compact();
         return bytes.toByteArray();
     }
 
-    private boolean whole(int head) {
-        return in.remaining() >= head + 4 && in.remaining() >= head + in.getInt(in.position() + head);
+    /** Whether a complete message has arrived; only the startup message has no type byte. */
+    private boolean hasMessage(int typeBytes) {
+        return in.remaining() >= typeBytes + LENGTH_BYTES
+                && in.remaining() >= typeBytes + in.getInt(in.position() + typeBytes);
     }
 
-    private void query(DataOutputStream out) throws IOException {
+    private void answerQuery(DataOutputStream out) throws IOException {
         in.get();
-        byte[] text = new byte[in.getInt() - 4];
+        byte[] text = new byte[in.getInt() - LENGTH_BYTES];
         in.get(text);
         if (!primary && new String(text, 0, 6, UTF_8).equals("INSERT")) {
-            message(out, 'E', "SERROR\0C25006\0Mno primary\0\0".getBytes(UTF_8));
+            writeMessage(out, 'E', "SERROR\0C25006\0Mno primary\0\0".getBytes(UTF_8));
         } else {
-            message(out, 'T', "\0\1blob\0\0\0\0\0\0\0\0\0\0\31\377\377\377\377\377\377\0\0".getBytes(ISO_8859_1));
-            message(out, 'D', "\0\1\0\0\0\3row".getBytes(UTF_8));
-            message(out, 'C', "SELECT 1\0".getBytes(UTF_8));
+            writeMessage(out, 'T', "\0\1blob\0\0\0\0\0\0\0\0\0\0\31\377\377\377\377\377\377\0\0".getBytes(ISO_8859_1));
+            writeMessage(out, 'D', "\0\1\0\0\0\3row".getBytes(UTF_8));
+            writeMessage(out, 'C', "SELECT 1\0".getBytes(UTF_8));
         }
-        message(out, 'S', ("as_of\0" + System.currentTimeMillis() + "\0").getBytes(UTF_8));
-        message(out, 'S', ("rank\0" + (primary ? "source" : "copy") + "\0").getBytes(UTF_8));
-        message(out, 'Z', new byte[] {'I'});
+        writeMessage(out, 'S', ("as_of\0" + System.currentTimeMillis() + "\0").getBytes(UTF_8));
+        writeMessage(out, 'S', ("rank\0" + (primary ? "source" : "copy") + "\0").getBytes(UTF_8));
+        writeMessage(out, 'Z', new byte[] {'I'});
     }
 
-    private static void message(DataOutputStream out, char type, byte[] body) throws IOException {
+    private static void writeMessage(DataOutputStream out, char type, byte[] body) throws IOException {
         out.write(type);
-        out.writeInt(body.length + 4);
+        out.writeInt(body.length + LENGTH_BYTES);
         out.write(body);
     }
 }
--- a/warmup/src/main/java/lupinvalve/warmup/StandIns.java
+++ b/warmup/src/main/java/lupinvalve/warmup/StubServers.java
@@ -14,19 +14,26 @@
 import java.util.List;
 import lupinvalve.log.Log;
 
-/** A discovery and a primary with a replica, as little of each as a rehearsal needs. Loopback only. */
-public final class StandIns implements Closeable {
-    private interface Speaker {
-        void speak(InputStream in, OutputStream out) throws IOException;
+/**
+ * Stub servers of a warm-up on loopback: discovery, a primary and a replica. Each connection has a thread of its own;
+ * {@link #close} stops accepting connections.
+ */
+public final class StubServers implements Closeable {
+    private interface ConnectionHandler {
+        void handle(InputStream in, OutputStream out) throws IOException;
     }
 
+    private static final int ACCEPT_BACKLOG_COUNT = 50;
+    private static final int READ_BUFFER_BYTES = 8192;
+
     private final List<ServerSocket> servers = new ArrayList<>();
-    private final String list;
+    private final String endpointList;
 
-    public StandIns() throws IOException {
+    /** Starts the db nodes; {@link #discovery} lists them. */
+    public StubServers() throws IOException {
         StringBuilder members = new StringBuilder();
         for (String rank : List.of("source", "copy")) {
-            int port = serve((in, out) -> node(in, out, rank.equals("source")));
+            int port = serve((in, out) -> serveDbNode(in, out, rank.equals("source")));
             members.append(members.length() == 0 ? "" : ",")
                     .append("{\"id\":\"")
                     .append(rank)
@@ -34,30 +41,30 @@
                     .append(port)
                     .append("\",\"cell\":1,\"phase\":\"in_service\",\"up_since_ms\":0}");
         }
-        list = "{\"revision\":1,\"complete\":true,\"members\":[" + members + "]}\n";
+        endpointList = "{\"revision\":1,\"complete\":true,\"members\":[" + members + "]}\n";
     }
 
-    /** Starts discovery and gives its address. */
+    /** Starts discovery and returns its address as host:port. */
     public String discovery() throws IOException {
         return "127.0.0.1:"
                 + serve((in, out) -> {
                     out.write(("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                                    + Integer.toHexString(list.length()) + "\r\n" + list + "\r\n")
+                                    + Integer.toHexString(endpointList.length()) + "\r\n" + endpointList + "\r\n")
                             .getBytes(UTF_8));
-                    // The watch stays open until its reader ends it.
+                    // Keeps the watch open until the client closes it.
                     in.readAllBytes();
                 });
     }
 
-    private int serve(Speaker speaker) throws IOException {
-        ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+    private int serve(ConnectionHandler handler) throws IOException {
+        ServerSocket server = new ServerSocket(0, ACCEPT_BACKLOG_COUNT, InetAddress.getLoopbackAddress());
         servers.add(server);
-        thread(() -> {
+        startThread(() -> {
             while (!server.isClosed()) {
                 Socket socket = server.accept();
-                thread(() -> {
+                startThread(() -> {
                     try (socket) {
-                        speaker.speak(socket.getInputStream(), socket.getOutputStream());
+                        handler.handle(socket.getInputStream(), socket.getOutputStream());
                     }
                 });
             }
@@ -65,29 +72,29 @@
         return server.getLocalPort();
     }
 
-    private interface Work {
+    private interface IoTask {
         void run() throws IOException;
     }
 
-    private static void thread(Work work) {
+    private static void startThread(IoTask task) {
         Thread thread = new Thread(
                 () -> {
                     try {
-                        work.run();
+                        task.run();
                     } catch (IOException e) {
-                        Log.debug("stand-in: %s", e.getMessage());
+                        Log.debug("stub server: %s", e.getMessage());
                     }
                 },
-                "stand-in");
+                "stub-server");
         thread.setDaemon(true);
         thread.start();
     }
 
-    private static void node(InputStream in, OutputStream out, boolean primary) throws IOException {
+    private static void serveDbNode(InputStream in, OutputStream out, boolean primary) throws IOException {
         NodeScript script = new NodeScript(primary);
-        byte[] read = new byte[8192];
-        for (int count = in.read(read); count > 0; count = in.read(read)) {
-            out.write(script.answer(Arrays.copyOf(read, count)));
+        byte[] buffer = new byte[READ_BUFFER_BYTES];
+        for (int length = in.read(buffer); length > 0; length = in.read(buffer)) {
+            out.write(script.answer(Arrays.copyOf(buffer, length)));
         }
     }
 
