--- a/daemon/src/test/java/lupinvalve/replication/OldMemberTest.java
+++ b/daemon/src/test/java/lupinvalve/replication/OldMemberTest.java
@@ -25,8 +25,8 @@
 import lupinvalve.statemachine.Command;
 import lupinvalve.statemachine.MemberId;
 import lupinvalve.statemachine.ReplicatedState;
-import lupinvalve.subscription.FollowAnswer;
-import lupinvalve.subscription.FollowRequest;
+import lupinvalve.subscription.WatchRequest;
+import lupinvalve.subscription.WatchResponse;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -90,7 +90,8 @@
     private static byte[] newAnswer(WireMessages.Request call) {
         ReplicatedState.Document document =
                 new ReplicatedState.Document(1, 1, ReplicatedState.digest(DOCUMENT), DOCUMENT);
-        byte[] content = new FollowAnswer(0, 0, "", 1, 20, new FollowAnswer.News.Whole(document), Map.of()).write();
+        byte[] content =
+                new WatchResponse(0, 0, "", 1, 20, new WatchResponse.Event.FullDocument(document), Map.of()).write();
         return new WireMessages.Response(call.id(), WireMessages.Status.OK, "", content).write();
     }
 
@@ -112,8 +113,8 @@
             // A name whose first member is the old one.
             String name = java.util.stream.IntStream.range(0, 100)
                     .mapToObj(i -> "s" + i)
-                    .filter(one -> new lupinvalve.subscription.FollowSchedule(one, members.keySet(), 1)
-                            .first()
+                    .filter(one -> new lupinvalve.subscription.MemberSelector(one, members.keySet(), 1)
+                            .preferredMember()
                             .equals("a"))
                     .findFirst()
                     .orElseThrow();
@@ -167,7 +168,7 @@
         try {
             group.start(pooler(new AtomicReference<>()));
             World.await("led", group::isLeader);
-            byte[] newer = new FollowRequest(FollowRequest.VERSION + 1, 0, 0, "", "", false, false, "").write();
+            byte[] newer = new WatchRequest(WatchRequest.VERSION + 1, 0, 0, "", "", false, false, "").write();
             GroupClient.Result said =
                     new GroupClient("plant", members, null).call("follow", List.of(newer), false, 5_000);
             assertEquals(
--- a/faultinjection/src/main/java/lupinvalve/replication/SimulatedDisk.java
+++ b/faultinjection/src/main/java/lupinvalve/replication/SimulatedDisk.java
@@ -67,11 +67,11 @@
     }
 
     @Override
-    public Out create(String name) throws IOException {
+    public AppendFile create(String name) throws IOException {
         reserve(0);
         File file = new File();
         files.put(name, file);
-        return new Out() {
+        return new AppendFile() {
             /** Whether the last write had no command. */
             private boolean voteRecord;
 
--- a/faultinjection/src/test/java/lupinvalve/replication/SegmentedLogTest.java
+++ b/faultinjection/src/test/java/lupinvalve/replication/SegmentedLogTest.java
@@ -37,7 +37,7 @@
     }
 
     private static void begin(SegmentedLog log) throws IOException {
-        log.keep(new ClusterBootstrap.Announcement(ME, ClusterBootstrap.Phase.BOOTSTRAPPED, Set.of(ME)));
+        log.persistAnnouncement(new ClusterBootstrap.Announcement(ME, ClusterBootstrap.Phase.BOOTSTRAPPED, Set.of(ME)));
         log.persistAndFlushLocalEndpoint(RaftCodec.FACTORY
                 .createRaftEndpointPersistentStateBuilder()
                 .setLocalEndpoint(new MemberEndpoint(ME))
@@ -151,7 +151,7 @@
     @Test
     void termVoteMembersAndWhatWasAcceptedOutliveSegments() throws Exception {
         SegmentedLog log = written();
-        log.accepted(12);
+        log.advanceCommitIndex(12);
         ReplicatedState ledger = new ReplicatedState();
         for (int i = 1; i <= 15; i++) {
             ledger.apply(i, CommandCodec.decode((byte[]) entry(i, 3).getOperation()));
@@ -191,14 +191,15 @@
     @Test
     void aRestartKnowsByItselfWhatWasAccepted() throws Exception {
         SegmentedLog log = written();
-        log.accepted(12);
+        log.advanceCommitIndex(12);
         log.flush();
         SegmentedLog again = open(disk);
         assertEquals(12, RaftReplica.committedState(again).revision());
-        assertEquals(3, again.restored().getTermPersistentState().getTerm());
+        assertEquals(3, again.restoredState().getTermPersistentState().getTerm());
         assertEquals(
-                ME, MemberEndpoint.of(again.restored().getTermPersistentState().getVotedFor()));
-        assertEquals(20, again.restored().getLogEntries().size());
+                ME,
+                MemberEndpoint.of(again.restoredState().getTermPersistentState().getVotedFor()));
+        assertEquals(20, again.restoredState().getLogEntries().size());
     }
 
     @Test
--- a/replication/src/main/java/lupinvalve/replication/FolderVerification.java
+++ b/replication/src/main/java/lupinvalve/replication/FolderVerification.java
@@ -28,9 +28,9 @@
             ReplicatedState.Document document = state.document();
             List<String> files = new ArrayList<>(disk.names());
             return Json.object(out -> {
-                out.writeStringField("member", log.word().member().toString());
-                out.writeStringField("phase", log.word().phase().statusName());
-                out.writeNumberField("term", log.termNumber());
+                out.writeStringField("member", log.announcement().member().toString());
+                out.writeStringField("phase", log.announcement().phase().statusName());
+                out.writeNumberField("term", log.currentTerm());
                 out.writeNumberField("last_change", log.lastIndex());
                 out.writeNumberField("accepted_change", state.appliedIndex());
                 out.writeNumberField("revision", state.revision());
--- a/replication/src/test/java/lupinvalve/replication/FrameSamples.java
+++ b/replication/src/test/java/lupinvalve/replication/FrameSamples.java
@@ -24,8 +24,8 @@
 import lupinvalve.statemachine.ReplicatedState;
 import lupinvalve.statemachine.SnapshotCodec;
 import lupinvalve.subscription.DocumentDelta;
-import lupinvalve.subscription.FollowAnswer;
-import lupinvalve.subscription.FollowRequest;
+import lupinvalve.subscription.WatchRequest;
+import lupinvalve.subscription.WatchResponse;
 
 /** One message of each kind that goes between members, by the name under which its recorded frame is stored. */
 final class FrameSamples {
@@ -47,10 +47,10 @@
     record Proposal(long id, Command change) {}
 
     /** A subscriber's request. */
-    record Follow(long id, FollowRequest request) {}
+    record Follow(long id, WatchRequest request) {}
 
     /** What a member answers a subscriber. */
-    record Followed(long id, FollowAnswer answer) {}
+    record Followed(long id, WatchResponse answer) {}
 
     /** A sign of life without content. */
     record Heartbeat() {}
@@ -315,26 +315,28 @@
                         new Cbor.Writer().number(1_250_002).toByteArray()));
     }
 
-    private static FollowAnswer answer(FollowAnswer.News news, Map<Command.DrainTarget, ReplicatedState.Drain> holds) {
-        return new FollowAnswer(2_000_000, 500_000, "", 1_250_002, 20, news, holds);
+    private static WatchResponse answer(
+            WatchResponse.Event news, Map<Command.DrainTarget, ReplicatedState.Drain> holds) {
+        return new WatchResponse(2_000_000, 500_000, "", 1_250_002, 20, news, holds);
     }
 
     private static void subscriptions(Map<String, Object> all) {
         Map<Command.DrainTarget, ReplicatedState.Drain> holds = Map.of(
                 new Command.DrainTarget(Command.TargetKind.NODE, "db-7"), new ReplicatedState.Drain("disk", AT_MICROS),
                 new Command.DrainTarget(Command.TargetKind.POOLER, "p-1"), new ReplicatedState.Drain("", 0));
-        all.put("follow-first", new Follow(1, new FollowRequest(1, 0, 0, "", "", false, false, "")));
+        all.put("follow-first", new Follow(1, new WatchRequest(1, 0, 0, "", "", false, false, "")));
         all.put(
                 "follow",
-                new Follow(2, new FollowRequest(1, 1_250_002, 3, "0011", "2233", true, true, "it can't be read")));
-        all.put("followed-none", new Followed(1, answer(new FollowAnswer.News.None(), null)));
+                new Follow(2, new WatchRequest(1, 1_250_002, 3, "0011", "2233", true, true, "it can't be read")));
+        all.put("followed-none", new Followed(1, answer(new WatchResponse.Event.Unchanged(), null)));
         all.put(
                 "followed-refused",
-                new Followed(1, new FollowAnswer(0, 0, "cut off", 0, 0, new FollowAnswer.News.None(), Map.of())));
+                new Followed(
+                        1, new WatchResponse(0, 0, "cut off", 0, 0, new WatchResponse.Event.Unchanged(), Map.of())));
         ReplicatedState.Document document = new ReplicatedState.Document(4, 1_250_002, "0011", DOCUMENT);
-        all.put("followed-whole", new Followed(2, answer(new FollowAnswer.News.Whole(document), holds)));
-        FollowAnswer.News differences = new FollowAnswer.News.Differences(
-                4, 1_250_002, "0011", List.of(DocumentDelta.between(BEFORE, DOCUMENT)));
+        all.put("followed-whole", new Followed(2, answer(new WatchResponse.Event.FullDocument(document), holds)));
+        WatchResponse.Event differences =
+                new WatchResponse.Event.Deltas(4, 1_250_002, "0011", List.of(DocumentDelta.between(BEFORE, DOCUMENT)));
         all.put("followed-differences", new Followed(3, answer(differences, null)));
     }
 }
