--- a/capacity/src/main/java/lupinvalve/capacity/CodeFacts.java
+++ b/capacity/src/main/java/lupinvalve/capacity/CodeFacts.java
@@ -79,7 +79,7 @@
 
     static final double WATCH_DOUBTED_SECONDS = 2.25;
     static final double CALL_SECONDS = 1.2;
-    /** {@code HttpDirectory.ANSWER_MOST}. */
+    /** {@code HttpEndpointDiscovery.MAX_ANSWER_BYTES}. */
     static final double LIST_MOST = 4 << 20;
     /** A connection rests for 7/10 of the settings' idle time, others for that over the poolers and at least this. */
     static final double SURPLUS_LEAST_SECONDS = 0.5;
--- a/capacity/src/main/java/lupinvalve/capacity/DiscoveryFigures.java
+++ b/capacity/src/main/java/lupinvalve/capacity/DiscoveryFigures.java
@@ -21,7 +21,7 @@
                 Unit.BYTES,
                 Basis.COMPUTED,
                 "`CodeFactsTest`",
-                "discovery/HttpDirectory.java"));
+                "discovery/HttpEndpointDiscovery.java"));
         out.add(seconds("whole list at a pooler, were the budget to hold in each second", list));
         double zone = d.databasesPerZone() * CodeFacts.LIST_ENTRY;
         out.add(seconds("a zone's db nodes as changes, likewise", zone));
@@ -33,7 +33,7 @@
                 Unit.PER_SECOND,
                 Basis.COMPUTED,
                 "a beat each 2 s",
-                "discovery/HttpDirectory.java"));
+                "discovery/HttpEndpointDiscovery.java"));
         out.add(Figure.of(
                 "a silent watch noticed and replaced, two calls failing",
                 CodeFacts.WATCH_DOUBTED_SECONDS + 2 * CodeFacts.CALL_SECONDS,
@@ -58,7 +58,7 @@
                 "databases",
                 Basis.COMPUTED,
                 "`CodeFactsTest`",
-                "discovery/HttpDirectory.java");
+                "discovery/HttpEndpointDiscovery.java");
     }
 
     private Figure link(String what, double bytes) {
--- a/capacity/src/test/java/lupinvalve/capacity/CodeFactsTest.java
+++ b/capacity/src/test/java/lupinvalve/capacity/CodeFactsTest.java
@@ -9,7 +9,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
-import lupinvalve.discovery.ListReader;
+import lupinvalve.discovery.EndpointListReader;
 import lupinvalve.replication.MessageSizes;
 import lupinvalve.routing.EndpointState;
 import org.junit.jupiter.api.Test;
@@ -63,10 +63,10 @@
     @Test
     void discoverysPacesAreTheProgramsOwn() throws ReflectiveOperationException {
         String schedule = "lupinvalve.discovery.WatchSchedule";
-        assertEquals(CodeFacts.WATCH_BEAT_SECONDS, constant(schedule, "BEAT") / MICROS);
-        assertEquals(CodeFacts.WATCH_DOUBTED_SECONDS, constant(schedule, "DOUBTED") / MICROS);
-        assertEquals(CodeFacts.CALL_SECONDS, constant(schedule, "UNANSWERED") / MICROS);
-        assertEquals(CodeFacts.LIST_MOST, constant("lupinvalve.discovery.HttpDirectory", "ANSWER_MOST"));
+        assertEquals(CodeFacts.WATCH_BEAT_SECONDS, constant(schedule, "HEARTBEAT_MICROS") / MICROS);
+        assertEquals(CodeFacts.WATCH_DOUBTED_SECONDS, constant(schedule, "SUSPECT_AFTER_SILENCE_MICROS") / MICROS);
+        assertEquals(CodeFacts.CALL_SECONDS, constant(schedule, "SUSPECT_UNANSWERED_MICROS") / MICROS);
+        assertEquals(CodeFacts.LIST_MOST, constant("lupinvalve.discovery.HttpEndpointDiscovery", "MAX_ANSWER_BYTES"));
     }
 
     @Test
@@ -97,8 +97,8 @@
                 "{\"id\":\"node-1042\",\"host_port\":\"10.17.3.142:5432\",\"locality\":\"region-1-zone-b\",\"cell\":173,"
                         + "\"phase\":\"in_service\",\"rank\":\"replica\",\"size\":1.0,\"up_since_ms\":1796169600000}";
         String list = "{\"revision\":1,\"complete\":true,\"members\":[" + entry + "]}";
-        ListReader.Listed read =
-                new ListReader(List.of("region-1-zone-b"), null).read(list.getBytes(UTF_8), 0, list.length());
+        EndpointListReader.EndpointList read =
+                new EndpointListReader(List.of("region-1-zone-b"), null).read(list.getBytes(UTF_8), 0, list.length());
         assertEquals(EndpointState.LIVE, read.entries().get(0).endpoint().state());
         assertEquals(CodeFacts.LIST_ENTRY, entry.length() + 1, "entry and comma");
     }
--- a/config/src/main/java/lupinvalve/config/NodeConfig.java
+++ b/config/src/main/java/lupinvalve/config/NodeConfig.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
-import lupinvalve.discovery.ListReader;
+import lupinvalve.discovery.EndpointListReader;
 import lupinvalve.log.Log;
 import lupinvalve.simulator.SettingsReader;
 
@@ -29,7 +29,7 @@
         double cores,
         int memoryMb,
         int sockets,
-        ListReader.Listed known,
+        EndpointListReader.EndpointList known,
         SettingsReader.Site site,
         InetSocketAddress operator) {
     /**
--- a/config/src/main/java/lupinvalve/config/NodeConfigParser.java
+++ b/config/src/main/java/lupinvalve/config/NodeConfigParser.java
@@ -7,7 +7,7 @@
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
 import java.util.List;
-import lupinvalve.discovery.ListReader;
+import lupinvalve.discovery.EndpointListReader;
 import lupinvalve.net.Addresses;
 import lupinvalve.simulator.SettingsReader;
 import lupinvalve.simulator.WireException;
@@ -90,7 +90,7 @@
         if (discovery != null) {
             address(file + ": discovery", discovery);
         }
-        ListReader.Listed known = known(file, new ListReader(site.zones(), mysqlPort));
+        EndpointListReader.EndpointList known = known(file, new EndpointListReader(site.zones(), mysqlPort));
         int openRequests = Math.max(1, sockets / SOCKETS_PER_OPEN_REQUEST);
         return new NodeConfig(
                 name,
@@ -128,7 +128,7 @@
     }
 
     /** Reads the endpoint list in a second pass: it stands before the settings, which name its zones. */
-    private static ListReader.Listed known(Path file, ListReader reader) throws IOException {
+    private static EndpointListReader.EndpointList known(Path file, EndpointListReader reader) throws IOException {
         try (JsonParser in = JSON.createParser(file.toFile())) {
             in.nextToken();
             while (in.nextToken() == JsonToken.FIELD_NAME) {
@@ -140,7 +140,7 @@
                 in.skipChildren();
             }
         }
-        return new ListReader.Listed(0, true, List.of());
+        return new EndpointListReader.EndpointList(0, true, List.of());
     }
 
     private static int count(Path file, JsonParser in, String field) throws IOException {
--- a/daemon/src/main/java/lupinvalve/cli/Daemon.java
+++ b/daemon/src/main/java/lupinvalve/cli/Daemon.java
@@ -16,9 +16,9 @@
 import lupinvalve.core.EndpointDiscovery;
 import lupinvalve.core.EventLoop;
 import lupinvalve.core.Pooler;
-import lupinvalve.discovery.DnsDirectory;
-import lupinvalve.discovery.HttpDirectory;
-import lupinvalve.discovery.ListReader;
+import lupinvalve.discovery.DnsEndpointDiscovery;
+import lupinvalve.discovery.EndpointListReader;
+import lupinvalve.discovery.HttpEndpointDiscovery;
 import lupinvalve.log.Log;
 import lupinvalve.maintenance.ClientDrain;
 import lupinvalve.mysql.MysqlBackend;
@@ -70,8 +70,8 @@
     private final Pooler pooler;
     private final PgFront front;
     // One of them is the directory.
-    private HttpDirectory http;
-    private DnsDirectory dns;
+    private HttpEndpointDiscovery http;
+    private DnsEndpointDiscovery dns;
     private volatile Net.Listener listener;
     // What an operator may turn on.
     private OperatorConfig operator;
@@ -238,17 +238,17 @@
         if (config.discovery() == null) {
             throw new IllegalArgumentException("no discovery in the configuration and no dns_sd");
         }
-        http = new HttpDirectory(
+        http = new HttpEndpointDiscovery(
                 listing,
                 pooler,
                 Addresses.parse(config.discovery()),
-                new ListReader(config.site().zones(), port),
+                new EndpointListReader(config.site().zones(), port),
                 config.known().revision());
         return http;
     }
 
-    private DnsDirectory dnsDirectory(OperatorConfig.DnsSd place) {
-        dns = new DnsDirectory(
+    private DnsEndpointDiscovery dnsDirectory(OperatorConfig.DnsSd place) {
+        dns = new DnsEndpointDiscovery(
                 pooler,
                 Addresses.parse(place.resolver()),
                 place.service(),
--- a/daemon/src/test/java/lupinvalve/discovery/DnsDirectoryTest.java
+++ b/daemon/src/test/java/lupinvalve/discovery/DnsEndpointDiscoveryTest.java
@@ -35,7 +35,7 @@
 import org.xbill.DNS.TXTRecord;
 
 /** Db nodes from DNS-SD records, told by a stand-in for a name server. */
-class DnsDirectoryTest {
+class DnsEndpointDiscoveryTest {
     private static final String SERVICE = "_ledger._tcp.plant.example.";
 
     /** Answers with the records of a zone, or with one error code for all. */
@@ -104,7 +104,7 @@
                         told.add(news);
                     }
                 };
-        DnsDirectory directory = new DnsDirectory(
+        DnsEndpointDiscovery directory = new DnsEndpointDiscovery(
                 pooler, (InetSocketAddress) server.socket.getLocalSocketAddress(), SERVICE, 20_000, 3306, List.of());
         loop.post(() -> directory.subscribe(true));
         World.await("first list", () -> told.size() == 1);
--- a/daemon/src/test/java/lupinvalve/discovery/HttpDirectoryTest.java
+++ b/daemon/src/test/java/lupinvalve/discovery/HttpEndpointDiscoveryTest.java
@@ -35,7 +35,7 @@
 /**
  * What a pooler makes of a discovery that breaks off, falls silent, overlaps or is late: a scripted one on loopback.
  */
-class HttpDirectoryTest {
+class HttpEndpointDiscoveryTest {
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     private static final String PLAIN = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n";
     private static final long SECOND = 1_000_000_000L;
@@ -45,9 +45,9 @@
     private final EventLoop loop = new EventLoop();
     private final Net net = new Net(loop, true);
     private final Pooler pooler;
-    private final HttpDirectory directory;
+    private final HttpEndpointDiscovery directory;
 
-    HttpDirectoryTest() throws IOException {
+    HttpEndpointDiscoveryTest() throws IOException {
         server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         pooler = new Pooler(
                 loop,
@@ -58,11 +58,11 @@
                 super.onEndpointListEvent(news);
             }
         };
-        directory = new HttpDirectory(
+        directory = new HttpEndpointDiscovery(
                 net,
                 pooler,
                 new InetSocketAddress("127.0.0.1", server.getLocalPort()),
-                new ListReader(List.of(), null),
+                new EndpointListReader(List.of(), null),
                 5);
         pooler.discovery(directory);
     }
@@ -415,11 +415,11 @@
             }
         });
         Pooler empty = new Pooler(loop, pooler.settings());
-        HttpDirectory asks = new HttpDirectory(
+        HttpEndpointDiscovery asks = new HttpEndpointDiscovery(
                 net,
                 empty,
                 new InetSocketAddress("127.0.0.1", other.getLocalPort()),
-                new ListReader(List.of(), null),
+                new EndpointListReader(List.of(), null),
                 0);
         empty.discovery(asks);
         loop.post(() -> empty.start(2, List.of()));
--- a/daemon/src/test/java/lupinvalve/discovery/WatchScheduleTest.java
+++ b/daemon/src/test/java/lupinvalve/discovery/WatchScheduleTest.java
@@ -101,9 +101,9 @@
         }
 
         private void arm() {
-            long next = schedule.nextAt();
+            long next = schedule.nextDeadlineMicros();
             if (next != dueAt && next != Long.MAX_VALUE) {
-                at(next, () -> schedule.due(now));
+                at(next, () -> schedule.onDeadline(now));
             }
             dueAt = next;
         }
@@ -117,11 +117,11 @@
             Fate fate = now < reachableAt ? before : calls < fates.size() ? fates.get(calls++) : Fate.ANSWERED;
             switch (fate) {
                 case ANSWERED -> at(now + 1, () -> word(number));
-                case REFUSED, RESET -> at(now + (fate == Fate.RESET ? 10 * MS : 1), () -> schedule.failed(number));
-                case REFUSED_LATE -> at(now + LATE, () -> schedule.failed(number));
-                case REFUSED_LATER -> at(now + LATER, () -> schedule.failed(number));
-                case HEAD_THEN_SILENCE -> at(now + 1, () -> schedule.headed(number, now));
-                case HEAD_LATE_THEN_SILENCE -> at(now + LATE, () -> schedule.headed(number, now));
+                case REFUSED, RESET -> at(now + (fate == Fate.RESET ? 10 * MS : 1), () -> schedule.onFailure(number));
+                case REFUSED_LATE -> at(now + LATE, () -> schedule.onFailure(number));
+                case REFUSED_LATER -> at(now + LATER, () -> schedule.onFailure(number));
+                case HEAD_THEN_SILENCE -> at(now + 1, () -> schedule.onAnswerHead(number, now));
+                case HEAD_LATE_THEN_SILENCE -> at(now + LATE, () -> schedule.onAnswerHead(number, now));
                 default -> {}
             }
         }
@@ -136,7 +136,7 @@
 
         private void word(long number) {
             if (!dropped.contains(number)) {
-                schedule.spoke(number, now);
+                schedule.onMessage(number, now);
                 knownAt = now;
             }
         }
@@ -166,13 +166,13 @@
 
         void beatEvery(long micros, long number) {
             at(now + micros, () -> {
-                schedule.spoke(number, now);
+                schedule.onMessage(number, now);
                 beatEvery(micros, number);
             });
         }
 
         void moveAt(long when) {
-            at(when, () -> schedule.moved(now));
+            at(when, () -> schedule.onAddressChange(now));
         }
     }
 
@@ -233,7 +233,7 @@
         play.run(START + MS);
         assertEquals(START + 1, play.knownAt);
         if (breaks) {
-            play.at(START + 1 + MS, () -> play.schedule.failed(1));
+            play.at(START + 1 + MS, () -> play.schedule.onFailure(1));
         }
         return play;
     }
--- a/discovery/src/main/java/lupinvalve/discovery/DnsDirectory.java
+++ b/discovery/src/main/java/lupinvalve/discovery/DnsEndpointDiscovery.java
@@ -1,5 +1,7 @@
 package lupinvalve.discovery;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
+
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.time.Duration;
@@ -36,10 +38,15 @@
 import org.xbill.DNS.Type;
 
 /**
- * The list from DNS-SD records (RFC 6763): PTR names the instances, SRV where each is, TXT the rest. DNS tells no
- * changes, so it is asked again and again. A failed look-up is no empty list: what was held stays.
+ * Polls the endpoint list from DNS-SD records (RFC 6763): PTR names the instances, SRV the address of each, TXT its
+ * attributes. A failed look-up is no empty list: the endpoints known before stay. Core thread only; look-ups run on a
+ * thread of their own.
  */
-public final class DnsDirectory implements EndpointDiscovery {
+public final class DnsEndpointDiscovery implements EndpointDiscovery {
+    private static final int LOOK_UP_STACK_BYTES = 256 << 10;
+    private static final long SINGLE_FETCH = -1;
+    private static final int BYTE_MASK = 255;
+
     private final Pooler pooler;
     private final EventLoop loop;
     private volatile InetSocketAddress resolver;
@@ -47,17 +54,23 @@
     private long pollMicros;
     private final int mysqlPort;
     private final Map<String, Integer> zones = new HashMap<>();
-    private final ExecutorService asker = Executors.newSingleThreadExecutor(work -> {
-        Thread thread = new Thread(null, work, "dns-sd", 256 << 10);
+    private final ExecutorService lookUpExecutor = Executors.newSingleThreadExecutor(work -> {
+        Thread thread = new Thread(null, work, "dns-sd", LOOK_UP_STACK_BYTES);
         thread.setDaemon(true);
         return thread;
     });
-    private List<DiscoveredEndpoint> told;
+    private List<DiscoveredEndpoint> lastEntries;
     private long subscription;
-    private TimerQueue.Timer next;
+    private TimerQueue.Timer nextPoll;
 
-    /** @param mysqlPort port for MySQL where an instance's TXT record names none */
-    public DnsDirectory(
+    /**
+     * Starts nothing: polls begin with {@link #subscribe}.
+     *
+     * @param pollMicros pause from an answer to the next look-up
+     * @param mysqlPort port for MySQL where an instance's TXT record names none
+     * @param zones the names of zones, in the settings' order
+     */
+    public DnsEndpointDiscovery(
             Pooler pooler,
             InetSocketAddress resolver,
             String service,
@@ -73,7 +86,7 @@
         loop = pooler.loop();
     }
 
-    /** Asks elsewhere, or for another service, from the next look-up on. */
+    /** Sets the resolver, the service and the poll interval from the next look-up on. */
     public void move(InetSocketAddress newResolver, String newService, long newPollMicros) {
         resolver = newResolver;
         service = newService;
@@ -83,21 +96,22 @@
     @Override
     public void subscribe(boolean active) {
         subscription++;
-        loop.cancel(next);
+        loop.cancel(nextPoll);
         if (active) {
-            told = null;
-            ask(subscription);
+            lastEntries = null;
+            poll(subscription);
         }
     }
 
     @Override
     public void fetch() {
-        told = null;
-        ask(-1);
+        lastEntries = null;
+        poll(SINGLE_FETCH);
     }
 
-    private void ask(long of) {
-        asker.execute(() -> {
+    /** Looks up once; {@code ofSubscription} is the subscription to poll for, or {@link #SINGLE_FETCH}. */
+    private void poll(long ofSubscription) {
+        lookUpExecutor.execute(() -> {
             List<DiscoveredEndpoint> found = null;
             try {
                 found = lookUp();
@@ -105,12 +119,12 @@
                 Log.warn("dns-sd: %s", e.getMessage());
             }
             List<DiscoveredEndpoint> entries = found;
-            loop.post(() -> answered(of, entries));
+            loop.post(() -> onLookUpEnded(ofSubscription, entries));
         });
     }
 
-    private void answered(long of, List<DiscoveredEndpoint> entries) {
-        if (of >= 0 && of != subscription) {
+    private void onLookUpEnded(long ofSubscription, List<DiscoveredEndpoint> entries) {
+        if (ofSubscription >= 0 && ofSubscription != subscription) {
             return;
         }
         if (entries == null) {
@@ -118,17 +132,15 @@
             pooler.onEndpointListEvent(new EndpointListEvent(ListForm.UNAVAILABLE, List.of()));
             return;
         }
-        if (!entries.equals(told)) {
-            told = entries;
+        if (!entries.equals(lastEntries)) {
+            lastEntries = entries;
             pooler.onEndpointListEvent(new EndpointListEvent(ListForm.FULL, entries));
         }
-        if (of >= 0) {
-            next = loop.after(pollMicros, () -> ask(of));
+        if (ofSubscription >= 0) {
+            nextPoll = loop.after(pollMicros, () -> poll(ofSubscription));
         }
     }
 
-    // ---- the asking thread ----
-
     private List<DiscoveredEndpoint> lookUp() throws IOException {
         Map<String, List<Record>> known = new HashMap<>();
         Name name = Name.fromString(service, Name.root);
@@ -138,33 +150,34 @@
             instances.add(((PTRRecord) record).getTarget());
         }
         if (instances.isEmpty()) {
-            // A zone that lost its records looks the same as one whose db nodes have all gone; the former is likelier.
+            // A zone that lost its records looks the same as one whose db nodes have all departed; the former is
+            // likelier.
             throw new IOException("no instances of " + service);
         }
         for (Name instance : instances) {
-            List<Record> places = records(instance, Type.SRV, known);
-            if (!places.isEmpty()) {
-                SRVRecord place = (SRVRecord) places.get(0);
-                entries.add(entry(instance, place, address(place.getTarget(), known), text(instance, known)));
+            List<Record> services = records(instance, Type.SRV, known);
+            if (!services.isEmpty()) {
+                SRVRecord server = (SRVRecord) services.get(0);
+                entries.add(entry(instance, server, address(server.getTarget(), known), attributes(instance, known)));
             }
         }
         return entries;
     }
 
-    /** Asks, unless an earlier answer brought the records along. */
+    /** The records of a name; sends a query unless an earlier answer held them. */
     private List<Record> records(Name name, int type, Map<String, List<Record>> known) throws IOException {
         String key = key(name, type);
         if (!known.containsKey(key)) {
-            SimpleResolver asked = new SimpleResolver(resolver);
-            asked.setTimeout(Duration.ofSeconds(1));
-            Message answer = asked.send(Message.newQuery(Record.newRecord(name, type, DClass.IN)));
+            SimpleResolver client = new SimpleResolver(resolver);
+            client.setTimeout(Duration.ofSeconds(1));
+            Message answer = client.send(Message.newQuery(Record.newRecord(name, type, DClass.IN)));
             int code = answer.getRcode();
             if (code != Rcode.NOERROR && code != Rcode.NXDOMAIN) {
                 throw new IOException(name + ": " + Rcode.string(code));
             }
             for (int section : new int[] {Section.ANSWER, Section.ADDITIONAL}) {
                 for (Record record : answer.getSection(section)) {
-                    known.computeIfAbsent(key(record.getName(), record.getType()), k -> new ArrayList<>())
+                    known.computeIfAbsent(key(record.getName(), record.getType()), absent -> new ArrayList<>())
                             .add(record);
                 }
             }
@@ -186,42 +199,38 @@
         throw new IOException(host + " has no address");
     }
 
-    private Map<String, String> text(Name instance, Map<String, List<Record>> known) throws IOException {
-        Map<String, String> pairs = new HashMap<>();
+    private Map<String, String> attributes(Name instance, Map<String, List<Record>> known) throws IOException {
+        Map<String, String> attributes = new HashMap<>();
         for (Record record : records(instance, Type.TXT, known)) {
             for (String pair : ((TXTRecord) record).getStrings()) {
                 int equals = pair.indexOf('=');
                 if (equals > 0) {
-                    // Keys know no case, and of one told twice the first holds (RFC 6763, 6.4).
-                    pairs.putIfAbsent(pair.substring(0, equals).toLowerCase(Locale.ROOT), pair.substring(equals + 1));
+                    // Keys ignore case, and the first of several equal keys holds (RFC 6763, 6.4).
+                    attributes.putIfAbsent(
+                            pair.substring(0, equals).toLowerCase(Locale.ROOT), pair.substring(equals + 1));
                 }
             }
         }
-        return pairs;
+        return attributes;
     }
 
-    private DiscoveredEndpoint entry(Name instance, SRVRecord place, String host, Map<String, String> pairs)
+    private DiscoveredEndpoint entry(Name instance, SRVRecord server, String host, Map<String, String> attributes)
             throws IOException {
         try {
-            EndpointState health =
-                    switch (pairs.getOrDefault("phase", "in_service")) {
-                        case "in_service" -> EndpointState.LIVE;
-                        case "terminating" -> EndpointState.DRAINING;
-                        case "terminated" -> EndpointState.DEPARTED;
-                        default -> throw new IOException(instance + ": phase " + pairs.get("phase"));
-                    };
-            String label = new String(
-                    instance.getLabel(0), 1, instance.getLabel(0)[0] & 255, java.nio.charset.StandardCharsets.UTF_8);
-            int mysql = Integer.parseInt(pairs.getOrDefault("mysql", Integer.toString(mysqlPort)));
+            EndpointState state =
+                    DiscoveryFormat.state(attributes.getOrDefault("phase", "in_service"), instance.toString());
+            String label = new String(instance.getLabel(0), 1, instance.getLabel(0)[0] & BYTE_MASK, UTF_8);
+            int mysql = Integer.parseInt(attributes.getOrDefault("mysql", Integer.toString(mysqlPort)));
             return new DiscoveredEndpoint(
                     new Endpoint(
-                            pairs.getOrDefault("id", label),
-                            Integer.parseInt(pairs.getOrDefault("cell", "0")),
-                            zones.getOrDefault(pairs.getOrDefault("locality", ""), 0),
-                            health,
-                            "source".equals(pairs.get("rank")),
-                            Long.parseLong(pairs.getOrDefault("up_since_ms", "0")) * 1000),
-                    Map.of("pg", host + ":" + place.getPort(), "mysql", host + ":" + mysql));
+                            attributes.getOrDefault("id", label),
+                            Integer.parseInt(attributes.getOrDefault("cell", "0")),
+                            zones.getOrDefault(attributes.getOrDefault("locality", ""), 0),
+                            state,
+                            DiscoveryFormat.isPrimary(attributes.get("rank")),
+                            Long.parseLong(attributes.getOrDefault("up_since_ms", "0"))
+                                    * DiscoveryFormat.MICROS_PER_MILLI),
+                    Map.of("pg", host + ":" + server.getPort(), "mysql", host + ":" + mysql));
         } catch (NumberFormatException e) {
             throw new IOException(instance + ": " + e.getMessage(), e);
         }
--- a/discovery/src/main/java/lupinvalve/discovery/ListReader.java
+++ b/discovery/src/main/java/lupinvalve/discovery/EndpointListReader.java
@@ -12,10 +12,15 @@
 import lupinvalve.routing.Endpoint;
 import lupinvalve.routing.EndpointState;
 
-/** Decodes lists in discovery's form, once, into the few values used. */
-public final class ListReader {
-    /** A list or change with its version. */
-    public record Listed(long revision, boolean complete, List<DiscoveredEndpoint> entries) {}
+/** Maps endpoint lists in discovery's JSON form to {@link DiscoveredEndpoint}s. Immutable; any thread may read. */
+public final class EndpointListReader {
+    /**
+     * An endpoint list or a change of it.
+     *
+     * @param revision discovery's number of the list
+     * @param complete whether all endpoints are listed, not only changed ones
+     */
+    public record EndpointList(long revision, boolean complete, List<DiscoveredEndpoint> entries) {}
 
     private static final JsonFactory JSON = new JsonFactory();
     private final Integer mysqlPort;
@@ -25,20 +30,29 @@
      * @param zones the names of zones, in the settings' order
      * @param mysqlPort port at which db nodes speak MySQL's protocol, or null
      */
-    public ListReader(List<String> zones, Integer mysqlPort) {
+    public EndpointListReader(List<String> zones, Integer mysqlPort) {
         this.mysqlPort = mysqlPort;
         zones.forEach(zone -> this.zones.put(zone, this.zones.size()));
     }
 
-    public Listed read(byte[] bytes, int from, int length) throws IOException {
+    /**
+     * Reads a list from a range of bytes.
+     *
+     * @throws IOException if it is no endpoint list
+     */
+    public EndpointList read(byte[] bytes, int from, int length) throws IOException {
         try (JsonParser in = JSON.createParser(bytes, from, length)) {
             in.nextToken();
             return read(in);
         }
     }
 
-    /** Reads the object that the parser stands at. */
-    public Listed read(JsonParser in) throws IOException {
+    /**
+     * Reads the list whose start the parser has just read.
+     *
+     * @throws IOException if it is no endpoint list
+     */
+    public EndpointList read(JsonParser in) throws IOException {
         if (in.currentToken() != JsonToken.START_OBJECT) {
             throw new IOException("list: not an object");
         }
@@ -59,7 +73,7 @@
                 default -> in.skipChildren();
             }
         }
-        return new Listed(revision, complete, entries);
+        return new EndpointList(revision, complete, entries);
     }
 
     private DiscoveredEndpoint entry(JsonParser in) throws IOException {
@@ -70,7 +84,7 @@
         String zone = "";
         boolean primary = false;
         int cell = 0;
-        long born = 0;
+        long upSinceMicros = 0;
         while (in.nextToken() == JsonToken.FIELD_NAME) {
             String name = in.currentName();
             in.nextToken();
@@ -81,26 +95,21 @@
                 case "locality" -> zone = in.getValueAsString("");
                 case "cell" -> cell = in.getValueAsInt();
                 case "phase" -> phase = in.getValueAsString("");
-                case "rank" -> primary = "source".equals(in.getValueAsString());
-                case "up_since_ms" -> born = in.getValueAsLong() * 1000;
+                case "rank" -> primary = DiscoveryFormat.isPrimary(in.getValueAsString());
+                case "up_since_ms" -> upSinceMicros = in.getValueAsLong() * DiscoveryFormat.MICROS_PER_MILLI;
                 default -> in.skipChildren();
             }
         }
         if (id == null) {
             throw new IOException("list: an entry without id");
         }
-        EndpointState health =
-                switch (phase) {
-                    case "in_service" -> EndpointState.LIVE;
-                    case "terminating" -> EndpointState.DRAINING;
-                    case "terminated" -> EndpointState.DEPARTED;
-                    default -> throw new IOException("list: phase " + phase);
-                };
+        EndpointState state = DiscoveryFormat.state(phase, "list");
         return new DiscoveredEndpoint(
-                new Endpoint(id, cell, zones.getOrDefault(zone, 0), health, primary, born), addresses(address, mysql));
+                new Endpoint(id, cell, zones.getOrDefault(zone, 0), state, primary, upSinceMicros),
+                addresses(address, mysql));
     }
 
-    /** Where an entry names no address for MySQL, its port is the one that the operator gave for all. */
+    /** An entry without an address for MySQL has the port that is configured for all db nodes. */
     private Map<String, String> addresses(String address, String mysql) {
         Map<String, String> addresses = new HashMap<>();
         if (address != null) {
--- a/discovery/src/main/java/lupinvalve/discovery/WatchSchedule.java
+++ b/discovery/src/main/java/lupinvalve/discovery/WatchSchedule.java
@@ -6,36 +6,47 @@
 import java.util.TreeMap;
 
 /**
- * When watches are opened, doubted and given up. A change binds 6 s after discovery had it and could be reached, and 6
- * s after the watch that misses it fell silent: one that may be dead gets a successor beside it. What discovery has
- * written to a call counts as told, read or not, so none is dropped while it may be answered, nor as soon as another
- * has spoken: that would also give up its place among the callers that discovery works through. No I/O, no clock.
+ * Decides when watches of the endpoint list are opened, suspected and closed. A change binds 6 s after discovery had it
+ * and could be reached, and 6 s after the watch that misses it fell silent, so a suspected watch gets a successor
+ * beside it. What discovery has written to a call counts as notified, read or not: a watch is therefore not dropped
+ * while it may still be answered, nor as soon as another has sent a message, which would also give up its place among
+ * the callers that discovery works through. No I/O, no clock: callers pass the time. Not thread-safe.
  */
 final class WatchSchedule {
-    /** From one word of a watch to the next, a beat where nothing has changed, and what the way may add to it. */
-    static final long BEAT = 2_000_000, BEAT_LATE = 200_000;
-    /** A watch that has spoken is doubted after so much silence. */
-    private static final long DOUBTED = BEAT + 250_000;
-    /**
-     * One that has not is doubted after this, and given up after that: an overloaded discovery may answer until then.
-     */
-    private static final long UNANSWERED = 1_200_000, GIVEN_UP = 5_000_000;
-    /** An answer that has begun may say nothing until its first beat. */
-    private static final long FIRST_WORD = 2_600_000;
+    /** The interval of a watch's messages: a heartbeat where nothing has changed. */
+    static final long HEARTBEAT_MICROS = 2_000_000;
+
+    /** What the network may add to the interval. */
+    static final long HEARTBEAT_DELAY_MICROS = 200_000;
+
+    /** A watch that has sent a message is suspected after so much silence. */
+    private static final long SUSPECT_AFTER_SILENCE_MICROS = HEARTBEAT_MICROS + 250_000;
+
+    /** A watch that has sent none is suspected so long after it was opened. */
+    private static final long SUSPECT_UNANSWERED_MICROS = 1_200_000;
+
+    /** A watch that has sent none is closed after this: an overloaded discovery may answer until then. */
+    private static final long ANSWER_TIMEOUT_MICROS = 5_000_000;
+
+    /** An answer that has begun may be silent until its first heartbeat. */
+    private static final long FIRST_MESSAGE_TIMEOUT_MICROS = 2_600_000;
+
+    /** A watch that has sent a message is closed after so much silence. */
+    private static final long SILENCE_TIMEOUT_MICROS = 4_200_000;
 
-    private static final long SILENCE = 4_200_000;
     /**
-     * What is needed no more is read for so long, since discovery may have written to it what the other has yet to
-     * hear.
+     * A superseded watch is read for so long: discovery may have written to it what its successor is yet to receive.
      */
-    private static final long LEAVING = 3_000_000;
-    /** Open at once at most. */
-    private static final int MOST = 4;
+    private static final long SUPERSEDED_READ_MICROS = 3_000_000;
+
+    private static final int MAX_OPEN_WATCHES = 4;
 
-    /** What is to be done; each is told in the call that leads to it. */
+    /** Carries out the decisions, within the call that led to them. */
     interface Calls {
+        /** Opens a watch at the current address. */
         void open(long number);
 
+        /** Closes a watch. */
         void drop(long number);
 
         /** The newest has failed, and none is opened until {@link WatchSchedule#subscribe} is called. */
@@ -43,60 +54,68 @@
     }
 
     private static final class Watch {
-        private final long number, address;
-        private long doubtAt, endAt;
-        /** Whether it has said anything, and whether another does its work. */
-        private boolean spoken, leaving;
+        private final long number;
+        private final long address;
+        private long suspectAtMicros;
+        private long endAtMicros;
+        private boolean hasSentMessage;
+
+        /** Another watch has taken over; this one is only read until its end. */
+        private boolean superseded;
 
-        Watch(long number, long address, long now) {
+        Watch(long number, long address, long nowMicros) {
             this.number = number;
             this.address = address;
-            doubtAt = now + UNANSWERED;
-            endAt = now + GIVEN_UP;
+            suspectAtMicros = nowMicros + SUSPECT_UNANSWERED_MICROS;
+            endAtMicros = nowMicros + ANSWER_TIMEOUT_MICROS;
         }
     }
 
     private final Calls calls;
     private final TreeMap<Long, Watch> open = new TreeMap<>();
-    /** The one relied on: the newest, until one opened before it is answered after all. */
+
+    /** The watch relied on: the newest, until one opened before it is answered after all. */
     private Watch newest;
 
     private boolean active;
-    private long count, addresses;
+    private long openedCount;
+    private long addressCount;
 
     WatchSchedule(Calls calls) {
         this.calls = calls;
     }
 
-    /** A watch that is up, or on its way up, has its own deadlines: asking again does not replace it. */
-    void subscribe(boolean wanted, long now) {
+    /** Starts or ends watching. A watch that is open or connecting has its own deadlines and is not replaced. */
+    void subscribe(boolean wanted, long nowMicros) {
         active = wanted;
         if (!wanted) {
             List.copyOf(open.keySet()).forEach(this::drop);
             newest = null;
         } else if (newest == null) {
-            openNext(now);
+            openNext(nowMicros);
         }
     }
 
-    /** Discovery has another address: the watches at the former one stay until one at the new has spoken. */
-    void moved(long now) {
-        addresses++;
+    /**
+     * Discovery has another address: watches of the former one stay until one of the new address has sent a message.
+     */
+    void onAddressChange(long nowMicros) {
+        addressCount++;
         if (active) {
-            openNext(now);
+            openNext(nowMicros);
         }
     }
 
-    private void openNext(long now) {
-        if (open.size() >= MOST) {
-            // The one that would end first is the least likely to say anything more.
-            Watch worst = null;
+    private void openNext(long nowMicros) {
+        if (open.size() >= MAX_OPEN_WATCHES) {
+            // The one that would end first is the least likely to send anything more.
+            Watch earliest = null;
             for (Watch watch : open.values()) {
-                worst = worst == null || watch.endAt < worst.endAt ? watch : worst;
+                earliest = earliest == null || watch.endAtMicros < earliest.endAtMicros ? watch : earliest;
             }
-            drop(worst.number);
+            drop(earliest.number);
         }
-        newest = new Watch(++count, addresses, now);
+        newest = new Watch(++openedCount, addressCount, nowMicros);
         open.put(newest.number, newest);
         calls.open(newest.number);
     }
@@ -106,38 +125,39 @@
         calls.drop(number);
     }
 
-    /** Its answer has begun. */
-    void headed(long number, long now) {
+    /** The head of a watch's answer has arrived. */
+    void onAnswerHead(long number, long nowMicros) {
         Watch watch = open.get(number);
-        if (watch != null && !watch.leaving) {
-            watch.endAt = Math.max(watch.endAt, now + FIRST_WORD);
+        if (watch != null && !watch.superseded) {
+            watch.endAtMicros = Math.max(watch.endAtMicros, nowMicros + FIRST_MESSAGE_TIMEOUT_MICROS);
         }
     }
 
-    /** It has said something whole: a beat, or an object. Half of one may never be finished. */
-    void spoke(long number, long now) {
+    /** A watch has sent a complete heartbeat or object; half of one may never be completed. */
+    void onMessage(long number, long nowMicros) {
         Watch watch = open.get(number);
-        if (watch == null || watch.leaving) {
+        if (watch == null || watch.superseded) {
             return;
         }
-        watch.doubtAt = now + DOUBTED;
-        watch.endAt = now + SILENCE;
-        boolean first = !watch.spoken;
-        watch.spoken = true;
+        watch.suspectAtMicros = nowMicros + SUSPECT_AFTER_SILENCE_MICROS;
+        watch.endAtMicros = nowMicros + SILENCE_TIMEOUT_MICROS;
+        boolean first = !watch.hasSentMessage;
+        watch.hasSentMessage = true;
         for (Watch other : open.values()) {
-            boolean before = other.number < number;
-            // Opened beside this one as it was slow to answer: it is needed no more.
-            boolean spare = first && other.number > number && !other.spoken && other.address == watch.address;
-            if (!other.leaving && (before || spare)) {
-                other.leaving = true;
-                other.endAt = now + LEAVING;
+            boolean older = other.number < number;
+            // Opened beside this one as it was slow to answer.
+            boolean redundant =
+                    first && other.number > number && !other.hasSentMessage && other.address == watch.address;
+            if (!other.superseded && (older || redundant)) {
+                other.superseded = true;
+                other.endAtMicros = nowMicros + SUPERSEDED_READ_MICROS;
                 newest = other == newest ? watch : newest;
             }
         }
     }
 
-    /** It has ended, or can't be understood. */
-    void failed(long number) {
+    /** A watch has ended, or its answer is malformed. */
+    void onFailure(long number) {
         Watch watch = open.get(number);
         if (watch == null) {
             return;
@@ -149,8 +169,8 @@
         }
     }
 
-    /** Whether only this one is open, so that nothing has been told on another. */
-    boolean alone(long number) {
+    /** Whether only this watch is open, so that no other can have been notified of a change. */
+    boolean isOnlyOpen(long number) {
         return open.size() == 1 && open.containsKey(number);
     }
 
@@ -158,24 +178,25 @@
         return open.size();
     }
 
-    /** When {@link #due} is to be called, or {@link Long#MAX_VALUE}. */
-    long nextAt() {
-        long next = newest == null ? Long.MAX_VALUE : newest.doubtAt;
+    /** When {@link #onDeadline} is to be called, or {@link Long#MAX_VALUE}. */
+    long nextDeadlineMicros() {
+        long next = newest == null ? Long.MAX_VALUE : newest.suspectAtMicros;
         for (Watch watch : open.values()) {
-            next = Math.min(next, watch.endAt);
+            next = Math.min(next, watch.endAtMicros);
         }
         return next;
     }
 
-    void due(long now) {
+    /** Closes watches whose time is over and opens a successor of a suspected one. */
+    void onDeadline(long nowMicros) {
         for (Map.Entry<Long, Watch> entry : new ArrayList<>(open.entrySet())) {
-            if (now >= entry.getValue().endAt) {
-                failed(entry.getKey());
+            if (nowMicros >= entry.getValue().endAtMicros) {
+                onFailure(entry.getKey());
             }
         }
-        if (newest != null && now >= newest.doubtAt) {
-            newest.doubtAt = Long.MAX_VALUE;
-            openNext(now);
+        if (newest != null && nowMicros >= newest.suspectAtMicros) {
+            newest.suspectAtMicros = Long.MAX_VALUE;
+            openNext(nowMicros);
         }
     }
 }
