--- a/hotrestart/src/main/java/lupinvalve/hotrestart/DrainCommandsFile.java
+++ b/hotrestart/src/main/java/lupinvalve/hotrestart/DrainCommandsFile.java
@@ -24,10 +24,10 @@
  */
 public final class DrainCommandsFile {
     private static final JsonFactory JSON = new JsonFactory();
-    /** The stored name of {@link DrainCommands#out}. */
+    /** The stored name of {@link DrainCommands#drained()}. */
     private static final String DRAINED_FIELD = "out";
-    /** The stored name of {@link DrainCommands#back}. */
-    private static final String RETURNED_FIELD = "back";
+    /** The stored name of {@link DrainCommands#restoredAtMicros()}. */
+    private static final String RESTORED_FIELD = "back";
     /** More than a pooler ever writes. */
     private static final long MAX_FILE_BYTES = 1 << 20;
     /** Stands for the content of a file that is too long to be read; no JSON. */
@@ -112,20 +112,20 @@
 
     private DrainCommands decode(byte[] content, DrainCommands current) {
         Set<String> drained = new HashSet<>();
-        Map<String, Long> returned = new HashMap<>();
+        Map<String, Long> restored = new HashMap<>();
         try (JsonParser in = JSON.createParser(content)) {
             expect(in, in.nextToken() == JsonToken.START_OBJECT);
             while (in.nextToken() == JsonToken.FIELD_NAME) {
                 if (in.currentName().equals(DRAINED_FIELD)) {
                     readDrained(in, drained);
                 } else {
-                    expect(in, in.currentName().equals(RETURNED_FIELD));
-                    readReturned(in, returned);
+                    expect(in, in.currentName().equals(RESTORED_FIELD));
+                    readRestored(in, restored);
                 }
             }
             expect(in, in.currentToken() == JsonToken.END_OBJECT && in.nextToken() == null);
             errorReported = false;
-            return new DrainCommands(drained, returned);
+            return new DrainCommands(drained, restored);
         } catch (IOException e) {
             report("is corrupt, what could be read is merged with the current commands: " + e.getMessage());
             return current.union(new DrainCommands(drained, Map.of()));
@@ -140,12 +140,12 @@
         }
     }
 
-    private static void readReturned(JsonParser in, Map<String, Long> returned) throws IOException {
+    private static void readRestored(JsonParser in, Map<String, Long> restored) throws IOException {
         expect(in, in.nextToken() == JsonToken.START_OBJECT);
         while (hasNext(in)) {
             String id = in.currentName();
             expect(in, in.nextToken() == JsonToken.VALUE_NUMBER_INT);
-            returned.put(id, in.getLongValue());
+            restored.put(id, in.getLongValue());
         }
     }
 
@@ -170,9 +170,9 @@
                 out.writeString(id);
             }
             out.writeEndArray();
-            out.writeObjectFieldStart(RETURNED_FIELD);
-            for (Map.Entry<String, Long> returned : commands.restoredAtMicros().entrySet()) {
-                out.writeNumberField(returned.getKey(), returned.getValue());
+            out.writeObjectFieldStart(RESTORED_FIELD);
+            for (Map.Entry<String, Long> restored : commands.restoredAtMicros().entrySet()) {
+                out.writeNumberField(restored.getKey(), restored.getValue());
             }
             out.writeEndObject();
             out.writeEndObject();
--- a/replication/src/main/java/lupinvalve/replication/AuditLog.java
+++ b/replication/src/main/java/lupinvalve/replication/AuditLog.java
@@ -19,8 +19,8 @@
     private static final int MAX_INCARNATIONS = 8;
     private static final int MAX_BATCH_ENTRIES = 100;
     /**
-     * The platform's clock is read once at the start and goes on by the monotonic one: what an hour of those may
-     * differ.
+     * By how much a pooler's clock may be off: the platform's is read once at the start and advanced by the monotonic
+     * one, and this is what the two may differ by after an hour.
      */
     private static final long CLOCK_ERROR_MICROS = 20_000;
 
--- a/replication/src/main/java/lupinvalve/replication/RequestHandler.java
+++ b/replication/src/main/java/lupinvalve/replication/RequestHandler.java
@@ -96,7 +96,8 @@
         switch (name) {
             case PROPOSE -> replica.propose(
                     CommandCodec.decode(request.arguments().get(0)), responder.whenForwardedCommitted());
-            case "get" -> replica.readBarrier(responder.whenCompleted(ignored -> status.document(bare(request))));
+            case "get" -> replica.readBarrier(
+                    responder.whenCompleted(ignored -> status.document(wantsSecrets(request))));
             case "put" -> put(request, responder);
             case "hold" -> replica.propose(
                     new Command.StartDrain(
@@ -124,7 +125,7 @@
     }
 
     /** Whether an operator asks for a document with its secrets. */
-    private static boolean bare(WireMessages.Request request) {
+    private static boolean wantsSecrets(WireMessages.Request request) {
         return !request.arguments().isEmpty() && request.arguments().get(0).length > 0;
     }
 
@@ -163,7 +164,7 @@
                         strictIfRequested(request, 2, responder).whenCommitted());
     }
 
-    /** Another member requests a lease, or this one's own operator sees why there is none. */
+    /** Answers a request for a lease: its length, or why there is none. */
     private void lease(WireMessages.Request request, Responder responder) throws InvalidRequestException {
         // A member of an earlier version has no subscribers.
         long followersIndex = request.arguments().size() > LEASE_FOLLOWERS_ARGUMENT
--- a/replication/src/main/java/lupinvalve/replication/SessionCommitPublisher.java
+++ b/replication/src/main/java/lupinvalve/replication/SessionCommitPublisher.java
@@ -16,7 +16,9 @@
  * group's thread.
  */
 final class SessionCommitPublisher {
-    /** Callbacks that wait at once; those beyond run when their own time limit is over. */
+    /**
+     * Callbacks that wait at once; those beyond are dropped, and the caller's own time limit ends what they wait for.
+     */
     private static final int MAX_WAITING_CALLBACKS = 10_000;
 
     private final EventLoop loop;
--- a/routing/src/main/java/lupinvalve/routing/HealthChecker.java
+++ b/routing/src/main/java/lupinvalve/routing/HealthChecker.java
@@ -29,7 +29,10 @@
         private long startedMicros = Long.MIN_VALUE / 2;
         private int failures;
 
-        /** Checks that have failed since one succeeded or the server answered otherwise. */
+        /**
+         * Checks that have failed since one succeeded; an answered attempt leaves {@link HealthChecker#MAX_FAILURES} at
+         * most.
+         */
         int failures() {
             return failures;
         }
@@ -121,7 +124,7 @@
         server.healthCheck.failures = outcome == AttemptOutcome.SERVED ? 0 : server.healthCheck.failures + 1;
     }
 
-    /** The server answered an attempt. */
+    /** The server answered an attempt: the backoff that further failures have built up is off. */
     void serverAnswered(Server server) {
         server.healthCheck.failures = Math.min(server.healthCheck.failures, MAX_FAILURES);
     }
--- a/routing/src/main/java/lupinvalve/routing/InFlightLimit.java
+++ b/routing/src/main/java/lupinvalve/routing/InFlightLimit.java
@@ -17,7 +17,9 @@
     /** The limit grows only while this part of it is used. */
     private static final double GROWTH_USE_RATIO = 0.6;
 
+    /** Growth with each call of {@link #adapt} that finds most of the limit in use. */
     private static final double GROWTH_ATTEMPTS = 0.5;
+    /** What a rejection by a full server leaves of the limit. */
     private static final double REJECTED_CUT_RATIO = 0.8;
     /** Pressure that a rejection by a full server counts as. */
     private static final double REJECTED_PRESSURE_RATIO = 1.5;
--- a/routing/src/main/java/lupinvalve/routing/PrimarySearch.java
+++ b/routing/src/main/java/lupinvalve/routing/PrimarySearch.java
@@ -5,9 +5,10 @@
  * members are checked in turn while requests wait.
  */
 final class PrimarySearch {
-    /** Pause between members that get a write; so many of them after the last member. */
+    /** Pause between two members that get a write. */
     private static final long ATTEMPT_INTERVAL_MICROS = 40_000;
 
+    /** After the last member the pause is so many times as long. */
     private static final long ROUND_PAUSE_INTERVALS = 3;
     /** In this time a group's members are checked, or as many as requests wait. */
     private static final long CHECK_ROUND_MICROS = 150_000;
--- a/routing/src/main/java/lupinvalve/routing/ReplicationLag.java
+++ b/routing/src/main/java/lupinvalve/routing/ReplicationLag.java
@@ -50,7 +50,8 @@
 
     /**
      * Whether a replica may be sent a read that needs a position: at a proven one; where servers check it themselves,
-     * also by the lag last seen, the less after each attempt, or attempts are used up within a moment.
+     * also where the lag last seen makes it likely, with less allowance after each attempt: a replica that is behind
+     * refuses at once, and all attempts would be used up within a moment.
      */
     boolean isFresh(Server server, long requiredPosition, int earlierAttempts) {
         State state = server.lag;
--- a/routing/src/main/java/lupinvalve/routing/RequestQueue.java
+++ b/routing/src/main/java/lupinvalve/routing/RequestQueue.java
@@ -7,8 +7,8 @@
 
 /**
  * The request queue: requests that no server may have now wait here, until {@link QueueDeadline}. Writes go first, then
- * classes by priority weight for the time they are given; within a class the newest go first, so that under overload
- * some answers are in time, and clients' retries last.
+ * the others; among each, classes by priority weight over latency objective. Within a class the newest go first, so
+ * that under overload some answers are in time, and clients' retries go last.
  */
 final class RequestQueue {
     /** Part of the requests that clients can have open which may wait, so that other groups' clients find room. */
--- a/statemachine/src/main/java/lupinvalve/statemachine/SessionCommitBatcher.java
+++ b/statemachine/src/main/java/lupinvalve/statemachine/SessionCommitBatcher.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /**
- * Batches the sessions' commits of one pooler for the log, one batch in flight at a time: each costs the group a sync
+ * Batches the sessions' commits of one pooler for the log, one batch in flight at a time: each costs the group a force
  * of its disks however much it carries. Holds no more sessions than the {@link SessionTable}. Not thread-safe; times
  * are of one monotonic clock.
  */
@@ -23,7 +23,10 @@
     private long waitingSinceMicros;
     private long notBeforeMicros;
 
-    /** Adds a commit; returns its batch's number, which {@link #onBatchAnswered} reaches once a quorum has it. */
+    /**
+     * Adds a commit, unless so many other sessions wait that the table would drop it. Returns its batch's number, which
+     * {@link #onBatchAnswered} reaches once a quorum has the batch.
+     */
     public long add(String session, long position, long nowMicros) {
         if (waiting.isEmpty()) {
             waitingSinceMicros = nowMicros;
