--- a/core/src/main/java/lupinvalve/core/EventLoop.java
+++ b/core/src/main/java/lupinvalve/core/EventLoop.java
@@ -99,7 +99,7 @@
             try {
                 runTurn();
             } catch (InterruptedException e) {
-                Log.warn("core thread interrupted");
+                Log.warn("%s thread interrupted", thread.getName());
             }
         }
     }
@@ -138,11 +138,11 @@
      * Keeps one connection's fault from ending the thread that serves all the others. Errors too: a class that can't be
      * loaded or a stack that is too deep for one request would leave a process that listens and answers nobody.
      */
-    private static void runGuarded(Runnable task) {
+    private void runGuarded(Runnable task) {
         try {
             task.run();
         } catch (RuntimeException | Error e) {
-            Log.failure("core", e);
+            Log.failure(thread.getName(), e);
         }
     }
 }
