--- a/routing/src/main/java/lupinvalve/routing/Admission.java
+++ b/routing/src/main/java/lupinvalve/routing/Admission.java
@@ -1,6 +1,9 @@
 package lupinvalve.routing;
 
-/** Whether a server may be sent a request now: in-flight limit, load shedding and slow start, in this order. */
+/**
+ * Decides whether an attempt of a request may be started at a server now. Applies the in-flight limit, load shedding and
+ * slow start, in this order; the first of them that rejects determines the result.
+ */
 final class Admission {
     private final InFlightLimit limit;
     private final LoadShedding shedding;
@@ -13,9 +16,10 @@
     }
 
     /**
-     * Judges one request at one server; asking may use up slow start budget.
+     * Decides for one request at one server. A call can use up slow start budget of the server, even if the caller then
+     * starts no attempt.
      *
-     * @param limitRatio part of the server's in-flight limit that the request may fill
+     * @param limitRatio the part of the server's in-flight limit, from 0 to 1, that attempts of this kind may fill
      */
     AdmissionResult admit(Server server, PendingRequest request, double limitRatio) {
         if (!limit.hasCapacity(server, limitRatio)) {
--- a/routing/src/main/java/lupinvalve/routing/AdmissionResult.java
+++ b/routing/src/main/java/lupinvalve/routing/AdmissionResult.java
@@ -1,12 +1,12 @@
 package lupinvalve.routing;
 
-/** Whether a server may be sent a request now. */
+/** The result of {@link Admission#admit}: whether an attempt may be started at a server now, and if not, why. */
 enum AdmissionResult {
     ADMITTED,
-    /** As much is in flight as the server may have, or it just rejected an attempt. */
+    /** The server's in-flight limit is reached, or the server rejected an attempt within the last moments. */
     AT_LIMIT,
-    /** The server is in slow start and has had its part. */
+    /** The server is in slow start, and its share of requests is used up for now. */
     IN_SLOW_START,
-    /** Load shedding rejects the request; queueing it would not help. */
+    /** Load shedding rejects the request. The request is then rejected rather than queued, as waiting would not help. */
     SHED
 }
--- a/routing/src/main/java/lupinvalve/routing/AttemptDispatcher.java
+++ b/routing/src/main/java/lupinvalve/routing/AttemptDispatcher.java
@@ -1,6 +1,9 @@
 package lupinvalve.routing;
 
-/** Starts attempts and takes them off the books when they end. At most one attempt of a request is in flight. */
+/**
+ * Starts attempts, and removes them from the state of their request and server when they end. At most one attempt of a
+ * request is in flight at a time.
+ */
 final class AttemptDispatcher {
     private final RouterContext context;
     private final AttemptTimeout timeouts;
@@ -21,23 +24,24 @@
         this.retryPolicy = retryPolicy;
     }
 
-    /** Starts an attempt of a request at a server that has admitted it. */
+    /** Starts an attempt of a request at a server for which {@link Admission} has admitted the request. */
     void start(PendingRequest request, Server server) {
-        long now = context.nowMicros();
-        double overdueAfter = timeouts.overdueAfterMicros(server, request);
+        long nowMicros = context.nowMicros();
+        double overdueAfterMicros = timeouts.overdueAfterMicros(server, request);
         boolean unsafe = request.requestClass.effect() == RequestClass.Effect.UNSAFE;
-        long idle = idleTimeout.beforeAttempt(server, unsafe);
-        long timeout = timeouts.timeoutMicros(request, overdueAfter, idle);
-        long startWithin = timeouts.startWithinMicros(request, timeout);
+        long idleMicros = idleTimeout.beforeAttempt(server, unsafe);
+        long timeoutMicros = timeouts.timeoutMicros(request, overdueAfterMicros, idleMicros);
+        long startWithinMicros = timeouts.startWithinMicros(request, timeoutMicros);
         int number = retryPolicy.attemptStarted(request);
-        Attempt attempt = new Attempt(request, number, server, now, now + (long) overdueAfter, idle);
+        Attempt attempt = new Attempt(
+                request, number, server, nowMicros, nowMicros + (long) overdueAfterMicros, idleMicros);
         request.setInFlight(attempt);
         server.inFlight.add(attempt);
         slowStart.attemptStarted(server);
-        context.perform(new RouterAction.StartAttempt(request.id(), server.id, timeout, startWithin));
+        context.perform(new RouterAction.StartAttempt(request.id(), server.id, timeoutMicros, startWithinMicros));
     }
 
-    /** An attempt has ended. */
+    /** Records that an attempt has ended. */
     void ended(Attempt attempt, AttemptOutcome outcome) {
         attempt.request().setInFlight(null);
         attempt.server().inFlight.remove(attempt);
--- a/routing/src/main/java/lupinvalve/routing/AttemptFeedback.java
+++ b/routing/src/main/java/lupinvalve/routing/AttemptFeedback.java
@@ -1,6 +1,9 @@
 package lupinvalve.routing;
 
-/** What the end of an attempt shows of its server: tells each rule that has to know. */
+/**
+ * Evaluates how an attempt ended as evidence about its server, and updates each rule that depends on it: outlier
+ * detection, restart detection, in-flight limit, load statistics and idle timeout.
+ */
 final class AttemptFeedback {
     private final RouterContext context;
     private final OutlierDetection outliers;
@@ -27,16 +30,21 @@
         this.idleTimeout = idleTimeout;
     }
 
-    void attemptEnded(Attempt attempt, AttemptOutcome outcome, long latencyMicros) {
+    /**
+     * Updates the rules with the end of one attempt.
+     *
+     * @param elapsedMicros the time from the attempt's start to its end
+     */
+    void attemptEnded(Attempt attempt, AttemptOutcome outcome, long elapsedMicros) {
         Server server = attempt.server();
         switch (outcome) {
-            case SERVED -> served(server, attempt.request(), latencyMicros);
+            case SERVED -> served(server, attempt.request(), elapsedMicros);
             case MISSED, ERROR -> answered(server);
             case REJECTED -> {
                 answered(server);
                 limit.serverRejected(server);
             }
-            case TIMED_OUT -> timedOut(server, attempt, latencyMicros);
+            case TIMED_OUT -> timedOut(server, attempt, elapsedMicros);
             case NOT_CONNECTED -> connectionFailed(server);
             case BROKEN -> {
                 if (outliers.recordBrokenConnection(server)) {
@@ -66,18 +74,23 @@
         outliers.recordFailedConnection(server);
     }
 
-    /** One lost attempt proves little, least of all when the client's own time cut it short. */
+    /**
+     * A timeout counts as silence of the server only if the server has answered nothing since the attempt started and the
+     * attempt is overdue; one that the client's deadline cut short earlier proves too little. Any other timeout counts
+     * as a late answer.
+     */
     private void timedOut(Server server, Attempt attempt, long elapsedMicros) {
         boolean silent = server.outlier.lastAnswerMicros() < attempt.startedMicros()
                 && context.nowMicros() >= attempt.overdueMicros();
         if (silent && idleTimeout.mayHaveBeenDropped(attempt)) {
-            // The connection may be what was lost: the next attempt on a new one will tell.
+            // The idle connection may have been dropped rather than the server be down: the next attempt, on a new
+            // connection, shows which.
             idleTimeout.connectionDropped(attempt);
         } else if (silent) {
             outliers.recordSilentTimeout(server);
         } else {
-            long objective = attempt.request().requestClass.latencyObjectiveMicros();
-            limit.attemptTimedOut(server, (double) elapsedMicros / objective);
+            long objectiveMicros = attempt.request().requestClass.latencyObjectiveMicros();
+            limit.attemptTimedOut(server, (double) elapsedMicros / objectiveMicros);
         }
     }
 }
--- a/routing/src/main/java/lupinvalve/routing/AttemptOutcome.java
+++ b/routing/src/main/java/lupinvalve/routing/AttemptOutcome.java
@@ -2,26 +2,26 @@
 
 /** How an attempt or a health check ended. */
 public enum AttemptOutcome {
-    /** The server answered the request. */
+    /** The server answered the request without an error. */
     SERVED(false),
-    /** The server answered with an error. */
+    /** The server answered the request with an error. */
     ERROR(false),
-    /** The server was full and rejected the request unseen. */
+    /** The server was at its capacity and rejected the request without running it. */
     REJECTED(true),
-    /** No answer came in the attempt's time. */
+    /** No answer arrived within the attempt's timeout. */
     TIMED_OUT(false),
-    /** No connection came up. */
+    /** No connection to the server could be established. */
     NOT_CONNECTED(true),
-    /** The connection broke with the request on it. */
+    /** The connection closed or failed after the request had been sent on it. */
     BROKEN(false),
-    /** The attempt was called off. */
+    /** The attempt was cancelled. */
     CANCELLED(false),
-    /** Nothing of the request was handed to a socket. */
+    /** The attempt ended before any byte of the request was written to a socket. */
     NOT_SENT(true),
-    /** The server may not answer it: too far behind for the read, or not the primary for the write. */
+    /** The server can't answer the request: its data is too old for the read, or it isn't the primary that the write needs. */
     MISSED(true);
 
-    /** True where the outcome proves that the request did not run. */
+    /** Whether this outcome proves that the server did not run the request. */
     public final boolean neverRan;
 
     AttemptOutcome(boolean neverRan) {
--- a/routing/src/main/java/lupinvalve/routing/AttemptTimeout.java
+++ b/routing/src/main/java/lupinvalve/routing/AttemptTimeout.java
@@ -1,14 +1,21 @@
 package lupinvalve.routing;
 
-/** For how long an attempt is waited for, by the latency that its server and class lead one to expect. */
+/**
+ * Computes the time limits of an attempt from its expected latency. The expected latency is the service time of the
+ * request's class (see {@link LoadStatistics#serviceTimeMicros}) times the server's current slowdown (see
+ * {@link LoadStatistics#slowdown}). An attempt that takes several times its expected latency is overdue, which counts
+ * against the server's health; after several times longer it is cancelled.
+ */
 final class AttemptTimeout {
-    /** An attempt is overdue after so many times the latency expected. */
+    /** An attempt is overdue after this multiple of its expected latency. */
     private static final double OVERDUE_MULTIPLE = 4;
 
+    /** An attempt is never overdue sooner than this. */
     private static final long MIN_OVERDUE_MICROS = 100_000;
-    /** It is called off after so many times that. */
+    /** An attempt is cancelled after this multiple of the time after which it is overdue. */
     private static final double TIMEOUT_OVERDUE_MULTIPLE = 4;
 
+    /** The server always gets at least this time to begin. */
     private static final long MIN_START_WITHIN_MICROS = 10_000;
     private final RouterContext context;
     private final LoadStatistics load;
@@ -22,30 +29,46 @@
         this.idleTimeout = idleTimeout;
     }
 
-    /** How long after its start an attempt is overdue; servers that wait to catch up have their time for that. */
+    /**
+     * Returns the time in microseconds after its start at which an attempt is overdue: a multiple of its expected latency,
+     * with a lower bound. Where servers check whether they are fresh enough for a read, the time is longer by the time
+     * for which a server may wait to catch up.
+     */
     double overdueAfterMicros(Server server, PendingRequest request) {
-        double expected = OVERDUE_MULTIPLE * load.slowness(server) * load.workMicros(request);
-        double overdue = Math.max(MIN_OVERDUE_MICROS, expected);
+        double multipleOfExpectedMicros = OVERDUE_MULTIPLE * load.slowdown(server) * load.serviceTimeMicros(request);
+        double overdueAfterMicros = Math.max(MIN_OVERDUE_MICROS, multipleOfExpectedMicros);
         if (lag.isCheckedByServers() && !request.isWrite()) {
-            overdue += context.settings().replication().waitMicros();
+            overdueAfterMicros += context.settings().replication().waitMicros();
         }
-        return overdue;
+        return overdueAfterMicros;
     }
 
     /**
-     * When an attempt is called off: what can be retried is so in time for another attempt, and sooner where its
-     * connection is in doubt; what can't has all the time that its client waits.
+     * Returns the time in microseconds after its start at which an attempt is cancelled. A request that may run more than
+     * once is cancelled early enough for another attempt: after {@link #TIMEOUT_OVERDUE_MULTIPLE} times the overdue time,
+     * or already after the overdue time if its idle connection may have been dropped unnoticed. A request that must not
+     * run twice, or for which no time for another attempt would be left, gets all the time until its client's deadline.
+     *
+     * @param overdueAfterMicros the result of {@link #overdueAfterMicros} for the attempt
+     * @param connectionIdleMicros how long the connection that the attempt will use has been idle
      */
-    long timeoutMicros(PendingRequest request, double overdueMicros, long connectionIdleMicros) {
-        long remaining = request.expiresMicros - context.nowMicros();
-        double timeout = overdueMicros * (idleTimeout.isDoubtful(connectionIdleMicros) ? 1 : TIMEOUT_OVERDUE_MULTIPLE);
-        boolean leavesTime = remaining - timeout > load.workMicros(request);
-        return request.requestClass.effect() != RequestClass.Effect.UNSAFE && leavesTime ? (long) timeout : remaining;
+    long timeoutMicros(PendingRequest request, double overdueAfterMicros, long connectionIdleMicros) {
+        long remainingMicros = request.expiresMicros - context.nowMicros();
+        double timeoutMicros =
+                overdueAfterMicros * (idleTimeout.isDoubtful(connectionIdleMicros) ? 1 : TIMEOUT_OVERDUE_MULTIPLE);
+        boolean leavesTimeForRetry = remainingMicros - timeoutMicros > load.serviceTimeMicros(request);
+        return request.requestClass.effect() != RequestClass.Effect.UNSAFE && leavesTimeForRetry
+                ? (long) timeoutMicros
+                : remainingMicros;
     }
 
-    /** Within which time the server must begin, or drop the attempt: nobody wants a late answer of little worth. */
+    /**
+     * Returns the time in microseconds within which the server must begin to run the request, or else drop it. This is the
+     * timeout, or the time until an answer loses its value if that comes first, so that a server spends no work on an
+     * answer that is worth little when it comes.
+     */
     long startWithinMicros(PendingRequest request, long timeoutMicros) {
-        long untilValueLost = request.losesValueAtMicros() - context.nowMicros();
-        return Math.min(timeoutMicros, Math.max(MIN_START_WITHIN_MICROS, untilValueLost));
+        long untilValueLostMicros = request.losesValueAtMicros() - context.nowMicros();
+        return Math.min(timeoutMicros, Math.max(MIN_START_WITHIN_MICROS, untilValueLostMicros));
     }
 }
--- a/routing/src/main/java/lupinvalve/routing/ClientRetryDetector.java
+++ b/routing/src/main/java/lupinvalve/routing/ClientRetryDetector.java
@@ -7,23 +7,25 @@
 import java.util.Map;
 
 /**
- * Tells clients' retries where these bear no mark. A client waits for all its attempts together no longer than its
- * class's deadline, so a retry has less left than first attempts are given: what it lacks has passed since. First
- * attempts are known by the wait that most requests of a class name; where none is that common, nothing is concluded.
+ * Detects retries that clients send without marking them as such. A client's attempts at a request share one deadline,
+ * that of the request's class, so a retry states a shorter wait than a first attempt; the difference between the deadline
+ * and the stated wait is the time that has passed since the first attempt. First attempts are recognised as those with
+ * the most common wait among a class's recent requests. Where no wait is common enough, no request counts as a retry.
  */
 final class ClientRetryDetector {
-    /** Waits remembered for each class. */
-    private static final int REMEMBERED_REQUESTS = 64;
+    /** The number of newest requests of a class whose waits are kept. */
+    private static final int MAX_REQUESTS = 64;
 
+    /** With fewer requests of a class, no wait counts as common. */
     private static final int MIN_REQUESTS = 16;
-    /** Part of the waits remembered that must be one and the same. */
+    /** A wait is common if at least this part of the kept waits equals it. */
     private static final double COMMON_WAIT_RATIO = 0.3;
-    /** Waits that differ by less are one and the same. */
+    /** Waits are rounded down to a multiple of this before they are compared. */
     private static final long RESOLUTION_MICROS = 1000;
 
     private final List<ClassWaits> waitsByClass = new ArrayList<>();
 
-    /** The waits of one class's newest requests, in units of the resolution. */
+    /** The waits of one class's newest requests, in multiples of {@link #RESOLUTION_MICROS}, and how often each occurs. */
     private static final class ClassWaits {
         private final RequestClass requestClass;
         private final ArrayDeque<Long> waits = new ArrayDeque<>();
@@ -37,8 +39,8 @@
         void add(long wait) {
             waits.addLast(wait);
             int count = counts.merge(wait, 1, Integer::sum);
-            if (waits.size() > REMEMBERED_REQUESTS) {
-                counts.computeIfPresent(waits.pollFirst(), (key, before) -> before == 1 ? null : before - 1);
+            if (waits.size() > MAX_REQUESTS) {
+                counts.computeIfPresent(waits.pollFirst(), (key, oldCount) -> oldCount == 1 ? null : oldCount - 1);
             }
             if (count > counts.getOrDefault(commonWait, 0)) {
                 commonWait = wait;
@@ -56,8 +58,10 @@
     }
 
     /**
-     * Records what a request's client said it would wait. Returns the time in microseconds since its first attempt, 0
-     * if none is known.
+     * Records the wait that a request's client stated.
+     *
+     * @return the time in microseconds since the client's first attempt of the request, or 0 if the request does not count
+     *     as a retry
      */
     long sinceFirstAttemptMicros(int classIndex, long waitMicros) {
         ClassWaits waits = waitsByClass.get(classIndex);
@@ -69,8 +73,11 @@
     }
 
     /**
-     * Records likewise. Returns whether it is a retry whose answer would hardly be in time any more, and late ones are
-     * worth little: such a request goes first where not all can be served.
+     * Records the wait that a request's client stated, like {@link #sinceFirstAttemptMicros}.
+     *
+     * @return whether the request is a retry for which over half of the latency objective has passed, so that its answer
+     *     would hardly be in time, and late answers of its class are worth little; under overload such a request is
+     *     rejected first
      */
     boolean isLateRetry(int classIndex, long waitMicros) {
         RequestClass requestClass = waitsByClass.get(classIndex).requestClass;
--- a/routing/src/main/java/lupinvalve/routing/DecayingMean.java
+++ b/routing/src/main/java/lupinvalve/routing/DecayingMean.java
@@ -1,36 +1,42 @@
 package lupinvalve.routing;
 
 /**
- * A mean whose samples lose weight with time, and of which the newest count most. Where few samples were seen it leans
- * on a prior that the caller gives.
+ * An exponentially weighted mean. The weight of a sample decays in two ways: with time, by {@link #DECAY_TIME_MICROS}, and
+ * with each newer sample once the weights add up to about {@link #MAX_SAMPLES}, so that the mean follows a change within
+ * some dozen samples however many there were before. The mean includes a prior, given by the caller, with the weight of a
+ * few samples, so that it stays near the prior while it holds few samples.
  */
 final class DecayingMean {
-    /** Time in which a sample's weight falls to 1/e. */
-    static final double MEMORY_MICROS = 3e6;
-    /** Samples that the mean holds at most. */
+    /** The time in which a sample's weight falls to 1/e. */
+    static final double DECAY_TIME_MICROS = 3e6;
+    /** The approximate upper bound of the sum of all weights, where a new sample's weight is 1. */
     static final double MAX_SAMPLES = 12;
 
+    /** The weight of the prior, where a new sample's weight is 1. */
     private static final double PRIOR_WEIGHT_SAMPLES = 2;
-    private double sum;
+
+    private double weightedSum;
     private double weightSamples;
     private long decayedAtMicros;
 
+    /** Adds a sample with weight 1. The older weights are scaled down first where they exceed the bound. */
     void add(long nowMicros, double sample) {
         decay(nowMicros);
-        double retained = Math.min(1, MAX_SAMPLES / (weightSamples + 1));
-        sum = sum * retained + sample;
-        weightSamples = weightSamples * retained + 1;
+        double retainedRatio = Math.min(1, MAX_SAMPLES / (weightSamples + 1));
+        weightedSum = weightedSum * retainedRatio + sample;
+        weightSamples = weightSamples * retainedRatio + 1;
     }
 
+    /** Returns the weighted mean of the samples and the prior. */
     double mean(long nowMicros, double prior) {
         decay(nowMicros);
-        return (sum + PRIOR_WEIGHT_SAMPLES * prior) / (weightSamples + PRIOR_WEIGHT_SAMPLES);
+        return (weightedSum + PRIOR_WEIGHT_SAMPLES * prior) / (weightSamples + PRIOR_WEIGHT_SAMPLES);
     }
 
     private void decay(long nowMicros) {
-        double retained = Math.exp((decayedAtMicros - nowMicros) / MEMORY_MICROS);
-        sum *= retained;
-        weightSamples *= retained;
+        double retainedRatio = Math.exp((decayedAtMicros - nowMicros) / DECAY_TIME_MICROS);
+        weightedSum *= retainedRatio;
+        weightSamples *= retainedRatio;
         decayedAtMicros = nowMicros;
     }
 }
--- a/routing/src/main/java/lupinvalve/routing/HealthChecker.java
+++ b/routing/src/main/java/lupinvalve/routing/HealthChecker.java
@@ -56,7 +56,7 @@
     HealthChecker(RouterContext context, ReplicationLag lag, InFlightLimit limit) {
         this.context = context;
         this.lag = lag;
-        budgetPerRequestChecks = limit.isSparse() && lag.isCheckedByServers()
+        budgetPerRequestChecks = limit.isTrafficSparse() && lag.isCheckedByServers()
                 ? SPARSE_BUDGET_PER_REQUEST_CHECKS
                 : BUDGET_PER_REQUEST_CHECKS;
     }
--- a/routing/src/main/java/lupinvalve/routing/InFlightAttempts.java
+++ b/routing/src/main/java/lupinvalve/routing/InFlightAttempts.java
@@ -2,7 +2,7 @@
 
 import java.util.LinkedHashSet;
 
-/** This router's attempts in flight to one server, oldest first. Changed by {@link AttemptDispatcher} alone. */
+/** This router's attempts in flight to one server, oldest first. Only {@link AttemptDispatcher} changes it. */
 final class InFlightAttempts {
     private final LinkedHashSet<Attempt> attempts = new LinkedHashSet<>();
 
@@ -22,14 +22,15 @@
         return attempts.isEmpty();
     }
 
-    /** The attempt that is in flight for longest, or null. */
+    /** Returns the attempt that has been in flight for the longest time, or null if there is none. */
     Attempt oldest() {
         return attempts.isEmpty() ? null : attempts.iterator().next();
     }
 
     /**
-     * How many the server may be at work on. Those in flight for twice the time until they were overdue, with others
-     * answered since, are taken for lost.
+     * Returns the number of attempts that the server may still be working on. An attempt counts as lost, and is left out,
+     * once it has been in flight for over twice the time after which it was overdue and the server has answered another
+     * attempt since it was overdue. Only the oldest attempts are examined, up to the first that is not lost.
      */
     int countWithoutLost(long nowMicros, long lastAnswerMicros) {
         int lost = 0;
--- a/routing/src/main/java/lupinvalve/routing/InFlightLimit.java
+++ b/routing/src/main/java/lupinvalve/routing/InFlightLimit.java
@@ -1,34 +1,43 @@
 package lupinvalve.routing;
 
 /**
- * Adaptive concurrency limit: bounds the attempts that this router has in flight to one server, by the latencies that
- * its attempts meet. Bounds are for all routers together and divided by their number.
+ * Adaptive concurrency limit: bounds the number of attempts that this router has in flight to one server. The limit
+ * falls while the server's latency ratio (mean latency over latency objective, see {@link LoadStatistics#latencyRatio})
+ * is above its target, and grows while the limit is used. The initial and the least limit are totals over all routers,
+ * which are divided by the number of routers.
  */
 final class InFlightLimit {
-    /** Part of its objective that an answer may take in the mean: works vary about as their mean, so few are late. */
-    static final double TARGET_PRESSURE_RATIO = 0.25;
+    /**
+     * The latency ratio above which the limit falls. Service times spread about as widely as their mean, so with a mean
+     * latency of this part of the objective few answers come after the objective.
+     */
+    static final double TARGET_LATENCY_RATIO = 0.25;
 
+    /** The limit of a server that is new to the routers, for all of them together. */
     private static final double INITIAL_ATTEMPTS = 16;
+    /** The least limit, for all routers together. */
     private static final double MIN_ATTEMPTS = 6;
-    /** For one router. */
+    /** The greatest limit, for each router. */
     private static final double MAX_ATTEMPTS = 400;
-    /** A router whose least bound is below this sends too little to tell a server's load. */
-    private static final double MEASURABLE_ATTEMPTS = 2;
-    /** The limit grows only while this part of it is used. */
-    private static final double GROWTH_USE_RATIO = 0.6;
-
-    /** Growth with each call of {@link #adapt} that finds most of the limit in use. */
+    /** A router whose least limit is below this has too few attempts in flight to measure a server's load by them. */
+    private static final double MIN_MEASURABLE_ATTEMPTS = 2;
+    /** The limit grows only while more than this part of it is used. */
+    private static final double GROWTH_MIN_USE_RATIO = 0.6;
+    /** The growth of the limit with each call of {@link #adapt} that finds enough of it in use. */
     private static final double GROWTH_ATTEMPTS = 0.5;
-    /** What a rejection by a full server leaves of the limit. */
-    private static final double REJECTED_CUT_RATIO = 0.8;
-    /** Pressure that a rejection by a full server counts as. */
-    private static final double REJECTED_PRESSURE_RATIO = 1.5;
-
+    /** A rejection by a server at its capacity reduces the limit to this part of it. */
+    private static final double REJECTED_RETAINED_RATIO = 0.8;
+    /** The latency ratio that a rejection by a server at its capacity is recorded as. */
+    private static final double REJECTED_LATENCY_RATIO = 1.5;
+    /** The time after a rejection for which the server gets no attempts. */
     private static final long REJECTED_PAUSE_MICROS = 40_000;
-    /** A timeout counts as at most so many times the pressure known: its answer may have been lost. */
-    private static final double TIMEOUT_PRESSURE_MULTIPLE = 2;
+    /**
+     * A timeout is recorded as at most this multiple of the server's latency ratio, as the answer may have been lost
+     * rather than late.
+     */
+    private static final double TIMEOUT_LATENCY_RATIO_MULTIPLE = 2;
 
-    /** The limit of one server. */
+    /** The limit of one server and the pause after its last rejection. */
     static final class State {
         private double limitAttempts;
         private long pausedUntilMicros = Long.MIN_VALUE;
@@ -42,60 +51,84 @@
     private final LoadStatistics load;
     private final double minAttempts;
     private final double initialAttempts;
-    private final boolean sparse;
+    private final boolean trafficSparse;
 
     InFlightLimit(RouterContext context, LoadStatistics load) {
         this.context = context;
         this.load = load;
         initialAttempts = Math.max(1, INITIAL_ATTEMPTS / context.settings().instanceCount());
         minAttempts = Math.max(1, MIN_ATTEMPTS / context.settings().instanceCount());
-        sparse = minAttempts < MEASURABLE_ATTEMPTS;
+        trafficSparse = minAttempts < MIN_MEASURABLE_ATTEMPTS;
     }
 
-    /** The state of a server that is new to the router. */
+    /** Returns the state of a server that is new to the router. */
     State newState() {
         return new State(initialAttempts);
     }
 
-    /** Whether there are so many routers that each has too few attempts in flight to tell a server's load by. */
-    boolean isSparse() {
-        return sparse;
+    /**
+     * Whether there are so many routers that each has too few attempts in flight to measure a server's load by them. The
+     * limit alone then can't protect the servers, and {@link LoadShedding} adds to it.
+     */
+    boolean isTrafficSparse() {
+        return trafficSparse;
     }
 
-    /** Whether a server may get one more attempt within a part of its limit. */
+    /**
+     * Whether a server may get one more attempt: it has rejected none within the last moments, and fewer attempts are in
+     * flight to it than the given part of its limit, which counts as one attempt at least. Lost attempts don't count, see
+     * {@link InFlightAttempts#countWithoutLost}.
+     *
+     * @param limitRatio the part of the limit that the attempt may fill, from 0 to 1
+     */
     boolean hasCapacity(Server server, double limitRatio) {
         return context.nowMicros() >= server.limit.pausedUntilMicros
                 && server.inFlight.countWithoutLost(context.nowMicros(), server.outlier.lastAnswerMicros())
                         < Math.max(1, server.limit.limitAttempts * limitRatio);
     }
 
-    /** Latency grows with what is in flight: the limit follows their ratio within one turn of its attempts. */
+    /**
+     * Adapts the limit to the server's latency ratio; called once for each served request and each late timeout. Latency
+     * grows about in proportion to the attempts in flight, so a limit multiplied by target over latency ratio brings latency to its target. Each answer
+     * applies 1/limit of that factor, as an exponent, so the whole factor is applied once as many answers have arrived as
+     * the limit allows in flight. The divisor is at least {@link DecayingMean#MAX_SAMPLES}, as the mean itself takes that
+     * many samples to follow a change.
+     */
     void adapt(Server server) {
-        double pressure = load.pressure(server);
+        double latencyRatio = load.latencyRatio(server);
         double limit = server.limit.limitAttempts;
-        if (pressure > TARGET_PRESSURE_RATIO) {
-            double oneTurnExponent = 1 / Math.max(DecayingMean.MAX_SAMPLES, limit);
+        if (latencyRatio > TARGET_LATENCY_RATIO) {
+            double perAnswerExponent = 1 / Math.max(DecayingMean.MAX_SAMPLES, limit);
             server.limit.limitAttempts =
-                    Math.max(minAttempts, limit * Math.pow(TARGET_PRESSURE_RATIO / pressure, oneTurnExponent));
-        } else if (server.inFlight.count() + 1 > limit * GROWTH_USE_RATIO) {
+                    Math.max(minAttempts, limit * Math.pow(TARGET_LATENCY_RATIO / latencyRatio, perAnswerExponent));
+        } else if (server.inFlight.count() + 1 > limit * GROWTH_MIN_USE_RATIO) {
             server.limit.limitAttempts = Math.min(MAX_ATTEMPTS, limit + GROWTH_ATTEMPTS);
         }
     }
 
-    /** A full server rejected an attempt: it gets nothing for a moment, so that retries don't pile up there. */
+    /**
+     * A server at its capacity rejected an attempt: reduces its limit and starts no attempts there for
+     * {@link #REJECTED_PAUSE_MICROS}, so that retries don't pile up there.
+     */
     void serverRejected(Server server) {
         server.limit.pausedUntilMicros = context.nowMicros() + REJECTED_PAUSE_MICROS;
-        server.limit.limitAttempts = Math.max(minAttempts, server.limit.limitAttempts * REJECTED_CUT_RATIO);
-        load.recordPressure(server, REJECTED_PRESSURE_RATIO);
+        server.limit.limitAttempts = Math.max(minAttempts, server.limit.limitAttempts * REJECTED_RETAINED_RATIO);
+        load.recordLatencyRatio(server, REJECTED_LATENCY_RATIO);
     }
 
-    /** An attempt timed out while others were answered. */
-    void attemptTimedOut(Server server, double pressureRatio) {
-        load.recordPressure(server, Math.min(pressureRatio, TIMEOUT_PRESSURE_MULTIPLE * load.pressure(server)));
+    /**
+     * An attempt timed out although the server does not count as silent: records it like a late answer and adapts the
+     * limit.
+     *
+     * @param latencyRatio the time that the attempt took, over the latency objective of its class
+     */
+    void attemptTimedOut(Server server, double latencyRatio) {
+        load.recordLatencyRatio(server, Math.min(latencyRatio, TIMEOUT_LATENCY_RATIO_MULTIPLE * load.latencyRatio(server)));
         adapt(server);
     }
 
-    /** The server's process is new: what was learned of the one before does not hold. */
+    /** The server's process has restarted: bounds the limit by its initial value, as what was measured of the old one
+     * does not hold. */
     void serverRestarted(Server server) {
         server.limit.limitAttempts = Math.min(server.limit.limitAttempts, initialAttempts);
     }
--- a/routing/src/main/java/lupinvalve/routing/LoadShedding.java
+++ b/routing/src/main/java/lupinvalve/routing/LoadShedding.java
@@ -1,16 +1,18 @@
 package lupinvalve.routing;
 
 /**
- * Load shedding where routers are many and each sends too little for a limit of its own: the further latencies exceed
- * their target, the larger the part of requests that is rejected at once, clients' retries first.
+ * Load shedding: rejects a part of the requests at once while latencies exceed their target; the further they exceed it,
+ * the larger the part. Clients' retries are rejected first. It applies only where there are so many routers that each
+ * sends too little to one server for an {@link InFlightLimit} of its own, see {@link InFlightLimit#isTrafficSparse}.
  */
 final class LoadShedding {
-    private static final double TARGET_PRESSURE_RATIO = 0.42;
-    /** Writes have nowhere else to go. */
+    /** The latency ratio (mean latency over latency objective) above which load is shed. */
+    private static final double TARGET_LATENCY_RATIO = 0.42;
+    /** The target for writes is this multiple of that for reads, as only the primary can serve a write. */
     private static final double WRITE_TARGET_MULTIPLE = 2;
-    /** Part of what the target leaves that is admitted, as a power. */
+    /** The exponent of target over latency ratio that yields the part of requests that is admitted. */
     private static final double STEEPNESS_EXPONENT = 3;
-    /** The least draw of a client's retry: only the highest draws are shed at first. */
+    /** The lowest draw of a client's retry. Requests with the highest draws are shed first. */
     private static final double CLIENT_RETRY_MIN_DRAW = 0.9;
 
     private final RouterContext context;
@@ -23,16 +25,26 @@
         this.limit = limit;
     }
 
-    /** The draw that a request keeps for all its attempts, in [0, 1). */
+    /**
+     * Draws the random number, uniform in [0, 1), that determines how soon a request is shed; a client's retry gets one in
+     * the upper end of that range. A request keeps it for all its attempts, so that a retry doesn't draw anew.
+     */
     double draw(boolean clientRetry) {
         double draw = context.random().nextDouble();
         return clientRetry ? CLIENT_RETRY_MIN_DRAW + (1 - CLIENT_RETRY_MIN_DRAW) * draw : draw;
     }
 
-    /** Whether a request is too much for a server of whose limit it may use a part. */
+    /**
+     * Whether load shedding rejects a request at a server. The part of requests that is admitted is (target / latency
+     * ratio) ^ {@link #STEEPNESS_EXPONENT}, or all of them below the target: an exponent over 1 lets it fall steeply once
+     * the target is exceeded. A request is admitted if its draw is below that part.
+     *
+     * @param limitRatio the part of the server's in-flight limit that the request may fill; a read's target latency ratio
+     *     is reduced to the same part
+     */
     boolean sheds(Server server, PendingRequest request, double limitRatio) {
-        double target = TARGET_PRESSURE_RATIO * (request.isWrite() ? WRITE_TARGET_MULTIPLE : limitRatio);
-        double withinTarget = Math.min(1, target / load.pressure(server));
-        return limit.isSparse() && request.sheddingDraw >= Math.pow(withinTarget, STEEPNESS_EXPONENT);
+        double targetRatio = TARGET_LATENCY_RATIO * (request.isWrite() ? WRITE_TARGET_MULTIPLE : limitRatio);
+        double targetPart = Math.min(1, targetRatio / load.latencyRatio(server));
+        return limit.isTrafficSparse() && request.sheddingDraw >= Math.pow(targetPart, STEEPNESS_EXPONENT);
     }
 }
--- a/routing/src/main/java/lupinvalve/routing/LoadStatistics.java
+++ b/routing/src/main/java/lupinvalve/routing/LoadStatistics.java
@@ -1,90 +1,115 @@
 package lupinvalve.routing;
 
 /**
- * What answers show of load, without deciding anything by it. Two ratios are kept for each server, each group and all
- * servers of one role: slowness (latency over the time that the work takes on an idle server) and pressure (latency
- * over the class's latency objective). The work of each class is estimated from the shortest latencies.
+ * Load statistics from the latencies of answers; other types decide by them. Two mean ratios are kept:
+ *
+ * <ul>
+ *   <li>slowdown: latency over service time, the time that the request takes on an idle server. It shows how loaded a
+ *       server is, whatever the mix of classes. Kept for each server and each group.
+ *   <li>latency ratio: latency over the latency objective of the request's class. It shows how near answers are to being
+ *       late. Kept for each server, each group and all servers of one role.
+ * </ul>
+ *
+ * <p>Service times are estimated for each class, from the shortest latencies.
  */
 final class LoadStatistics {
-    private static final double INITIAL_PRESSURE_RATIO = InFlightLimit.TARGET_PRESSURE_RATIO / 2;
-    private static final double INITIAL_SLOWNESS_RATIO = 2;
-    /** First estimate of a class's work, as a part of its latency objective. */
-    private static final double INITIAL_WORK_RATIO = 1 / 8.0;
-    /** How fast the estimate of work falls to a shorter latency, and rises to a longer one. */
-    private static final double WORK_FALL_RATIO = 0.1;
+    /** The latency ratio before any answer: half of the in-flight limit's target. */
+    private static final double INITIAL_LATENCY_RATIO = InFlightLimit.TARGET_LATENCY_RATIO / 2;
+    /** The slowdown before any answer. */
+    private static final double INITIAL_SLOWDOWN_RATIO = 2;
+    /** The first estimate of a class's service time, as a part of its latency objective. */
+    private static final double INITIAL_SERVICE_TIME_RATIO = 1 / 8.0;
+    /**
+     * The part of the difference by which a shorter latency lowers the estimated service time. It is greater than the part
+     * for a longer one, so the estimate stays near the shortest latencies, which include little waiting.
+     */
+    private static final double SERVICE_TIME_FALL_RATIO = 0.1;
+    /** The part of the difference by which a longer latency raises the estimated service time. */
+    private static final double SERVICE_TIME_RISE_RATIO = 0.02;
 
-    private static final double WORK_RISE_RATIO = 0.02;
-
-    /** The two means of one server or group. */
+    /** The two mean ratios of one server or group. */
     static final class State {
-        private final DecayingMean slowness = new DecayingMean();
-        private final DecayingMean pressure = new DecayingMean();
+        private final DecayingMean slowdown = new DecayingMean();
+        private final DecayingMean latencyRatio = new DecayingMean();
     }
 
     private final RouterContext context;
-    private final DecayingMean replicaPressure = new DecayingMean();
-    private final DecayingMean primaryPressure = new DecayingMean();
-    private final double[] workMicros;
+    private final DecayingMean replicaLatencyRatio = new DecayingMean();
+    private final DecayingMean primaryLatencyRatio = new DecayingMean();
+    private final double[] serviceTimeMicros;
     private double servedByWarmServers;
 
     LoadStatistics(RouterContext context) {
         this.context = context;
-        workMicros = context.settings().classes().stream()
-                .mapToDouble(requestClass -> requestClass.latencyObjectiveMicros() * INITIAL_WORK_RATIO)
+        serviceTimeMicros = context.settings().classes().stream()
+                .mapToDouble(requestClass -> requestClass.latencyObjectiveMicros() * INITIAL_SERVICE_TIME_RATIO)
                 .toArray();
     }
 
-    /** Latency over objective at a server; it leans on that at its group's replicas, that on all of its role. */
-    double pressure(Server server) {
+    /**
+     * Returns the mean ratio of latency over latency objective at a server. The prior of a replica's mean is the mean over
+     * the replicas of its group, whose prior is the mean over all replicas; that of a primary is the mean over all
+     * primaries. So a server with few answers of its own is judged by similar servers.
+     */
+    double latencyRatio(Server server) {
         boolean primary = server == server.group.primary();
-        double all = (primary ? primaryPressure : replicaPressure).mean(context.nowMicros(), INITIAL_PRESSURE_RATIO);
-        double prior = primary ? all : server.group.load.pressure.mean(context.nowMicros(), all);
-        return server.load.pressure.mean(context.nowMicros(), prior);
+        double roleRatio = (primary ? primaryLatencyRatio : replicaLatencyRatio).mean(context.nowMicros(), INITIAL_LATENCY_RATIO);
+        double prior = primary ? roleRatio : server.group.load.latencyRatio.mean(context.nowMicros(), roleRatio);
+        return server.load.latencyRatio.mean(context.nowMicros(), prior);
     }
 
-    /** Latency over work at a server; it leans on that at its group. */
-    double slowness(Server server) {
-        double prior = server.group.load.slowness.mean(context.nowMicros(), INITIAL_SLOWNESS_RATIO);
-        return server.load.slowness.mean(context.nowMicros(), prior);
+    /** Returns the mean ratio of latency over service time at a server; its prior is the mean over its group. */
+    double slowdown(Server server) {
+        double prior = server.group.load.slowdown.mean(context.nowMicros(), INITIAL_SLOWDOWN_RATIO);
+        return server.load.slowdown.mean(context.nowMicros(), prior);
     }
 
-    /** How long the work of a request of this class takes on an idle server. */
-    double workMicros(PendingRequest request) {
-        return workMicros[request.classIndex()];
+    /** Returns the estimated time in microseconds that a request of this class takes on an idle server. */
+    double serviceTimeMicros(PendingRequest request) {
+        return serviceTimeMicros[request.classIndex()];
     }
 
-    /** How long an answer for a queued request will take at its group, as far as it is known. */
+    /**
+     * Returns the expected latency in microseconds of a queued request once it is sent to its group: the latency ratio of
+     * the group's replicas times the request's latency objective.
+     */
     double expectedLatencyMicros(PendingRequest request) {
-        double all = replicaPressure.mean(context.nowMicros(), INITIAL_PRESSURE_RATIO);
-        return request.group.load.pressure.mean(context.nowMicros(), all)
+        double roleRatio = replicaLatencyRatio.mean(context.nowMicros(), INITIAL_LATENCY_RATIO);
+        return request.group.load.latencyRatio.mean(context.nowMicros(), roleRatio)
                 * request.requestClass.latencyObjectiveMicros();
     }
 
-    /** How many requests servers that are not in slow start have served. */
+    /** Returns the number of requests that servers not in slow start have served for this router. */
     double servedByWarmServers() {
         return servedByWarmServers;
     }
 
-    /** Records a latency over objective. */
-    void recordPressure(Server server, double ratio) {
-        server.load.pressure.add(context.nowMicros(), ratio);
+    /** Records one ratio of latency over latency objective for a server, its group (replicas only) and its role. */
+    void recordLatencyRatio(Server server, double ratio) {
+        server.load.latencyRatio.add(context.nowMicros(), ratio);
         if (server == server.group.primary()) {
-            primaryPressure.add(context.nowMicros(), ratio);
+            primaryLatencyRatio.add(context.nowMicros(), ratio);
         } else {
-            server.group.load.pressure.add(context.nowMicros(), ratio);
-            replicaPressure.add(context.nowMicros(), ratio);
+            server.group.load.latencyRatio.add(context.nowMicros(), ratio);
+            replicaLatencyRatio.add(context.nowMicros(), ratio);
         }
     }
 
-    /** Records a served request; {@code warm} says whether it counts among those that warm servers served. */
+    /**
+     * Records a served request: updates the estimated service time of its class and both ratios.
+     *
+     * @param latencyMicros the time from the attempt's start to its answer
+     * @param warm whether the request counts for {@link #servedByWarmServers}
+     */
     void recordServed(Server server, PendingRequest request, long latencyMicros, boolean warm) {
-        double before = workMicros[request.classIndex()];
-        workMicros[request.classIndex()] +=
-                (latencyMicros < before ? WORK_FALL_RATIO : WORK_RISE_RATIO) * (latencyMicros - before);
-        double slowness = latencyMicros / workMicros[request.classIndex()];
-        server.load.slowness.add(context.nowMicros(), slowness);
-        server.group.load.slowness.add(context.nowMicros(), slowness);
-        recordPressure(server, (double) latencyMicros / request.requestClass.latencyObjectiveMicros());
+        double oldServiceTimeMicros = serviceTimeMicros[request.classIndex()];
+        serviceTimeMicros[request.classIndex()] +=
+                (latencyMicros < oldServiceTimeMicros ? SERVICE_TIME_FALL_RATIO : SERVICE_TIME_RISE_RATIO)
+                        * (latencyMicros - oldServiceTimeMicros);
+        double slowdown = latencyMicros / serviceTimeMicros[request.classIndex()];
+        server.load.slowdown.add(context.nowMicros(), slowdown);
+        server.group.load.slowdown.add(context.nowMicros(), slowdown);
+        recordLatencyRatio(server, (double) latencyMicros / request.requestClass.latencyObjectiveMicros());
         servedByWarmServers += warm ? 1 : 0;
     }
 }
--- a/routing/src/main/java/lupinvalve/routing/LongReadPlacement.java
+++ b/routing/src/main/java/lupinvalve/routing/LongReadPlacement.java
@@ -1,11 +1,15 @@
 package lupinvalve.routing;
 
 /**
- * Where long-running reads go. While one runs on a replica nothing of the log is applied there, so all routers put them
- * on the same one: the first of the group, by id, that is usable and warm.
+ * Places long-running reads. A replica applies nothing of the replication log while such a read runs there, so all
+ * routers send them to the same replica of a group, its reserved replica: the first by id that is eligible and not in
+ * slow start. The other replicas stay fresh for other reads.
  */
 final class LongReadPlacement {
-    /** Reads of any age are long if their objective is so many times the shortest of all classes. */
+    /**
+     * A class of reads that accept data of any age is long-running if its latency objective is at least this multiple of
+     * the shortest objective of all classes.
+     */
     private static final double LONG_OBJECTIVE_MULTIPLE = 4;
 
     private final ServerEligibility eligibility;
@@ -14,7 +18,7 @@
     private final PrimaryFallback fallback;
     private final AttemptDispatcher dispatcher;
     private final boolean[] longClasses;
-    private final boolean anyLong;
+    private final boolean hasLongClasses;
 
     LongReadPlacement(
             RouterContext context,
@@ -29,29 +33,34 @@
         this.fallback = fallback;
         this.dispatcher = dispatcher;
         RouterSettings settings = context.settings();
-        long shortestMicros = settings.classes().stream()
+        long shortestObjectiveMicros = settings.classes().stream()
                 .mapToLong(RequestClass::latencyObjectiveMicros)
                 .min()
                 .orElse(0);
         longClasses = new boolean[settings.classes().size()];
-        boolean any = false;
+        boolean anyClassLong = false;
         for (int i = 0; i < longClasses.length; i++) {
             RequestClass requestClass = settings.classes().get(i);
             longClasses[i] = requestClass.access() == RequestClass.Access.ANY
-                    && requestClass.latencyObjectiveMicros() >= LONG_OBJECTIVE_MULTIPLE * shortestMicros;
-            any |= longClasses[i];
+                    && requestClass.latencyObjectiveMicros() >= LONG_OBJECTIVE_MULTIPLE * shortestObjectiveMicros;
+            anyClassLong |= longClasses[i];
         }
-        anyLong = any;
+        hasLongClasses = anyClassLong;
     }
 
-    /** Whether the reads of a class are long-running. */
+    /** Whether a class consists of long-running reads. */
     boolean isLong(int classIndex) {
         return longClasses[classIndex];
     }
 
-    /** The replica that long reads go to, apart from one that may be null; null where there are none or no replica. */
+    /**
+     * Returns the replica of a group that long-running reads go to, or null if no class has such reads or no replica
+     * qualifies.
+     *
+     * @param excluded a replica that is not considered, or null
+     */
     Server reservedReplica(ServerGroup group, Server excluded) {
-        if (!anyLong) {
+        if (!hasLongClasses) {
             return null;
         }
         for (Server server : group.members) {
@@ -65,6 +74,10 @@
         return null;
     }
 
+    /**
+     * Starts a long-running read at the reserved replica, or at the next one that qualifies if the request's last attempt
+     * went to that one. If no attempt can be started there, the read goes to the primary once it has waited long enough.
+     */
     PlacementResult place(PendingRequest request) {
         Server replica = reservedReplica(request.group, request.history.lastServer());
         boolean shed = false;
--- a/routing/src/main/java/lupinvalve/routing/PendingRequest.java
+++ b/routing/src/main/java/lupinvalve/routing/PendingRequest.java
@@ -1,23 +1,26 @@
 package lupinvalve.routing;
 
-/** A request that has no final answer yet: what was asked, and how far it has come. */
+/** A request without a final answer yet: its class, group and deadlines, and the state of its attempts. */
 final class PendingRequest {
-    /** Kept back from a deadline so that the final answer is out in time. */
+    /** The time reserved before the client's deadline, so that the final answer reaches the client in time. */
     static final long ANSWER_MARGIN_MICROS = 15_000;
 
     final RouterEvent.RequestArrived arrival;
     final RequestClass requestClass;
     final ServerGroup group;
     final long arrivedMicros;
-    /** When the client stops waiting. */
+    /** The client's deadline: when it stops waiting. */
     final long expiresMicros;
-    /** Log position that a server must have reached to answer it, unless its class bounds the age of data. */
+    /**
+     * The log position that a server must have reached to answer the request, from its session token or its arrival time;
+     * not used where the class bounds the age of data instead.
+     */
     final long tokenPosition;
-    /** Uniform in [0, 1): the higher, the sooner load shedding rejects it. */
+    /** The random number in [0, 1) that load shedding compares: the higher, the sooner the request is rejected. */
     final double sheddingDraw;
-    /** Whether it is a client's retry, by its mark or by the time that it has left. */
+    /** Whether it is a client's retry: marked as one, or detected by {@link ClientRetryDetector}. */
     final boolean clientRetry;
-    /** Whether its class is long-running reads. */
+    /** Whether it is a long-running read, see {@link LongReadPlacement}. */
     final boolean longRead;
 
     final RetryPolicy.AttemptHistory history = new RetryPolicy.AttemptHistory();
@@ -60,14 +63,15 @@
         return requestClass.access() == RequestClass.Access.STRONG;
     }
 
-    /** The last moment at which a final answer is sure to reach the client in time. */
+    /** Returns the latest time at which a final answer may be given so that it reaches the client before its deadline. */
     long answerDueMicros() {
         return expiresMicros - ANSWER_MARGIN_MICROS;
     }
 
     /**
-     * From when on an answer is worth little; never for a client's retry, whose objective may have passed before it
-     * came.
+     * Returns the time from which an answer is worth little: arrival plus latency objective, if late answers of the class
+     * lose their value. For a client's retry it is {@link Long#MAX_VALUE}, as the objective counts from the client's first
+     * attempt and may have passed before the retry arrived.
      */
     long losesValueAtMicros() {
         return requestClass.losesValueWhenLate() && !clientRetry
@@ -75,29 +79,29 @@
                 : Long.MAX_VALUE;
     }
 
-    /** The log position that a server must have reached to answer it now. */
+    /** Returns the log position that a server must have reached to answer the request now. */
     long requiredPosition(long nowMicros) {
         return requestClass.access() == RequestClass.Access.BOUNDED
                 ? nowMicros - requestClass.maxStalenessMicros()
                 : tokenPosition;
     }
 
-    /** The attempt in flight, or null. */
+    /** Returns the attempt in flight, or null. */
     Attempt inFlight() {
         return inFlight;
     }
 
-    /** Called by {@link AttemptDispatcher} alone. */
+    /** Only {@link AttemptDispatcher} calls this. */
     void setInFlight(Attempt attempt) {
         inFlight = attempt;
     }
 
-    /** Whether it has its final answer or its client has disconnected, while its attempt has not ended yet. */
+    /** Whether the request has its final answer or its client has disconnected; its last attempt may still be in flight. */
     boolean isClosed() {
         return closed;
     }
 
-    /** Called by {@link RequestLifecycle} alone. */
+    /** Only {@link RequestLifecycle} calls this. */
     void close() {
         closed = true;
     }
--- a/routing/src/main/java/lupinvalve/routing/PlacementResult.java
+++ b/routing/src/main/java/lupinvalve/routing/PlacementResult.java
@@ -1,15 +1,19 @@
 package lupinvalve.routing;
 
-/** What came of looking for a server for a request. */
+/** The result of an attempt to place a request at a server. */
 enum PlacementResult {
     /** An attempt was started. */
     STARTED,
-    /** No server may have it now; it may wait for one. */
+    /** No server may take the request now; it may be queued until one can. */
     NO_SERVER,
-    /** No server may have it, and at least one shed it. */
+    /** No server may take the request, and load shedding rejected it for at least one of them. */
     SHED;
 
-    /** The result of not starting an attempt, after at least one server shed the request or none did. */
+    /**
+     * Returns the result where no attempt was started.
+     *
+     * @param shed whether load shedding rejected the request for at least one server
+     */
     static PlacementResult notStarted(boolean shed) {
         return shed ? SHED : NO_SERVER;
     }
--- a/routing/src/main/java/lupinvalve/routing/QueueDeadline.java
+++ b/routing/src/main/java/lupinvalve/routing/QueueDeadline.java
@@ -1,17 +1,23 @@
 package lupinvalve.routing;
 
 /**
- * Until when a request is queued. The newest are served first, so what has waited for long is hardly served any more;
- * one rejected early can still come back in time.
+ * Computes until when a request stays queued. The newest requests are served first, so one that has waited for long has
+ * little chance to be served, while a client whose request is rejected early can still retry in time.
  */
 final class QueueDeadline {
-    /** Parts of the latency objective: reads wait for a replica, then the primary; writes for theirs. */
+    /**
+     * A read is queued for this part of its latency objective at most. It first waits for a replica and then for the
+     * primary, so this is longer than the wait in {@link PrimaryFallback}.
+     */
     private static final double READ_OBJECTIVE_RATIO = 0.22;
-
+    /** A write is queued for the primary for this part of its latency objective at most. */
     private static final double WRITE_OBJECTIVE_RATIO = 0.5;
-    /** Part of the client's time after which a request that has reached no server is given up. */
+    /**
+     * A request that has reached no server is given up after this part of the time that its client waits, so that over half
+     * of it is left for the client's retry.
+     */
     private static final double NEVER_SENT_TIME_RATIO = 0.49;
-    /** Part of the objective that is reserved for the answer's latency at most. */
+    /** The expected latency of the answer, which is reserved before the objective, is at most this part of the objective. */
     private static final double MAX_LATENCY_OBJECTIVE_RATIO = 0.7;
 
     private final LoadStatistics load;
@@ -20,18 +26,29 @@
         this.load = load;
     }
 
-    /** The time at which a queued request is given up. */
+    /**
+     * Returns the time on the router's clock at which a queued request is given up, the earliest of three: the longest wait
+     * for its kind has passed; no answer would reach the client before its deadline any more; or the answer could only
+     * come when it has lost its value, that is, the time until then is shorter than the expected latency.
+     */
     long micros(PendingRequest request) {
-        long objective = request.requestClass.latencyObjectiveMicros();
-        double longestWait =
-                request.arrivedMicros + (request.isWrite() ? WRITE_OBJECTIVE_RATIO : READ_OBJECTIVE_RATIO) * objective;
-        double latency = Math.min(load.expectedLatencyMicros(request), MAX_LATENCY_OBJECTIVE_RATIO * objective);
-        return (long) Math.min(Math.min(longestWait, lastStartMicros(request)), request.losesValueAtMicros() - latency);
+        long objectiveMicros = request.requestClass.latencyObjectiveMicros();
+        double longestWaitEndsMicros = request.arrivedMicros
+                + (request.isWrite() ? WRITE_OBJECTIVE_RATIO : READ_OBJECTIVE_RATIO) * objectiveMicros;
+        double latencyMicros =
+                Math.min(load.expectedLatencyMicros(request), MAX_LATENCY_OBJECTIVE_RATIO * objectiveMicros);
+        return (long) Math.min(
+                Math.min(longestWaitEndsMicros, lastStartMicros(request)),
+                request.losesValueAtMicros() - latencyMicros);
     }
 
+    /**
+     * Returns the latest useful time to start an attempt. For a request that has reached a server this leaves the service
+     * time before the client's deadline. One that has not is given up earlier, while its client can still retry in time.
+     */
     private double lastStartMicros(PendingRequest request) {
         return request.history.reachedServer()
-                ? request.expiresMicros - Math.max(PendingRequest.ANSWER_MARGIN_MICROS, load.workMicros(request))
+                ? request.expiresMicros - Math.max(PendingRequest.ANSWER_MARGIN_MICROS, load.serviceTimeMicros(request))
                 : request.arrivedMicros + NEVER_SENT_TIME_RATIO * (request.expiresMicros - request.arrivedMicros);
     }
 }
--- a/routing/src/main/java/lupinvalve/routing/QueuedRequests.java
+++ b/routing/src/main/java/lupinvalve/routing/QueuedRequests.java
@@ -9,8 +9,8 @@
 import java.util.List;
 
 /**
- * The requests that wait for a server, in a queue for each class of each group, and how many they are. Bookkeeping
- * only; {@link RequestQueue} decides what waits and in which order it is served.
+ * The queued requests, in one queue for each class of each group, and their number. This type only holds them;
+ * {@link RequestQueue} decides which requests are queued and in which order they are served.
  */
 final class QueuedRequests {
     private int size;
@@ -26,17 +26,17 @@
             }
         }
 
-        /** How many wait in this group. */
+        /** Returns the number of requests queued for this group. */
         int size() {
             return size;
         }
 
-        /** The queue of one class; the last in it is served first. */
+        /** Returns the queue of one class; its last request is served first. */
         ArrayDeque<PendingRequest> ofClass(int classIndex) {
             return byClass.get(classIndex);
         }
 
-        /** Whether anything that only a primary can answer waits. */
+        /** Whether a write or a strong read is queued. */
         boolean hasRequestForPrimary() {
             for (ArrayDeque<PendingRequest> queue : byClass) {
                 if (!queue.isEmpty() && (queue.peek().isWrite() || queue.peek().isStrongRead())) {
@@ -47,12 +47,12 @@
         }
     }
 
-    /** How many wait in all groups. */
+    /** Returns the number of requests queued for all groups. */
     int size() {
         return size;
     }
 
-    /** Puts a request where it is served first in its queue, or last. */
+    /** Adds a request to its queue, at the end that is served first or at the one that is served last. */
     void add(PendingRequest request, boolean servedFirst) {
         ArrayDeque<PendingRequest> queue = request.group.queues.ofClass(request.classIndex());
         if (servedFirst) {
@@ -60,28 +60,28 @@
         } else {
             queue.addFirst(request);
         }
-        count(request.group, 1);
+        changeSize(request.group, 1);
     }
 
-    /** Removes a request if it waits. */
+    /** Removes a request from its queue if it is queued. */
     void remove(PendingRequest request) {
         if (request.group.queues.ofClass(request.classIndex()).remove(request)) {
-            count(request.group, -1);
+            changeSize(request.group, -1);
         }
     }
 
-    /** Removes what an iterator over one of the group's queues stands at. */
+    /** Removes the request that an iterator over one of the group's queues returned last. */
     void remove(Iterator<PendingRequest> position, ServerGroup group) {
         position.remove();
-        count(group, -1);
+        changeSize(group, -1);
     }
 
-    /** The group for which most wait. */
-    ServerGroup longest(Collection<ServerGroup> groups) {
+    /** Returns the group with the most queued requests. */
+    ServerGroup groupWithMostQueued(Collection<ServerGroup> groups) {
         return Collections.max(groups, Comparator.comparing(group -> group.queues.size));
     }
 
-    private void count(ServerGroup group, int change) {
+    private void changeSize(ServerGroup group, int change) {
         group.queues.size += change;
         size += change;
     }
--- a/routing/src/main/java/lupinvalve/routing/ReplicaCost.java
+++ b/routing/src/main/java/lupinvalve/routing/ReplicaCost.java
@@ -1,24 +1,39 @@
 package lupinvalve.routing;
 
 /**
- * What a read costs at a replica: the work ahead of it there, in attempts times latency over work, weighted by zone,
- * long reads and earlier attempts.
+ * The cost of a read at a replica, by which {@link ReplicaSelector} compares replicas. It is a relative number without
+ * unit: the attempts in flight there including this one, times the replica's slowdown (latency over service time), which
+ * estimates the load ahead of the read; times factors for another zone, the replica reserved for long-running reads,
+ * this request's earlier attempts, and slow start.
  */
 final class ReplicaCost {
-    /** What a replica in another zone costs at least against one in the own. */
+    /** The least cost factor of a replica in another zone. */
     private static final double OTHER_ZONE_COST_MULTIPLE = 1.3;
     /**
-     * What a zone crossing's price adds: an attempt ahead costs about 1/75 of a priority weight, as answers come late.
+     * The cost factor added for each unit of the price of a zone crossing, which is a part of a request's priority weight.
+     * One more attempt ahead of a read costs about 1/75 of a priority weight, by the answers that come late, so the price
+     * of a whole priority weight equals 75 attempts ahead.
      */
     private static final double CROSSING_PRICE_COST_MULTIPLE = 75;
-    /** What the replica reserved for long reads costs for others; reads of any age rather go there. */
+    /**
+     * The cost factor of the replica reserved for long-running reads, for all reads but those that accept data of any age.
+     * For these its inverse is used, as they should go to that replica first.
+     */
     private static final double RESERVED_COST_MULTIPLE = 3;
 
+    /** The cost factor of the server that the request's last attempt went to. */
     private static final double LAST_SERVER_COST_MULTIPLE = 4;
+    /** The cost factor of a server that answered an earlier attempt of the request with an error. */
     private static final double ERRED_COST_MULTIPLE = 50;
-    /** A server in slow start that the request was drawn for is preferred, or its budget would be lost. */
+    /**
+     * The cost factor of a server in slow start that admitted the read by a random draw. It is preferred, as the budget that
+     * the admission used up would be lost otherwise.
+     */
     private static final double DRAWN_COST_MULTIPLE = 0.01;
-    /** Where routers are many, less than this part of another's cost counts as less: few answers differ by chance. */
+    /**
+     * Where traffic is sparse (see {@link InFlightLimit#isTrafficSparse}), a cost counts as less only below this part of the
+     * other: costs then rest on few answers, which differ by chance.
+     */
     private static final double SPARSE_LESS_COST_RATIO = 0.85;
 
     private final RouterContext context;
@@ -34,22 +49,26 @@
         double crossingCost =
                 1 + CROSSING_PRICE_COST_MULTIPLE * context.settings().crossZonePrice();
         otherZoneCost = Math.max(OTHER_ZONE_COST_MULTIPLE, crossingCost);
-        lessCostRatio = limit.isSparse() ? SPARSE_LESS_COST_RATIO : 1;
+        lessCostRatio = limit.isTrafficSparse() ? SPARSE_LESS_COST_RATIO : 1;
     }
 
-    /** Whether a cost counts as less than the least one so far. */
+    /** Whether a cost counts as less than the least cost so far. */
     boolean isLess(double cost, double leastCost) {
         return cost < leastCost * lessCostRatio;
     }
 
-    /** The cost of one replica for a read; {@code reserved} is the replica for long reads, or null. */
+    /**
+     * Returns the cost of one replica for a read.
+     *
+     * @param reserved the replica reserved for long-running reads, or null
+     */
     double of(Server server, PendingRequest request, Server reserved) {
         return (server.inFlight.count() + 1)
-                * load.slowness(server)
+                * load.slowdown(server)
                 * (server.listing.zone() == context.settings().zone() ? 1 : otherZoneCost)
                 * (server != reserved ? 1 : reservedCost(request))
                 * (server == request.history.lastServer() ? LAST_SERVER_COST_MULTIPLE : 1)
-                * earlierErrorCost(server, request);
+                * errorOrSlowStartCost(server, request);
     }
 
     private double reservedCost(PendingRequest request) {
@@ -57,7 +76,7 @@
         return anyAge ? 1 / RESERVED_COST_MULTIPLE : RESERVED_COST_MULTIPLE;
     }
 
-    private double earlierErrorCost(Server server, PendingRequest request) {
+    private double errorOrSlowStartCost(Server server, PendingRequest request) {
         if (request.history.erredServers().contains(server)) {
             return ERRED_COST_MULTIPLE;
         }
--- a/routing/src/main/java/lupinvalve/routing/ReplicaSelector.java
+++ b/routing/src/main/java/lupinvalve/routing/ReplicaSelector.java
@@ -3,26 +3,30 @@
 import java.util.function.Predicate;
 
 /**
- * Which replica a read goes to: of those that are usable, fresh enough and have capacity, the one of least
- * {@link ReplicaCost}. Members are looked at in turn, beginning behind the one selected last. Where none is left,
- * {@link PrimaryFallback} decides.
+ * Selects the replica that a read goes to: of those that are eligible, fresh enough and admit the read, the one of least
+ * {@link ReplicaCost}. Members are examined round-robin, beginning after the one selected last, so that the first of
+ * several replicas with equal cost differs each time. Where no replica qualifies, {@link PrimaryFallback} decides whether
+ * the read goes to the primary.
  */
 final class ReplicaSelector {
-    /** Whose turn it is in one group. */
+    /** The round-robin position in one group. */
     static final class State {
-        private int turn;
+        private int nextIndex;
 
-        State(int firstTurn) {
-            turn = firstTurn;
+        State(int firstIndex) {
+            nextIndex = firstIndex;
         }
     }
 
-    /** What a look at a group's replicas found; one object, used for one request at a time. */
+    /** The result of examining a group's replicas for one request. One object is reused for all requests. */
     private static final class Scan {
         private Server best;
         private double leastCost;
+        /** Whether a replica was fresh enough but did not admit the read. */
         private boolean atLimit;
+        /** Whether load shedding rejected the read for a replica. */
         private boolean shed;
+        /** The shortest expected time until a replica is fresh enough. */
         private long untilFreshMicros;
 
         void reset() {
@@ -67,14 +71,17 @@
         this.dispatcher = dispatcher;
     }
 
-    /** Starts a read at the best replica, or at the primary where the fallback is due. */
+    /**
+     * Starts a read at the replica of least cost, or at the primary where {@link PrimaryFallback} says so. If the read has to
+     * wait for a fresh replica, requests a health check of one, whose report may prove it fresh.
+     */
     PlacementResult place(PendingRequest request) {
         ServerGroup group = request.group;
         scanReplicas(request);
         Server replica = scan.best;
         if (replica != null) {
             boolean spillsOver = fallback.spillsOver(request, replica);
-            group.selection.turn = group.members.indexOf(replica) + 1;
+            group.selection.nextIndex = group.members.indexOf(replica) + 1;
             dispatcher.start(request, spillsOver ? group.primary() : replica);
             return PlacementResult.STARTED;
         }
@@ -92,7 +99,7 @@
         int size = group.members.size();
         scan.reset();
         for (int i = 0; i < size; i++) {
-            Server server = group.members.get((group.selection.turn + i) % size);
+            Server server = group.members.get((group.selection.nextIndex + i) % size);
             if (!isReadableReplica(server)) {
                 continue;
             }
--- a/routing/src/main/java/lupinvalve/routing/RequestClass.java
+++ b/routing/src/main/java/lupinvalve/routing/RequestClass.java
@@ -1,14 +1,15 @@
 package lupinvalve.routing;
 
 /**
- * A class of requests: what its requests need of the server that answers them, and what an answer is worth.
+ * A class of requests: which servers may answer its requests, whether these may run more than once, and what an answer
+ * is worth by the time it takes.
  *
- * @param maxStalenessMicros oldest data allowed, for {@link Access#BOUNDED}
- * @param keyTtlMicros how long a server drops repeats of a request with an idempotency key
+ * @param maxStalenessMicros the greatest age of the data read, for {@link Access#BOUNDED}
+ * @param keyTtlMicros how long a server remembers an idempotency key, and so does not run a request with that key again
  * @param latencyObjectiveMicros an answer within this time has its full priority weight
- * @param deadlineMicros how long a client waits in all
- * @param priorityWeight what an answer in time is worth against those of other classes, 0 or more
- * @param lateValueRatio part of the priority weight that an answer after the objective keeps
+ * @param deadlineMicros how long a client waits for all its attempts of a request together
+ * @param priorityWeight the value of an answer within the objective, relative to other classes; 0 or more
+ * @param lateValueRatio the part of the priority weight that an answer after the objective keeps
  */
 public record RequestClass(
         String name,
@@ -21,27 +22,27 @@
         long deadlineMicros,
         double priorityWeight,
         double lateValueRatio) {
-    /** What a request needs of the server that answers it. */
+    /** Which servers may answer a request, by how fresh their data must be. */
     public enum Access {
-        /** Changes data: the primary alone takes it. */
+        /** Changes data: only the primary may answer it. */
         WRITE,
-        /** Reads all that was committed before it arrived. */
+        /** Must see all commits from before it arrived. */
         STRONG,
-        /** Reads all that its session has committed. */
+        /** Must see all commits of its own session. */
         SESSION,
-        /** Reads data no older than {@link RequestClass#maxStalenessMicros}. */
+        /** Accepts data no older than {@link RequestClass#maxStalenessMicros}. */
         BOUNDED,
-        /** Reads data of any age. */
+        /** Accepts data of any age. */
         ANY
     }
 
     /** Whether a request may run more than once. */
     public enum Effect {
-        /** Idempotent by itself. */
+        /** Idempotent by itself: it may run any number of times. */
         SAFE,
-        /** Idempotent within its key's scope and time. */
+        /** Idempotent by its key, at servers that share the key and for as long as they remember it. */
         KEYED,
-        /** Not idempotent. */
+        /** Not idempotent: it must not run twice. */
         UNSAFE
     }
 
@@ -55,9 +56,10 @@
         GROUP
     }
 
+    /** An answer that keeps less than this part of its priority weight after the objective is worth little. */
     private static final double KEEPS_VALUE_MIN_RATIO = 0.5;
 
-    /** Checks the ranges; the message of the exception names the platform's setting. */
+    /** Checks the ranges; the message of the {@link IllegalArgumentException} names the setting of the deployment. */
     public RequestClass {
         RouterSettings.require(access != null, "class_read of class " + name, access);
         RouterSettings.require(effect != null, "classes.effect of class " + name, effect);
@@ -70,7 +72,7 @@
         RouterSettings.require(lateValueRatio >= 0, "classes.late_value of class " + name, lateValueRatio);
     }
 
-    /** Whether an answer after the objective is worth little, so that it is better rejected early. */
+    /** Whether an answer after the objective is worth little, so that an early rejection serves the client better. */
     boolean losesValueWhenLate() {
         return lateValueRatio < KEEPS_VALUE_MIN_RATIO;
     }
--- a/routing/src/main/java/lupinvalve/routing/RequestLifecycle.java
+++ b/routing/src/main/java/lupinvalve/routing/RequestLifecycle.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * The requests that are open, and how each ends: answered, given up with a final answer, or because its client has
- * disconnected. A request with an attempt in flight stays known until that has ended.
+ * The open requests, and how each ends: served, given up with a final answer by the router, or closed because its client
+ * has disconnected. A request with an attempt in flight stays in the table until that attempt has ended.
  */
 final class RequestLifecycle {
     private final RouterContext context;
@@ -21,21 +21,25 @@
         this.retryAfter = retryAfter;
     }
 
-    /** The open request of this id, or null. */
+    /** Returns the request with this id, or null; it may be closed with its last attempt still in flight. */
     PendingRequest find(String id) {
         return requests.get(id);
     }
 
+    /** Adds a request that has arrived. */
     void open(PendingRequest request) {
         requests.put(request.id(), request);
     }
 
-    /** Rejects a request that no group can take. */
+    /** Rejects a request for a group that the endpoint list does not name. */
     void rejectUnknownGroup(RouterEvent.RequestArrived arrival, RequestClass requestClass) {
         context.perform(new RouterAction.Reject(arrival.id(), retryAfter.micros(requestClass)));
     }
 
-    /** Gives a request its final answer at once: a rejection with Retry-After wherever that does no harm. */
+    /**
+     * Gives a request its final answer: a rejection with Retry-After if a retry by the client can't make the request take
+     * effect twice, otherwise a failure.
+     */
     void giveUp(PendingRequest request) {
         context.perform(
                 retryPolicy.mayReject(request)
@@ -44,7 +48,10 @@
         close(request);
     }
 
-    /** The client has disconnected: calls off the attempt in flight, if the site allows that; starts nothing more. */
+    /**
+     * Closes the request of a client that has disconnected, so that no further attempt starts; cancels its attempt in flight
+     * if the deployment allows cancelling.
+     */
     void clientDisconnected(String id) {
         PendingRequest request = requests.get(id);
         if (request == null || request.isClosed()) {
@@ -57,7 +64,7 @@
         close(request);
     }
 
-    /** An attempt has ended with the request closed. */
+    /** Removes a closed request whose last attempt has ended. */
     void forget(PendingRequest request) {
         request.close();
         requests.remove(request.id());
--- a/routing/src/main/java/lupinvalve/routing/RequestPlacement.java
+++ b/routing/src/main/java/lupinvalve/routing/RequestPlacement.java
@@ -1,6 +1,9 @@
 package lupinvalve.routing;
 
-/** Finds a server for a request and starts the attempt: by rules of its own for writes, long reads and other reads. */
+/**
+ * Finds a server for a request and starts an attempt there. Writes, long-running reads and other reads are each placed by
+ * a type of their own.
+ */
 final class RequestPlacement {
     private final RetryPolicy retryPolicy;
     private final WritePlacement writes;
@@ -15,6 +18,7 @@
         this.reads = reads;
     }
 
+    /** Places a request, unless its number of attempts is used up. */
     PlacementResult place(PendingRequest request) {
         if (!retryPolicy.hasAttemptsLeft(request)) {
             return PlacementResult.NO_SERVER;
--- a/routing/src/main/java/lupinvalve/routing/RequestQueue.java
+++ b/routing/src/main/java/lupinvalve/routing/RequestQueue.java
@@ -6,15 +6,22 @@
 import java.util.List;
 
 /**
- * The request queue: requests that no server may have now wait here, until {@link QueueDeadline}. Writes go first, then
- * the others; among each, classes by priority weight over latency objective. Within a class the newest go first, so
- * that under overload some answers are in time, and clients' retries go last.
+ * The request queue: holds requests that no server may take now, at most until their {@link QueueDeadline}. Writes are
+ * served before reads, and classes of either kind in descending order of priority weight over latency objective. Within a
+ * class the newest request is served first, so that under overload some answers are still in time; clients' retries are
+ * served last.
  */
 final class RequestQueue {
-    /** Part of the requests that clients can have open which may wait, so that other groups' clients find room. */
+    /**
+     * The part of the requests that clients can have open at once that may be queued in all groups together. The rest is left
+     * for requests of groups that have a server available.
+     */
     private static final double MAX_OPEN_REQUESTS_RATIO = 0.3;
-    /** How many of a class are looked at where each may need another log position. */
-    private static final int MAX_SESSION_READS = 40;
+    /**
+     * The number of requests of a class of session reads that are tried without success in one dispatch. Each may need
+     * another log position, so one that can't be placed does not mean that the next can't. For other classes it is 1.
+     */
+    private static final int MAX_UNPLACED_SESSION_READS = 40;
 
     private final RouterContext context;
     private final ServerTable servers;
@@ -47,12 +54,12 @@
                                 / classes.get(index).latencyObjectiveMicros()));
     }
 
-    /** How many requests wait. */
+    /** Returns the number of queued requests. */
     int size() {
         return queued.size();
     }
 
-    /** Starts an attempt, queues the request, or gives it up where load shedding rejects it. */
+    /** Starts an attempt of a request, or gives the request up if load shedding rejects it, or queues it. */
     void placeOrEnqueue(PendingRequest request) {
         switch (placement.place(request)) {
             case STARTED -> {}
@@ -64,16 +71,16 @@
     private void enqueue(PendingRequest request) {
         queued.add(request, !request.clientRetry);
         if (queued.size() > context.settings().limits().maxOpenRequests() * MAX_OPEN_REQUESTS_RATIO) {
-            giveUpOne();
+            giveUpLowestPriorityRead();
         }
     }
 
     /**
-     * Of the group for which most wait, gives up the read that would be served last, if late answers to it are worth
-     * little: one group's queue must not take all requests that clients can have open.
+     * Gives up one read of the group with the most queued requests: the one that would be served last, among classes whose
+     * late answers are worth little. One group's queue must not take all requests that clients can have open.
      */
-    private void giveUpOne() {
-        ServerGroup group = queued.longest(servers.groups());
+    private void giveUpLowestPriorityRead() {
+        ServerGroup group = queued.groupWithMostQueued(servers.groups());
         for (int i = classOrder.size() - 1; i >= 0; i--) {
             PendingRequest last = group.queues.ofClass(classOrder.get(i)).peekFirst();
             if (last != null && !last.isWrite() && last.requestClass.losesValueWhenLate()) {
@@ -83,21 +90,24 @@
         }
     }
 
-    /** Starts attempts for as many of a group's queued requests as servers may have now. */
+    /**
+     * Starts attempts of a group's queued requests, class by class in serving order. A class ends with the first request that
+     * can't be placed, or for session reads with the last of {@link #MAX_UNPLACED_SESSION_READS} such requests.
+     */
     void dispatch(ServerGroup group) {
         if (group.queues.size() == 0) {
             return;
         }
         for (int classIndex : classOrder) {
             boolean sessionReads = context.settings().classes().get(classIndex).access() == RequestClass.Access.SESSION;
-            int remaining = sessionReads ? MAX_SESSION_READS : 1;
+            int remainingFailures = sessionReads ? MAX_UNPLACED_SESSION_READS : 1;
             Iterator<PendingRequest> newestFirst =
                     group.queues.ofClass(classIndex).descendingIterator();
-            while (newestFirst.hasNext() && remaining > 0) {
+            while (newestFirst.hasNext() && remainingFailures > 0) {
                 if (placement.place(newestFirst.next()) == PlacementResult.STARTED) {
                     queued.remove(newestFirst, group);
                 } else {
-                    remaining--;
+                    remainingFailures--;
                 }
             }
         }
--- a/routing/src/main/java/lupinvalve/routing/RetryAfter.java
+++ b/routing/src/main/java/lupinvalve/routing/RetryAfter.java
@@ -1,20 +1,25 @@
 package lupinvalve.routing;
 
-/** The Retry-After of a rejected request: early enough for its client to be served in time, and not as one wave. */
+/**
+ * Computes the Retry-After of a rejected request. Its time is short enough for the client's retry to be served within the
+ * latency objective. For reads it is random, so that the retries of many rejected clients don't arrive at once.
+ */
 final class RetryAfter {
-    /** Part of the latency objective after which a read should come back, before jitter. */
+    /** The mean Retry-After of a read, as a part of its latency objective. */
     private static final double READ_OBJECTIVE_RATIO = 0.18;
-    /** Jitter multiplies it by this to one more than this. */
+    /** The least jitter factor; the factor is uniform between this and this plus 1, so 1 in the mean. */
     private static final double MIN_JITTER_RATIO = 0.5;
 
+    /** The Retry-After of a write. */
     private static final long WRITE_MICROS = 50_000;
+
     private final RouterContext context;
 
     RetryAfter(RouterContext context) {
         this.context = context;
     }
 
-    /** The time to state, 0 where the site allows none. */
+    /** Returns the Retry-After in microseconds; 0, which means none is stated, where the deployment allows none. */
     long micros(RequestClass requestClass) {
         RouterSettings.SiteLimits limits = context.settings().limits();
         long maxMicros = limits.retryAfter() ? limits.maxRetryAfterMicros() : 0;
--- a/routing/src/main/java/lupinvalve/routing/RetryPolicy.java
+++ b/routing/src/main/java/lupinvalve/routing/RetryPolicy.java
@@ -4,44 +4,47 @@
 import java.util.List;
 
 /**
- * What may be retried, how often and until when.
+ * Decides which requests may be retried, how often and until when.
  *
- * <p>A request that can't have run is retried anywhere. One that may have run is retried if it is idempotent by itself,
- * or by its key within the key's time and scope; else never. Attempts are bounded by the site's settings, errors by
- * {@link #MAX_ERRORS}, and time by the client's deadline and, where late answers are worth little, by the objective.
+ * <p>A request that can't have run may be retried at any server. One that may have run may be retried if it is idempotent
+ * by itself, or by its key while the key is remembered and at servers that share it; otherwise never. The number of
+ * attempts is bounded by the deployment's settings, the number of errors by {@link #MAX_ERRORS}, and the time by the
+ * client's deadline and, where late answers are worth little, by the latency objective.
  */
 final class RetryPolicy {
-    /** Answered errors of one request after which it is taken for one that fails anywhere. */
+    /** A request that was answered with more errors than this is not retried, as it probably fails at any server. */
     private static final int MAX_ERRORS = 2;
 
     private static final long NEVER_MICROS = Long.MAX_VALUE;
 
-    /** What came of one request's attempts so far. */
+    /** The results of one request's attempts so far. */
     static final class AttemptHistory {
         private int attempts;
         private int errors;
         private Server lastServer;
         private List<Server> erredServers = List.of();
         private boolean reachedServer;
+        /** The start of the earliest attempt that the server may have run. */
         private long mayHaveRunSinceMicros = NEVER_MICROS;
+        /** The server of that attempt, or null. */
         private Server mayHaveRunAt;
 
-        /** Attempts started. */
+        /** Returns the number of attempts started. */
         int attempts() {
             return attempts;
         }
 
-        /** Where the last ended attempt went, or null. */
+        /** Returns the server of the attempt that ended last, or null. */
         Server lastServer() {
             return lastServer;
         }
 
-        /** The servers that answered with an error, one entry for each. */
+        /** Returns the servers that answered with an error, with one entry for each such answer. */
         List<Server> erredServers() {
             return erredServers;
         }
 
-        /** Whether any attempt was handed to a server. */
+        /** Whether an attempt has ended of which some part may have reached a server. */
         boolean reachedServer() {
             return reachedServer;
         }
@@ -57,7 +60,7 @@
         this.context = context;
     }
 
-    /** Records the start of an attempt and returns its number. */
+    /** Records the start of an attempt and returns its number, from 0. */
     int attemptStarted(PendingRequest request) {
         return request.history.attempts++;
     }
@@ -80,27 +83,32 @@
         }
     }
 
-    /** Whether a request whose attempt has ended may be retried at all. */
+    /**
+     * Whether a request whose attempt has ended may be retried now, at the same server at least. Otherwise it gets a final
+     * answer.
+     */
     boolean mayRetry(PendingRequest request) {
-        long untilMicros = Math.min(request.answerDueMicros(), request.losesValueAtMicros());
+        long retryEndsMicros = Math.min(request.answerDueMicros(), request.losesValueAtMicros());
         return hasAttemptsLeft(request)
                 && request.history.errors <= MAX_ERRORS
-                && context.nowMicros() < untilMicros
+                && context.nowMicros() < retryEndsMicros
                 && mayRunAt(request.history.lastServer, request);
     }
 
+    /** Whether the number of attempts that the deployment allows is not used up. */
     boolean hasAttemptsLeft(PendingRequest request) {
         return request.history.attempts < context.settings().limits().maxAttempts();
     }
 
     /**
-     * Whether it may go to a member only to find the primary: half of the attempts are reserved for the primary itself.
+     * Whether a write may go to a member that is not known to be the primary, in order to find the primary. Half of the
+     * allowed attempts are reserved for the primary once it is known.
      */
     boolean maySearchPrimary(PendingRequest request) {
         return request.history.attempts <= context.settings().limits().maxAttempts() / 2;
     }
 
-    /** Whether an attempt at this server can't make the request take effect twice. */
+    /** Whether an attempt at this server is safe: it can't make the request take effect twice. */
     boolean mayRunAt(Server server, PendingRequest request) {
         RequestClass requestClass = request.requestClass;
         AttemptHistory history = request.history;
@@ -115,7 +123,10 @@
                 || server.listing.zone() == history.mayHaveRunAt.listing.zone();
     }
 
-    /** Whether the final answer may be a rejection, which tells the client that a retry of its own does no harm. */
+    /**
+     * Whether the final answer may be a rejection. A rejection states that a retry by the client does no harm, so it is given
+     * only if the request can't have run or may run again at any server.
+     */
     boolean mayReject(PendingRequest request) {
         RequestClass requestClass = request.requestClass;
         return !request.history.mayHaveRun()
--- a/routing/src/main/java/lupinvalve/routing/SlowStart.java
+++ b/routing/src/main/java/lupinvalve/routing/SlowStart.java
@@ -1,29 +1,46 @@
 package lupinvalve.routing;
 
 /**
- * Slow start: how much a server gets while it warms up after its process started. It earns requests as warm servers
- * serve theirs, in proportion to its capacity of the moment, so all routers together keep it under what it can do
- * however unevenly they are loaded. Served requests count, not started attempts, since retries prove nothing, and not
- * latencies, since queues swell them.
+ * Slow start: bounds the requests that a server gets while it warms up after a start of its process. With each request
+ * that warm servers serve for this router, the budget of the server in slow start grows by a part of a request, in
+ * proportion to its present capacity. So the routers together stay below its capacity however unevenly they are loaded.
+ * Budget is earned by served requests rather than by started attempts, since attempts that are rejected and retried show
+ * no capacity, and rather than by latencies, since waiting in queues increases them.
+ *
+ * <p>Where traffic is sparse (see {@link InFlightLimit#isTrafficSparse}), a router earns less than one request at a time.
+ * Then each request considered for the server uses up a part of the budget, and one is admitted whenever these parts
+ * add up to a whole request, see {@link SlowStartBudget#spendPart}.
  */
 final class SlowStart {
-    /** Part of what a server in slow start bears that it is given. */
+    /** The part of the load that a server in slow start can bear which the routers send to it; the rest is a margin. */
     private static final double USED_CAPACITY_RATIO = 0.75;
 
-    /** Budget that a router saves for a server; where routers are many, multiplied by what one request uses up. */
+    /**
+     * The greatest budget that a router saves for a server, in requests. Where traffic is sparse it is this number times the
+     * part of the budget that one request uses up, since the savings of many routers must not be spent at once.
+     */
     private static final double MAX_SAVED_REQUESTS = 3;
-    /** While no server is warm, each router admits a request with this probability divided by the number of routers. */
-    private static final double NO_WARM_SERVER_ATTEMPTS = 10;
-    /** Attempts of one router in flight to a server while no server is warm. */
-    private static final int NO_WARM_SERVER_WRITES = 3;
-
-    private static final int NO_WARM_SERVER_READS = 1;
-    /** Derive from a request's draw one for each server. */
+    /**
+     * While no server is warm, a router admits a request at a server with a probability of this divided by the number of
+     * routers, so that of one request at each router about this many are admitted.
+     */
+    private static final double NO_WARM_SERVER_ADMITTING_ROUTERS = 10;
+    /** While no server is warm, a write is admitted only with fewer attempts of this router in flight to the server. */
+    private static final int NO_WARM_SERVER_MAX_WRITES = 3;
+    /** While no server is warm, a read is admitted only with fewer attempts of this router in flight to the server. */
+    private static final int NO_WARM_SERVER_MAX_READS = 1;
+    /**
+     * Multiplies a request's draw for load shedding, so that the fractional part, a draw for slow start, depends on digits
+     * that hardly affect load shedding.
+     */
     private static final double DRAW_SCALE = 1e4;
-
+    /**
+     * Shifts that draw by a step for each value of the server id's hash, so that each server gets another draw. This is
+     * about the golden ratio's fractional part, whose multiples spread evenly between 0 and 1.
+     */
     private static final double SERVER_DRAW_STEP = 0.618;
 
-    /** The slow start of one server. */
+    /** The last start and the slow start budget of one server. */
     static final class State {
         private long startedMicros = Long.MIN_VALUE;
         private final SlowStartBudget budget = new SlowStartBudget();
@@ -41,34 +58,44 @@
         this.limit = limit;
     }
 
-    /** What a server can do so long after its start, as a part of what it can do warm. */
+    /**
+     * Returns a server's capacity as a part of its capacity when warm. It grows linearly with the time since its start, from
+     * the initial ratio to 1 at the end of the warm-up time.
+     *
+     * @param ageMicros the time since the start; a negative one counts as 0
+     */
     static double capacityRatio(RouterSettings.Rules rules, long ageMicros) {
-        double passed = (double) ageMicros / Math.max(1, rules.warmUpMicros());
-        return rules.initialCapacityRatio() + (1 - rules.initialCapacityRatio()) * Math.min(1, Math.max(0, passed));
+        double elapsedRatio = (double) ageMicros / Math.max(1, rules.warmUpMicros());
+        return rules.initialCapacityRatio() + (1 - rules.initialCapacityRatio()) * Math.min(1, Math.max(0, elapsedRatio));
     }
 
-    /** A server's process has started: it is in slow start from then on. */
+    /**
+     * Begins the slow start of a server whose process has started. The budget begins at a random part of a request, which
+     * differs between routers, so that they don't all send their first request at the same time.
+     */
     void begin(Server server, long startedMicros) {
         server.slowStart.startedMicros = Math.max(server.slowStart.startedMicros, startedMicros);
-        double part = context.random().nextDouble();
-        server.slowStart.budget.restart(load.servedByWarmServers(), limit.isSparse() ? 0 : part, part);
+        double initialPart = context.random().nextDouble();
+        server.slowStart.budget.restart(load.servedByWarmServers(), limit.isTrafficSparse() ? 0 : initialPart, initialPart);
         limit.serverRestarted(server);
     }
 
+    /** Whether the time since the server's last known start is less than the warm-up time. */
     boolean inSlowStart(Server server) {
-        long started = server.slowStart.startedMicros;
-        return started != Long.MIN_VALUE
-                && context.nowMicros() - started < context.settings().rules().warmUpMicros();
+        long startedMicros = server.slowStart.startedMicros;
+        return startedMicros != Long.MIN_VALUE
+                && context.nowMicros() - startedMicros < context.settings().rules().warmUpMicros();
     }
 
-    /** Whether a request that is admitted to this server was drawn for it, and so should go there. */
+    /** Whether a request that {@link #admits} admitted at this server has already used up budget, and so should go there. */
     boolean isDrawnForServer(Server server) {
-        return limit.isSparse() && inSlowStart(server);
+        return limit.isTrafficSparse() && inSlowStart(server);
     }
 
     /**
-     * Whether the rule lets a server have this request. What many routers saved must not go out at once: where they are
-     * many, each request uses up a part, a read that of one replica, and is admitted once the parts add up to one.
+     * Whether slow start admits a request at a server. Where traffic is sparse, a call uses up budget, see
+     * {@link SlowStartBudget#spendPart}; otherwise {@link #attemptStarted} does. Long-running reads are never admitted during
+     * slow start.
      */
     boolean admits(Server server, PendingRequest request) {
         if (!inSlowStart(server)) {
@@ -77,41 +104,59 @@
         if (request.longRead) {
             return false;
         }
-        int warm = warmServers();
-        return warm == 0 ? admitsWithoutWarmServers(server, request) : admitsByBudget(server, request, warm);
+        int warmServers = countWarmServers();
+        return warmServers == 0
+                ? admitsWithoutWarmServers(server, request)
+                : admitsByBudget(server, request, warmServers);
     }
 
+    /**
+     * Admits at random while no server is warm, as then no budget is earned. The draw is derived from the request and the
+     * server, so it is the same at each try to place the request.
+     */
     private boolean admitsWithoutWarmServers(Server server, PendingRequest request) {
         double draw = request.sheddingDraw * DRAW_SCALE + server.id.hashCode() * SERVER_DRAW_STEP;
         draw -= Math.floor(draw);
-        return server.inFlight.count() < (request.isWrite() ? NO_WARM_SERVER_WRITES : NO_WARM_SERVER_READS)
-                && draw < NO_WARM_SERVER_ATTEMPTS / context.settings().instanceCount();
+        return server.inFlight.count() < (request.isWrite() ? NO_WARM_SERVER_MAX_WRITES : NO_WARM_SERVER_MAX_READS)
+                && draw < NO_WARM_SERVER_ADMITTING_ROUTERS / context.settings().instanceCount();
     }
 
-    private boolean admitsByBudget(Server server, PendingRequest request, int warm) {
+    /**
+     * Adds what the server in slow start has earned since the last call to its budget, and admits the request if the budget
+     * suffices.
+     *
+     * <p>The load that the server can bear, relative to a warm server, is its present capacity ratio times the multiple of
+     * its capacity that overloads it; {@link #USED_CAPACITY_RATIO} of that is used. Each served request earns this over the
+     * number of warm servers, as it was served by one of them. Where traffic is sparse, the capacity ratio is that of
+     * one overload period earlier, the time over which load at the server is counted. A write then
+     * uses up what a served request earns over all servers, one request at most; a read uses up this over the number of
+     * the group's replicas, as it is considered for each of them.
+     */
+    private boolean admitsByBudget(Server server, PendingRequest request, int warmServers) {
         RouterSettings.Rules rules = context.settings().rules();
-        boolean sparse = limit.isSparse();
-        long age = context.nowMicros() - server.slowStart.startedMicros - (sparse ? rules.overloadMicros() : 0);
-        double requestsPerWarmRequest = capacityRatio(rules, age) * rules.overloadMultiple() * USED_CAPACITY_RATIO;
-        int equalServers = request.isWrite() ? 1 : Math.max(1, server.group.members.size() - 1);
-        double requestPart = Math.min(1, requestsPerWarmRequest) / equalServers;
+        boolean trafficSparse = limit.isTrafficSparse();
+        long ageMicros =
+                context.nowMicros() - server.slowStart.startedMicros - (trafficSparse ? rules.overloadMicros() : 0);
+        double requestsPerWarmRequest = capacityRatio(rules, ageMicros) * rules.overloadMultiple() * USED_CAPACITY_RATIO;
+        int candidateServers = request.isWrite() ? 1 : Math.max(1, server.group.members.size() - 1);
+        double requestPart = Math.min(1, requestsPerWarmRequest) / candidateServers;
         SlowStartBudget budget = server.slowStart.budget;
-        double maxSaved = sparse ? MAX_SAVED_REQUESTS * requestPart : MAX_SAVED_REQUESTS;
-        budget.earn(load.servedByWarmServers(), requestsPerWarmRequest / warm, maxSaved);
-        return sparse ? budget.spendPart(requestPart) : budget.hasWholeRequest();
+        double maxSaved = trafficSparse ? MAX_SAVED_REQUESTS * requestPart : MAX_SAVED_REQUESTS;
+        budget.earn(load.servedByWarmServers(), requestsPerWarmRequest / warmServers, maxSaved);
+        return trafficSparse ? budget.spendPart(requestPart) : budget.hasWholeRequest();
     }
 
-    /** Uses up the request that an attempt took, where the admission has not done so. */
+    /** Uses up the budget of one request for an attempt that was started, unless {@link #admits} has done so. */
     void attemptStarted(Server server) {
-        server.slowStart.budget.spend(limit.isSparse() ? 0 : 1);
+        server.slowStart.budget.spend(limit.isTrafficSparse() ? 0 : 1);
     }
 
-    private int warmServers() {
-        int warm = 0;
+    private int countWarmServers() {
+        int count = 0;
         for (Server server : servers.servers()) {
             boolean usable = server.listing.state() == EndpointState.LIVE && !server.outlier.isEjected();
-            warm += usable && !inSlowStart(server) ? 1 : 0;
+            count += usable && !inSlowStart(server) ? 1 : 0;
         }
-        return warm;
+        return count;
     }
 }
--- a/routing/src/main/java/lupinvalve/routing/SlowStartBudget.java
+++ b/routing/src/main/java/lupinvalve/routing/SlowStartBudget.java
@@ -1,44 +1,62 @@
 package lupinvalve.routing;
 
 /**
- * How many attempts one router may start at a server in slow start, in requests: what was earned and is not used up,
- * and how far it is to the next one that is admitted. {@link SlowStart} decides how much is earned and used up.
+ * The budget of attempts that one router may start at a server in slow start, in requests and parts of requests:
+ * {@code savedRequests} is earned and not used up yet; {@code dueRequests} is used up in parts but has not yet added up
+ * to an attempt. {@link SlowStart} decides how much is earned and used up.
  */
 final class SlowStartBudget {
-    private double servedBefore;
+    /** The number of requests served at the last call of {@link #earn} or {@link #restart}. */
+    private double servedAtLastEarn;
+
     private double savedRequests;
     private double dueRequests;
 
-    /** Begins anew at so many requests served, with a part of a request saved, and a part of the next one due. */
+    /**
+     * Resets the budget.
+     *
+     * @param served the number of requests that warm servers have served so far
+     * @param alreadySaved the requests that the budget begins with
+     * @param alreadyDue the part of the next attempt that counts as used up already
+     */
     void restart(double served, double alreadySaved, double alreadyDue) {
-        servedBefore = served;
+        servedAtLastEarn = served;
         savedRequests = alreadySaved;
         dueRequests = alreadyDue;
     }
 
-    /** Earns a part of a request for each one served since the last call; at most so much is saved. */
+    /**
+     * Adds what was earned since the last call.
+     *
+     * @param served the number of requests that warm servers have served so far
+     * @param requestsPerServed the budget earned by each of them, in requests
+     * @param maxSaved the greatest budget that is kept
+     */
     void earn(double served, double requestsPerServed, double maxSaved) {
-        savedRequests = Math.min(maxSaved, savedRequests + (served - servedBefore) * requestsPerServed);
-        servedBefore = served;
+        savedRequests = Math.min(maxSaved, savedRequests + (served - servedAtLastEarn) * requestsPerServed);
+        servedAtLastEarn = served;
     }
 
     boolean hasWholeRequest() {
         return savedRequests >= 1;
     }
 
+    /** Uses up the budget of an attempt. */
     void spend(double requests) {
         savedRequests -= requests;
     }
 
     /**
-     * Uses up at most so much for one request, and tells whether it is the one to go: the parts used up add to the next
-     * one due. Routers that begin with parts due drawn evenly from 0 to 1 send together, over any time, about the sum
-     * of all parts used up, each at most one more than its own.
+     * Uses up to the given part of the budget for one request, and adds it to the part of the next attempt that is due. If
+     * the routers begin with random due parts, uniform from 0 to 1, the attempts that they start together over any time
+     * are about the sum of all parts used up in it, and those of each router exceed its own sum by at most one.
+     *
+     * @return whether the due parts have added up to one, so that an attempt of this request is admitted
      */
     boolean spendPart(double maxRequests) {
-        double part = Math.min(maxRequests, savedRequests);
-        savedRequests -= part;
-        dueRequests += part;
+        double spentRequests = Math.min(maxRequests, savedRequests);
+        savedRequests -= spentRequests;
+        dueRequests += spentRequests;
         boolean admitted = dueRequests >= 1;
         dueRequests -= admitted ? 1 : 0;
         return admitted;
--- a/routing/src/main/java/lupinvalve/routing/WritePlacement.java
+++ b/routing/src/main/java/lupinvalve/routing/WritePlacement.java
@@ -1,6 +1,6 @@
 package lupinvalve.routing;
 
-/** Where writes go: to the primary, or, where none is known, to members in turn until one turns out to be it. */
+/** Places writes: at the primary or, where none is known, at the members of the group in turn until the primary is found. */
 final class WritePlacement {
     private final PrimarySearch search;
     private final ServerEligibility eligibility;
@@ -21,15 +21,18 @@
         this.dispatcher = dispatcher;
     }
 
+    /**
+     * Starts a write at the primary, or at a possible primary if none is known or the known one may not get writes at all.
+     */
     PlacementResult place(PendingRequest request) {
         ServerGroup group = request.group;
         Server primary = group.primary();
         if (eligibility.isEligible(primary, true)) {
             return placeAt(primary, request);
         }
-        // A primary that is listed is waited for: no other member takes writes.
-        boolean listed = primary != null && eligibility.isListed(primary, true);
-        return listed || !search.isAttemptDue(group) || !retryPolicy.maySearchPrimary(request)
+        // If the known primary is listed but can't be used now, the write waits for it, as no other member accepts writes.
+        boolean primaryListed = primary != null && eligibility.isListed(primary, true);
+        return primaryListed || !search.isAttemptDue(group) || !retryPolicy.maySearchPrimary(request)
                 ? PlacementResult.NO_SERVER
                 : searchPrimary(request);
     }
--- a/routing/src/test/java/lupinvalve/routing/DecayingMeanTest.java
+++ b/routing/src/test/java/lupinvalve/routing/DecayingMeanTest.java
@@ -29,8 +29,8 @@
             mean.add(NOW, 1);
         }
         double fresh = mean.mean(NOW, 0);
-        double faded = mean.mean(NOW + (long) DecayingMean.MEMORY_MICROS, 0);
-        double gone = mean.mean(NOW + (long) (20 * DecayingMean.MEMORY_MICROS), 0);
+        double faded = mean.mean(NOW + (long) DecayingMean.DECAY_TIME_MICROS, 0);
+        double gone = mean.mean(NOW + (long) (20 * DecayingMean.DECAY_TIME_MICROS), 0);
         assertTrue(fresh > 0.8, "fresh " + fresh);
         assertTrue(faded < fresh && faded > 0.6, "faded " + faded);
         assertTrue(gone < 1e-6, "gone " + gone);
