--- a/routing/src/test/java/lupinvalve/routing/ClientRetryDetectorTest.java
+++ b/routing/src/test/java/lupinvalve/routing/ClientRetryDetectorTest.java
@@ -7,6 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** Tests how unmarked retries of clients are detected by the waits that requests state. */
 class ClientRetryDetectorTest {
     private static final long MS = 1000;
     private final ClientRetryDetector detector = new ClientRetryDetector(List.of(
@@ -33,39 +34,40 @@
                     3,
                     0.7)));
 
-    private void firstAttempts(int cls, int count) {
+    /** Records first attempts, which all state a wait of 1.5 s; none may count as a retry. */
+    private void recordFirstAttempts(int classIndex, int count) {
         for (int i = 0; i < count; i++) {
-            assertEquals(0, detector.sinceFirstAttemptMicros(cls, 1500 * MS));
+            assertEquals(0, detector.sinceFirstAttemptMicros(classIndex, 1500 * MS));
         }
     }
 
     @Test
-    void whatARetryLacksHasPassedSinceItsFirstAttempt() {
-        firstAttempts(0, 40);
+    void timeSinceTheFirstAttemptIsDeadlineMinusStatedWait() {
+        recordFirstAttempts(0, 40);
         assertEquals(1100 * MS, detector.sinceFirstAttemptMicros(0, 900 * MS));
         assertTrue(detector.isLateRetry(0, 900 * MS));
         assertFalse(detector.isLateRetry(0, 1500 * MS));
     }
 
     @Test
-    void oneLongWaitMakesNoRetriesOfAllOthers() {
-        firstAttempts(0, 40);
+    void oneLongerWaitDoesNotMakeOtherRequestsCountAsRetries() {
+        recordFirstAttempts(0, 40);
         assertEquals(0, detector.sinceFirstAttemptMicros(0, 1990 * MS));
-        firstAttempts(0, 40);
+        recordFirstAttempts(0, 40);
     }
 
     @Test
-    void clientsThatAllWaitDifferentlyAreNotTakenForRetries() {
+    void requestsWithDifferentWaitsDoNotCountAsRetries() {
         for (int i = 0; i < 200; i++) {
             assertFalse(detector.isLateRetry(0, (500 + i * 7 % 900) * MS));
         }
     }
 
     @Test
-    void fewRequestsProveNothingAndLateValueMakesNoLateRetry() {
-        firstAttempts(0, 5);
+    void fewRequestsOrAClassThatKeepsItsValueWhenLateYieldNoLateRetry() {
+        recordFirstAttempts(0, 5);
         assertFalse(detector.isLateRetry(0, 300 * MS));
-        firstAttempts(1, 40);
-        assertFalse(detector.isLateRetry(1, 300 * MS), "a late write is still worth most of its worth");
+        recordFirstAttempts(1, 40);
+        assertFalse(detector.isLateRetry(1, 300 * MS), "a late write keeps most of its value");
     }
 }
--- a/routing/src/test/java/lupinvalve/routing/DecayingMeanTest.java
+++ b/routing/src/test/java/lupinvalve/routing/DecayingMeanTest.java
@@ -5,17 +5,17 @@
 
 import org.junit.jupiter.api.Test;
 
-/** How a mean leans on its prior, forgets, and weights the newest samples. */
+/** Tests the weights in a decaying mean: that of the prior, of old samples and of the newest samples. */
 class DecayingMeanTest {
     private static final long NOW = 1_000_000_000L;
 
     @Test
-    void withoutSamplesItIsThePrior() {
+    void meanWithoutSamplesIsThePrior() {
         assertEquals(0.7, new DecayingMean().mean(NOW, 0.7), 1e-12);
     }
 
     @Test
-    void priorWeighsAsMuchAsTwoSamples() {
+    void priorHasTheWeightOfTwoSamples() {
         DecayingMean mean = new DecayingMean();
         mean.add(NOW, 1);
         mean.add(NOW, 1);
@@ -23,17 +23,17 @@
     }
 
     @Test
-    void samplesFadeWithinTheMemory() {
+    void weightOfSamplesDecaysWithTime() {
         DecayingMean mean = new DecayingMean();
         for (int i = 0; i < 100; i++) {
             mean.add(NOW, 1);
         }
         double fresh = mean.mean(NOW, 0);
-        double faded = mean.mean(NOW + (long) DecayingMean.DECAY_TIME_MICROS, 0);
-        double gone = mean.mean(NOW + (long) (20 * DecayingMean.DECAY_TIME_MICROS), 0);
+        double afterDecayTime = mean.mean(NOW + (long) DecayingMean.DECAY_TIME_MICROS, 0);
+        double afterManyDecayTimes = mean.mean(NOW + (long) (20 * DecayingMean.DECAY_TIME_MICROS), 0);
         assertTrue(fresh > 0.8, "fresh " + fresh);
-        assertTrue(faded < fresh && faded > 0.6, "faded " + faded);
-        assertTrue(gone < 1e-6, "gone " + gone);
+        assertTrue(afterDecayTime < fresh && afterDecayTime > 0.6, "after the decay time " + afterDecayTime);
+        assertTrue(afterManyDecayTimes < 1e-6, "after 20 decay times " + afterManyDecayTimes);
     }
 
     @Test
--- a/routing/src/test/java/lupinvalve/routing/ExampleTest.java
+++ b/routing/src/test/java/lupinvalve/routing/ExampleTest.java
@@ -6,10 +6,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The README's example, whole. */
+/** Compiles and runs the example of the README: a router embedded in a program starts an attempt of a read at the replica. */
 class ExampleTest {
     @Test
-    void embedding() {
+    void embeddedRouterStartsAReadAtTheReplica() {
         RequestClass read = new RequestClass(
                 "read",
                 RequestClass.Access.SESSION,
@@ -48,7 +48,7 @@
                 nowMicros, new RouterEvent.RequestArrived("r1", 0, false, "session", 0, 1, 800_000), actions::add);
 
         assertTrue(actions.stream()
-                .anyMatch(a -> a instanceof RouterAction.StartAttempt start
+                .anyMatch(action -> action instanceof RouterAction.StartAttempt start
                         && start.id().equals("r1")
                         && start.node().equals("db-2")));
     }
--- a/routing/src/test/java/lupinvalve/routing/FleetTest.java
+++ b/routing/src/test/java/lupinvalve/routing/FleetTest.java
@@ -14,41 +14,50 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Many routers before one scripted world in virtual time: what is harmless at one must not add up. */
+/**
+ * Tests many routers together, against scripted servers in virtual time: what is harmless for one router must not add up
+ * to an overload or a starved server over all of them. Nodes m0 to m5 are group 1 and k0 to k5 group 2; m0 and k0 are the
+ * primaries.
+ */
 class FleetTest {
     private static final long MS = 1000;
     private static final long SECOND = 1000 * MS;
     private static final int REQUESTS_PER_SECOND = 300;
     private static final int WARM_SERVERS = 5;
     private static final double INITIAL_CAPACITY_RATIO = 0.2;
-    /** How much more than it can do a server in slow start bears, and how long it takes to be warm. */
+    /** The multiple of its present capacity that overloads a server in slow start. */
     private double overloadMultiple = 3;
+    /** How long a server's slow start lasts. */
+    private long warmUpMicros = 10 * SECOND;
 
-    private long warmUp = 10 * SECOND;
+    private record ScheduledEvent(long atMicros, int router, RouterEvent event) {}
 
-    private record Due(long at, int router, RouterEvent event) {}
-
-    private final PriorityQueue<Due> ahead = new PriorityQueue<>((a, b) -> Long.compare(a.at, b.at));
+    private final PriorityQueue<ScheduledEvent> scheduledEvents =
+            new PriorityQueue<>((a, b) -> Long.compare(a.atMicros, b.atMicros));
     private final List<Router> routers = new ArrayList<>();
-    /** What each router was set to, and what was last listed, for those that start again. */
+    /** The settings of each router, for its restart. */
     private final List<RouterSettings> settingsByRouter = new ArrayList<>();
-
-    private final Map<String, Endpoint> listed = new LinkedHashMap<>();
-    private final Map<String, List<Long>> sends = new HashMap<>();
+    /** The endpoint list as last updated, for routers that restart. */
+    private final Map<String, Endpoint> endpointsByNode = new LinkedHashMap<>();
+    /** When attempts were started at each node, by all routers, in microseconds. */
+    private final Map<String, List<Long>> attemptTimesByNode = new HashMap<>();
+    /** The Retry-After of each rejected read, in microseconds. */
     private final List<Long> retryAfters = new ArrayList<>();
     private long now = 1000 * SECOND;
-    private long latency = 40 * MS;
+    private long latencyMicros = 40 * MS;
     private int healthChecks;
-    /** Which router a request comes to, and for which group. */
+    /** Selects the router that a request arrives at. */
     private ToIntFunction<SplittableRandom> routerOfRequest = random -> random.nextInt(routers.size());
 
+    /** Selects the group that a request is for. */
     private ToIntFunction<SplittableRandom> groupOfRequest = random -> 1;
 
-    private void fleet(int count) {
-        fleet(count, 1);
+    private void startRouters(int count) {
+        startRouters(count, 1);
     }
 
-    private void fleet(int count, int groups) {
+    /** Starts routers that share one endpoint list, of one or two groups. */
+    private void startRouters(int count, int groups) {
         RequestClass read = new RequestClass(
                 "read",
                 RequestClass.Access.BOUNDED,
@@ -61,7 +70,7 @@
                 1,
                 0);
         for (int i = 0; i < count; i++) {
-            int self = i;
+            int routerIndex = i;
             RouterSettings settings = new RouterSettings(
                     i,
                     count,
@@ -74,12 +83,12 @@
                             250 * MS,
                             10 * SECOND,
                             INITIAL_CAPACITY_RATIO,
-                            warmUp,
+                            warmUpMicros,
                             overloadMultiple,
                             3 * SECOND),
                     new RouterSettings.Replication(
                             RouterSettings.FreshnessCheck.BOUNCE, 0, RouterSettings.TokenSource.CARRIED));
-            routers.add(new Router(100 + i, settings, now, action -> act(self, action)));
+            routers.add(new Router(100 + i, settings, now, action -> perform(routerIndex, action)));
             settingsByRouter.add(settings);
         }
         List<Endpoint> members = new ArrayList<>();
@@ -89,71 +98,72 @@
                 members.add(new Endpoint("k" + i, 2, 0, EndpointState.LIVE, i == 0, 0));
             }
         }
-        all(new RouterEvent.EndpointUpdate(ListForm.FULL, members));
+        handleAtAllRouters(new RouterEvent.EndpointUpdate(ListForm.FULL, members));
     }
 
-    private void all(RouterEvent event) {
-        if (event instanceof RouterEvent.EndpointUpdate news) {
-            news.endpoints().forEach(member -> listed.put(member.node(), member));
+    private void handleAtAllRouters(RouterEvent event) {
+        if (event instanceof RouterEvent.EndpointUpdate update) {
+            update.endpoints().forEach(endpoint -> endpointsByNode.put(endpoint.node(), endpoint));
         }
         for (int i = 0; i < routers.size(); i++) {
-            give(i, event);
+            handle(i, event);
         }
     }
 
-    /** A router is replaced by a new one that knows nothing but the list; answers to the old one are lost. */
+    /** Replaces a router by a new one that knows only the endpoint list; answers to the old one are not delivered. */
     private void restartRouter(int router) {
         routers.set(
-                router, new Router(5000 + router, settingsByRouter.get(router), now, action -> act(router, action)));
-        give(router, new RouterEvent.EndpointUpdate(ListForm.FULL, List.copyOf(listed.values())));
+                router, new Router(5000 + router, settingsByRouter.get(router), now, action -> perform(router, action)));
+        handle(router, new RouterEvent.EndpointUpdate(ListForm.FULL, List.copyOf(endpointsByNode.values())));
     }
 
-    private void give(int router, RouterEvent event) {
-        routers.get(router).handle(now, event, action -> act(router, action));
+    private void handle(int router, RouterEvent event) {
+        routers.get(router).handle(now, event, action -> perform(router, action));
     }
 
-    private void act(int router, RouterAction action) {
-        if (action instanceof RouterAction.StartAttempt send) {
-            sends.computeIfAbsent(send.node(), n -> new ArrayList<>()).add(now);
-            boolean primary = send.node().endsWith("0");
-            ahead.add(new Due(
-                    now + latency,
+    /** Carries out a router's action: each attempt is served after the latency, and each health check after 1 ms. */
+    private void perform(int router, RouterAction action) {
+        if (action instanceof RouterAction.StartAttempt start) {
+            attemptTimesByNode.computeIfAbsent(start.node(), node -> new ArrayList<>()).add(now);
+            boolean primary = start.node().endsWith("0");
+            scheduledEvents.add(new ScheduledEvent(
+                    now + latencyMicros,
                     router,
                     new RouterEvent.AttemptEnded(
-                            send.id(),
+                            start.id(),
                             0,
-                            send.node(),
+                            start.node(),
                             AttemptOutcome.SERVED,
-                            latency,
+                            latencyMicros,
                             true,
                             now,
                             primary ? ServerRole.PRIMARY : ServerRole.REPLICA)));
-        } else if (action instanceof RouterAction.Reject refuse) {
-            retryAfters.add(refuse.retryAfterMicros());
-        } else if (action instanceof RouterAction.CheckHealth probe) {
+        } else if (action instanceof RouterAction.Reject reject) {
+            retryAfters.add(reject.retryAfterMicros());
+        } else if (action instanceof RouterAction.CheckHealth check) {
             healthChecks++;
-            ahead.add(new Due(
+            scheduledEvents.add(new ScheduledEvent(
                     now + MS,
                     router,
                     new RouterEvent.HealthCheckEnded(
-                            probe.node(), AttemptOutcome.SERVED, MS, now, ServerRole.REPLICA)));
+                            check.node(), AttemptOutcome.SERVED, MS, now, ServerRole.REPLICA)));
         } else if (action instanceof RouterAction.SetTimer timer) {
-            ahead.add(new Due(now + timer.delayMicros(), router, new RouterEvent.TimerFired(timer.handle())));
+            scheduledEvents.add(new ScheduledEvent(now + timer.delayMicros(), router, new RouterEvent.TimerFired(timer.handle())));
         }
     }
 
-    /** Reads come for so long. */
-    private void run(long micros, long seed) {
+    /** Sends reads to the routers for a time, and delivers the events that are due meanwhile. */
+    private void sendReads(long durationMicros, long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        long end = now + micros;
+        long end = now + durationMicros;
         for (long next = now; next < end; next += 2L * random.nextInt((int) (SECOND / REQUESTS_PER_SECOND))) {
-            while (!ahead.isEmpty() && ahead.peek().at <= next) {
-                Due due = ahead.poll();
-                now = Math.max(now, due.at);
-                give(due.router, due.event);
+            while (!scheduledEvents.isEmpty() && scheduledEvents.peek().atMicros <= next) {
+                ScheduledEvent due = scheduledEvents.poll();
+                now = Math.max(now, due.atMicros);
+                handle(due.router, due.event);
             }
             now = next;
-            give(
+            handle(
                     routerOfRequest.applyAsInt(random),
                     new RouterEvent.RequestArrived(
                             Long.toString(now, 36) + "-" + random.nextInt(1 << 30),
@@ -167,39 +177,47 @@
         now = end;
     }
 
-    /** What may be sent to a member in any window of 3 s by all together: what it bears, and a little chance. */
-    private void assertBearable(String node, long started, double warmPerSecond, String what) {
-        List<Long> cold = sends.getOrDefault(node, List.of()).stream()
+    /**
+     * Asserts that all routers together start no more attempts at a server in slow start, in any 3 s, than it can bear. That
+     * is the overload multiple times its capacity at the start of the 3 s, plus an allowance for chance of two standard
+     * deviations and 2 attempts.
+     *
+     * @param warmPerSecond the attempts per second at a warm replica, which the capacity is measured by
+     */
+    private void assertNotOverloaded(String node, long started, double warmPerSecond, String phase) {
+        List<Long> attemptTimes = attemptTimesByNode.getOrDefault(node, List.of()).stream()
                 .filter(at -> at >= started)
                 .toList();
         for (long from = started; from <= now - 3 * SECOND; from += 50 * MS) {
             long start = from;
-            long sent = cold.stream()
+            long sent = attemptTimes.stream()
                     .filter(at -> at >= start && at < start + 3 * SECOND)
                     .count();
             double bearable = overloadMultiple
-                    * (INITIAL_CAPACITY_RATIO + (1 - INITIAL_CAPACITY_RATIO) * (from - started) / warmUp)
+                    * (INITIAL_CAPACITY_RATIO + (1 - INITIAL_CAPACITY_RATIO) * (from - started) / warmUpMicros)
                     * warmPerSecond
                     * 3;
             assertTrue(
                     sent <= bearable + 2 * Math.sqrt(bearable) + 2,
-                    what + ": " + sent + " sent, bearable " + bearable + ", from " + (from - started) / MS + " ms on");
+                    phase + ": " + sent + " attempts at " + node + " in 3 s, it can bear " + bearable + ", from "
+                            + (from - started) / MS + " ms after its start on");
         }
     }
 
-    private long start(String... nodes) {
+    /** Updates the endpoint list: the processes of these nodes have just started. Returns the time. */
+    private long listAsStarted(String... nodes) {
         List<Endpoint> members = new ArrayList<>();
         for (String node : nodes) {
             members.add(new Endpoint(node, node.startsWith("m") ? 1 : 2, 0, EndpointState.LIVE, false, now));
         }
-        all(new RouterEvent.EndpointUpdate(ListForm.UPDATE, members));
+        handleAtAllRouters(new RouterEvent.EndpointUpdate(ListForm.UPDATE, members));
         return now;
     }
 
-    /** What a warm replica of the cold one's group was sent in the mean: it can bear that at least. */
-    private double warmPerSecond(long from) {
+    /** Returns the attempts per second that a warm replica of group 1 got in the mean; it can bear at least that. */
+    private double attemptsPerSecondAtWarmReplica(long from) {
         return List.of("m1", "m2", "m3", "m4").stream()
-                        .mapToLong(node -> sends.get(node).stream()
+                        .mapToLong(node -> attemptTimesByNode.get(node).stream()
                                 .filter(at -> at >= from)
                                 .count())
                         .sum()
@@ -208,97 +226,99 @@
     }
 
     @Test
-    void allTogetherKeepAServerInSlowStartUnderWhatItCanBear() {
-        fleet(14);
-        run(5 * SECOND, 1);
-        long started = start("m5");
-        run(8 * SECOND, 2);
-        List<Long> cold = sends.get("m5").stream().filter(at -> at >= started).toList();
-        // What a warm replica was sent in that time is what it can bear at least.
-        double warm = sends.get("m4").stream().filter(at -> at >= started).count() / 8.0;
+    void allRoutersTogetherDoNotOverloadAServerInSlowStart() {
+        startRouters(14);
+        sendReads(5 * SECOND, 1);
+        long started = listAsStarted("m5");
+        sendReads(8 * SECOND, 2);
+        List<Long> attemptTimes = attemptTimesByNode.get("m5").stream().filter(at -> at >= started).toList();
+        // A warm replica can bear at least the attempts that it got in that time.
+        double warmPerSecond = attemptTimesByNode.get("m4").stream().filter(at -> at >= started).count() / 8.0;
         for (long from = started; from < started + 5 * SECOND; from += 100 * MS) {
             long start = from;
-            long sent = cold.stream()
+            long sent = attemptTimes.stream()
                     .filter(at -> at >= start && at < start + 3 * SECOND)
                     .count();
-            double warmth = INITIAL_CAPACITY_RATIO + (1 - INITIAL_CAPACITY_RATIO) * (from - started) / warmUp;
+            double capacityRatio = INITIAL_CAPACITY_RATIO + (1 - INITIAL_CAPACITY_RATIO) * (from - started) / warmUpMicros;
             assertTrue(
-                    sent <= overloadMultiple * warmth * warm * 3,
-                    sent + " sent, warm members take " + warm + "/s, from " + (from - started) / MS + " ms on");
+                    sent <= overloadMultiple * capacityRatio * warmPerSecond * 3,
+                    sent + " attempts in 3 s, warm replicas get " + warmPerSecond + "/s, from " + (from - started) / MS
+                            + " ms after its start on");
         }
-        assertTrue(cold.size() > 30, "it is not starved: " + cold.size());
+        assertTrue(attemptTimes.size() > 30, "attempts at the server in slow start: " + attemptTimes.size());
     }
 
-    /** Half of what comes comes to a tenth of the poolers, and a third of all start again 1 s after the member. */
+    /** Half of all requests arrive at a tenth of the routers, and a third of the routers restart 1 s after the server. */
     @ParameterizedTest
     @ValueSource(ints = {14, 30, 100})
-    void routersThatRestartKeepAServerInSlowStartUnderWhatTheLeastBusyOfTheOthersShows(int count) {
+    void routersThatRestartDoNotOverloadAServerInSlowStart(int count) {
         routerOfRequest = random -> random.nextInt(random.nextBoolean() ? Math.max(1, count / 10) : count);
-        fleet(count);
-        run(5 * SECOND, 1);
-        long started = start("m5");
-        run(SECOND, 2);
+        startRouters(count);
+        sendReads(5 * SECOND, 1);
+        long started = listAsStarted("m5");
+        sendReads(SECOND, 2);
         for (int i = 0; i < count; i += 3) {
             restartRouter(i);
         }
-        run(7 * SECOND, 3);
-        double warm = List.of("m1", "m2", "m3", "m4").stream()
-                        .mapToLong(node -> sends.get(node).stream()
+        sendReads(7 * SECOND, 3);
+        double warmPerSecond = List.of("m1", "m2", "m3", "m4").stream()
+                        .mapToLong(node -> attemptTimesByNode.get(node).stream()
                                 .filter(at -> at >= started)
                                 .count())
                         .min()
                         .orElseThrow()
                 / 8.0;
-        List<Long> cold = sends.get("m5").stream().filter(at -> at >= started).toList();
+        List<Long> attemptTimes = attemptTimesByNode.get("m5").stream().filter(at -> at >= started).toList();
         for (long from = started; from <= now - 3 * SECOND; from += 100 * MS) {
             long start = from;
-            long sent = cold.stream()
+            long sent = attemptTimes.stream()
                     .filter(at -> at >= start && at < start + 3 * SECOND)
                     .count();
             double bearable = overloadMultiple
-                    * (INITIAL_CAPACITY_RATIO + (1 - INITIAL_CAPACITY_RATIO) * (from - started) / warmUp)
-                    * warm
+                    * (INITIAL_CAPACITY_RATIO + (1 - INITIAL_CAPACITY_RATIO) * (from - started) / warmUpMicros)
+                    * warmPerSecond
                     * 3;
             assertTrue(
                     sent <= bearable,
-                    sent + " sent, bearable " + bearable + ", from " + (from - started) / MS + " ms on");
+                    sent + " attempts in 3 s, it can bear " + bearable + ", from " + (from - started) / MS
+                            + " ms after its start on");
         }
         assertTrue(
-                cold.size() > 0.3 * 8 * warmPerSecond(started),
-                "it is not starved: " + cold.size() + " against " + 8 * warmPerSecond(started));
+                attemptTimes.size() > 0.3 * 8 * attemptsPerSecondAtWarmReplica(started),
+                "attempts at the server in slow start: " + attemptTimes.size() + ", at a warm one " + 8 * attemptsPerSecondAtWarmReplica(started));
     }
 
-    /** Late answers make the poolers refuse most reads: what a refused one might have used up is left for others. */
+    /** Slow answers make the routers reject most reads; a rejected read must leave its budget to others. */
     @ParameterizedTest
     @ValueSource(ints = {14, 30})
     void serverInSlowStartIsNotStarvedWhereMostReadsAreRejected(int count) {
-        fleet(count);
-        run(3 * SECOND, 1);
-        latency = 500 * MS;
-        run(2 * SECOND, 4);
+        startRouters(count);
+        sendReads(3 * SECOND, 1);
+        latencyMicros = 500 * MS;
+        sendReads(2 * SECOND, 4);
         int rejectedBefore = retryAfters.size();
-        long started = start("m5");
-        run(10 * SECOND, 2);
+        long started = listAsStarted("m5");
+        sendReads(10 * SECOND, 2);
         assertTrue(
                 retryAfters.size() - rejectedBefore > REQUESTS_PER_SECOND * 10 / 2,
-                "refused " + (retryAfters.size() - rejectedBefore));
-        assertBearable("m5", started, warmPerSecond(started), "pressed");
-        long cold = sends.get("m5").stream().filter(at -> at >= started).count();
+                "rejected: " + (retryAfters.size() - rejectedBefore));
+        assertNotOverloaded("m5", started, attemptsPerSecondAtWarmReplica(started), "overload");
+        long attemptsInSlowStart = attemptTimesByNode.get("m5").stream().filter(at -> at >= started).count();
         assertTrue(
-                cold > 0.3 * 10 * warmPerSecond(started),
-                "it is not starved: " + cold + " against " + 10 * warmPerSecond(started));
+                attemptsInSlowStart > 0.3 * 10 * attemptsPerSecondAtWarmReplica(started),
+                "attempts at the server in slow start: " + attemptsInSlowStart + ", at a warm one " + 10 * attemptsPerSecondAtWarmReplica(started));
     }
 
-    /** Each pooler sees few answers: what these tell apart by chance must not make all prefer the same replicas. */
+    /** Each router sees few answers, which differ by chance; this must not make all routers prefer the same replicas. */
     @ParameterizedTest
     @ValueSource(ints = {14, 30, 100})
     void equalReplicasGetAboutAsManyReads(int count) {
-        fleet(count);
-        run(5 * SECOND, 1);
+        startRouters(count);
+        sendReads(5 * SECOND, 1);
         long from = now;
-        run(8 * SECOND, 2);
+        sendReads(8 * SECOND, 2);
         List<Long> reads = List.of("m1", "m2", "m3", "m4", "m5").stream()
-                .map(node -> sends.get(node).stream().filter(at -> at >= from).count())
+                .map(node -> attemptTimesByNode.get(node).stream().filter(at -> at >= from).count())
                 .sorted()
                 .toList();
         assertTrue(reads.get(0) > 0.6 * reads.get(4), "reads: " + reads);
@@ -306,68 +326,69 @@
 
     @ParameterizedTest
     @ValueSource(ints = {1, 3, 14, 30, 100})
-    void anyNumberOfRoutersKeepsAServerInSlowStartUnderWhatItCanBearAndDoesNotStarveIt(int count) {
+    void anyNumberOfRoutersNeitherOverloadsNorStarvesAServerInSlowStart(int count) {
         overloadMultiple = 2;
-        warmUp = 20 * SECOND;
-        fleet(count, 2);
+        warmUpMicros = 20 * SECOND;
+        startRouters(count, 2);
         groupOfRequest = random -> 1 + random.nextInt(2);
-        run(5 * SECOND, 1);
-        long started = start("m5");
-        run(10 * SECOND, 2);
-        assertBearable("m5", started, warmPerSecond(started), "steady");
-        long cold = sends.get("m5").stream().filter(at -> at >= started).count();
+        sendReads(5 * SECOND, 1);
+        long started = listAsStarted("m5");
+        sendReads(10 * SECOND, 2);
+        assertNotOverloaded("m5", started, attemptsPerSecondAtWarmReplica(started), "steady");
+        long attemptsInSlowStart = attemptTimesByNode.get("m5").stream().filter(at -> at >= started).count();
         assertTrue(
-                cold > 0.2 * 10 * warmPerSecond(started),
-                "it is not starved: " + cold + " against " + 10 * warmPerSecond(started));
+                attemptsInSlowStart > 0.2 * 10 * attemptsPerSecondAtWarmReplica(started),
+                "attempts at the server in slow start: " + attemptsInSlowStart + ", at a warm one " + 10 * attemptsPerSecondAtWarmReplica(started));
     }
 
     @ParameterizedTest
     @ValueSource(ints = {3, 30, 100})
     void budgetsSavedForAServerInSlowStartAreNotSpentAtOnce(int count) {
         overloadMultiple = 2;
-        warmUp = 60 * SECOND;
-        fleet(count, 2);
-        run(5 * SECOND, 1);
-        long started = start("m5");
-        // Few ask for its group, then all do; half of what comes comes to a tenth of the routers.
+        warmUpMicros = 60 * SECOND;
+        startRouters(count, 2);
+        sendReads(5 * SECOND, 1);
+        long started = listAsStarted("m5");
+        // Few requests are for its group at first, then all are; half of all requests arrive at a tenth of the routers.
         groupOfRequest = random -> random.nextInt(40) == 0 ? 1 : 2;
         routerOfRequest = random -> random.nextInt(random.nextBoolean() ? Math.max(1, count / 10) : count);
-        run(8 * SECOND, 2);
+        sendReads(8 * SECOND, 2);
         groupOfRequest = random -> 1;
         long burst = now;
-        run(3 * SECOND, 3);
-        assertBearable("m5", started, warmPerSecond(burst), "burst");
+        sendReads(3 * SECOND, 3);
+        assertNotOverloaded("m5", started, attemptsPerSecondAtWarmReplica(burst), "burst");
     }
 
     @ParameterizedTest
     @ValueSource(ints = {30, 100})
-    void whereNoServerIsWarmAllTogetherDoNotRushThem(int count) {
-        fleet(count, 2);
-        run(2 * SECOND, 1);
-        long started = start("m0", "m1", "m2", "m3", "m4", "m5", "k0", "k1", "k2", "k3", "k4", "k5");
-        run(200 * MS, 2);
+    void whileNoServerIsWarmAllRoutersTogetherSendFewAttempts(int count) {
+        startRouters(count, 2);
+        sendReads(2 * SECOND, 1);
+        long started = listAsStarted("m0", "m1", "m2", "m3", "m4", "m5", "k0", "k1", "k2", "k3", "k4", "k5");
+        sendReads(200 * MS, 2);
         for (String node : List.of("m1", "m2", "m3", "m4", "m5")) {
-            long sent = sends.getOrDefault(node, List.of()).stream()
+            long sent = attemptTimesByNode.getOrDefault(node, List.of()).stream()
                     .filter(at -> at >= started)
                     .count();
-            assertTrue(sent <= 20, node + ": " + sent);
+            assertTrue(sent <= 20, sent + " attempts at " + node);
         }
     }
 
     @Test
-    void healthChecksOfAllTogetherStayAFewInAHundredRequests() {
-        fleet(14);
-        run(10 * SECOND, 3);
-        assertTrue(healthChecks < REQUESTS_PER_SECOND * 10 * 0.06, "probes " + healthChecks);
+    void healthChecksOfAllRoutersStayUnderSixForAHundredRequests() {
+        startRouters(14);
+        sendReads(10 * SECOND, 3);
+        assertTrue(healthChecks < REQUESTS_PER_SECOND * 10 * 0.06, "health checks: " + healthChecks);
     }
 
     @Test
-    void retryAftersOfRejectedReadsAreInTimeAndNotOneWave() {
-        fleet(14);
-        latency = 1500 * MS;
-        run(10 * SECOND, 4);
-        assertTrue(retryAfters.size() > 100, "refused " + retryAfters.size());
-        assertTrue(retryAfters.stream().allMatch(a -> a < 200 * MS), "in time for an aim of 600 ms");
-        assertTrue(retryAfters.stream().distinct().count() > retryAfters.size() / 2, "spread");
+    void retryAftersOfRejectedReadsAreShortAndSpread() {
+        startRouters(14);
+        latencyMicros = 1500 * MS;
+        sendReads(10 * SECOND, 4);
+        assertTrue(retryAfters.size() > 100, "rejected: " + retryAfters.size());
+        assertTrue(retryAfters.stream().allMatch(retryAfter -> retryAfter < 200 * MS),
+                "early enough for a retry within the objective of 600 ms");
+        assertTrue(retryAfters.stream().distinct().count() > retryAfters.size() / 2, "most differ");
     }
 }
--- a/routing/src/test/java/lupinvalve/routing/InFlightLimitTest.java
+++ b/routing/src/test/java/lupinvalve/routing/InFlightLimitTest.java
@@ -5,11 +5,11 @@
 
 import org.junit.jupiter.api.Test;
 
-/** What bounds the attempts in flight to a server. */
+/** Tests the limit of attempts in flight to a server. */
 class InFlightLimitTest extends RouterFixture {
-    /** Incident idbd205. */
+    /** Guards against incident idbd205: retries must not go straight back to a server that has just rejected an attempt. */
     @Test
-    void serverThatRejectsGetsNothingForAMoment() {
+    void serverThatRejectedAnAttemptGetsNoneUntilItsPauseIsOver() {
         start(RouterSettings.FreshnessCheck.AWAIT, RouterSettings.TokenSource.CARRIED, RequestClass.Effect.KEYED);
         allServersReport();
         request("w", WRITE, "s", 2000 * MS);
@@ -20,21 +20,21 @@
     }
 
     @Test
-    void limitFollowsLatencyWithinAFewTurns() {
+    void limitFallsToItsMinimumWithinAFewRoundsOfSlowAnswers() {
         start(RouterSettings.FreshnessCheck.BOUNCE, RouterSettings.TokenSource.CARRIED, RequestClass.Effect.KEYED);
         allServersReport();
-        int turns = 0;
-        int out = Integer.MAX_VALUE;
-        // Each turn fills the primary with writes, then all of them are answered after their aim.
-        for (; turns < 4 && out > 3; turns++) {
-            out = 0;
+        int rounds = 0;
+        int inFlight = Integer.MAX_VALUE;
+        // Each round sends writes to the primary up to its limit; then all are answered after their latency objective.
+        for (; rounds < 4 && inFlight > 3; rounds++) {
+            inFlight = 0;
             for (int i = 0; i < 30; i++) {
-                request("t" + turns + "." + i, WRITE, "s", 2000 * MS);
-                out += lastServer("t" + turns + "." + i) != null ? 1 : 0;
+                request("w" + rounds + "." + i, WRITE, "s", 2000 * MS);
+                inFlight += lastServer("w" + rounds + "." + i) != null ? 1 : 0;
             }
             now += 600 * MS;
             for (int i = 0; i < 30; i++) {
-                String id = "t" + turns + "." + i;
+                String id = "w" + rounds + "." + i;
                 if (lastServer(id) != null) {
                     handle(new RouterEvent.AttemptEnded(
                             id, 0, "a", AttemptOutcome.SERVED, 600 * MS, true, now, ServerRole.PRIMARY));
@@ -42,11 +42,12 @@
                 handle(new RouterEvent.ClientDisconnected(id));
             }
         }
-        assertEquals(3, out, "after turns: " + turns);
+        assertEquals(3, inFlight, "after rounds: " + rounds);
     }
 
+    /** One write in seven is never answered, and times out 1 s later. */
     @Test
-    void answersLostBesideOthersTakeNoCapacityAndLeaveTheLimit() {
+    void lostAnswersAmongServedOnesNeitherUseUpNorReduceTheLimit() {
         start(RouterSettings.FreshnessCheck.BOUNCE, RouterSettings.TokenSource.CARRIED, RequestClass.Effect.KEYED);
         allServersReport();
         int served = 0;
@@ -73,6 +74,6 @@
             }
             handle(new RouterEvent.TimerFired(1));
         }
-        assertTrue(served > 330, "of 342 that could be: " + served);
+        assertTrue(served > 330, "served of the 342 writes that are answered if started: " + served);
     }
 }
--- a/routing/src/test/java/lupinvalve/routing/LoadSheddingTest.java
+++ b/routing/src/test/java/lupinvalve/routing/LoadSheddingTest.java
@@ -5,27 +5,27 @@
 
 import org.junit.jupiter.api.Test;
 
-/** What many routers reject at once. */
+/** Tests load shedding, which applies only where there are many routers. */
 class LoadSheddingTest extends RouterFixture {
     @Test
-    void manyRoutersShedLoadInProportionAsAnswersAreLate() {
-        RouterSettings two = settings(
+    void partOfReadsIsShedWhileAnswersAreSlowAndClientRetriesFirst() {
+        RouterSettings fewRouters = settings(
                 RouterSettings.FreshnessCheck.AWAIT, RouterSettings.TokenSource.CARRIED, RequestClass.Effect.KEYED);
         router = new Router(
                 7,
-                new RouterSettings(0, 200, 0, true, two.classes(), two.limits(), two.rules(), two.replication()),
+                new RouterSettings(0, 200, 0, true, fewRouters.classes(), fewRouters.limits(), fewRouters.rules(), fewRouters.replication()),
                 now,
                 actions::add);
         updateEndpoints(ListForm.RESTORED, liveEndpoint("a", true), liveEndpoint("b", false), liveEndpoint("c", false));
         allServersReport();
-        int refusedEarly = 0;
-        int refusedLate = 0;
+        int rejectedAtFirst = 0;
+        int rejected = 0;
         for (int i = 0; i < 60; i++) {
             now += 200 * MS;
             request("r" + i, READ, null, 800 * MS);
             if (rejections("r" + i) > 0) {
-                refusedEarly += i < 1 ? 1 : 0;
-                refusedLate++;
+                rejectedAtFirst += i < 1 ? 1 : 0;
+                rejected++;
             } else if (lastServer("r" + i) != null) {
                 handle(new RouterEvent.AttemptEnded(
                         "r" + i,
@@ -38,46 +38,47 @@
                         ServerRole.REPLICA));
             }
         }
-        assertEquals(0, refusedEarly, "nothing is refused before anything was late");
-        assertTrue(refusedLate > 15 && refusedLate < 55, "refused: " + refusedLate);
-        int repeatsRefused = 0;
+        assertEquals(0, rejectedAtFirst, "the first read, before any slow answer");
+        assertTrue(rejected > 15 && rejected < 55, "rejected of 60 reads: " + rejected);
+        int clientRetriesRejected = 0;
         for (int i = 0; i < 20; i++) {
-            String id = "again" + i;
+            String id = "retry" + i;
             handle(new RouterEvent.RequestArrived(id, READ, true, null, 0, 1, 800 * MS));
-            repeatsRefused += rejections(id);
+            clientRetriesRejected += rejections(id);
             if (lastServer(id) != null) {
                 attemptEnded(id, 0, lastServer(id), AttemptOutcome.MISSED, now - MS, ServerRole.REPLICA);
             }
         }
-        assertTrue(repeatsRefused >= 18, "repeats go first: " + repeatsRefused);
+        assertTrue(clientRetriesRejected >= 18, "rejected of 20 client retries: " + clientRetriesRejected);
     }
 
     @Test
-    void clientRetryThatCannotBeInTimeIsShedFirst() {
+    void unmarkedClientRetriesThatCannotBeInTimeAreShedFirst() {
         start(RouterSettings.FreshnessCheck.AWAIT, RouterSettings.TokenSource.CARRIED, RequestClass.Effect.UNSAFE);
-        RouterSettings usual = settings(
+        RouterSettings fewRouters = settings(
                 RouterSettings.FreshnessCheck.AWAIT, RouterSettings.TokenSource.CARRIED, RequestClass.Effect.UNSAFE);
         router = new Router(
                 7,
-                new RouterSettings(0, 14, 0, true, usual.classes(), usual.limits(), usual.rules(), usual.replication()),
+                new RouterSettings(0, 14, 0, true, fewRouters.classes(), fewRouters.limits(), fewRouters.rules(), fewRouters.replication()),
                 now,
                 actions::add);
         updateEndpoints(ListForm.RESTORED, liveEndpoint("a", true), liveEndpoint("b", false), liveEndpoint("c", false));
         allServersReport();
-        int[] refused = new int[2];
+        // Index 0 counts first attempts, 1 clients' retries.
+        int[] rejected = new int[2];
         for (int i = 0; i < 400; i++) {
-            boolean repeat = i % 4 == 3;
+            boolean clientRetry = i % 4 == 3;
             String id = "r" + i;
-            request(id, READ, null, repeat ? 300 * MS : 700 * MS);
+            request(id, READ, null, clientRetry ? 300 * MS : 700 * MS);
             now += 5 * MS;
             if (lastServer(id) == null) {
-                refused[repeat ? 1 : 0]++;
+                rejected[clientRetry ? 1 : 0]++;
             } else {
                 handle(new RouterEvent.AttemptEnded(
                         id, 0, lastServer(id), AttemptOutcome.SERVED, 90 * MS, true, now, ServerRole.REPLICA));
             }
         }
-        assertTrue(refused[1] > 60, "of 100 repeats " + refused[1]);
-        assertTrue(refused[0] < 150, "of 300 first tries " + refused[0]);
+        assertTrue(rejected[1] > 60, "rejected of 100 client retries: " + rejected[1]);
+        assertTrue(rejected[0] < 150, "rejected of 300 first attempts: " + rejected[0]);
     }
 }
--- a/routing/src/test/java/lupinvalve/routing/LongReadPlacementTest.java
+++ b/routing/src/test/java/lupinvalve/routing/LongReadPlacementTest.java
@@ -5,10 +5,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Where long-running reads go. */
+/** Tests which replica long-running reads go to. */
 class LongReadPlacementTest extends RouterFixture {
     @Test
-    void longReadsStayOffReplicasInSlowStart() {
+    void longReadsAreNotSentToReplicasInSlowStart() {
         start(RouterSettings.FreshnessCheck.AWAIT, RouterSettings.TokenSource.CARRIED, RequestClass.Effect.KEYED);
         allServersReport();
         updateEndpoints(ListForm.UPDATE, new Endpoint("b", 1, 0, EndpointState.LIVE, false, now));
@@ -16,19 +16,19 @@
         assertEquals("c", lastServer("l"));
     }
 
-    /** While a replica runs a long read it applies nothing: a second one does not go to another replica. */
+    /** A replica applies nothing of the log while it runs a long read, so further ones do not go to other replicas. */
     @Test
-    void longReadsWaitForTheReplicaReservedForThem() {
+    void longReadsWaitForTheirReservedReplicaOnceItIsFull() {
         start(RouterSettings.FreshnessCheck.BOUNCE, RouterSettings.TokenSource.CARRIED, RequestClass.Effect.KEYED);
         allServersReport();
-        int sent = 0;
+        int started = 0;
         for (int i = 0; i < 40; i++) {
             request("l" + i, LONG_READ, null, 8000 * MS);
             if (lastServer("l" + i) != null) {
                 assertEquals("b", lastServer("l" + i));
-                sent++;
+                started++;
             }
         }
-        assertTrue(sent > 0 && sent < 40, "sent " + sent);
+        assertTrue(started > 0 && started < 40, "started of 40 long reads: " + started);
     }
 }
--- a/routing/src/test/java/lupinvalve/routing/PrimaryFallbackTest.java
+++ b/routing/src/test/java/lupinvalve/routing/PrimaryFallbackTest.java
@@ -7,10 +7,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** When reads go to the primary. */
+/** Tests when reads go to the primary instead of a replica. */
 class PrimaryFallbackTest extends RouterFixture {
     @Test
-    void queuedReadFallsBackToThePrimaryInTime() {
+    void sessionReadGoesToThePrimaryIfNoReplicaBecomesFreshInTime() {
         start(RouterSettings.FreshnessCheck.SILENT, RouterSettings.TokenSource.REMEMBERED, RequestClass.Effect.UNSAFE);
         allServersReport();
         request("w", WRITE, "s", 2000 * MS);
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void strongReadSparesThePrimaryWhereMembersAwait() {
+    void strongReadGoesToAReplicaWhereReplicasWaitToCatchUp() {
         start(RouterSettings.FreshnessCheck.AWAIT, RouterSettings.TokenSource.CARRIED, RequestClass.Effect.KEYED);
         allServersReport();
         request("r", STRONG_READ, null, 800 * MS);
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void strongReadGoesToThePrimaryWhereServersCheckNothing() {
+    void strongReadGoesToThePrimaryWhereServersDoNotCheckFreshness() {
         start(RouterSettings.FreshnessCheck.SILENT, RouterSettings.TokenSource.REMEMBERED, RequestClass.Effect.UNSAFE);
         allServersReport();
         request("r", STRONG_READ, null, 800 * MS);
@@ -39,14 +39,14 @@
     }
 
     @Test
-    void queuedReadIsPlacedAtThePrimaryThoughItsDeadlineIsDueAtTheSameTick() {
+    void queuedReadGoesToThePrimaryEvenIfItsQueueDeadlineIsDueAtTheSameTick() {
         start(RouterSettings.FreshnessCheck.BOUNCE, RouterSettings.TokenSource.CARRIED, RequestClass.Effect.UNSAFE);
         healthCheckServed("a", now, ServerRole.PRIMARY);
-        for (String behind : List.of("b", "c")) {
-            healthCheckServed(behind, now - 530 * MS, ServerRole.REPLICA);
+        for (String laggingReplica : List.of("b", "c")) {
+            healthCheckServed(laggingReplica, now - 530 * MS, ServerRole.REPLICA);
         }
         request("r", READ, null, 800 * MS);
-        assertNull(lastServer("r"), "a replica may be fresh enough within a fifth of the aim");
+        assertNull(lastServer("r"), "a replica may be fresh enough within a fifth of the objective");
         now += 45 * MS;
         handle(new RouterEvent.TimerFired(1));
         assertEquals("a", lastServer("r"));
@@ -54,13 +54,13 @@
     }
 
     @Test
-    void readFallsBackAtOnceWhereHealthChecksFailAndNoReportCame() {
+    void readGoesToThePrimaryAtOnceIfHealthChecksOfReplicasFailAndNoneHasReported() {
         start(RouterSettings.FreshnessCheck.SILENT, RouterSettings.TokenSource.REMEMBERED, RequestClass.Effect.UNSAFE);
         healthCheckServed("a", now, ServerRole.PRIMARY);
         healthCheckTimedOut("b");
         healthCheckTimedOut("c");
         now += 600 * MS;
         request("r", READ, null, 800 * MS);
-        assertEquals("a", lastServer("r"), "no probe can tell of a replica, so there is nothing to wait for");
+        assertEquals("a", lastServer("r"), "without health checks no replica can prove that it is fresh, so waiting is useless");
     }
 }
--- a/routing/src/test/java/lupinvalve/routing/QueueDeadlineTest.java
+++ b/routing/src/test/java/lupinvalve/routing/QueueDeadlineTest.java
@@ -4,24 +4,24 @@
 
 import org.junit.jupiter.api.Test;
 
-/** How long requests are queued. */
+/** Tests how long requests stay queued. */
 class QueueDeadlineTest extends RouterFixture {
     @Test
     void everyQueuedRequestGetsOneFinalAnswerBeforeItsDeadline() {
         start(RouterSettings.FreshnessCheck.SILENT, RouterSettings.TokenSource.REMEMBERED, RequestClass.Effect.UNSAFE);
         updateEndpoints(ListForm.FULL, new Endpoint("a", 1, 0, EndpointState.DEPARTED, true, 0));
-        for (int cls = READ; cls <= LONG_READ; cls++) {
-            request("q" + cls, cls, "s", 400 * MS);
+        for (int classIndex = READ; classIndex <= LONG_READ; classIndex++) {
+            request("q" + classIndex, classIndex, "s", 400 * MS);
         }
         advance(400 * MS);
-        for (int cls = READ; cls <= LONG_READ; cls++) {
-            assertEquals(1, rejections("q" + cls), "class " + cls);
-            assertEquals(0, attempts("q" + cls), "class " + cls);
+        for (int classIndex = READ; classIndex <= LONG_READ; classIndex++) {
+            assertEquals(1, rejections("q" + classIndex), "class " + classIndex);
+            assertEquals(0, attempts("q" + classIndex), "class " + classIndex);
         }
     }
 
     @Test
-    void requestNeverSentIsRejectedBeforeHalfItsTimeAndOneThatReachedAServerStaysQueued() {
+    void requestThatReachedNoServerIsRejectedBeforeHalfItsTimeAndOneThatDidStaysQueued() {
         start(RouterSettings.FreshnessCheck.BOUNCE, RouterSettings.TokenSource.REMEMBERED, RequestClass.Effect.UNSAFE);
         updateEndpoints(
                 ListForm.UPDATE,
@@ -29,7 +29,7 @@
                 new Endpoint("b", 1, 0, EndpointState.DEPARTED, false, 0));
         request("w1", WRITE, "s", 900 * MS);
         assertEquals("c", lastServer("w1"));
-        // The one member left says that it is no primary, and then leaves too.
+        // The only member left answers that it isn't the primary, and then departs too.
         attemptEnded("w1", 0, "c", AttemptOutcome.MISSED, LogPosition.UNKNOWN, ServerRole.REPLICA);
         updateEndpoints(ListForm.UPDATE, new Endpoint("c", 1, 0, EndpointState.DEPARTED, false, 0));
         request("w2", WRITE, "s", 400 * MS);
@@ -38,12 +38,12 @@
         advance(20 * MS);
         assertEquals(1, rejections("w2"));
         assertEquals(0, rejections("w1"));
-        // Half of its aim is as long as a write is held at all.
+        // A write is queued for half of its latency objective at most.
         advance(60 * MS);
         assertEquals(1, rejections("w1"));
     }
 
-    /** Early enough for its client to retry in time. */
+    /** The rejection comes early enough for the client to retry in time. */
     @Test
     void queuedReadIsRejectedOnceItsAnswerCouldOnlyBeLate() {
         start(RouterSettings.FreshnessCheck.BOUNCE, RouterSettings.TokenSource.CARRIED, RequestClass.Effect.KEYED);
@@ -59,13 +59,13 @@
                 new Endpoint("b", 1, 0, EndpointState.DEPARTED, false, 0),
                 new Endpoint("c", 1, 0, EndpointState.DEPARTED, false, 0),
                 new Endpoint("a", 1, 0, EndpointState.DEPARTED, false, 0));
-        request("held", READ, null, 800 * MS);
-        // Answers here take over half of the aim of 200 ms.
+        request("queued", READ, null, 800 * MS);
+        // Answers have taken over half of the latency objective of 200 ms.
         advance(110 * MS);
-        assertEquals(1, rejections("held"));
+        assertEquals(1, rejections("queued"));
     }
 
-    /** The newest go first, so what has waited for long is hardly served any more. */
+    /** The newest requests are served first, so one that has waited for long has little chance to be served. */
     @Test
     void queuedRequestIsRejectedWhileItsClientCanRetryInTime() {
         start(RouterSettings.FreshnessCheck.BOUNCE, RouterSettings.TokenSource.CARRIED, RequestClass.Effect.KEYED);
@@ -77,7 +77,7 @@
         request("read", READ, null, 800 * MS);
         request("write", WRITE, "s", 2000 * MS);
         advance(40 * MS);
-        assertEquals(0, rejections("read"), "within a fifth of its aim a replica may still come");
+        assertEquals(0, rejections("read"), "a replica may become available within a fifth of the objective");
         advance(15 * MS);
         assertEquals(1, rejections("read"));
         assertEquals(0, rejections("write"));
--- a/routing/src/test/java/lupinvalve/routing/ReplicaSelectorTest.java
+++ b/routing/src/test/java/lupinvalve/routing/ReplicaSelectorTest.java
@@ -5,24 +5,24 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Which replica a read goes to. */
+/** Tests which replica a read goes to. */
 class ReplicaSelectorTest extends RouterFixture {
-    /** Where a crossing has its price, a read goes on to the own zone while that is not much slower. */
+    /** The higher the price of a zone crossing, the longer reads stay in their own zone as its replicas get loaded. */
     @Test
-    void readsStayInTheirZoneTheLongerTheMoreACrossingCosts() {
-        assertTrue(zoneCrossings(0.04) < 8, "dear: " + zoneCrossings(0.04));
-        assertTrue(zoneCrossings(0) > 9, "free: " + zoneCrossings(0));
+    void fewerReadsLeaveTheirZoneIfACrossingHasAPrice() {
+        assertTrue(zoneCrossings(0.04) < 8, "crossings at price 0.04: " + zoneCrossings(0.04));
+        assertTrue(zoneCrossings(0) > 9, "crossings at price 0: " + zoneCrossings(0));
     }
 
-    /** Of 24 reads at once, how many leave their zone. */
+    /** Sends 24 reads at once and returns the number of those that leave their zone. */
     private long zoneCrossings(double price) {
         actions.clear();
-        RouterSettings usual = settings(
+        RouterSettings withoutPrice = settings(
                 RouterSettings.FreshnessCheck.BOUNCE, RouterSettings.TokenSource.CARRIED, RequestClass.Effect.KEYED);
         router = new Router(
                 7,
                 new RouterSettings(
-                        0, 1, 0, true, usual.classes(), usual.limits(), usual.rules(), usual.replication(), price),
+                        0, 1, 0, true, withoutPrice.classes(), withoutPrice.limits(), withoutPrice.rules(), withoutPrice.replication(), price),
                 now,
                 actions::add);
         updateEndpoints(
@@ -30,17 +30,17 @@
                 liveEndpoint("a", true),
                 liveEndpoint("b", false),
                 liveEndpoint("c", false),
-                new Endpoint("far", 1, 1, EndpointState.LIVE, false, 0),
-                new Endpoint("further", 1, 1, EndpointState.LIVE, false, 0));
-        for (String id : List.of("b", "c", "far", "further")) {
+                new Endpoint("otherZone1", 1, 1, EndpointState.LIVE, false, 0),
+                new Endpoint("otherZone2", 1, 1, EndpointState.LIVE, false, 0));
+        for (String id : List.of("b", "c", "otherZone1", "otherZone2")) {
             healthCheckServed(id, now, ServerRole.REPLICA);
         }
         for (int i = 0; i < 24; i++) {
             request("r" + i, READ, null, 400 * MS);
         }
         return actions.stream()
-                .filter(a -> a instanceof RouterAction.StartAttempt send
-                        && send.node().startsWith("f"))
+                .filter(action -> action instanceof RouterAction.StartAttempt start
+                        && start.node().startsWith("otherZone"))
                 .count();
     }
 }
--- a/routing/src/test/java/lupinvalve/routing/RequestLifecycleTest.java
+++ b/routing/src/test/java/lupinvalve/routing/RequestLifecycleTest.java
@@ -5,10 +5,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** How requests end that no server answers. */
+/** Tests how requests end that no server has answered. */
 class RequestLifecycleTest extends RouterFixture {
     @Test
-    void requestOfAnUnknownGroupOrWithNoTimeIsRejectedAtOnce() {
+    void requestForAnUnknownGroupOrWithTooLittleTimeIsRejectedAtOnce() {
         start(RouterSettings.FreshnessCheck.SILENT, RouterSettings.TokenSource.REMEMBERED, RequestClass.Effect.UNSAFE);
         handle(new RouterEvent.RequestArrived("g", READ, false, null, 0, 99, 400 * MS));
         request("t", READ, null, MS);
@@ -17,7 +17,7 @@
     }
 
     @Test
-    void nothingIsStartedAfterTheClientHasDisconnected() {
+    void attemptIsCancelledAndNoneStartsAfterTheClientHasDisconnected() {
         start(RouterSettings.FreshnessCheck.SILENT, RouterSettings.TokenSource.REMEMBERED, RequestClass.Effect.UNSAFE);
         allServersReport();
         request("r", READ, null, 400 * MS);
@@ -32,10 +32,10 @@
     @Test
     void eventsOfUnknownRequestsAreIgnored() {
         start(RouterSettings.FreshnessCheck.SILENT, RouterSettings.TokenSource.REMEMBERED, RequestClass.Effect.UNSAFE);
-        int before = actions.size();
-        attemptEnded("nobody", 0, "a", AttemptOutcome.SERVED, now, ServerRole.PRIMARY);
-        handle(new RouterEvent.ClientDisconnected("nobody"));
+        int actionsBefore = actions.size();
+        attemptEnded("unknown", 0, "a", AttemptOutcome.SERVED, now, ServerRole.PRIMARY);
+        handle(new RouterEvent.ClientDisconnected("unknown"));
         handle(new RouterEvent.TimerFired(99));
-        assertEquals(before, actions.size());
+        assertEquals(actionsBefore, actions.size());
     }
 }
--- a/routing/src/test/java/lupinvalve/routing/RequestQueueTest.java
+++ b/routing/src/test/java/lupinvalve/routing/RequestQueueTest.java
@@ -6,11 +6,11 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The order in which queued requests are served and given up. */
+/** Tests the order in which queued requests are served and given up. */
 class RequestQueueTest extends RouterFixture {
     @Test
-    void readsQueuedForOneGroupDoNotTakeAllRequestsThatClientsCanHaveOpen() {
-        RouterSettings usual = settings(
+    void queuedReadsOfOneGroupAreGivenUpWhereTheyWouldTakeAllRequestsThatClientsCanHaveOpen() {
+        RouterSettings base = settings(
                 RouterSettings.FreshnessCheck.BOUNCE, RouterSettings.TokenSource.CARRIED, RequestClass.Effect.UNSAFE);
         router = new Router(
                 7,
@@ -19,10 +19,10 @@
                         2,
                         0,
                         true,
-                        usual.classes(),
+                        base.classes(),
                         new RouterSettings.SiteLimits(8, false, true, true, true, 1_000_000, 20),
-                        usual.rules(),
-                        usual.replication()),
+                        base.rules(),
+                        base.replication()),
                 now,
                 actions::add);
         updateEndpoints(ListForm.FULL, new Endpoint("a", 1, 0, EndpointState.DRAINING, false, 0));
@@ -30,7 +30,8 @@
             request("r" + i, READ, null, 2000 * MS);
             request("w" + i, WRITE, null, 2000 * MS);
         }
-        // Six may be held: the reads go, the oldest first, since the newest is served first; the writes stay.
+        // Six requests may be queued. The reads are given up, the oldest first, as the newest is served first; the writes
+        // stay queued.
         assertEquals(
                 8,
                 actions.stream()
@@ -48,27 +49,27 @@
                 .findFirst()
                 .orElseThrow();
         assertEquals("r0", first.id());
-        assertTrue(first.retryAfterMicros() < 100 * MS, "in time for an aim of 200 ms");
+        assertTrue(first.retryAfterMicros() < 100 * MS, "early enough for a retry within the objective of 200 ms");
     }
 
-    /** Incident i10cd02: under overload, where late answers are worth little. */
+    /** Guards against incident i10cd02, an overload: late answers are worth little, so the newest read must go first. */
     @Test
-    void newestQueuedReadIsServedFirst() {
+    void newestQueuedReadIsServedFirstAndAClientRetryAfterIt() {
         start(RouterSettings.FreshnessCheck.AWAIT, RouterSettings.TokenSource.CARRIED, RequestClass.Effect.KEYED);
         allServersReport();
-        int sent = 0;
-        while (sent < 200 && (sent == 0 || lastServer("f" + (sent - 1)) != null)) {
-            request("f" + sent++, READ, null, 400 * MS);
+        int requested = 0;
+        while (requested < 200 && (requested == 0 || lastServer("r" + (requested - 1)) != null)) {
+            request("r" + requested++, READ, null, 400 * MS);
         }
         now += MS;
         request("newest", READ, null, 400 * MS);
-        handle(new RouterEvent.RequestArrived("again", READ, true, null, 0, 1, 400 * MS));
-        assertNull(lastServer("newest"), "all members are full");
-        assertNull(lastServer("again"), "all members are full");
-        String node = lastServer("f0");
+        handle(new RouterEvent.RequestArrived("retry", READ, true, null, 0, 1, 400 * MS));
+        assertNull(lastServer("newest"), "all servers are at their limit");
+        assertNull(lastServer("retry"), "all servers are at their limit");
+        String node = lastServer("r0");
         attemptEnded(
-                "f0", 0, node, AttemptOutcome.SERVED, now, node.equals("a") ? ServerRole.PRIMARY : ServerRole.REPLICA);
+                "r0", 0, node, AttemptOutcome.SERVED, now, node.equals("a") ? ServerRole.PRIMARY : ServerRole.REPLICA);
         assertEquals(node, lastServer("newest"));
-        assertNull(lastServer("again"));
+        assertNull(lastServer("retry"));
     }
 }
--- a/routing/src/test/java/lupinvalve/routing/RetryAfterTest.java
+++ b/routing/src/test/java/lupinvalve/routing/RetryAfterTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The Retry-After of rejected reads and writes. */
+/** Tests the Retry-After of rejected reads and writes. */
 class RetryAfterTest {
     private static final long MS = 1000;
     private static final RequestClass READ = requestClass(RequestClass.Access.ANY);
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void readsAreSpreadAroundAPartOfTheirObjective() {
+    void retryAfterOfReadsIsSpreadOverAPartOfTheirObjective() {
         RetryAfter retryAfter = retryAfter(true, 5000 * MS);
         long least = Long.MAX_VALUE;
         long most = 0;
@@ -55,12 +55,12 @@
     }
 
     @Test
-    void writesComeBackAfterAFixedTime() {
+    void retryAfterOfWritesIsFixed() {
         assertEquals(50 * MS, retryAfter(true, 5000 * MS).micros(WRITE));
     }
 
     @Test
-    void siteBoundsItOrAllowsNone() {
+    void deploymentBoundsRetryAfterOrAllowsNone() {
         assertEquals(20 * MS, retryAfter(true, 20 * MS).micros(READ));
         assertEquals(20 * MS, retryAfter(true, 20 * MS).micros(WRITE));
         assertEquals(0, retryAfter(false, 5000 * MS).micros(READ));
--- a/routing/src/test/java/lupinvalve/routing/RetryPolicyTest.java
+++ b/routing/src/test/java/lupinvalve/routing/RetryPolicyTest.java
@@ -6,11 +6,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What is retried and what never. */
+/** Tests which requests are retried and which are never. */
 class RetryPolicyTest extends RouterFixture {
     @Test
     void unsafeWriteThatMayHaveRunFailsAndIsNeverRetried() {
-        for (AttemptOutcome ending : List.of(
+        for (AttemptOutcome outcome : List.of(
                 AttemptOutcome.ERROR, AttemptOutcome.TIMED_OUT, AttemptOutcome.BROKEN, AttemptOutcome.CANCELLED)) {
             actions.clear();
             start(
@@ -19,16 +19,16 @@
                     RequestClass.Effect.UNSAFE);
             allServersReport();
             request("w", WRITE, "s", 2000 * MS);
-            attemptEnded("w", 0, "a", ending, LogPosition.UNKNOWN, ServerRole.UNKNOWN);
+            attemptEnded("w", 0, "a", outcome, LogPosition.UNKNOWN, ServerRole.UNKNOWN);
             advance(1900 * MS);
-            assertEquals(1, attempts("w"), ending.name());
-            assertEquals(1, failures("w"), ending.name());
-            assertEquals(0, rejections("w"), ending.name());
+            assertEquals(1, attempts("w"), outcome.name());
+            assertEquals(1, failures("w"), outcome.name());
+            assertEquals(0, rejections("w"), outcome.name());
         }
     }
 
     @Test
-    void unsafeWriteProvenNotToHaveRunIsRetried() {
+    void unsafeWriteThatDidNotRunIsRetried() {
         start(RouterSettings.FreshnessCheck.SILENT, RouterSettings.TokenSource.REMEMBERED, RequestClass.Effect.UNSAFE);
         allServersReport();
         request("w", WRITE, "s", 2000 * MS);
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void keyedWriteIsRetriedWithinItsKeyTimeAndThenFails() {
+    void keyedWriteIsRetriedWhileItsKeyIsRememberedAndThenFails() {
         start(RouterSettings.FreshnessCheck.AWAIT, RouterSettings.TokenSource.CARRIED, RequestClass.Effect.KEYED);
         allServersReport();
         request("w", WRITE, "s", 5000 * MS);
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void oneAttemptIsInFlightAtATime() {
+    void onlyOneAttemptOfARequestIsInFlightAtATime() {
         start(RouterSettings.FreshnessCheck.AWAIT, RouterSettings.TokenSource.CARRIED, RequestClass.Effect.KEYED);
         allServersReport();
         request("r", READ, null, 800 * MS);
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void requestThatFailsAnywhereIsGivenUpAndCountsAgainstNoServer() {
+    void requestThatFailsAtEveryServerIsGivenUpAndCountsAgainstNoServer() {
         start(RouterSettings.FreshnessCheck.AWAIT, RouterSettings.TokenSource.CARRIED, RequestClass.Effect.KEYED);
         allServersReport();
         for (int i = 0; i < 20; i++) {
--- a/routing/src/test/java/lupinvalve/routing/RulesWorld.java
+++ b/routing/src/test/java/lupinvalve/routing/RulesWorld.java
@@ -72,7 +72,7 @@
             handle(i, new RouterEvent.EndpointUpdate(ListForm.FULL, members));
         }
         for (int i = 0; i < 4; i++) {
-            time.in((long) (length * (0.15 + 0.6 * random.nextDouble())), cluster::fault);
+            time.in((long) (length * (0.15 + 0.6 * random.nextDouble())), cluster::injectFault);
         }
         time.in(0, this::requestArrives);
         long end = time.now() + length + AFTERMATH;
--- a/routing/src/test/java/lupinvalve/routing/SimulatedCluster.java
+++ b/routing/src/test/java/lupinvalve/routing/SimulatedCluster.java
@@ -11,29 +11,34 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 
-/** The groups of servers, which of them are primaries, and the faults that happen to them. */
+/** The simulated servers in their groups, which of them are the primaries, and the faults injected into them. */
 final class SimulatedCluster {
     final VirtualTime time;
     final SplittableRandom random;
     final RulesWorldSettings settings;
-    private final BiConsumer<SimulatedAttempt, AttemptOutcome> attemptEnds;
-    private final Consumer<SimulatedServer> listChanges;
+    private final BiConsumer<SimulatedAttempt, AttemptOutcome> onAttemptEnded;
+    private final Consumer<SimulatedServer> onListChanged;
     private final List<SimulatedServer> servers = new ArrayList<>();
     private final Map<String, SimulatedServer> byId = new HashMap<>();
     private final SimulatedServer[] primaries;
 
-    /** Draws the servers; how attempts end and what the endpoint list changes go to the consumers. */
+    /**
+     * Draws the servers of each group at random.
+     *
+     * @param onAttemptEnded called with each attempt that ends and its outcome
+     * @param onListChanged called with each server whose entry in the endpoint list changes
+     */
     SimulatedCluster(
             VirtualTime time,
             SplittableRandom random,
             RulesWorldSettings settings,
-            BiConsumer<SimulatedAttempt, AttemptOutcome> attemptEnds,
-            Consumer<SimulatedServer> listChanges) {
+            BiConsumer<SimulatedAttempt, AttemptOutcome> onAttemptEnded,
+            Consumer<SimulatedServer> onListChanged) {
         this.time = time;
         this.random = random;
         this.settings = settings;
-        this.attemptEnds = attemptEnds;
-        this.listChanges = listChanges;
+        this.onAttemptEnded = onAttemptEnded;
+        this.onListChanged = onListChanged;
         primaries = new SimulatedServer[settings.groups];
         for (int group = 0; group < settings.groups; group++) {
             int size = 2 + random.nextInt(5);
@@ -62,6 +67,7 @@
         return primaries[group];
     }
 
+    /** Returns the requests per second that all servers together serve when warm. */
     double requestsPerSecond() {
         double sum = 0;
         for (SimulatedServer server : servers) {
@@ -70,12 +76,13 @@
         return sum;
     }
 
+    /** Reports that an attempt has ended. */
     void end(SimulatedAttempt attempt, AttemptOutcome outcome) {
-        attemptEnds.accept(attempt, outcome);
+        onAttemptEnded.accept(attempt, outcome);
     }
 
-    /** One fault, drawn: a crash, a drain, a zone lost, or a replica that falls behind. */
-    void fault() {
+    /** Injects one random fault: a crash, a drain, the loss of a whole zone, or 2 s of additional replication lag for 3 s. */
+    void injectFault() {
         SimulatedServer server = servers.get(random.nextInt(servers.size()));
         switch (random.nextInt(4)) {
             case 0 -> crash(server, true);
@@ -90,7 +97,8 @@
         }
     }
 
-    private void crash(SimulatedServer server, boolean quick) {
+    /** Crashes a server. It restarts 1 to 2 s later if quickly, otherwise 2 to 3 s; a primary is replaced after 1 s. */
+    private void crash(SimulatedServer server, boolean quickRestart) {
         if (!server.isUp()) {
             return;
         }
@@ -98,34 +106,36 @@
         if (server.isPrimary()) {
             time.in(SECOND, () -> elect(server));
         }
-        time.in((quick ? 1 : 2) * SECOND + random.nextInt((int) SECOND), () -> {
+        time.in((quickRestart ? 1 : 2) * SECOND + random.nextInt((int) SECOND), () -> {
             server.restart();
-            time.in(random.nextInt((int) (500 * MILLI)), () -> list(server, server.listed));
+            time.in(random.nextInt((int) (500 * MILLI)), () -> updateListing(server, server.listed));
         });
     }
 
+    /** Lists a server as draining until 3 s after the drain's grace; a primary is replaced after 500 ms. */
     private void drain(SimulatedServer server) {
-        list(server, EndpointState.DRAINING);
+        updateListing(server, EndpointState.DRAINING);
         if (server.isPrimary()) {
             time.in(500 * MILLI, () -> elect(server));
         }
-        time.in(settings.rules.drainGraceMicros() + 3 * SECOND, () -> list(server, EndpointState.LIVE));
+        time.in(settings.rules.drainGraceMicros() + 3 * SECOND, () -> updateListing(server, EndpointState.LIVE));
     }
 
-    private void elect(SimulatedServer before) {
+    /** Makes the first other live server of the group its primary, if there is one. */
+    private void elect(SimulatedServer previousPrimary) {
         servers.stream()
-                .filter(other -> other.group == before.group
-                        && other != before
+                .filter(other -> other.group == previousPrimary.group
+                        && other != previousPrimary
                         && other.isUp()
                         && other.listed == EndpointState.LIVE)
                 .findFirst()
-                .ifPresent(next -> primaries[before.group] = next);
+                .ifPresent(next -> primaries[previousPrimary.group] = next);
     }
 
-    private void list(SimulatedServer server, EndpointState state) {
+    private void updateListing(SimulatedServer server, EndpointState state) {
         server.drainNotified =
                 state == EndpointState.LIVE ? Long.MAX_VALUE : Math.min(server.drainNotified, time.now());
         server.listed = state;
-        listChanges.accept(server);
+        onListChanged.accept(server);
     }
 }
--- a/routing/src/test/java/lupinvalve/routing/SlowStartBudgetTest.java
+++ b/routing/src/test/java/lupinvalve/routing/SlowStartBudgetTest.java
@@ -7,10 +7,10 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** What is earned, saved and used up for a server in slow start. */
+/** Tests how the budget for a server in slow start is earned, saved and used up. */
 class SlowStartBudgetTest {
     @Test
-    void partsUsedUpAddToWholeRequests() {
+    void partsUsedUpAddUpToWholeRequests() {
         SlowStartBudget budget = new SlowStartBudget();
         budget.restart(0, 0, 0.5);
         int sent = 0;
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void aTimeWithoutRequestsSavesNoMoreThanTheBound() {
+    void savedBudgetIsBoundedAfterATimeWithoutRequests() {
         SlowStartBudget budget = new SlowStartBudget();
         budget.restart(0, 0, 0);
         budget.earn(1000, 0.5, 0.3);
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void routersThatUseUpLittleEachSendAboutTheSum() {
+    void routersThatEachUseUpPartOfARequestTogetherSendAboutTheSum() {
         SplittableRandom random = new SplittableRandom(1);
         int sent = 0;
         for (int router = 0; router < 1000; router++) {
@@ -43,7 +43,7 @@
             budget.earn(1, 0.1, 1);
             sent += budget.spendPart(1) ? 1 : 0;
         }
-        assertTrue(sent > 70 && sent < 130, "of 100 due " + sent);
+        assertTrue(sent > 70 && sent < 130, "sent where the parts add up to 100: " + sent);
     }
 
     @Test
--- a/routing/src/test/java/lupinvalve/routing/SlowStartTest.java
+++ b/routing/src/test/java/lupinvalve/routing/SlowStartTest.java
@@ -5,21 +5,21 @@
 
 import org.junit.jupiter.api.Test;
 
-/** How much a server in slow start gets. */
+/** Tests how many requests a server in slow start gets. */
 class SlowStartTest extends RouterFixture {
     @Test
-    void replicaInSlowStartGetsNoMoreThanItsPartOfWhatWarmOnesGet() {
+    void replicaInSlowStartGetsNoMoreThanItsPartOfTheRequestsOfWarmServers() {
         start(RouterSettings.FreshnessCheck.AWAIT, RouterSettings.TokenSource.CARRIED, RequestClass.Effect.KEYED);
         allServersReport();
         updateEndpoints(ListForm.UPDATE, new Endpoint("b", 1, 0, EndpointState.LIVE, false, now));
-        int cold = 0;
-        int warm = 0;
+        int toSlowStart = 0;
+        int toWarm = 0;
         for (int i = 0; i < 400; i++) {
             String id = "r" + i;
             request(id, READ, null, 400 * MS);
             String node = lastServer(id);
-            cold += "b".equals(node) ? 1 : 0;
-            warm += "c".equals(node) || "a".equals(node) ? 1 : 0;
+            toSlowStart += "b".equals(node) ? 1 : 0;
+            toWarm += "c".equals(node) || "a".equals(node) ? 1 : 0;
             now += 2 * MS;
             attemptEnded(
                     id,
@@ -29,32 +29,32 @@
                     now - 5 * MS,
                     node.equals("a") ? ServerRole.PRIMARY : ServerRole.REPLICA);
         }
-        assertTrue(cold > 0, "a cold replica does get some work");
-        assertTrue(cold <= warm * 0.3, cold + " against " + warm);
+        assertTrue(toSlowStart > 0, "a replica in slow start gets some requests");
+        assertTrue(toSlowStart <= toWarm * 0.3, toSlowStart + " to the one in slow start, " + toWarm + " to warm ones");
     }
 
     @Test
-    void attemptsThatWarmServersRejectEarnAServerInSlowStartNothing() {
+    void attemptsThatWarmServersRejectEarnNoBudget() {
         start(RouterSettings.FreshnessCheck.AWAIT, RouterSettings.TokenSource.CARRIED, RequestClass.Effect.KEYED);
         allServersReport();
         updateEndpoints(ListForm.UPDATE, new Endpoint("b", 1, 0, EndpointState.LIVE, false, now));
-        int cold = 0;
+        int toSlowStart = 0;
         for (int i = 0; i < 200; i++) {
             String id = "r" + i;
             request(id, READ, null, 400 * MS);
             String node = lastServer(id);
-            cold += "b".equals(node) ? 1 : 0;
+            toSlowStart += "b".equals(node) ? 1 : 0;
             if (node != null) {
                 attemptEnded(id, 0, node, AttemptOutcome.REJECTED, now, ServerRole.UNKNOWN);
                 handle(new RouterEvent.ClientDisconnected(id));
             }
             now += 2 * MS;
         }
-        assertEquals(0, cold);
+        assertEquals(0, toSlowStart);
     }
 
     @Test
-    void slowAnswersOfWarmServersEarnAServerInSlowStartNoMore() {
+    void slowAnswersOfWarmServersEarnNoMoreBudget() {
         start(RouterSettings.FreshnessCheck.AWAIT, RouterSettings.TokenSource.CARRIED, RequestClass.Effect.KEYED);
         allServersReport();
         updateEndpoints(
@@ -84,11 +84,11 @@
         for (int i = 0; i < 200; i++) {
             writes += lastServer("w" + i) != null ? 1 : 0;
         }
-        assertTrue(writes > 0 && writes <= reads * 0.4, writes + " against " + reads);
+        assertTrue(writes > 0 && writes <= reads * 0.4, writes + " writes to the one in slow start, " + reads + " reads");
     }
 
     @Test
-    void capacityGrowsFromItsInitialPartToAllAndNoFurther() {
+    void capacityRatioGrowsFromItsInitialValueToOneAndStaysThere() {
         RouterSettings.Rules rules = new RouterSettings.Rules(0, 0, 0, 0.2, 10_000, 3, 3_000);
         assertEquals(0.2, SlowStart.capacityRatio(rules, -3_000), 1e-9);
         assertEquals(0.6, SlowStart.capacityRatio(rules, 5_000), 1e-9);
--- a/routing/src/test/java/lupinvalve/routing/VirtualTime.java
+++ b/routing/src/test/java/lupinvalve/routing/VirtualTime.java
@@ -2,34 +2,38 @@
 
 import java.util.PriorityQueue;
 
-/** A clock in microseconds that jumps from one planned step to the next; steps of one time run as they were planned. */
+/**
+ * A clock in microseconds that advances from one scheduled step to the next. Steps scheduled for the same time run in the
+ * order in which they were scheduled.
+ */
 final class VirtualTime {
     static final long MILLI = 1000;
     static final long SECOND = 1000 * MILLI;
 
-    private record Step(long at, long order, Runnable action) {}
+    private record Step(long atMicros, long order, Runnable action) {}
 
-    private final PriorityQueue<Step> ahead =
-            new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
-    private long now = 1000 * SECOND;
-    private long planned;
+    private final PriorityQueue<Step> scheduledSteps =
+            new PriorityQueue<>((a, b) ->
+                    a.atMicros != b.atMicros ? Long.compare(a.atMicros, b.atMicros) : Long.compare(a.order, b.order));
+    private long nowMicros = 1000 * SECOND;
+    private long scheduledCount;
 
     long now() {
-        return now;
+        return nowMicros;
     }
 
-    /** Plans a step. */
-    void in(long delay, Runnable action) {
-        ahead.add(new Step(now + Math.max(0, delay), planned++, action));
+    /** Schedules a step to run after a delay; a negative delay counts as 0. */
+    void in(long delayMicros, Runnable action) {
+        scheduledSteps.add(new Step(nowMicros + Math.max(0, delayMicros), scheduledCount++, action));
     }
 
-    /** Runs the next step, if there is one up to a time. */
-    boolean runNext(long end) {
-        if (ahead.isEmpty() || ahead.peek().at > end) {
+    /** Runs the next step if it is due by the given time; returns whether it was. */
+    boolean runNext(long endMicros) {
+        if (scheduledSteps.isEmpty() || scheduledSteps.peek().atMicros > endMicros) {
             return false;
         }
-        Step step = ahead.poll();
-        now = step.at;
+        Step step = scheduledSteps.poll();
+        nowMicros = step.atMicros;
         step.action.run();
         return true;
     }
