--- a/routing/src/main/java/lupinvalve/routing/InFlightLimit.java
+++ b/routing/src/main/java/lupinvalve/routing/InFlightLimit.java
@@ -89,9 +89,9 @@
 
     /**
      * Adapts the limit to the server's latency ratio; called once for each served request and each late timeout. Latency
-     * grows about in proportion to the attempts in flight, so a limit multiplied by target over latency ratio brings latency to its target. Each answer
-     * applies 1/limit of that factor, as an exponent, so the whole factor is applied once as many answers have arrived as
-     * the limit allows in flight. The divisor is at least {@link DecayingMean#MAX_SAMPLES}, as the mean itself takes that
+     * grows about in proportion to the attempts in flight, so multiplying the limit by the factor (target / latency ratio) brings latency to its target. Each
+     * call multiplies it by the factor to the power of 1 / limit, so the whole factor has been applied once as many answers
+     * have arrived as the limit allows in flight. The divisor is at least {@link DecayingMean#MAX_SAMPLES}, as the mean itself takes that
      * many samples to follow a change.
      */
     void adapt(Server server) {
@@ -127,8 +127,10 @@
         adapt(server);
     }
 
-    /** The server's process has restarted: bounds the limit by its initial value, as what was measured of the old one
-     * does not hold. */
+    /**
+     * The server's process has restarted: bounds the limit by its initial value, as what was measured of the old process
+     * does not hold for the new one.
+     */
     void serverRestarted(Server server) {
         server.limit.limitAttempts = Math.min(server.limit.limitAttempts, initialAttempts);
     }
--- a/routing/src/main/java/lupinvalve/routing/SlowStart.java
+++ b/routing/src/main/java/lupinvalve/routing/SlowStart.java
@@ -3,7 +3,7 @@
 /**
  * Slow start: bounds the requests that a server gets while it warms up after a start of its process. With each request
  * that warm servers serve for this router, the budget of the server in slow start grows by a part of a request, in
- * proportion to its present capacity. So the routers together stay below its capacity however unevenly they are loaded.
+ * proportion to its present capacity. So all routers together stay below the load that the server can bear, however unevenly they are loaded.
  * Budget is earned by served requests rather than by started attempts, since attempts that are rejected and retried show
  * no capacity, and rather than by latencies, since waiting in queues increases them.
  *
@@ -87,7 +87,10 @@
                 && context.nowMicros() - startedMicros < context.settings().rules().warmUpMicros();
     }
 
-    /** Whether a request that {@link #admits} admitted at this server has already used up budget, and so should go there. */
+    /**
+     * Whether a request that {@link #admits} has just admitted at this server should be sent there in preference to others,
+     * because the admission was for this request at this server alone: by budget used up or by a random draw.
+     */
     boolean isDrawnForServer(Server server) {
         return limit.isTrafficSparse() && inSlowStart(server);
     }
@@ -125,12 +128,14 @@
      * Adds what the server in slow start has earned since the last call to its budget, and admits the request if the budget
      * suffices.
      *
-     * <p>The load that the server can bear, relative to a warm server, is its present capacity ratio times the multiple of
-     * its capacity that overloads it; {@link #USED_CAPACITY_RATIO} of that is used. Each served request earns this over the
-     * number of warm servers, as it was served by one of them. Where traffic is sparse, the capacity ratio is that of
-     * one overload period earlier, the time over which load at the server is counted. A write then
-     * uses up what a served request earns over all servers, one request at most; a read uses up this over the number of
-     * the group's replicas, as it is considered for each of them.
+     * <p>The number of requests that the server may get for each request that one warm server serves is its capacity ratio,
+     * times the multiple of its capacity that overloads it, times {@link #USED_CAPACITY_RATIO}. A request that any of the
+     * warm servers has served earns this number divided by the number of warm servers.
+     *
+     * <p>Where traffic is sparse, each request considered for the server uses up part of the budget: a write the same
+     * number, but at most one request; a read that divided by the number of the group's replicas, as it is considered for
+     * each of them. The capacity ratio is then that of one overload period earlier, the time over which the load at a
+     * server in slow start is counted.
      */
     private boolean admitsByBudget(Server server, PendingRequest request, int warmServers) {
         RouterSettings.Rules rules = context.settings().rules();
