--- a/core/src/main/java/lupinvalve/core/RequestLifecycle.java
+++ b/core/src/main/java/lupinvalve/core/RequestLifecycle.java
@@ -152,7 +152,7 @@
         boolean stale = reported == AttemptOutcome.SERVED
                 && role != ServerRole.PRIMARY
                 && position < open.rememberedTokenMicros;
-        AttemptOutcome outcome = stale ? AttemptOutcome.MISSED : reported;
+        AttemptOutcome outcome = stale ? AttemptOutcome.MISDIRECTED : reported;
         log.attemptEnded(attempt, outcome, now);
         if (outcome == AttemptOutcome.SERVED) {
             serve(open, answer, position, role);
--- a/mysql/src/main/java/lupinvalve/mysql/MysqlBackend.java
+++ b/mysql/src/main/java/lupinvalve/mysql/MysqlBackend.java
@@ -460,9 +460,9 @@
         int code = packet.length < 7 ? 0 : packet[5] & 255 | (packet[6] & 255) << 8;
         String state = packet.length < 13 ? "" : new String(packet, 8, 5, ISO_8859_1);
         return switch (code) {
-            case 1290, 1836 -> AttemptOutcome.MISSED;
+            case 1290, 1836 -> AttemptOutcome.MISDIRECTED;
             case 1040, 1203, 1226 -> AttemptOutcome.REJECTED;
-            default -> state.equals("72000") ? AttemptOutcome.MISSED : AttemptOutcome.ERROR;
+            default -> state.equals("72000") ? AttemptOutcome.MISDIRECTED : AttemptOutcome.ERROR;
         };
     }
 
--- a/pg/src/main/java/lupinvalve/pg/PgBackend.java
+++ b/pg/src/main/java/lupinvalve/pg/PgBackend.java
@@ -209,7 +209,7 @@
     private static AttemptOutcome ending(byte[] message) {
         String code = PgMessages.errorField(message, 'C');
         return switch (code) {
-            case "25006", "72000" -> AttemptOutcome.MISSED;
+            case "25006", "72000" -> AttemptOutcome.MISDIRECTED;
             case "53300", "57P03" -> AttemptOutcome.REJECTED;
             case "XX000" -> AttemptOutcome.ERROR;
             default -> {
--- a/routing/src/main/java/lupinvalve/routing/AttemptFeedback.java
+++ b/routing/src/main/java/lupinvalve/routing/AttemptFeedback.java
@@ -39,7 +39,7 @@
         Server server = attempt.server();
         switch (outcome) {
             case SERVED -> served(server, attempt.request(), elapsedMicros);
-            case MISSED, ERROR -> answered(server);
+            case MISDIRECTED, ERROR -> answered(server);
             case REJECTED -> {
                 answered(server);
                 limit.serverRejected(server);
--- a/routing/src/main/java/lupinvalve/routing/AttemptOutcome.java
+++ b/routing/src/main/java/lupinvalve/routing/AttemptOutcome.java
@@ -19,7 +19,7 @@
     /** The attempt ended before any byte of the request was written to a socket. */
     NOT_SENT(true),
     /** The server can't answer the request: its data is too old for the read, or it isn't the primary that the write needs. */
-    MISSED(true);
+    MISDIRECTED(true);
 
     /** Whether this outcome proves that the server did not run the request. */
     public final boolean neverRan;
--- a/routing/src/test/java/lupinvalve/routing/LoadSheddingTest.java
+++ b/routing/src/test/java/lupinvalve/routing/LoadSheddingTest.java
@@ -46,7 +46,7 @@
             handle(new RouterEvent.RequestArrived(id, READ, true, null, 0, 1, 800 * MS));
             clientRetriesRejected += rejections(id);
             if (lastServer(id) != null) {
-                attemptEnded(id, 0, lastServer(id), AttemptOutcome.MISSED, now - MS, ServerRole.REPLICA);
+                attemptEnded(id, 0, lastServer(id), AttemptOutcome.MISDIRECTED, now - MS, ServerRole.REPLICA);
             }
         }
         assertTrue(clientRetriesRejected >= 18, "rejected of 20 client retries: " + clientRetriesRejected);
--- a/routing/src/test/java/lupinvalve/routing/PrimarySearchTest.java
+++ b/routing/src/test/java/lupinvalve/routing/PrimarySearchTest.java
@@ -20,7 +20,7 @@
                 ListForm.RESTORED, liveEndpoint("a", false), liveEndpoint("b", false), liveEndpoint("c", false));
         request("w", WRITE, "s", 2000 * MS);
         assertEquals("a", lastServer("w"));
-        attemptEnded("w", 0, "a", AttemptOutcome.MISSED, now - 10 * MS, ServerRole.REPLICA);
+        attemptEnded("w", 0, "a", AttemptOutcome.MISDIRECTED, now - 10 * MS, ServerRole.REPLICA);
         advance(100 * MS);
         assertEquals("b", lastServer("w"));
         attemptEnded("w", 1, "b", AttemptOutcome.SERVED, now, ServerRole.PRIMARY);
--- a/routing/src/test/java/lupinvalve/routing/PrimaryTrackerTest.java
+++ b/routing/src/test/java/lupinvalve/routing/PrimaryTrackerTest.java
@@ -25,7 +25,7 @@
         allServersReport();
         request("w", WRITE, "s", 2000 * MS);
         now += 20 * MS;
-        attemptEnded("w", 0, "a", AttemptOutcome.MISSED, now - 10 * MS, ServerRole.REPLICA);
+        attemptEnded("w", 0, "a", AttemptOutcome.MISDIRECTED, now - 10 * MS, ServerRole.REPLICA);
         request("r", STRONG_READ, null, 800 * MS);
         assertNull(lastServer("r"));
     }
--- a/routing/src/test/java/lupinvalve/routing/QueueDeadlineTest.java
+++ b/routing/src/test/java/lupinvalve/routing/QueueDeadlineTest.java
@@ -30,7 +30,7 @@
         request("w1", WRITE, "s", 900 * MS);
         assertEquals("c", lastServer("w1"));
         // The only member left answers that it isn't the primary, and then departs too.
-        attemptEnded("w1", 0, "c", AttemptOutcome.MISSED, LogPosition.UNKNOWN, ServerRole.REPLICA);
+        attemptEnded("w1", 0, "c", AttemptOutcome.MISDIRECTED, LogPosition.UNKNOWN, ServerRole.REPLICA);
         updateEndpoints(ListForm.UPDATE, new Endpoint("c", 1, 0, EndpointState.DEPARTED, false, 0));
         request("w2", WRITE, "s", 400 * MS);
         advance(180 * MS);
--- a/routing/src/test/java/lupinvalve/routing/ReplicationLagTest.java
+++ b/routing/src/test/java/lupinvalve/routing/ReplicationLagTest.java
@@ -14,7 +14,7 @@
         start(RouterSettings.FreshnessCheck.BOUNCE, RouterSettings.TokenSource.CARRIED, RequestClass.Effect.UNSAFE);
         handle(new RouterEvent.RequestArrived("r", SESSION_READ, false, "s", MS, 1, 800 * MS));
         for (int i = 0; i < 2; i++) {
-            attemptEnded("r", i, lastServer("r"), AttemptOutcome.MISSED, now - 28 * MS, ServerRole.REPLICA);
+            attemptEnded("r", i, lastServer("r"), AttemptOutcome.MISDIRECTED, now - 28 * MS, ServerRole.REPLICA);
         }
         assertEquals(2, attempts("r"));
         // On sockets news comes within a fraction of a millisecond: each may not lead to a further try.
--- a/routing/src/test/java/lupinvalve/routing/RulesWorld.java
+++ b/routing/src/test/java/lupinvalve/routing/RulesWorld.java
@@ -233,7 +233,7 @@
         }
         request.inFlight = request.inFlight == attempt ? null : request.inFlight;
         boolean answered = outcome == AttemptOutcome.SERVED
-                || outcome == AttemptOutcome.MISSED
+                || outcome == AttemptOutcome.MISDIRECTED
                 || outcome == AttemptOutcome.REJECTED
                 || outcome == AttemptOutcome.ERROR;
         ServerRole role = answered ? server.role() : ServerRole.UNKNOWN;
--- a/routing/src/test/java/lupinvalve/routing/SimulatedServer.java
+++ b/routing/src/test/java/lupinvalve/routing/SimulatedServer.java
@@ -135,7 +135,7 @@
                 && access != RequestClass.Access.ANY
                 && position() < attempt.request.requiredPosition(attempt.sent);
         if (access == RequestClass.Access.WRITE ? !isPrimary() : behind && !isPrimary()) {
-            cluster.end(attempt, AttemptOutcome.MISSED);
+            cluster.end(attempt, AttemptOutcome.MISDIRECTED);
         } else if (queue.size() > 40 * cores) {
             cluster.end(attempt, AttemptOutcome.REJECTED);
         } else {
--- a/simulator/src/main/java/lupinvalve/simulator/EventMapper.java
+++ b/simulator/src/main/java/lupinvalve/simulator/EventMapper.java
@@ -163,7 +163,7 @@
             case "econnreset" -> AttemptOutcome.BROKEN;
             case "ecanceled" -> AttemptOutcome.CANCELLED;
             case "skipped" -> AttemptOutcome.NOT_SENT;
-            case "enoent" -> AttemptOutcome.MISSED;
+            case "enoent" -> AttemptOutcome.MISDIRECTED;
             default -> throw message.invalid("ending", "is no known ending");
         };
     }
