--- a/routing/src/main/java/lupinvalve/routing/Admission.java
+++ b/routing/src/main/java/lupinvalve/routing/Admission.java
@@ -1,8 +1,8 @@
 package lupinvalve.routing;
 
 /**
- * Decides whether an attempt of a request may be started at a server now. Applies the in-flight limit, load shedding and
- * slow start, in this order; the first of them that rejects determines the result.
+ * Decides whether an attempt of a request may be started at a server now. Applies the in-flight limit, load shedding
+ * and slow start, in this order; the first of them that rejects determines the result.
  */
 final class Admission {
     private final InFlightLimit limit;
--- a/routing/src/main/java/lupinvalve/routing/AdmissionResult.java
+++ b/routing/src/main/java/lupinvalve/routing/AdmissionResult.java
@@ -7,6 +7,8 @@
     AT_LIMIT,
     /** The server is in slow start, and its share of requests is used up for now. */
     IN_SLOW_START,
-    /** Load shedding rejects the request. The request is then rejected rather than queued, as waiting would not help. */
+    /**
+     * Load shedding rejects the request. The request is then rejected rather than queued, as waiting would not help.
+     */
     SHED
 }
--- a/routing/src/main/java/lupinvalve/routing/AttemptDispatcher.java
+++ b/routing/src/main/java/lupinvalve/routing/AttemptDispatcher.java
@@ -33,8 +33,8 @@
         long timeoutMicros = timeouts.timeoutMicros(request, overdueAfterMicros, idleMicros);
         long startWithinMicros = timeouts.startWithinMicros(request, timeoutMicros);
         int number = retryPolicy.attemptStarted(request);
-        Attempt attempt = new Attempt(
-                request, number, server, nowMicros, nowMicros + (long) overdueAfterMicros, idleMicros);
+        Attempt attempt =
+                new Attempt(request, number, server, nowMicros, nowMicros + (long) overdueAfterMicros, idleMicros);
         request.setInFlight(attempt);
         server.inFlight.add(attempt);
         slowStart.attemptStarted(server);
--- a/routing/src/main/java/lupinvalve/routing/AttemptFeedback.java
+++ b/routing/src/main/java/lupinvalve/routing/AttemptFeedback.java
@@ -75,9 +75,9 @@
     }
 
     /**
-     * One attempt without an answer proves little about its server, least of all if the client's deadline cut it short. So
-     * a timeout counts as silence of the server only if the attempt is overdue and the server has answered nothing since
-     * the attempt started; any other timeout counts as a late answer.
+     * One attempt without an answer proves little about its server, least of all if the client's deadline cut it short.
+     * So a timeout counts as silence of the server only if the attempt is overdue and the server has answered nothing
+     * since the attempt started; any other timeout counts as a late answer.
      */
     private void timedOut(Server server, Attempt attempt, long elapsedMicros) {
         boolean silent = server.outlier.lastAnswerMicros() < attempt.startedMicros()
--- a/routing/src/main/java/lupinvalve/routing/AttemptOutcome.java
+++ b/routing/src/main/java/lupinvalve/routing/AttemptOutcome.java
@@ -18,7 +18,10 @@
     CANCELLED(false),
     /** The attempt ended before any byte of the request was written to a socket. */
     NOT_SENT(true),
-    /** The server can't answer the request: its data is too old for the read, or it isn't the primary that the write needs. */
+    /**
+     * The server can't answer the request: its data is too old for the read, or it isn't the primary that the write
+     * needs.
+     */
     MISDIRECTED(true);
 
     /** Whether this outcome proves that the server did not run the request. */
--- a/routing/src/main/java/lupinvalve/routing/AttemptTimeout.java
+++ b/routing/src/main/java/lupinvalve/routing/AttemptTimeout.java
@@ -17,6 +17,7 @@
 
     /** The server always gets at least this time to begin. */
     private static final long MIN_START_WITHIN_MICROS = 10_000;
+
     private final RouterContext context;
     private final LoadStatistics load;
     private final ReplicationLag lag;
@@ -30,9 +31,9 @@
     }
 
     /**
-     * Returns the time in microseconds after its start at which an attempt is overdue: a multiple of its expected latency,
-     * with a lower bound. Where servers check whether they are fresh enough for a read, the time is longer by the time
-     * for which a server may wait to catch up.
+     * Returns the time in microseconds after its start at which an attempt is overdue: a multiple of its expected
+     * latency, with a lower bound. Where servers check whether they are fresh enough for a read, the time is longer by
+     * the time for which a server may wait to catch up.
      */
     double overdueAfterMicros(Server server, PendingRequest request) {
         double multipleOfExpectedMicros = OVERDUE_MULTIPLE * load.slowdown(server) * load.serviceTimeMicros(request);
@@ -44,10 +45,11 @@
     }
 
     /**
-     * Returns the time in microseconds after its start at which an attempt is cancelled. A request that may run more than
-     * once is cancelled early enough for another attempt: after {@link #TIMEOUT_OVERDUE_MULTIPLE} times the overdue time,
-     * or already after the overdue time if its idle connection may have been dropped unnoticed. A request that must not
-     * run twice, or for which no time for another attempt would be left, gets all the time until its client's deadline.
+     * Returns the time in microseconds after its start at which an attempt is cancelled. A request that may run more
+     * than once is cancelled early enough for another attempt: after {@link #TIMEOUT_OVERDUE_MULTIPLE} times the
+     * overdue time, or already after the overdue time if its idle connection may have been dropped unnoticed. A request
+     * that must not run twice, or for which no time for another attempt would be left, gets all the time until its
+     * client's deadline.
      *
      * @param overdueAfterMicros the result of {@link #overdueAfterMicros} for the attempt
      * @param connectionIdleMicros how long the connection that the attempt will use has been idle
@@ -63,9 +65,9 @@
     }
 
     /**
-     * Returns the time in microseconds within which the server must begin to run the request, or else drop it. This is the
-     * timeout, or the time until an answer loses its value if that comes first, so that a server spends no work on an
-     * answer that is worth little when it comes.
+     * Returns the time in microseconds within which the server must begin to run the request, or else drop it. This is
+     * the timeout, or the time until an answer loses its value if that comes first, so that a server spends no work on
+     * an answer that is worth little when it comes.
      */
     long startWithinMicros(PendingRequest request, long timeoutMicros) {
         long untilValueLostMicros = request.losesValueAtMicros() - context.nowMicros();
--- a/routing/src/main/java/lupinvalve/routing/ClientRetryDetector.java
+++ b/routing/src/main/java/lupinvalve/routing/ClientRetryDetector.java
@@ -8,9 +8,10 @@
 
 /**
  * Detects retries that clients send without marking them as such. A client's attempts at a request share one deadline,
- * that of the request's class, so a retry states a shorter wait than a first attempt; the difference between the deadline
- * and the stated wait is the time that has passed since the first attempt. First attempts are recognised as those with
- * the most common wait among a class's recent requests. Where no wait is common enough, no request counts as a retry.
+ * that of the request's class, so a retry states a shorter wait than a first attempt; the difference between the
+ * deadline and the stated wait is the time that has passed since the first attempt. First attempts are recognised as
+ * those with the most common wait among a class's recent requests. Where no wait is common enough, no request counts as
+ * a retry.
  */
 final class ClientRetryDetector {
     /** The number of newest requests of a class whose waits are kept. */
@@ -25,7 +26,9 @@
 
     private final List<ClassWaits> waitsByClass = new ArrayList<>();
 
-    /** The waits of one class's newest requests, in multiples of {@link #RESOLUTION_MICROS}, and how often each occurs. */
+    /**
+     * The waits of one class's newest requests, in multiples of {@link #RESOLUTION_MICROS}, and how often each occurs.
+     */
     private static final class ClassWaits {
         private final RequestClass requestClass;
         private final ArrayDeque<Long> waits = new ArrayDeque<>();
@@ -60,8 +63,8 @@
     /**
      * Records the wait that a request's client stated.
      *
-     * @return the time in microseconds since the client's first attempt of the request, or 0 if the request does not count
-     *     as a retry
+     * @return the time in microseconds since the client's first attempt of the request, or 0 if the request does not
+     *     count as a retry
      */
     long sinceFirstAttemptMicros(int classIndex, long waitMicros) {
         ClassWaits waits = waitsByClass.get(classIndex);
@@ -75,9 +78,9 @@
     /**
      * Records the wait that a request's client stated, like {@link #sinceFirstAttemptMicros}.
      *
-     * @return whether the request is a retry for which over half of the latency objective has passed, so that its answer
-     *     would hardly be in time, and late answers of its class are worth little; under overload such a request is
-     *     rejected first
+     * @return whether the request is a retry for which over half of the latency objective has passed, so that its
+     *     answer would hardly be in time, and late answers of its class are worth little; under overload such a request
+     *     is rejected first
      */
     boolean isLateRetry(int classIndex, long waitMicros) {
         RequestClass requestClass = waitsByClass.get(classIndex).requestClass;
--- a/routing/src/main/java/lupinvalve/routing/DecayingMean.java
+++ b/routing/src/main/java/lupinvalve/routing/DecayingMean.java
@@ -1,10 +1,10 @@
 package lupinvalve.routing;
 
 /**
- * An exponentially weighted mean. The weight of a sample decays in two ways: with time, by {@link #DECAY_TIME_MICROS}, and
- * with each newer sample once the weights add up to about {@link #MAX_SAMPLES}, so that the mean follows a change within
- * some dozen samples however many there were before. The mean includes a prior, given by the caller, with the weight of a
- * few samples, so that it stays near the prior while it holds few samples.
+ * An exponentially weighted mean. The weight of a sample decays in two ways: with time, by {@link #DECAY_TIME_MICROS},
+ * and with each newer sample once the weights add up to about {@link #MAX_SAMPLES}, so that the mean follows a change
+ * within some dozen samples however many there were before. The mean includes a prior, given by the caller, with the
+ * weight of a few samples, so that it stays near the prior while it holds few samples.
  */
 final class DecayingMean {
     /** The time in which a sample's weight falls to 1/e. */
--- a/routing/src/main/java/lupinvalve/routing/InFlightAttempts.java
+++ b/routing/src/main/java/lupinvalve/routing/InFlightAttempts.java
@@ -28,9 +28,9 @@
     }
 
     /**
-     * Returns the number of attempts that the server may still be working on. An attempt counts as lost, and is left out,
-     * once it has been in flight for over twice the time after which it was overdue and the server has answered another
-     * attempt since it was overdue. Only the oldest attempts are examined, up to the first that is not lost.
+     * Returns the number of attempts that the server may still be working on. An attempt counts as lost, and is left
+     * out, once it has been in flight for over twice the time after which it was overdue and the server has answered
+     * another attempt since it was overdue. Only the oldest attempts are examined, up to the first that is not lost.
      */
     int countWithoutLost(long nowMicros, long lastAnswerMicros) {
         int lost = 0;
--- a/routing/src/main/java/lupinvalve/routing/InFlightLimit.java
+++ b/routing/src/main/java/lupinvalve/routing/InFlightLimit.java
@@ -67,17 +67,17 @@
     }
 
     /**
-     * Whether there are so many routers that each has too few attempts in flight to measure a server's load by them. The
-     * limit alone then can't protect the servers, and {@link LoadShedding} adds to it.
+     * Whether there are so many routers that each has too few attempts in flight to measure a server's load by them.
+     * The limit alone then can't protect the servers, and {@link LoadShedding} adds to it.
      */
     boolean isTrafficSparse() {
         return trafficSparse;
     }
 
     /**
-     * Whether a server may get one more attempt: it has rejected none within the last moments, and fewer attempts are in
-     * flight to it than the given part of its limit, which counts as one attempt at least. Lost attempts don't count, see
-     * {@link InFlightAttempts#countWithoutLost}.
+     * Whether a server may get one more attempt: it has rejected none within the last moments, and fewer attempts are
+     * in flight to it than the given part of its limit, which counts as one attempt at least. Lost attempts don't
+     * count, see {@link InFlightAttempts#countWithoutLost}.
      *
      * @param limitRatio the part of the limit that the attempt may fill, from 0 to 1
      */
@@ -88,11 +88,11 @@
     }
 
     /**
-     * Adapts the limit to the server's latency ratio; called once for each served request and each late timeout. Latency
-     * grows about in proportion to the attempts in flight, so multiplying the limit by the factor (target / latency ratio) brings latency to its target. Each
-     * call multiplies it by the factor to the power of 1 / limit, so the whole factor has been applied once as many answers
-     * have arrived as the limit allows in flight. The divisor is at least {@link DecayingMean#MAX_SAMPLES}, as the mean itself takes that
-     * many samples to follow a change.
+     * Adapts the limit to the server's latency ratio; called once for each served request and each late timeout.
+     * Latency grows about in proportion to the attempts in flight, so multiplying the limit by the factor (target /
+     * latency ratio) brings latency to its target. Each call multiplies it by the factor to the power of 1 / limit, so
+     * the whole factor has been applied once as many answers have arrived as the limit allows in flight. The divisor is
+     * at least {@link DecayingMean#MAX_SAMPLES}, as the mean itself takes that many samples to follow a change.
      */
     void adapt(Server server) {
         double latencyRatio = load.latencyRatio(server);
@@ -123,13 +123,14 @@
      * @param latencyRatio the time that the attempt took, over the latency objective of its class
      */
     void attemptTimedOut(Server server, double latencyRatio) {
-        load.recordLatencyRatio(server, Math.min(latencyRatio, TIMEOUT_LATENCY_RATIO_MULTIPLE * load.latencyRatio(server)));
+        load.recordLatencyRatio(
+                server, Math.min(latencyRatio, TIMEOUT_LATENCY_RATIO_MULTIPLE * load.latencyRatio(server)));
         adapt(server);
     }
 
     /**
-     * The server's process has restarted: bounds the limit by its initial value, as what was measured of the old process
-     * does not hold for the new one.
+     * The server's process has restarted: bounds the limit by its initial value, as what was measured of the old
+     * process does not hold for the new one.
      */
     void serverRestarted(Server server) {
         server.limit.limitAttempts = Math.min(server.limit.limitAttempts, initialAttempts);
--- a/routing/src/main/java/lupinvalve/routing/LoadShedding.java
+++ b/routing/src/main/java/lupinvalve/routing/LoadShedding.java
@@ -1,9 +1,10 @@
 package lupinvalve.routing;
 
 /**
- * Load shedding: rejects a part of the requests at once while latencies exceed their target; the further they exceed it,
- * the larger the part. Clients' retries are rejected first. It applies only where there are so many routers that each
- * sends too little to one server for an {@link InFlightLimit} of its own, see {@link InFlightLimit#isTrafficSparse}.
+ * Load shedding: rejects a part of the requests at once while latencies exceed their target; the further they exceed
+ * it, the larger the part. Clients' retries are rejected first. It applies only where there are so many routers that
+ * each sends too little to one server for an {@link InFlightLimit} of its own, see
+ * {@link InFlightLimit#isTrafficSparse}.
  */
 final class LoadShedding {
     /** The latency ratio (mean latency over latency objective) above which load is shed. */
@@ -26,8 +27,8 @@
     }
 
     /**
-     * Draws the random number, uniform in [0, 1), that determines how soon a request is shed; a client's retry gets one in
-     * the upper end of that range. A request keeps it for all its attempts, so that a retry doesn't draw anew.
+     * Draws the random number, uniform in [0, 1), that determines how soon a request is shed; a client's retry gets one
+     * in the upper end of that range. A request keeps it for all its attempts, so that a retry doesn't draw anew.
      */
     double draw(boolean clientRetry) {
         double draw = context.random().nextDouble();
@@ -36,11 +37,11 @@
 
     /**
      * Whether load shedding rejects a request at a server. The part of requests that is admitted is (target / latency
-     * ratio) ^ {@link #STEEPNESS_EXPONENT}, or all of them below the target: an exponent over 1 lets it fall steeply once
-     * the target is exceeded. A request is admitted if its draw is below that part.
+     * ratio) ^ {@link #STEEPNESS_EXPONENT}, or all of them below the target: an exponent over 1 lets it fall steeply
+     * once the target is exceeded. A request is admitted if its draw is below that part.
      *
-     * @param limitRatio the part of the server's in-flight limit that the request may fill; a read's target latency ratio
-     *     is reduced to the same part
+     * @param limitRatio the part of the server's in-flight limit that the request may fill; a read's target latency
+     *     ratio is reduced to the same part
      */
     boolean sheds(Server server, PendingRequest request, double limitRatio) {
         double targetRatio = TARGET_LATENCY_RATIO * (request.isWrite() ? WRITE_TARGET_MULTIPLE : limitRatio);
--- a/routing/src/main/java/lupinvalve/routing/LoadStatistics.java
+++ b/routing/src/main/java/lupinvalve/routing/LoadStatistics.java
@@ -6,8 +6,8 @@
  * <ul>
  *   <li>slowdown: latency over service time, the time that the request takes on an idle server. It shows how loaded a
  *       server is, whatever the mix of classes. Kept for each server and each group.
- *   <li>latency ratio: latency over the latency objective of the request's class. It shows how near answers are to being
- *       late. Kept for each server, each group and all servers of one role.
+ *   <li>latency ratio: latency over the latency objective of the request's class. It shows how near answers are to
+ *       being late. Kept for each server, each group and all servers of one role.
  * </ul>
  *
  * <p>Service times are estimated for each class, from the shortest latencies.
@@ -20,8 +20,8 @@
     /** The first estimate of a class's service time, as a part of its latency objective. */
     private static final double INITIAL_SERVICE_TIME_RATIO = 1 / 8.0;
     /**
-     * The part of the difference by which a shorter latency lowers the estimated service time. It is greater than the part
-     * for a longer one, so the estimate stays near the shortest latencies, which include little waiting.
+     * The part of the difference by which a shorter latency lowers the estimated service time. It is greater than the
+     * part for a longer one, so the estimate stays near the shortest latencies, which include little waiting.
      */
     private static final double SERVICE_TIME_FALL_RATIO = 0.1;
     /** The part of the difference by which a longer latency raises the estimated service time. */
@@ -47,13 +47,14 @@
     }
 
     /**
-     * Returns the mean ratio of latency over latency objective at a server. The prior of a replica's mean is the mean over
-     * the replicas of its group, whose prior is the mean over all replicas; that of a primary is the mean over all
+     * Returns the mean ratio of latency over latency objective at a server. The prior of a replica's mean is the mean
+     * over the replicas of its group, whose prior is the mean over all replicas; that of a primary is the mean over all
      * primaries. So a server with few answers of its own is judged by similar servers.
      */
     double latencyRatio(Server server) {
         boolean primary = server == server.group.primary();
-        double roleRatio = (primary ? primaryLatencyRatio : replicaLatencyRatio).mean(context.nowMicros(), INITIAL_LATENCY_RATIO);
+        double roleRatio =
+                (primary ? primaryLatencyRatio : replicaLatencyRatio).mean(context.nowMicros(), INITIAL_LATENCY_RATIO);
         double prior = primary ? roleRatio : server.group.load.latencyRatio.mean(context.nowMicros(), roleRatio);
         return server.load.latencyRatio.mean(context.nowMicros(), prior);
     }
@@ -70,8 +71,8 @@
     }
 
     /**
-     * Returns the expected latency in microseconds of a queued request once it is sent to its group: the latency ratio of
-     * the group's replicas times the request's latency objective.
+     * Returns the expected latency in microseconds of a queued request once it is sent to its group: the latency ratio
+     * of the group's replicas times the request's latency objective.
      */
     double expectedLatencyMicros(PendingRequest request) {
         double roleRatio = replicaLatencyRatio.mean(context.nowMicros(), INITIAL_LATENCY_RATIO);
--- a/routing/src/main/java/lupinvalve/routing/LongReadPlacement.java
+++ b/routing/src/main/java/lupinvalve/routing/LongReadPlacement.java
@@ -7,8 +7,8 @@
  */
 final class LongReadPlacement {
     /**
-     * A class of reads that accept data of any age is long-running if its latency objective is at least this multiple of
-     * the shortest objective of all classes.
+     * A class of reads that accept data of any age is long-running if its latency objective is at least this multiple
+     * of the shortest objective of all classes.
      */
     private static final double LONG_OBJECTIVE_MULTIPLE = 4;
 
@@ -75,8 +75,9 @@
     }
 
     /**
-     * Starts a long-running read at the reserved replica, or at the next one that qualifies if the request's last attempt
-     * went to that one. If no attempt can be started there, the read goes to the primary once it has waited long enough.
+     * Starts a long-running read at the reserved replica, or at the next one that qualifies if the request's last
+     * attempt went to that one. If no attempt can be started there, the read goes to the primary once it has waited
+     * long enough.
      */
     PlacementResult place(PendingRequest request) {
         Server replica = reservedReplica(request.group, request.history.lastServer());
--- a/routing/src/main/java/lupinvalve/routing/PendingRequest.java
+++ b/routing/src/main/java/lupinvalve/routing/PendingRequest.java
@@ -12,8 +12,8 @@
     /** The client's deadline: when it stops waiting. */
     final long expiresMicros;
     /**
-     * The log position that a server must have reached to answer the request, from its session token or its arrival time;
-     * not used where the class bounds the age of data instead.
+     * The log position that a server must have reached to answer the request, from its session token or its arrival
+     * time; not used where the class bounds the age of data instead.
      */
     final long tokenPosition;
     /** The random number in [0, 1) that load shedding compares: the higher, the sooner the request is rejected. */
@@ -63,15 +63,17 @@
         return requestClass.access() == RequestClass.Access.STRONG;
     }
 
-    /** Returns the latest time at which a final answer may be given so that it reaches the client before its deadline. */
+    /**
+     * Returns the latest time at which a final answer may be given so that it reaches the client before its deadline.
+     */
     long answerDueMicros() {
         return expiresMicros - ANSWER_MARGIN_MICROS;
     }
 
     /**
-     * Returns the time from which an answer is worth little: arrival plus latency objective, if late answers of the class
-     * lose their value. For a client's retry it is {@link Long#MAX_VALUE}, as the objective counts from the client's first
-     * attempt and may have passed before the retry arrived.
+     * Returns the time from which an answer is worth little: arrival plus latency objective, if late answers of the
+     * class lose their value. For a client's retry it is {@link Long#MAX_VALUE}, as the objective counts from the
+     * client's first attempt and may have passed before the retry arrived.
      */
     long losesValueAtMicros() {
         return requestClass.losesValueWhenLate() && !clientRetry
@@ -96,7 +98,9 @@
         inFlight = attempt;
     }
 
-    /** Whether the request has its final answer or its client has disconnected; its last attempt may still be in flight. */
+    /**
+     * Whether the request has its final answer or its client has disconnected; its last attempt may still be in flight.
+     */
     boolean isClosed() {
         return closed;
     }
--- a/routing/src/main/java/lupinvalve/routing/PrimaryFallback.java
+++ b/routing/src/main/java/lupinvalve/routing/PrimaryFallback.java
@@ -40,8 +40,8 @@
 
     /**
      * Whether a read for which no replica was found goes to the primary now. It does if the primary is eligible and the
-     * read has waited long enough or would wait in vain. Waiting is useless for a strong read, if a fresh replica had no
-     * capacity, and if no replica will be fresh before the wait ends.
+     * read has waited long enough or would wait in vain. Waiting is useless for a strong read, if a fresh replica had
+     * no capacity, and if no replica will be fresh before the wait ends.
      *
      * @param replicaAtLimit whether a replica was fresh enough but did not admit the read
      * @param untilFreshMicros the shortest expected time until a replica is fresh enough
@@ -79,8 +79,8 @@
     }
 
     /**
-     * Whether a read goes to the primary in place of the selected replica, because the replica is far more loaded. A call
-     * can use up slow start budget of the primary, see {@link Admission#admit}.
+     * Whether a read goes to the primary in place of the selected replica, because the replica is far more loaded. A
+     * call can use up slow start budget of the primary, see {@link Admission#admit}.
      */
     boolean spillsOver(PendingRequest request, Server replica) {
         Server primary = request.group.primary();
--- a/routing/src/main/java/lupinvalve/routing/QueueDeadline.java
+++ b/routing/src/main/java/lupinvalve/routing/QueueDeadline.java
@@ -13,11 +13,14 @@
     /** A write is queued for the primary for this part of its latency objective at most. */
     private static final double WRITE_OBJECTIVE_RATIO = 0.5;
     /**
-     * A request that has reached no server is given up after this part of the time that its client waits, so that over half
-     * of it is left for the client's retry.
+     * A request that has reached no server is given up after this part of the time that its client waits, so that over
+     * half of it is left for the client's retry.
      */
     private static final double NEVER_SENT_TIME_RATIO = 0.49;
-    /** The expected latency of the answer, which is reserved before the objective, is at most this part of the objective. */
+    /**
+     * The expected latency of the answer, which is reserved before the objective, is at most this part of the
+     * objective.
+     */
     private static final double MAX_LATENCY_OBJECTIVE_RATIO = 0.7;
 
     private final LoadStatistics load;
@@ -27,9 +30,9 @@
     }
 
     /**
-     * Returns the time on the router's clock at which a queued request is given up, the earliest of three: the longest wait
-     * for its kind has passed; no answer would reach the client before its deadline any more; or the answer could only
-     * come when it has lost its value, that is, the time until then is shorter than the expected latency.
+     * Returns the time on the router's clock at which a queued request is given up, the earliest of three: the longest
+     * wait for its kind has passed; no answer would reach the client before its deadline any more; or the answer could
+     * only come when it has lost its value, that is, the time until then is shorter than the expected latency.
      */
     long micros(PendingRequest request) {
         long objectiveMicros = request.requestClass.latencyObjectiveMicros();
@@ -43,8 +46,9 @@
     }
 
     /**
-     * Returns the latest useful time to start an attempt. For a request that has reached a server this leaves the service
-     * time before the client's deadline. One that has not is given up earlier, while its client can still retry in time.
+     * Returns the latest useful time to start an attempt. For a request that has reached a server this leaves the
+     * service time before the client's deadline. One that has not is given up earlier, while its client can still retry
+     * in time.
      */
     private double lastStartMicros(PendingRequest request) {
         return request.history.reachedServer()
--- a/routing/src/main/java/lupinvalve/routing/ReplicaCost.java
+++ b/routing/src/main/java/lupinvalve/routing/ReplicaCost.java
@@ -2,22 +2,22 @@
 
 /**
  * The cost of a read at a replica, by which {@link ReplicaSelector} compares replicas. It is a relative number without
- * unit: the attempts in flight there including this one, times the replica's slowdown (latency over service time), which
- * estimates the load ahead of the read; times factors for another zone, the replica reserved for long-running reads,
- * this request's earlier attempts, and slow start.
+ * unit: the attempts in flight there including this one, times the replica's slowdown (latency over service time),
+ * which estimates the load ahead of the read; times factors for another zone, the replica reserved for long-running
+ * reads, this request's earlier attempts, and slow start.
  */
 final class ReplicaCost {
     /** The least cost factor of a replica in another zone. */
     private static final double OTHER_ZONE_COST_MULTIPLE = 1.3;
     /**
-     * The cost factor added for each unit of the price of a zone crossing, which is a part of a request's priority weight.
-     * One more attempt ahead of a read costs about 1/75 of a priority weight, by the answers that come late, so the price
-     * of a whole priority weight equals 75 attempts ahead.
+     * The cost factor added for each unit of the price of a zone crossing, which is a part of a request's priority
+     * weight. One more attempt ahead of a read costs about 1/75 of a priority weight, by the answers that come late, so
+     * the price of a whole priority weight equals 75 attempts ahead.
      */
     private static final double CROSSING_PRICE_COST_MULTIPLE = 75;
     /**
-     * The cost factor of the replica reserved for long-running reads, for all reads but those that accept data of any age.
-     * For these its inverse is used, as they should go to that replica first.
+     * The cost factor of the replica reserved for long-running reads, for all reads but those that accept data of any
+     * age. For these its inverse is used, as they should go to that replica first.
      */
     private static final double RESERVED_COST_MULTIPLE = 3;
 
@@ -26,13 +26,13 @@
     /** The cost factor of a server that answered an earlier attempt of the request with an error. */
     private static final double ERRED_COST_MULTIPLE = 50;
     /**
-     * The cost factor of a server in slow start that admitted the read by a random draw. It is preferred, as the budget that
-     * the admission used up would be lost otherwise.
+     * The cost factor of a server in slow start that admitted the read by a random draw. It is preferred, as the budget
+     * that the admission used up would be lost otherwise.
      */
     private static final double DRAWN_COST_MULTIPLE = 0.01;
     /**
-     * Where traffic is sparse (see {@link InFlightLimit#isTrafficSparse}), a cost counts as less only below this part of the
-     * other: costs then rest on few answers, which differ by chance.
+     * Where traffic is sparse (see {@link InFlightLimit#isTrafficSparse}), a cost counts as less only below this part
+     * of the other: costs then rest on few answers, which differ by chance.
      */
     private static final double SPARSE_LESS_COST_RATIO = 0.85;
 
--- a/routing/src/main/java/lupinvalve/routing/ReplicaSelector.java
+++ b/routing/src/main/java/lupinvalve/routing/ReplicaSelector.java
@@ -3,10 +3,10 @@
 import java.util.function.Predicate;
 
 /**
- * Selects the replica that a read goes to: of those that are eligible, fresh enough and admit the read, the one of least
- * {@link ReplicaCost}. Members are examined round-robin, beginning after the one selected last, so that the first of
- * several replicas with equal cost differs each time. Where no replica qualifies, {@link PrimaryFallback} decides whether
- * the read goes to the primary.
+ * Selects the replica that a read goes to: of those that are eligible, fresh enough and admit the read, the one of
+ * least {@link ReplicaCost}. Members are examined round-robin, beginning after the one selected last, so that the first
+ * of several replicas with equal cost differs each time. Where no replica qualifies, {@link PrimaryFallback} decides
+ * whether the read goes to the primary.
  */
 final class ReplicaSelector {
     /** The round-robin position in one group. */
@@ -72,8 +72,8 @@
     }
 
     /**
-     * Starts a read at the replica of least cost, or at the primary where {@link PrimaryFallback} says so. If the read has to
-     * wait for a fresh replica, requests a health check of one, whose report may prove it fresh.
+     * Starts a read at the replica of least cost, or at the primary where {@link PrimaryFallback} says so. If the read
+     * has to wait for a fresh replica, requests a health check of one, whose report may prove it fresh.
      */
     PlacementResult place(PendingRequest request) {
         ServerGroup group = request.group;
--- a/routing/src/main/java/lupinvalve/routing/RequestLifecycle.java
+++ b/routing/src/main/java/lupinvalve/routing/RequestLifecycle.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * The open requests, and how each ends: served, given up with a final answer by the router, or closed because its client
- * has disconnected. A request with an attempt in flight stays in the table until that attempt has ended.
+ * The open requests, and how each ends: served, given up with a final answer by the router, or closed because its
+ * client has disconnected. A request with an attempt in flight stays in the table until that attempt has ended.
  */
 final class RequestLifecycle {
     private final RouterContext context;
@@ -37,8 +37,8 @@
     }
 
     /**
-     * Gives a request its final answer: a rejection with Retry-After if a retry by the client can't make the request take
-     * effect twice, otherwise a failure.
+     * Gives a request its final answer: a rejection with Retry-After if a retry by the client can't make the request
+     * take effect twice, otherwise a failure.
      */
     void giveUp(PendingRequest request) {
         context.perform(
@@ -49,8 +49,8 @@
     }
 
     /**
-     * Closes the request of a client that has disconnected, so that no further attempt starts; cancels its attempt in flight
-     * if the deployment allows cancelling.
+     * Closes the request of a client that has disconnected, so that no further attempt starts; cancels its attempt in
+     * flight if the deployment allows cancelling.
      */
     void clientDisconnected(String id) {
         PendingRequest request = requests.get(id);
--- a/routing/src/main/java/lupinvalve/routing/RequestPlacement.java
+++ b/routing/src/main/java/lupinvalve/routing/RequestPlacement.java
@@ -1,8 +1,8 @@
 package lupinvalve.routing;
 
 /**
- * Finds a server for a request and starts an attempt there. Writes, long-running reads and other reads are each placed by
- * a type of their own.
+ * Finds a server for a request and starts an attempt there. Writes, long-running reads and other reads are each placed
+ * by a type of their own.
  */
 final class RequestPlacement {
     private final RetryPolicy retryPolicy;
--- a/routing/src/main/java/lupinvalve/routing/RequestQueue.java
+++ b/routing/src/main/java/lupinvalve/routing/RequestQueue.java
@@ -7,14 +7,14 @@
 
 /**
  * The request queue: holds requests that no server may take now, at most until their {@link QueueDeadline}. Writes are
- * served before reads, and classes of either kind in descending order of priority weight over latency objective. Within a
- * class the newest request is served first, so that under overload some answers are still in time; clients' retries are
- * served last.
+ * served before reads, and classes of either kind in descending order of priority weight over latency objective. Within
+ * a class the newest request is served first, so that under overload some answers are still in time; clients' retries
+ * are served last.
  */
 final class RequestQueue {
     /**
-     * The part of the requests that clients can have open at once that may be queued in all groups together. The rest is left
-     * for requests of groups that have a server available.
+     * The part of the requests that clients can have open at once that may be queued in all groups together. The rest
+     * is left for requests of groups that have a server available.
      */
     private static final double MAX_OPEN_REQUESTS_RATIO = 0.3;
     /**
@@ -76,8 +76,8 @@
     }
 
     /**
-     * Gives up one read of the group with the most queued requests: the one that would be served last, among classes whose
-     * late answers are worth little. One group's queue must not take all requests that clients can have open.
+     * Gives up one read of the group with the most queued requests: the one that would be served last, among classes
+     * whose late answers are worth little. One group's queue must not take all requests that clients can have open.
      */
     private void giveUpLowestPriorityRead() {
         ServerGroup group = queued.groupWithMostQueued(servers.groups());
@@ -91,8 +91,9 @@
     }
 
     /**
-     * Starts attempts of a group's queued requests, class by class in serving order. A class ends with the first request that
-     * can't be placed, or for session reads with the last of {@link #MAX_UNPLACED_SESSION_READS} such requests.
+     * Starts attempts of a group's queued requests, class by class in serving order. A class ends with the first
+     * request that can't be placed, or for session reads with the last of {@link #MAX_UNPLACED_SESSION_READS} such
+     * requests.
      */
     void dispatch(ServerGroup group) {
         if (group.queues.size() == 0) {
--- a/routing/src/main/java/lupinvalve/routing/RetryAfter.java
+++ b/routing/src/main/java/lupinvalve/routing/RetryAfter.java
@@ -1,8 +1,8 @@
 package lupinvalve.routing;
 
 /**
- * Computes the Retry-After of a rejected request. Its time is short enough for the client's retry to be served within the
- * latency objective. For reads it is random, so that the retries of many rejected clients don't arrive at once.
+ * Computes the Retry-After of a rejected request. Its time is short enough for the client's retry to be served within
+ * the latency objective. For reads it is random, so that the retries of many rejected clients don't arrive at once.
  */
 final class RetryAfter {
     /** The mean Retry-After of a read, as a part of its latency objective. */
--- a/routing/src/main/java/lupinvalve/routing/RetryPolicy.java
+++ b/routing/src/main/java/lupinvalve/routing/RetryPolicy.java
@@ -6,10 +6,10 @@
 /**
  * Decides which requests may be retried, how often and until when.
  *
- * <p>A request that can't have run may be retried at any server. One that may have run may be retried if it is idempotent
- * by itself, or by its key while the key is remembered and at servers that share it; otherwise never. The number of
- * attempts is bounded by the deployment's settings, the number of errors by {@link #MAX_ERRORS}, and the time by the
- * client's deadline and, where late answers are worth little, by the latency objective.
+ * <p>A request that can't have run may be retried at any server. One that may have run may be retried if it is
+ * idempotent by itself, or by its key while the key is remembered and at servers that share it; otherwise never. The
+ * number of attempts is bounded by the deployment's settings, the number of errors by {@link #MAX_ERRORS}, and the time
+ * by the client's deadline and, where late answers are worth little, by the latency objective.
  */
 final class RetryPolicy {
     /** A request that was answered with more errors than this is not retried, as it probably fails at any server. */
@@ -84,8 +84,8 @@
     }
 
     /**
-     * Whether a request whose attempt has ended may be retried now, at the same server at least. Otherwise it gets a final
-     * answer.
+     * Whether a request whose attempt has ended may be retried now, at the same server at least. Otherwise it gets a
+     * final answer.
      */
     boolean mayRetry(PendingRequest request) {
         long retryEndsMicros = Math.min(request.answerDueMicros(), request.losesValueAtMicros());
@@ -124,8 +124,8 @@
     }
 
     /**
-     * Whether the final answer may be a rejection. A rejection states that a retry by the client does no harm, so it is given
-     * only if the request can't have run or may run again at any server.
+     * Whether the final answer may be a rejection. A rejection states that a retry by the client does no harm, so it is
+     * given only if the request can't have run or may run again at any server.
      */
     boolean mayReject(PendingRequest request) {
         RequestClass requestClass = request.requestClass;
--- a/routing/src/main/java/lupinvalve/routing/SlowStart.java
+++ b/routing/src/main/java/lupinvalve/routing/SlowStart.java
@@ -3,26 +3,27 @@
 /**
  * Slow start: bounds the requests that a server gets while it warms up after a start of its process. With each request
  * that warm servers serve for this router, the budget of the server in slow start grows by a part of a request, in
- * proportion to its present capacity. So all routers together stay below the load that the server can bear, however unevenly they are loaded.
- * Budget is earned by served requests rather than by started attempts, since attempts that are rejected and retried show
- * no capacity, and rather than by latencies, since waiting in queues increases them.
+ * proportion to its present capacity. So all routers together stay below the load that the server can bear, however
+ * unevenly they are loaded. Budget is earned by served requests rather than by started attempts, since attempts that
+ * are rejected and retried show no capacity, and rather than by latencies, since waiting in queues increases them.
  *
- * <p>Where traffic is sparse (see {@link InFlightLimit#isTrafficSparse}), a router earns less than one request at a time.
- * Then each request considered for the server uses up a part of the budget, and one is admitted whenever these parts
- * add up to a whole request, see {@link SlowStartBudget#spendPart}.
+ * <p>Where traffic is sparse (see {@link InFlightLimit#isTrafficSparse}), a router earns less than one request at a
+ * time. Then each request considered for the server uses up a part of the budget, and one is admitted whenever these
+ * parts add up to a whole request, see {@link SlowStartBudget#spendPart}.
  */
 final class SlowStart {
     /** The part of the load that a server in slow start can bear which the routers send to it; the rest is a margin. */
     private static final double USED_CAPACITY_RATIO = 0.75;
 
     /**
-     * The greatest budget that a router saves for a server, in requests. Where traffic is sparse it is this number times the
-     * part of the budget that one request uses up, since the savings of many routers must not be spent at once.
+     * The greatest budget that a router saves for a server, in requests. Where traffic is sparse it is this number
+     * times the part of the budget that one request uses up, since the savings of many routers must not be spent at
+     * once.
      */
     private static final double MAX_SAVED_REQUESTS = 3;
     /**
-     * While no server is warm, a router admits a request at a server with a probability of this divided by the number of
-     * routers, so that of one request at each router about this many are admitted.
+     * While no server is warm, a router admits a request at a server with a probability of this divided by the number
+     * of routers, so that of one request at each router about this many are admitted.
      */
     private static final double NO_WARM_SERVER_ADMITTING_ROUTERS = 10;
     /** While no server is warm, a write is admitted only with fewer attempts of this router in flight to the server. */
@@ -30,8 +31,8 @@
     /** While no server is warm, a read is admitted only with fewer attempts of this router in flight to the server. */
     private static final int NO_WARM_SERVER_MAX_READS = 1;
     /**
-     * Multiplies a request's draw for load shedding, so that the fractional part, a draw for slow start, depends on digits
-     * that hardly affect load shedding.
+     * Multiplies a request's draw for load shedding, so that the fractional part, a draw for slow start, depends on
+     * digits that hardly affect load shedding.
      */
     private static final double DRAW_SCALE = 1e4;
     /**
@@ -59,24 +60,26 @@
     }
 
     /**
-     * Returns a server's capacity as a part of its capacity when warm. It grows linearly with the time since its start, from
-     * the initial ratio to 1 at the end of the warm-up time.
+     * Returns a server's capacity as a part of its capacity when warm. It grows linearly with the time since its start,
+     * from the initial ratio to 1 at the end of the warm-up time.
      *
      * @param ageMicros the time since the start; a negative one counts as 0
      */
     static double capacityRatio(RouterSettings.Rules rules, long ageMicros) {
         double elapsedRatio = (double) ageMicros / Math.max(1, rules.warmUpMicros());
-        return rules.initialCapacityRatio() + (1 - rules.initialCapacityRatio()) * Math.min(1, Math.max(0, elapsedRatio));
+        return rules.initialCapacityRatio()
+                + (1 - rules.initialCapacityRatio()) * Math.min(1, Math.max(0, elapsedRatio));
     }
 
     /**
-     * Begins the slow start of a server whose process has started. The budget begins at a random part of a request, which
-     * differs between routers, so that they don't all send their first request at the same time.
+     * Begins the slow start of a server whose process has started. The budget begins at a random part of a request,
+     * which differs between routers, so that they don't all send their first request at the same time.
      */
     void begin(Server server, long startedMicros) {
         server.slowStart.startedMicros = Math.max(server.slowStart.startedMicros, startedMicros);
         double initialPart = context.random().nextDouble();
-        server.slowStart.budget.restart(load.servedByWarmServers(), limit.isTrafficSparse() ? 0 : initialPart, initialPart);
+        server.slowStart.budget.restart(
+                load.servedByWarmServers(), limit.isTrafficSparse() ? 0 : initialPart, initialPart);
         limit.serverRestarted(server);
     }
 
@@ -84,12 +87,13 @@
     boolean inSlowStart(Server server) {
         long startedMicros = server.slowStart.startedMicros;
         return startedMicros != Long.MIN_VALUE
-                && context.nowMicros() - startedMicros < context.settings().rules().warmUpMicros();
+                && context.nowMicros() - startedMicros
+                        < context.settings().rules().warmUpMicros();
     }
 
     /**
-     * Whether a request that {@link #admits} has just admitted at this server should be sent there in preference to others,
-     * because the admission was for this request at this server alone: by budget used up or by a random draw.
+     * Whether a request that {@link #admits} has just admitted at this server should be sent there in preference to
+     * others, because the admission was for this request at this server alone: by budget used up or by a random draw.
      */
     boolean isDrawnForServer(Server server) {
         return limit.isTrafficSparse() && inSlowStart(server);
@@ -97,8 +101,8 @@
 
     /**
      * Whether slow start admits a request at a server. Where traffic is sparse, a call uses up budget, see
-     * {@link SlowStartBudget#spendPart}; otherwise {@link #attemptStarted} does. Long-running reads are never admitted during
-     * slow start.
+     * {@link SlowStartBudget#spendPart}; otherwise {@link #attemptStarted} does. Long-running reads are never admitted
+     * during slow start.
      */
     boolean admits(Server server, PendingRequest request) {
         if (!inSlowStart(server)) {
@@ -114,8 +118,8 @@
     }
 
     /**
-     * Admits at random while no server is warm, as then no budget is earned. The draw is derived from the request and the
-     * server, so it is the same at each try to place the request.
+     * Admits at random while no server is warm, as then no budget is earned. The draw is derived from the request and
+     * the server, so it is the same at each try to place the request.
      */
     private boolean admitsWithoutWarmServers(Server server, PendingRequest request) {
         double draw = request.sheddingDraw * DRAW_SCALE + server.id.hashCode() * SERVER_DRAW_STEP;
@@ -125,24 +129,25 @@
     }
 
     /**
-     * Adds what the server in slow start has earned since the last call to its budget, and admits the request if the budget
-     * suffices.
+     * Adds what the server in slow start has earned since the last call to its budget, and admits the request if the
+     * budget suffices.
      *
-     * <p>The number of requests that the server may get for each request that one warm server serves is its capacity ratio,
-     * times the multiple of its capacity that overloads it, times {@link #USED_CAPACITY_RATIO}. A request that any of the
-     * warm servers has served earns this number divided by the number of warm servers.
+     * <p>The number of requests that the server may get for each request that one warm server serves is its capacity
+     * ratio, times the multiple of its capacity that overloads it, times {@link #USED_CAPACITY_RATIO}. A request that
+     * any of the warm servers has served earns this number divided by the number of warm servers.
      *
      * <p>Where traffic is sparse, each request considered for the server uses up part of the budget: a write the same
-     * number, but at most one request; a read that divided by the number of the group's replicas, as it is considered for
-     * each of them. The capacity ratio is then that of one overload period earlier, the time over which the load at a
-     * server in slow start is counted.
+     * number, but at most one request; a read that divided by the number of the group's replicas, as it is considered
+     * for each of them. The capacity ratio is then that of one overload period earlier, the time over which the load at
+     * a server in slow start is counted.
      */
     private boolean admitsByBudget(Server server, PendingRequest request, int warmServers) {
         RouterSettings.Rules rules = context.settings().rules();
         boolean trafficSparse = limit.isTrafficSparse();
         long ageMicros =
                 context.nowMicros() - server.slowStart.startedMicros - (trafficSparse ? rules.overloadMicros() : 0);
-        double requestsPerWarmRequest = capacityRatio(rules, ageMicros) * rules.overloadMultiple() * USED_CAPACITY_RATIO;
+        double requestsPerWarmRequest =
+                capacityRatio(rules, ageMicros) * rules.overloadMultiple() * USED_CAPACITY_RATIO;
         int candidateServers = request.isWrite() ? 1 : Math.max(1, server.group.members.size() - 1);
         double requestPart = Math.min(1, requestsPerWarmRequest) / candidateServers;
         SlowStartBudget budget = server.slowStart.budget;
--- a/routing/src/main/java/lupinvalve/routing/SlowStartBudget.java
+++ b/routing/src/main/java/lupinvalve/routing/SlowStartBudget.java
@@ -47,9 +47,9 @@
     }
 
     /**
-     * Uses up to the given part of the budget for one request, and adds it to the part of the next attempt that is due. If
-     * the routers begin with random due parts, uniform from 0 to 1, the attempts that they start together over any time
-     * are about the sum of all parts used up in it, and those of each router exceed its own sum by at most one.
+     * Uses up to the given part of the budget for one request, and adds it to the part of the next attempt that is due.
+     * If the routers begin with random due parts, uniform from 0 to 1, the attempts that they start together over any
+     * time are about the sum of all parts used up in it, and those of each router exceed its own sum by at most one.
      *
      * @return whether the due parts have added up to one, so that an attempt of this request is admitted
      */
--- a/routing/src/main/java/lupinvalve/routing/WritePlacement.java
+++ b/routing/src/main/java/lupinvalve/routing/WritePlacement.java
@@ -1,6 +1,9 @@
 package lupinvalve.routing;
 
-/** Places writes: at the primary or, where none is known, at the members of the group in turn until the primary is found. */
+/**
+ * Places writes: at the primary or, where none is known, at the members of the group in turn until the primary is
+ * found.
+ */
 final class WritePlacement {
     private final PrimarySearch search;
     private final ServerEligibility eligibility;
@@ -22,7 +25,8 @@
     }
 
     /**
-     * Starts a write at the primary, or at a possible primary if none is known or the known one may not get writes at all.
+     * Starts a write at the primary, or at a possible primary if none is known or the known one may not get writes at
+     * all.
      */
     PlacementResult place(PendingRequest request) {
         ServerGroup group = request.group;
@@ -30,7 +34,8 @@
         if (eligibility.isEligible(primary, true)) {
             return placeAt(primary, request);
         }
-        // If the known primary is listed but can't be used now, the write waits for it, as no other member accepts writes.
+        // If the known primary is listed but can't be used now, the write waits for it, as no other member accepts
+        // writes.
         boolean primaryListed = primary != null && eligibility.isListed(primary, true);
         return primaryListed || !search.isAttemptDue(group) || !retryPolicy.maySearchPrimary(request)
                 ? PlacementResult.NO_SERVER
--- a/routing/src/test/java/lupinvalve/routing/AttemptTimeoutTest.java
+++ b/routing/src/test/java/lupinvalve/routing/AttemptTimeoutTest.java
@@ -13,7 +13,9 @@
         allServersReport();
         request("r", READ, null, 800 * MS);
         assertEquals(200 * MS, lastAttempt("r").startWithinMicros());
-        assertTrue(lastAttempt("r").timeoutMicros() > 200 * MS, "a server that has begun may finish, so that the connection is kept");
+        assertTrue(
+                lastAttempt("r").timeoutMicros() > 200 * MS,
+                "a server that has begun may finish, so that the connection is kept");
         now += 210 * MS;
         attemptEnded("r", 0, lastServer("r"), AttemptOutcome.REJECTED, now, ServerRole.REPLICA);
         assertEquals(1, attempts("r"));
--- a/routing/src/test/java/lupinvalve/routing/ExampleTest.java
+++ b/routing/src/test/java/lupinvalve/routing/ExampleTest.java
@@ -6,7 +6,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Compiles and runs the example of the README: a router embedded in a program starts an attempt of a read at the replica. */
+/**
+ * Compiles and runs the example of the README: a router embedded in a program starts an attempt of a read at the
+ * replica.
+ */
 class ExampleTest {
     @Test
     void embeddedRouterStartsAReadAtTheReplica() {
--- a/routing/src/test/java/lupinvalve/routing/FleetTest.java
+++ b/routing/src/test/java/lupinvalve/routing/FleetTest.java
@@ -15,9 +15,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Tests many routers together, against scripted servers in virtual time: what is harmless for one router must not add up
- * to an overload or a starved server over all of them. Nodes m0 to m5 are group 1 and k0 to k5 group 2; m0 and k0 are the
- * primaries.
+ * Tests many routers together, against scripted servers in virtual time: what is harmless for one router must not add
+ * up to an overload or a starved server over all of them. Nodes m0 to m5 are group 1 and k0 to k5 group 2; m0 and k0
+ * are the primaries.
  */
 class FleetTest {
     private static final long MS = 1000;
@@ -43,6 +43,7 @@
     private final Map<String, List<Long>> attemptTimesByNode = new HashMap<>();
     /** The Retry-After of each rejected read, in microseconds. */
     private final List<Long> retryAfters = new ArrayList<>();
+
     private long now = 1000 * SECOND;
     private long latencyMicros = 40 * MS;
     private int healthChecks;
@@ -113,7 +114,8 @@
     /** Replaces a router by a new one that knows only the endpoint list; answers to the old one are not delivered. */
     private void restartRouter(int router) {
         routers.set(
-                router, new Router(5000 + router, settingsByRouter.get(router), now, action -> perform(router, action)));
+                router,
+                new Router(5000 + router, settingsByRouter.get(router), now, action -> perform(router, action)));
         handle(router, new RouterEvent.EndpointUpdate(ListForm.FULL, List.copyOf(endpointsByNode.values())));
     }
 
@@ -124,7 +126,9 @@
     /** Carries out a router's action: each attempt is served after the latency, and each health check after 1 ms. */
     private void perform(int router, RouterAction action) {
         if (action instanceof RouterAction.StartAttempt start) {
-            attemptTimesByNode.computeIfAbsent(start.node(), node -> new ArrayList<>()).add(now);
+            attemptTimesByNode
+                    .computeIfAbsent(start.node(), node -> new ArrayList<>())
+                    .add(now);
             boolean primary = start.node().endsWith("0");
             scheduledEvents.add(new ScheduledEvent(
                     now + latencyMicros,
@@ -148,7 +152,8 @@
                     new RouterEvent.HealthCheckEnded(
                             check.node(), AttemptOutcome.SERVED, MS, now, ServerRole.REPLICA)));
         } else if (action instanceof RouterAction.SetTimer timer) {
-            scheduledEvents.add(new ScheduledEvent(now + timer.delayMicros(), router, new RouterEvent.TimerFired(timer.handle())));
+            scheduledEvents.add(
+                    new ScheduledEvent(now + timer.delayMicros(), router, new RouterEvent.TimerFired(timer.handle())));
         }
     }
 
@@ -178,9 +183,9 @@
     }
 
     /**
-     * Asserts that all routers together start no more attempts at a server in slow start, in any 3 s, than it can bear. That
-     * is the overload multiple times its capacity at the start of the 3 s, plus an allowance for chance of two standard
-     * deviations and 2 attempts.
+     * Asserts that all routers together start no more attempts at a server in slow start, in any 3 s, than it can bear.
+     * That is the overload multiple times its capacity at the start of the 3 s, plus an allowance for chance of two
+     * standard deviations and 2 attempts.
      *
      * @param warmPerSecond the attempts per second at a warm replica, which the capacity is measured by
      */
@@ -231,15 +236,21 @@
         sendReads(5 * SECOND, 1);
         long started = listAsStarted("m5");
         sendReads(8 * SECOND, 2);
-        List<Long> attemptTimes = attemptTimesByNode.get("m5").stream().filter(at -> at >= started).toList();
+        List<Long> attemptTimes = attemptTimesByNode.get("m5").stream()
+                .filter(at -> at >= started)
+                .toList();
         // A warm replica can bear at least the attempts that it got in that time.
-        double warmPerSecond = attemptTimesByNode.get("m4").stream().filter(at -> at >= started).count() / 8.0;
+        double warmPerSecond = attemptTimesByNode.get("m4").stream()
+                        .filter(at -> at >= started)
+                        .count()
+                / 8.0;
         for (long from = started; from < started + 5 * SECOND; from += 100 * MS) {
             long start = from;
             long sent = attemptTimes.stream()
                     .filter(at -> at >= start && at < start + 3 * SECOND)
                     .count();
-            double capacityRatio = INITIAL_CAPACITY_RATIO + (1 - INITIAL_CAPACITY_RATIO) * (from - started) / warmUpMicros;
+            double capacityRatio =
+                    INITIAL_CAPACITY_RATIO + (1 - INITIAL_CAPACITY_RATIO) * (from - started) / warmUpMicros;
             assertTrue(
                     sent <= overloadMultiple * capacityRatio * warmPerSecond * 3,
                     sent + " attempts in 3 s, warm replicas get " + warmPerSecond + "/s, from " + (from - started) / MS
@@ -248,7 +259,9 @@
         assertTrue(attemptTimes.size() > 30, "attempts at the server in slow start: " + attemptTimes.size());
     }
 
-    /** Half of all requests arrive at a tenth of the routers, and a third of the routers restart 1 s after the server. */
+    /**
+     * Half of all requests arrive at a tenth of the routers, and a third of the routers restart 1 s after the server.
+     */
     @ParameterizedTest
     @ValueSource(ints = {14, 30, 100})
     void routersThatRestartDoNotOverloadAServerInSlowStart(int count) {
@@ -268,7 +281,9 @@
                         .min()
                         .orElseThrow()
                 / 8.0;
-        List<Long> attemptTimes = attemptTimesByNode.get("m5").stream().filter(at -> at >= started).toList();
+        List<Long> attemptTimes = attemptTimesByNode.get("m5").stream()
+                .filter(at -> at >= started)
+                .toList();
         for (long from = started; from <= now - 3 * SECOND; from += 100 * MS) {
             long start = from;
             long sent = attemptTimes.stream()
@@ -285,7 +300,8 @@
         }
         assertTrue(
                 attemptTimes.size() > 0.3 * 8 * attemptsPerSecondAtWarmReplica(started),
-                "attempts at the server in slow start: " + attemptTimes.size() + ", at a warm one " + 8 * attemptsPerSecondAtWarmReplica(started));
+                "attempts at the server in slow start: " + attemptTimes.size() + ", at a warm one "
+                        + 8 * attemptsPerSecondAtWarmReplica(started));
     }
 
     /** Slow answers make the routers reject most reads; a rejected read must leave its budget to others. */
@@ -303,13 +319,18 @@
                 retryAfters.size() - rejectedBefore > REQUESTS_PER_SECOND * 10 / 2,
                 "rejected: " + (retryAfters.size() - rejectedBefore));
         assertNotOverloaded("m5", started, attemptsPerSecondAtWarmReplica(started), "overload");
-        long attemptsInSlowStart = attemptTimesByNode.get("m5").stream().filter(at -> at >= started).count();
+        long attemptsInSlowStart = attemptTimesByNode.get("m5").stream()
+                .filter(at -> at >= started)
+                .count();
         assertTrue(
                 attemptsInSlowStart > 0.3 * 10 * attemptsPerSecondAtWarmReplica(started),
-                "attempts at the server in slow start: " + attemptsInSlowStart + ", at a warm one " + 10 * attemptsPerSecondAtWarmReplica(started));
+                "attempts at the server in slow start: " + attemptsInSlowStart + ", at a warm one "
+                        + 10 * attemptsPerSecondAtWarmReplica(started));
     }
 
-    /** Each router sees few answers, which differ by chance; this must not make all routers prefer the same replicas. */
+    /**
+     * Each router sees few answers, which differ by chance; this must not make all routers prefer the same replicas.
+     */
     @ParameterizedTest
     @ValueSource(ints = {14, 30, 100})
     void equalReplicasGetAboutAsManyReads(int count) {
@@ -318,7 +339,9 @@
         long from = now;
         sendReads(8 * SECOND, 2);
         List<Long> reads = List.of("m1", "m2", "m3", "m4", "m5").stream()
-                .map(node -> attemptTimesByNode.get(node).stream().filter(at -> at >= from).count())
+                .map(node -> attemptTimesByNode.get(node).stream()
+                        .filter(at -> at >= from)
+                        .count())
                 .sorted()
                 .toList();
         assertTrue(reads.get(0) > 0.6 * reads.get(4), "reads: " + reads);
@@ -335,10 +358,13 @@
         long started = listAsStarted("m5");
         sendReads(10 * SECOND, 2);
         assertNotOverloaded("m5", started, attemptsPerSecondAtWarmReplica(started), "steady");
-        long attemptsInSlowStart = attemptTimesByNode.get("m5").stream().filter(at -> at >= started).count();
+        long attemptsInSlowStart = attemptTimesByNode.get("m5").stream()
+                .filter(at -> at >= started)
+                .count();
         assertTrue(
                 attemptsInSlowStart > 0.2 * 10 * attemptsPerSecondAtWarmReplica(started),
-                "attempts at the server in slow start: " + attemptsInSlowStart + ", at a warm one " + 10 * attemptsPerSecondAtWarmReplica(started));
+                "attempts at the server in slow start: " + attemptsInSlowStart + ", at a warm one "
+                        + 10 * attemptsPerSecondAtWarmReplica(started));
     }
 
     @ParameterizedTest
@@ -387,7 +413,8 @@
         latencyMicros = 1500 * MS;
         sendReads(10 * SECOND, 4);
         assertTrue(retryAfters.size() > 100, "rejected: " + retryAfters.size());
-        assertTrue(retryAfters.stream().allMatch(retryAfter -> retryAfter < 200 * MS),
+        assertTrue(
+                retryAfters.stream().allMatch(retryAfter -> retryAfter < 200 * MS),
                 "early enough for a retry within the objective of 600 ms");
         assertTrue(retryAfters.stream().distinct().count() > retryAfters.size() / 2, "most differ");
     }
--- a/routing/src/test/java/lupinvalve/routing/InFlightLimitTest.java
+++ b/routing/src/test/java/lupinvalve/routing/InFlightLimitTest.java
@@ -7,7 +7,9 @@
 
 /** Tests the limit of attempts in flight to a server. */
 class InFlightLimitTest extends RouterFixture {
-    /** Guards against incident idbd205: retries must not go straight back to a server that has just rejected an attempt. */
+    /**
+     * Guards against incident idbd205: retries must not go straight back to a server that has just rejected an attempt.
+     */
     @Test
     void serverThatRejectedAnAttemptGetsNoneUntilItsPauseIsOver() {
         start(RouterSettings.FreshnessCheck.AWAIT, RouterSettings.TokenSource.CARRIED, RequestClass.Effect.KEYED);
--- a/routing/src/test/java/lupinvalve/routing/LoadSheddingTest.java
+++ b/routing/src/test/java/lupinvalve/routing/LoadSheddingTest.java
@@ -13,7 +13,15 @@
                 RouterSettings.FreshnessCheck.AWAIT, RouterSettings.TokenSource.CARRIED, RequestClass.Effect.KEYED);
         router = new Router(
                 7,
-                new RouterSettings(0, 200, 0, true, fewRouters.classes(), fewRouters.limits(), fewRouters.rules(), fewRouters.replication()),
+                new RouterSettings(
+                        0,
+                        200,
+                        0,
+                        true,
+                        fewRouters.classes(),
+                        fewRouters.limits(),
+                        fewRouters.rules(),
+                        fewRouters.replication()),
                 now,
                 actions::add);
         updateEndpoints(ListForm.RESTORED, liveEndpoint("a", true), liveEndpoint("b", false), liveEndpoint("c", false));
@@ -59,7 +67,15 @@
                 RouterSettings.FreshnessCheck.AWAIT, RouterSettings.TokenSource.CARRIED, RequestClass.Effect.UNSAFE);
         router = new Router(
                 7,
-                new RouterSettings(0, 14, 0, true, fewRouters.classes(), fewRouters.limits(), fewRouters.rules(), fewRouters.replication()),
+                new RouterSettings(
+                        0,
+                        14,
+                        0,
+                        true,
+                        fewRouters.classes(),
+                        fewRouters.limits(),
+                        fewRouters.rules(),
+                        fewRouters.replication()),
                 now,
                 actions::add);
         updateEndpoints(ListForm.RESTORED, liveEndpoint("a", true), liveEndpoint("b", false), liveEndpoint("c", false));
--- a/routing/src/test/java/lupinvalve/routing/PrimaryFallbackTest.java
+++ b/routing/src/test/java/lupinvalve/routing/PrimaryFallbackTest.java
@@ -61,6 +61,9 @@
         healthCheckTimedOut("c");
         now += 600 * MS;
         request("r", READ, null, 800 * MS);
-        assertEquals("a", lastServer("r"), "without health checks no replica can prove that it is fresh, so waiting is useless");
+        assertEquals(
+                "a",
+                lastServer("r"),
+                "without health checks no replica can prove that it is fresh, so waiting is useless");
     }
 }
--- a/routing/src/test/java/lupinvalve/routing/ReplicaSelectorTest.java
+++ b/routing/src/test/java/lupinvalve/routing/ReplicaSelectorTest.java
@@ -22,7 +22,15 @@
         router = new Router(
                 7,
                 new RouterSettings(
-                        0, 1, 0, true, withoutPrice.classes(), withoutPrice.limits(), withoutPrice.rules(), withoutPrice.replication(), price),
+                        0,
+                        1,
+                        0,
+                        true,
+                        withoutPrice.classes(),
+                        withoutPrice.limits(),
+                        withoutPrice.rules(),
+                        withoutPrice.replication(),
+                        price),
                 now,
                 actions::add);
         updateEndpoints(
--- a/routing/src/test/java/lupinvalve/routing/RequestQueueTest.java
+++ b/routing/src/test/java/lupinvalve/routing/RequestQueueTest.java
@@ -30,7 +30,8 @@
             request("r" + i, READ, null, 2000 * MS);
             request("w" + i, WRITE, null, 2000 * MS);
         }
-        // Six requests may be queued. The reads are given up, the oldest first, as the newest is served first; the writes
+        // Six requests may be queued. The reads are given up, the oldest first, as the newest is served first; the
+        // writes
         // stay queued.
         assertEquals(
                 8,
@@ -52,7 +53,9 @@
         assertTrue(first.retryAfterMicros() < 100 * MS, "early enough for a retry within the objective of 200 ms");
     }
 
-    /** Guards against incident i10cd02, an overload: late answers are worth little, so the newest read must go first. */
+    /**
+     * Guards against incident i10cd02, an overload: late answers are worth little, so the newest read must go first.
+     */
     @Test
     void newestQueuedReadIsServedFirstAndAClientRetryAfterIt() {
         start(RouterSettings.FreshnessCheck.AWAIT, RouterSettings.TokenSource.CARRIED, RequestClass.Effect.KEYED);
--- a/routing/src/test/java/lupinvalve/routing/SimulatedAttempt.java
+++ b/routing/src/test/java/lupinvalve/routing/SimulatedAttempt.java
@@ -9,6 +9,7 @@
     final int incarnation;
     /** When it was sent, in microseconds. */
     final long sent;
+
     boolean ended;
 
     SimulatedAttempt(SimulatedRequest request, int number, SimulatedServer server, long sent) {
--- a/routing/src/test/java/lupinvalve/routing/SimulatedCluster.java
+++ b/routing/src/test/java/lupinvalve/routing/SimulatedCluster.java
@@ -81,7 +81,10 @@
         onAttemptEnded.accept(attempt, outcome);
     }
 
-    /** Injects one random fault: a crash, a drain, the loss of a whole zone, or 2 s of additional replication lag for 3 s. */
+    /**
+     * Injects one random fault: a crash, a drain, the loss of a whole zone, or 2 s of additional replication lag for 3
+     * s.
+     */
     void injectFault() {
         SimulatedServer server = servers.get(random.nextInt(servers.size()));
         switch (random.nextInt(4)) {
--- a/routing/src/test/java/lupinvalve/routing/SimulatedRequest.java
+++ b/routing/src/test/java/lupinvalve/routing/SimulatedRequest.java
@@ -15,6 +15,7 @@
     int attempts;
     /** When the earliest attempt was sent that may have run, in microseconds; the greatest value if none may. */
     long mayHaveRunSince = Long.MAX_VALUE;
+
     SimulatedAttempt inFlight;
     boolean closed;
 
--- a/routing/src/test/java/lupinvalve/routing/SimulatedServer.java
+++ b/routing/src/test/java/lupinvalve/routing/SimulatedServer.java
@@ -18,15 +18,19 @@
     private final int cores;
     /** The speed of each core, where 1 is ordinary. */
     private final double speed;
+
     private final ArrayDeque<SimulatedAttempt> queue = new ArrayDeque<>();
     /** When attempts were started here since the last start of the process. */
     private final List<Long> attemptTimesInSlowStart = new ArrayList<>();
+
     private int busyCores;
     /** The number of processes that ran here before the present one. */
     private int incarnation;
+
     private boolean up = true;
     /** When the present process started; 0 for the first, which is warm. */
     private long started;
+
     private long position;
     private long lag;
     /** Whether the endpoint list names it as primary. */
@@ -99,8 +103,8 @@
     }
 
     /**
-     * Records an attempt started during slow start and compares all attempts within the last overload period, by all routers
-     * together, to what the server can bear: the overload multiple times its present capacity.
+     * Records an attempt started during slow start and compares all attempts within the last overload period, by all
+     * routers together, to what the server can bear: the overload multiple times its present capacity.
      *
      * @return the violation, or null if there is none
      */
@@ -112,8 +116,10 @@
         long sent = attemptTimesInSlowStart.stream().filter(at -> at > from).count();
         double work = cluster.settings.work;
         double bearable = rules.overloadMultiple() * capacityRatio() * cores * speed * (now - from) / work;
-        double bearableInFullPeriod = rules.overloadMultiple() * capacityRatio() * cores * speed * rules.overloadMicros() / work;
-        // The allowance for chance, as in the platform's rules: 3 attempts for each router, three standard deviations and a
+        double bearableInFullPeriod =
+                rules.overloadMultiple() * capacityRatio() * cores * speed * rules.overloadMicros() / work;
+        // The allowance for chance, as in the platform's rules: 3 attempts for each router, three standard deviations
+        // and a
         // third of what the server can bear in a full period.
         double allowance = 3 * routers + 3 * Math.sqrt(bearableInFullPeriod) + bearableInFullPeriod / 3;
         return sent <= Math.max(bearable, 1) + allowance
--- a/routing/src/test/java/lupinvalve/routing/SlowStartTest.java
+++ b/routing/src/test/java/lupinvalve/routing/SlowStartTest.java
@@ -84,7 +84,8 @@
         for (int i = 0; i < 200; i++) {
             writes += lastServer("w" + i) != null ? 1 : 0;
         }
-        assertTrue(writes > 0 && writes <= reads * 0.4, writes + " writes to the one in slow start, " + reads + " reads");
+        assertTrue(
+                writes > 0 && writes <= reads * 0.4, writes + " writes to the one in slow start, " + reads + " reads");
     }
 
     @Test
--- a/routing/src/test/java/lupinvalve/routing/VirtualTime.java
+++ b/routing/src/test/java/lupinvalve/routing/VirtualTime.java
@@ -3,8 +3,8 @@
 import java.util.PriorityQueue;
 
 /**
- * A clock in microseconds that advances from one scheduled step to the next. Steps scheduled for the same time run in the
- * order in which they were scheduled.
+ * A clock in microseconds that advances from one scheduled step to the next. Steps scheduled for the same time run in
+ * the order in which they were scheduled.
  */
 final class VirtualTime {
     static final long MILLI = 1000;
@@ -12,9 +12,8 @@
 
     private record Step(long atMicros, long order, Runnable action) {}
 
-    private final PriorityQueue<Step> scheduledSteps =
-            new PriorityQueue<>((a, b) ->
-                    a.atMicros != b.atMicros ? Long.compare(a.atMicros, b.atMicros) : Long.compare(a.order, b.order));
+    private final PriorityQueue<Step> scheduledSteps = new PriorityQueue<>(
+            (a, b) -> a.atMicros != b.atMicros ? Long.compare(a.atMicros, b.atMicros) : Long.compare(a.order, b.order));
     private long nowMicros = 1000 * SECOND;
     private long scheduledCount;
 
