--- a/routing/src/main/java/lupinvalve/routing/PrimaryFallback.java
+++ b/routing/src/main/java/lupinvalve/routing/PrimaryFallback.java
@@ -11,9 +11,9 @@
     private static final double WAIT_OBJECTIVE_RATIO = 0.2;
     /** The part of the primary's in-flight limit that reads may fill; the rest is reserved for writes. */
     private static final double READ_LIMIT_RATIO = 0.6;
-    /** Reads go to the primary for load only if the replica's latency ratio (latency over objective) is above this. */
+    /** A read spills over to the primary only if the replica's latency ratio (latency over objective) is above this. */
     private static final double SPILL_MIN_LATENCY_RATIO = 0.25;
-    /** They also do so only if the replica's latency ratio is over this multiple of the primary's. */
+    /** A read spills over only if the replica's latency ratio is also above this multiple of the primary's. */
     private static final double SPILL_LATENCY_RATIO_MULTIPLE = 2;
 
     private final RouterContext context;
--- a/routing/src/main/java/lupinvalve/routing/ReplicaSelector.java
+++ b/routing/src/main/java/lupinvalve/routing/ReplicaSelector.java
@@ -72,8 +72,8 @@
     }
 
     /**
-     * Starts a read at the replica of least cost, or at the primary where {@link PrimaryFallback} says so. If the read
-     * has to wait for a fresh replica, requests a health check of one, whose report may prove it fresh.
+     * Starts a read at the replica of least cost, or at the primary where {@link PrimaryFallback} decides so. If the
+     * read has to wait for a fresh replica, requests a health check of one, whose report may prove it fresh.
      */
     PlacementResult place(PendingRequest request) {
         ServerGroup group = request.group;
--- a/routing/src/test/java/lupinvalve/routing/RequestQueueTest.java
+++ b/routing/src/test/java/lupinvalve/routing/RequestQueueTest.java
@@ -31,8 +31,7 @@
             request("w" + i, WRITE, null, 2000 * MS);
         }
         // Six requests may be queued. The reads are given up, the oldest first, as the newest is served first; the
-        // writes
-        // stay queued.
+        // writes stay queued.
         assertEquals(
                 8,
                 actions.stream()
--- a/routing/src/test/java/lupinvalve/routing/SimulatedCluster.java
+++ b/routing/src/test/java/lupinvalve/routing/SimulatedCluster.java
@@ -82,8 +82,7 @@
     }
 
     /**
-     * Injects one random fault: a crash, a drain, the loss of a whole zone, or 2 s of additional replication lag for 3
-     * s.
+     * Injects one random fault: a crash, a drain, the loss of a whole zone, or a replica that falls 2 s behind for 3 s.
      */
     void injectFault() {
         SimulatedServer server = servers.get(random.nextInt(servers.size()));
@@ -100,7 +99,7 @@
         }
     }
 
-    /** Crashes a server. It restarts 1 to 2 s later if quickly, otherwise 2 to 3 s; a primary is replaced after 1 s. */
+    /** Crashes a server. It restarts after 1 to 2 s if quick, otherwise 2 to 3 s; a primary is replaced after 1 s. */
     private void crash(SimulatedServer server, boolean quickRestart) {
         if (!server.isUp()) {
             return;
--- a/routing/src/test/java/lupinvalve/routing/SimulatedServer.java
+++ b/routing/src/test/java/lupinvalve/routing/SimulatedServer.java
@@ -119,8 +119,7 @@
         double bearableInFullPeriod =
                 rules.overloadMultiple() * capacityRatio() * cores * speed * rules.overloadMicros() / work;
         // The allowance for chance, as in the platform's rules: 3 attempts for each router, three standard deviations
-        // and a
-        // third of what the server can bear in a full period.
+        // and a third of what the server can bear in a full period.
         double allowance = 3 * routers + 3 * Math.sqrt(bearableInFullPeriod) + bearableInFullPeriod / 3;
         return sent <= Math.max(bearable, 1) + allowance
                 ? null
