--- a/core/src/main/java/lupinvalve/core/Pooler.java
+++ b/core/src/main/java/lupinvalve/core/Pooler.java
@@ -122,7 +122,7 @@
         int avoided = 0;
         for (DiscoveredEndpoint discovered : endpoints.listed()) {
             String node = discovered.endpoint().node();
-            avoided += draining.isDrainedByOperator(node) || router.router().avoids(node) ? 1 : 0;
+            avoided += draining.isDrainedByOperator(node) || router.router().isExcluded(node) ? 1 : 0;
         }
         metrics.setServers(endpoints.listed().size(), avoided);
         loop.after(METRICS_PERIOD_MICROS, this::publishMetrics);
--- a/routing/src/main/java/lupinvalve/routing/AttemptTimeout.java
+++ b/routing/src/main/java/lupinvalve/routing/AttemptTimeout.java
@@ -38,7 +38,7 @@
      */
     long timeoutMicros(PendingRequest request, double overdueMicros, long connectionIdleMicros) {
         long remaining = request.expiresMicros - context.nowMicros();
-        double timeout = overdueMicros * (idleTimeout.isDoubtful(connectionIdleMicros) ? 1 : TIMEOUT_OVERDUE_MULTIPLE);
+        double timeout = overdueMicros * (idleTimeout.mayBeStale(connectionIdleMicros) ? 1 : TIMEOUT_OVERDUE_MULTIPLE);
         boolean leavesTime = remaining - timeout > load.workMicros(request);
         return request.requestClass.effect() != RequestClass.Effect.UNSAFE && leavesTime ? (long) timeout : remaining;
     }
--- a/routing/src/main/java/lupinvalve/routing/IdleTimeout.java
+++ b/routing/src/main/java/lupinvalve/routing/IdleTimeout.java
@@ -37,7 +37,7 @@
     }
 
     /** Whether an attempt on a connection that was idle for so long may meet one that was dropped unseen. */
-    boolean isDoubtful(long idleMicros) {
+    boolean mayBeStale(long idleMicros) {
         return idleMicros > MIN_MICROS && timeoutMicros < MAX_MICROS;
     }
 
--- a/routing/src/main/java/lupinvalve/routing/Router.java
+++ b/routing/src/main/java/lupinvalve/routing/Router.java
@@ -125,7 +125,7 @@
     }
 
     /** Whether a listed server is not used for failing attempts. */
-    public boolean avoids(String node) {
+    public boolean isExcluded(String node) {
         Server server = servers.server(node);
         return server != null && (!outliers.isHealthy(server) || outliers.isPausedForErrors(server));
     }
