--- a/routing/src/main/java/lupinvalve/routing/Endpoint.java
+++ b/routing/src/main/java/lupinvalve/routing/Endpoint.java
@@ -1,10 +1,14 @@
 package lupinvalve.routing;
 
 /**
- * One server of a group as the endpoint list names it.
+ * One server of a group, as given in the endpoint list.
  *
  * @param node the server's id
- * @param startedAtMicros when its process started; 0 where that was long ago
+ * @param group number of the group that the server belongs to
+ * @param zone number of the zone that the server is in
+ * @param listedPrimary whether the list gives the server as its group's primary
+ * @param startedAtMicros when the server's process started, in microseconds on the clock of the events; 0 where that
+ *     was long ago
  */
 public record Endpoint(
         String node, int group, int zone, EndpointState state, boolean listedPrimary, long startedAtMicros) {}
--- a/routing/src/main/java/lupinvalve/routing/EndpointList.java
+++ b/routing/src/main/java/lupinvalve/routing/EndpointList.java
@@ -3,14 +3,15 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 
-/** Keeps the table of servers as the endpoint list names them, and tells the other rules what changed. */
+/** Keeps the table of servers in line with the endpoint list, and notifies the other rules of changes. */
 final class EndpointList {
-    /** How long a departed server is remembered, should the list name it again or a health check still end. */
+    /** Time for which a departed server is kept, since it may be listed again or a health check of it may still end. */
     private static final long DEPARTED_RETENTION_MICROS = 5_000_000;
 
-    private static final int FIRST_TURN_BOUND = 1 << 16;
+    /** Upper bound of the random member index at which a group's round-robin starts; far above any group's size. */
+    private static final int ROUND_ROBIN_START_BOUND = 1 << 16;
 
-    /** What the list says of one server. */
+    /** What the endpoint list states of one server. */
     static final class Listing {
         private EndpointState state = EndpointState.LIVE;
         private int zone;
@@ -25,7 +26,7 @@
             return zone;
         }
 
-        /** When its departure may have been notified at the earliest; meaningful unless it is live. */
+        /** The earliest time at which its drain or departure may have been notified; undefined while it is live. */
         long drainNotifiedMicros() {
             return drainNotifiedMicros;
         }
@@ -50,11 +51,11 @@
         this.primaries = primaries;
     }
 
-    /** Takes a list or its changes; servers that a complete list does not name have departed. */
+    /** Applies a list or changes of it; servers missing from a complete list count as departed. */
     void apply(RouterEvent.EndpointUpdate update) {
         boolean complete = update.form() != ListForm.UPDATE;
-        // Lists have thousands of entries: each is looked up and removed once.
-        Set<Server> unnamed = complete ? new LinkedHashSet<>(servers.servers()) : new LinkedHashSet<>();
+        // Lists have thousands of entries, so each is found by hash rather than by search.
+        Set<Server> unlisted = complete ? new LinkedHashSet<>(servers.servers()) : new LinkedHashSet<>();
         for (Endpoint endpoint : update.endpoints()) {
             Server server = servers.server(endpoint.node());
             if (server == null && endpoint.state() == EndpointState.DEPARTED) {
@@ -63,17 +64,17 @@
             if (server == null) {
                 server = add(endpoint);
             }
-            unnamed.remove(server);
+            unlisted.remove(server);
             update(server, endpoint, update.notifiedSinceMicros());
         }
-        unnamed.forEach(server -> setState(server, EndpointState.DEPARTED, update.notifiedSinceMicros()));
+        unlisted.forEach(server -> setState(server, EndpointState.DEPARTED, update.notifiedSinceMicros()));
     }
 
     private Server add(Endpoint endpoint) {
         ServerGroup group = servers.group(endpoint.group());
         if (group == null) {
-            int firstTurn = context.random().nextInt(FIRST_TURN_BOUND);
-            group = new ServerGroup(firstTurn, context.settings().classes().size());
+            int roundRobinStart = context.random().nextInt(ROUND_ROBIN_START_BOUND);
+            group = new ServerGroup(roundRobinStart, context.settings().classes().size());
             servers.addGroup(endpoint.group(), group);
         }
         Server server = new Server(endpoint.node(), group, limit.newState());
@@ -90,12 +91,16 @@
         }
     }
 
-    /** A departure whose notification may be old leaves nothing of the grace in which writes are still sent. */
+    /**
+     * Sets the state of a server. The time of the drain's notification, in microseconds, is limited to the last
+     * {@code drainGraceMicros} before now: if the notification may be older than that, the grace in which writes are
+     * still sent is over.
+     */
     private void setState(Server server, EndpointState state, long notifiedSinceMicros) {
         Listing listing = server.listing;
         if (state != EndpointState.LIVE && listing.state == EndpointState.LIVE) {
-            long oldest = context.nowMicros() - context.settings().rules().drainGraceMicros();
-            listing.drainNotifiedMicros = Math.min(context.nowMicros(), Math.max(oldest, notifiedSinceMicros));
+            long graceStart = context.nowMicros() - context.settings().rules().drainGraceMicros();
+            listing.drainNotifiedMicros = Math.min(context.nowMicros(), Math.max(graceStart, notifiedSinceMicros));
         }
         listing.state = state;
         if (state == EndpointState.DEPARTED) {
@@ -103,7 +108,7 @@
         }
     }
 
-    /** A later start means a new process: cold, and without the role that the one before had. */
+    /** A later start time means a new process, which is in slow start and without the former process's role. */
     private void setStarted(Server server, long startedMicros) {
         if (startedMicros > server.listing.startedMicros) {
             server.listing.startedMicros = startedMicros;
@@ -112,8 +117,11 @@
         }
     }
 
-    /** Forgets servers that departed long ago and have nothing in flight: each deployment brings new ids. */
-    void forgetDeparted() {
+    /**
+     * Removes servers that departed over {@link #DEPARTED_RETENTION_MICROS} ago and have no attempts in flight. Without
+     * this the table would grow for ever, as each deployment of servers brings new ids.
+     */
+    void removeDeparted() {
         servers.removeServersIf(server -> server.listing.state == EndpointState.DEPARTED
                 && server.inFlight.isEmpty()
                 && context.nowMicros() > server.listing.drainNotifiedMicros + DEPARTED_RETENTION_MICROS);
--- a/routing/src/main/java/lupinvalve/routing/EndpointState.java
+++ b/routing/src/main/java/lupinvalve/routing/EndpointState.java
@@ -1,11 +1,11 @@
 package lupinvalve.routing;
 
-/** What the endpoint list says of one endpoint. */
+/** The state of one endpoint in the endpoint list. */
 public enum EndpointState {
     /** In service. */
     LIVE,
-    /** Shuts down gracefully: takes nothing new. */
+    /** Shuts down gracefully and accepts no new requests. */
     DRAINING,
-    /** Has departed. */
+    /** Removed from service. */
     DEPARTED
 }
--- a/routing/src/main/java/lupinvalve/routing/EndpointWatch.java
+++ b/routing/src/main/java/lupinvalve/routing/EndpointWatch.java
@@ -1,24 +1,25 @@
 package lupinvalve.routing;
 
-/** The watch on the endpoint list: asked for at the start, and again after a failure, with backoff and jitter. */
+/** The watch on the endpoint list: requested at the start, and again after each failure, with backoff and jitter. */
 final class EndpointWatch {
     /**
-     * Backoff before discovery is asked again. A change binds some seconds after discovery had it and could be reached,
-     * whatever calls have failed by then: the longest pause and a call that hangs must fit in twice.
+     * Backoff before the watch is requested again. A change of the list must take effect within some seconds after
+     * discovery has it and is reachable, whatever calls failed before; the longest backoff and a call that hangs must
+     * fit into that time twice.
      */
     private static final long FIRST_BACKOFF_MICROS = 250_000;
 
     private static final long MAX_BACKOFF_MICROS = 750_000;
     private static final int MAX_DOUBLINGS = 2;
-    /** Backoff is at most so small a part of the time within which the list must be polled. */
-    private static final long BACKOFFS_PER_POLL_TIME = 4;
-    /** A watch has this time at least to answer. */
-    private static final long MIN_ANSWER_MICROS = 1_000_000;
+    /** The backoff is at most the longest poll interval, {@code pollWithinMicros}, divided by this. */
+    private static final long BACKOFFS_PER_POLL_INTERVAL = 4;
+    /** Shortest time after which an unanswered watch request is repeated. */
+    private static final long MIN_ANSWER_WAIT_MICROS = 1_000_000;
 
     private final RouterContext context;
     private boolean answered;
     private int failures;
-    private long nextMicros;
+    private long nextRequestMicros;
 
     EndpointWatch(RouterContext context) {
         this.context = context;
@@ -27,13 +28,14 @@
         }
     }
 
+    /** Requests the watch; unless answered, it is requested again after half the longest poll interval, or 1 s. */
     private void subscribe() {
         context.perform(new RouterAction.WatchEndpoints(true));
-        nextMicros = context.nowMicros()
-                + Math.max(MIN_ANSWER_MICROS, context.settings().rules().pollWithinMicros() / 2);
+        nextRequestMicros = context.nowMicros()
+                + Math.max(MIN_ANSWER_WAIT_MICROS, context.settings().rules().pollWithinMicros() / 2);
     }
 
-    /** An update of this form came. What was restored from a file says nothing of discovery. */
+    /** Records that an update of this form arrived; a list restored from a file is no answer of discovery. */
     void received(ListForm form) {
         if (form == ListForm.UNAVAILABLE) {
             scheduleRetry();
@@ -43,17 +45,21 @@
         }
     }
 
+    /**
+     * Schedules the next request, in microseconds: the backoff doubles with each failure up to its maximum, and the
+     * pause is half of it plus a random part of the other half, so that routers don't all call at the same moment.
+     */
     private void scheduleRetry() {
         answered = false;
-        long pollWithin = context.settings().rules().pollWithinMicros();
-        long max = Math.min(MAX_BACKOFF_MICROS, pollWithin / BACKOFFS_PER_POLL_TIME + 1);
-        long backoff = Math.min(FIRST_BACKOFF_MICROS << Math.min(failures++, MAX_DOUBLINGS), max);
-        nextMicros = context.nowMicros() + backoff / 2 + context.random().nextLong(backoff / 2 + 1);
+        long pollWithinMicros = context.settings().rules().pollWithinMicros();
+        long maxBackoffMicros = Math.min(MAX_BACKOFF_MICROS, pollWithinMicros / BACKOFFS_PER_POLL_INTERVAL + 1);
+        long backoffMicros = Math.min(FIRST_BACKOFF_MICROS << Math.min(failures++, MAX_DOUBLINGS), maxBackoffMicros);
+        nextRequestMicros = context.nowMicros() + backoffMicros / 2 + context.random().nextLong(backoffMicros / 2 + 1);
     }
 
-    /** Asks again if that is due. */
+    /** Requests the watch again if it has had no answer and the retry is due. */
     void tick() {
-        if (context.settings().mustSubscribe() && !answered && context.nowMicros() >= nextMicros) {
+        if (context.settings().mustSubscribe() && !answered && context.nowMicros() >= nextRequestMicros) {
             subscribe();
         }
     }
--- a/routing/src/main/java/lupinvalve/routing/HealthChecker.java
+++ b/routing/src/main/java/lupinvalve/routing/HealthChecker.java
@@ -3,48 +3,53 @@
 import java.util.function.Predicate;
 
 /**
- * Health checks: when a server is checked, and the budget of checks that nothing but missing reports calls for. A
- * failed check alone ejects nobody, but makes the server's next one rarer.
+ * Decides when servers are health-checked. Checks whose only reason is a missing report of a log position are bounded
+ * by a budget, a token bucket that each request refills. A failed check does not eject a server, but delays its next
+ * check.
  */
 final class HealthChecker {
-    /** A replica that has reported nothing for so long is checked, as far as the budget goes. */
+    /** A server that has stated no position for this long is checked if its group is in use and budget is left. */
     static final long REPORT_INTERVAL_MICROS = 500_000;
 
-    /** Checks earned with each request, and where routers are many. */
+    /** Budget added by each request. */
     private static final double BUDGET_PER_REQUEST_CHECKS = 0.4;
 
+    /**
+     * The same where there are many routers, whose checks add up, and servers reject reads that they are too far behind
+     * for, so that reports matter less.
+     */
     private static final double SPARSE_BUDGET_PER_REQUEST_CHECKS = 0.03;
     private static final double INITIAL_BUDGET_CHECKS = 4;
     private static final double MAX_BUDGET_CHECKS = 20;
-    /** Of the budget, so much is for waiting reads alone. */
+    /** Part of the budget that only checks for waiting reads may use. */
     private static final double RESERVED_BUDGET_CHECKS = 10;
-    /** How often a replica is checked while reads wait for one to catch up. */
+    /** Shortest interval between two checks of a replica while reads wait for one to catch up. */
     private static final long WAITING_READ_INTERVAL_MICROS = 60_000;
-    /** After so many failed checks a request is the trial of an ejected server. */
-    private static final int MAX_FAILURES = 2;
+    /** From this many failed checks in a row on, an ejected server is tried with a request instead of a check. */
+    private static final int INCONCLUSIVE_FAILURES = 2;
 
-    /** The health checks of one server. */
+    /** State of the health checks of one server. */
     static final class State {
         private boolean running;
         private long startedMicros = Long.MIN_VALUE / 2;
         private int failures;
 
         /**
-         * Checks that have failed since one succeeded; an answered attempt leaves {@link HealthChecker#MAX_FAILURES} at
-         * most.
+         * Checks failed since the last successful one, limited to {@link HealthChecker#INCONCLUSIVE_FAILURES} by each
+         * answered attempt.
          */
         int failures() {
             return failures;
         }
     }
 
-    /** Whose turn it is in a group, and whether it has requests at all. */
+    /** Round-robin position of the checks in a group, and when the group last had a request. */
     static final class GroupState {
-        private int turn;
+        private int roundRobinIndex;
         private long lastRequestMicros;
 
-        GroupState(int firstTurn) {
-            turn = firstTurn;
+        GroupState(int roundRobinStart) {
+            roundRobinIndex = roundRobinStart;
         }
     }
 
@@ -61,17 +66,20 @@
                 : BUDGET_PER_REQUEST_CHECKS;
     }
 
-    /** A request for a group has arrived: it earns budget. */
+    /** Records the arrival of a request for a group, and adds to the budget. */
     void requestArrived(ServerGroup group) {
         group.healthChecks.lastRequestMicros = context.nowMicros();
         budgetChecks = Math.min(MAX_BUDGET_CHECKS, budgetChecks + budgetPerRequestChecks);
     }
 
-    /** Checks a server unless a check is running, its backoff is not over, or the site allows none. */
+    /**
+     * Starts a health check of a server unless one is running, the backoff after failed checks has not passed, the
+     * server has departed, or the settings allow no health checks.
+     */
     void check(Server server) {
         State state = server.healthCheck;
-        long pause = state.failures == 0 ? 0 : ServerBackoff.micros(state.failures);
-        boolean due = !state.running && context.nowMicros() >= state.startedMicros + pause;
+        long backoffMicros = state.failures == 0 ? 0 : ServerBackoff.micros(state.failures);
+        boolean due = !state.running && context.nowMicros() >= state.startedMicros + backoffMicros;
         if (isAllowed() && due && server.listing.state() != EndpointState.DEPARTED) {
             state.running = true;
             state.startedMicros = context.nowMicros();
@@ -79,8 +87,8 @@
         }
     }
 
-    /** Checks a server of a group in use that has reported nothing for long. */
-    void checkWithoutReport(Server server) {
+    /** Checks a server that has stated no position for long, if its group is in use and the budget allows it. */
+    void checkIfReportMissing(Server server) {
         long now = context.nowMicros();
         if (budgetChecks >= RESERVED_BUDGET_CHECKS
                 && now - server.healthCheck.startedMicros > REPORT_INTERVAL_MICROS
@@ -91,7 +99,7 @@
         }
     }
 
-    /** Checks one replica, in turn, while reads wait for one to catch up; they share its report. */
+    /** Checks one replica, in round-robin order, while reads wait for one to catch up; all of them use its report. */
     void checkForWaitingRead(ServerGroup group, Predicate<Server> isReadable) {
         if (budgetChecks < 1) {
             return;
@@ -99,44 +107,44 @@
         int size = group.members.size();
         GroupState state = group.healthChecks;
         for (int i = 0; i < size; i++) {
-            Server server = group.members.get((state.turn + i) % size);
+            Server server = group.members.get((state.roundRobinIndex + i) % size);
             if (isReadable.test(server)
                     && context.nowMicros() - server.healthCheck.startedMicros >= WAITING_READ_INTERVAL_MICROS
                     && lag.hasNoReportFor(server, WAITING_READ_INTERVAL_MICROS / 2)) {
                 check(server);
                 budgetChecks--;
-                state.turn = (state.turn + i + 1) % size;
+                state.roundRobinIndex = (state.roundRobinIndex + i + 1) % size;
                 return;
             }
         }
     }
 
-    /** Checks the group's next member. */
+    /** Checks the group's next member in round-robin order, whatever the budget. */
     void checkNextMember(ServerGroup group) {
         GroupState state = group.healthChecks;
-        state.turn = (state.turn + 1) % group.members.size();
-        check(group.members.get(state.turn));
+        state.roundRobinIndex = (state.roundRobinIndex + 1) % group.members.size();
+        check(group.members.get(state.roundRobinIndex));
     }
 
-    /** A check has ended. */
+    /** Records the end of a check. */
     void checkEnded(Server server, AttemptOutcome outcome) {
         server.healthCheck.running = false;
         server.healthCheck.failures = outcome == AttemptOutcome.SERVED ? 0 : server.healthCheck.failures + 1;
     }
 
-    /** The server answered an attempt: the backoff that further failures have built up is off. */
+    /** Shortens the backoff to that of {@link #INCONCLUSIVE_FAILURES}, as the server has answered an attempt. */
     void serverAnswered(Server server) {
-        server.healthCheck.failures = Math.min(server.healthCheck.failures, MAX_FAILURES);
+        server.healthCheck.failures = Math.min(server.healthCheck.failures, INCONCLUSIVE_FAILURES);
     }
 
-    /** The server failed attempts: checks begin anew, without backoff. */
+    /** Resets the backoff, so that a server that fails attempts is checked at once. */
     void resetFailures(Server server) {
         server.healthCheck.failures = 0;
     }
 
-    /** Whether checks can't tell whether an ejected server is back: a request has to. */
+    /** Whether checks can't show that an ejected server serves again, so that a request has to be tried. */
     boolean isInconclusive(Server server) {
-        return !isAllowed() || server.healthCheck.failures >= MAX_FAILURES;
+        return !isAllowed() || server.healthCheck.failures >= INCONCLUSIVE_FAILURES;
     }
 
     private boolean isAllowed() {
--- a/routing/src/main/java/lupinvalve/routing/IdleTimeout.java
+++ b/routing/src/main/java/lupinvalve/routing/IdleTimeout.java
@@ -1,58 +1,64 @@
 package lupinvalve.routing;
 
 /**
- * How long idle connections to servers are used again: less after one was lost unseen or a server's connection table
- * was full, then slowly more.
+ * The adaptive idle timeout of connections to servers, one for all servers of this router. It is shortened when an idle
+ * connection turns out to have been dropped without notice or a server's connection table was full, and grows slowly
+ * otherwise.
  */
 final class IdleTimeout {
-    private static final double MIN_MICROS = 250_000;
-    private static final double MAX_MICROS = 60e6;
+    private static final double MIN_TIMEOUT_MICROS = 250_000;
+    private static final double MAX_TIMEOUT_MICROS = 60e6;
+    /** New timeout as a fraction of the idle time after which a connection was dropped, or of the old timeout. */
     private static final double CUT_RATIO = 0.7;
-    /** Growth with each tick. */
+    /** Factor by which the timeout grows with each {@link #grow}. */
     private static final double GROWTH_RATIO = 1.003;
-    /** Part of the timeout for requests that can't be retried. */
-    private static final double UNSAFE_RATIO = 0.5;
+    /** Fraction of the timeout that holds for requests that can't be retried, which a dropped connection would fail. */
+    private static final double UNSAFE_TIMEOUT_RATIO = 0.5;
 
-    /** The connections to one server. */
+    /** State of the connections to one server. */
     static final class State {
         private boolean mayBeOpen;
         private long lastUsedMicros;
     }
 
     private final RouterContext context;
-    private double timeoutMicros = MAX_MICROS;
+    private double timeoutMicros = MAX_TIMEOUT_MICROS;
 
     IdleTimeout(RouterContext context) {
         this.context = context;
     }
 
-    /** Lets the timeout grow. */
+    /** Multiplies the timeout by {@link #GROWTH_RATIO}, up to its maximum; called about every 100 ms. */
     void grow() {
-        timeoutMicros = Math.min(MAX_MICROS, timeoutMicros * GROWTH_RATIO);
+        timeoutMicros = Math.min(MAX_TIMEOUT_MICROS, timeoutMicros * GROWTH_RATIO);
     }
 
-    /** A server's connection table was full, partly of idle connections. */
-    void tableWasFull() {
-        timeoutMicros = Math.max(MIN_MICROS, timeoutMicros * CUT_RATIO);
+    /** Shortens the timeout, as idle connections take up space in a server's connection table that was full. */
+    void connectionTableWasFull() {
+        timeoutMicros = Math.max(MIN_TIMEOUT_MICROS, timeoutMicros * CUT_RATIO);
     }
 
-    /** Whether an attempt on a connection that was idle for so long may meet one that was dropped unseen. */
+    /**
+     * Whether a connection idle for this long may have been dropped without notice: idle for longer than the shortest
+     * timeout, while the timeout is below its maximum because of an earlier drop or full connection table.
+     */
     boolean mayBeStale(long idleMicros) {
-        return idleMicros > MIN_MICROS && timeoutMicros < MAX_MICROS;
+        return idleMicros > MIN_TIMEOUT_MICROS && timeoutMicros < MAX_TIMEOUT_MICROS;
     }
 
-    /** Whether a silent attempt may have been lost with its connection. */
+    /** Whether an attempt without answer may have been lost because its connection had been dropped while idle. */
     boolean mayHaveBeenDropped(Attempt attempt) {
-        return attempt.connectionIdleMicros() > MIN_MICROS;
+        return attempt.connectionIdleMicros() > MIN_TIMEOUT_MICROS;
     }
 
-    /** A connection was dropped unseen while it was idle. */
+    /** Shortens the timeout below the idle time after which a connection was found dropped; closes the other ones. */
     void connectionDropped(Attempt attempt) {
-        timeoutMicros = Math.max(MIN_MICROS, Math.min(timeoutMicros, attempt.connectionIdleMicros() * CUT_RATIO));
+        timeoutMicros =
+                Math.max(MIN_TIMEOUT_MICROS, Math.min(timeoutMicros, attempt.connectionIdleMicros() * CUT_RATIO));
         close(attempt.server());
     }
 
-    /** Closes the server's idle connections if they have been idle for too long. */
+    /** Closes the server's connections if they have been idle for longer than the timeout. */
     void tick(Server server) {
         State state = server.connection;
         if (state.mayBeOpen
@@ -63,14 +69,16 @@
     }
 
     /**
-     * An attempt is about to start. Returns for how long the connection that it will use has been idle; what was idle
-     * for too long is closed before, and counts as 0.
+     * Prepares the start of an attempt: closes connections that have been idle for longer than the timeout. Returns how
+     * long the connection that the attempt will use has been idle, in microseconds; 0 for a new one or one in use.
+     *
+     * @param unsafe whether the request can't be retried, for which a shorter timeout holds
      */
     long beforeAttempt(Server server, boolean unsafe) {
         State state = server.connection;
         boolean idle = state.mayBeOpen && server.inFlight.isEmpty();
         long idleMicros = idle ? context.nowMicros() - state.lastUsedMicros : 0;
-        if (idleMicros > timeoutMicros * (unsafe ? UNSAFE_RATIO : 1)) {
+        if (idleMicros > timeoutMicros * (unsafe ? UNSAFE_TIMEOUT_RATIO : 1)) {
             close(server);
             idleMicros = 0;
         }
@@ -78,12 +86,12 @@
         return idleMicros;
     }
 
-    /** An attempt at the server has ended. */
+    /** Records that the connections to a server were in use until now. */
     void attemptEnded(Server server) {
         server.connection.lastUsedMicros = context.nowMicros();
     }
 
-    /** Connections to the server fail. */
+    /** Records that connections to a server fail, so that none is left to be closed. */
     void connectionsFailed(Server server) {
         server.connection.mayBeOpen = false;
     }
--- a/routing/src/main/java/lupinvalve/routing/ListForm.java
+++ b/routing/src/main/java/lupinvalve/routing/ListForm.java
@@ -2,12 +2,12 @@
 
 /** How an endpoint update relates to the endpoint list known before. */
 public enum ListForm {
-    /** Entries that changed. */
+    /** The entries that changed. */
     UPDATE,
-    /** The complete list. */
+    /** The complete list, from discovery. */
     FULL,
-    /** The complete list of an earlier process. */
+    /** The complete list that an earlier process of the pooler had, read from a file. */
     RESTORED,
-    /** Discovery did not answer; the known list stays in force. */
+    /** No list: discovery did not answer, and the known list stays in force. */
     UNAVAILABLE
 }
--- a/routing/src/main/java/lupinvalve/routing/OutlierDetection.java
+++ b/routing/src/main/java/lupinvalve/routing/OutlierDetection.java
@@ -1,44 +1,49 @@
 package lupinvalve.routing;
 
 /**
- * Outlier detection: which servers are left out for failing attempts, and how they come back.
+ * Outlier detection: which servers are ejected because attempts at them fail, and how they return to service.
  *
- * <p>A server is ejected for connections that fail, for more than one broken connection with no answer between, and for
- * more than one silent timeout. It comes back on trial (half-open): once its pause is over or it has answered anything,
- * a health check, or where none can tell the next request, decides. A served request ends the ejection; another failure
- * ejects it for longer. A server that errs at requests that others serve is paused for reads instead; writes have
- * nowhere else to go.
+ * <p>A server is ejected for failed connections, for more than one broken connection without an answer in between, and
+ * for more than one timeout without an answer since. It returns on trial (half-open): when its ejection time has passed
+ * or it has answered anything, it is probed by a health check, or by the next request where health checks are
+ * inconclusive. A served request ends the ejection; another failure ejects the server for longer. A server that answers
+ * with errors to requests that other servers serve is paused for reads only, since writes have no other server to go
+ * to.
  */
 final class OutlierDetection {
+    /** The pause for errors ends with a served request unless the server's error ratio is above this. */
+    private static final double PAUSED_ERROR_RATIO = 0.25;
     /**
-     * Part of errors among a server's requests, as a moving average, above which a served one does not end the pause.
+     * Weight of the newest request in the error ratio, an exponential moving average over the server's requests of 1
+     * for an error and 0 for a served request. After one error the ratio is 0.5, so one served request ends the pause;
+     * after several errors in a row it takes two.
      */
-    private static final double PAUSED_ERROR_RATIO = 0.25;
-    /** Weight of the newest request in that average. */
     private static final double NEWEST_WEIGHT_RATIO = 0.5;
 
-    /** What one server has done lately. */
+    /** Recent failures of one server. */
     static final class State {
         private long lastAnswerMicros = Long.MIN_VALUE / 2;
-        /** Since the last answer. */
+        /** Timeouts without an answer since the server's last answer. */
         private int silentTimeouts;
 
+        /** Broken connections since the server's last answer. */
         private int brokenConnections;
-        /** In a row; 0 while it is not ejected. */
+        /** Consecutive ejections without a served request; 0 while the server is not ejected. */
         private int ejections;
 
         private long ejectedUntilMicros = Long.MIN_VALUE;
         private boolean onTrial;
         private double errorRatio;
+        /** Consecutive pauses for errors; 0 while the server is not paused. */
         private int errorPauses;
         private long pausedUntilMicros;
 
-        /** When the server last answered an attempt in any way. */
+        /** When the server last answered an attempt, be it with an error or a rejection. */
         long lastAnswerMicros() {
             return lastAnswerMicros;
         }
 
-        /** Whether it has failed and served nothing since. */
+        /** Whether the server has been ejected and has served no request since. */
         boolean isEjected() {
             return ejections > 0;
         }
@@ -52,7 +57,7 @@
         this.healthChecker = healthChecker;
     }
 
-    /** Whether a server may be used: neither silent with overdue attempts nor ejected; on trial one at a time. */
+    /** Whether a server may get an attempt: it is neither overdue with an answer nor ejected, or on trial and idle. */
     boolean isHealthy(Server server) {
         State state = server.outlier;
         return !isOverdue(server)
@@ -60,13 +65,16 @@
                 && (state.ejections == 0 || state.onTrial && server.inFlight.isEmpty());
     }
 
-    /** Whether a server that errs is paused for reads; after the pause one read at a time tries it. */
+    /** Whether a server is paused for reads because of errors; after the pause it gets one read at a time. */
     boolean isPausedForErrors(Server server) {
         State state = server.outlier;
         return state.errorPauses > 0 && (context.nowMicros() < state.pausedUntilMicros || !server.inFlight.isEmpty());
     }
 
-    /** Whether it has been silent with an attempt in flight for longer than that one should take. */
+    /**
+     * Whether the oldest attempt in flight is overdue and the server has answered no attempt for as long as that one
+     * was given. While it answers others, the one answer may be lost or slow.
+     */
     private boolean isOverdue(Server server) {
         Attempt oldest = server.inFlight.oldest();
         return oldest != null
@@ -75,7 +83,7 @@
                         > oldest.overdueMicros() - oldest.startedMicros();
     }
 
-    /** Looks whether a trial of an ejected server is due, or a health check of one that reports nothing. */
+    /** Starts the trial of an ejected server if it is due; health-checks other servers whose reports are missing. */
     void tick(Server server) {
         State state = server.outlier;
         if (server.listing.state() != EndpointState.LIVE) {
@@ -83,7 +91,7 @@
         }
         boolean trialDue = state.ejections > 0 && !state.onTrial && context.nowMicros() >= state.ejectedUntilMicros;
         if (!trialDue) {
-            healthChecker.checkWithoutReport(server);
+            healthChecker.checkIfReportMissing(server);
             return;
         }
         state.onTrial = healthChecker.isInconclusive(server);
@@ -92,7 +100,7 @@
         }
     }
 
-    /** The server answered an attempt, be it with an error. */
+    /** Records that the server answered an attempt, be it with an error: it is alive, so its ejection time is over. */
     void recordAnswer(Server server) {
         State state = server.outlier;
         state.lastAnswerMicros = context.nowMicros();
@@ -102,41 +110,45 @@
         healthChecker.serverAnswered(server);
     }
 
-    /** The server served a request. An error that the same request met elsewhere before counts from now on. */
+    /** Records a served request. Only now do errors of other servers for the same request count against those. */
     void recordServed(Server server, PendingRequest request) {
         State state = server.outlier;
         state.errorRatio *= 1 - NEWEST_WEIGHT_RATIO;
         state.ejections = 0;
         state.errorPauses = state.errorRatio > PAUSED_ERROR_RATIO ? state.errorPauses : 0;
-        for (Server erred : request.history.erredServers()) {
-            if (erred != server) {
-                recordServedElsewhere(erred);
+        for (Server erredServer : request.history.erredServers()) {
+            if (erredServer != server) {
+                recordServedElsewhere(erredServer);
             }
         }
     }
 
-    /** A request that fails anywhere tells nothing of a server, so an error counts once another served the request. */
-    private void recordServedElsewhere(Server erred) {
-        State state = erred.outlier;
+    /** Some requests fail at any server, so an error counts only once another server has served the request. */
+    private void recordServedElsewhere(Server erredServer) {
+        State state = erredServer.outlier;
         state.errorRatio += NEWEST_WEIGHT_RATIO * (1 - state.errorRatio);
         state.pausedUntilMicros = context.nowMicros() + ServerBackoff.micros(state.errorPauses++);
     }
 
     /**
-     * A connection to the server broke. Returns whether that tells of the server: a dead process breaks all connections
-     * and refuses new ones, while a single break may come from anywhere.
+     * Records a broken connection. Returns whether it counts as a failure of the server, as each one after the first
+     * does until the next answer: a dead process breaks all its connections and refuses new ones, while a single broken
+     * connection may have other causes.
      */
     boolean recordBrokenConnection(Server server) {
         return server.outlier.brokenConnections++ > 0;
     }
 
-    /** Connections to the server fail. */
+    /** Records a connection that failed: ejects the server. */
     void recordFailedConnection(Server server) {
         healthChecker.resetFailures(server);
         eject(server);
     }
 
-    /** An attempt timed out with no answer to any since it began. The first only asks for a health check. */
+    /**
+     * Records a timeout of an attempt since whose start the server has answered none. The first since the last answer
+     * only starts a health check, further ones eject the server.
+     */
     void recordSilentTimeout(Server server) {
         if (server.outlier.silentTimeouts++ > 0) {
             healthChecker.resetFailures(server);
@@ -145,7 +157,7 @@
         healthChecker.check(server);
     }
 
-    /** A health check has ended: a good one starts the trial, a failed one puts it off. */
+    /** Records a health check: a successful one starts the trial, a failed one ejects the ejected server for longer. */
     void recordHealthCheck(Server server, AttemptOutcome outcome) {
         State state = server.outlier;
         if (outcome == AttemptOutcome.SERVED) {
@@ -155,12 +167,15 @@
         }
     }
 
-    /** The first ejection has no pause, as it proves little: a trial is due at once. */
+    /**
+     * Ejects a server whose ejection time, if any, has passed. The first of consecutive ejections is weak evidence of a
+     * failed server and has no ejection time, so a trial is due at once; further ones follow {@link ServerBackoff}.
+     */
     private void eject(Server server) {
         State state = server.outlier;
         if (context.nowMicros() >= state.ejectedUntilMicros) {
-            long pause = state.ejections == 0 ? 0 : ServerBackoff.micros(state.ejections - 1);
-            state.ejectedUntilMicros = context.nowMicros() + pause;
+            long ejectionMicros = state.ejections == 0 ? 0 : ServerBackoff.micros(state.ejections - 1);
+            state.ejectedUntilMicros = context.nowMicros() + ejectionMicros;
             state.ejections++;
             state.onTrial = false;
             tick(server);
--- a/routing/src/main/java/lupinvalve/routing/PrimarySearch.java
+++ b/routing/src/main/java/lupinvalve/routing/PrimarySearch.java
@@ -1,23 +1,24 @@
 package lupinvalve.routing;
 
 /**
- * How a group's primary is looked for while none is usable: writes go to its members in the order of their ids, and
- * members are checked in turn while requests wait.
+ * Searches for a group's primary while no usable one is known. Queued writes are tried at the members in the order of
+ * their ids, as a replica rejects a write and states its role; members are also health-checked in round-robin order
+ * while requests wait.
  */
 final class PrimarySearch {
-    /** Pause between two members that get a write. */
+    /** Interval between two writes sent in search of the primary. */
     private static final long ATTEMPT_INTERVAL_MICROS = 40_000;
 
-    /** After the last member the pause is so many times as long. */
+    /** Pause after the last member of a round, in attempt intervals. */
     private static final long ROUND_PAUSE_INTERVALS = 3;
-    /** In this time a group's members are checked, or as many as requests wait. */
+    /** Time of one round of health checks over a group's members, or over as many of them as requests wait. */
     private static final long CHECK_ROUND_MICROS = 150_000;
-    /** Part of the interval between checks that is drawn at random, as every router checks. */
+    /** The interval between checks grows by a random part of up to one in this many, as every router checks. */
     private static final long JITTER_DIVISOR = 4;
 
-    /** How far the search in one group has come. */
+    /** Progress of the search in one group. */
     static final class State {
-        private int nextMember;
+        private int nextMemberIndex;
         private long nextAttemptMicros;
         private long nextCheckMicros;
     }
@@ -32,41 +33,45 @@
         this.healthChecker = healthChecker;
     }
 
-    /** The group has lost its primary. */
+    /** Starts a search: the first write and the first check are due at once. */
     void begin(ServerGroup group) {
         group.primarySearch.nextCheckMicros = context.nowMicros();
         group.primarySearch.nextAttemptMicros = context.nowMicros();
     }
 
-    /** Whether a member may get a write. */
+    /** Whether the next write may be sent to a member. */
     boolean isAttemptDue(ServerGroup group) {
         return context.nowMicros() >= group.primarySearch.nextAttemptMicros;
     }
 
-    /** The next member that may turn out to be the primary, or null at the end of a round. */
+    /** The next member of this round that may be the primary, or null at the end of the round. */
     Server nextCandidate(ServerGroup group) {
         State state = group.primarySearch;
-        while (state.nextMember < group.members.size()) {
-            Server server = group.members.get(state.nextMember++);
-            if (eligibility.mayBeFoundPrimary(server)) {
+        while (state.nextMemberIndex < group.members.size()) {
+            Server server = group.members.get(state.nextMemberIndex++);
+            if (eligibility.isPrimaryCandidate(server)) {
                 return server;
             }
         }
         return null;
     }
 
-    /** A write was started at a candidate. */
+    /** Records that a write was sent to a candidate. */
     void attemptStarted(ServerGroup group) {
         group.primarySearch.nextAttemptMicros = context.nowMicros() + ATTEMPT_INTERVAL_MICROS;
     }
 
-    /** There was no candidate left. */
+    /** Records that no candidate is left: the next round starts after a pause. */
     void roundEnded(ServerGroup group) {
-        group.primarySearch.nextMember = 0;
+        group.primarySearch.nextMemberIndex = 0;
         group.primarySearch.nextAttemptMicros = context.nowMicros() + ROUND_PAUSE_INTERVALS * ATTEMPT_INTERVAL_MICROS;
     }
 
-    /** Checks the next member if requests wait for a primary and none is usable. */
+    /**
+     * Health-checks the next member if that is due, requests wait for a primary and none is usable. The interval, in
+     * microseconds, is {@link #CHECK_ROUND_MICROS} divided by the number of queued requests or of members, whichever is
+     * smaller: one member at a time, and slower where few requests wait, since every router does the same.
+     */
     void tick(ServerGroup group) {
         State state = group.primarySearch;
         if (group.members.isEmpty()
@@ -75,10 +80,9 @@
                 || context.nowMicros() < state.nextCheckMicros) {
             return;
         }
-        // One member at a time, the faster the more requests wait, since every router does the same.
-        long interval = CHECK_ROUND_MICROS / Math.min(group.queues.size(), group.members.size());
-        long jitter = context.random().nextLong(interval / JITTER_DIVISOR + 1);
-        state.nextCheckMicros = context.nowMicros() + interval + jitter;
+        long intervalMicros = CHECK_ROUND_MICROS / Math.min(group.queues.size(), group.members.size());
+        long jitterMicros = context.random().nextLong(intervalMicros / JITTER_DIVISOR + 1);
+        state.nextCheckMicros = context.nowMicros() + intervalMicros + jitterMicros;
         healthChecker.checkNextMember(group);
     }
 }
--- a/routing/src/main/java/lupinvalve/routing/PrimaryTracker.java
+++ b/routing/src/main/java/lupinvalve/routing/PrimaryTracker.java
@@ -1,24 +1,26 @@
 package lupinvalve.routing;
 
 /**
- * Which server is the primary of each group, by what the servers state of themselves. Newer statements win: a primary
- * stands at the present, so its log position dates its claim however late the report comes.
+ * Tracks which server is the primary of each group, from the roles that servers state of themselves. The newest claim
+ * to be primary wins. A primary's log position is the present time, so the position stated with a claim is the time of
+ * the claim, however late the report arrives. All times are in microseconds.
  */
 final class PrimaryTracker {
     private static final long NEVER_MICROS = Long.MIN_VALUE;
 
-    /** What one server has stated. */
+    /** The replica role of one server. */
     static final class ServerState {
-        /** Up to when it has proven to be a replica. */
-        private long replicaAtMicros = NEVER_MICROS;
+        /** The latest time at which the server is known to have been a replica. */
+        private long knownReplicaMicros = NEVER_MICROS;
     }
 
     /** The primary of one group. */
     static final class GroupState {
         private Server primary;
+        /** Time of the newest claim to be primary; not set by the endpoint list. */
         private long claimMicros = NEVER_MICROS;
 
-        /** The server that counts as primary, or null where none is known. */
+        /** The server taken for the primary, or null if none is known. */
         Server primary() {
             return primary;
         }
@@ -32,44 +34,50 @@
         this.search = search;
     }
 
-    /** Records the role that a server stated, at a log position that may be {@link LogPosition#UNKNOWN}. */
+    /**
+     * Records the role that a server stated.
+     *
+     * @param position the log position stated with it, or {@link LogPosition#UNKNOWN}
+     * @param inAnswer whether it was stated in the answer to an attempt, which is current; a health check may return an
+     *     old report
+     */
     void record(Server server, ServerRole role, long position, boolean inAnswer) {
         GroupState state = server.group.primaryState;
         if (role == ServerRole.REPLICA && inAnswer) {
-            server.role.replicaAtMicros = context.nowMicros();
+            server.role.knownReplicaMicros = context.nowMicros();
             if (state.primary == server) {
                 primaryLost(server.group);
             }
         } else if (role == ServerRole.REPLICA) {
-            // A report may be old: it counts against a claim only if it is newer.
+            // The report may be old, so it ends the primary role only if it is newer than the claim.
             if (state.primary == server && position > state.claimMicros && state.claimMicros != NEVER_MICROS) {
-                server.role.replicaAtMicros = Math.max(server.role.replicaAtMicros, position);
+                server.role.knownReplicaMicros = Math.max(server.role.knownReplicaMicros, position);
                 primaryLost(server.group);
             }
         } else if (role == ServerRole.PRIMARY) {
-            long claim = position == LogPosition.UNKNOWN ? context.nowMicros() : position;
-            if (claim > state.claimMicros && claim > server.role.replicaAtMicros) {
-                state.claimMicros = claim;
+            long claimMicros = position == LogPosition.UNKNOWN ? context.nowMicros() : position;
+            if (claimMicros > state.claimMicros && claimMicros > server.role.knownReplicaMicros) {
+                state.claimMicros = claimMicros;
                 state.primary = server;
             }
         }
     }
 
-    /** The endpoint list names a live server as primary: it counts where nothing better is known. */
+    /** Takes a live server listed as primary for it if none is known and the server has never stated to be a replica. */
     void listedAsPrimary(Server server) {
-        if (server.group.primary() == null && server.role.replicaAtMicros == NEVER_MICROS) {
+        if (server.group.primary() == null && server.role.knownReplicaMicros == NEVER_MICROS) {
             server.group.primaryState.primary = server;
         }
     }
 
-    /** A server has departed. */
+    /** Handles the departure of a server. */
     void serverDeparted(Server server) {
         if (server.group.primary() == server) {
             primaryLost(server.group);
         }
     }
 
-    /** A server's process is new: it has lost whatever role it had before. */
+    /** Handles the start of a new process of a server, which does not have the primary role of the former process. */
     void serverRestarted(Server server, long startedMicros) {
         if (server.group.primary() == server && server.group.primaryState.claimMicros < startedMicros) {
             primaryLost(server.group);
--- a/routing/src/main/java/lupinvalve/routing/ReplicationLag.java
+++ b/routing/src/main/java/lupinvalve/routing/ReplicationLag.java
@@ -1,17 +1,19 @@
 package lupinvalve.routing;
 
 /**
- * How far each server has applied the primary's log, by its answers and health checks, and whether a replica is fresh
- * enough for a read. All positions and lags are in microseconds; see {@link LogPosition}.
+ * Tracks how far each server has applied the primary's log, from its answers and health checks, and decides whether a
+ * replica is fresh enough for a read. All positions and lags are in microseconds; see {@link LogPosition}.
  */
 final class ReplicationLag {
-    /** How much less a replica is trusted to have caught up after each attempt that it was behind for. */
+    /** Reduction of the allowance in {@link #isFresh} for each earlier attempt of the read. */
     private static final long ALLOWANCE_STEP_MICROS = 2_000;
 
-    /** What is known of one server's log position. */
+    /** The log position of one server, as far as known. */
     static final class State {
         private long position = LogPosition.UNKNOWN;
+        /** Time of the last report minus the position then. */
         private long lagMicros = UNKNOWN_LAG_MICROS;
+
         private long reportedAtMicros = NEVER_MICROS;
 
         /** The greatest position that the server has stated, or {@link LogPosition#UNKNOWN}. */
@@ -30,12 +32,17 @@
         checkedByServers = context.settings().replication().check() != RouterSettings.FreshnessCheck.SILENT;
     }
 
-    /** Whether servers themselves refuse reads that they are too far behind for. */
+    /** Whether servers themselves reject reads that they are too far behind for. */
     boolean isCheckedByServers() {
         return checkedByServers;
     }
 
-    /** Records a stated position. Positions never go back: the greatest one stays proven. */
+    /**
+     * Records a stated position. Positions never go back, so the greatest one ever stated still holds.
+     *
+     * @param inAnswer whether it was stated in the answer to an attempt, which is current. A health check may return an
+     *     old report; one below the greatest position changes the lag only if no lag is known yet.
+     */
     void record(Server server, long position, boolean inAnswer) {
         State state = server.lag;
         if (position == LogPosition.UNKNOWN) {
@@ -49,22 +56,27 @@
     }
 
     /**
-     * Whether a replica may be sent a read that needs a position: at a proven one; where servers check it themselves,
-     * also where the lag last seen makes it likely, with less allowance after each attempt: a replica that is behind
-     * refuses at once, and all attempts would be used up within a moment.
+     * Whether a replica may be sent a read that requires a log position. It may if the replica has stated that position
+     * or a later one. Where servers check the position themselves, it also may if the estimated position, which is now
+     * minus the last known lag, plus an allowance reaches it. The allowance is half the time that a server waits to
+     * catch up, less {@link #ALLOWANCE_STEP_MICROS} for each earlier attempt: a replica that is too far behind rejects
+     * the read at once, and without the reduction all attempts would be used up within a moment.
      */
     boolean isFresh(Server server, long requiredPosition, int earlierAttempts) {
         State state = server.lag;
-        long allowance = context.settings().replication().waitMicros() / 2 - earlierAttempts * ALLOWANCE_STEP_MICROS;
+        long allowanceMicros =
+                context.settings().replication().waitMicros() / 2 - earlierAttempts * ALLOWANCE_STEP_MICROS;
         return state.position >= requiredPosition
                 || checkedByServers
                         && (state.lagMicros == UNKNOWN_LAG_MICROS
-                                || context.nowMicros() - state.lagMicros + allowance >= requiredPosition);
+                                || context.nowMicros() - state.lagMicros + allowanceMicros >= requiredPosition);
     }
 
     /**
-     * In how long a replica that is not fresh may be so, as far as it is known. Where servers check nothing, only a
-     * report helps, and none comes while health checks fail.
+     * Estimated time until a replica that is not fresh may be so, in microseconds. Where servers check the position
+     * themselves, it is the required position minus the estimated one, which advances with the clock. Elsewhere only a
+     * report of the replica can show it to be fresh: that may come at any moment, so the time is 0, or never while
+     * health checks fail.
      */
     long untilFreshMicros(Server server, long requiredPosition) {
         if (checkedByServers) {
@@ -75,7 +87,7 @@
         return unreachable ? Long.MAX_VALUE : 0;
     }
 
-    /** Whether the server has stated no position for so long. */
+    /** Whether the server has stated no current position within the last {@code micros}. */
     boolean hasNoReportFor(Server server, long micros) {
         return server.lag.reportedAtMicros == NEVER_MICROS
                 || context.nowMicros() - server.lag.reportedAtMicros >= micros;
--- a/routing/src/main/java/lupinvalve/routing/RestartDetector.java
+++ b/routing/src/main/java/lupinvalve/routing/RestartDetector.java
@@ -1,14 +1,16 @@
 package lupinvalve.routing;
 
 /**
- * Takes a server to which connections failed for a while for restarted, and so for cold, once it answers again. One
- * that is back sooner had its connection table full, so idle connections are closed earlier.
+ * Detects restarts of servers by failed connections. A server to which connections failed for over
+ * {@link #MIN_RESTART_MICROS} is taken for restarted once it answers again, and enters slow start. If they failed for
+ * less, its connection table is taken to have been full, and the idle timeout is shortened.
  */
 final class RestartDetector {
+    /** Shortest time for which connections fail during a restart. */
     private static final long MIN_RESTART_MICROS = 1_000_000;
     private static final long NOT_FAILING_MICROS = Long.MIN_VALUE;
 
-    /** Since when connections to one server have failed. */
+    /** The failed connections to one server since its last answer. */
     static final class State {
         private long failingSinceMicros = NOT_FAILING_MICROS;
         private long lastFailureMicros;
@@ -24,7 +26,7 @@
         this.idleTimeout = idleTimeout;
     }
 
-    /** A connection for an attempt failed. */
+    /** Records that a connection for an attempt failed. */
     void recordFailedConnection(Server server) {
         State state = server.connectFailures;
         if (state.failingSinceMicros == NOT_FAILING_MICROS) {
@@ -33,14 +35,17 @@
         state.lastFailureMicros = context.nowMicros();
     }
 
-    /** A health check has ended. */
+    /** Records the end of a health check: one that could not connect prolongs the time of failed connections. */
     void recordHealthCheck(Server server, AttemptOutcome outcome) {
         if (outcome == AttemptOutcome.NOT_CONNECTED) {
             server.connectFailures.lastFailureMicros = context.nowMicros();
         }
     }
 
-    /** The server answered. Only the time between failed connections counts, not that without attempts. */
+    /**
+     * Records that the server answered an attempt. What counts is the time from the first failed connection to the last
+     * one, since nothing is known of the time in which none was tried.
+     */
     void recordAnswer(Server server) {
         State state = server.connectFailures;
         if (state.failingSinceMicros == NOT_FAILING_MICROS) {
@@ -49,7 +54,7 @@
         if (state.lastFailureMicros - state.failingSinceMicros > MIN_RESTART_MICROS) {
             slowStart.begin(server, context.nowMicros());
         } else {
-            idleTimeout.tableWasFull();
+            idleTimeout.connectionTableWasFull();
         }
         state.failingSinceMicros = NOT_FAILING_MICROS;
     }
--- a/routing/src/main/java/lupinvalve/routing/Router.java
+++ b/routing/src/main/java/lupinvalve/routing/Router.java
@@ -3,17 +3,21 @@
 import java.util.function.Consumer;
 
 /**
- * The decisions of one router before groups of a primary and its replicas. {@link RouterEvent}s go in,
- * {@link RouterAction}s come out; each rule has a type of its own, which this class gives the events to.
+ * The routing decisions of one router in front of groups that each consist of a primary and its replicas. It takes
+ * {@link RouterEvent}s and returns {@link RouterAction}s; each rule has its own type, and this class passes the events
+ * on to them.
  *
- * <p>The ordinary path is read-your-writes by log position: the position that a write's answer states becomes its
- * session's token, the session's reads go to replicas that have reached it, and a read that finds none waits and then
- * falls back to the primary; docs/design.md gives the reasons. One instance per router; it has no clock, thread or I/O.
- * Not safe for use by several threads, and not to be called from within the action sink while it handles an event.
+ * <p>Reads see their session's writes by log position: the position in the answer to a write becomes the session token,
+ * the session's reads go to replicas that have reached it, and a read for which there is no such replica waits and then
+ * falls back to the primary; docs/design.md gives the reasons. There is one instance per router, without clock, thread
+ * or I/O of its own. It is not thread-safe, and the action sink must not call it while it handles an event.
  */
 public final class Router {
+    /** Interval of the timer while requests are queued. */
     private static final long QUEUE_TICK_MICROS = 10_000;
+    /** Interval of the timer otherwise, and of the periodic work on each server. */
     private static final long SERVER_TICK_MICROS = 100_000;
+
     private final RouterContext context;
     private final ServerTable servers = new ServerTable();
     private final ReplicationLag lag;
@@ -35,10 +39,10 @@
     private final EndpointWatch endpointWatch;
     private final SessionTokens tokens;
     private final ClientRetryDetector clientRetries;
-    private long serverTickMicros;
-    private long tickMicros = Long.MAX_VALUE;
+    private long nextServerTickMicros;
+    private long nextTickMicros = Long.MAX_VALUE;
 
-    /** Starts a router, its random choices seeded; the start's actions go to {@code actions}. */
+    /** Creates a router whose random choices derive from {@code seed}; its first actions go to {@code actions}. */
     public Router(long seed, RouterSettings settings, long nowMicros, Consumer<? super RouterAction> actions) {
         context = new RouterContext(settings, seed, nowMicros, actions);
         LoadStatistics load = new LoadStatistics(context);
@@ -75,7 +79,7 @@
         tick();
     }
 
-    /** Takes one event; what is to be done about it goes to {@code actions} before this returns. */
+    /** Handles one event; the resulting actions go to {@code actions} before this returns. */
     public void handle(long nowMicros, RouterEvent event, Consumer<? super RouterAction> actions) {
         context.advanceTo(nowMicros);
         context.sendActionsTo(actions);
@@ -83,7 +87,7 @@
             requestArrived(arrival);
         } else if (event instanceof RouterEvent.AttemptEnded ended) {
             attemptEnded(ended);
-        } else if (event instanceof RouterEvent.TimerFired && nowMicros >= tickMicros) {
+        } else if (event instanceof RouterEvent.TimerFired && nowMicros >= nextTickMicros) {
             tick();
         } else if (event instanceof RouterEvent.HealthCheckEnded check) {
             healthCheckEnded(check);
@@ -92,18 +96,21 @@
         } else if (event instanceof RouterEvent.ClientDisconnected disconnected) {
             lifecycle.clientDisconnected(disconnected.id());
         }
-        if (queue.size() > 0 && tickMicros > nowMicros + QUEUE_TICK_MICROS) {
+        if (queue.size() > 0 && nextTickMicros > nowMicros + QUEUE_TICK_MICROS) {
             setTimer(QUEUE_TICK_MICROS);
         }
     }
 
-    /** The log position that a server has proven, or {@link LogPosition#UNKNOWN}. */
+    /** The greatest log position that a server has stated, or {@link LogPosition#UNKNOWN}. */
     public long position(String node) {
         Server server = servers.server(node);
         return server == null ? LogPosition.UNKNOWN : server.lag.position();
     }
 
-    /** Whether a request's attempt, whose connection was long in coming up, may still go out. */
+    /**
+     * Whether a request's attempt may still be sent once its connection has opened, which may have taken long: the
+     * replica may be too far behind by then, or the write no longer safe to retry.
+     */
     public boolean mayStillStart(String id, long nowMicros) {
         context.advanceTo(nowMicros);
         PendingRequest request = lifecycle.find(id);
@@ -118,13 +125,13 @@
                         || lag.isFresh(server, request.requiredPosition(nowMicros), earlierAttempts));
     }
 
-    /** Whether a server counts as the primary of its group. */
+    /** Whether a server is currently taken for the primary of its group. */
     public boolean isPrimary(String node) {
         Server server = servers.server(node);
         return server != null && server.group.primary() == server;
     }
 
-    /** Whether a listed server is not used for failing attempts. */
+    /** Whether a known server gets no reads because attempts at it fail or stay unanswered. */
     public boolean isExcluded(String node) {
         Server server = servers.server(node);
         return server != null && (!outliers.isHealthy(server) || outliers.isPausedForErrors(server));
@@ -212,15 +219,16 @@
 
     private void tick() {
         for (ServerGroup group : servers.groups()) {
-            // The last look at the primary comes before the end, though both may be due at one tick.
+            // Dispatch before expiry: where the fallback to the primary and the queue deadline are both due at this
+            // tick, the request still gets its attempt.
             queue.dispatch(group);
             queue.expire(group);
             primarySearch.tick(group);
         }
-        if (context.nowMicros() >= serverTickMicros) {
-            serverTickMicros = context.nowMicros() + SERVER_TICK_MICROS;
+        if (context.nowMicros() >= nextServerTickMicros) {
+            nextServerTickMicros = context.nowMicros() + SERVER_TICK_MICROS;
             idleTimeout.grow();
-            endpointList.forgetDeparted();
+            endpointList.removeDeparted();
             for (Server server : servers.servers()) {
                 idleTimeout.tick(server);
                 outliers.tick(server);
@@ -231,7 +239,7 @@
     }
 
     private void setTimer(long delayMicros) {
-        tickMicros = context.nowMicros() + delayMicros;
+        nextTickMicros = context.nowMicros() + delayMicros;
         context.perform(new RouterAction.SetTimer(delayMicros, 0));
     }
 }
--- a/routing/src/main/java/lupinvalve/routing/RouterAction.java
+++ b/routing/src/main/java/lupinvalve/routing/RouterAction.java
@@ -1,42 +1,43 @@
 package lupinvalve.routing;
 
-/** What a router wants done. All times are in microseconds; all records are immutable. */
+/** An action that a router requests of its caller. All times are in microseconds; all records are immutable. */
 public sealed interface RouterAction {
     /**
-     * Start an attempt; its number is the count of earlier ones for the request.
+     * Starts an attempt of a request; the attempt's number is the count of the request's earlier attempts.
      *
-     * @param timeoutMicros after which it is given up; 0 for when the client stops waiting
-     * @param startWithinMicros how long it is worth beginning, which the server is notified of; 0 for the timeout
+     * @param timeoutMicros time after which the attempt is abandoned; 0 for the time at which the client stops waiting
+     * @param startWithinMicros time within which the server must begin the work or drop the attempt, which is sent to
+     *     the server; 0 for the timeout
      */
     record StartAttempt(String id, String node, long timeoutMicros, long startWithinMicros) implements RouterAction {}
 
-    /** Final answer: rejected, and a retry does no harm; come back after the given time (0: no Retry-After). */
+    /** Final answer: rejected. The client may safely retry, after the given time; 0 states no Retry-After. */
     record Reject(String id, long retryAfterMicros) implements RouterAction {}
 
-    /** Final answer: failed; nothing is promised of the effect. */
+    /** Final answer: failed. The request may or may not have taken effect. */
     record Fail(String id) implements RouterAction {}
 
-    /** Call off an attempt. */
+    /** Cancels an attempt. */
     record CancelAttempt(String id, int attempt) implements RouterAction {}
 
-    /** Check a server's health and have its report. */
+    /** Starts a health check of a server, which also returns its role and log position. */
     record CheckHealth(String node) implements RouterAction {}
 
-    /** Close idle connections to a server. */
+    /** Closes the idle connections to a server. */
     record CloseIdleConnections(String node) implements RouterAction {}
 
-    /** Send text to another router, or to all with -1. */
+    /** Sends a text to the router of this number, or to all other routers if the number is -1. */
     record SendPeerMessage(int to, String text) implements RouterAction {}
 
-    /** Ask for changes of the endpoint list from now on, or stop them. */
+    /** Starts or stops the watch on the endpoint list. */
     record WatchEndpoints(boolean active) implements RouterAction {}
 
-    /** Ask for the complete endpoint list once. */
+    /** Fetches the complete endpoint list once. */
     record FetchEndpoints() implements RouterAction {}
 
-    /** Ask for a {@link RouterEvent.TimerFired} event. */
+    /** Sets a timer, which ends in a {@link RouterEvent.TimerFired} event with the same handle. */
     record SetTimer(long delayMicros, long handle) implements RouterAction {}
 
-    /** A line for the operators' log. */
+    /** Writes one line to the log. */
     record LogMessage(String text) implements RouterAction {}
 }
--- a/routing/src/main/java/lupinvalve/routing/RouterContext.java
+++ b/routing/src/main/java/lupinvalve/routing/RouterContext.java
@@ -3,7 +3,10 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 
-/** The surroundings that all rules of one router share. Only {@link Router} changes the time and the action sink. */
+/**
+ * What all rules of one router share: settings, random numbers, the time of the current event, and the sink of actions.
+ * Only {@link Router} changes the time and the sink.
+ */
 final class RouterContext {
     private final RouterSettings settings;
     private final SplittableRandom random;
@@ -17,12 +20,12 @@
         this.actions = actions;
     }
 
-    /** Moves the clock to the time of the call that the router is in. */
+    /** Sets the time to that of the event being handled, in microseconds. */
     void advanceTo(long timeMicros) {
         nowMicros = timeMicros;
     }
 
-    /** Directs what the rules decide from here on to another sink. */
+    /** Sets the sink of all further actions. */
     void sendActionsTo(Consumer<? super RouterAction> sink) {
         actions = sink;
     }
@@ -35,12 +38,12 @@
         return random;
     }
 
-    /** The time of the event being handled. */
+    /** The time of the event being handled, in microseconds. */
     long nowMicros() {
         return nowMicros;
     }
 
-    /** Hands an action to whoever carries it out; it must not call the router from within. */
+    /** Passes an action to the sink, which must not call the router from within. */
     void perform(RouterAction action) {
         actions.accept(action);
     }
--- a/routing/src/main/java/lupinvalve/routing/RouterEvent.java
+++ b/routing/src/main/java/lupinvalve/routing/RouterEvent.java
@@ -2,15 +2,16 @@
 
 import java.util.List;
 
-/** What a router is notified of. All times are in microseconds; all records are immutable, lists are copied. */
+/** An event that a router handles. All times are in microseconds; all records are immutable, lists are copied. */
 public sealed interface RouterEvent {
     /**
      * A change of the endpoint list; {@code endpoints} is empty for {@link ListForm#UNAVAILABLE}.
      *
-     * @param notifiedSinceMicros the earliest time at which it may have been notified; a departure binds from then on
+     * @param notifiedSinceMicros the earliest time at which the change may have been notified; the time within which
+     *     attempts at a draining or departed server must cease counts from then. Times in the future stand for now.
      */
     record EndpointUpdate(ListForm form, List<Endpoint> endpoints, long notifiedSinceMicros) implements RouterEvent {
-        /** An update that is notified the moment it comes, or a list that may repeat what was notified long ago. */
+        /** A change notified just now, or, in any other form, a list whose content may have been notified long ago. */
         public EndpointUpdate(ListForm form, List<Endpoint> endpoints) {
             this(form, endpoints, form == ListForm.UPDATE ? Long.MAX_VALUE : Long.MIN_VALUE);
         }
@@ -22,12 +23,15 @@
     }
 
     /**
-     * A client's request.
+     * A client's request has arrived.
      *
+     * @param classIndex index of the request's class in {@link RouterSettings#classes}
+     * @param repeated whether the client marked the request as a retry
      * @param session the session, or null
-     * @param sinceWriteMicros time since the session's last commit, where tokens are carried; 0 for none
-     * @param timeLeftMicros time until the client stops waiting for this attempt of its own
-     * @param waitMicros what it said it would wait, of which a busy core may have lost some
+     * @param sinceWriteMicros time since the session's last commit, where requests carry their tokens; 0 for none
+     * @param timeLeftMicros time until the client stops waiting for this request; a retry of the client's is another
+     * @param waitMicros the wait that the client stated, part of which may have passed before a busy core thread
+     *     handled the request
      */
     record RequestArrived(
             String id,
@@ -39,7 +43,7 @@
             long timeLeftMicros,
             long waitMicros)
             implements RouterEvent {
-        /** A request that comes the moment it was sent. */
+        /** A request none of whose stated wait has passed. */
         public RequestArrived(
                 String id,
                 int classIndex,
@@ -52,14 +56,15 @@
         }
     }
 
-    /** The client has disconnected or cancelled; the request is over. */
+    /** The client has disconnected or cancelled the request, which is closed by this. */
     record ClientDisconnected(String id) implements RouterEvent {}
 
     /**
-     * An attempt ended.
+     * An attempt has ended.
      *
-     * @param requestClosed the request is over by this or was before
-     * @param position the position that the answer gave, or {@link LogPosition#UNKNOWN}
+     * @param requestClosed whether the request is closed, by this attempt's answer or before
+     * @param position the log position stated in the answer, or {@link LogPosition#UNKNOWN}
+     * @param role the role stated in the answer
      */
     record AttemptEnded(
             String id,
@@ -72,16 +77,16 @@
             ServerRole role)
             implements RouterEvent {}
 
-    /** A health check ended; position and role are those of the server's last report, which may be old. */
+    /** A health check has ended; position and role are those of the server's last report, which may be old. */
     record HealthCheckEnded(String node, AttemptOutcome outcome, long elapsedMicros, long position, ServerRole role)
             implements RouterEvent {}
 
-    /** An answer has begun to stream; that attempt belongs to the client now. */
+    /** An attempt's answer has begun to stream to the client, so the request can get no other answer. Not used. */
     record AnswerStarted(String id, int attempt) implements RouterEvent {}
 
-    /** Another router's message. */
+    /** A message sent by another router with {@link RouterAction.SendPeerMessage}. Not used. */
     record PeerMessage(int from, String text) implements RouterEvent {}
 
-    /** A timer set by {@link RouterAction.SetTimer} has come due. */
+    /** A timer set by {@link RouterAction.SetTimer} has fired. */
     record TimerFired(long handle) implements RouterEvent {}
 }
--- a/routing/src/main/java/lupinvalve/routing/RouterSettings.java
+++ b/routing/src/main/java/lupinvalve/routing/RouterSettings.java
@@ -4,14 +4,14 @@
 import java.util.List;
 
 /**
- * The settings of one router. Immutable; lists are copied. Building one that is out of range throws an
- * {@link IllegalArgumentException} that names the platform's setting.
+ * The settings of one router. Immutable; lists are copied. The constructors throw an {@link IllegalArgumentException}
+ * that names the platform's setting if a value is out of range.
  *
- * @param instanceIndex number of this router among all, from 0
- * @param instanceCount how many routers there are
- * @param zone the zone that this router is in
- * @param mustSubscribe whether endpoint lists come only to those who ask for them
- * @param crossZonePrice what each attempt that leaves the own zone costs, as a part of a request's priority weight
+ * @param instanceIndex number of this router among all routers, from 0
+ * @param instanceCount number of routers
+ * @param zone number of the zone that this router is in
+ * @param mustSubscribe whether endpoint lists are sent only to routers that watch them
+ * @param crossZonePrice cost of each attempt at a server in another zone, as a fraction of a request's priority weight
  */
 public record RouterSettings(
         int instanceIndex,
@@ -23,30 +23,34 @@
         Rules rules,
         Replication replication,
         double crossZonePrice) {
-    /** What a server does with a read that it is too far behind for. */
+    /** What a server does with a read that requires a log position beyond its own. */
     public enum FreshnessCheck {
-        /** Answers with old data. */
+        /** Answers with old data, without an error. */
         SILENT,
-        /** Refuses it at once. */
+        /** Rejects the read at once. */
         BOUNCE,
-        /** Waits for a while to catch up, then refuses it. */
+        /** Waits to catch up for {@link Replication#waitMicros}, then rejects the read. */
         AWAIT
     }
 
-    /** Where a session's token comes from. */
+    /** Where a session's token is kept. */
     public enum TokenSource {
-        /** Its requests carry it. */
+        /** The session's requests carry it. */
         CARRIED,
-        /** The router remembers it. */
+        /** The router stores it. */
         REMEMBERED
     }
 
     /**
-     * What the site allows.
+     * What the deployment allows a router.
      *
-     * @param maxAttempts attempts of one request
-     * @param maxRetryAfterMicros longest Retry-After that may be given
-     * @param maxOpenRequests how many requests clients can have open here at once
+     * @param maxAttempts attempts of one request at most
+     * @param parallelAttempts whether a request may have more than one attempt in flight
+     * @param cancel whether attempts may be cancelled
+     * @param probe whether health checks may be sent
+     * @param retryAfter whether rejections may state a Retry-After
+     * @param maxRetryAfterMicros longest Retry-After that may be stated
+     * @param maxOpenRequests number of requests that clients can have open at this router at once
      */
     public record SiteLimits(
             int maxAttempts,
@@ -65,15 +69,15 @@
     }
 
     /**
-     * The figures of the platform's rules.
+     * The platform's rules for routers.
      *
-     * @param answerSlackMicros how long after its deadline a final answer may still come
-     * @param drainGraceMicros how long after a departure was notified attempts may still begin
-     * @param pollWithinMicros how often the endpoint list is polled at least
-     * @param initialCapacityRatio part of its full capacity that a server has when it starts
-     * @param warmUpMicros how long a server's slow start lasts
+     * @param answerSlackMicros time after a request's deadline within which its final answer is still accepted
+     * @param drainGraceMicros time after the notification of a drain or departure within which attempts may still start
+     * @param pollWithinMicros longest interval between two polls of the endpoint list
+     * @param initialCapacityRatio capacity of a server at its start, as a fraction of its full capacity
+     * @param warmUpMicros time from a server's start to its full capacity: the length of its slow start
      * @param overloadMultiple multiple of its present capacity that overloads a server in slow start
-     * @param overloadMicros time over which that load is counted
+     * @param overloadMicros length of the time window over which the load for {@code overloadMultiple} is counted
      */
     public record Rules(
             long answerSlackMicros,
@@ -99,9 +103,11 @@
     }
 
     /**
-     * How replication shows itself.
+     * How servers treat reads that they are too far behind for, and where session tokens are kept.
      *
-     * @param waitMicros how long a server waits under {@link FreshnessCheck#AWAIT}
+     * @param check what a server does with such a read
+     * @param waitMicros how long a server waits to catch up under {@link FreshnessCheck#AWAIT}
+     * @param tokens where a session's token is kept
      */
     public record Replication(FreshnessCheck check, long waitMicros, TokenSource tokens) {
         /** Checks the ranges. */
@@ -112,7 +118,7 @@
         }
     }
 
-    /** Settings where another zone costs nothing. */
+    /** Settings in which attempts at servers in other zones cost nothing extra. */
     public RouterSettings(
             int instanceIndex,
             int instanceCount,
@@ -131,7 +137,7 @@
         require(!classes.isEmpty(), "classes", "none");
         List<String> names =
                 new ArrayList<>(classes.stream().map(RequestClass::name).toList());
-        names.stream().distinct().toList().forEach(names::remove);
+        names.stream().distinct().toList().forEach(names::remove); // leaves the duplicates
         require(names.isEmpty(), "classes.name", "twice: " + names);
         require(instanceCount > 0, "n_instances", instanceCount);
         require(zone >= 0, "zone", zone);
--- a/routing/src/main/java/lupinvalve/routing/Server.java
+++ b/routing/src/main/java/lupinvalve/routing/Server.java
@@ -1,6 +1,6 @@
 package lupinvalve.routing;
 
-/** One server: its identity, and one state object for each rule, which that rule's type alone changes. */
+/** One server: its id and group, and one state object for each rule, changed only by that rule's type. */
 final class Server {
     final String id;
     final ServerGroup group;
--- a/routing/src/main/java/lupinvalve/routing/ServerEligibility.java
+++ b/routing/src/main/java/lupinvalve/routing/ServerEligibility.java
@@ -1,11 +1,11 @@
 package lupinvalve.routing;
 
-/** Which servers may be sent anything new, by the endpoint list, their health and their errors. */
+/** Decides which servers may get new attempts, by their state in the endpoint list, their health and their errors. */
 final class ServerEligibility {
-    /** Part of the drain's grace in which a draining primary gets writes, until its successor shows. */
+    /** Percentage of the drain's grace for which a draining primary still gets writes, as no other is known yet. */
     private static final long DRAINING_WRITES_PERCENT = 75;
 
-    private static final long WHOLE_PERCENT = 100;
+    private static final long PERCENT_DIVISOR = 100;
     private final RouterContext context;
     private final OutlierDetection outliers;
 
@@ -14,18 +14,19 @@
         this.outliers = outliers;
     }
 
-    /** Whether the list allows new attempts; a draining server gets nothing but a primary's writes for a while. */
+    /** Whether the endpoint list allows new attempts at a server; a draining one gets only writes, for a while. */
     boolean isListed(Server server, boolean write) {
         EndpointState state = server.listing.state();
-        return state == EndpointState.LIVE || state == EndpointState.DRAINING && write && takesWritesYet(server);
+        return state == EndpointState.LIVE || state == EndpointState.DRAINING && write && stillTakesWrites(server);
     }
 
-    private boolean takesWritesYet(Server server) {
-        long grace = context.settings().rules().drainGraceMicros() * DRAINING_WRITES_PERCENT / WHOLE_PERCENT;
-        return context.nowMicros() < server.listing.drainNotifiedMicros() + grace;
+    private boolean stillTakesWrites(Server server) {
+        long writeGraceMicros =
+                context.settings().rules().drainGraceMicros() * DRAINING_WRITES_PERCENT / PERCENT_DIVISOR;
+        return context.nowMicros() < server.listing.drainNotifiedMicros() + writeGraceMicros;
     }
 
-    /** Whether a server may be sent reads or writes now; false for null. */
+    /** Whether a server may be sent writes, or else reads, now; false for null. */
     boolean isEligible(Server server, boolean write) {
         return server != null
                 && isListed(server, write)
@@ -33,8 +34,8 @@
                 && (write || !outliers.isPausedForErrors(server));
     }
 
-    /** Whether a server may be asked whether it is the primary. */
-    boolean mayBeFoundPrimary(Server server) {
+    /** Whether a write may be sent to a server to find out whether it is the primary. */
+    boolean isPrimaryCandidate(Server server) {
         return server.listing.state() == EndpointState.LIVE && outliers.isHealthy(server);
     }
 }
--- a/routing/src/main/java/lupinvalve/routing/ServerGroup.java
+++ b/routing/src/main/java/lupinvalve/routing/ServerGroup.java
@@ -3,9 +3,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A primary with its replicas, and one state object for each rule, which that rule's type alone changes. */
+/** A primary with its replicas, and one state object for each rule, changed only by that rule's type. */
 final class ServerGroup {
-    /** Sorted by id; changed by {@link ServerTable} alone. */
+    /** Sorted by id; changed only by {@link ServerTable}. */
     final List<Server> members = new ArrayList<>();
 
     final PrimaryTracker.GroupState primaryState = new PrimaryTracker.GroupState();
@@ -15,14 +15,14 @@
     final ReplicaSelector.State selection;
     final HealthChecker.GroupState healthChecks;
 
-    /** Starts a group whose turns begin at a given member, so that routers don't all begin at the same one. */
-    ServerGroup(int firstTurn, int classCount) {
+    /** Creates a group whose round-robins start at a given member, so that routers don't all start at the same one. */
+    ServerGroup(int roundRobinStart, int classCount) {
         queues = new QueuedRequests.GroupQueues(classCount);
-        selection = new ReplicaSelector.State(firstTurn);
-        healthChecks = new HealthChecker.GroupState(firstTurn);
+        selection = new ReplicaSelector.State(roundRobinStart);
+        healthChecks = new HealthChecker.GroupState(roundRobinStart);
     }
 
-    /** The server that counts as primary, or null where none is known. */
+    /** The server taken for the primary, or null if none is known. */
     Server primary() {
         return primaryState.primary();
     }
--- a/routing/src/main/java/lupinvalve/routing/ServerRole.java
+++ b/routing/src/main/java/lupinvalve/routing/ServerRole.java
@@ -1,10 +1,10 @@
 package lupinvalve.routing;
 
-/** The role that a server stated in an answer. */
+/** The replication role that a server stated in an answer or a health check. */
 public enum ServerRole {
-    /** None was stated. */
+    /** The server stated no role. */
     UNKNOWN,
-    /** Takes writes. */
+    /** Accepts writes. */
     PRIMARY,
     /** Applies the primary's log. */
     REPLICA
--- a/routing/src/main/java/lupinvalve/routing/ServerTable.java
+++ b/routing/src/main/java/lupinvalve/routing/ServerTable.java
@@ -6,17 +6,17 @@
 import java.util.Map;
 import java.util.function.Predicate;
 
-/** The servers and groups that the router knows, in the order in which they were first listed. */
+/** The servers and groups known to the router, in the order in which they were first listed. */
 final class ServerTable {
     private final Map<String, Server> servers = new LinkedHashMap<>();
     private final Map<Integer, ServerGroup> groups = new LinkedHashMap<>();
 
-    /** The server of this id, or null. */
+    /** The server with this id, or null. */
     Server server(String id) {
         return servers.get(id);
     }
 
-    /** The group of this number, or null. */
+    /** The group with this number, or null. */
     ServerGroup group(int number) {
         return groups.get(number);
     }
@@ -40,7 +40,7 @@
         server.group.members.sort(Comparator.comparing(member -> member.id));
     }
 
-    /** Removes each server that the list has dropped for good. */
+    /** Removes each server that meets a condition, from the table and from its group. */
     void removeServersIf(Predicate<Server> condition) {
         servers.values().removeIf(server -> {
             boolean removed = condition.test(server);
--- a/routing/src/main/java/lupinvalve/routing/SessionTokens.java
+++ b/routing/src/main/java/lupinvalve/routing/SessionTokens.java
@@ -4,14 +4,16 @@
 import java.util.LinkedHashMap;
 
 /**
- * Session tokens, for read-your-writes: the log position that a session's reads must see. Requests carry them, or they
- * are remembered here; the latter are bounded in number, and those dropped for space still bind through a floor.
+ * Session tokens, for read-your-writes: the log position that a session's reads must have reached. Either the requests
+ * carry them, or the router stores them. The number of stored tokens is bounded; the greatest of the evicted ones holds
+ * for all sessions without a stored token, so that an evicted token is never undercut.
  */
 final class SessionTokens {
     private static final int MAX_SESSIONS = 50_000;
     private final RouterContext context;
     private final RouterSettings.TokenSource source;
     private final LinkedHashMap<String, Long> positions = new LinkedHashMap<>();
+    /** The greatest of the evicted tokens. */
     private long floorPosition = LogPosition.UNKNOWN;
 
     SessionTokens(RouterContext context) {
@@ -19,7 +21,10 @@
         source = context.settings().replication().tokens();
     }
 
-    /** The log position that a read must see, by its class: that of now, that of its session's writes, or none. */
+    /**
+     * The log position that a server must have reached for a read: the present for a strong read, that of the session's
+     * writes for a session read, else none.
+     */
     long requiredPosition(RouterEvent.RequestArrived request, RequestClass.Access access) {
         return switch (access) {
             case STRONG -> context.nowMicros();
@@ -39,20 +44,24 @@
                 : positions.getOrDefault(request.session(), floorPosition);
     }
 
-    /** Remembers the position of a session's write, unless its requests carry their tokens themselves. */
+    /**
+     * Stores the position of a session's write, unless requests carry their tokens. The present time stands for an
+     * unknown position, as no commit lies after it.
+     */
     void recordWrite(RouterEvent.RequestArrived request, long position) {
         if (source == RouterSettings.TokenSource.REMEMBERED && request.session() != null) {
             raise(request.session(), position == LogPosition.UNKNOWN ? context.nowMicros() : position);
         }
     }
 
+    /** Raises a session's token; beyond the bound, the one of the session that wrote least recently is evicted. */
     private void raise(String session, long position) {
-        Long before = positions.remove(session);
-        positions.put(session, before == null ? position : Math.max(before, position));
+        Long former = positions.remove(session);
+        positions.put(session, former == null ? position : Math.max(former, position));
         if (positions.size() > MAX_SESSIONS) {
-            Iterator<Long> eldest = positions.values().iterator();
-            floorPosition = Math.max(floorPosition, eldest.next());
-            eldest.remove();
+            Iterator<Long> leastRecentFirst = positions.values().iterator();
+            floorPosition = Math.max(floorPosition, leastRecentFirst.next());
+            leastRecentFirst.remove();
         }
     }
 }
