--- a/routing/src/main/java/lupinvalve/routing/PrimaryTracker.java
+++ b/routing/src/main/java/lupinvalve/routing/PrimaryTracker.java
@@ -63,7 +63,7 @@
         }
     }
 
-    /** Takes a live server listed as primary for it if none is known and the server has never stated to be a replica. */
+    /** Takes a live server listed as primary for it, unless one is known or the server has stated to be a replica. */
     void listedAsPrimary(Server server) {
         if (server.group.primary() == null && server.role.knownReplicaMicros == NEVER_MICROS) {
             server.group.primaryState.primary = server;
--- a/routing/src/test/java/lupinvalve/routing/EndpointListTest.java
+++ b/routing/src/test/java/lupinvalve/routing/EndpointListTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** What the endpoint list allows, and which servers are forgotten. */
+/** Which attempts the endpoint list allows, and when departed servers are removed from the table. */
 class EndpointListTest extends RouterFixture {
     @Test
     void drainingReplicaGetsNothingNewAndDrainingPrimaryOnlyWritesWithinTheGrace() {
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void departedServersAreForgottenOnceNothingIsInFlightToThem() {
+    void departedServersAreRemovedOnceTheyHaveNoAttemptInFlight() {
         start(RouterSettings.FreshnessCheck.BOUNCE, RouterSettings.TokenSource.CARRIED, RequestClass.Effect.UNSAFE);
         allServersReport();
         request("w", WRITE, "s", 60_000 * MS);
@@ -53,12 +53,12 @@
         }
         updateEndpoints(ListForm.UPDATE, new Endpoint("a", 1, 0, EndpointState.DEPARTED, false, 0));
         advance(6000 * MS);
-        // b, c and a, at which the write is still out.
+        // Left are b, c, and a, which still has the write in flight.
         assertEquals(3, router.serverCount());
         attemptEnded("w", 0, "a", AttemptOutcome.BROKEN, LogPosition.UNKNOWN, ServerRole.UNKNOWN);
         advance(200 * MS);
         assertEquals(2, router.serverCount());
-        // A group all of whose members have left still answers.
+        // A group without members still answers its requests.
         updateEndpoints(ListForm.FULL);
         advance(6000 * MS);
         assertEquals(0, router.serverCount());
--- a/routing/src/test/java/lupinvalve/routing/EndpointWatchTest.java
+++ b/routing/src/test/java/lupinvalve/routing/EndpointWatchTest.java
@@ -5,10 +5,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The watch on the endpoint list. */
+/** When the watch on the endpoint list is requested. */
 class EndpointWatchTest extends RouterFixture {
     @Test
-    void routerWatchesAtOnceAndAgainAfterAFailure() {
+    void watchIsRequestedAtTheStartAndAgainAfterAFailure() {
         start(RouterSettings.FreshnessCheck.AWAIT, RouterSettings.TokenSource.CARRIED, RequestClass.Effect.KEYED);
         assertTrue(actions.contains(new RouterAction.WatchEndpoints(true)));
         actions.clear();
--- a/routing/src/test/java/lupinvalve/routing/HealthCheckerTest.java
+++ b/routing/src/test/java/lupinvalve/routing/HealthCheckerTest.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What health checks lead to. */
+/** Effects of failed health checks. */
 class HealthCheckerTest extends RouterFixture {
     @Test
     void failedHealthChecksAloneEjectNoServer() {
@@ -18,6 +18,6 @@
         }
         request("r", READ, null, 800 * MS);
         assertTrue(
-                List.of("b", "c").contains(lastServer("r")), "a replica that serves stays in use: " + lastServer("r"));
+                List.of("b", "c").contains(lastServer("r")), "failed checks eject no replica: " + lastServer("r"));
     }
 }
--- a/routing/src/test/java/lupinvalve/routing/PolicyFileTest.java
+++ b/routing/src/test/java/lupinvalve/routing/PolicyFileTest.java
@@ -13,13 +13,16 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The decisions, as the deploy file names them, stay small enough to be read, and it names each file of the module. */
+/**
+ * The files listed as {@code policy} in deploy/balancer.toml keep to a readable size, and its lists name each source
+ * file of this module exactly once.
+ */
 class PolicyFileTest {
     private static final String MODULE = "routing/src/main/java/lupinvalve/routing";
     private static final int MAX_FILE_LINES = 249;
     private static final int MAX_LINE_CHARS = 120;
 
-    private static List<String> files(String key) throws IOException {
+    private static List<String> listedFiles(String key) throws IOException {
         String line = Files.readString(Path.of("deploy/balancer.toml"))
                 .lines()
                 .filter(text -> text.startsWith(key + " "))
@@ -33,26 +36,26 @@
     }
 
     @Test
-    void moduleKeepsToItsSizeAndLineLength() throws IOException {
-        List<String> policy = files("policy");
+    void policyFilesKeepToTheFileAndLineLength() throws IOException {
+        List<String> policy = listedFiles("policy");
         assertTrue(policy.size() > 1, policy.toString());
         for (String file : policy) {
             List<String> lines = Files.readAllLines(Path.of(file));
             lines.forEach(line -> assertTrue(line.length() <= MAX_LINE_CHARS, line));
-            assertTrue(lines.size() <= MAX_FILE_LINES, file + " has lines: " + lines.size());
+            assertTrue(lines.size() <= MAX_FILE_LINES, file + " is too long, number of lines: " + lines.size());
         }
     }
 
     @Test
-    void eachFileOfTheModuleIsNamedOnce() throws IOException {
-        List<String> named = new ArrayList<>(files("policy"));
-        named.addAll(files("node").stream()
+    void eachFileOfTheModuleIsListedOnce() throws IOException {
+        List<String> listed = new ArrayList<>(listedFiles("policy"));
+        listed.addAll(listedFiles("node").stream()
                 .filter(file -> file.startsWith(MODULE + "/"))
                 .toList());
-        named.sort(null);
-        try (Stream<Path> folder = Files.list(Path.of(MODULE))) {
-            List<String> present = folder.map(Path::toString).sorted().toList();
-            assertEquals(present, named);
+        listed.sort(null);
+        try (Stream<Path> directory = Files.list(Path.of(MODULE))) {
+            List<String> present = directory.map(Path::toString).sorted().toList();
+            assertEquals(present, listed);
         }
     }
 }
--- a/routing/src/test/java/lupinvalve/routing/PrimarySearchTest.java
+++ b/routing/src/test/java/lupinvalve/routing/PrimarySearchTest.java
@@ -4,10 +4,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** How the primary is found while none is known. */
+/** How the primary is found while no usable one is known. */
 class PrimarySearchTest extends RouterFixture {
     @Test
-    void writesFindThePrimaryInSortedOrderAndStopAtItsAnswer() {
+    void writesTryMembersInSortedOrderUntilThePrimaryAnswers() {
         router = new Router(
                 7,
                 settings(
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void changeOfPrimaryQueuesWritesUntilTheNewPrimaryIsKnown() {
+    void writesAreQueuedUntilTheNewPrimaryIsKnown() {
         start(RouterSettings.FreshnessCheck.SILENT, RouterSettings.TokenSource.REMEMBERED, RequestClass.Effect.UNSAFE);
         allServersReport();
         request("w", WRITE, "s", 2000 * MS);
--- a/routing/src/test/java/lupinvalve/routing/PrimaryTrackerTest.java
+++ b/routing/src/test/java/lupinvalve/routing/PrimaryTrackerTest.java
@@ -5,22 +5,22 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Which statements of a role count. */
+/** Which of the roles that servers state take effect. */
 class PrimaryTrackerTest extends RouterFixture {
     @Test
-    void lateReportOfAnOldPrimaryDoesNotUndoNewerClaim() {
+    void lateReportOfAFormerPrimaryDoesNotReplaceANewerClaim() {
         start(RouterSettings.FreshnessCheck.SILENT, RouterSettings.TokenSource.REMEMBERED, RequestClass.Effect.UNSAFE);
         allServersReport();
-        long before = now;
+        long formerClaimMicros = now + MS;
         now += 4000 * MS;
         healthCheckServed("c", now, ServerRole.PRIMARY);
-        healthCheckServed("a", before + MS, ServerRole.PRIMARY);
+        healthCheckServed("a", formerClaimMicros, ServerRole.PRIMARY);
         request("w", WRITE, "s", 2000 * MS);
         assertEquals("c", lastServer("w"));
     }
 
     @Test
-    void serverThatStatedToBeAReplicaIsNotReadAsPrimary() {
+    void serverThatStatedToBeAReplicaGetsNoStrongReads() {
         start(RouterSettings.FreshnessCheck.SILENT, RouterSettings.TokenSource.REMEMBERED, RequestClass.Effect.UNSAFE);
         allServersReport();
         request("w", WRITE, "s", 2000 * MS);
--- a/routing/src/test/java/lupinvalve/routing/ReplicationLagTest.java
+++ b/routing/src/test/java/lupinvalve/routing/ReplicationLagTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Which replicas are fresh enough for a read. */
+/** Which replicas count as fresh enough for a read. */
 class ReplicationLagTest extends RouterFixture {
     @Test
     void readThatMissedDoesNotUseUpItsAttemptsBeforeTheReplicasHaveCaughtUp() {
@@ -17,7 +17,7 @@
             attemptEnded("r", i, lastServer("r"), AttemptOutcome.MISSED, now - 28 * MS, ServerRole.REPLICA);
         }
         assertEquals(2, attempts("r"));
-        // On sockets news comes within a fraction of a millisecond: each may not lead to a further try.
+        // Over sockets, events arrive within a fraction of a millisecond; not each of them may start another attempt.
         now += 2 * MS;
         updateEndpoints(ListForm.UPDATE);
         assertEquals(2, attempts("r"));
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void boundedReadIsJudgedWhenItsAttemptStarts() {
+    void freshnessForABoundedReadCountsAtTheStartOfItsAttempt() {
         start(RouterSettings.FreshnessCheck.SILENT, RouterSettings.TokenSource.REMEMBERED, RequestClass.Effect.UNSAFE);
         allServersReport();
         now += 490 * MS;
@@ -41,6 +41,6 @@
         healthCheckServed("b", now - 3000 * MS, ServerRole.REPLICA);
         healthCheckServed("c", now - 3000 * MS, ServerRole.REPLICA);
         request("r", READ, null, 800 * MS);
-        assertTrue(List.of("b", "c").contains(lastServer("r")), "what was told once stays proven");
+        assertTrue(List.of("b", "c").contains(lastServer("r")), "the greatest position ever stated still holds");
     }
 }
--- a/routing/src/test/java/lupinvalve/routing/RouterFixture.java
+++ b/routing/src/test/java/lupinvalve/routing/RouterFixture.java
@@ -3,9 +3,15 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Drives a router through its interface alone: three servers of one group, five classes, a clock set by hand. */
+/**
+ * Base class of tests that drive a router through its public interface only. One group has the primary a and the
+ * replicas b and c, there are five request classes, and each test advances the clock itself.
+ */
 abstract class RouterFixture {
+    /** Microseconds in a millisecond: the unit of all times is the microsecond. */
     static final long MS = 1000;
+
+    /** Indexes of the request classes in {@link #settings}. */
     static final int READ = 0;
     static final int SESSION_READ = 1;
     static final int STRONG_READ = 2;
@@ -13,16 +19,28 @@
     static final int LONG_READ = 4;
 
     final List<RouterAction> actions = new ArrayList<>();
+    /** Time of the next event, in microseconds. */
     long now = 1_000_000_000L;
+
     Router router;
 
-    static RequestClass requestClass(String name, RequestClass.Access access, RequestClass.Effect effect, long aim) {
+    static RequestClass requestClass(
+            String name, RequestClass.Access access, RequestClass.Effect effect, long objectiveMicros) {
         return new RequestClass(
-                name, access, 500 * MS, effect, RequestClass.KeyScope.GROUP, 3000 * MS, aim, 4 * aim, 1, 0.2);
+                name,
+                access,
+                500 * MS,
+                effect,
+                RequestClass.KeyScope.GROUP,
+                3000 * MS,
+                objectiveMicros,
+                4 * objectiveMicros,
+                1,
+                0.2);
     }
 
     static RouterSettings settings(
-            RouterSettings.FreshnessCheck check, RouterSettings.TokenSource tokens, RequestClass.Effect write) {
+            RouterSettings.FreshnessCheck check, RouterSettings.TokenSource tokens, RequestClass.Effect writeEffect) {
         return new RouterSettings(
                 0,
                 2,
@@ -30,17 +48,19 @@
                 true,
                 List.of(
                         requestClass("read", RequestClass.Access.BOUNDED, RequestClass.Effect.SAFE, 200 * MS),
-                        requestClass("own", RequestClass.Access.SESSION, RequestClass.Effect.SAFE, 200 * MS),
-                        requestClass("live", RequestClass.Access.STRONG, RequestClass.Effect.SAFE, 200 * MS),
-                        requestClass("write", RequestClass.Access.WRITE, write, 500 * MS),
-                        requestClass("report", RequestClass.Access.ANY, RequestClass.Effect.SAFE, 2000 * MS)),
+                        requestClass("session-read", RequestClass.Access.SESSION, RequestClass.Effect.SAFE, 200 * MS),
+                        requestClass("strong-read", RequestClass.Access.STRONG, RequestClass.Effect.SAFE, 200 * MS),
+                        requestClass("write", RequestClass.Access.WRITE, writeEffect, 500 * MS),
+                        requestClass("long-read", RequestClass.Access.ANY, RequestClass.Effect.SAFE, 2000 * MS)),
                 new RouterSettings.SiteLimits(8, false, true, true, true, 1_000_000, 10_000),
                 new RouterSettings.Rules(8 * MS, 1000 * MS, 10_000 * MS, 0.2, 10_000 * MS, 2, 1500 * MS),
                 new RouterSettings.Replication(check, 50 * MS, tokens));
     }
 
-    void start(RouterSettings.FreshnessCheck check, RouterSettings.TokenSource tokens, RequestClass.Effect write) {
-        router = new Router(7, settings(check, tokens, write), now, actions::add);
+    /** Starts a router with the endpoint list of an earlier process. */
+    void start(
+            RouterSettings.FreshnessCheck check, RouterSettings.TokenSource tokens, RequestClass.Effect writeEffect) {
+        router = new Router(7, settings(check, tokens, writeEffect), now, actions::add);
         updateEndpoints(ListForm.RESTORED, liveEndpoint("a", true), liveEndpoint("b", false), liveEndpoint("c", false));
     }
 
@@ -48,48 +68,50 @@
         return new Endpoint(node, 1, 0, EndpointState.LIVE, primary, 0);
     }
 
-    void updateEndpoints(ListForm form, Endpoint... members) {
-        handle(new RouterEvent.EndpointUpdate(form, List.of(members)));
+    void updateEndpoints(ListForm form, Endpoint... endpoints) {
+        handle(new RouterEvent.EndpointUpdate(form, List.of(endpoints)));
     }
 
     void handle(RouterEvent event) {
         router.handle(now, event, actions::add);
     }
 
-    void request(String id, int cls, String session, long left) {
-        handle(new RouterEvent.RequestArrived(id, cls, false, session, 0, 1, left));
+    void request(String id, int classIndex, String session, long timeLeftMicros) {
+        handle(new RouterEvent.RequestArrived(id, classIndex, false, session, 0, 1, timeLeftMicros));
     }
 
     void healthCheckServed(String node, long position, ServerRole role) {
         handle(new RouterEvent.HealthCheckEnded(node, AttemptOutcome.SERVED, MS, position, role));
     }
 
-    void attemptEnded(String id, int attempt, String node, AttemptOutcome ending, long position, ServerRole role) {
+    void attemptEnded(String id, int attempt, String node, AttemptOutcome outcome, long position, ServerRole role) {
         handle(new RouterEvent.AttemptEnded(
-                id, attempt, node, ending, 20 * MS, ending == AttemptOutcome.SERVED, position, role));
+                id, attempt, node, outcome, 20 * MS, outcome == AttemptOutcome.SERVED, position, role));
     }
 
-    /** Lets time pass, firing the timer of the router whenever it may be due. */
+    /** Advances the clock in steps of 5 ms, each with a timer event, so that the router's timer is never late. */
     void advance(long micros) {
-        for (long end = now + micros; now < end; ) {
+        for (long endMicros = now + micros; now < endMicros; ) {
             now += 5 * MS;
             handle(new RouterEvent.TimerFired(1));
         }
     }
 
+    /** The last attempt that was started for a request, or null. */
     RouterAction.StartAttempt lastAttempt(String id) {
-        RouterAction.StartAttempt found = null;
+        RouterAction.StartAttempt last = null;
         for (RouterAction action : actions) {
             if (action instanceof RouterAction.StartAttempt start && start.id().equals(id)) {
-                found = start;
+                last = start;
             }
         }
-        return found;
+        return last;
     }
 
+    /** The server of the last attempt that was started for a request, or null. */
     String lastServer(String id) {
-        RouterAction.StartAttempt found = lastAttempt(id);
-        return found == null ? null : found.node();
+        RouterAction.StartAttempt last = lastAttempt(id);
+        return last == null ? null : last.node();
     }
 
     long attempts(String id) {
@@ -112,6 +134,7 @@
                 .count();
     }
 
+    /** Health checks of all servers succeed: the replicas are 20 ms behind the primary. */
     void allServersReport() {
         healthCheckServed("a", now, ServerRole.PRIMARY);
         healthCheckServed("b", now - 20 * MS, ServerRole.REPLICA);
--- a/routing/src/test/java/lupinvalve/routing/RouterSettingsTest.java
+++ b/routing/src/test/java/lupinvalve/routing/RouterSettingsTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Checks of the settings. */
+/** Range checks of the settings. */
 class RouterSettingsTest extends RouterFixture {
     @Test
     void settingsOutOfRangeAreRejectedByName() {
--- a/routing/src/test/java/lupinvalve/routing/RouterTest.java
+++ b/routing/src/test/java/lupinvalve/routing/RouterTest.java
@@ -5,21 +5,21 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The router as a whole. */
+/** The router as a whole: its decisions are deterministic for a given seed. */
 class RouterTest extends RouterFixture {
     @Test
     void sameEventsGiveTheSameActions() {
         start(RouterSettings.FreshnessCheck.AWAIT, RouterSettings.TokenSource.CARRIED, RequestClass.Effect.KEYED);
-        playManyRequests();
+        runManyRequests();
         List<RouterAction> first = List.copyOf(actions);
         actions.clear();
         now = 1_000_000_000L;
         start(RouterSettings.FreshnessCheck.AWAIT, RouterSettings.TokenSource.CARRIED, RequestClass.Effect.KEYED);
-        playManyRequests();
+        runManyRequests();
         assertEquals(first, actions);
     }
 
-    private void playManyRequests() {
+    private void runManyRequests() {
         allServersReport();
         for (int i = 0; i < 40; i++) {
             request("q" + i, i % 5, "s", 600 * MS);
--- a/routing/src/test/java/lupinvalve/routing/RuleChecker.java
+++ b/routing/src/test/java/lupinvalve/routing/RuleChecker.java
@@ -7,14 +7,17 @@
 import java.util.List;
 import java.util.Map;
 
-/** The rules of the users' pages: notes each one that an action of a router breaks. */
+/**
+ * Checks the actions of the simulated routers against the rules that the user documentation states, and records each
+ * violation.
+ */
 final class RuleChecker {
-    /** What was broken; each note begins with the rule's word. */
-    final List<String> broken = new ArrayList<>();
+    /** The violations found; each text begins with the name of the rule. */
+    final List<String> violations = new ArrayList<>();
 
     private final VirtualTime time;
     private final RulesWorldSettings settings;
-    /** For a router and a server, whether the latter stated last that it is a replica. */
+    /** By router number and server id: whether the role that the server last stated to the router is replica. */
     private final Map<String, Boolean> statedReplica = new HashMap<>();
 
     RuleChecker(VirtualTime time, RulesWorldSettings settings) {
@@ -22,25 +25,25 @@
         this.settings = settings;
     }
 
-    void breaks(String note) {
-        broken.add(note);
+    void recordViolation(String violation) {
+        violations.add(violation);
     }
 
-    /** A server has stated its role to a router. */
+    /** Records that a server has stated its role to a router. */
     void roleStated(int router, SimulatedServer server, ServerRole role) {
         statedReplica.put(router + server.id, role == ServerRole.REPLICA);
     }
 
-    /** A request is rejected: it must not have run, unless that does no harm. */
+    /** Checks the rejection of a request: unless the request is idempotent, it must not have run. */
     void rejected(SimulatedRequest request) {
         boolean mayHaveRun = request.mayHaveRunSince != Long.MAX_VALUE;
         if (request.inFlight != null || mayHaveRun && request.requestClass.effect() != RequestClass.Effect.SAFE) {
-            breaks("effect: refused though it may have run: " + request.id);
+            recordViolation("effect: rejected in flight, or although it may have run: request " + request.id);
         }
     }
 
-    /** An attempt starts. */
-    void attemptStarts(SimulatedRequest request, SimulatedServer server) {
+    /** Checks the start of an attempt at a server, called before the attempt is counted. */
+    void attemptStarted(SimulatedRequest request, SimulatedServer server) {
         checkEffect(request, server);
         checkDrain(server);
         checkFreshness(request, server);
@@ -50,7 +53,7 @@
         if (server.group != request.group
                 || request.inFlight != null
                 || request.attempts >= settings.limits.maxAttempts()) {
-            breaks("effect: another group, a second at a time, or one too many: " + request.id);
+            recordViolation("effect: attempt at another group, second in flight, or over the maximum: " + request.id);
         }
         RequestClass requestClass = request.requestClass;
         boolean mayHaveRun = request.mayHaveRunSince != Long.MAX_VALUE;
@@ -58,38 +61,40 @@
                 && (requestClass.effect() == RequestClass.Effect.UNSAFE
                         || requestClass.effect() == RequestClass.Effect.KEYED
                                 && time.now() >= request.mayHaveRunSince + requestClass.keyTtlMicros())) {
-            breaks("effect: a repeat that may run twice: " + request.id);
+            recordViolation("effect: retried although it may run twice: request " + request.id);
         }
     }
 
     private void checkDrain(SimulatedServer server) {
         long now = time.now();
         if (server.listed != EndpointState.LIVE && now > server.drainNotified + settings.rules.drainGraceMicros()) {
-            long since = (now - server.drainNotified) / MILLI;
-            breaks("drain: " + server.id + " was listed as draining " + since + " ms ago");
+            long sinceMillis = (now - server.drainNotified) / MILLI;
+            recordViolation("drain: attempt at server " + server.id + " " + sinceMillis + " ms after the notification");
         }
     }
 
     private void checkFreshness(SimulatedRequest request, SimulatedServer server) {
         RequestClass.Access access = request.requestClass.access();
-        long required = request.requiredPosition(time.now());
+        long requiredPosition = request.requiredPosition(time.now());
         boolean read = access != RequestClass.Access.WRITE && access != RequestClass.Access.ANY;
-        boolean excused = !statedReplica.getOrDefault(request.router + server.id, Boolean.TRUE);
+        // A router may read from a server that last stated to be the primary, though it no longer is.
+        boolean takenForPrimary = !statedReplica.getOrDefault(request.router + server.id, Boolean.TRUE);
         if (read
                 && settings.replication.check() == RouterSettings.FreshnessCheck.SILENT
-                && server.position() < required
+                && server.position() < requiredPosition
                 && !server.isPrimary()
-                && !excused) {
-            long behind = (required - server.position()) / MILLI;
-            breaks("stale: " + request.id + " at " + server.id + ", behind by " + behind + " ms");
+                && !takenForPrimary) {
+            long behindMillis = (requiredPosition - server.position()) / MILLI;
+            recordViolation("stale: request " + request.id + " at server " + server.id + ", which is " + behindMillis
+                    + " ms behind the required position");
         }
     }
 
-    /** An attempt starts at a server in slow start: all routers together are held against what it can do. */
-    void attemptInSlowStart(SimulatedServer server) {
-        String note = server.attemptInSlowStart(settings.routerCount);
-        if (note != null) {
-            breaks("slow start: " + note);
+    /** Checks the start of an attempt at a server in slow start against its capacity: all routers count together. */
+    void attemptStartedInSlowStart(SimulatedServer server) {
+        String overload = server.attemptInSlowStart(settings.routerCount);
+        if (overload != null) {
+            recordViolation("slow start: " + overload);
         }
     }
 }
--- a/routing/src/test/java/lupinvalve/routing/RulesTest.java
+++ b/routing/src/test/java/lupinvalve/routing/RulesTest.java
@@ -10,8 +10,9 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * The rules of the users' pages, whatever the settings: each seed draws a deployment from ranges that cover those known
- * and go past them, plays the real module before a small model, and looks at every action.
+ * Property test of the rules that the user documentation states. Each seed draws a deployment from ranges that cover
+ * those of known deployments and exceed them, runs real routers against simulated servers and clients, and checks every
+ * action.
  */
 class RulesTest {
     static LongStream seeds() {
@@ -23,13 +24,13 @@
     void everyRuleHoldsUnderSettingsDrawnAtRandom(long seed) {
         RulesWorld world = new RulesWorld(seed);
         world.run();
-        assertEquals(List.of(), world.broken().stream().limit(5).toList(), world.describe());
+        assertEquals(List.of(), world.violations().stream().limit(5).toList(), world.describe());
         assertTrue(world.arrived > 100, world.describe());
         assertTrue(world.served > world.arrived / 20, world.describe());
     }
 
     @Test
-    void theSameSeedIsPlayedTheSame() {
+    void sameSeedGivesTheSameRun() {
         RulesWorld first = new RulesWorld(7);
         RulesWorld second = new RulesWorld(7);
         first.run();
@@ -37,21 +38,21 @@
         assertEquals(first.describe(), second.describe());
     }
 
-    /** Each checker is seen to bite: a module that does what it must not is found out. */
+    /** Shows that the checks work: with each planted fault, one of the seeds yields a violation of the fault's rule. */
     @ParameterizedTest
-    @MethodSource("planted")
-    void aPlantedFaultIsFound(PlantedFault fault) {
-        boolean found = false;
-        for (long seed = 1; seed <= 40 && !found; seed++) {
+    @MethodSource("plantedFaults")
+    void plantedFaultIsDetected(PlantedFault fault) {
+        boolean detected = false;
+        for (long seed = 1; seed <= 40 && !detected; seed++) {
             RulesWorld world = new RulesWorld(seed);
-            world.planted = fault;
+            world.plantedFault = fault;
             world.run();
-            found = world.broken().stream().anyMatch(note -> note.startsWith(fault.rule));
+            detected = world.violations().stream().anyMatch(violation -> violation.startsWith(fault.rule));
         }
-        assertTrue(found, fault + " was not found");
+        assertTrue(detected, "no violation reported for the planted fault " + fault);
     }
 
-    static List<PlantedFault> planted() {
+    static List<PlantedFault> plantedFaults() {
         return List.of(PlantedFault.values());
     }
 }
--- a/routing/src/test/java/lupinvalve/routing/RulesWorld.java
+++ b/routing/src/test/java/lupinvalve/routing/RulesWorld.java
@@ -10,86 +10,95 @@
 import java.util.SplittableRandom;
 
 /**
- * A small world in virtual time. It draws a deployment, its faults and its clients' requests from a seed and plays
- * routers in it; {@link RuleChecker} notes each rule that an action breaks.
+ * A simulation in virtual time of routers, servers and clients. The deployment, its faults and its requests are drawn
+ * from a seed; {@link RuleChecker} checks every action of the routers. All times are in microseconds.
  */
 final class RulesWorld {
-    private static final int MOST_EVENTS = 400_000;
-    private static final long AFTERMATH = 30 * SECOND;
+    private static final int MAX_EVENTS = 400_000;
+    /** Time after the arrivals within which all requests must end. */
+    private static final long SETTLE_MICROS = 30 * SECOND;
 
     final RuleChecker checker;
     int arrived;
     int served;
     int rejected;
     int failed;
-    PlantedFault planted;
+    /** The fault to add, or null. */
+    PlantedFault plantedFault;
+
     private final long seed;
     private final SplittableRandom random;
     private final VirtualTime time = new VirtualTime();
     private final RulesWorldSettings settings;
     private final SimulatedCluster cluster;
     private final List<Router> routers = new ArrayList<>();
-    private final Map<String, SimulatedRequest> open = new HashMap<>();
-    /** Requests a second, and for how long they come. */
-    private final double rate;
-
-    private final long length;
+    private final Map<String, SimulatedRequest> openRequests = new HashMap<>();
+    private final double requestsPerSecond;
+    /** Time during which requests arrive. */
+    private final long arrivalMicros;
 
     RulesWorld(long seed) {
         this.seed = seed;
         random = new SplittableRandom(seed * 7919);
         settings = new RulesWorldSettings(seed, random);
         checker = new RuleChecker(time, settings);
-        cluster = new SimulatedCluster(time, random, settings, this::attemptEnds, this::listChanges);
-        rate = Math.min(400, cluster.requestsPerSecond() * (0.2 + 0.9 * random.nextDouble()));
-        length = (long) Math.min(12 * SECOND, 4000 / rate * SECOND);
-        double price = random.nextBoolean() ? 0 : 0.05 * random.nextDouble();
+        cluster = new SimulatedCluster(time, random, settings, this::endAttempt, this::notifyRouters);
+        // From 20 % to 110 % of what the warm servers can serve.
+        requestsPerSecond = Math.min(400, cluster.requestsPerSecond() * (0.2 + 0.9 * random.nextDouble()));
+        // Long enough for 4000 requests, 12 s at most.
+        arrivalMicros = (long) Math.min(12 * SECOND, 4000 / requestsPerSecond * SECOND);
+        double crossZonePrice = random.nextBoolean() ? 0 : 0.05 * random.nextDouble();
         for (int i = 0; i < settings.routerCount; i++) {
-            int self = i;
-            RouterSettings ofRouter = settings.router(i, price);
-            routers.add(new Router(seed * 1000 + i, ofRouter, time.now(), action -> perform(self, action)));
+            int router = i;
+            RouterSettings routerSettings = settings.router(i, crossZonePrice);
+            routers.add(new Router(seed * 1000 + i, routerSettings, time.now(), action -> perform(router, action)));
         }
     }
 
-    List<String> broken() {
-        return checker.broken;
+    List<String> violations() {
+        return checker.violations;
     }
 
+    /** The deployment and the outcome of the run, in one line. */
     String describe() {
         return "seed " + seed + ": " + routers.size() + " routers, "
                 + cluster.servers().size() + " db nodes, " + settings.zones + " zones, " + settings.groups
-                + " groups, " + settings.replication.check() + ", asked " + arrived + ", served " + served
-                + ", refused " + rejected + ", failed " + failed + ", broken " + broken().size();
+                + " groups, " + settings.replication.check() + ", arrived " + arrived + ", served " + served
+                + ", rejected " + rejected + ", failed " + failed + ", violations " + violations().size();
     }
 
     // ---- clients ----
 
+    /** Runs the simulation until all requests have ended, to the end of its time or of {@link #MAX_EVENTS} at most. */
     void run() {
-        List<Endpoint> members =
+        List<Endpoint> endpoints =
                 cluster.servers().stream().map(SimulatedServer::endpoint).toList();
         for (int i = 0; i < routers.size(); i++) {
-            handle(i, new RouterEvent.EndpointUpdate(ListForm.RESTORED, members));
-            handle(i, new RouterEvent.EndpointUpdate(ListForm.FULL, members));
+            handle(i, new RouterEvent.EndpointUpdate(ListForm.RESTORED, endpoints));
+            handle(i, new RouterEvent.EndpointUpdate(ListForm.FULL, endpoints));
         }
         for (int i = 0; i < 4; i++) {
-            time.in((long) (length * (0.15 + 0.6 * random.nextDouble())), cluster::fault);
+            time.in((long) (arrivalMicros * (0.15 + 0.6 * random.nextDouble())), cluster::fault);
         }
-        time.in(0, this::requestArrives);
-        long end = time.now() + length + AFTERMATH;
-        for (int events = 0; events < MOST_EVENTS && time.runNext(end); events++) {
-            if (time.now() > end - AFTERMATH && open.isEmpty()) {
+        time.in(0, this::submitRequest);
+        long end = time.now() + arrivalMicros + SETTLE_MICROS;
+        for (int events = 0; events < MAX_EVENTS && time.runNext(end); events++) {
+            if (time.now() > end - SETTLE_MICROS && openRequests.isEmpty()) {
                 break;
             }
         }
-        open.values().forEach(request -> checker.breaks("answer: none for " + request.id));
+        openRequests
+                .values()
+                .forEach(request -> checker.recordViolation("answer: none by the end of the run: request " + request.id));
     }
 
     private void handle(int router, RouterEvent event) {
         routers.get(router).handle(time.now(), event, action -> perform(router, action));
     }
 
-    private void requestArrives() {
-        if (arrived / rate * SECOND > length) {
+    /** Submits a request to a random router, and schedules the next one: arrivals are a Poisson process. */
+    private void submitRequest() {
+        if (arrived / requestsPerSecond * SECOND > arrivalMicros) {
             return;
         }
         int router = random.nextInt(routers.size());
@@ -97,48 +106,52 @@
         int group = random.nextInt(settings.groups);
         String id = Integer.toString(arrived++, 36);
         RequestClass requestClass = settings.classes.get(classIndex);
-        long wait = (long) (requestClass.deadlineMicros() * (0.4 + 0.6 * random.nextDouble()));
-        long sinceWrite = random.nextBoolean() ? 0 : (1 + random.nextInt(900)) * MILLI;
-        long required = requiredPosition(requestClass.access(), sinceWrite);
-        SimulatedRequest request =
-                new SimulatedRequest(router, classIndex, group, id, requestClass, time.now() + wait, required);
-        open.put(id, request);
-        // A router that gives no answer is found by this: the final one is due with a little slack.
-        time.in(wait + settings.rules.answerSlackMicros() + MILLI, () -> answerDue(request));
-        time.in((long) (-Math.log(1 - random.nextDouble()) / rate * SECOND), this::requestArrives);
+        long waitMicros = (long) (requestClass.deadlineMicros() * (0.4 + 0.6 * random.nextDouble()));
+        long sinceWriteMicros = random.nextBoolean() ? 0 : (1 + random.nextInt(900)) * MILLI;
+        long requiredPosition = requiredPosition(requestClass.access(), sinceWriteMicros);
+        SimulatedRequest request = new SimulatedRequest(
+                router, classIndex, group, id, requestClass, time.now() + waitMicros, requiredPosition);
+        openRequests.put(id, request);
+        // Detects a missing final answer, which is due when the client's wait and the answer slack have passed.
+        time.in(waitMicros + settings.rules.answerSlackMicros() + MILLI, () -> checkAnswered(request));
+        time.in((long) (-Math.log(1 - random.nextDouble()) / requestsPerSecond * SECOND), this::submitRequest);
         String session = "s" + random.nextInt(50);
-        handle(router, new RouterEvent.RequestArrived(id, classIndex, false, session, sinceWrite, group, wait));
+        handle(
+                router,
+                new RouterEvent.RequestArrived(id, classIndex, false, session, sinceWriteMicros, group, waitMicros));
     }
 
-    private long requiredPosition(RequestClass.Access access, long sinceWrite) {
+    /** The log position that a server must have reached for a read; of a bounded read see {@link SimulatedRequest}. */
+    private long requiredPosition(RequestClass.Access access, long sinceWriteMicros) {
         if (access == RequestClass.Access.STRONG) {
             return time.now();
         }
-        boolean hasWritten = access == RequestClass.Access.SESSION && sinceWrite > 0;
-        return hasWritten ? time.now() - sinceWrite : Long.MIN_VALUE;
+        boolean hasWritten = access == RequestClass.Access.SESSION && sinceWriteMicros > 0;
+        return hasWritten ? time.now() - sinceWriteMicros : Long.MIN_VALUE;
     }
 
-    private void answerDue(SimulatedRequest request) {
+    private void checkAnswered(SimulatedRequest request) {
         if (!request.closed) {
-            checker.breaks("answer: none in time for " + request.id + " of class " + request.classIndex);
+            checker.recordViolation(
+                    "answer: no final answer in time: request " + request.id + " of class " + request.classIndex);
             close(request);
         }
     }
 
     private void close(SimulatedRequest request) {
         request.closed = true;
-        open.remove(request.id);
+        openRequests.remove(request.id);
     }
 
-    // ---- what routers do ----
+    // ---- actions of the routers ----
 
     private void perform(int router, RouterAction action) {
         if (action instanceof RouterAction.StartAttempt start) {
             startAttempt(router, start);
         } else if (action instanceof RouterAction.Reject reject) {
-            reject(open.get(reject.id()));
+            reject(openRequests.get(reject.id()));
         } else if (action instanceof RouterAction.Fail fail) {
-            fail(open.get(fail.id()));
+            fail(openRequests.get(fail.id()));
         } else if (action instanceof RouterAction.CheckHealth check) {
             SimulatedServer server = cluster.server(check.node());
             time.in(2 * MILLI, () -> handle(router, healthCheckEnded(server)));
@@ -147,15 +160,15 @@
         } else if (action instanceof RouterAction.WatchEndpoints && random.nextInt(4) == 0) {
             time.in(50 * MILLI, () -> handle(router, new RouterEvent.EndpointUpdate(ListForm.UNAVAILABLE, List.of())));
         } else if (action instanceof RouterAction.CancelAttempt cancel) {
-            SimulatedRequest request = open.get(cancel.id());
+            SimulatedRequest request = openRequests.get(cancel.id());
             if (request != null && request.inFlight != null) {
-                attemptEnds(request.inFlight, AttemptOutcome.CANCELLED);
+                endAttempt(request.inFlight, AttemptOutcome.CANCELLED);
             }
         }
     }
 
     private void reject(SimulatedRequest request) {
-        if (request == null || planted == PlantedFault.ANSWER_WITHHELD && random.nextInt(4) == 0) {
+        if (request == null || plantedFault == PlantedFault.ANSWER_WITHHELD && random.nextInt(4) == 0) {
             return;
         }
         checker.rejected(request);
@@ -179,30 +192,33 @@
     }
 
     private void startAttempt(int router, RouterAction.StartAttempt start) {
-        SimulatedRequest request = open.get(start.id());
+        SimulatedRequest request = openRequests.get(start.id());
         if (request == null || request.router != router) {
-            checker.breaks("answer: sent after its end: " + start.id());
+            checker.recordViolation(
+                    "answer: attempt after the request's end, or by another router: request " + start.id());
             return;
         }
-        SimulatedServer server = serverOrMisled(request, cluster.server(start.node()));
-        checker.attemptStarts(request, server);
+        SimulatedServer server = attemptedServer(request, cluster.server(start.node()));
+        checker.attemptStarted(request, server);
         request.attempts++;
         SimulatedAttempt attempt = new SimulatedAttempt(request, request.attempts - 1, server, time.now());
         request.inFlight = attempt;
-        long timeout = start.timeoutMicros() > 0 ? start.timeoutMicros() : Long.MAX_VALUE;
-        time.in(Math.min(request.expires - time.now(), timeout), () -> attemptEnds(attempt, AttemptOutcome.TIMED_OUT));
+        long timeoutMicros = start.timeoutMicros() > 0 ? start.timeoutMicros() : Long.MAX_VALUE;
+        time.in(
+                Math.min(request.expires - time.now(), timeoutMicros),
+                () -> endAttempt(attempt, AttemptOutcome.TIMED_OUT));
         if (server.inSlowStart()) {
-            checker.attemptInSlowStart(server);
+            checker.attemptStartedInSlowStart(server);
         }
         time.in(MILLI, () -> server.receive(attempt));
     }
 
-    /** The server that the router selected, or the one that a router with a planted fault would. */
-    private SimulatedServer serverOrMisled(SimulatedRequest request, SimulatedServer selected) {
-        boolean misled = planted == PlantedFault.READ_FROM_ANY_REPLICA
-                || planted == PlantedFault.SLOW_START_IGNORED && !selected.inSlowStart()
-                || planted == PlantedFault.SENT_TO_DRAINING_SERVER;
-        return misled
+    /** The server that the router selected, or the one that a router with the planted fault would select. */
+    private SimulatedServer attemptedServer(SimulatedRequest request, SimulatedServer selected) {
+        boolean faulty = plantedFault == PlantedFault.READ_FROM_ANY_REPLICA
+                || plantedFault == PlantedFault.SLOW_START_IGNORED && !selected.inSlowStart()
+                || plantedFault == PlantedFault.SENT_TO_DRAINING_SERVER;
+        return faulty
                 ? cluster.servers().stream()
                         .filter(server -> server.group == request.group && isFaultyChoice(request, server))
                         .findFirst()
@@ -211,7 +227,7 @@
     }
 
     private boolean isFaultyChoice(SimulatedRequest request, SimulatedServer server) {
-        return switch (planted) {
+        return switch (plantedFault) {
             case READ_FROM_ANY_REPLICA -> request.requestClass.access() == RequestClass.Access.SESSION
                     && !server.isPrimary();
             case SLOW_START_IGNORED -> server.inSlowStart();
@@ -219,9 +235,9 @@
         };
     }
 
-    // ---- what routers hear ----
+    // ---- events for the routers ----
 
-    private void attemptEnds(SimulatedAttempt attempt, AttemptOutcome outcome) {
+    private void endAttempt(SimulatedAttempt attempt, AttemptOutcome outcome) {
         if (attempt.ended) {
             return;
         }
@@ -244,22 +260,22 @@
             served++;
             close(request);
         }
-        // A router that takes what may have run for what never did.
-        boolean repeats = planted == PlantedFault.WRITE_REPEATED && outcome == AttemptOutcome.TIMED_OUT;
+        // With the planted fault, the router takes a request that may have run for one that never ran.
+        boolean reportedAsNeverRan = plantedFault == PlantedFault.WRITE_REPEATED && outcome == AttemptOutcome.TIMED_OUT;
         handle(
                 request.router,
                 new RouterEvent.AttemptEnded(
                         request.id,
                         attempt.number,
                         server.id,
-                        repeats ? AttemptOutcome.NOT_CONNECTED : outcome,
+                        reportedAsNeverRan ? AttemptOutcome.NOT_CONNECTED : outcome,
                         time.now() - attempt.sent,
                         request.closed,
                         answered ? server.position() : LogPosition.UNKNOWN,
                         role));
     }
 
-    private void listChanges(SimulatedServer server) {
+    private void notifyRouters(SimulatedServer server) {
         for (int i = 0; i < routers.size(); i++) {
             handle(i, new RouterEvent.EndpointUpdate(ListForm.UPDATE, List.of(server.endpoint())));
         }
--- a/routing/src/test/java/lupinvalve/routing/RulesWorldSettings.java
+++ b/routing/src/test/java/lupinvalve/routing/RulesWorldSettings.java
@@ -7,13 +7,13 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** A deployment's settings, drawn from ranges that cover those known and go past them. */
+/** A deployment's settings, drawn from ranges that cover those of known deployments and exceed them. */
 final class RulesWorldSettings {
     final int zones;
     final int routerCount;
     final int groups;
     final List<RequestClass> classes = new ArrayList<>();
-    /** A request's mean work on a core of ordinary speed, in microseconds. */
+    /** Mean work of a request on a core of speed 1, in microseconds. */
     final double work;
 
     final RouterSettings.Rules rules;
@@ -24,11 +24,13 @@
     RulesWorldSettings(long seed, SplittableRandom random) {
         this.random = random;
         zones = 1 + random.nextInt(5);
+        // Each tenth seed has 30 to 100 routers, the others have 14 at most.
         routerCount = seed % 10 == 0 ? 30 + random.nextInt(71) : 1 + random.nextInt(seed % 3 == 0 ? 14 : 4);
         groups = 1 + random.nextInt(4);
-        double scale = Math.pow(10, random.nextDouble() * 1.5 - 1);
-        work = 100 * MILLI * scale;
-        drawClasses(scale);
+        // Log-uniform between 0.1 and 3.2: a factor of all requests' durations.
+        double timeScale = Math.pow(10, random.nextDouble() * 1.5 - 1);
+        work = 100 * MILLI * timeScale;
+        drawClasses(timeScale);
         rules = new RouterSettings.Rules(
                 20 * MILLI,
                 (250 + random.nextInt(2000)) * MILLI,
@@ -51,7 +53,8 @@
                 RouterSettings.TokenSource.CARRIED);
     }
 
-    private void drawClasses(double scale) {
+    /** Draws two to five classes, the first of writes. */
+    private void drawClasses(double timeScale) {
         int count = 2 + random.nextInt(4);
         for (int i = 0; i < count; i++) {
             RequestClass.Access access =
@@ -59,17 +62,17 @@
             RequestClass.Effect effect = access == RequestClass.Access.WRITE
                     ? RequestClass.Effect.values()[1 + random.nextInt(2)]
                     : RequestClass.Effect.SAFE;
-            int longer = access == RequestClass.Access.ANY ? 4 : 1;
-            long objective = (long) ((300 + random.nextInt(900)) * MILLI * scale * longer);
+            int objectiveMultiple = access == RequestClass.Access.ANY ? 4 : 1;
+            long objectiveMicros = (long) ((300 + random.nextInt(900)) * MILLI * timeScale * objectiveMultiple);
             classes.add(new RequestClass(
                     "c" + i,
                     access,
-                    (long) (objective * 2 * random.nextDouble()) + 50 * MILLI,
+                    (long) (objectiveMicros * 2 * random.nextDouble()) + 50 * MILLI,
                     effect,
                     RequestClass.KeyScope.GROUP,
                     3 * SECOND,
-                    objective,
-                    objective * (2 + random.nextInt(4)),
+                    objectiveMicros,
+                    objectiveMicros * (2 + random.nextInt(4)),
                     1 + random.nextInt(4),
                     random.nextInt(3) * 0.35));
         }
--- a/routing/src/test/java/lupinvalve/routing/ServerEligibilityTest.java
+++ b/routing/src/test/java/lupinvalve/routing/ServerEligibilityTest.java
@@ -7,11 +7,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** How long a draining primary gets writes: from when its drain may have been notified at the earliest. */
+/** How long a draining primary gets writes: a time that counts from the earliest possible notification of its drain. */
 class ServerEligibilityTest {
     private static final long MS = 1000;
-    private static final long GRACE = 250 * MS;
-    private static final long LATE = Long.MAX_VALUE;
+    private static final long GRACE_MICROS = 250 * MS;
+    private static final long NOTIFIED_NOW = Long.MAX_VALUE;
     private final List<RouterAction> actions = new ArrayList<>();
     private long now = 1_000_000 * MS;
     private int writes;
@@ -34,31 +34,31 @@
                             1,
                             0.2)),
                     new RouterSettings.SiteLimits(8, false, true, true, true, 1_000_000, 10_000),
-                    new RouterSettings.Rules(20 * MS, GRACE, 10_000 * MS, 0.2, 10_000 * MS, 2, 1500 * MS),
+                    new RouterSettings.Rules(20 * MS, GRACE_MICROS, 10_000 * MS, 0.2, 10_000 * MS, 2, 1500 * MS),
                     new RouterSettings.Replication(
                             RouterSettings.FreshnessCheck.SILENT, 50 * MS, RouterSettings.TokenSource.REMEMBERED)),
             now,
             actions::add);
 
-    private static Endpoint endpoint(EndpointState health) {
-        return new Endpoint("a", 1, 0, health, true, 0);
+    private static Endpoint endpoint(EndpointState state) {
+        return new Endpoint("a", 1, 0, state, true, 0);
     }
 
     private void handle(RouterEvent event) {
         router.handle(now, event, actions::add);
     }
 
-    private void updateEndpoints(ListForm form, EndpointState health) {
-        handle(new RouterEvent.EndpointUpdate(form, List.of(endpoint(health))));
+    private void updateEndpoints(ListForm form, EndpointState state) {
+        handle(new RouterEvent.EndpointUpdate(form, List.of(endpoint(state))));
     }
 
-    /** Where a write goes that comes now, or null. */
+    /** The server that a write gets which arrives now, or null. */
     private String serverOfNewWrite() {
         String id = "w" + writes++;
         handle(new RouterEvent.RequestArrived(id, 0, false, "s", 0, 1, 400 * MS));
         String node = actions.stream()
-                .filter(action -> action instanceof RouterAction.StartAttempt send
-                        && send.id().equals(id))
+                .filter(action -> action instanceof RouterAction.StartAttempt start
+                        && start.id().equals(id))
                 .map(action -> ((RouterAction.StartAttempt) action).node())
                 .findFirst()
                 .orElse(null);
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void changeNotifiedAsItComesLeavesTimeForTheNewPrimaryToShow() {
+    void drainNotifiedNowLeavesTimeUntilTheNewPrimaryIsKnown() {
         updateEndpoints(ListForm.FULL, EndpointState.LIVE);
         assertEquals("a", serverOfNewWrite());
         updateEndpoints(ListForm.UPDATE, EndpointState.DRAINING);
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void completeListLeavesNoTime() {
+    void drainInACompleteListLeavesNoTimeForWrites() {
         updateEndpoints(ListForm.FULL, EndpointState.LIVE);
         assertEquals("a", serverOfNewWrite());
         updateEndpoints(ListForm.FULL, EndpointState.DRAINING);
@@ -90,7 +90,7 @@
     }
 
     @Test
-    void restoredListLeavesNoTimeNorDoesOneThatNamesTheServerForTheFirstTime() {
+    void drainInARestoredListOrOfANewServerLeavesNoTimeForWrites() {
         updateEndpoints(ListForm.RESTORED, EndpointState.DRAINING);
         assertEquals(null, serverOfNewWrite());
         handle(new RouterEvent.EndpointUpdate(
@@ -99,7 +99,7 @@
     }
 
     @Test
-    void timeCountsFromWhenTheDrainMayHaveBeenNotified() {
+    void timeForWritesCountsFromTheEarliestNotification() {
         updateEndpoints(ListForm.FULL, EndpointState.LIVE);
         assertEquals("a", serverOfNewWrite());
         handle(new RouterEvent.EndpointUpdate(
@@ -111,7 +111,7 @@
     }
 
     @Test
-    void serverThatReturnsAndDrainsAgainHasItsTimeAnew() {
+    void serverThatDrainsAgainHasTheFullTimeForWrites() {
         updateEndpoints(ListForm.FULL, EndpointState.LIVE);
         assertEquals("a", serverOfNewWrite());
         handle(new RouterEvent.EndpointUpdate(
@@ -120,14 +120,15 @@
         updateEndpoints(ListForm.UPDATE, EndpointState.LIVE);
         assertEquals("a", serverOfNewWrite());
         now += 1000 * MS;
-        handle(new RouterEvent.EndpointUpdate(ListForm.UPDATE, List.of(endpoint(EndpointState.DRAINING)), LATE));
+        handle(new RouterEvent.EndpointUpdate(
+                ListForm.UPDATE, List.of(endpoint(EndpointState.DRAINING)), NOTIFIED_NOW));
         assertEquals("a", serverOfNewWrite());
         now += 190 * MS;
         assertEquals(null, serverOfNewWrite());
     }
 
     @Test
-    void unknownServerThatIsNamedAsDrainingGetsNothing() {
+    void newServerListedAsDrainingGetsNothing() {
         updateEndpoints(ListForm.FULL, EndpointState.LIVE);
         handle(new RouterEvent.EndpointUpdate(
                 ListForm.UPDATE, List.of(new Endpoint("b", 1, 0, EndpointState.DRAINING, false, 0))));
--- a/routing/src/test/java/lupinvalve/routing/SessionTokensTest.java
+++ b/routing/src/test/java/lupinvalve/routing/SessionTokensTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Read-your-writes by tokens that are remembered or carried. */
+/** Read-your-writes with session tokens that the router stores or that requests carry. */
 class SessionTokensTest extends RouterFixture {
     @Test
     void sessionReadGoesOnlyToReplicaThatHasReachedTheToken() {
