--- a/routing/src/main/java/lupinvalve/routing/HealthChecker.java
+++ b/routing/src/main/java/lupinvalve/routing/HealthChecker.java
@@ -15,10 +15,11 @@
     private static final double BUDGET_PER_REQUEST_CHECKS = 0.4;
 
     /**
-     * The same where there are many routers, whose checks add up, and servers reject reads that they are too far behind
-     * for, so that reports matter less.
+     * Budget added by each request where there are many routers, whose checks add up, and servers reject reads that they
+     * are too far behind for, so that reports matter less.
      */
     private static final double SPARSE_BUDGET_PER_REQUEST_CHECKS = 0.03;
+
     private static final double INITIAL_BUDGET_CHECKS = 4;
     private static final double MAX_BUDGET_CHECKS = 20;
     /** Part of the budget that only checks for waiting reads may use. */
--- a/routing/src/main/java/lupinvalve/routing/IdleTimeout.java
+++ b/routing/src/main/java/lupinvalve/routing/IdleTimeout.java
@@ -12,7 +12,7 @@
     private static final double CUT_RATIO = 0.7;
     /** Factor by which the timeout grows with each {@link #grow}. */
     private static final double GROWTH_RATIO = 1.003;
-    /** Fraction of the timeout that holds for requests that can't be retried, which a dropped connection would fail. */
+    /** Fraction of the timeout that applies to requests that can't be retried: on a dropped connection they would fail. */
     private static final double UNSAFE_TIMEOUT_RATIO = 0.5;
 
     /** State of the connections to one server. */
@@ -51,7 +51,7 @@
         return attempt.connectionIdleMicros() > MIN_TIMEOUT_MICROS;
     }
 
-    /** Shortens the timeout below the idle time after which a connection was found dropped; closes the other ones. */
+    /** Shortens the timeout below the time after which an idle connection was dropped; closes the server's others. */
     void connectionDropped(Attempt attempt) {
         timeoutMicros =
                 Math.max(MIN_TIMEOUT_MICROS, Math.min(timeoutMicros, attempt.connectionIdleMicros() * CUT_RATIO));
@@ -72,7 +72,7 @@
      * Prepares the start of an attempt: closes connections that have been idle for longer than the timeout. Returns how
      * long the connection that the attempt will use has been idle, in microseconds; 0 for a new one or one in use.
      *
-     * @param unsafe whether the request can't be retried, for which a shorter timeout holds
+     * @param unsafe whether the request can't be retried, so that a shorter timeout applies
      */
     long beforeAttempt(Server server, boolean unsafe) {
         State state = server.connection;
--- a/routing/src/main/java/lupinvalve/routing/OutlierDetection.java
+++ b/routing/src/main/java/lupinvalve/routing/OutlierDetection.java
@@ -4,8 +4,8 @@
  * Outlier detection: which servers are ejected because attempts at them fail, and how they return to service.
  *
  * <p>A server is ejected for failed connections, for more than one broken connection without an answer in between, and
- * for more than one timeout without an answer since. It returns on trial (half-open): when its ejection time has passed
- * or it has answered anything, it is probed by a health check, or by the next request where health checks are
+ * for more than one timeout while it answers nothing. It returns on trial (half-open): when its ejection time has passed
+ * or it has answered anything, it is tried with a health check, or with the next request where health checks are
  * inconclusive. A served request ends the ejection; another failure ejects the server for longer. A server that answers
  * with errors to requests that other servers serve is paused for reads only, since writes have no other server to go
  * to.
@@ -57,7 +57,7 @@
         this.healthChecker = healthChecker;
     }
 
-    /** Whether a server may get an attempt: it is neither overdue with an answer nor ejected, or on trial and idle. */
+    /** Whether a server may get an attempt: it is not overdue with an answer, and not ejected or on trial and idle. */
     boolean isHealthy(Server server) {
         State state = server.outlier;
         return !isOverdue(server)
@@ -72,8 +72,8 @@
     }
 
     /**
-     * Whether the oldest attempt in flight is overdue and the server has answered no attempt for as long as that one
-     * was given. While it answers others, the one answer may be lost or slow.
+     * Whether the oldest attempt in flight is overdue and the server has answered nothing for longer than an attempt
+     * takes to become overdue. While it answers other attempts, the one answer may be lost or slow.
      */
     private boolean isOverdue(Server server) {
         Attempt oldest = server.inFlight.oldest();
@@ -146,8 +146,8 @@
     }
 
     /**
-     * Records a timeout of an attempt since whose start the server has answered none. The first since the last answer
-     * only starts a health check, further ones eject the server.
+     * Records the timeout of an attempt since whose start the server has answered nothing. The first such timeout since
+     * the last answer only starts a health check, further ones eject the server.
      */
     void recordSilentTimeout(Server server) {
         if (server.outlier.silentTimeouts++ > 0) {
@@ -157,7 +157,7 @@
         healthChecker.check(server);
     }
 
-    /** Records a health check: a successful one starts the trial, a failed one ejects the ejected server for longer. */
+    /** Records a health check: a successful one starts the trial, a failed one prolongs the ejection. */
     void recordHealthCheck(Server server, AttemptOutcome outcome) {
         State state = server.outlier;
         if (outcome == AttemptOutcome.SERVED) {
--- a/routing/src/main/java/lupinvalve/routing/PrimarySearch.java
+++ b/routing/src/main/java/lupinvalve/routing/PrimarySearch.java
@@ -13,7 +13,7 @@
     private static final long ROUND_PAUSE_INTERVALS = 3;
     /** Time of one round of health checks over a group's members, or over as many of them as requests wait. */
     private static final long CHECK_ROUND_MICROS = 150_000;
-    /** The interval between checks grows by a random part of up to one in this many, as every router checks. */
+    /** Up to the interval divided by this is added at random to it, as every router does these checks. */
     private static final long JITTER_DIVISOR = 4;
 
     /** Progress of the search in one group. */
--- a/routing/src/main/java/lupinvalve/routing/PrimaryTracker.java
+++ b/routing/src/main/java/lupinvalve/routing/PrimaryTracker.java
@@ -17,7 +17,7 @@
     /** The primary of one group. */
     static final class GroupState {
         private Server primary;
-        /** Time of the newest claim to be primary; not set by the endpoint list. */
+        /** Time of the newest claim to be primary; the endpoint list does not set it. */
         private long claimMicros = NEVER_MICROS;
 
         /** The server taken for the primary, or null if none is known. */
--- a/routing/src/main/java/lupinvalve/routing/RestartDetector.java
+++ b/routing/src/main/java/lupinvalve/routing/RestartDetector.java
@@ -8,6 +8,7 @@
 final class RestartDetector {
     /** Shortest time for which connections fail during a restart. */
     private static final long MIN_RESTART_MICROS = 1_000_000;
+
     private static final long NOT_FAILING_MICROS = Long.MIN_VALUE;
 
     /** The failed connections to one server since its last answer. */
--- a/routing/src/main/java/lupinvalve/routing/Router.java
+++ b/routing/src/main/java/lupinvalve/routing/Router.java
@@ -3,9 +3,9 @@
 import java.util.function.Consumer;
 
 /**
- * The routing decisions of one router in front of groups that each consist of a primary and its replicas. It takes
- * {@link RouterEvent}s and returns {@link RouterAction}s; each rule has its own type, and this class passes the events
- * on to them.
+ * The routing decisions of one router in front of groups that each consist of a primary and its replicas. It handles
+ * {@link RouterEvent}s and emits {@link RouterAction}s; each rule has its own type, and this class passes the events on
+ * to them.
  *
  * <p>Reads see their session's writes by log position: the position in the answer to a write becomes the session token,
  * the session's reads go to replicas that have reached it, and a read for which there is no such replica waits and then
--- a/routing/src/main/java/lupinvalve/routing/RouterEvent.java
+++ b/routing/src/main/java/lupinvalve/routing/RouterEvent.java
@@ -29,7 +29,7 @@
      * @param repeated whether the client marked the request as a retry
      * @param session the session, or null
      * @param sinceWriteMicros time since the session's last commit, where requests carry their tokens; 0 for none
-     * @param timeLeftMicros time until the client stops waiting for this request; a retry of the client's is another
+     * @param timeLeftMicros time until the client stops waiting for this request; its retry is a request of its own
      * @param waitMicros the wait that the client stated, part of which may have passed before a busy core thread
      *     handled the request
      */
@@ -81,10 +81,10 @@
     record HealthCheckEnded(String node, AttemptOutcome outcome, long elapsedMicros, long position, ServerRole role)
             implements RouterEvent {}
 
-    /** An attempt's answer has begun to stream to the client, so the request can get no other answer. Not used. */
+    /** An attempt's answer has begun to stream to the client, so the request gets no other one. No rule uses it. */
     record AnswerStarted(String id, int attempt) implements RouterEvent {}
 
-    /** A message sent by another router with {@link RouterAction.SendPeerMessage}. Not used. */
+    /** A message sent by another router with {@link RouterAction.SendPeerMessage}. No rule uses it. */
     record PeerMessage(int from, String text) implements RouterEvent {}
 
     /** A timer set by {@link RouterAction.SetTimer} has fired. */
--- a/routing/src/main/java/lupinvalve/routing/RouterSettings.java
+++ b/routing/src/main/java/lupinvalve/routing/RouterSettings.java
@@ -76,7 +76,7 @@
      * @param pollWithinMicros longest interval between two polls of the endpoint list
      * @param initialCapacityRatio capacity of a server at its start, as a fraction of its full capacity
      * @param warmUpMicros time from a server's start to its full capacity: the length of its slow start
-     * @param overloadMultiple multiple of its present capacity that overloads a server in slow start
+     * @param overloadMultiple load that overloads a server in slow start, as a multiple of its capacity at that time
      * @param overloadMicros length of the time window over which the load for {@code overloadMultiple} is counted
      */
     public record Rules(
--- a/routing/src/main/java/lupinvalve/routing/ServerEligibility.java
+++ b/routing/src/main/java/lupinvalve/routing/ServerEligibility.java
@@ -2,7 +2,7 @@
 
 /** Decides which servers may get new attempts, by their state in the endpoint list, their health and their errors. */
 final class ServerEligibility {
-    /** Percentage of the drain's grace for which a draining primary still gets writes, as no other is known yet. */
+    /** Percentage of the drain's grace for which a draining primary gets writes unless a successor is known before. */
     private static final long DRAINING_WRITES_PERCENT = 75;
 
     private static final long PERCENT_DIVISOR = 100;
@@ -14,7 +14,7 @@
         this.outliers = outliers;
     }
 
-    /** Whether the endpoint list allows new attempts at a server; a draining one gets only writes, for a while. */
+    /** Whether the endpoint list allows new attempts at a server; a draining primary gets writes for a while. */
     boolean isListed(Server server, boolean write) {
         EndpointState state = server.listing.state();
         return state == EndpointState.LIVE || state == EndpointState.DRAINING && write && stillTakesWrites(server);
--- a/routing/src/main/java/lupinvalve/routing/SessionTokens.java
+++ b/routing/src/main/java/lupinvalve/routing/SessionTokens.java
@@ -4,9 +4,9 @@
 import java.util.LinkedHashMap;
 
 /**
- * Session tokens, for read-your-writes: the log position that a session's reads must have reached. Either the requests
- * carry them, or the router stores them. The number of stored tokens is bounded; the greatest of the evicted ones holds
- * for all sessions without a stored token, so that an evicted token is never undercut.
+ * Session tokens, for read-your-writes: the log position that a server must have reached to answer a session's reads.
+ * Either the requests carry them, or the router stores them. The number of stored tokens is bounded; the greatest of the
+ * evicted ones applies to all sessions without a stored token, so that the evicted ones still hold.
  */
 final class SessionTokens {
     private static final int MAX_SESSIONS = 50_000;
