--- a/routing/src/main/java/lupinvalve/routing/HealthChecker.java
+++ b/routing/src/main/java/lupinvalve/routing/HealthChecker.java
@@ -15,8 +15,8 @@
     private static final double BUDGET_PER_REQUEST_CHECKS = 0.4;
 
     /**
-     * Budget added by each request where there are many routers, whose checks add up, and servers reject reads that they
-     * are too far behind for, so that reports matter less.
+     * Budget added by each request where there are many routers, whose checks add up, and servers reject reads that
+     * they are too far behind for, so that reports matter less.
      */
     private static final double SPARSE_BUDGET_PER_REQUEST_CHECKS = 0.03;
 
--- a/routing/src/main/java/lupinvalve/routing/IdleTimeout.java
+++ b/routing/src/main/java/lupinvalve/routing/IdleTimeout.java
@@ -12,7 +12,7 @@
     private static final double CUT_RATIO = 0.7;
     /** Factor by which the timeout grows with each {@link #grow}. */
     private static final double GROWTH_RATIO = 1.003;
-    /** Fraction of the timeout that applies to requests that can't be retried: on a dropped connection they would fail. */
+    /** Fraction of the timeout that applies to requests that can't be retried, as a dropped connection fails them. */
     private static final double UNSAFE_TIMEOUT_RATIO = 0.5;
 
     /** State of the connections to one server. */
--- a/routing/src/main/java/lupinvalve/routing/OutlierDetection.java
+++ b/routing/src/main/java/lupinvalve/routing/OutlierDetection.java
@@ -4,8 +4,8 @@
  * Outlier detection: which servers are ejected because attempts at them fail, and how they return to service.
  *
  * <p>A server is ejected for failed connections, for more than one broken connection without an answer in between, and
- * for more than one timeout while it answers nothing. It returns on trial (half-open): when its ejection time has passed
- * or it has answered anything, it is tried with a health check, or with the next request where health checks are
+ * for more than one timeout while it answers nothing. It returns on trial (half-open): when its ejection time has
+ * passed or it has answered anything, it is tried with a health check, or with the next request where health checks are
  * inconclusive. A served request ends the ejection; another failure ejects the server for longer. A server that answers
  * with errors to requests that other servers serve is paused for reads only, since writes have no other server to go
  * to.
--- a/routing/src/main/java/lupinvalve/routing/SessionTokens.java
+++ b/routing/src/main/java/lupinvalve/routing/SessionTokens.java
@@ -5,8 +5,8 @@
 
 /**
  * Session tokens, for read-your-writes: the log position that a server must have reached to answer a session's reads.
- * Either the requests carry them, or the router stores them. The number of stored tokens is bounded; the greatest of the
- * evicted ones applies to all sessions without a stored token, so that the evicted ones still hold.
+ * Either the requests carry them, or the router stores them. The number of stored tokens is bounded; the greatest of
+ * the evicted ones applies to all sessions without a stored token, so that the evicted ones still hold.
  */
 final class SessionTokens {
     private static final int MAX_SESSIONS = 50_000;
--- a/routing/src/test/java/lupinvalve/routing/RouterFixture.java
+++ b/routing/src/test/java/lupinvalve/routing/RouterFixture.java
@@ -89,7 +89,7 @@
                 id, attempt, node, outcome, 20 * MS, outcome == AttemptOutcome.SERVED, position, role));
     }
 
-    /** Advances the clock in steps of 5 ms, each with a timer event, so that the router's timer is never late. */
+    /** Advances the clock in steps of 5 ms, each with a timer event, so the router's timer is at most 5 ms late. */
     void advance(long micros) {
         for (long endMicros = now + micros; now < endMicros; ) {
             now += 5 * MS;
--- a/routing/src/test/java/lupinvalve/routing/RulesWorld.java
+++ b/routing/src/test/java/lupinvalve/routing/RulesWorld.java
@@ -69,7 +69,10 @@
 
     // ---- clients ----
 
-    /** Runs the simulation until all requests have ended, to the end of its time or of {@link #MAX_EVENTS} at most. */
+    /**
+     * Runs the simulation until all requests have ended after the arrivals, its time is over, or {@link #MAX_EVENTS} have
+     * been handled.
+     */
     void run() {
         List<Endpoint> endpoints =
                 cluster.servers().stream().map(SimulatedServer::endpoint).toList();
@@ -89,7 +92,7 @@
         }
         openRequests
                 .values()
-                .forEach(request -> checker.recordViolation("answer: none by the end of the run: request " + request.id));
+                .forEach(request -> checker.recordViolation("answer: none at the end of the run: " + request.id));
     }
 
     private void handle(int router, RouterEvent event) {
@@ -121,7 +124,7 @@
                 new RouterEvent.RequestArrived(id, classIndex, false, session, sinceWriteMicros, group, waitMicros));
     }
 
-    /** The log position that a server must have reached for a read; of a bounded read see {@link SimulatedRequest}. */
+    /** The log position required for a strong or session read; {@link SimulatedRequest} computes a bounded read's. */
     private long requiredPosition(RequestClass.Access access, long sinceWriteMicros) {
         if (access == RequestClass.Access.STRONG) {
             return time.now();
--- a/routing/src/test/java/lupinvalve/routing/RulesWorldSettings.java
+++ b/routing/src/test/java/lupinvalve/routing/RulesWorldSettings.java
@@ -27,7 +27,7 @@
         // Each tenth seed has 30 to 100 routers, the others have 14 at most.
         routerCount = seed % 10 == 0 ? 30 + random.nextInt(71) : 1 + random.nextInt(seed % 3 == 0 ? 14 : 4);
         groups = 1 + random.nextInt(4);
-        // Log-uniform between 0.1 and 3.2: a factor of all requests' durations.
+        // Factor of the work and the latency objectives of all classes, log-uniform between 0.1 and 3.2.
         double timeScale = Math.pow(10, random.nextDouble() * 1.5 - 1);
         work = 100 * MILLI * timeScale;
         drawClasses(timeScale);
