--- a/routing/src/main/java/lupinvalve/routing/EndpointList.java
+++ b/routing/src/main/java/lupinvalve/routing/EndpointList.java
@@ -74,7 +74,8 @@
         ServerGroup group = servers.group(endpoint.group());
         if (group == null) {
             int roundRobinStart = context.random().nextInt(ROUND_ROBIN_START_BOUND);
-            group = new ServerGroup(roundRobinStart, context.settings().classes().size());
+            group = new ServerGroup(
+                    roundRobinStart, context.settings().classes().size());
             servers.addGroup(endpoint.group(), group);
         }
         Server server = new Server(endpoint.node(), group, limit.newState());
--- a/routing/src/main/java/lupinvalve/routing/EndpointWatch.java
+++ b/routing/src/main/java/lupinvalve/routing/EndpointWatch.java
@@ -54,7 +54,8 @@
         long pollWithinMicros = context.settings().rules().pollWithinMicros();
         long maxBackoffMicros = Math.min(MAX_BACKOFF_MICROS, pollWithinMicros / BACKOFFS_PER_POLL_INTERVAL + 1);
         long backoffMicros = Math.min(FIRST_BACKOFF_MICROS << Math.min(failures++, MAX_DOUBLINGS), maxBackoffMicros);
-        nextRequestMicros = context.nowMicros() + backoffMicros / 2 + context.random().nextLong(backoffMicros / 2 + 1);
+        nextRequestMicros =
+                context.nowMicros() + backoffMicros / 2 + context.random().nextLong(backoffMicros / 2 + 1);
     }
 
     /** Requests the watch again if it has had no answer and the retry is due. */
--- a/routing/src/main/java/lupinvalve/routing/OutlierDetection.java
+++ b/routing/src/main/java/lupinvalve/routing/OutlierDetection.java
@@ -36,6 +36,7 @@
         private double errorRatio;
         /** Consecutive pauses for errors; 0 while the server is not paused. */
         private int errorPauses;
+
         private long pausedUntilMicros;
 
         /** When the server last answered an attempt, be it with an error or a rejection. */
--- a/routing/src/test/java/lupinvalve/routing/HealthCheckerTest.java
+++ b/routing/src/test/java/lupinvalve/routing/HealthCheckerTest.java
@@ -17,7 +17,6 @@
             healthCheckTimedOut("c");
         }
         request("r", READ, null, 800 * MS);
-        assertTrue(
-                List.of("b", "c").contains(lastServer("r")), "failed checks eject no replica: " + lastServer("r"));
+        assertTrue(List.of("b", "c").contains(lastServer("r")), "failed checks eject no replica: " + lastServer("r"));
     }
 }
--- a/routing/src/test/java/lupinvalve/routing/RouterFixture.java
+++ b/routing/src/test/java/lupinvalve/routing/RouterFixture.java
@@ -13,6 +13,7 @@
 
     /** Indexes of the request classes in {@link #settings}. */
     static final int READ = 0;
+
     static final int SESSION_READ = 1;
     static final int STRONG_READ = 2;
     static final int WRITE = 3;
--- a/routing/src/test/java/lupinvalve/routing/RulesWorld.java
+++ b/routing/src/test/java/lupinvalve/routing/RulesWorld.java
@@ -64,14 +64,15 @@
         return "seed " + seed + ": " + routers.size() + " routers, "
                 + cluster.servers().size() + " db nodes, " + settings.zones + " zones, " + settings.groups
                 + " groups, " + settings.replication.check() + ", arrived " + arrived + ", served " + served
-                + ", rejected " + rejected + ", failed " + failed + ", violations " + violations().size();
+                + ", rejected " + rejected + ", failed " + failed + ", violations "
+                + violations().size();
     }
 
     // ---- clients ----
 
     /**
-     * Runs the simulation until all requests have ended after the arrivals, its time is over, or {@link #MAX_EVENTS} have
-     * been handled.
+     * Runs the simulation until all requests have ended after the arrivals, its time is over, or {@link #MAX_EVENTS}
+     * have been handled.
      */
     void run() {
         List<Endpoint> endpoints =
