--- a/routing/src/main/java/lupinvalve/routing/PrimaryTracker.java
+++ b/routing/src/main/java/lupinvalve/routing/PrimaryTracker.java
@@ -1,9 +1,9 @@
 package lupinvalve.routing;
 
 /**
- * Tracks which server is the primary of each group, from the roles that servers state of themselves. The newest claim
- * to be primary wins. A primary's log position is the present time, so the position stated with a claim is the time of
- * the claim, however late the report arrives. All times are in microseconds.
+ * Tracks which server is the primary of each group, from the roles that servers state of themselves. Newer statements
+ * override older ones. A primary's log position is the present time, so the position stated with a claim to be primary
+ * is the time of the claim, however late the report arrives. All times are in microseconds.
  */
 final class PrimaryTracker {
     private static final long NEVER_MICROS = Long.MIN_VALUE;
--- a/routing/src/test/java/lupinvalve/routing/HealthCheckerTest.java
+++ b/routing/src/test/java/lupinvalve/routing/HealthCheckerTest.java
@@ -17,6 +17,8 @@
             healthCheckTimedOut("c");
         }
         request("r", READ, null, 800 * MS);
-        assertTrue(List.of("b", "c").contains(lastServer("r")), "failed checks eject no replica: " + lastServer("r"));
+        assertTrue(
+                List.of("b", "c").contains(lastServer("r")),
+                "failed checks must not eject the replicas, but the read went to " + lastServer("r"));
     }
 }
--- a/routing/src/test/java/lupinvalve/routing/IdleTimeoutTest.java
+++ b/routing/src/test/java/lupinvalve/routing/IdleTimeoutTest.java
@@ -32,6 +32,8 @@
             now += 1000 * MS;
             request("s" + i, READ, null, 800 * MS);
         }
-        assertTrue(node.equals(lastServer("s0")) || node.equals(lastServer("s1")), "the server is still used: " + node);
+        assertTrue(
+                node.equals(lastServer("s0")) || node.equals(lastServer("s1")),
+                "no read went to " + node + ", which must stay in use");
     }
 }
