--- a/replication/src/main/java/lupinvalve/replication/AcceleratedExecutor.java
+++ b/replication/src/main/java/lupinvalve/replication/AcceleratedExecutor.java
@@ -8,12 +8,12 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Runs the library's work on a scheduler, by an accelerated clock: the library counts heartbeats in whole seconds,
- * which would make a fail-over take three and more, so its clock and all its waits run ten times as fast. Nothing else
- * reads that clock. Safe for all threads.
+ * Runs MicroRaft's tasks on a {@link Scheduler} with an accelerated clock. MicroRaft counts heartbeats in whole
+ * seconds, with which a failover would take three seconds or more; so its clock and all its delays run {@link #FACTOR}
+ * times as fast. Nothing else reads that clock. Thread-safe.
  */
 final class AcceleratedExecutor extends Clock implements RaftNodeExecutor {
-    /** How much faster the library's clock runs. */
+    /** Ratio of MicroRaft's time to real time. */
     static final int FACTOR = 10;
 
     private static final int MICROS_PER_MILLI = 1_000;
@@ -24,15 +24,15 @@
         this.scheduler = scheduler;
     }
 
-    /** What was submitted and has not run yet never runs. */
+    /** Drops all tasks that have not run yet, and all later ones. */
     void stop() {
         stopped = true;
     }
 
-    private Runnable unlessStopped(Runnable work) {
+    private Runnable unlessStopped(Runnable task) {
         return () -> {
             if (!stopped) {
-                work.run();
+                task.run();
             }
         };
     }
@@ -49,8 +49,8 @@
 
     @Override
     public void schedule(Runnable task, long delay, TimeUnit unit) {
-        long micros = unit.toMicros(delay) / FACTOR;
-        scheduler.post(() -> scheduler.after(micros, unlessStopped(task)));
+        long delayMicros = unit.toMicros(delay) / FACTOR;
+        scheduler.post(() -> scheduler.after(delayMicros, unlessStopped(task)));
     }
 
     @Override
--- a/replication/src/main/java/lupinvalve/replication/AuditDelivery.java
+++ b/replication/src/main/java/lupinvalve/replication/AuditDelivery.java
@@ -6,25 +6,25 @@
 
 /** Proposes this member's audit entries to the group, one batch at a time. On the group's thread. */
 final class AuditDelivery {
-    private static final long INTERVAL_MICROS = 200_000;
+    private static final long PROPOSAL_INTERVAL_MICROS = 200_000;
 
-    private final AuditLog entries;
+    private final AuditLog auditLog;
     private final BiConsumer<Command, Consumer<Boolean>> proposer;
     private long lastProposedMicros;
     private boolean inFlight;
 
-    /** @param proposer proposes a command, and tells whether it was committed */
-    AuditDelivery(AuditLog entries, BiConsumer<Command, Consumer<Boolean>> proposer) {
-        this.entries = entries;
+    /** @param proposer proposes a command and passes to the callback whether it was committed */
+    AuditDelivery(AuditLog auditLog, BiConsumer<Command, Consumer<Boolean>> proposer) {
+        this.auditLog = auditLog;
         this.proposer = proposer;
     }
 
-    /** Called ten times a second. */
+    /** To be called every 100 ms. */
     void tick(boolean leaderKnown, long nowMicros) {
-        if (inFlight || !leaderKnown || nowMicros - lastProposedMicros < INTERVAL_MICROS) {
+        if (inFlight || !leaderKnown || nowMicros - lastProposedMicros < PROPOSAL_INTERVAL_MICROS) {
             return;
         }
-        Command.AppendAudit batch = entries.nextBatch();
+        Command.AppendAudit batch = auditLog.nextBatch();
         if (batch == null) {
             return;
         }
@@ -33,7 +33,7 @@
         proposer.accept(batch, committed -> {
             inFlight = false;
             if (committed) {
-                entries.markDelivered(batch);
+                auditLog.markDelivered(batch);
             }
         });
     }
--- a/replication/src/main/java/lupinvalve/replication/AuditQueries.java
+++ b/replication/src/main/java/lupinvalve/replication/AuditQueries.java
@@ -12,46 +12,48 @@
 import lupinvalve.audit.AuditHistory;
 
 /**
- * Answers operators' queries of which pooler served on which version when, as JSON. Field names are the operators'.
- * Times are Unix times in microseconds; -1 for one that is not known.
+ * Responds to operators' queries about which pooler served with which configuration version when, as JSON. Operators'
+ * tools read the field names, so they must not change. Times are Unix times in microseconds, or -1 if not known.
  */
 final class AuditQueries {
     private static final long MICROS_PER_MILLI = 1_000;
-    private static final long UNKNOWN_TIME = -1;
-    private static final int END_ARGUMENT = 2;
+    private static final long UNKNOWN_MICROS = -1;
+    private static final int INTERVAL_END_ARGUMENT = 2;
 
     private AuditQueries() {}
 
-    /** Reads entries; one of a later version is left out and shows as missing. */
+    /** Decodes entries; those encoded by a later version are skipped, and reported as gaps in the chain. */
     static AuditHistory history(Collection<byte[]> encodedEntries) {
         List<AuditEntry> entries = new ArrayList<>();
         for (byte[] bytes : encodedEntries) {
             try {
                 entries.add(AuditEntry.decode(bytes));
             } catch (IOException e) {
-                // Of a later version: what it says is not known here.
+                // Encoded by a later version: it can't be decoded here.
                 continue;
             }
         }
         return new AuditHistory(entries);
     }
 
-    /** The answer to a query; throws InvalidRequestException where it is none. */
+    /** The response to a query; throws InvalidRequestException if the query is malformed. */
     static String answer(AuditHistory history, List<String> query) throws InvalidRequestException {
         String kind = query.isEmpty() ? "" : query.get(0);
         String argument = query.size() > 1 ? query.get(1) : "";
         return switch (kind) {
-            case "at" -> at(history, micros(argument));
+            case "at" -> at(history, parseMicros(argument));
             case "pooler" -> spans(history, history.spansOf(argument));
             case "version" -> spans(history, history.spansUnder(argument));
             case "between" -> between(
-                    history, micros(argument), micros(query.size() > END_ARGUMENT ? query.get(END_ARGUMENT) : ""));
+                    history,
+                    parseMicros(argument),
+                    parseMicros(query.size() > INTERVAL_END_ARGUMENT ? query.get(INTERVAL_END_ARGUMENT) : ""));
             default -> throw new InvalidRequestException(
                     "audit at TIME, between T1 T2, pooler NAME or version V; not " + kind);
         };
     }
 
-    /** What stands in a folder, and whether it is whole. */
+    /** A summary of a folder's audit entries, with the breaks in their chains. */
     static String verified(List<AuditEntry> entries) {
         AuditHistory history = new AuditHistory(entries);
         return Json.object(out -> {
@@ -68,11 +70,11 @@
                 }
             }
             out.writeEndArray();
-            breaks(out, history);
+            writeChainBreaks(out, history);
         });
     }
 
-    private static long micros(String text) throws InvalidRequestException {
+    private static long parseMicros(String text) throws InvalidRequestException {
         try {
             return text.matches("[0-9]+")
                     ? Long.parseLong(text)
@@ -96,16 +98,16 @@
                 out.writeEndObject();
             }
             out.writeEndArray();
-            breaks(out, history);
+            writeChainBreaks(out, history);
         });
     }
 
-    private static String between(AuditHistory history, long from, long to) {
-        List<AuditHistory.VersionSpan> all = new ArrayList<>();
+    private static String between(AuditHistory history, long fromMicros, long toMicros) {
+        List<AuditHistory.VersionSpan> overlapping = new ArrayList<>();
         history.poolers().forEach(pooler -> history.spansOf(pooler).stream()
-                .filter(span -> span.fromMicros() < to && span.toMicros() > from)
-                .forEach(all::add));
-        return spans(history, all);
+                .filter(span -> span.fromMicros() < toMicros && span.toMicros() > fromMicros)
+                .forEach(overlapping::add));
+        return spans(history, overlapping);
     }
 
     private static String spans(AuditHistory history, List<AuditHistory.VersionSpan> spans) {
@@ -117,7 +119,7 @@
                 out.writeStringField("version", span.version());
                 out.writeNumberField("change", span.index());
                 out.writeNumberField("from_us", span.fromMicros());
-                out.writeNumberField("to_us", knownOrUnknown(span.toMicros()));
+                out.writeNumberField("to_us", knownEndMicros(span.toMicros()));
                 out.writeBooleanField("known", span.ended());
                 out.writeStringField("why", span.reason());
                 out.writeEndObject();
@@ -127,20 +129,20 @@
                 LongStream starts = spans.stream().mapToLong(AuditHistory.VersionSpan::fromMicros);
                 LongStream ends = spans.stream().mapToLong(AuditHistory.VersionSpan::toMicros);
                 out.writeNumberField("first_us", starts.min().getAsLong());
-                out.writeNumberField("last_us", knownOrUnknown(ends.max().getAsLong()));
+                out.writeNumberField("last_us", knownEndMicros(ends.max().getAsLong()));
             }
-            breaks(out, history);
+            writeChainBreaks(out, history);
         });
     }
 
-    private static long knownOrUnknown(long endMicros) {
-        return endMicros == Long.MAX_VALUE ? UNKNOWN_TIME : endMicros;
+    private static long knownEndMicros(long endMicros) {
+        return endMicros == Long.MAX_VALUE ? UNKNOWN_MICROS : endMicros;
     }
 
-    private static void breaks(JsonGenerator out, AuditHistory history) throws IOException {
+    private static void writeChainBreaks(JsonGenerator out, AuditHistory history) throws IOException {
         out.writeArrayFieldStart("chain_breaks");
-        for (String broken : history.chainBreaks()) {
-            out.writeString(broken);
+        for (String chainBreak : history.chainBreaks()) {
+            out.writeString(chainBreak);
         }
         out.writeEndArray();
     }
--- a/replication/src/main/java/lupinvalve/replication/ConfigurationActivator.java
+++ b/replication/src/main/java/lupinvalve/replication/ConfigurationActivator.java
@@ -6,12 +6,12 @@
 import lupinvalve.statemachine.ReplicatedState;
 
 /**
- * Hands committed configurations to the pooler: each only once the audit log has noted it on the disk. On the group's
- * thread.
+ * Activates committed configurations at the pooler, each only after the audit log has recorded it on the disk. On the
+ * group's thread.
  */
 final class ConfigurationActivator {
     private final EventLoop loop;
-    /** Null where the audit is off. */
+    /** Null if the audit is off. */
     private final LeaseHolder leaseHolder;
 
     private final ActiveConfiguration active;
@@ -26,33 +26,35 @@
         return active;
     }
 
-    /** Activates a committed configuration. False where the disk failed: then the one before stays active. */
+    /**
+     * Activates a committed configuration that can be served with; false if the disk failed and the previous one stays.
+     */
     boolean onCommitted(ReplicatedState.Document document, ControlPlane.Listener listener) {
         String error = listener.validationError(document.content());
-        ReplicatedState.Document before = active.active();
+        ReplicatedState.Document previous = active.active();
         switch (active.onCommitted(document, error)) {
             case ACTIVATE -> {
-                if (!noteAdopting(document)) {
-                    active.revertTo(before);
+                if (!recordAdopting(document)) {
+                    active.revertTo(previous);
                     return false;
                 }
                 activate(document, listener);
             }
             case UNREADABLE -> {
-                Log.error("store: %s", active.describe());
+                Log.error("store: cannot apply a committed configuration: %s", active.describe());
                 if (leaseHolder != null) {
                     String version = LeaseHolder.versionOf(document);
                     leaseHolder.onRejected(version, document.index(), loop.now(), active.unreadableReason());
                 }
             }
             default -> {
-                // It is active already.
+                // Not newer than the active configuration.
             }
         }
         return true;
     }
 
-    private boolean noteAdopting(ReplicatedState.Document document) {
+    private boolean recordAdopting(ReplicatedState.Document document) {
         return leaseHolder == null
                 || leaseHolder.onAdopting(LeaseHolder.versionOf(document), document.index(), loop.now());
     }
--- a/replication/src/main/java/lupinvalve/replication/ControlPlane.java
+++ b/replication/src/main/java/lupinvalve/replication/ControlPlane.java
@@ -7,82 +7,87 @@
 import lupinvalve.statemachine.ReplicatedState;
 
 /**
- * Notifies a pooler of the configuration that the group has committed: a member of the group, or a subscriber to
- * members. Methods may be called from any thread unless they say otherwise.
+ * A pooler's connection to the Raft group that replicates the configuration: either a member of the group or a
+ * subscriber to members. Methods may be called from any thread unless stated otherwise.
  */
 public interface ControlPlane {
     /**
-     * What was committed as far as this process knows by itself.
+     * The committed state recorded on this process's own disk, before contact with others.
      *
-     * @param document the configuration; null where none was committed yet
-     * @param nodes the db nodes that were known last
-     * @param commits sessions' last commits
+     * @param document the configuration; null if none was committed yet
+     * @param nodes the last known list of db nodes
+     * @param commits log positions of sessions' last commits
      */
     record InitialState(
             ReplicatedState.Document document, List<Command.KnownEndpoint> nodes, Command.SessionCommits commits) {}
 
-    /** What a pooler is notified of and asked. Called on the control plane's own thread, one call after another. */
+    /** The pooler's side. Its methods are called one at a time, on the control plane's own thread. */
     interface Listener {
-        /** Why this version can't serve on a configuration, or null. */
+        /** Why this version of the program can't serve with a configuration, or null if it can. */
         String validationError(byte[] document);
 
-        /** Why running poolers could not go from one configuration (null for none yet) to another, or null. */
+        /**
+         * Why a running pooler can't change from one configuration to another, or null if it can.
+         *
+         * @param current null if there is none yet
+         */
         default String transitionError(byte[] current, byte[] next) {
             return null;
         }
 
-        /** Runs work, on the pooler's own thread, once all that it was notified of so far is applied. */
-        default void runAfterApplied(Runnable then) {
-            then.run();
+        /** Runs {@code callback} on the pooler's own thread once all earlier notifications have been applied. */
+        default void runAfterApplied(Runnable callback) {
+            callback.run();
         }
 
-        /** A configuration that a majority has accepted is to be applied. */
+        /** A committed configuration is to be applied. */
         void configurationAccepted(ReplicatedState.Document document);
 
-        /** Operators' drains as they now stand. */
+        /** The drains that operators have started have changed; {@code drains} has all of them. */
         void drainsChanged(Map<Command.DrainTarget, ReplicatedState.Drain> drains);
 
-        /** Sessions' commits of any pooler that a majority now holds. */
+        /** Sessions' commits, published by any pooler, have been replicated to a majority. */
         void commitsAccepted(Command.SessionCommits commits);
     }
 
-    /** What is known before {@link #start}. */
+    /** The state that is known before {@link #start}. */
     InitialState initialState();
 
     /**
-     * Begins; {@code listener} is notified first of what was committed before.
+     * Starts; {@code listener} is notified first of the state that was committed before.
      *
-     * @throws IOException where it can't listen or connect
+     * @throws IOException if it can't listen or connect
      */
     void start(Listener listener) throws IOException;
 
-    /** Whether the pooler may serve: it holds a lease, or needs none. */
+    /** Whether the pooler may serve: it has a valid lease, or needs none. */
     boolean mayServe();
 
-    /** Whether a pooler whose lease has ended must not serve. */
+    /** Whether the pooler must stop serving when its lease ends. */
     boolean fencingEnabled();
 
-    /** Whether this one leads, and so publishes the list of db nodes to all. */
+    /** Whether this pooler's member leads; only the leader publishes the list of db nodes to all poolers. */
     boolean isLeader();
 
     /**
      * Publishes a session's commit.
      *
      * @param position the log position in Unix microseconds
-     * @param onCommitted runs, on the control plane's thread, once the commit is held as firmly as it will be; or null
+     * @param onCommitted runs once a majority has the commit, or at once for a subscriber, which does not replicate it;
+     *     or null
      */
     void publishCommit(String session, long position, Runnable onCommitted);
 
-    /** Publishes the list of db nodes as this pooler has it; only the leader's goes to all. */
+    /** Publishes this pooler's list of db nodes to all poolers if its member leads; otherwise does nothing. */
     void publishEndpoints(List<Command.KnownEndpoint> nodes);
 
     /**
-     * Takes keys and certificates as the files have them now; connections that are up keep theirs.
+     * Reloads TLS keys and certificates from their files, for new connections; established ones keep theirs.
      *
-     * @throws IOException where they can't be used; then nothing changes
+     * @throws IOException if they can't be used; the earlier ones then stay in use
      */
     void reloadCertificates() throws IOException;
 
-    /** Ends at once. From any thread but the control plane's own. */
+    /** Stops at once. From any thread but the control plane's own. */
     void stop();
 }
--- a/replication/src/main/java/lupinvalve/replication/InvalidRequestException.java
+++ b/replication/src/main/java/lupinvalve/replication/InvalidRequestException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** A request can't be served as it is, and a retry does not help. */
+/** A request is invalid; a retry would fail as well. */
 final class InvalidRequestException extends IOException {
     private static final long serialVersionUID = 1L;
 
--- a/replication/src/main/java/lupinvalve/replication/Json.java
+++ b/replication/src/main/java/lupinvalve/replication/Json.java
@@ -10,7 +10,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
 
-/** Writes and masks JSON texts for operators. Safe for all threads. */
+/** Writes JSON for operators, and masks secrets in it. Thread-safe. */
 final class Json {
     private static final JsonFactory JSON = new JsonFactory();
     private static final String MASKED = "***";
@@ -19,7 +19,7 @@
 
     /** Writes the fields of an object. */
     interface Fields {
-        void to(JsonGenerator out) throws IOException;
+        void write(JsonGenerator out) throws IOException;
     }
 
     /** An object with these fields. */
@@ -27,7 +27,7 @@
         StringWriter text = new StringWriter();
         try (JsonGenerator out = JSON.createGenerator(text)) {
             out.writeStartObject();
-            fields.to(out);
+            fields.write(out);
             out.writeEndObject();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
@@ -35,14 +35,14 @@
         return text.toString();
     }
 
-    /** An object with more fields behind its own. */
-    static String with(String object, Fields more) {
+    /** An object with additional fields after its own. */
+    static String withFields(String object, Fields additional) {
         StringWriter text = new StringWriter();
         try (JsonParser in = JSON.createParser(object);
                 JsonGenerator out = JSON.createGenerator(text)) {
             for (JsonToken token = in.nextToken(); token != null; token = in.nextToken()) {
                 if (token == JsonToken.END_OBJECT && in.getParsingContext().inRoot()) {
-                    more.to(out);
+                    additional.write(out);
                 }
                 out.copyCurrentEvent(in);
             }
@@ -52,7 +52,7 @@
         return text.toString();
     }
 
-    /** A document without its secrets: what is named password, secret or key. */
+    /** A document with its secrets masked: values of fields whose name has password or secret in it, or ends in key. */
     static String masked(byte[] document) throws IOException {
         StringWriter text = new StringWriter();
         try (JsonParser in = JSON.createParser(document);
@@ -70,7 +70,7 @@
         return text.toString();
     }
 
-    /** A document as it is, with its secrets. */
+    /** A document unchanged, with its secrets. */
     static String text(byte[] document) {
         return new String(document, StandardCharsets.UTF_8);
     }
--- a/replication/src/main/java/lupinvalve/replication/LeaseGrantor.java
+++ b/replication/src/main/java/lupinvalve/replication/LeaseGrantor.java
@@ -7,27 +7,27 @@
 import lupinvalve.audit.LeaseManager;
 
 /**
- * The leader's side of the leases: has a majority confirm that this member still leads, and grants leases within that.
- * On the group's thread.
+ * Grants leases while this member leads: has a majority confirm the leadership periodically, and grants no lease that
+ * lasts longer than the last confirmation allows. On the group's thread.
  */
 final class LeaseGrantor {
-    /** How often the leader has a majority confirm that it still leads. */
+    /** Interval at which the leader has a majority confirm that it still leads. */
     static final long CONFIRM_INTERVAL_MICROS = 100_000;
 
-    /** Null where this member does not lead, or no majority has confirmed yet that it does. */
+    /** Null if this member does not lead, or no majority has confirmed yet that it does. */
     private LeaseManager leases;
 
-    private long confirmRequestedMicros;
+    private long lastConfirmRequestMicros;
     private long confirmedMicros;
     private boolean confirming;
 
-    /** Called ten times a second; {@code replica} may be null where this member does not lead. */
-    void tick(boolean leads, RaftReplica replica, long nowMicros) {
-        if (!leads) {
+    /** To be called every 100 ms; {@code replica} may be null if this member does not lead. */
+    void tick(boolean isLeader, RaftReplica replica, long nowMicros) {
+        if (!isLeader) {
             leases = null;
-        } else if (!confirming && nowMicros - confirmRequestedMicros >= CONFIRM_INTERVAL_MICROS) {
+        } else if (!confirming && nowMicros - lastConfirmRequestMicros >= CONFIRM_INTERVAL_MICROS) {
             confirming = true;
-            confirmRequestedMicros = nowMicros;
+            lastConfirmRequestMicros = nowMicros;
             replica.readBarrier((completion, ignored) -> {
                 confirming = false;
                 if (completion == RaftReplica.Completion.DONE) {
@@ -40,33 +40,35 @@
     private void onConfirmed(RaftReplica replica, long requestedMicros) {
         confirmedMicros = requestedMicros;
         if (leases == null) {
-            // All that earlier leaders reported as done is in the state by now.
+            // The state now includes all changes that earlier leaders reported as completed.
             leases = new LeaseManager(
                     LeaseHolder.monotonicMicros(), replica.state().appliedIndex());
         }
     }
 
     /**
-     * The response to a request for a lease. Nothing is granted past what the leader could be sure of when a majority
-     * last confirmed it: a later leader counts its own wait from its election, which came after that.
+     * The response to a request for a lease. No lease outlasts {@link Lease#DURATION_MICROS} from the last confirmation
+     * by a majority: a later leader waits for as long from its own election, which comes after that confirmation.
      *
-     * @param servedIndex up to which log index the pooler serves
-     * @param objection why the pooler can't serve on the committed configuration, or empty
-     * @param followersIndex up to which log index all subscribers of that member serve
+     * @param servedIndex log index up to which the pooler has applied all changes
+     * @param cannotServeReason why the pooler can't apply the committed configuration, or empty
+     * @param subscribersIndex log index up to which all subscribers with a lease of that member have applied all
+     *     changes
      */
-    LeaseManager.Renewal grant(String pooler, long servedIndex, String objection, long followersIndex) {
+    LeaseManager.Renewal grant(String pooler, long servedIndex, String cannotServeReason, long subscribersIndex) {
         long nowMicros = LeaseHolder.monotonicMicros();
-        long leftMicros = leases == null ? 0 : confirmedMicros + Lease.DURATION_MICROS - nowMicros;
-        if (leftMicros <= 0) {
+        long remainingMicros = leases == null ? 0 : confirmedMicros + Lease.DURATION_MICROS - nowMicros;
+        if (remainingMicros <= 0) {
             return new LeaseManager.Renewal(0, "");
         }
-        LeaseManager.Renewal renewal = leases.renew(pooler, servedIndex, objection, followersIndex, nowMicros);
+        LeaseManager.Renewal renewal =
+                leases.renew(pooler, servedIndex, cannotServeReason, subscribersIndex, nowMicros);
         return renewal.durationMicros() == 0
                 ? renewal
-                : new LeaseManager.Renewal(Math.min(leftMicros, renewal.durationMicros()), "");
+                : new LeaseManager.Renewal(Math.min(remainingMicros, renewal.durationMicros()), "");
     }
 
-    /** A strict change has been committed: from now on leases are for those alone that serve on it. */
+    /** A strict change was committed at a log index: from now on, poolers that don't apply it get no more leases. */
     void requireIndex(long index) {
         if (leases != null) {
             leases.requireIndex(index, LeaseHolder.monotonicMicros());
@@ -74,15 +76,15 @@
     }
 
     /**
-     * Who may still serve on what held before a change; empty where this member leads no more. A lease counts as ended
-     * only where it had when a majority last confirmed this leader: one that has stood still does not know what others
-     * have granted since.
+     * The poolers that may still serve with the configuration before a change; empty if this member no longer leads. A
+     * lease counts as ended only if it had ended when a majority last confirmed this leader: a leader whose process was
+     * paused does not know which leases a later leader has granted since.
      */
     Optional<List<String>> pendingPoolers(long index, List<String> poolers) {
-        return Optional.ofNullable(leases).map(granted -> granted.pendingPoolers(index, poolers, confirmedMicros));
+        return Optional.ofNullable(leases).map(manager -> manager.pendingPoolers(index, poolers, confirmedMicros));
     }
 
-    /** Who has no lease, with reasons. */
+    /** The poolers without a lease, each with the reason. */
     Map<String, String> excludedPoolers(List<String> poolers) {
         return leases == null ? Map.of() : leases.excludedPoolers(poolers, LeaseHolder.monotonicMicros());
     }
--- a/replication/src/main/java/lupinvalve/replication/LeaseHolder.java
+++ b/replication/src/main/java/lupinvalve/replication/LeaseHolder.java
@@ -15,49 +15,55 @@
 import lupinvalve.statemachine.ReplicatedState;
 
 /**
- * For how long this member may serve: renews its lease, and notes in the audit log what it serves on and when it may
- * not. On the group's thread but for {@link #mayServe}.
+ * The lease that allows this member's pooler to serve: renews it, and records in the audit log which configuration the
+ * pooler serves with and when it is fenced. On the group's thread, except {@link #mayServe}.
  */
 final class LeaseHolder {
-    /** How soon a lease is requested again that was not granted, or has less than half of its time left. */
+    /** Interval between requests after a denial, or while less than half of the lease's duration is left. */
     private static final long RETRY_INTERVAL_MICROS = 100_000;
 
     private static final long REQUEST_TIMEOUT_MICROS = 1_000_000;
     private static final long NANOS_PER_MICRO = 1_000;
 
-    /** What it needs of the member that it belongs to. */
+    /** The member that the lease belongs to. */
     interface Host {
-        /** This member's part in the group, or null. */
+        /** This member's replica, or null until the group is bootstrapped. */
         RaftReplica replica();
 
-        /** The leader as far as is known here, or null. */
+        /** The leader according to this member's Raft state, or null if it knows none. */
         MemberId leader();
 
-        /** Runs work, on the group's thread, once the pooler has applied all that it was notified of so far. */
-        void runAfterApplied(Runnable then);
+        /** Runs {@code callback} on the group's thread when the pooler has applied all earlier notifications. */
+        void runAfterApplied(Runnable callback);
 
-        /** Why the pooler can't serve on the committed configuration, or empty. */
-        String objection();
+        /** Why the pooler can't apply the committed configuration, or empty. */
+        String cannotServeReason();
 
-        /** Sends a request to another member; there is a response within the time in any case. */
+        /** Sends a request to another member; there is always a response, at the latest after the timeout. */
         void call(
                 MemberId member,
                 String name,
                 List<byte[]> arguments,
                 long timeoutMicros,
-                Consumer<WireMessages.Response> then);
+                Consumer<WireMessages.Response> callback);
 
-        /** Proposes a command; {@code then} is told whether it was committed. */
-        void propose(Command command, Consumer<Boolean> then);
+        /** Proposes a command; {@code callback} gets whether it is known to be committed. */
+        void propose(Command command, Consumer<Boolean> callback);
 
-        /** The last log index that matters to poolers, as applied here. */
-        long relevantIndex();
+        /** Log index of the last change of configuration or drains applied here. */
+        long lastChangeIndex();
 
-        /** Up to which log index those serve that follow this member with leases of its own. */
-        long followersIndex();
+        /** Log index up to which all subscribers with a lease of this member have applied all changes. */
+        long subscribersIndex();
 
-        /** This member holds a lease; at its grant the leader had applied a relevant change at that index. */
-        void onLeaseGranted(long untilMicros, long leaderRelevantIndex);
+        /**
+         * This member was granted a lease.
+         *
+         * @param untilMicros when the lease ends, by {@link #monotonicMicros}
+         * @param leaderLastChangeIndex log index of the last change of configuration or drains that the leader had
+         *     applied when it granted the lease
+         */
+        void onLeaseGranted(long untilMicros, long leaderLastChangeIndex);
     }
 
     private final Host host;
@@ -68,10 +74,10 @@
     private final LeaseGrantor grantor = new LeaseGrantor();
     private final Lease lease;
     private long servedIndex;
-    private long requestedMicros;
+    private long lastRequestMicros;
     private boolean fenced;
-    /** The member whose response is awaited, or null. */
-    private MemberId awaited;
+    /** The leader whose response to a lease request is awaited, or null. */
+    private MemberId awaitedLeader;
 
     private String version = "";
     private String denialReason = "";
@@ -90,12 +96,12 @@
         }
     }
 
-    /** A clock that never jumps; leases are counted by it alone. */
+    /** The time of a monotonic clock, in microseconds; all lease times are of this clock. */
     static long monotonicMicros() {
         return System.nanoTime() / NANOS_PER_MICRO;
     }
 
-    /** How a document is named as a version. */
+    /** The name of a configuration in audit entries: its revision and digest. */
     static String versionOf(ReplicatedState.Document document) {
         return document.revision() + "-" + document.digest();
     }
@@ -105,76 +111,77 @@
         return !fencingEnabled || lease.isValid(monotonicMicros());
     }
 
-    /** The leases that this member grants while it leads. */
+    /** Grants the leases while this member leads. */
     LeaseGrantor grantor() {
         return grantor;
     }
 
-    /** How much time the lease has left. */
+    /** Remaining time of the lease in microseconds; 0 if it has ended. */
     long remainingMicros() {
         return Math.max(0, lease.untilMicros() - monotonicMicros());
     }
 
-    /** What the leader said where it last denied a lease, or empty. */
+    /** Why the leader has denied a lease; empty after a grant. */
     String denialReason() {
         return denialReason;
     }
 
-    /** Up to which log index the pooler serves. */
+    /** Log index up to which the pooler has applied all changes. */
     long servedIndex() {
         return servedIndex;
     }
 
-    // ---- audit entries; times are Unix times ----
+    // ---- audit entries; times are Unix times in microseconds ----
 
-    /** A version is about to be applied: noted and forced first. False where the disk failed: then it must not be. */
-    boolean onAdopting(String next, long index, long nowMicros) {
-        noteFencing(nowMicros);
-        return note(AuditEntry.Event.ADOPTED, next, index, nowMicros, "");
+    /** Records durably that a version is about to be applied; if false, the disk failed and it must not be applied. */
+    boolean onAdopting(String newVersion, long index, long nowMicros) {
+        recordFencing(nowMicros);
+        return recordEvent(AuditEntry.Event.ADOPTED, newVersion, index, nowMicros, "");
     }
 
-    /** The pooler serves on nothing but this version from now on. */
-    void onAdopted(String next, long index, long nowMicros) {
-        noteFencing(nowMicros);
-        version = next;
-        note(AuditEntry.Event.CEASED_OTHERS, next, index, nowMicros, "");
+    /** Records that the pooler now serves with this version only. */
+    void onAdopted(String newVersion, long index, long nowMicros) {
+        recordFencing(nowMicros);
+        version = newVersion;
+        recordEvent(AuditEntry.Event.CEASED_OTHERS, newVersion, index, nowMicros, "");
     }
 
-    /** The pooler can't serve on a committed version. */
-    void onRejected(String next, long index, long nowMicros, String reason) {
-        note(AuditEntry.Event.REFUSED, next, index, nowMicros, reason);
+    /** Records that the pooler can't apply a committed version. */
+    void onRejected(String newVersion, long index, long nowMicros, String reason) {
+        recordEvent(AuditEntry.Event.REFUSED, newVersion, index, nowMicros, reason);
     }
 
-    /** Contact with a majority is lost, or there again. */
-    void onQuorumContact(boolean inTouch, long nowMicros) {
-        note(inTouch ? AuditEntry.Event.BACK : AuditEntry.Event.CUT_OFF, version, servedIndex, nowMicros, "");
+    /** Records that contact with a majority was lost, or is established again. */
+    void onQuorumContact(boolean inContact, long nowMicros) {
+        recordEvent(inContact ? AuditEntry.Event.BACK : AuditEntry.Event.CUT_OFF, version, servedIndex, nowMicros, "");
     }
 
-    /** The process ends; nothing may be noted afterwards. */
+    /** Records the end of the process and closes the audit log; nothing may be recorded afterwards. */
     void close(long nowMicros) {
-        note(AuditEntry.Event.ENDED, version, servedIndex, nowMicros, "");
+        recordEvent(AuditEntry.Event.ENDED, version, servedIndex, nowMicros, "");
         auditLog.close();
     }
 
-    private boolean note(AuditEntry.Event event, String of, long index, long nowMicros, String reason) {
+    private boolean recordEvent(
+            AuditEntry.Event event, String entryVersion, long index, long nowMicros, String reason) {
         try {
-            auditLog.append(event, of, index, nowMicros, reason);
+            auditLog.append(event, entryVersion, index, nowMicros, reason);
             return true;
         } catch (IOException e) {
-            Log.error("store: an audit entry can't be written: %s", e.getMessage());
+            Log.error("store: cannot write audit entry %s, change %s: %s", event.text(), index, e.getMessage());
             return false;
         }
     }
 
     /**
-     * Notes that the lease has ended, at the time when it did, or that there is one again. Before anything else is
-     * noted, as a process that stood still hears of many things at once when it wakes.
+     * Records that the lease has ended, with the time at which it did, or that it is valid again. Called before other
+     * entries are recorded, since a process that was paused handles many events at once when it resumes.
      */
-    private void noteFencing(long nowMicros) {
+    private void recordFencing(long nowMicros) {
         long monotonicMicros = monotonicMicros();
         if (fencingEnabled && fenced == lease.isValid(monotonicMicros)) {
             fenced = !fenced;
-            note(
+            recordEvent(
                     fenced ? AuditEntry.Event.FENCED : AuditEntry.Event.RETURNED,
                     version,
                     servedIndex,
@@ -185,45 +192,46 @@
 
     // ---- the lease ----
 
-    /** Called ten times a second. */
-    void tick(boolean leads, long nowMicros) {
+    /** To be called every 100 ms. */
+    void tick(boolean isLeader, long nowMicros) {
         long monotonicMicros = monotonicMicros();
         RaftReplica replica = host.replica();
-        grantor.tick(leads, replica, monotonicMicros);
+        grantor.tick(isLeader, replica, monotonicMicros);
         if (replica != null) {
             long appliedIndex = replica.state().appliedIndex();
             host.runAfterApplied(() -> servedIndex = Math.max(servedIndex, appliedIndex));
         }
-        renew(leads, monotonicMicros);
-        noteFencing(nowMicros);
+        renew(isLeader, monotonicMicros);
+        recordFencing(nowMicros);
         delivery.tick(host.leader() != null, monotonicMicros);
     }
 
     private boolean renewalDue(long nowMicros) {
-        boolean fresh = lease.untilMicros() - nowMicros > Lease.DURATION_MICROS / 2;
-        return nowMicros - requestedMicros >= (fresh ? Lease.RENEW_INTERVAL_MICROS : RETRY_INTERVAL_MICROS);
+        boolean hasHalfLeft = lease.untilMicros() - nowMicros > Lease.DURATION_MICROS / 2;
+        return nowMicros - lastRequestMicros >= (hasHalfLeft ? Lease.RENEW_INTERVAL_MICROS : RETRY_INTERVAL_MICROS);
     }
 
-    private void renew(boolean leads, long nowMicros) {
+    private void renew(boolean isLeader, long nowMicros) {
         MemberId leader = host.leader();
-        if (leader == null || leader.equals(awaited) || !renewalDue(nowMicros)) {
+        if (leader == null || leader.equals(awaitedLeader) || !renewalDue(nowMicros)) {
             return;
         }
-        requestedMicros = nowMicros;
-        if (leads) {
-            LeaseManager.Renewal renewal = grantor.grant(name, servedIndex, host.objection(), host.followersIndex());
-            onRenewal(renewal, nowMicros, OptionalLong.of(host.relevantIndex()));
+        lastRequestMicros = nowMicros;
+        if (isLeader) {
+            LeaseManager.Renewal renewal =
+                    grantor.grant(name, servedIndex, host.cannotServeReason(), host.subscribersIndex());
+            onRenewal(renewal, nowMicros, OptionalLong.of(host.lastChangeIndex()));
             return;
         }
-        awaited = leader;
+        awaitedLeader = leader;
         List<byte[]> arguments = List.of(
                 bytes(name),
                 bytes(Long.toString(servedIndex)),
-                bytes(host.objection()),
-                bytes(Long.toString(host.followersIndex())));
+                bytes(host.cannotServeReason()),
+                bytes(Long.toString(host.subscribersIndex())));
         host.call(leader, RequestHandler.LEASE, arguments, REQUEST_TIMEOUT_MICROS, response -> {
-            // One who leads no more may answer late; what it granted still counts from the request.
-            awaited = leader.equals(awaited) ? null : awaited;
+            // May be late, from a member that no longer leads; a lease that it granted still counts from the request.
+            awaitedLeader = leader.equals(awaitedLeader) ? null : awaitedLeader;
             onResponse(response, nowMicros);
         });
     }
@@ -231,14 +239,14 @@
     private void onResponse(WireMessages.Response response, long requestMicros) {
         if (response.status() == WireMessages.Status.OK) {
             long durationMicros = Long.parseLong(response.text());
-            onRenewal(new LeaseManager.Renewal(durationMicros, ""), requestMicros, leaderRelevantIndex(response));
+            onRenewal(new LeaseManager.Renewal(durationMicros, ""), requestMicros, leaderLastChangeIndex(response));
         } else if (response.status() == WireMessages.Status.REJECTED) {
             onRenewal(new LeaseManager.Renewal(0, response.text()), requestMicros, OptionalLong.empty());
         }
     }
 
-    /** A leader of an earlier version does not tell: then nothing can be granted to subscribers. */
-    private static OptionalLong leaderRelevantIndex(WireMessages.Response response) {
+    /** Empty from a leader of an earlier version, which does not send it: subscribers then get no leases. */
+    private static OptionalLong leaderLastChangeIndex(WireMessages.Response response) {
         if (response.content().length == 0) {
             return OptionalLong.empty();
         }
@@ -249,12 +257,12 @@
         }
     }
 
-    private void onRenewal(LeaseManager.Renewal renewal, long requestMicros, OptionalLong leaderRelevantIndex) {
+    private void onRenewal(LeaseManager.Renewal renewal, long requestMicros, OptionalLong leaderLastChangeIndex) {
         if (renewal.durationMicros() > 0) {
             lease.onGranted(requestMicros, renewal.durationMicros());
-            if (leaderRelevantIndex.isPresent()) {
+            if (leaderLastChangeIndex.isPresent()) {
                 host.onLeaseGranted(
-                        Lease.endMicros(requestMicros, renewal.durationMicros()), leaderRelevantIndex.getAsLong());
+                        Lease.endMicros(requestMicros, renewal.durationMicros()), leaderLastChangeIndex.getAsLong());
             }
             denialReason = "";
         } else if (!renewal.reason().isEmpty()) {
--- a/replication/src/main/java/lupinvalve/replication/MemberRuntime.java
+++ b/replication/src/main/java/lupinvalve/replication/MemberRuntime.java
@@ -20,12 +20,12 @@
 import lupinvalve.statemachine.ReplicatedState;
 
 /**
- * One member's part in the Raft group: follows the bootstrap, runs the Raft node on the disk, hands on what is
- * committed, and opens a disk anew that failed. On the group's thread but for {@link #isLeader}.
+ * Runs one member of the Raft group: its bootstrap, its Raft replica, the pooler's notification of committed changes,
+ * and the reopening of a failed disk. On the group's thread, except {@link #isLeader}.
  */
 final class MemberRuntime {
     private static final long TICK_INTERVAL_MICROS = 100_000;
-    /** How soon a disk that failed is opened again. */
+    /** Delay before a failed disk is reopened; doubled with each failed attempt. */
     private static final long REOPEN_BACKOFF_MICROS = 500_000;
 
     private static final long MAX_REOPEN_BACKOFF_MICROS = 16_000_000;
@@ -39,21 +39,21 @@
     private final ClusterBootstrap bootstrap;
     private final PeerConnections peers;
     private final MemberAddresses addresses;
-    private final RequestHandler requests = new RequestHandler(this);
+    private final RequestHandler requestHandler = new RequestHandler(this);
     private final SubscriptionServer subscriptions;
     private final LegacyStoreImport legacyImport;
     private final SessionCommitPublisher commits;
     private final ConfigurationActivator activator;
-    /** Null where the operator's file does not turn the audit on. */
+    /** Null if the audit is off in the operator's configuration. */
     private final LeaseHolder leaseHolder;
 
     private SegmentedLog log;
     private ControlPlane.Listener listener;
-    /** Null before the bootstrap is over, and while a disk that failed is not open again. */
+    /** Null until the bootstrap is over; terminated while a failed disk is not reopened. */
     private RaftReplica replica;
-    /** Null while this member takes part. */
+    /** Why the replica has terminated; null while it has not. */
     private RaftReplica.Termination termination;
-    /** Null where none is known. */
+    /** Null if unknown. */
     private MemberId leader;
 
     private String loggedPendingReason = "";
@@ -62,7 +62,7 @@
     private long reopenBackoffMicros = REOPEN_BACKOFF_MICROS;
     private volatile boolean leading;
 
-    /** Opens the folder; throws with one line that says what is wrong with it and where. */
+    /** Opens the folder; the message of a thrown exception is one line that names the folder and the fault. */
     MemberRuntime(
             OperatorConfig.Store config,
             EventLoop loop,
@@ -96,7 +96,7 @@
         addresses = new MemberAddresses(config.members().keySet(), peers);
     }
 
-    /** Begins to take part; {@code callbacks} hears first what was committed before. */
+    /** Starts the member; {@code callbacks} is notified first of the state committed before the start. */
     void start(ControlPlane.Listener callbacks) {
         listener = callbacks;
         if (initialState.document() != null) {
@@ -108,8 +108,8 @@
         tick();
     }
 
-    /** Ends at once; {@code then} runs when the log is closed. */
-    void stop(Runnable then) {
+    /** Stops at once; {@code callback} runs when the log is closed. */
+    void stop(Runnable callback) {
         stopped = true;
         commits.stop();
         peers.stop();
@@ -121,21 +121,21 @@
         }
         scheduler.post(() -> {
             log.close(true);
-            then.run();
+            callback.run();
         });
     }
 
-    /** Whether this member leads, as far as it knows; from any thread. */
+    /** Whether this member leads, according to its own Raft state; from any thread. */
     boolean isLeader() {
         return leading;
     }
 
-    /** A session's commit here; {@code onCommitted}, if any, runs once a majority holds it. */
+    /** Replicates a session's commit; {@code onCommitted}, if not null, runs once a majority has it. */
     void publishCommit(String session, long position, Runnable onCommitted) {
         commits.publish(session, position, onCommitted);
     }
 
-    /** The list of db nodes as this pooler has it; the leader's goes to all. */
+    /** Replicates this pooler's list of db nodes if this member leads; otherwise does nothing. */
     void publishEndpoints(List<Command.KnownEndpoint> endpoints) {
         if (leading) {
             replica.propose(new Command.EndpointList(loop.now(), endpoints), (completion, outcome) -> {});
@@ -146,14 +146,14 @@
         if (stopped) {
             return;
         }
-        MemberId known = replica == null ? null : replica.leader();
-        if (known != null && !known.equals(leader)) {
-            Log.info("store: %s leads, term %s", known, replica.term());
+        MemberId currentLeader = replica == null ? null : replica.leader();
+        if (currentLeader != null && !currentLeader.equals(leader)) {
+            Log.info("store: %s leads, term %s", currentLeader, replica.term());
         }
-        leader = known;
+        leader = currentLeader;
         reopenFailedDisk();
         leading = replica != null && replica.isLeader();
-        noteQuorumContact();
+        updateQuorumContact();
         if (awaitsBootstrap()) {
             logPendingBootstrap();
         } else if (leading) {
@@ -170,7 +170,7 @@
         loop.after(TICK_INTERVAL_MICROS, this::tick);
     }
 
-    private void noteQuorumContact() {
+    private void updateQuorumContact() {
         String line = activator.active().onQuorumContact(leader != null, loop.now());
         if (line != null) {
             Log.warn("store: %s", line);
@@ -188,11 +188,11 @@
     private void logPendingBootstrap() {
         if (!bootstrap.pendingReason().equals(loggedPendingReason)) {
             loggedPendingReason = bootstrap.pendingReason();
-            Log.info("store: the group is not founded yet: %s", loggedPendingReason);
+            Log.info("store: the Raft group is not bootstrapped yet: %s", loggedPendingReason);
         }
     }
 
-    /** Brings the own announcement to disk, then to the others; joins the group once there is one. */
+    /** Persists this member's announcement, then sends it to the others; starts the replica once bootstrapped. */
     private void advanceBootstrap() {
         try {
             while (!bootstrap.own().equals(log.announcement())) {
@@ -201,9 +201,9 @@
                         "store: %s %s",
                         log.announcement().member(),
                         switch (log.announcement().phase()) {
-                            case BOUND -> "is bound to found the group";
-                            case BOOTSTRAPPED -> "has founded the group";
-                            default -> "is no member yet: it waits for `store add " + config.name() + "`";
+                            case BOUND -> "is bound to the founders of the Raft group; waiting for the others to be bound";
+                            case BOOTSTRAPPED -> "has bootstrapped the Raft group as a founder";
+                            default -> "is not a member yet: waiting for `store add " + config.name() + "`";
                         });
                 peers.announce(log.announcement());
             }
@@ -241,8 +241,8 @@
     }
 
     /**
-     * A member whose disk failed takes part again once the disk is good, from what is really there: each file is read
-     * and forced anew before anything of it is believed. Retried with backoff.
+     * Reopens the log after a disk failure, with backoff, and starts a new replica from it. Each file is read, written
+     * and forced again first, since pages of a failed force may be readable but not durable.
      */
     private void reopenFailedDisk() {
         if (termination == null
@@ -257,10 +257,10 @@
             log.close(false);
             log = reopened;
         } catch (IOException e) {
-            Log.warn("store: the disk can't be opened again yet: %s", e.getMessage());
+            Log.warn("store: reopening the disk failed: %s; retrying in %s us", e.getMessage(), reopenBackoffMicros);
             return;
         }
-        Log.info("store: the disk works again; the Raft node restarts from its log");
+        Log.info("store: the disk has recovered; restarting the Raft node from its log");
         termination = null;
         replica = null;
         reopenBackoffMicros = REOPEN_BACKOFF_MICROS;
@@ -271,21 +271,22 @@
         return replica != null && leader != null && termination == null;
     }
 
-    /** Proposes a command here or through the leader; only where {@link #canPropose}. */
-    private void propose(Command command, Consumer<Boolean> then) {
+    /** Proposes a command, through the leader if another member leads; requires {@link #canPropose}. */
+    private void propose(Command command, Consumer<Boolean> callback) {
         if (replica.isLeader()) {
-            replica.propose(command, (completion, outcome) -> then.accept(completion == RaftReplica.Completion.DONE));
+            replica.propose(
+                    command, (completion, outcome) -> callback.accept(completion == RaftReplica.Completion.DONE));
         } else {
             peers.call(
                     leader,
                     RequestHandler.PROPOSE,
                     List.of(CommandCodec.encode(command)),
                     RequestHandler.FORWARD_TIMEOUT_MICROS,
-                    response -> then.accept(response.status() == WireMessages.Status.OK));
+                    response -> callback.accept(response.status() == WireMessages.Status.OK));
         }
     }
 
-    // ---- what the parts tell this member ----
+    // ---- callbacks from the parts ----
 
     private final class Sender implements RaftReplica.MessageSender {
         @Override
@@ -324,7 +325,7 @@
 
         @Override
         public void request(String caller, WireMessages.Request request, Consumer<WireMessages.Response> channel) {
-            requests.handle(caller, request, channel);
+            requestHandler.handle(caller, request, channel);
         }
     }
 
@@ -340,12 +341,12 @@
         }
 
         @Override
-        public void runAfterApplied(Runnable then) {
-            listener.runAfterApplied(() -> loop.post(then));
+        public void runAfterApplied(Runnable callback) {
+            listener.runAfterApplied(() -> loop.post(callback));
         }
 
         @Override
-        public String objection() {
+        public String cannotServeReason() {
             return termination != null
                     ? termination.reason()
                     : activator.active().unreadableReason();
@@ -357,32 +358,32 @@
                 String name,
                 List<byte[]> arguments,
                 long timeoutMicros,
-                Consumer<WireMessages.Response> then) {
-            peers.call(member, name, arguments, timeoutMicros, then);
+                Consumer<WireMessages.Response> callback) {
+            peers.call(member, name, arguments, timeoutMicros, callback);
         }
 
         @Override
-        public void propose(Command command, Consumer<Boolean> then) {
+        public void propose(Command command, Consumer<Boolean> callback) {
             if (canPropose()) {
-                MemberRuntime.this.propose(command, then);
+                MemberRuntime.this.propose(command, callback);
             } else {
-                then.accept(false);
+                callback.accept(false);
             }
         }
 
         @Override
-        public long relevantIndex() {
+        public long lastChangeIndex() {
             return subscriptions.lastChangeIndex();
         }
 
         @Override
-        public long followersIndex() {
+        public long subscribersIndex() {
             return subscriptions.appliedFloor();
         }
 
         @Override
-        public void onLeaseGranted(long untilMicros, long leaderRelevantIndex) {
-            subscriptions.onOwnLease(untilMicros, leaderRelevantIndex);
+        public void onLeaseGranted(long untilMicros, long leaderLastChangeIndex) {
+            subscriptions.onOwnLease(untilMicros, leaderLastChangeIndex);
         }
     }
 
@@ -390,7 +391,7 @@
         @Override
         public void applied(long index, Command command, ReplicatedState.Outcome outcome) {
             if (replica == null) {
-                // A node that has been left; the next one comes to it as well.
+                // From a replica discarded after a disk failure; its successor applies the entry again.
                 return;
             }
             subscriptions.onApplied(replica.state(), command, outcome);
@@ -426,19 +427,19 @@
         }
     }
 
-    // ---- what requests look at ----
+    // ---- state read by requests ----
 
-    /** What was committed as far as this member knew by itself at its start; from any thread. */
+    /** The committed state recorded on this member's own disk at its start; from any thread. */
     ReplicatedState initialState() {
         return initialState;
     }
 
-    /** Null before the bootstrap is over. */
+    /** The replica, running or terminated; null until the bootstrap is over. */
     RaftReplica replica() {
         return replica;
     }
 
-    /** Why this member takes no part any more, or null. */
+    /** Why the replica has terminated, or null while it has not. */
     RaftReplica.Termination termination() {
         return termination;
     }
@@ -463,7 +464,7 @@
         return subscriptions;
     }
 
-    /** Null where the audit is off. */
+    /** Null if the audit is off. */
     LeaseHolder leaseHolder() {
         return leaseHolder;
     }
@@ -484,7 +485,7 @@
         return loop;
     }
 
-    /** The group as this member sees it as its leader, with those connected that are no members. */
+    /** The group as this member sees it while it leads, with the connected nodes that are not members. */
     MembershipChange.GroupView groupView(RaftNodeReport report) {
         Set<MemberId> connected = peers.connected();
         Set<MemberId> nonMembers = new TreeSet<>(connected);
--- a/replication/src/main/java/lupinvalve/replication/MembershipChanges.java
+++ b/replication/src/main/java/lupinvalve/replication/MembershipChanges.java
@@ -5,11 +5,11 @@
 import lupinvalve.statemachine.Command;
 import lupinvalve.statemachine.MembershipChange;
 
-/** Adds and removes members while this one leads, one step after another. On the group's thread. */
+/** Adds and removes members while this member leads, one step at a time. On the group's thread. */
 final class MembershipChanges {
-    /** How long one membership change may take in all. */
+    /** Timeout of a membership change, over all its steps. */
     static final long TIMEOUT_MICROS = 20_000_000;
-    /** How long after each step the group is looked at again. */
+    /** Delay after each step before the next one is planned from a new report. */
     static final long STEP_INTERVAL_MICROS = 50_000;
 
     private final MemberRuntime member;
@@ -20,7 +20,7 @@
         this.status = status;
     }
 
-    /** Responds once the group is as requested, or can't be brought there, or the time is over. */
+    /** Executes a membership change; responds when it is completed or rejected, or when its timeout has passed. */
     void start(MembershipChange.Request request, Responder responder) {
         advance(request, member.loop().now() + TIMEOUT_MICROS, responder);
     }
@@ -32,46 +32,46 @@
             } else if (!RaftReplica.isLeader(report)) {
                 responder.retry("the leader changes");
             } else {
-                MembershipChange.Step next = MembershipChange.nextStep(request, member.groupView(report));
-                take(next, report, request, deadlineMicros, responder);
+                MembershipChange.Step step = MembershipChange.nextStep(request, member.groupView(report));
+                execute(step, report, request, deadlineMicros, responder);
             }
         });
     }
 
-    private void take(
-            MembershipChange.Step next,
+    private void execute(
+            MembershipChange.Step step,
             RaftNodeReport report,
             MembershipChange.Request request,
             long deadlineMicros,
             Responder responder) {
-        Runnable goOn =
+        Runnable advanceLater =
                 () -> member.loop().after(STEP_INTERVAL_MICROS, () -> advance(request, deadlineMicros, responder));
-        if (next instanceof MembershipChange.Step.Done) {
-            forgetAddress(request);
+        if (step instanceof MembershipChange.Step.Done) {
+            deleteAddress(request);
             responder.ok(status.members(report));
-        } else if (next instanceof MembershipChange.Step.Rejected rejected) {
+        } else if (step instanceof MembershipChange.Step.Rejected rejected) {
             responder.reject(rejected.reason());
         } else if (member.loop().now() > deadlineMicros) {
             responder.retry(
-                    next instanceof MembershipChange.Step.Wait wait
+                    step instanceof MembershipChange.Step.Wait wait
                             ? wait.reason()
                             : "it takes longer; ask again to go on");
-        } else if (next instanceof MembershipChange.Step.Wait) {
-            goOn.run();
+        } else if (step instanceof MembershipChange.Step.Wait) {
+            advanceLater.run();
         } else {
-            Log.info("store: membership change: %s", next);
-            member.replica().changeMembership(next, report, (completion, ignored) -> {
-                if (next instanceof MembershipChange.Step.TransferLeadership) {
+            Log.info("store: membership change: %s", step);
+            member.replica().changeMembership(step, report, (completion, ignored) -> {
+                if (step instanceof MembershipChange.Step.TransferLeadership) {
                     responder.retry("another member leads now; ask again to go on");
                 } else {
-                    // Whether it was taken shows in what the group looks like next.
-                    goOn.run();
+                    // The next report shows whether the step was committed.
+                    advanceLater.run();
                 }
             });
         }
     }
 
-    private void forgetAddress(MembershipChange.Request request) {
+    private void deleteAddress(MembershipChange.Request request) {
         if (!request.add() && member.replica().state().memberAddresses().containsKey(request.name())) {
             member.replica().propose(new Command.SetMemberAddress(request.name(), ""), (completion, outcome) -> {});
         }
--- a/replication/src/main/java/lupinvalve/replication/MicroRaftWorkarounds.java
+++ b/replication/src/main/java/lupinvalve/replication/MicroRaftWorkarounds.java
@@ -13,8 +13,8 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Prepares a leader's messages, and the state that meets them, before the library (MicroRaft 0.7) handles them, as some
- * of its handlers go wrong. docs/faults.md has each fault with the steps at which it shows.
+ * Works around faults in MicroRaft 0.7's handlers of a leader's messages: adjusts the message, and the Raft state,
+ * before MicroRaft handles it. docs/faults.md has each fault with the steps that reproduce it.
  */
 final class MicroRaftWorkarounds {
     private final RaftNodeImpl node;
@@ -27,7 +27,7 @@
         this.terminated = terminated;
     }
 
-    /** Hands a message to the library; its state is repaired first where the message needs that. */
+    /** Passes a message to MicroRaft, after any adjustment of its state that the message needs. */
     void handle(RaftMessage message) {
         if (message instanceof AppendEntriesRequest || message instanceof InstallSnapshotRequest) {
             executor.execute(() -> {
@@ -43,10 +43,11 @@
     }
 
     /**
-     * A pre-vote that began between this member's vote and the new leader's first message stays in the state for good:
-     * that message is of the same term and finds a follower, so its handler does not step down, and {@code PreVoteTask}
-     * ends silently where there is a leader. While there is one, {@code HeartbeatTask} gives no leader up, however long
-     * it has been silent. Stepping down within the term ends the pre-vote and keeps the vote.
+     * Ends a pre-vote that started between this member's vote and the new leader's first message. MicroRaft never ends
+     * it: that message is of the same term and this member is a follower, so the handler does not step down, and
+     * {@code PreVoteTask} returns without effect while there is a leader. And as long as the pre-vote is in the state,
+     * {@code HeartbeatTask} never drops a leader, however long it has been silent. Stepping down within the term ends
+     * the pre-vote and keeps the vote.
      */
     private void endPreVote(int term) {
         RaftState state = node.state();
@@ -56,10 +57,10 @@
     }
 
     /**
-     * Where a restart found entries behind a snapshot that a later leader replaces, the library looks for the entry
-     * before those sent among its entries, does not find the one that the snapshot ends with, and rejects all. The
-     * replaced ones are truncated first, as the library would do once it had looked; the snapshot's end is then the
-     * last entry.
+     * Truncates entries after a snapshot that conflict with the leader's. After a restart that restored such entries,
+     * MicroRaft looks for the entry before the sent ones only in its log, not in the snapshot that ends with it, and
+     * rejects every request. MicroRaft would truncate the conflicting entries itself if that check passed. Once they
+     * are truncated here, the end of the snapshot is the last entry, which the check finds.
      */
     private void truncateConflictingEntries(AppendEntriesRequest request) {
         RaftState state = node.state();
@@ -83,19 +84,19 @@
     }
 
     /**
-     * A request as the library can handle it. Its commit index is cut to the end of the entries sent: the library takes
-     * the least of both for its own new commit index even where it stands further already, as when a new leader looks
-     * for the last common entry; nothing else reads it.
+     * The request in a form that MicroRaft handles correctly. Its commit index is limited to the end of the sent
+     * entries: MicroRaft sets its own commit index to the lesser of the two even if it is further already, as happens
+     * while a new leader searches for the last common entry. Nothing else reads the request's commit index.
      *
-     * <p>And where the entry before those sent is in a snapshot alone, while entries behind it are here already (after
-     * a restart, or where the response to a first request behind a snapshot was lost), the library looks for it among
-     * its entries in vain (its {@code verifyLastLogEntry}) and rejects all for good. The first entry sent that is here
-     * as well takes its place.
+     * <p>If the entry before the sent ones is only in a snapshot here, and some of the sent entries are in the log
+     * already (after a restart, or if the response to the first request after a snapshot was lost), MicroRaft's
+     * {@code verifyLastLogEntry} does not find that entry in the log and rejects every such request. The request then
+     * starts after the first sent entry that is in the log, with that one as its previous entry.
      */
     private AppendEntriesRequest repaired(AppendEntriesRequest request) {
         List<LogEntry> sent = request.getLogEntries();
         long end = request.getPreviousLogIndex() + sent.size();
-        int skipped = countKnownEntries(request);
+        int skipped = countEntriesToSkip(request);
         if (request.getCommitIndex() <= end && skipped == 0) {
             return request;
         }
@@ -111,8 +112,11 @@
                 .build();
     }
 
-    /** How many of the entries sent go up to the first that is here as well, where the one before them is not here. */
-    private int countKnownEntries(AppendEntriesRequest request) {
+    /**
+     * How many sent entries to skip: those up to the first that is in the log here too, if the entry before the sent
+     * ones is not in the log; else 0.
+     */
+    private int countEntriesToSkip(AppendEntriesRequest request) {
         RaftLog log = node.state().log();
         long previous = request.getPreviousLogIndex();
         if (previous < 1 || previous == log.lastLogOrSnapshotIndex() || log.containsLogEntry(previous)) {
--- a/replication/src/main/java/lupinvalve/replication/RaftCodec.java
+++ b/replication/src/main/java/lupinvalve/replication/RaftCodec.java
@@ -27,19 +27,19 @@
 import lupinvalve.statemachine.DecodingException;
 import lupinvalve.statemachine.MemberId;
 
-/** Encodes the library's messages and log entries as CBOR. Commands are bytes already and go in as they are. */
+/** Encodes MicroRaft's messages and log entries as CBOR. Commands are already encoded and are copied as bytes. */
 final class RaftCodec {
     static final RaftModelFactory FACTORY = new DefaultRaftModelFactory();
     private static final int MAX_ENTRIES = 100_000;
     private static final int MAX_CHUNKS = 10_000;
-    /** Members at most that are read; a group that changes may name more than it has. */
+    /** Most endpoints accepted in a decoded list; during a membership change it may exceed the group's maximum. */
     private static final int MAX_ENDPOINTS = 4 * MemberId.MAX_MEMBERS;
 
-    // An operation's kind; the numbers are the wire's and the disk's.
+    // Operation kinds; the numbers are sent and stored, so they must not change.
     private static final int COMMAND_OPERATION = 0;
     private static final int MEMBERSHIP_OPERATION = 1;
 
-    // A message's kind; the numbers are the wire's.
+    // Message kinds; the numbers are sent, so they must not change.
     private static final int APPEND_ENTRIES = 1;
     private static final int APPEND_ENTRIES_SUCCESS = 2;
     private static final int APPEND_ENTRIES_FAILURE = 3;
@@ -54,7 +54,7 @@
 
     private RaftCodec() {}
 
-    // ---- parts ----
+    // ---- parts of messages and log entries ----
     private static Cbor.Writer endpoint(Cbor.Writer out, RaftEndpoint endpoint) {
         MemberId identity = MemberEndpoint.of(endpoint);
         return out.text(identity.name()).text(identity.diskId());
@@ -64,18 +64,18 @@
         return new MemberEndpoint(new MemberId(in.text(), in.text()));
     }
 
-    static Cbor.Writer endpoints(Cbor.Writer out, Collection<RaftEndpoint> all) {
-        out.number(all.size());
-        all.forEach(one -> endpoint(out, one));
+    static Cbor.Writer endpoints(Cbor.Writer out, Collection<RaftEndpoint> endpoints) {
+        out.number(endpoints.size());
+        endpoints.forEach(endpoint -> endpoint(out, endpoint));
         return out;
     }
 
     static List<RaftEndpoint> endpoints(Cbor.Reader in) throws IOException {
-        List<RaftEndpoint> all = new ArrayList<>();
-        for (int left = in.count(MAX_ENDPOINTS); left > 0; left--) {
-            all.add(endpoint(in));
+        List<RaftEndpoint> endpoints = new ArrayList<>();
+        for (int remaining = in.count(MAX_ENDPOINTS); remaining > 0; remaining--) {
+            endpoints.add(endpoint(in));
         }
-        return all;
+        return endpoints;
     }
 
     static Cbor.Writer view(Cbor.Writer out, RaftGroupMembersView view) {
@@ -97,7 +97,7 @@
             endpoints(endpoints(out.number(MEMBERSHIP_OPERATION), op.getMembers()), op.getVotingMembers());
             endpoint(out, op.getEndpoint()).text(op.getMode().name());
         } else {
-            throw new IllegalArgumentException("an operation of " + operation.getClass());
+            throw new IllegalArgumentException("cannot encode a Raft operation of " + operation.getClass());
         }
     }
 
@@ -147,7 +147,7 @@
 
     // ---- messages ----
 
-    /** The group's name is not sent: who is connected is of the same cluster. */
+    /** Encodes a message without its group id: connections are accepted only from the same cluster. */
     static byte[] write(RaftMessage message) {
         Cbor.Writer out = new Cbor.Writer();
         if (message instanceof AppendEntriesRequest request) {
@@ -193,7 +193,7 @@
                     .number(request.getLastLogTerm())
                     .number(request.getLastLogIndex());
         } else {
-            throw new IllegalArgumentException("a message of " + message.getClass());
+            throw new IllegalArgumentException("cannot encode a Raft message of " + message.getClass());
         }
     }
 
@@ -227,7 +227,7 @@
         return endpoint(out.number(kind), message.getSender()).number(message.getTerm());
     }
 
-    /** What each message begins with, behind its kind. */
+    /** The fields that follow the kind in each message, with the group id, which is not encoded. */
     private record Header(Object group, RaftEndpoint sender, int term) {}
 
     static RaftMessage read(Object group, byte[] bytes) throws IOException {
@@ -245,7 +245,7 @@
             case VOTE -> readVote(in, header);
             case VOTE_RESPONSE -> readVoteResponse(in, header);
             case TRIGGER_ELECTION -> readTriggerElection(in, header);
-            default -> throw new DecodingException("a message of the unknown kind " + kind);
+            default -> throw new DecodingException("unknown Raft message kind " + kind);
         };
     }
 
@@ -258,7 +258,7 @@
                 .setQuerySequenceNumber(in.number())
                 .setFlowControlSequenceNumber(in.number());
         List<LogEntry> entries = new ArrayList<>();
-        for (int left = in.count(MAX_ENTRIES); left > 0; left--) {
+        for (int remaining = in.count(MAX_ENTRIES); remaining > 0; remaining--) {
             entries.add(entry(in));
         }
         return builder.setLogEntries(entries).build();
--- a/replication/src/main/java/lupinvalve/replication/RaftMember.java
+++ b/replication/src/main/java/lupinvalve/replication/RaftMember.java
@@ -18,28 +18,31 @@
 import lupinvalve.statemachine.ReplicatedState;
 
 /**
- * One member of the Raft group beside a pooler: opens folder, keys and connections, and carries calls to the group's
- * thread ("store"). That is one of its own, since a force of the disk takes as long as many requests.
+ * A pooler's member of the Raft group: opens the folder, the TLS keys and the connections, and dispatches calls to the
+ * group's thread, the event loop {@code store}. The group has a thread of its own because one force of the disk takes
+ * as long as serving many requests.
  */
 public final class RaftMember implements ControlPlane {
     private static final int STOP_TIMEOUT_SECONDS = 3;
 
-    /** Where a member meets its surroundings: fault injection counts and disturbs what goes through. */
+    /** Wraps a member's use of disk, scheduler and network, so that fault injection can count and disturb each step. */
     public interface Interceptors {
-        /** Nothing is intercepted. */
+        /** Passes everything through unchanged. */
         Interceptors NONE = new Interceptors() {};
 
-        /** The way to a folder. */
+        /** The disk that the member uses in place of {@code folder}. */
         default Disk disk(Disk folder) {
             return folder;
         }
 
-        /** Where the member's work runs. */
+        /** The scheduler that the member uses in place of {@code own}. */
         default Scheduler scheduler(Scheduler own) {
             return own;
         }
 
-        /** Whether a message to another member is sent ({@code outgoing}), or one that came is handled. */
+        /**
+         * Whether a Raft message is to be sent ({@code outgoing}), or handled once received; otherwise it is dropped.
+         */
         default boolean permitsMessage(boolean outgoing) {
             return true;
         }
@@ -47,19 +50,23 @@
 
     private final OperatorConfig.Store config;
     private final EventLoop loop = new EventLoop("store");
-    /** Null where no connection leaves the machine. */
+    /** Null if TLS is not configured; then all addresses are on loopback. */
     private final Tls tls;
 
     private final Net net;
     private final MemberRuntime runtime;
     private final AtomicBoolean stopping = new AtomicBoolean();
 
-    /** Opens the folder; throws with one line that says what is wrong with it and where. */
+    /**
+     * Opens the folder.
+     *
+     * @throws IOException with a message of one line that names the folder or the setting at fault
+     */
     public RaftMember(OperatorConfig.Store config) throws IOException {
         this(config, Interceptors.NONE);
     }
 
-    /** The same, with disk, scheduler and messages intercepted. */
+    /** Opens the folder, with interceptors around disk, scheduler and messages. */
     public RaftMember(OperatorConfig.Store config, Interceptors interceptors) throws IOException {
         this.config = config;
         tls = config.tls() == null ? null : new Tls(config.tls());
@@ -87,7 +94,7 @@
         }
     }
 
-    /** What was committed as far as this member knows by itself; before {@link #start}. */
+    /** The committed state recorded on this member's own disk at its start, before contact with other members. */
     public ReplicatedState initialReplicatedState() {
         return runtime.initialState();
     }
@@ -105,7 +112,7 @@
         loop.post(() -> runtime.start(listener));
     }
 
-    /** Where this member listens; after {@link #start}. */
+    /** The address that this member listens at; only after {@link #start}. */
     public InetSocketAddress address() {
         return runtime.peers().address();
     }
@@ -120,13 +127,13 @@
         return config.audit() == OperatorConfig.Audit.FENCE;
     }
 
-    /** Whether this member leads, as far as it knows; from any thread. */
+    /** Whether this member leads, according to its own Raft state; from any thread. */
     @Override
     public boolean isLeader() {
         return runtime.isLeader();
     }
 
-    /** What has gone over this member's connections; from any thread. */
+    /** Traffic counters of this member's connections; from any thread. */
     public Net.Traffic traffic() {
         return net.traffic();
     }
@@ -150,17 +157,17 @@
         loop.post(() -> runtime.publishEndpoints(endpoints));
     }
 
-    /** Ends at once; what was requested and not answered may have happened. From any thread but the group's. */
+    /** Stops at once; requests in flight may have been applied. From any thread but the group's. */
     @Override
     public void stop() {
         if (stopping.getAndSet(true)) {
             return;
         }
-        CountDownLatch done = new CountDownLatch(1);
-        loop.post(() -> runtime.stop(done::countDown));
+        CountDownLatch stopped = new CountDownLatch(1);
+        loop.post(() -> runtime.stop(stopped::countDown));
         try {
-            if (!done.await(STOP_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
-                Log.warn("store: not stopped within %s s", STOP_TIMEOUT_SECONDS);
+            if (!stopped.await(STOP_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
+                Log.warn("store: member did not stop within %s s; closing its connections", STOP_TIMEOUT_SECONDS);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/replication/src/main/java/lupinvalve/replication/RaftReplica.java
+++ b/replication/src/main/java/lupinvalve/replication/RaftReplica.java
@@ -41,73 +41,75 @@
 import lupinvalve.statemachine.SnapshotCodec;
 
 /**
- * One member's part in the replicated log: the Raft library's node, fed with messages and the disk, and the replicated
- * state that the log leads to. All on one scheduler. It knows no connections: whoever made it carries the messages.
+ * One member's replica of the Raft log: the MicroRaft node, its log on disk, and the replicated state that results from
+ * the committed entries. All of it runs on one {@link Scheduler}. Has no connections of its own: it sends through a
+ * {@link MessageSender}, and its owner passes received messages to {@link #handle}.
  */
 final class RaftReplica {
-    /** The group's name for the library; who is connected is of one cluster. */
+    /** MicroRaft's group id. It is not sent: connections are accepted only from the same cluster. */
     static final Object GROUP = "ledger";
 
     private static final int MAX_BATCH_ENTRIES = 512;
     private static final int MAX_PENDING_ENTRIES = 20_000;
-    /** A bound on the library's own table only: compaction goes by the log's bytes. */
+    /** Bounds only MicroRaft's table of log entries: {@link CompactionPolicy} decides by the log's size in bytes. */
     private static final int MAX_ENTRIES_BETWEEN_SNAPSHOTS = 100_000;
 
-    // In the library's time, which runs faster by AcceleratedExecutor.FACTOR. A vote takes a force of the disk and two
-    // ways; the election timeout leaves a multiple of that.
+    // In MicroRaft's time, which runs AcceleratedExecutor.FACTOR times as fast as real time. A vote takes one force of
+    // the disk and one network round trip; the election timeout is a multiple of that.
     private static final int HEARTBEAT_SECONDS = 1;
     private static final int HEARTBEAT_TIMEOUT_SECONDS = 6;
     private static final int ELECTION_TIMEOUT_MILLIS = 1500;
     private static final int REPORT_INTERVAL_SECONDS = 60;
 
-    /** Carries messages to other members; what can't be carried is dropped. */
+    /** Sends messages to other members; drops a message that can't be sent. */
     interface MessageSender {
         void send(MemberId to, byte[] message);
 
-        /** Whether a member is connected. */
+        /** Whether there is a connection to a member. */
         boolean reaches(MemberId member);
     }
 
-    /** Is notified of what is committed, in order. */
+    /** Is notified of changes of the replicated state, in log order. */
     interface StateListener {
+        /** The command committed at a log index has been applied. */
         void applied(long index, Command command, ReplicatedState.Outcome outcome);
 
-        /** The state is a snapshot's, without the commands that led to it. */
+        /** The state was replaced by a snapshot's; {@link #applied} is not called for the commands in the snapshot. */
         void restored();
 
-        /** This member takes no part any more. */
+        /** This replica has terminated, and does not restart. */
         void terminated(Termination reason);
     }
 
-    /** Why a member takes no part any more. */
+    /** Why a replica has terminated. */
     record Termination(Cause cause, String reason) {
-        /** The disk may become good again. */
+        /** The disk may recover; a new replica then replaces this one. */
         static final Termination DISK_FAILURE = new Termination(Cause.DISK_FAILURE, "the disk fails");
 
         static final Termination STOPPED = new Termination(Cause.STOPPED, "stopped");
 
-        /** Whether a member can go on later is a matter of the cause. */
+        /** Decides whether a new replica can replace the terminated one. */
         enum Cause {
             DISK_FAILURE,
             STOPPED,
             START_FAILED,
-            /** The log has what only a later version can read. */
+            /** The log has a command or a snapshot that only a later version can decode. */
             UNSUPPORTED_VERSION
         }
     }
 
-    /** How a proposal or a query came to its end. */
+    /** How a proposal or a query ended. */
     enum Completion {
         DONE,
-        /** It has not happened, and may be asked of the leader, or again. */
+        /** Not applied; it can be retried, here or at the leader. */
         NOT_APPLIED,
-        /** It has not happened, and can't. */
+        /** Not applied; the group can't apply it. */
         REJECTED,
-        /** It may have happened. */
+        /** May have been applied. */
         INDETERMINATE
     }
 
-    /** Takes the completion, and the result where that is {@link Completion#DONE}. */
+    /** Gets the completion, and the result if that is {@link Completion#DONE}, else null. */
     interface Callback<T> {
         void completed(Completion completion, T result);
     }
@@ -123,10 +125,10 @@
     private final MicroRaftWorkarounds workarounds;
     private boolean snapshotting;
     private boolean terminated;
-    /** What the log took on the disk behind the last snapshot. */
-    private long retainedBytes;
+    /** Size of the log entries that the last compaction left on the disk. */
+    private long retainedLogBytes;
 
-    /** @param founders of the group */
+    /** @param founders the members that bootstrap the group; used only if the log has no Raft state yet */
     RaftReplica(
             Scheduler scheduler,
             SegmentedLog log,
@@ -143,8 +145,8 @@
         RaftNode.RaftNodeBuilder builder = RaftNode.newBuilder()
                 .setGroupId(GROUP)
                 .setConfig(config())
-                .setTransport(new LibraryTransport())
-                .setStateMachine(new LibraryStateMachine())
+                .setTransport(new MicroRaftTransport())
+                .setStateMachine(new MicroRaftStateMachine())
                 .setExecutor(executor)
                 .setStore(log)
                 .setModelFactory(RaftCodec.FACTORY)
@@ -173,7 +175,7 @@
                 .build();
     }
 
-    /** Begins to take part. */
+    /** Starts the Raft node. */
     void start() {
         node.start().whenComplete((ignored, failure) -> {
             if (failure != null) {
@@ -184,27 +186,27 @@
         log.releaseRestored();
     }
 
-    /** Takes no part any more; what was requested and not answered may have happened. */
+    /** Terminates the Raft node; requests that are still in flight may have been applied. */
     void terminate(Termination reason) {
         if (terminated) {
             return;
         }
         terminated = true;
         node.terminate();
-        // The library's own last work is to fail what is in flight; it must not reach a disk that is closed.
+        // MicroRaft's last task fails the operations in flight. None may run later, when the disk may be closed.
         scheduler.post(executor::stop);
         listener.terminated(reason);
     }
 
-    /** What the committed log led to, as far as it is applied here. */
+    /** The state that results from the committed log entries applied here so far. */
     ReplicatedState state() {
         return state;
     }
 
-    private final class LibraryTransport implements Transport {
+    private final class MicroRaftTransport implements Transport {
         @Override
         public void send(RaftEndpoint target, RaftMessage message) {
-            // Nothing is acknowledged, and no vote given, by a disk that fails.
+            // A member whose disk has failed must not acknowledge entries or grant votes.
             if (!terminated && !log.hasFailed()) {
                 sender.send(MemberEndpoint.of(target), RaftCodec.write(message));
             }
@@ -216,10 +218,10 @@
         }
     }
 
-    /** A query that reads nothing: its completion tells that the state is up to date. */
+    /** A query without a result: when it completes, the state is up to date. */
     private record ReadBarrier() {}
 
-    private final class LibraryStateMachine implements StateMachine {
+    private final class MicroRaftStateMachine implements StateMachine {
         @Override
         public Object runOperation(long index, Object operation) {
             if (operation instanceof ReadBarrier) {
@@ -230,11 +232,12 @@
             try {
                 log.advanceCommitIndex(index);
                 if (command instanceof Command.PutDocument) {
-                    // It is served on from now on, so that a restart without the others must know of it.
+                    // The pooler serves with it from now on, so after a restart it must be known to be committed even
+                    // while no other member is connected.
                     log.flush();
                 }
             } catch (IOException e) {
-                // The log has told of it, and ends this member.
+                // The log has reported the failure to its listener, which terminates this replica.
                 return outcome;
             }
             listener.applied(index, command, outcome);
@@ -246,20 +249,22 @@
             try {
                 return CommandCodec.decode(operation);
             } catch (IOException e) {
-                // To pass it over would be to hold another state than those who can read it.
-                Log.error("store: the command at index %s can't be decoded: %s", index, e.getMessage());
-                terminateSoon("change " + index + " is of a later version");
+                // Skipping the command would make this state differ from that of members that can decode it.
+                Log.error(
+                        "store: cannot decode the command at log index %s: %s; terminating the Raft node",
+                        index, e.getMessage());
+                terminateUnsupported("change " + index + " is of a later version");
                 throw new IllegalStateException(e);
             }
         }
 
         private void compactIfDue() {
-            retainedBytes = Math.min(retainedBytes, log.logBytes());
-            if (!snapshotting && CompactionPolicy.isDue(log.logBytes(), retainedBytes, log.snapshotBytes())) {
+            retainedLogBytes = Math.min(retainedLogBytes, log.logBytes());
+            if (!snapshotting && CompactionPolicy.isDue(log.logBytes(), retainedLogBytes, log.snapshotBytes())) {
                 snapshotting = true;
                 scheduler.post(() -> node.takeSnapshot().whenComplete((report, failure) -> {
                     snapshotting = false;
-                    retainedBytes = log.logBytes();
+                    retainedLogBytes = log.logBytes();
                 }));
             }
         }
@@ -276,14 +281,16 @@
                         state, chunks.stream().map(chunk -> (byte[]) chunk).toList());
                 log.advanceCommitIndex(index);
             } catch (IOException e) {
-                Log.error("store: the snapshot at index %s can't be decoded: %s", index, e.getMessage());
-                terminateSoon("the snapshot is of a later version");
+                Log.error(
+                        "store: cannot decode the snapshot at log index %s: %s; terminating the Raft node",
+                        index, e.getMessage());
+                terminateUnsupported("the snapshot is of a later version");
                 throw new IllegalStateException(e);
             }
             listener.restored();
         }
 
-        private void terminateSoon(String reason) {
+        private void terminateUnsupported(String reason) {
             scheduler.post(() -> terminate(new Termination(Termination.Cause.UNSUPPORTED_VERSION, reason)));
         }
 
@@ -294,25 +301,25 @@
     }
 
     // ---- messages, proposals and queries ----
-    /** Handles a message of another member. */
+    /** Handles a message from another member. */
     void handle(byte[] message) throws IOException {
         if (!terminated) {
             workarounds.handle(RaftCodec.read(GROUP, message));
         }
     }
 
-    /** Whether this member leads, as far as it knows. */
+    /** Whether this member leads, according to its own Raft state; another member may have been elected since. */
     boolean isLeader() {
         return !terminated && leader() != null && leader().equals(self);
     }
 
-    /** The leader as far as is known here, or null. */
+    /** The leader according to this member's Raft state, or null if it knows none. */
     MemberId leader() {
         RaftEndpoint leader = node.getTerm().getLeaderEndpoint();
         return leader == null || terminated ? null : MemberEndpoint.of(leader);
     }
 
-    /** The term that this member is in. */
+    /** This member's current Raft term. */
     int term() {
         return node.getTerm().getTerm();
     }
@@ -330,9 +337,9 @@
         return rejected ? Completion.REJECTED : Completion.INDETERMINATE;
     }
 
-    private <T> void submit(Supplier<CompletableFuture<Ordered<T>>> operation, Callback<T> then) {
+    private <T> void submit(Supplier<CompletableFuture<Ordered<T>>> operation, Callback<T> callback) {
         if (terminated) {
-            then.completed(Completion.NOT_APPLIED, null);
+            callback.completed(Completion.NOT_APPLIED, null);
             return;
         }
         operation
@@ -341,36 +348,38 @@
                     if (failure != null) {
                         Completion completion = completionOf(failure);
                         if (completion == Completion.REJECTED) {
-                            Log.info("store: rejected: %s", failure.getMessage());
+                            Log.info("store: Raft operation rejected: %s", failure.getMessage());
                         }
-                        then.completed(completion, null);
+                        callback.completed(completion, null);
                     } else if (log.hasFailed()) {
-                        // A majority may hold it all the same, but this disk does not, and answers for nothing.
-                        then.completed(Completion.INDETERMINATE, null);
+                        // A majority may have committed it, but a member whose disk has failed must not confirm it.
+                        callback.completed(Completion.INDETERMINATE, null);
                     } else {
-                        then.completed(Completion.DONE, ordered.getResult());
+                        callback.completed(Completion.DONE, ordered.getResult());
                     }
                 }));
     }
 
-    /** Proposes a command; this member must lead. */
-    void propose(Command command, Callback<ReplicatedState.Outcome> then) {
-        submit(() -> node.replicate(CommandCodec.encode(command)), then);
+    /** Proposes a command; this member must be the leader. */
+    void propose(Command command, Callback<ReplicatedState.Outcome> callback) {
+        submit(() -> node.replicate(CommandCodec.encode(command)), callback);
     }
 
-    /** Completes once the state here has all that was committed anywhere before the call (a linearizable read). */
-    void readBarrier(Callback<Object> then) {
-        submit(() -> node.query(new ReadBarrier(), QueryPolicy.LINEARIZABLE, Optional.empty(), Optional.empty()), then);
+    /** Completes once the state here includes all that the group committed before the call (linearizable read). */
+    void readBarrier(Callback<Object> callback) {
+        submit(
+                () -> node.query(new ReadBarrier(), QueryPolicy.LINEARIZABLE, Optional.empty(), Optional.empty()),
+                callback);
     }
 
     /** Takes a snapshot now. */
-    void snapshot(Callback<RaftNodeReport> then) {
-        submit(node::takeSnapshot, then);
+    void snapshot(Callback<RaftNodeReport> callback) {
+        submit(node::takeSnapshot, callback);
     }
 
-    /** Gives the node's own report. */
-    void report(Callback<RaftNodeReport> then) {
-        submit(node::getReport, then);
+    /** Gets the Raft node's report. */
+    void report(Callback<RaftNodeReport> callback) {
+        submit(node::getReport, callback);
     }
 
     // ---- membership ----
@@ -382,7 +391,13 @@
         return members;
     }
 
-    /** The group as this member sees it as its leader; whether it is must be asked apart. */
+    /**
+     * The group as a leader sees it.
+     *
+     * @param report must be a leader's, see {@link #isLeader(RaftNodeReport)}
+     * @param nonMembers connected nodes of the cluster that are not members
+     * @param reachable connected members
+     */
     static MembershipChange.GroupView groupView(
             RaftNodeReport report, Set<MemberId> nonMembers, Set<MemberId> reachable) {
         Set<MemberId> voters =
@@ -408,31 +423,33 @@
                 report.getCommittedMembers().getLogIndex());
     }
 
-    /** Takes one step of a membership change; this member must lead. */
-    void changeMembership(MembershipChange.Step step, RaftNodeReport report, Callback<Object> then) {
+    /** Executes one step of a membership change; this member must be the leader. */
+    void changeMembership(MembershipChange.Step step, RaftNodeReport report, Callback<Object> callback) {
         if (step instanceof MembershipChange.Step.AddLearner add) {
-            changeMember(add.member(), MembershipChangeMode.ADD_LEARNER, report, then);
+            changeMember(add.member(), MembershipChangeMode.ADD_LEARNER, report, callback);
         } else if (step instanceof MembershipChange.Step.PromoteToVoter promote) {
-            changeMember(promote.member(), MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER, report, then);
+            changeMember(promote.member(), MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER, report, callback);
         } else if (step instanceof MembershipChange.Step.RemoveMember remove) {
-            changeMember(remove.member(), MembershipChangeMode.REMOVE_MEMBER, report, then);
+            changeMember(remove.member(), MembershipChangeMode.REMOVE_MEMBER, report, callback);
         } else if (step instanceof MembershipChange.Step.TransferLeadership transfer) {
-            submit(() -> node.transferLeadership(new MemberEndpoint(transfer.successor())), then);
+            submit(() -> node.transferLeadership(new MemberEndpoint(transfer.successor())), callback);
         }
     }
 
     private void changeMember(
-            MemberId member, MembershipChangeMode mode, RaftNodeReport report, Callback<Object> then) {
+            MemberId member, MembershipChangeMode mode, RaftNodeReport report, Callback<Object> callback) {
         long committedIndex = report.getCommittedMembers().getLogIndex();
-        submit(() -> node.changeMembership(new MemberEndpoint(member), mode, committedIndex), then::completed);
+        submit(() -> node.changeMembership(new MemberEndpoint(member), mode, committedIndex), callback::completed);
     }
 
-    /** Whether a report is of a leader. */
+    /** Whether the node that a report is of leads. */
     static boolean isLeader(RaftNodeReport report) {
         return report.getRole() == RaftRole.LEADER;
     }
 
-    /** What was committed as far as this member's own disk tells: the state to start from before others are heard. */
+    /**
+     * The committed state recorded on this member's own disk: the state at start, before any other member is connected.
+     */
     static ReplicatedState committedState(SegmentedLog log) throws IOException {
         ReplicatedState state = new ReplicatedState();
         List<byte[]> chunks = log.snapshotChunks();
--- a/replication/src/main/java/lupinvalve/replication/RequestHandler.java
+++ b/replication/src/main/java/lupinvalve/replication/RequestHandler.java
@@ -13,8 +13,8 @@
 import lupinvalve.statemachine.ReplicatedState;
 
 /**
- * Serves the requests of operators and of other members: here where this member leads, and otherwise forwarded to the
- * leader. On the group's thread.
+ * Serves the requests of operators and of other members if this member leads, and forwards them to the leader if not.
+ * On the group's thread.
  */
 final class RequestHandler {
     /** A member's request for a lease. */
@@ -22,14 +22,14 @@
     /** A proposal that another member forwards. */
     static final String PROPOSE = "propose";
 
-    /** How long a forwarded request may take, without what the leader itself waits for. */
+    /** Timeout of a forwarded request, without the time for which the leader itself waits. */
     static final long FORWARD_TIMEOUT_MICROS = 3_000_000;
 
-    /** What the name of a forwarded request begins with: it is not forwarded again. */
+    /** Prefix of a forwarded request's name; such a request is not forwarded again. */
     private static final String FORWARDED_PREFIX = ">";
 
     private static final String STRICT = "strict";
-    private static final int LEASE_FOLLOWERS_ARGUMENT = 3;
+    private static final int LEASE_SUBSCRIBERS_INDEX_ARGUMENT = 3;
     private static final int DRAIN_STRICT_ARGUMENT = 3;
 
     private final MemberRuntime member;
@@ -47,7 +47,7 @@
     /**
      * Serves a request; {@code channel} gets exactly one response.
      *
-     * @param caller the name that the caller has shown to be its own
+     * @param caller the caller's name, checked against its certificate if TLS is configured
      */
     void handle(String caller, WireMessages.Request request, Consumer<WireMessages.Response> channel) {
         Responder responder = new Responder(request.id(), channel);
@@ -124,7 +124,7 @@
         return new String(request.arguments().get(position), StandardCharsets.UTF_8);
     }
 
-    /** Whether an operator asks for a document with its secrets. */
+    /** Whether the response to {@code get} is to have the document's secrets, unmasked. */
     private static boolean wantsSecrets(WireMessages.Request request) {
         return !request.arguments().isEmpty() && request.arguments().get(0).length > 0;
     }
@@ -148,7 +148,7 @@
     private void put(WireMessages.Request request, Responder responder) throws InvalidRequestException {
         long expectedRevision = Long.parseLong(argument(request, 0));
         byte[] document = request.arguments().get(1);
-        // Checked before it is proposed: what a majority accepts is a configuration that can be served on.
+        // Validated before it is proposed, so that a majority commits only a configuration that can be served with.
         String error = member.listener().validationError(document);
         ReplicatedState.Document current = member.replica().state().document();
         if (error == null) {
@@ -164,11 +164,11 @@
                         strictIfRequested(request, 2, responder).whenCommitted());
     }
 
-    /** Answers a request for a lease: its length, or why there is none. */
+    /** Responds to a request for a lease with its duration in microseconds, or the reason why it is denied. */
     private void lease(WireMessages.Request request, Responder responder) throws InvalidRequestException {
-        // A member of an earlier version has no subscribers.
-        long followersIndex = request.arguments().size() > LEASE_FOLLOWERS_ARGUMENT
-                ? Long.parseLong(argument(request, LEASE_FOLLOWERS_ARGUMENT))
+        // A member of an earlier version does not send this index, and has no subscribers.
+        long subscribersIndex = request.arguments().size() > LEASE_SUBSCRIBERS_INDEX_ARGUMENT
+                ? Long.parseLong(argument(request, LEASE_SUBSCRIBERS_INDEX_ARGUMENT))
                 : Long.MAX_VALUE;
         LeaseManager.Renewal renewal = member.leaseHolder() == null
                 ? new LeaseManager.Renewal(0, "audit is off at the leader")
@@ -178,17 +178,17 @@
                                 argument(request, 0),
                                 Long.parseLong(argument(request, 1)),
                                 argument(request, 2),
-                                followersIndex);
-        byte[] relevantIndex = new Cbor.Writer()
+                                subscribersIndex);
+        byte[] lastChangeIndex = new Cbor.Writer()
                 .number(member.subscriptions().lastChangeIndex())
                 .toByteArray();
         if (renewal.durationMicros() > 0) {
-            responder.send(WireMessages.Status.OK, Long.toString(renewal.durationMicros()), relevantIndex);
+            responder.send(WireMessages.Status.OK, Long.toString(renewal.durationMicros()), lastChangeIndex);
         } else {
             responder.send(
                     renewal.reason().isEmpty() ? WireMessages.Status.RETRY : WireMessages.Status.REJECTED,
                     renewal.reason(),
-                    relevantIndex);
+                    lastChangeIndex);
         }
     }
 
--- a/replication/src/main/java/lupinvalve/replication/Responder.java
+++ b/replication/src/main/java/lupinvalve/replication/Responder.java
@@ -4,7 +4,7 @@
 import java.util.function.Function;
 import lupinvalve.statemachine.ReplicatedState;
 
-/** Sends the one response to a request, in each of the ways that a request can end. On the group's thread. */
+/** Sends the single response to a request, for each way in which it can end. On the group's thread. */
 record Responder(long requestId, Consumer<WireMessages.Response> channel) {
     private static final String EMPTY_OBJECT = "{}";
 
@@ -28,12 +28,12 @@
         send(WireMessages.Status.RETRY, reason);
     }
 
-    /** Tells why something was not completed. */
+    /** Responds to a request that has not ended as {@link RaftReplica.Completion#DONE}, with the reason. */
     void fail(RaftReplica.Completion completion) {
         send(status(completion), reason(completion));
     }
 
-    /** Responds once something has come to its end: with a text of its result, or why there is none. */
+    /** Responds when an operation has ended: with its result as JSON, or the reason why it has none. */
     <T> RaftReplica.Callback<T> whenCompleted(Function<T, String> json) {
         return (completion, result) -> {
             if (completion == RaftReplica.Completion.DONE) {
@@ -44,7 +44,7 @@
         };
     }
 
-    /** Responds once a proposed change is committed: with what became of it, or why it was not. */
+    /** Responds when a proposed change is committed, with its outcome; or the reason why it was not committed. */
     RaftReplica.Callback<ReplicatedState.Outcome> whenCommitted() {
         return (completion, outcome) -> {
             if (completion == RaftReplica.Completion.DONE) {
@@ -55,7 +55,7 @@
         };
     }
 
-    /** Responds with an empty object once a proposed change is committed, whatever became of it. */
+    /** Responds with an empty object when a proposed change is committed, whatever its outcome. */
     RaftReplica.Callback<ReplicatedState.Outcome> whenForwardedCommitted() {
         return whenCompleted(outcome -> EMPTY_OBJECT);
     }
--- a/replication/src/main/java/lupinvalve/replication/Scheduler.java
+++ b/replication/src/main/java/lupinvalve/replication/Scheduler.java
@@ -2,18 +2,18 @@
 
 import lupinvalve.core.EventLoop;
 
-/** Where a member's work runs, one piece after another, and what time it is there. */
+/** Runs a member's tasks one at a time, and provides the clock that they use. */
 public interface Scheduler {
-    /** What time it is, in microseconds. */
+    /** The current time in microseconds. */
     long now();
 
-    /** Runs work soon; from any thread. */
-    void post(Runnable work);
+    /** Schedules a task to run as soon as possible; from any thread. */
+    void post(Runnable task);
 
-    /** Runs work after so many microseconds; from this scheduler's own work only. */
-    void after(long micros, Runnable work);
+    /** Schedules a task to run after a delay; only from a task of this scheduler. */
+    void after(long delayMicros, Runnable task);
 
-    /** Runs work on a loop. */
+    /** A scheduler that runs its tasks on an event loop. */
     static Scheduler of(EventLoop loop) {
         return new Scheduler() {
             @Override
@@ -22,13 +22,13 @@
             }
 
             @Override
-            public void post(Runnable work) {
-                loop.post(work);
+            public void post(Runnable task) {
+                loop.post(task);
             }
 
             @Override
-            public void after(long micros, Runnable work) {
-                loop.after(micros, work);
+            public void after(long delayMicros, Runnable task) {
+                loop.after(delayMicros, task);
             }
         };
     }
--- a/replication/src/main/java/lupinvalve/replication/SessionCommitPublisher.java
+++ b/replication/src/main/java/lupinvalve/replication/SessionCommitPublisher.java
@@ -12,29 +12,27 @@
 import lupinvalve.statemachine.SessionCommitBatcher;
 
 /**
- * Brings this pooler's session commits to the group in batches, and runs what waits for a majority to hold them. On the
+ * Proposes this pooler's session commits to the group in batches, and runs callbacks once a majority has them. On the
  * group's thread.
  */
 final class SessionCommitPublisher {
-    /**
-     * Callbacks that wait at once; those beyond are dropped, and the caller's own time limit ends what they wait for.
-     */
+    /** Limit of waiting callbacks; any beyond it is dropped, and the wait ends with the caller's own timeout. */
     private static final int MAX_WAITING_CALLBACKS = 10_000;
 
     private final EventLoop loop;
     private final BooleanSupplier canPropose;
     private final BiConsumer<Command, Consumer<Boolean>> proposer;
     private final SessionCommitBatcher batcher = new SessionCommitBatcher();
-    /** By the batch that each waits for. */
-    private final TreeMap<Long, List<Runnable>> waiting = new TreeMap<>();
+    /** By the number of the batch that they wait for. */
+    private final TreeMap<Long, List<Runnable>> callbacksByBatch = new TreeMap<>();
 
-    private int waitingCount;
+    private int waitingCallbackCount;
     private boolean timerSet;
     private boolean stopped;
 
     /**
-     * @param canPropose whether this member takes part and knows a leader
-     * @param proposer proposes a command, and tells whether it was committed
+     * @param canPropose whether this member's replica is running and knows a leader
+     * @param proposer proposes a command and passes to the callback whether it was committed
      */
     SessionCommitPublisher(
             EventLoop loop, BooleanSupplier canPropose, BiConsumer<Command, Consumer<Boolean>> proposer) {
@@ -43,27 +41,27 @@
         this.proposer = proposer;
     }
 
-    /** Nothing is proposed any more. */
+    /** Stops proposing. */
     void stop() {
         stopped = true;
     }
 
-    /** Adds a session's commit to the next batch; gives the batch's number. */
+    /** Adds a session's commit to the next batch, and returns the batch's number. */
     long add(String session, long position) {
         return batcher.add(session, position, loop.now());
     }
 
-    /** Adds a session's commit; {@code onCommitted}, if any, runs once a majority holds it. */
+    /** Adds a session's commit; {@code onCommitted}, if not null, runs once a majority has it. */
     void publish(String session, long position, Runnable onCommitted) {
         long batch = add(session, position);
-        if (onCommitted != null && waitingCount < MAX_WAITING_CALLBACKS) {
-            waitingCount++;
-            waiting.computeIfAbsent(batch, key -> new ArrayList<>()).add(onCommitted);
+        if (onCommitted != null && waitingCallbackCount < MAX_WAITING_CALLBACKS) {
+            waitingCallbackCount++;
+            callbacksByBatch.computeIfAbsent(batch, key -> new ArrayList<>()).add(onCommitted);
         }
         proposeDueBatch();
     }
 
-    /** Proposes the next batch if its time has come, or sets a timer for it. */
+    /** Proposes the next batch if it is due, or sets a timer for when it is. */
     void proposeDueBatch() {
         long dueMicros = batcher.nextBatchMicros();
         if (dueMicros == Long.MAX_VALUE || stopped) {
@@ -77,8 +75,8 @@
             return;
         }
         proposer.accept(batcher.nextBatch(loop.now()), committed -> {
-            long upTo = batcher.onBatchAnswered(committed, loop.now());
-            runWaiting(upTo);
+            long lastCommittedBatch = batcher.onBatchAnswered(committed, loop.now());
+            runCallbacks(lastCommittedBatch);
             proposeDueBatch();
         });
     }
@@ -93,12 +91,12 @@
         }
     }
 
-    private void runWaiting(long upToBatch) {
-        Map<Long, List<Runnable>> done = waiting.headMap(upToBatch, true);
-        done.values().forEach(callbacks -> {
-            waitingCount -= callbacks.size();
+    private void runCallbacks(long lastCommittedBatch) {
+        Map<Long, List<Runnable>> due = callbacksByBatch.headMap(lastCommittedBatch, true);
+        due.values().forEach(callbacks -> {
+            waitingCallbackCount -= callbacks.size();
             callbacks.forEach(Runnable::run);
         });
-        done.clear();
+        due.clear();
     }
 }
--- a/replication/src/main/java/lupinvalve/replication/StatusReport.java
+++ b/replication/src/main/java/lupinvalve/replication/StatusReport.java
@@ -14,8 +14,8 @@
 import lupinvalve.statemachine.ReplicatedState;
 
 /**
- * What a member tells operators of itself and of the replicated state, as JSON. Field names are the operators'. On the
- * group's thread.
+ * Reports a member's status and the replicated state to operators as JSON. Operators' tools read the field names, so
+ * they must not change. On the group's thread.
  */
 final class StatusReport {
     private static final long MICROS_PER_MILLI = 1_000;
@@ -26,12 +26,12 @@
         this.member = member;
     }
 
-    /** Gives the member's status, with what its Raft node reports where it has one that runs. */
-    void status(Consumer<String> then) {
+    /** Passes the member's status to {@code callback}, with the Raft node's report if the node is running. */
+    void status(Consumer<String> callback) {
         if (member.replica() == null || member.termination() != null) {
-            then.accept(Json.object(out -> status(out, null)));
+            callback.accept(Json.object(out -> status(out, null)));
         } else {
-            member.replica().report((completion, report) -> then.accept(Json.object(out -> status(out, report))));
+            member.replica().report((completion, report) -> callback.accept(Json.object(out -> status(out, report))));
         }
     }
 
@@ -93,37 +93,37 @@
         return configuration;
     }
 
-    /** The group's members, and those connected that are none. */
+    /** The group's members, and the connected nodes that are not members. */
     String members(RaftNodeReport report) {
         return Json.object(out -> members(out, report));
     }
 
     private void members(JsonGenerator out, RaftNodeReport report) throws IOException {
         MembershipChange.GroupView view = member.groupView(report);
-        Set<MemberId> all = new TreeSet<>(view.voters());
-        all.addAll(view.learners());
-        all.addAll(view.nonMembers());
+        Set<MemberId> memberIds = new TreeSet<>(view.voters());
+        memberIds.addAll(view.learners());
+        memberIds.addAll(view.nonMembers());
         out.writeArrayFieldStart("members");
-        for (MemberId one : all) {
+        for (MemberId memberId : memberIds) {
             out.writeStartObject();
-            out.writeStringField("name", one.name());
-            out.writeStringField("disk", one.diskId());
-            out.writeStringField("part", part(one, view));
-            out.writeBooleanField("leads", one.equals(member.leader()));
-            out.writeBooleanField("in_reach", view.reachable().contains(one));
+            out.writeStringField("name", memberId.name());
+            out.writeStringField("disk", memberId.diskId());
+            out.writeStringField("part", part(memberId, view));
+            out.writeBooleanField("leads", memberId.equals(member.leader()));
+            out.writeBooleanField("in_reach", view.reachable().contains(memberId));
             out.writeEndObject();
         }
         out.writeEndArray();
     }
 
-    private static String part(MemberId one, MembershipChange.GroupView view) {
-        if (view.voters().contains(one)) {
+    private static String part(MemberId memberId, MembershipChange.GroupView view) {
+        if (view.voters().contains(memberId)) {
             return "votes";
         }
-        return view.learners().contains(one) ? "learns" : "none";
+        return view.learners().contains(memberId) ? "learns" : "none";
     }
 
-    /** The committed configuration; its secrets are masked unless they are asked for. */
+    /** The committed configuration, with its secrets or with these masked. */
     String document(boolean withSecrets) {
         ReplicatedState state = member.replica().state();
         ReplicatedState.Document document = state.document();
@@ -138,7 +138,7 @@
         });
     }
 
-    /** Which db nodes and poolers operators drain. */
+    /** The db nodes and poolers that operators have drained. */
     String drains() {
         return Json.object(out -> {
             out.writeArrayFieldStart("holds");
@@ -155,21 +155,21 @@
         });
     }
 
-    /** Poolers without a lease, with the leader's reasons. */
+    /** Poolers without a lease, each with the leader's reason. */
     String excludedPoolers(Map<String, String> reasons) {
         return Json.object(out -> {
             out.writeArrayFieldStart("stragglers");
-            for (Map.Entry<String, String> one : reasons.entrySet()) {
+            for (Map.Entry<String, String> excluded : reasons.entrySet()) {
                 out.writeStartObject();
-                out.writeStringField("pooler", one.getKey());
-                out.writeStringField("why", one.getValue());
+                out.writeStringField("pooler", excluded.getKey());
+                out.writeStringField("why", excluded.getValue());
                 out.writeEndObject();
             }
             out.writeEndArray();
         });
     }
 
-    /** Where the last snapshot stands and what it takes on the disk. */
+    /** Log index of the last snapshot, and its size on the disk. */
     String snapshot(RaftNodeReport report) {
         return Json.object(out -> {
             out.writeNumberField("snapshot_index", report.getLog().getLastSnapshotIndex());
--- a/replication/src/main/java/lupinvalve/replication/StrictChanges.java
+++ b/replication/src/main/java/lupinvalve/replication/StrictChanges.java
@@ -7,11 +7,11 @@
 import lupinvalve.statemachine.MemberId;
 
 /**
- * Holds back the response to a strict change until each pooler serves on it, or may serve no more. On the group's
- * thread.
+ * Delays the response to a strict change until each pooler has applied it or has no valid lease, and so must not serve.
+ * On the group's thread.
  */
 final class StrictChanges {
-    /** How long the leader waits for all poolers at most. */
+    /** How long the leader waits for the poolers before it responds that the outcome is not known. */
     static final long TIMEOUT_MICROS = 6_000_000;
 
     private static final long POLL_INTERVAL_MICROS = 20_000;
@@ -23,7 +23,7 @@
         this.member = member;
     }
 
-    /** A responder that sends a success only once no pooler serves on what held before. */
+    /** A responder that sends a success only once no pooler serves with the configuration before the change. */
     Responder wrap(Responder responder) throws InvalidRequestException {
         if (member.leaseHolder() == null) {
             throw new InvalidRequestException("strict changes need store.audit at the leader, and at each member");
@@ -41,7 +41,7 @@
         return new Responder(responder.requestId(), channel);
     }
 
-    /** A strict change that is committed and not yet served on by all. */
+    /** A strict change that is committed but not yet applied by all poolers. */
     private record Pending(Responder responder, String json, long index, long startedMicros) {
         void fail(String reason) {
             responder.send(WireMessages.Status.INDETERMINATE, reason);
@@ -66,7 +66,7 @@
         if (tookMicros > TIMEOUT_MICROS) {
             change.fail("accepted, but not known to be acted on by " + pending);
         } else if (pending.isEmpty()) {
-            change.responder().ok(Json.with(change.json(), out -> {
+            change.responder().ok(Json.withFields(change.json(), out -> {
                 out.writeStringField("waited_for", String.join(", ", lastPending));
                 out.writeNumberField("strict_ms", tookMicros / MICROS_PER_MILLI);
             }));
@@ -75,7 +75,7 @@
         }
     }
 
-    /** The names of the members that vote. */
+    /** The names of the voting members. */
     List<String> voters(RaftNodeReport report) {
         return member.groupView(report).voters().stream().map(MemberId::name).toList();
     }
--- a/replication/src/test/java/lupinvalve/replication/RecordedFramesTest.java
+++ b/replication/src/test/java/lupinvalve/replication/RecordedFramesTest.java
@@ -31,19 +31,19 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The bytes that go between members are those of commit 0927aa4. {@code frames-0927aa4.txt} has frames that its code
- * wrote, one a line: a name, a space, the bytes in hexadecimal. Members of both versions can be in one group as long as
- * each frame is understood here, and the same value is written here as the same frame.
+ * Checks that the wire format between members is that of commit 0927aa4. {@code frames-0927aa4.txt} has frames that its
+ * code encoded, one per line: a name, a space, the bytes in hexadecimal. Members of both versions can be in one group
+ * as long as each of these frames can be decoded, and each sample is encoded to the same frame.
  */
 class RecordedFramesTest {
-    private static final String FRAMES = "frames-0927aa4.txt";
+    private static final String FRAMES_FILE = "frames-0927aa4.txt";
     private static final int HEADER_BYTES = 4;
 
-    private final Map<String, Object> samples = FrameSamples.all();
+    private final Map<String, Object> samples = FrameSamples.samples();
 
-    private static Map<String, byte[]> recorded() throws IOException {
+    private static Map<String, byte[]> recordedFrames() throws IOException {
         Map<String, byte[]> frames = new LinkedHashMap<>();
-        try (InputStream file = RecordedFramesTest.class.getResourceAsStream(FRAMES);
+        try (InputStream file = RecordedFramesTest.class.getResourceAsStream(FRAMES_FILE);
                 BufferedReader lines = new BufferedReader(new InputStreamReader(file, StandardCharsets.US_ASCII))) {
             for (String line = lines.readLine(); line != null; line = lines.readLine()) {
                 String[] parts = line.split(" ");
@@ -63,19 +63,19 @@
         } else if (sample instanceof RaftMessage message) {
             return WireMessages.message(WireMessages.Kind.RAFT, RaftCodec.write(message));
         } else if (sample instanceof FrameSamples.Proposal proposal) {
-            List<byte[]> arguments = List.of(CommandCodec.encode(proposal.change()));
+            List<byte[]> arguments = List.of(CommandCodec.encode(proposal.command()));
             return new WireMessages.Request(proposal.id(), "propose", arguments).write();
-        } else if (sample instanceof FrameSamples.Follow follow) {
-            List<byte[]> arguments = List.of(follow.request().write());
-            return new WireMessages.Request(follow.id(), "follow", arguments).write();
-        } else if (sample instanceof FrameSamples.Followed followed) {
-            byte[] content = followed.answer().write();
-            return new WireMessages.Response(followed.id(), WireMessages.Status.OK, "", content).write();
+        } else if (sample instanceof FrameSamples.SubscriberRequest request) {
+            List<byte[]> arguments = List.of(request.request().write());
+            return new WireMessages.Request(request.id(), "follow", arguments).write();
+        } else if (sample instanceof FrameSamples.SubscriberResponse response) {
+            byte[] content = response.watchResponse().write();
+            return new WireMessages.Response(response.id(), WireMessages.Status.OK, "", content).write();
         }
         return WireMessages.message(WireMessages.Kind.HEARTBEAT, new byte[0]);
     }
 
-    /** What a member makes of a frame: first cut off the stream, then read by its kind. */
+    /** Decodes a frame as a member does: splits it off the stream, then decodes its body by its kind. */
     private static Object decode(byte[] frame) throws Exception {
         List<byte[]> messages = new ArrayList<>();
         assertEquals(frame.length, new WireMessages().cut(frame, 0, frame.length, messages));
@@ -84,7 +84,7 @@
         return switch (WireMessages.kind(messages.get(0))) {
             case HELLO -> WireMessages.Hello.read(body);
             case RAFT -> RaftCodec.read(RaftReplica.GROUP, body);
-            case REQUEST -> request(WireMessages.Request.read(body));
+            case REQUEST -> decodeRequest(WireMessages.Request.read(body));
             case RESPONSE -> WireMessages.Response.read(body);
             case HEARTBEAT -> {
                 assertEquals(0, body.length);
@@ -93,39 +93,39 @@
         };
     }
 
-    private static Object request(WireMessages.Request request) throws IOException {
-        byte[] first =
+    private static Object decodeRequest(WireMessages.Request request) throws IOException {
+        byte[] firstArgument =
                 request.arguments().isEmpty() ? null : request.arguments().get(0);
         return switch (request.name()) {
-            case "propose" -> new FrameSamples.Proposal(request.id(), CommandCodec.decode(first));
-            case "follow" -> new FrameSamples.Follow(request.id(), WatchRequest.read(first));
+            case "propose" -> new FrameSamples.Proposal(request.id(), CommandCodec.decode(firstArgument));
+            case "follow" -> new FrameSamples.SubscriberRequest(request.id(), WatchRequest.read(firstArgument));
             default -> request;
         };
     }
 
-    /** Whether an answer is one to a subscriber shows in the call that it belongs to only. */
-    private static Object asSubscriber(Object decoded) throws IOException {
+    /** Decodes the content of a response to a subscriber; a response itself does not show what request it is for. */
+    private static Object subscriberResponse(Object decoded) throws IOException {
         WireMessages.Response response = (WireMessages.Response) decoded;
         assertEquals(WireMessages.Status.OK, response.status());
         assertEquals("", response.text());
-        return new FrameSamples.Followed(response.id(), WatchResponse.read(response.content()));
+        return new FrameSamples.SubscriberResponse(response.id(), WatchResponse.read(response.content()));
     }
 
     @Test
-    void eachRecordedFrameIsUnderstood() throws Exception {
-        for (Map.Entry<String, byte[]> frame : recorded().entrySet()) {
+    void eachRecordedFrameIsDecoded() throws Exception {
+        for (Map.Entry<String, byte[]> frame : recordedFrames().entrySet()) {
             Object expected = samples.get(frame.getKey());
             Object decoded = decode(frame.getValue());
-            if (expected instanceof FrameSamples.Followed) {
-                decoded = asSubscriber(decoded);
+            if (expected instanceof FrameSamples.SubscriberResponse) {
+                decoded = subscriberResponse(decoded);
             }
             assertEquals(describe(expected), describe(decoded), frame.getKey());
         }
     }
 
     @Test
-    void eachValueIsWrittenAsTheRecordedFrame() throws IOException {
-        Map<String, byte[]> frames = recorded();
+    void eachSampleIsEncodedAsTheRecordedFrame() throws IOException {
+        Map<String, byte[]> frames = recordedFrames();
         for (Map.Entry<String, Object> sample : samples.entrySet()) {
             assertEquals(
                     HexFormat.of().formatHex(frames.get(sample.getKey())),
@@ -136,25 +136,25 @@
 
     @Test
     void eachKindOfMessageIsRecorded() throws IOException {
-        Map<String, byte[]> frames = recorded();
+        Map<String, byte[]> frames = recordedFrames();
         assertEquals(samples.keySet(), frames.keySet());
         Set<Integer> kinds = new TreeSet<>();
         frames.values().forEach(frame -> kinds.add((int) frame[HEADER_BYTES]));
         assertEquals(WireMessages.Kind.values().length, kinds.size());
-        Set<Class<?>> changes = samples.values().stream()
+        Set<Class<?>> commandTypes = samples.values().stream()
                 .filter(FrameSamples.Proposal.class::isInstance)
-                .map(sample -> ((FrameSamples.Proposal) sample).change().getClass())
+                .map(sample -> ((FrameSamples.Proposal) sample).command().getClass())
                 .collect(Collectors.toSet());
-        assertEquals(Set.of(Command.class.getPermittedSubclasses()), changes);
-        Set<Class<?>> raft = samples.values().stream()
+        assertEquals(Set.of(Command.class.getPermittedSubclasses()), commandTypes);
+        Set<Class<?>> raftMessageTypes = samples.values().stream()
                 .filter(RaftMessage.class::isInstance)
                 .map(Object::getClass)
                 .collect(Collectors.toSet());
-        assertEquals(10, raft.size());
+        assertEquals(10, raftMessageTypes.size());
     }
 
     @Test
-    void aDescriptionTellsValuesApart() throws Exception {
+    void descriptionsOfDifferentSamplesDiffer() throws Exception {
         List<String> all = new ArrayList<>();
         for (Object sample : samples.values()) {
             all.add(describe(sample));
@@ -162,20 +162,20 @@
         assertEquals(all.size(), new TreeSet<>(all).size());
     }
 
-    /** All that a value holds, as text; of the library's models, what their getters tell. */
+    /** All components of a value as text; for MicroRaft's models, the results of their getters. */
     private static String describe(Object value) throws ReflectiveOperationException {
         if (value instanceof byte[] bytes) {
             return HexFormat.of().formatHex(bytes);
         } else if (value instanceof Collection<?> all) {
             List<String> parts = new ArrayList<>();
-            for (Object one : all) {
-                parts.add(describe(one));
+            for (Object entry : all) {
+                parts.add(describe(entry));
             }
             return parts.toString();
         } else if (value instanceof Map<?, ?> map) {
             Map<String, String> parts = new TreeMap<>();
-            for (Map.Entry<?, ?> one : map.entrySet()) {
-                parts.put(describe(one.getKey()), describe(one.getValue()));
+            for (Map.Entry<?, ?> entry : map.entrySet()) {
+                parts.put(describe(entry.getKey()), describe(entry.getValue()));
             }
             return parts.toString();
         } else if (value instanceof Record) {
