--- a/replication/src/main/java/lupinvalve/replication/ControlPlane.java
+++ b/replication/src/main/java/lupinvalve/replication/ControlPlane.java
@@ -73,8 +73,8 @@
      * Publishes a session's commit.
      *
      * @param position the log position in Unix microseconds
-     * @param onCommitted runs once a majority has the commit, or at once for a subscriber, which does not replicate it;
-     *     or null
+     * @param onCommitted runs on the control plane's thread once a majority has the commit, or at once in a subscriber,
+     *     which does not replicate it; null for none
      */
     void publishCommit(String session, long position, Runnable onCommitted);
 
--- a/replication/src/main/java/lupinvalve/replication/LeaseHolder.java
+++ b/replication/src/main/java/lupinvalve/replication/LeaseHolder.java
@@ -59,7 +59,7 @@
         /**
          * This member was granted a lease.
          *
-         * @param untilMicros when the lease ends, by {@link #monotonicMicros}
+         * @param untilMicros when the lease ends, by {@link LeaseHolder#monotonicMicros}
          * @param leaderLastChangeIndex log index of the last change of configuration or drains that the leader had
          *     applied when it granted the lease
          */
