--- a/core/src/main/java/lupinvalve/core/Attempt.java
+++ b/core/src/main/java/lupinvalve/core/Attempt.java
@@ -1,22 +1,24 @@
 package lupinvalve.core;
 
-/** One attempt of a request at one db node. Core thread only. */
+/** One attempt to have a request served by one db node. Core thread only. */
 final class Attempt {
     final OpenRequest request;
-    /** How many attempts of the request came before it. */
+    /** 0 for the first attempt of the request, then counted up. */
     final int number;
 
     final String node;
-    final long sentAtMicros;
-    /** Set by {@link AttemptTable}. */
+    /** When it was handed to its backend, in Unix microseconds. */
+    final long startedAtMicros;
+    /** Its handle in {@link AttemptTable}, which sets it. */
     long handle;
 
+    /** Abandons the attempt when it fires; set by {@link AttemptTable}. */
     TimerQueue.Timer timeout;
 
-    Attempt(OpenRequest request, int number, String node, long sentAtMicros) {
+    Attempt(OpenRequest request, int number, String node, long startedAtMicros) {
         this.request = request;
         this.number = number;
         this.node = node;
-        this.sentAtMicros = sentAtMicros;
+        this.startedAtMicros = startedAtMicros;
     }
 }
--- a/core/src/main/java/lupinvalve/core/AttemptTable.java
+++ b/core/src/main/java/lupinvalve/core/AttemptTable.java
@@ -6,7 +6,7 @@
 import lupinvalve.routing.AttemptOutcome;
 import lupinvalve.routing.RouterAction;
 
-/** The attempts in flight, and the backends that carry them: starts, times out and cancels them. Core thread only. */
+/** Starts, times out and cancels attempts; holds those in flight and the backends that carry them. Core thread only. */
 final class AttemptTable {
     private final EventLoop loop;
     private final RequestLog log;
@@ -14,7 +14,7 @@
     private final Map<String, Backend> backends = new LinkedHashMap<>();
     private final HandleTable<Attempt> byHandle;
 
-    /** @param onAbandoned ends an attempt that this pooler has given up; it is still in the table then */
+    /** @param onAbandoned receives an abandoned attempt, which is still in the table, and its outcome */
     AttemptTable(EventLoop loop, RequestLog log, int capacity, BiConsumer<Attempt, AttemptOutcome> onAbandoned) {
         this.loop = loop;
         this.log = log;
@@ -30,32 +30,36 @@
         return byHandle.isFull();
     }
 
-    /** The attempt in flight of a handle, or null. */
+    /** The attempt in flight with this handle, or null. */
     Attempt get(long handle) {
         return byHandle.get(handle);
     }
 
-    /** Removes an attempt that has ended and gives it, or null where it had ended before. */
+    /** Removes an ended attempt and cancels its timeout. Returns the attempt, or null if it had been removed before. */
     Attempt remove(long handle) {
         Attempt attempt = byHandle.remove(handle);
         if (attempt != null) {
             loop.cancel(attempt.timeout);
             OpenRequest request = attempt.request;
-            request.inFlight = request.inFlight == attempt ? null : request.inFlight;
+            request.attemptInFlight = request.attemptInFlight == attempt ? null : request.attemptInFlight;
         }
         return attempt;
     }
 
-    /** Starts an attempt; the table must not be full. */
+    /**
+     * Starts an attempt; the table must not be full. Its timeout and the time within which the db node may start it are
+     * limited by the request's remaining time.
+     */
     void start(OpenRequest request, int number, RouterAction.StartAttempt start, String address, long nowMicros) {
-        long leftMicros = request.deadlineMicros - nowMicros;
-        long timeoutMicros = start.timeoutMicros() == 0 ? leftMicros : Math.min(start.timeoutMicros(), leftMicros);
+        long remainingMicros = request.deadlineMicros - nowMicros;
+        long timeoutMicros =
+                start.timeoutMicros() == 0 ? remainingMicros : Math.min(start.timeoutMicros(), remainingMicros);
         long startWithinMicros =
                 start.startWithinMicros() == 0 ? timeoutMicros : Math.min(start.startWithinMicros(), timeoutMicros);
         Attempt attempt = new Attempt(request, number, start.node(), nowMicros);
         attempt.handle = byHandle.put(attempt);
         log.attemptStarted(attempt);
-        request.inFlight = attempt;
+        request.attemptInFlight = attempt;
         attempt.timeout = loop.after(timeoutMicros, () -> abandon(attempt, AttemptOutcome.TIMED_OUT));
         backend(attempt)
                 .send(
@@ -67,19 +71,22 @@
                         startWithinMicros);
     }
 
-    /** Gives up an attempt. What was never handed to a socket has not run, whatever ended the wait for it. */
+    /**
+     * Abandons an attempt. Its outcome is {@code NOT_SENT}, whatever the reason, if none of it was handed to a socket:
+     * the db node cannot have run it.
+     */
     void abandon(Attempt attempt, AttemptOutcome outcome) {
         boolean maybeSent = backend(attempt).abandon(attempt.handle);
         onAbandoned.accept(attempt, maybeSent ? outcome : AttemptOutcome.NOT_SENT);
     }
 
-    /** Gives up an attempt whose end nobody has to be notified of. */
+    /** Abandons an attempt without reporting an outcome. */
     void discard(Attempt attempt) {
         byHandle.remove(attempt.handle);
         backend(attempt).abandon(attempt.handle);
     }
 
-    /** Cancels an attempt that the router names by its request's id and its number. */
+    /** Cancels the attempt that the router identifies by the request's id and the attempt's number. */
     void cancel(RouterAction.CancelAttempt cancel) {
         byHandle.forEach(attempt -> {
             if (attempt.number == cancel.attempt() && attempt.request.routerId.equals(cancel.id())) {
@@ -88,16 +95,19 @@
         });
     }
 
-    /** Cancels the attempt of a closed request where it still waits for its connection. */
+    /** Cancels the attempt of a closed request if it is still waiting for a connection. */
     void cancelUnsent(OpenRequest request) {
-        Attempt attempt = request.inFlight;
+        Attempt attempt = request.attemptInFlight;
         if (attempt != null && backend(attempt).isAwaitingConnection(attempt.handle)) {
             abandon(attempt, AttemptOutcome.CANCELLED);
         }
     }
 
     /**
-     * Starts a health check over the first protocol that the instance has an address for; gives whether there is one.
+     * Starts a health check over the first protocol for which the instance has an address.
+     *
+     * @param instance the usable instance of the db node, or null
+     * @return false if there is no such address, so that no check was started
      */
     boolean checkHealth(String node, EndpointInstance instance) {
         for (Map.Entry<String, Backend> backend : backends.entrySet()) {
--- a/core/src/main/java/lupinvalve/core/Backend.java
+++ b/core/src/main/java/lupinvalve/core/Backend.java
@@ -1,30 +1,36 @@
 package lupinvalve.core;
 
-/** Carries attempts and health checks to db nodes over one protocol. Called by the core thread. */
+/** Carries attempts and health checks to db nodes over one protocol. Called on the core thread. */
 public interface Backend {
-    /** The connection that a streamed answer comes from. */
+    /** The connection that a streamed answer is read from. */
     interface StreamSource {
-        /** Stops or resumes reading from it; for the core thread, may be called with either any number of times. */
+        /** Pauses or resumes reading from the connection. Idempotent; core thread only. */
         void pauseReading(boolean paused);
     }
 
     /**
-     * Starts an attempt; its end comes through {@link Pooler#attemptEnded}.
+     * Starts an attempt; its end is reported to {@link Pooler#attemptEnded}.
      *
      * @param attempt handle of the attempt
-     * @param statement what the protocol's frontend made of the request
-     * @param timeoutMicros how long the pooler will wait
-     * @param startWithinMicros for how long the db node may start it, which it is notified of
+     * @param node id of the db node
+     * @param address address to connect to
+     * @param statement the request in the protocol's own form, {@link ClientRequest#statement}
+     * @param timeoutMicros how long the pooler waits for the answer
+     * @param startWithinMicros within what time the db node may start the request; sent to it with the request
      */
     void send(long attempt, String node, String address, Object statement, long timeoutMicros, long startWithinMicros);
 
-    /** Stops waiting for an attempt and closes its connection; true where its request may have been sent. */
+    /**
+     * Stops waiting for an attempt and closes the connection that it was sent on.
+     *
+     * @return whether any of its request may have been sent
+     */
     boolean abandon(long attempt);
 
-    /** Whether the attempt waits for its connection: nothing of it has been handed to a socket. */
+    /** Whether the attempt is waiting for a connection, so that none of it has been handed to a socket. */
     boolean isAwaitingConnection(long attempt);
 
-    /** Requests a db node's load report; the end comes through {@link Pooler#healthCheckEnded}. */
+    /** Requests a db node's load report; the result is reported to {@link Pooler#healthCheckEnded}. */
     void checkHealth(String node, String address);
 
     /** Closes idle connections to a db node. */
--- a/core/src/main/java/lupinvalve/core/Clock.java
+++ b/core/src/main/java/lupinvalve/core/Clock.java
@@ -3,14 +3,14 @@
 import java.time.Instant;
 
 /**
- * Unix time in microseconds: anchored once to the system's clock and advanced by the monotonic one, so that it never
- * goes back. Log positions lie on the same clock. Any thread.
+ * Unix time in microseconds. Read once from the system clock and then advanced by the monotonic clock, so that it never
+ * goes back. Log positions are Unix time as well and are compared with it. Any thread.
  */
 public final class Clock {
     private final long anchorNanos = System.nanoTime();
     private final long anchorMicros;
 
-    /** A clock that is anchored now. */
+    /** Creates a clock that starts at the system clock's current time. */
     public Clock() {
         Instant now = Instant.now();
         anchorMicros = now.getEpochSecond() * 1_000_000 + now.getNano() / 1000;
--- a/core/src/main/java/lupinvalve/core/DiscoveredEndpoint.java
+++ b/core/src/main/java/lupinvalve/core/DiscoveredEndpoint.java
@@ -4,9 +4,9 @@
 import lupinvalve.routing.Endpoint;
 
 /**
- * A db node as discovery lists it.
+ * A db node as discovery reports it.
  *
- * @param endpoint what the router knows of it
- * @param addresses the address to dial, by protocol
+ * @param endpoint the part that the router uses
+ * @param addresses the address to connect to, by protocol
  */
 public record DiscoveredEndpoint(Endpoint endpoint, Map<String, String> addresses) {}
--- a/core/src/main/java/lupinvalve/core/EndpointDiscovery.java
+++ b/core/src/main/java/lupinvalve/core/EndpointDiscovery.java
@@ -1,16 +1,16 @@
 package lupinvalve.core;
 
-/** A source of the endpoint list; reports through {@link Pooler#onEndpointListEvent}. Called by the core thread. */
+/** A source of the endpoint list. Reports to {@link Pooler#onEndpointListEvent}. Called on the core thread. */
 public interface EndpointDiscovery {
-    /** Starts or stops the watch of the list; each of its calls, or the failure of one, brings an event. */
+    /** Starts or stops watching the list; changes and the failure of a watch are reported as events. */
     void subscribe(boolean active);
 
     /** Requests the complete list once. */
     void fetch();
 
     /**
-     * Unix time in microseconds up to which each notified change is known to the core. A change notified later was not
-     * known when the work in hand began.
+     * Unix time in microseconds up to which the core knows every change that discovery has sent. A change sent later
+     * may have been unknown when the current task of the core thread began.
      */
     default long knownUpToMicros() {
         return Long.MAX_VALUE;
--- a/core/src/main/java/lupinvalve/core/EndpointDraining.java
+++ b/core/src/main/java/lupinvalve/core/EndpointDraining.java
@@ -11,14 +11,16 @@
 import lupinvalve.routing.RouterSettings;
 
 /**
- * Which db nodes are draining or drained, by the endpoint list or by operators' commands, and until when work may still
- * start at them. Core thread only.
+ * Tracks which db nodes are draining or drained, according to the endpoint list and operators' commands, and until when
+ * requests may still be started at them. Core thread only.
  */
 final class EndpointDraining {
+    /** How long after the notification of a drain requests may still be started at the db node. */
     private final long graceMicros;
+
     private final DrainedEndpoints drainedByOperators;
     private final Map<String, DrainCommands> commandsBySource = new HashMap<>();
-    /** Since when db nodes that are still listed may have been notified as draining. */
+    /** The earliest time at which the drain of each draining db node may have been notified, by id. */
     private final Map<String, Long> drainingSinceMicros = new HashMap<>();
 
     EndpointDraining(RouterSettings.Rules rules) {
@@ -28,12 +30,16 @@
 
     // ---- operators' commands ----
 
-    /** Why an operator's command to drain or restore a db node is rejected; empty where it can be taken. */
+    /** Why an operator's command to drain or restore a db node is rejected; empty if it is accepted. */
     Optional<String> rejectionReason(boolean drain, String node, boolean listed, long nowMicros) {
         return drainedByOperators.rejectionReason(drain, node, listed, nowMicros);
     }
 
-    /** Takes over the commands of one source; what is drained by any of them is drained. Gives the ids that change. */
+    /**
+     * Replaces the commands of one source; a db node is drained while any source drains it.
+     *
+     * @return ids of the db nodes that are drained or restored by this
+     */
     Set<String> apply(String source, DrainCommands commands, long nowMicros) {
         commandsBySource.put(source, commands);
         DrainCommands all = commandsBySource.values().stream().reduce(DrainCommands.NONE, DrainCommands::union);
@@ -44,25 +50,28 @@
         return drainedByOperators.isDrained(node);
     }
 
-    /** What the router is notified of a listed db node. */
+    /** The endpoint that the router is given for a listed db node: operators' commands override what is listed. */
     Endpoint effective(Endpoint listed) {
         return drainedByOperators.effective(listed);
     }
 
-    /** A db node has left the endpoint list. */
+    /** Records that a db node has left the endpoint list. */
     void endpointDeparted(String node, long nowMicros) {
         drainedByOperators.endpointDeparted(node, nowMicros);
     }
 
-    // ---- the time that a draining db node has ----
+    // ---- the grace period of draining db nodes ----
 
-    /** Since when a notification binds; one that may have come long ago has no time left. */
-    long bindsSinceMicros(EndpointListEvent event, long nowMicros) {
-        // The same holds in the router's table.
+    /**
+     * The time from which the grace period of an event's drains counts, in Unix microseconds: the earliest at which the
+     * event may have been sent. An event that may have been sent longer ago than the grace period leaves none of it.
+     */
+    long notifiedSinceMicros(EndpointListEvent event, long nowMicros) {
+        // The router's endpoint list applies the same limits.
         return Math.min(nowMicros, Math.max(nowMicros - graceMicros, event.notifiedSinceMicros()));
     }
 
-    /** Takes over whether a db node is draining, as the router is notified of it. */
+    /** Records whether a db node is draining, by the endpoint that the router is given for it. */
     void update(Endpoint effective, long notifiedSinceMicros) {
         if (effective.state() == EndpointState.DRAINING) {
             drainingSinceMicros.putIfAbsent(effective.node(), notifiedSinceMicros);
@@ -71,21 +80,26 @@
         }
     }
 
-    /** Forgets all but these. */
+    /** Removes the records of all db nodes but these. */
     void retainAll(Set<String> nodes) {
         drainingSinceMicros.keySet().retainAll(nodes);
     }
 
-    /** Whether a db node has been draining for three quarters of its grace: the rest is for the way to its socket. */
-    boolean isGraceSpent(String node, long nowMicros) {
+    /**
+     * Whether it is too late to send a request to a db node that is draining: three quarters of the grace period are
+     * over. The last quarter is reserved for the time until the request reaches the socket.
+     */
+    boolean isTooLateToSend(String node, long nowMicros) {
         Long since = drainingSinceMicros.get(node);
         return since != null && nowMicros >= since + graceMicros * 3 / 4;
     }
 
     /**
-     * Until when the first byte of what is decided now may be written to a db node.
+     * The latest time at which the first byte of a request that is routed now may be written to a db node, in Unix
+     * microseconds; {@code Long.MAX_VALUE} for no limit.
      *
-     * @param knownUpToMicros up to when each notified change is known here: a later one binds after its grace
+     * @param knownUpToMicros up to when all changes that discovery has sent are known; a drain may have been sent
+     *     since, so its grace period limits the time as well
      */
     long latestStartMicros(String node, long knownUpToMicros) {
         long known = Math.min(knownUpToMicros, drainingSinceMicros.getOrDefault(node, Long.MAX_VALUE));
--- a/core/src/main/java/lupinvalve/core/EndpointInstance.java
+++ b/core/src/main/java/lupinvalve/core/EndpointInstance.java
@@ -3,8 +3,8 @@
 import java.util.Map;
 
 /**
- * One process of a db node. A restart, another address, or a return to the endpoint list make another instance of the
- * same id; a connection belongs to the instance that it was opened to. Immutable.
+ * One process of a db node. A restart, a change of address and a return to the endpoint list each create another
+ * instance with the same id. A connection belongs to the instance that it was opened to. Immutable.
  */
 public final class EndpointInstance {
     private final Map<String, String> addresses;
@@ -15,18 +15,21 @@
         startedAtMicros = discovered.endpoint().startedAtMicros();
     }
 
-    /** Address to dial for a protocol, or null where it does not speak it. */
+    /** Address to connect to over a protocol, or null if the db node does not support it. */
     String address(String protocol) {
         return addresses.get(protocol);
     }
 
-    /** Whether an entry of the endpoint list names this process. */
+    /** Whether an entry of the endpoint list describes this process: same addresses, and no later start listed. */
     boolean matches(DiscoveredEndpoint discovered) {
         return addresses.equals(discovered.addresses())
                 && startedAtMicros >= discovered.endpoint().startedAtMicros();
     }
 
-    /** Whether a connection to this one leads to the other: a restart binds those that were opened before it. */
+    /**
+     * Whether a connection that was opened to this instance leads to the other one. It does if the addresses are the
+     * same and the other instance had started by then: a restart invalidates only connections opened before it.
+     */
     boolean leadsTo(EndpointInstance other, long openedAtMicros) {
         return this == other
                 || other != null && addresses.equals(other.addresses) && openedAtMicros >= other.startedAtMicros;
--- a/core/src/main/java/lupinvalve/core/EndpointListDiff.java
+++ b/core/src/main/java/lupinvalve/core/EndpointListDiff.java
@@ -7,18 +7,18 @@
 import java.util.Map;
 import lupinvalve.routing.Endpoint;
 
-/** Describes in a few words what an endpoint list event changes, for the log. Without I/O. */
+/** Summarizes for the log what an endpoint list event changes. No I/O. */
 final class EndpointListDiff {
-    private static final int NAMED_COUNT = 8;
+    private static final int NAMED_NODES_COUNT = 8;
 
     private EndpointListDiff() {}
 
     /**
-     * The db nodes that change, a few of them by name.
+     * The changes of an event, the first of them by the db node's id, the others as a number.
      *
-     * @param current the endpoint list so far, by id
-     * @param next the endpoints that the event names
-     * @param unlisted ids that a complete list names no longer
+     * @param current the endpoint list before the event, by id
+     * @param next the endpoints in the event
+     * @param unlisted ids that a complete list no longer contains
      */
     static String describe(
             Map<String, DiscoveredEndpoint> current, Collection<DiscoveredEndpoint> next, Collection<String> unlisted) {
@@ -33,11 +33,13 @@
         if (changes.isEmpty()) {
             return "nothing changed";
         }
-        String named = String.join(", ", changes.subList(0, Math.min(NAMED_COUNT, changes.size())));
-        return changes.size() > NAMED_COUNT ? named + " and " + (changes.size() - NAMED_COUNT) + " more" : named;
+        String named = String.join(", ", changes.subList(0, Math.min(NAMED_NODES_COUNT, changes.size())));
+        return changes.size() > NAMED_NODES_COUNT
+                ? named + " and " + (changes.size() - NAMED_NODES_COUNT) + " more"
+                : named;
     }
 
-    /** What changes of one db node, or null. */
+    /** The change of one db node, or null if there is none. */
     private static String change(DiscoveredEndpoint current, DiscoveredEndpoint next) {
         Endpoint endpoint = next.endpoint();
         String state = endpoint.state().name().toLowerCase(Locale.ROOT);
--- a/core/src/main/java/lupinvalve/core/EndpointListEvent.java
+++ b/core/src/main/java/lupinvalve/core/EndpointListEvent.java
@@ -4,15 +4,15 @@
 import lupinvalve.routing.ListForm;
 
 /**
- * A watch event of the endpoint list, or a complete list.
+ * A complete endpoint list, or a watch event that changes it.
  *
- * @param form which of them it is
- * @param endpoints those that it names; empty for {@link ListForm#UNAVAILABLE}
- * @param notifiedSinceMicros the earliest time at which it may have been notified, in Unix microseconds: a departure
- *     binds from then on
+ * @param form what kind of event it is
+ * @param endpoints its endpoints; empty for {@link ListForm#UNAVAILABLE}
+ * @param notifiedSinceMicros the earliest time at which discovery may have sent it, in Unix microseconds; the grace
+ *     period of db nodes that it drains or removes counts from then
  */
 public record EndpointListEvent(ListForm form, List<DiscoveredEndpoint> endpoints, long notifiedSinceMicros) {
-    /** An event that may have been notified long ago, unless it is an update. */
+    /** An event of unknown age: an update counts as sent when it is applied, any other event as sent long ago. */
     public EndpointListEvent(ListForm form, List<DiscoveredEndpoint> endpoints) {
         this(form, endpoints, form == ListForm.UPDATE ? Long.MAX_VALUE : Long.MIN_VALUE);
     }
--- a/core/src/main/java/lupinvalve/core/EndpointRegistry.java
+++ b/core/src/main/java/lupinvalve/core/EndpointRegistry.java
@@ -14,16 +14,13 @@
 import lupinvalve.routing.ListForm;
 import lupinvalve.routing.Router;
 
-/**
- * The endpoint list as discovery reports it, and the instance of each of its db nodes that may be used. Core thread
- * only.
- */
+/** The endpoint list as discovery reports it, and the usable instance of each of its db nodes. Core thread only. */
 final class EndpointRegistry {
     /**
-     * Ids that an event takes from the list.
+     * Ids that an event removes from the list.
      *
-     * @param unlisted those that a complete list names no longer
-     * @param departed those that it names as departed
+     * @param unlisted those that a complete list no longer contains
+     * @param departed those that the event lists as departed
      */
     record Departures(Set<String> unlisted, List<String> departed) {}
 
@@ -35,29 +32,29 @@
         return listed.values();
     }
 
-    /** The entry of an id, or null. */
+    /** The list's entry for an id, or null. */
     DiscoveredEndpoint listed(String node) {
         return listed.get(node);
     }
 
-    /** The instance that may be used under an id, or null. */
+    /** The usable instance of an id, or null. */
     EndpointInstance instance(String node) {
         return instances.get(node);
     }
 
-    /** Ids of all instances that may be used. */
+    /** Ids of all usable instances. */
     Set<String> instanceIds() {
         return instances.keySet();
     }
 
-    /** Takes over an event into the list, with its line in the log; gives which ids have left the list. */
+    /** Applies an event to the list and logs it. Returns the ids that have left the list. */
     Departures update(EndpointListEvent event) {
-        boolean first = listed.isEmpty();
+        boolean wasEmpty = listed.isEmpty();
         Set<String> unlisted = Set.of();
         if (event.form() == ListForm.UNAVAILABLE) {
-            Log.info("endpoint list: unavailable, keeping the current one");
+            Log.info("endpoint list: discovery unavailable, keeping the current list");
         } else if (event.form() != ListForm.UPDATE) {
-            // Each deploy brings new ids: those that have left must not pile up.
+            // Each deployment brings new ids, so ids that have left must not accumulate.
             unlisted = new HashSet<>(listed.keySet());
             for (DiscoveredEndpoint discovered : event.endpoints()) {
                 unlisted.remove(discovered.endpoint().node());
@@ -66,9 +63,10 @@
             instances.keySet().removeAll(unlisted);
         }
         if (event.form() != ListForm.UNAVAILABLE) {
-            String changes = first ? "the first" : EndpointListDiff.describe(listed, event.endpoints(), unlisted);
+            String changes =
+                    wasEmpty ? "list was empty before" : EndpointListDiff.describe(listed, event.endpoints(), unlisted);
             Log.info(
-                    "endpoint list: %s of %d db nodes: %s",
+                    "endpoint list: %s event with %d db nodes: %s",
                     event.form(), event.endpoints().size(), changes);
         }
         return new Departures(unlisted, updateEntries(event));
@@ -88,10 +86,10 @@
     }
 
     /**
-     * Takes over which instance may be used under an id.
+     * Updates the usable instance of an id.
      *
-     * @param effective the entry's endpoint as the router is notified of it
-     * @return whether connections to the instance before lead to none that may be used
+     * @param effective the endpoint that the router is given for the entry
+     * @return whether the previous instance is no longer usable, so that its idle connections are to be closed
      */
     boolean updateInstance(DiscoveredEndpoint discovered, Endpoint effective) {
         String node = effective.node();
@@ -107,17 +105,17 @@
         return false;
     }
 
-    /** Whether a connection that was opened to an instance of the id leads to the one that may be used now. */
+    /** Whether a connection that was opened to an instance of the id leads to the instance that is usable now. */
     boolean isCurrentInstance(String node, EndpointInstance opened, long openedAtMicros) {
         return opened != null && opened.leadsTo(instances.get(node), openedAtMicros);
     }
 
-    /** The list by id, with the roles and log positions that the router has learnt. */
+    /** The list, sorted by id, with the roles and log positions that the router has observed. */
     List<EndpointStatus> statuses(Router router) {
         List<EndpointStatus> statuses = new ArrayList<>();
         for (DiscoveredEndpoint discovered : listed.values()) {
             Endpoint endpoint = discovered.endpoint();
-            Endpoint learnt = new Endpoint(
+            Endpoint observed = new Endpoint(
                     endpoint.node(),
                     endpoint.group(),
                     endpoint.zone(),
@@ -125,7 +123,7 @@
                     router.isPrimary(endpoint.node()),
                     endpoint.startedAtMicros());
             statuses.add(new EndpointStatus(
-                    new DiscoveredEndpoint(learnt, discovered.addresses()), router.position(endpoint.node())));
+                    new DiscoveredEndpoint(observed, discovered.addresses()), router.position(endpoint.node())));
         }
         statuses.sort(
                 Comparator.comparing(status -> status.discovered().endpoint().node()));
--- a/core/src/main/java/lupinvalve/core/EndpointUpdates.java
+++ b/core/src/main/java/lupinvalve/core/EndpointUpdates.java
@@ -9,8 +9,8 @@
 import lupinvalve.routing.RouterEvent;
 
 /**
- * Brings endpoint list events and operators' drain commands to the router, and closes connections to instances that
- * they replace. Core thread only.
+ * Passes endpoint list events and operators' drain commands to the router, and closes idle connections to instances
+ * that they replace or remove. Core thread only.
  */
 final class EndpointUpdates {
     private final EventLoop loop;
@@ -35,7 +35,7 @@
         this.discoveryReadiness = discoveryReadiness;
     }
 
-    /** Takes over the endpoint list, or a watch event of it. */
+    /** Applies a complete endpoint list, or a watch event. */
     void onEndpointListEvent(EndpointListEvent event) {
         EndpointRegistry.Departures departures = endpoints.update(event);
         departures.unlisted().forEach(node -> draining.endpointDeparted(node, loop.now()));
@@ -47,10 +47,13 @@
         }
     }
 
-    /** Notifies the router of endpoints as operators' commands leave them, and closes what leads to replaced ones. */
+    /**
+     * Notifies the router of an event's endpoints as overridden by operators' commands, and closes idle connections to
+     * instances that are no longer usable.
+     */
     private void notifyRouter(EndpointListEvent event) {
         long now = loop.now();
-        long bindsSinceMicros = draining.bindsSinceMicros(event, now);
+        long notifiedSinceMicros = draining.notifiedSinceMicros(event, now);
         List<Endpoint> effective = new ArrayList<>();
         List<String> replaced = new ArrayList<>();
         for (DiscoveredEndpoint discovered : event.endpoints()) {
@@ -59,14 +62,14 @@
             if (endpoints.updateInstance(discovered, endpoint)) {
                 replaced.add(endpoint.node());
             }
-            draining.update(endpoint, bindsSinceMicros);
+            draining.update(endpoint, notifiedSinceMicros);
         }
         draining.retainAll(endpoints.instanceIds());
-        router.feed(now, new RouterEvent.EndpointUpdate(event.form(), effective, bindsSinceMicros));
+        router.feed(now, new RouterEvent.EndpointUpdate(event.form(), effective, notifiedSinceMicros));
         replaced.forEach(attempts::closeIdleConnections);
     }
 
-    /** Takes over operators' commands from one source. */
+    /** Replaces the drain commands of one source and applies what changes by that. */
     void applyDrainCommands(String source, DrainCommands commands) {
         List<DiscoveredEndpoint> changed = new ArrayList<>();
         for (String node : draining.apply(source, commands, loop.now())) {
--- a/core/src/main/java/lupinvalve/core/EventLoop.java
+++ b/core/src/main/java/lupinvalve/core/EventLoop.java
@@ -6,13 +6,13 @@
 import lupinvalve.log.Log;
 
 /**
- * One thread that runs the tasks that other threads post, and timers, one after another. The core's tables belong to
- * its event loop's thread, the core thread, so none of them needs a lock.
+ * A thread that runs tasks posted by other threads, and timers, one at a time. The core's tables are confined to the
+ * thread of its event loop, the core thread, so they need no locks.
  */
 public final class EventLoop {
     private static final long DELAY_LOG_PERIOD_MICROS = 500_000;
     private static final long IDLE_WAIT_MICROS = 1_000_000;
-    /** Timers get their turn after so many posted tasks. */
+    /** Posted tasks that are run before due timers get a turn. */
     private static final int TASKS_PER_TURN_COUNT = 64;
 
     private final LinkedBlockingQueue<Runnable> posted = new LinkedBlockingQueue<>();
@@ -23,73 +23,78 @@
     private volatile Runnable beforeEachTask = () -> {};
     private volatile boolean stopped;
     private long longestDelayMicros;
-    private long delays;
-    private long delaysSinceMicros;
+    private long delayCount;
+    private long delayPeriodStartMicros;
 
-    /** The core's event loop. */
+    /** Creates the core's event loop. */
     public EventLoop() {
         this("core");
     }
 
-    /** @param name of the thread: others than the core have tables of their own */
+    /**
+     * Creates an event loop.
+     *
+     * @param name name of its thread; a loop other than the core's serves tables of its own
+     */
     public EventLoop(String name) {
         thread = new Thread(this::run, name);
     }
 
-    /** Starts the thread; once. */
+    /** Starts the thread; to be called once. */
     public void start() {
         thread.setDaemon(true);
         thread.start();
     }
 
-    /** Ends the thread after its current turn; from any thread. */
+    /** Ends the thread after its current turn; any thread. */
     public void stop() {
         stopped = true;
         post(() -> {});
     }
 
-    /** Hands a task to the thread, from any thread. */
+    /** Queues a task; any thread. */
     public void post(Runnable task) {
         posted.add(task);
     }
 
     /**
-     * The same, before all that was posted; in order among themselves. For what has to take effect within a time bound.
+     * Queues a task ahead of all tasks queued by {@link #post}; urgent tasks run in the order in which they were
+     * posted. For tasks that must take effect within a bounded time. Any thread.
      */
     public void postUrgent(Runnable task) {
         urgent.add(task);
-        // Wakes the thread where it waits for something posted.
+        // Wakes the thread if it is waiting for a posted task.
         posted.add(() -> {});
     }
 
-    /** Runs {@code task} before each other task; what it posts as urgent runs first. From any thread. */
+    /** Sets a task to run before each other task; urgent tasks that it posts run ahead of that one too. Any thread. */
     public void runBeforeEachTask(Runnable task) {
         beforeEachTask = task;
     }
 
-    /** Unix time in microseconds; from any thread. */
+    /** Unix time in microseconds; any thread. */
     public long now() {
         return clock.micros();
     }
 
-    /** Reports how long something that came in waited for this thread; on this thread. */
+    /** Records how long received data was queued for this thread, for the debug log; on this thread only. */
     public void recordQueueDelay(long micros) {
         longestDelayMicros = Math.max(longestDelayMicros, micros);
-        delays++;
-        if (Log.isDebugEnabled() && now() - delaysSinceMicros > DELAY_LOG_PERIOD_MICROS) {
-            Log.debug("loop delay: %d us at most, of %d arrivals", longestDelayMicros, delays);
+        delayCount++;
+        if (Log.isDebugEnabled() && now() - delayPeriodStartMicros > DELAY_LOG_PERIOD_MICROS) {
+            Log.debug("event loop: longest queue delay %d us over %d arrivals", longestDelayMicros, delayCount);
             longestDelayMicros = 0;
-            delays = 0;
-            delaysSinceMicros = now();
+            delayCount = 0;
+            delayPeriodStartMicros = now();
         }
     }
 
-    /** Runs {@code task} after so many microseconds; on this thread only. */
+    /** Runs {@code task} after {@code micros} microseconds, as soon as possible if negative; on this thread only. */
     public TimerQueue.Timer after(long micros, Runnable task) {
         return timers.schedule(now() + Math.max(0, micros), task);
     }
 
-    /** Cancels a timer; null and one that has run are ignored. On this thread only. */
+    /** Cancels a timer; no effect on null or on a timer that has run. On this thread only. */
     public void cancel(TimerQueue.Timer timer) {
         timers.cancel(timer);
     }
@@ -99,16 +104,16 @@
             try {
                 runTurn();
             } catch (InterruptedException e) {
-                Log.warn("%s thread interrupted", thread.getName());
+                Log.warn("event loop %s: thread interrupted, continuing", thread.getName());
             }
         }
     }
 
     private void runTurn() throws InterruptedException {
-        long nextTimer = timers.nextAtMicros();
-        long waitMicros = nextTimer == Long.MAX_VALUE ? IDLE_WAIT_MICROS : nextTimer - now();
+        long nextTimerMicros = timers.nextAtMicros();
+        long waitMicros = nextTimerMicros == Long.MAX_VALUE ? IDLE_WAIT_MICROS : nextTimerMicros - now();
         Runnable task = waitMicros <= 0 ? posted.poll() : posted.poll(waitMicros, TimeUnit.MICROSECONDS);
-        // Timers come second: an answer that is here already beats the timeout it was racing.
+        // Timers run after posted tasks, so that an answer that has already arrived takes precedence over its timeout.
         for (int i = 0; task != null && i < TASKS_PER_TURN_COUNT; i++) {
             runAfterUrgent(task);
             task = posted.poll();
@@ -135,8 +140,9 @@
     }
 
     /**
-     * Keeps one connection's fault from ending the thread that serves all the others. Errors too: a class that can't be
-     * loaded or a stack that is too deep for one request would leave a process that listens and answers nobody.
+     * Logs what a task throws, so that a fault in one connection does not end the thread that serves all of them.
+     * Errors are caught too: without the thread, a class that cannot be loaded or a stack overflow in one request would
+     * leave a process that accepts connections but never answers.
      */
     private void runGuarded(Runnable task) {
         try {
--- a/core/src/main/java/lupinvalve/core/Fence.java
+++ b/core/src/main/java/lupinvalve/core/Fence.java
@@ -2,16 +2,19 @@
 
 import java.util.function.BooleanSupplier;
 
-/** Whether this pooler may act: one that may be acting on a replaced configuration must not. Core thread only. */
+/**
+ * Whether this pooler may route and send requests. It must not while its configuration may have been replaced. Core
+ * thread only.
+ */
 final class Fence {
     private BooleanSupplier mayAct = () -> true;
 
-    /** @param mayAct asked before each decision and each first byte */
+    /** @param mayAct evaluated before each routing decision and before the first byte of each request */
     void set(BooleanSupplier mayAct) {
         this.mayAct = mayAct;
     }
 
-    /** Whether nothing may be decided or sent now. */
+    /** Whether no request may be routed or sent now. */
     boolean isClosed() {
         return !mayAct.getAsBoolean();
     }
--- a/core/src/main/java/lupinvalve/core/Frontend.java
+++ b/core/src/main/java/lupinvalve/core/Frontend.java
@@ -3,47 +3,49 @@
 import lupinvalve.routing.ServerRole;
 
 /**
- * Takes the one final answer of each request. Called by the core thread. A ticket is the number under which the
- * frontend submitted the request.
+ * Receives the one final answer to each request. Called on the core thread. A ticket is the number that the frontend
+ * gave the request when it submitted it.
  */
 public interface Frontend {
     /**
-     * Final answer: served, as a db node gave it.
+     * Final answer: a db node has served the request.
      *
+     * @param answer the db node's answer in the protocol's own form; the rest of it if it was streamed
      * @param position the answer's log position, or {@code LogPosition.UNKNOWN}
      */
     void served(long ticket, Object answer, long position, ServerRole role);
 
-    /** Whether the client has disconnected, as far as sockets tell: the core may not have been notified yet. */
+    /** Whether the client has disconnected according to its socket; the core may not have processed that yet. */
     boolean isClientDisconnected(long ticket);
 
     /**
-     * A streamed answer starts; {@link #answerChunk} brings the rest, {@link #served} or {@link #answerAborted} its
-     * end.
+     * A streamed answer starts. {@link #answerChunk} delivers further chunks, and {@link #served} or
+     * {@link #answerAborted} ends it.
      *
-     * @param first what has come so far, in the protocol's own form
+     * @param first what has been received so far, in the protocol's own form
+     * @param source the connection that the answer is read from
      */
     default void answerStarted(long ticket, Object first, Backend.StreamSource source) {
-        throw new IllegalStateException("this frontend takes complete answers only");
+        throw new IllegalStateException("this frontend does not support streamed answers");
     }
 
     /** A further chunk of a streamed answer. */
     default void answerChunk(long ticket, byte[] chunk) {
-        throw new IllegalStateException("this frontend takes complete answers only");
+        throw new IllegalStateException("this frontend does not support streamed answers");
     }
 
-    /** Final answer: a streamed answer breaks off; its client must be able to tell. */
+    /** Final answer: a streamed answer ends incomplete. The frontend must make that visible to the client. */
     default void answerAborted(long ticket) {
-        throw new IllegalStateException("this frontend takes complete answers only");
+        throw new IllegalStateException("this frontend does not support streamed answers");
     }
 
     /**
-     * Final answer: rejected; a retry does no harm.
+     * Final answer: the request was rejected; a retry is safe.
      *
-     * @param retryAfterMicros after which the client should come back; 0 for no advice
+     * @param retryAfterMicros how long the client should wait before it retries; 0 for no advice
      */
     void rejected(long ticket, long retryAfterMicros);
 
-    /** Final answer: failed; nothing is promised of the effect. */
+    /** Final answer: the request failed; it may or may not have taken effect. */
     void failed(long ticket);
 }
--- a/core/src/main/java/lupinvalve/core/HandleTable.java
+++ b/core/src/main/java/lupinvalve/core/HandleTable.java
@@ -6,13 +6,13 @@
 import java.util.function.Consumer;
 
 /**
- * A bounded table of numbered slots. A handle holds the slot's number and its generation, so that an event which comes
- * late, after its slot was freed and used again, finds nothing instead of another entry. For one thread.
+ * A bounded table that assigns a handle to each entry. A handle consists of the number and the generation of a slot, so
+ * that a late event whose slot has been freed and reused finds no entry instead of another one. Not thread-safe.
  *
- * @param <T> what the table holds
+ * @param <T> type of the entries
  */
 public final class HandleTable<T> {
-    /** A handle that no entry has. */
+    /** A handle that is never assigned. */
     public static final long NO_HANDLE = -1;
 
     private static final int SLOT_BITS = 20;
@@ -22,14 +22,14 @@
     private final int capacity;
     private final List<T> slots = new ArrayList<>();
     private long[] generations = new long[INITIAL_CAPACITY];
-    private int[] free = new int[INITIAL_CAPACITY];
-    private int freeCount;
+    private int[] freeSlots = new int[INITIAL_CAPACITY];
+    private int freeSlotCount;
     private int size;
 
-    /** @param capacity entries at most */
+    /** @param capacity maximum number of entries */
     public HandleTable(int capacity) {
         if (capacity < 1 || capacity > 1 << SLOT_BITS) {
-            throw new IllegalArgumentException("slots: " + capacity);
+            throw new IllegalArgumentException("handle table capacity out of range: " + capacity);
         }
         this.capacity = capacity;
     }
@@ -45,17 +45,17 @@
     }
 
     /**
-     * Adds an entry and gives its handle.
+     * Adds an entry and returns its handle.
      *
-     * @throws IllegalStateException where the table is full
+     * @throws IllegalStateException if the table is full
      */
     public long put(T value) {
         if (isFull()) {
-            throw new IllegalStateException("table full: " + capacity);
+            throw new IllegalStateException("handle table is full: " + capacity + " entries");
         }
         int slot;
-        if (freeCount > 0) {
-            slot = free[--freeCount];
+        if (freeSlotCount > 0) {
+            slot = freeSlots[--freeSlotCount];
             slots.set(slot, value);
         } else {
             slot = slots.size();
@@ -68,13 +68,13 @@
         return ++generations[slot] << SLOT_BITS | slot;
     }
 
-    /** The entry of a handle, or null where it has been removed. */
+    /** The entry with this handle, or null if it has been removed. */
     public T get(long handle) {
         int slot = (int) (handle & SLOT_MASK);
         return handle < 0 || slot >= slots.size() || generations[slot] != handle >> SLOT_BITS ? null : slots.get(slot);
     }
 
-    /** Removes an entry and gives it, or null where it had been removed already. */
+    /** Removes an entry and returns it, or returns null if it had been removed before. */
     public T remove(long handle) {
         T value = get(handle);
         if (value == null) {
@@ -83,15 +83,15 @@
         int slot = (int) (handle & SLOT_MASK);
         slots.set(slot, null);
         generations[slot]++;
-        if (freeCount == free.length) {
-            free = Arrays.copyOf(free, freeCount * 2);
+        if (freeSlotCount == freeSlots.length) {
+            freeSlots = Arrays.copyOf(freeSlots, freeSlotCount * 2);
         }
-        free[freeCount++] = slot;
+        freeSlots[freeSlotCount++] = slot;
         size--;
         return value;
     }
 
-    /** Visits the entries that are in the table now; the visitor may remove some. */
+    /** Visits the entries that are in the table at the call; the visitor may remove entries. */
     public void forEach(Consumer<? super T> visitor) {
         for (T value : new ArrayList<>(slots)) {
             if (value != null) {
--- a/core/src/main/java/lupinvalve/core/OpenRequest.java
+++ b/core/src/main/java/lupinvalve/core/OpenRequest.java
@@ -2,41 +2,46 @@
 
 import lupinvalve.routing.RequestClass;
 
-/** The state of one request from its arrival to its final answer. Core thread only. */
+/** State of a request from its arrival to its final answer. Core thread only. */
 final class OpenRequest {
     final Frontend frontend;
     final long ticket;
     final ClientRequest request;
     final RequestClass requestClass;
-    /** Until when it must be answered: when its client stops waiting, or the program's shutdown deadline. */
+    /**
+     * Until when it must be answered, in Unix microseconds: when its client stops waiting, or the shutdown deadline.
+     */
     final long deadlineMicros;
 
-    /** Set by {@link RequestTable}: its handle there, and the id that the router knows it by. */
+    /** Its handle in {@link RequestTable}, which sets it. */
     long handle;
 
+    /** The id by which the router identifies it; set by {@link RequestTable}. */
     String routerId;
-    /** Set by {@link RequestTable} once its final answer is due. */
+    /** Whether it has been removed from {@link RequestTable}, right before its final answer. */
     boolean closed;
 
-    /** A db node has served it, and its answer waits until the session token is durable. */
+    /** Whether a db node has served it and the answer is held back until the session token is durable. */
     boolean awaitsToken;
-    /** Log position that the answer must have reached, where this pooler remembers the session's token; else 0. */
+    /** Log position that the answer must have reached, if this pooler remembers a token of the session; else 0. */
     long rememberedTokenMicros;
 
-    /** Set by {@link AttemptTable}. */
-    int attempts;
+    /** Attempts that the router has started, whether or not they were sent. */
+    int attemptCount;
 
-    long firstSentAtMicros;
-    /** The attempt in flight, or null. */
-    Attempt inFlight;
+    /** When its first attempt was started, in Unix microseconds. */
+    long firstAttemptAtMicros;
+    /** Set by {@link AttemptTable}; null if there is none. */
+    Attempt attemptInFlight;
 
-    /** Set by {@link StreamedAnswers}: the attempt whose answer is passed on as it comes, or null; chunks so far. */
-    Attempt streamed;
+    /** The attempt whose answer is forwarded while it arrives, or null; set by {@link StreamedAnswers}. */
+    Attempt streamingAttempt;
 
-    long streamedChunks;
+    /** Chunks of that answer forwarded so far, not counting its start. */
+    long forwardedChunks;
 
-    /** Ends it past its deadline, or a streamed answer that stalls; null before it is set. */
-    TimerQueue.Timer guard;
+    /** Fails the request after its deadline, or aborts a streamed answer that stalls; null until it is set. */
+    TimerQueue.Timer watchdog;
 
     OpenRequest(Frontend frontend, long ticket, ClientRequest request, RequestClass requestClass, long deadlineMicros) {
         this.frontend = frontend;
--- a/core/src/main/java/lupinvalve/core/Pooler.java
+++ b/core/src/main/java/lupinvalve/core/Pooler.java
@@ -17,14 +17,16 @@
 import lupinvalve.routing.ServerRole;
 
 /**
- * Wires the router to frontends, backends and discovery: turns what they report into the router's events and performs
- * the router's actions, so that each request gets exactly one final answer. Knows no wire. All tables belong to the
- * core thread, that of {@link #loop}; a method may be called there only, unless it says otherwise.
+ * Connects the router to frontends, backends and discovery: turns their reports into the router's events and performs
+ * the router's actions, so that each request gets exactly one final answer. Independent of wire protocols. All tables
+ * are confined to the core thread, that of {@link #loop}; methods may be called only there unless stated otherwise.
  */
 public class Pooler {
-    /** Open requests, and attempts in flight; the bound on client connections keeps far below it. */
+    /**
+     * Maximum number of open requests and of attempts in flight; the limit on client connections keeps both far lower.
+     */
     private static final int TABLE_CAPACITY = 8192;
-    /** How often the metrics of db nodes are updated; they may lag by 0.5 s. */
+    /** Update period of the gauges of db nodes, which are allowed to lag by 0.5 s. */
     private static final long METRICS_PERIOD_MICROS = 100_000;
 
     private final EventLoop loop;
@@ -42,7 +44,7 @@
     private final RouterDriver router;
     private EndpointDiscovery discovery;
 
-    /** A pooler that runs on the loop's thread once that has been started. */
+    /** Creates a pooler that runs on the loop's thread once the loop has been started. */
     public Pooler(EventLoop loop, RouterSettings settings) {
         this.loop = loop;
         this.settings = settings;
@@ -57,57 +59,62 @@
         endpointUpdates = new EndpointUpdates(loop, endpoints, draining, attempts, router, discoveryReadiness);
     }
 
-    // ---- parts ----
+    // ---- components ----
 
-    /** Whether this pooler's clients are drained. */
+    /** State of the drain of this pooler's clients. */
     public ClientDrain clientDrain() {
         return clientDrain;
     }
 
-    /** Counters and gauges; from any thread. */
+    /** Counters and gauges; any thread. */
     public Metrics metrics() {
         return metrics;
     }
 
-    /** Whether discovery has notified this process of anything yet; from any thread. */
+    /** Lets startup wait for the first endpoint list; any thread. */
     public DiscoveryReadiness discoveryReadiness() {
         return discoveryReadiness;
     }
 
-    /** The core thread; from any thread. */
+    /** The core's event loop; any thread. */
     public EventLoop loop() {
         return loop;
     }
 
-    /** The router's settings; from any thread. */
+    /** The router's settings; any thread. */
     public RouterSettings settings() {
         return settings;
     }
 
-    /** Adds a protocol to db nodes; before {@link #start}. */
+    /** Adds the backend for a protocol; to be called before {@link #start}. */
     public void addBackend(String protocol, Backend backend) {
         attempts.addBackend(protocol, backend);
     }
 
-    /** Sets where the endpoint list comes from; before {@link #start}. */
+    /** Sets the source of the endpoint list; to be called before {@link #start}. */
     public void discovery(EndpointDiscovery source) {
         discovery = source;
     }
 
     /**
-     * Sets the fence; before {@link #start}. While it says no, requests are rejected at once, and what has been decided
-     * and not been sent is not sent.
+     * Sets the fence; to be called before {@link #start}. While {@code mayAct} is false, requests are rejected at once
+     * and requests that have been routed but not sent are not sent.
      */
     public void fence(BooleanSupplier mayAct) {
         fence.set(mayAct);
     }
 
-    /** Sets what remembers session tokens; before {@link #start}. */
+    /** Sets the store of session tokens; to be called before {@link #start}. */
     public void sessionTokens(SessionTokenStore tokens) {
         lifecycle.sessionTokens(tokens);
     }
 
-    /** Starts the router with the endpoint list that an earlier process had. */
+    /**
+     * Starts the router.
+     *
+     * @param seed seed of the router's random numbers
+     * @param restored the endpoint list that an earlier process had
+     */
     public void start(long seed, List<DiscoveredEndpoint> restored) {
         List<RouterAction> first = router.start(seed, settings);
         onEndpointListEvent(new EndpointListEvent(ListForm.RESTORED, restored));
@@ -115,8 +122,8 @@
     }
 
     /**
-     * Updates the metrics of db nodes from now on. Only for poolers that operators can query, as it has its cost; after
-     * {@link #start}.
+     * Updates the gauges of db nodes at once and then periodically; to be called after {@link #start}. Only for poolers
+     * whose metrics operators can query, since each update visits all db nodes.
      */
     public void publishMetrics() {
         int avoided = 0;
@@ -131,55 +138,60 @@
     // ---- requests ----
 
     /**
-     * Whether a request with this id of its client's is open. Another with the same id must not be submitted: db nodes
-     * would take the two for one.
+     * Whether a request to which its client gave this id is open. Another with the same id must not be submitted: db
+     * nodes would treat the two as one request.
      */
     public boolean hasOpenRequest(String id) {
         return requests.hasClientId(id);
     }
 
-    /** Requests that are open. */
+    /** Number of open requests. */
     public int openRequests() {
         return requests.size();
     }
 
-    /** The program shuts down: requests that come from now on are answered by then. */
-    public void answerBy(long atMicros) {
-        lifecycle.answerBy(atMicros);
+    /** Limits the deadline of requests that are submitted from now on, in Unix microseconds, because of a shutdown. */
+    public void answerBy(long deadlineMicros) {
+        lifecycle.answerBy(deadlineMicros);
     }
 
     /**
-     * Takes a request, which gets one final answer, maybe before this returns.
+     * Accepts a request, which gets one final answer, possibly before this method returns.
      *
-     * @param ticket number under which the frontend gets the answer
-     * @return a handle for {@link #clientDisconnected}, or {@link HandleTable#NO_HANDLE} where it has been rejected
+     * @param ticket number by which the frontend identifies the request when it gets the answer
+     * @return a handle for {@link #clientDisconnected}, or {@link HandleTable#NO_HANDLE} if it has been rejected
      */
     public long submit(Frontend frontend, long ticket, ClientRequest request) {
         return lifecycle.submit(frontend, ticket, request);
     }
 
-    /** The client of a request has disconnected, or cancelled it: it gets no answer any more. */
+    /**
+     * Reports that the client of a request has disconnected or cancelled the request, which gets no answer any more.
+     */
     public void clientDisconnected(long handle) {
         lifecycle.clientDisconnected(handle);
     }
 
     // ---- attempts ----
 
-    /** An answer has started to come, of which the backend has not all; says what to do with it. */
+    /** Reports that the first part of an answer has arrived; returns what the backend is to do with the answer. */
     public StreamDecision answerStarted(long attempt, Object first, Backend.StreamSource source) {
         return lifecycle.answerStarted(attempt, first, source);
     }
 
-    /** A further chunk of an answer for which {@link #answerStarted} said {@link StreamDecision#PASS_ON}. */
+    /**
+     * Forwards a further chunk of an answer for which {@link #answerStarted} returned {@link StreamDecision#PASS_ON}.
+     */
     public void answerChunk(long attempt, byte[] chunk) {
         lifecycle.answerChunk(attempt, chunk);
     }
 
     /**
-     * An attempt has ended; ignored for one that had ended before. The first served one is its request's final answer.
+     * Reports the end of an attempt; ignored if it had ended before. The answer of the first served attempt is the
+     * request's final answer.
      *
-     * @param reported the outcome as the db node or the connection gave it
-     * @param answer in the protocol's own form; null unless served
+     * @param reported the outcome according to the db node or the connection
+     * @param answer the answer in the protocol's own form; null unless served
      * @param position the answer's log position, or {@link LogPosition#UNKNOWN}
      */
     public void attemptEnded(long handle, AttemptOutcome reported, Object answer, long position, ServerRole role) {
@@ -190,23 +202,26 @@
         lifecycle.attemptEnded(attempt.handle, outcome, null, LogPosition.UNKNOWN, ServerRole.UNKNOWN);
     }
 
-    /** A health check has ended; position and role are those of the db node's load report. */
+    /** Reports the end of a health check, with the position and the role in the db node's load report. */
     public void healthCheckEnded(
             String node, AttemptOutcome outcome, long elapsedMicros, long position, ServerRole role) {
         router.feed(new RouterEvent.HealthCheckEnded(node, outcome, elapsedMicros, position, role));
     }
 
     /**
-     * Whether what has waited for a connection to an instance may be sent on it. Since it was decided, the instance may
-     * have begun to drain, its client may have disconnected, and the time may be over in which a retry of the write or
-     * the age of the read's data is allowed; what counts is when the first byte goes out.
+     * Whether an attempt that has waited for a connection to an instance may be sent on it. Since the attempt was
+     * routed, the instance may have begun to drain, the client may have disconnected, and a retry of the write or the
+     * age of the db node's data for the read may no longer be allowed. All of these are judged when the first byte is
+     * sent.
      *
-     * @param attempt or {@link HandleTable#NO_HANDLE} for a health check
+     * @param opened the instance that the connection was opened to
+     * @param openedAtMicros when it was opened
+     * @param attempt handle of the attempt, or {@link HandleTable#NO_HANDLE} for a health check
      */
     public boolean maySend(String node, EndpointInstance opened, long openedAtMicros, long attempt) {
         if (fence.isClosed()
                 || !isCurrentInstance(node, opened, openedAtMicros)
-                || draining.isGraceSpent(node, loop.now())) {
+                || draining.isTooLateToSend(node, loop.now())) {
             return false;
         }
         Attempt waiting = attempts.get(attempt);
@@ -216,8 +231,8 @@
     }
 
     /**
-     * Until when the first byte of what is decided now may be written to a db node, in Unix microseconds: a drain that
-     * has been notified meanwhile binds by then, or one that is known.
+     * The latest time at which the first byte of a request that is routed now may be written to a db node, in Unix
+     * microseconds: the end of the grace period of its known drain, or of one that discovery may have sent since.
      */
     public long latestStartMicros(String node) {
         return draining.latestStartMicros(node, discovery.knownUpToMicros());
@@ -225,47 +240,48 @@
 
     // ---- endpoints ----
 
-    /** The endpoint list, or a watch event of it, has come. */
+    /** Applies a complete endpoint list, or a watch event. */
     public void onEndpointListEvent(EndpointListEvent event) {
         endpointUpdates.onEndpointListEvent(event);
     }
 
-    /** Why an operator's command to drain or restore a db node is rejected; empty where it can be taken. */
+    /** Why an operator's command to drain or restore a db node is rejected; empty if it is accepted. */
     public Optional<String> drainRejection(boolean drain, String node) {
         return draining.rejectionReason(drain, node, endpoints.listed(node) != null, loop.now());
     }
 
     /**
-     * Takes over operators' commands to drain and restore db nodes; nothing new is sent to a drained one by the time
-     * that this returns. Before or after {@link #start}.
+     * Applies operators' commands to drain and restore db nodes; once it returns, no new request is sent to a drained
+     * db node. May be called before or after {@link #start}.
      *
-     * @param source which way they came: what is drained by any source is drained
+     * @param source where the commands come from; a db node is drained while any source drains it
+     * @param commands all commands of that source, in place of its previous ones
      */
     public void applyDrainCommands(String source, DrainCommands commands) {
         endpointUpdates.applyDrainCommands(source, commands);
     }
 
-    /** Whether a connection that was opened to an instance of the id leads to the one that may be used now. */
+    /** Whether a connection that was opened to an instance of the id leads to the instance that is usable now. */
     public boolean isCurrentInstance(String node, EndpointInstance opened, long openedAtMicros) {
         return endpoints.isCurrentInstance(node, opened, openedAtMicros);
     }
 
-    /** The instance that may be used under an id, or null. */
+    /** The usable instance of an id, or null. */
     public EndpointInstance instance(String node) {
         return endpoints.instance(node);
     }
 
-    /** The endpoint list by id, with the roles and log positions that db nodes have shown; after {@link #start}. */
+    /** The endpoint list, sorted by id, with observed roles and log positions; to be called after {@link #start}. */
     public List<EndpointStatus> endpointStatuses() {
         return endpoints.statuses(router.router());
     }
 
-    /** Whether an instance may be used under the id. */
+    /** Whether the id has a usable instance. */
     public boolean isListed(String node) {
         return endpoints.instance(node) != null;
     }
 
-    /** Whether the endpoint list names any db node. */
+    /** Whether the endpoint list contains any db node. */
     public boolean hasEndpoints() {
         return !endpoints.listed().isEmpty();
     }
@@ -299,30 +315,30 @@
     private void startAttempt(RouterAction.StartAttempt start) {
         OpenRequest open = requests.byRouterId(start.id());
         if (open == null) {
-            notSent(start, 0, true);
+            reportNotSent(start, 0, true);
             return;
         }
         long now = loop.now();
-        int number = open.attempts++;
+        int number = open.attemptCount++;
         if (number == 0) {
-            open.firstSentAtMicros = now;
+            open.firstAttemptAtMicros = now;
         }
         if (open.isClientDisconnected()) {
-            // The core has not been notified of its client's end yet, which may be long ago by then.
+            // The core has not processed the client's disconnect yet, which may be long past when it does.
             lifecycle.closeDisconnected(open);
-            notSent(start, number, true);
+            reportNotSent(start, number, true);
             return;
         }
         EndpointInstance instance = endpoints.instance(start.node());
         String address = instance == null ? null : instance.address(open.request.protocol());
         if (address == null || attempts.isFull() || fence.isClosed()) {
-            notSent(start, number, false);
+            reportNotSent(start, number, false);
             return;
         }
         attempts.start(open, number, start, address, now);
     }
 
-    private void notSent(RouterAction.StartAttempt start, int number, boolean requestClosed) {
+    private void reportNotSent(RouterAction.StartAttempt start, int number, boolean requestClosed) {
         router.feed(new RouterEvent.AttemptEnded(
                 start.id(),
                 number,
--- a/core/src/main/java/lupinvalve/core/RequestLifecycle.java
+++ b/core/src/main/java/lupinvalve/core/RequestLifecycle.java
@@ -10,9 +10,9 @@
 import lupinvalve.routing.RouterSettings;
 import lupinvalve.routing.ServerRole;
 
-/** Takes each request from its submission to its one final answer, whoever ends it. Core thread only. */
+/** Carries each request from its submission to its one final answer, whichever component ends it. Core thread only. */
 final class RequestLifecycle {
-    /** After a request's deadline, how long the router may take to end it before the core does. */
+    /** How long after a request's deadline the router may still end it before the core fails it. */
     private static final long DEADLINE_OVERRUN_MICROS = 10_000;
 
     private final EventLoop loop;
@@ -51,12 +51,12 @@
         sessionTokens = tokens;
     }
 
-    /** Requests that are submitted from now on have to be answered by then, in Unix microseconds. */
-    void answerBy(long atMicros) {
-        shutdownDeadlineMicros = atMicros;
+    /** Limits the deadline of requests that are submitted from now on, in Unix microseconds, because of a shutdown. */
+    void answerBy(long deadlineMicros) {
+        shutdownDeadlineMicros = deadlineMicros;
     }
 
-    /** Takes a request; gives its handle, or {@link HandleTable#NO_HANDLE} where it has been rejected. */
+    /** Accepts a request and returns its handle, or rejects it and returns {@link HandleTable#NO_HANDLE}. */
     long submit(Frontend frontend, long ticket, ClientRequest request) {
         if (requests.isFull() || fence.isClosed()) {
             metrics.requestEnded(request.classIndex(), Metrics.Result.REJECTED);
@@ -67,11 +67,11 @@
         RequestClass requestClass = settings.classes().get(request.classIndex());
         OpenRequest open = requests.open(frontend, ticket, request, requestClass, deadlineMicros);
         long now = loop.now();
-        long leftMicros = deadlineMicros - now;
+        long remainingMicros = deadlineMicros - now;
         long tokenMicros = sessionToken(open);
-        // A commit is rounded up, so it may lie in the future: no age would mean no token.
+        // A commit's position is rounded up and may lie in the future; an age of 0 would mean that there is no token.
         long sinceWriteMicros = tokenMicros > 0 ? Math.max(1, now - tokenMicros) : 0;
-        open.guard = loop.after(leftMicros + DEADLINE_OVERRUN_MICROS, () -> failOverdue(open));
+        open.watchdog = loop.after(remainingMicros + DEADLINE_OVERRUN_MICROS, () -> failOverdue(open));
         router.feed(
                 now,
                 new RouterEvent.RequestArrived(
@@ -81,12 +81,12 @@
                         request.session(),
                         sinceWriteMicros,
                         request.group(),
-                        leftMicros,
+                        remainingMicros,
                         request.timeoutMicros()));
         return open.handle;
     }
 
-    /** The later one of the tokens that the client carries and that this pooler remembers; 0 for none. */
+    /** The later of the token that the client sent and the token that this pooler remembers; 0 for none. */
     private long sessionToken(OpenRequest open) {
         ClientRequest request = open.request;
         long remembered = request.session() == null ? 0 : sessionTokens.lastCommit(request.session());
@@ -97,27 +97,29 @@
         return remembered;
     }
 
-    /** The client of a request has disconnected, or cancelled it. */
+    /** Reports that the client of a request has disconnected or cancelled the request. */
     void clientDisconnected(long handle) {
         OpenRequest open = requests.get(handle);
-        if (open != null && open.streamed != null) {
+        if (open != null && open.streamingAttempt != null) {
             streamedAnswers.clientDisconnected(open);
         } else if (open != null && !open.closed) {
             closeDisconnected(open);
         }
     }
 
-    /** Closes a request whose client has disconnected; an attempt that has not been sent is cancelled. */
+    /** Closes a request whose client has disconnected, and cancels its attempt if that has not been sent. */
     void closeDisconnected(OpenRequest open) {
         requests.close(open, RequestOutcome.DISCONNECTED);
         router.feed(new RouterEvent.ClientDisconnected(open.routerId));
         attempts.cancelUnsent(open);
     }
 
-    /** Keeps the rule that each request is answered in time, should the router fail to end one. */
+    /** Fails a request that the router has left open past its deadline, so that each request is answered in time. */
     private void failOverdue(OpenRequest open) {
         if (!open.closed) {
-            Log.warn("request %s: deadline overrun, failed by the core", open.routerId);
+            Log.warn(
+                    "request %s: router left it open %d us past its deadline, answering it as failed",
+                    open.routerId, DEADLINE_OVERRUN_MICROS);
             requests.close(open, RequestOutcome.OVERDUE);
             open.frontend.failed(open.ticket);
             router.feed(new RouterEvent.ClientDisconnected(open.routerId));
@@ -125,7 +127,7 @@
         }
     }
 
-    /** An answer has started to come; says what the backend does with it. */
+    /** Reports that the first part of an answer has arrived; returns what the backend is to do with the answer. */
     StreamDecision answerStarted(long attempt, Object first, Backend.StreamSource source) {
         boolean retainsTokens = sessionTokens != SessionTokenStore.NONE
                 || settings.replication().tokens() == RouterSettings.TokenSource.REMEMBERED;
@@ -136,19 +138,19 @@
         streamedAnswers.chunk(attempt, chunk);
     }
 
-    /** An attempt has ended. The first served one is its request's final answer. */
+    /** Reports the end of an attempt. The answer of the first served attempt is the request's final answer. */
     void attemptEnded(long handle, AttemptOutcome reported, Object answer, long position, ServerRole role) {
         Attempt attempt = attempts.remove(handle);
         if (attempt == null) {
             return;
         }
         OpenRequest open = attempt.request;
-        if (open.streamed == attempt) {
+        if (open.streamingAttempt == attempt) {
             streamedAnswers.end(open, reported, answer, position, role);
             return;
         }
         long now = loop.now();
-        // A token that the statement does not carry can't be checked by the db node: its answer's position is.
+        // The db node cannot check a token that the statement does not carry, so the answer's position is checked here.
         boolean stale = reported == AttemptOutcome.SERVED
                 && role != ServerRole.PRIMARY
                 && position < open.rememberedTokenMicros;
@@ -164,7 +166,7 @@
                         attempt.number,
                         attempt.node,
                         outcome,
-                        now - attempt.sentAtMicros,
+                        now - attempt.startedAtMicros,
                         open.closed || open.awaitsToken,
                         position,
                         role));
@@ -178,9 +180,9 @@
             }
         };
         if (open.isWrite() && open.request.session() != null && position != LogPosition.UNKNOWN) {
-            // The answer may wait until the token is durable; that wait has a bound of its own.
+            // The store may hold the answer back until the token is durable, and bounds that wait itself.
             open.awaitsToken = true;
-            loop.cancel(open.guard);
+            loop.cancel(open.watchdog);
             sessionTokens.committed(open.request.session(), position, finish);
         } else {
             finish.run();
--- a/core/src/main/java/lupinvalve/core/RequestLog.java
+++ b/core/src/main/java/lupinvalve/core/RequestLog.java
@@ -4,8 +4,8 @@
 import lupinvalve.routing.AttemptOutcome;
 
 /**
- * Writes how requests and attempts end to the log: each of them at level debug, and a summary at level info a while
- * after the first that was not served. Core thread only.
+ * Logs how requests and attempts end: each of them at level DEBUG, and a summary at level INFO, 5 s after the first one
+ * that was not served. Core thread only.
  */
 final class RequestLog {
     private static final long SUMMARY_PERIOD_MICROS = 5_000_000;
@@ -22,14 +22,14 @@
         if (Log.isDebugEnabled()) {
             ClientRequest request = open.request;
             Log.debug(
-                    "%s %s %s after %d us, group %d, %d attempts, first sent after %d us, timeout %d us",
+                    "request %s: class %s, %s after %d us, group %d, %d attempts, first attempt after %d us, timeout %d us",
                     open.routerId,
                     open.requestClass.name(),
                     outcome.text,
                     loop.now() - request.arrivedAtMicros(),
                     request.group(),
-                    open.attempts,
-                    open.attempts == 0 ? -1 : open.firstSentAtMicros - request.arrivedAtMicros(),
+                    open.attemptCount,
+                    open.attemptCount == 0 ? -1 : open.firstAttemptAtMicros - request.arrivedAtMicros(),
                     request.timeoutMicros());
         }
         if (summary.requestEnded(outcome)) {
@@ -44,8 +44,12 @@
     void attemptEnded(Attempt attempt, AttemptOutcome outcome, long nowMicros) {
         if (Log.isDebugEnabled()) {
             Log.debug(
-                    "%s#%d %s %s after %d us",
-                    attempt.request.routerId, attempt.number, attempt.node, outcome, nowMicros - attempt.sentAtMicros);
+                    "request %s, attempt %d: db node %s, %s after %d us",
+                    attempt.request.routerId,
+                    attempt.number,
+                    attempt.node,
+                    outcome,
+                    nowMicros - attempt.startedAtMicros);
         }
         if (summary.attemptEnded(outcome, attempt.node)) {
             scheduleSummary();
--- a/core/src/main/java/lupinvalve/core/RequestOutcome.java
+++ b/core/src/main/java/lupinvalve/core/RequestOutcome.java
@@ -2,24 +2,24 @@
 
 import lupinvalve.maintenance.Metrics;
 
-/** How a request ended, as the log and the metrics name it. */
+/** How a request ended, with its names in the log and in the metrics. */
 enum RequestOutcome {
     /** With a db node's complete answer. */
     SERVED("served", Metrics.Result.SERVED),
-    /** With an answer that says that a retry does no harm. */
+    /** With an answer that states that a retry is safe. */
     REJECTED("rejected", Metrics.Result.REJECTED),
-    /** With an answer that promises nothing of the effect. */
+    /** With an answer that leaves open whether the request took effect. */
     FAILED("failed", Metrics.Result.FAILED),
-    /** The router left it open past its deadline. */
+    /** The router left it open past its deadline, so the core failed it. */
     OVERDUE("overdue", Metrics.Result.FAILED),
-    /** A streamed answer broke off. */
+    /** With an incomplete streamed answer. */
     ABORTED("aborted", Metrics.Result.FAILED),
-    /** Its client disconnected or cancelled it; counted under no result. */
+    /** Without an answer, as its client disconnected or cancelled it; not counted in the metrics. */
     DISCONNECTED("disconnected", null);
 
-    /** The outcome in the log. */
+    /** Name in the log. */
     final String text;
-    /** What its client was answered, or null where there was nobody to answer. */
+    /** Result in the metrics, or null if the client got no answer. */
     final Metrics.Result result;
 
     RequestOutcome(String text, Metrics.Result result) {
--- a/core/src/main/java/lupinvalve/core/RequestSummary.java
+++ b/core/src/main/java/lupinvalve/core/RequestSummary.java
@@ -8,31 +8,31 @@
 import lupinvalve.routing.AttemptOutcome;
 
 /**
- * Counts how requests and attempts end, for one line of the log. Each attempt after the first of a request is a retry.
- * Core thread only.
+ * Counts how requests and attempts end, for a summary line in the log. Each attempt after the first of a request is a
+ * retry. Core thread only.
  */
 final class RequestSummary {
-    /** Db nodes that are counted by name. */
+    /** Db nodes counted by id for each outcome; further ones are counted together. */
     private static final int MAX_NODES_COUNT = 64;
-    /** Db nodes that are named for each outcome. */
+    /** Db nodes named for each outcome, those with the highest counts. */
     private static final int NAMED_NODES_COUNT = 3;
 
     private final Map<String, Integer> requests = new TreeMap<>();
     private final Map<AttemptOutcome, Map<String, Integer>> attempts = new EnumMap<>(AttemptOutcome.class);
     private int retries;
 
-    /** Counts a request's end; gives whether it is one to report. */
+    /** Counts the end of a request; returns whether it calls for a summary. */
     boolean requestEnded(RequestOutcome outcome) {
         requests.merge(outcome.text, 1, Integer::sum);
         return outcome != RequestOutcome.SERVED;
     }
 
-    /** Counts an attempt's start, the first of its request or a further one. */
+    /** Counts the start of an attempt; {@code number} is 0 for the first of a request. */
     void attemptStarted(int number) {
         retries += number > 0 ? 1 : 0;
     }
 
-    /** Counts an attempt's end; gives whether it is one to report. */
+    /** Counts the end of an attempt; returns whether it calls for a summary. */
     boolean attemptEnded(AttemptOutcome outcome, String node) {
         if (outcome == AttemptOutcome.SERVED) {
             return false;
@@ -42,7 +42,7 @@
         return true;
     }
 
-    /** What has been counted since the last call, in one line. */
+    /** Returns the counts since the last call as one line, and resets them. */
     String take() {
         StringBuilder text = new StringBuilder(requests.entrySet().stream()
                 .map(e -> e.getValue() + " " + e.getKey())
--- a/core/src/main/java/lupinvalve/core/RequestTable.java
+++ b/core/src/main/java/lupinvalve/core/RequestTable.java
@@ -8,8 +8,8 @@
 import lupinvalve.routing.RequestClass;
 
 /**
- * The open requests, by handle, router id and client id: opens each and closes it once, with its metrics and log. Core
- * thread only.
+ * The open requests, by handle, router id and client id. Opens and closes each request once, and records it in the
+ * metrics and the log. Core thread only.
  */
 final class RequestTable {
     private final EventLoop loop;
@@ -34,22 +34,22 @@
         return byHandle.size();
     }
 
-    /** Whether an open request has the id that its client gave it. */
+    /** Whether a request to which its client gave this id is open. */
     boolean hasClientId(String id) {
         return clientIds.contains(id);
     }
 
-    /** The open request of a handle, or null. */
+    /** The open request with this handle, or null. */
     OpenRequest get(long handle) {
         return byHandle.get(handle);
     }
 
-    /** The open request that the router knows by an id, or null. */
+    /** The open request that the router identifies by an id, or null. */
     OpenRequest byRouterId(String id) {
         return byRouterId.get(id);
     }
 
-    /** Opens a request; the table must not be full. */
+    /** Adds a request; the table must not be full. */
     OpenRequest open(
             Frontend frontend, long ticket, ClientRequest request, RequestClass requestClass, long deadlineMicros) {
         OpenRequest open = new OpenRequest(frontend, ticket, request, requestClass, deadlineMicros);
@@ -61,11 +61,11 @@
         return open;
     }
 
-    /** Closes a request; the caller gives its final answer to the frontend, if there is one. */
+    /** Removes a request; the caller then passes the final answer, if there is one, to the frontend. */
     void close(OpenRequest open, RequestOutcome outcome) {
         log.requestEnded(open, outcome);
         open.closed = true;
-        loop.cancel(open.guard);
+        loop.cancel(open.watchdog);
         byHandle.remove(open.handle);
         byRouterId.remove(open.routerId);
         clientIds.remove(open.request.id());
--- a/core/src/main/java/lupinvalve/core/RouterDriver.java
+++ b/core/src/main/java/lupinvalve/core/RouterDriver.java
@@ -11,8 +11,8 @@
 import lupinvalve.routing.RouterSettings;
 
 /**
- * Feeds events to the router one at a time and has its actions performed: an event that arises meanwhile waits until
- * they are done. Core thread only.
+ * Feeds events to the router one at a time and performs the actions that result. An event that is raised meanwhile is
+ * queued until they have been performed. Core thread only.
  */
 final class RouterDriver {
     private final EventLoop loop;
@@ -26,7 +26,7 @@
         this.performer = performer;
     }
 
-    /** Creates the router; gives its first actions, which the caller performs. */
+    /** Creates the router and returns its first actions, which the caller must perform. */
     List<RouterAction> start(long seed, RouterSettings settings) {
         List<RouterAction> first = new ArrayList<>();
         router = new Router(seed, settings, loop.now(), first::add);
@@ -37,7 +37,7 @@
         return router != null;
     }
 
-    /** For queries; null before the start. */
+    /** The router, for queries only; null before {@link #start}. */
     Router router() {
         return router;
     }
--- a/core/src/main/java/lupinvalve/core/SessionTokenStore.java
+++ b/core/src/main/java/lupinvalve/core/SessionTokenStore.java
@@ -1,8 +1,8 @@
 package lupinvalve.core;
 
-/** Session tokens that outlive a client connection: each session's last commit. Called by the core thread. */
+/** Keeps session tokens, each session's last commit, beyond client connections. Called on the core thread. */
 public interface SessionTokenStore {
-    /** Remembers nothing: clients carry their tokens. */
+    /** Keeps no tokens: clients send theirs with each request. */
     SessionTokenStore NONE = new SessionTokenStore() {
         @Override
         public long lastCommit(String session) {
@@ -11,17 +11,20 @@
 
         @Override
         public void committed(String session, long position) {
-            // Nothing to remember.
+            // Tokens are not kept.
         }
     };
 
-    /** Log position of the session's last commit known here, in Unix microseconds, or 0. */
+    /** Log position of the session's last known commit, in Unix microseconds, or 0 if none is known. */
     long lastCommit(String session);
 
-    /** A write of the session was committed at this log position. */
+    /** Records that a write of the session was committed at this log position. */
     void committed(String session, long position);
 
-    /** The same; {@code then} runs, on the core thread, once the token is as durable as it is to be. */
+    /**
+     * Records a commit. {@code then} runs on the core thread once the token is as durable as the store makes it or the
+     * store's limit on that wait is reached; it may run more than once.
+     */
     default void committed(String session, long position, Runnable then) {
         committed(session, position);
         then.run();
--- a/core/src/main/java/lupinvalve/core/Statement.java
+++ b/core/src/main/java/lupinvalve/core/Statement.java
@@ -10,8 +10,10 @@
 import lupinvalve.routing.RequestClass;
 
 /**
- * A statement as a client sent it, with the fields of its closing comment, which decisions need. The bytes are
- * forwarded as they came; only the value of {@code d}, the timeout, is rewritten. Not safe for use by several threads.
+ * A statement as the client sent it, with the fields of its last comment, by which it is routed: {@code id} (request
+ * id), {@code c} (request class), {@code cluster} (group of db nodes), {@code d} (timeout in milliseconds), {@code r}
+ * (1 for a retry) and {@code after} (session token in milliseconds). The bytes are forwarded unchanged, except that the
+ * value of {@code d} is replaced. Not thread-safe.
  */
 public final class Statement {
     private static final Pattern NUMBER = Pattern.compile("[0-9]{1,15}");
@@ -21,12 +23,12 @@
 
     private final byte[] text;
     private final Map<String, String> fields = new HashMap<>();
-    /** Where the value of the timeout stands in the text, or {@link #NONE}. */
+    /** Where the value of the timeout starts in the text, or {@link #NONE}. */
     private int timeoutStart = NONE;
 
     private int timeoutEnd = NONE;
 
-    /** Reads the last comment of the statement; one without any has no fields. */
+    /** Parses the last comment of the statement; without a comment it has no fields. */
     public Statement(byte[] text) {
         this.text = text;
         int end = lastIndexOf('*', '/', text.length);
@@ -77,7 +79,7 @@
         }
     }
 
-    /** Sets a field that came beside the statement, such as a query attribute; it goes before the comment's. */
+    /** Sets a field sent outside the text, such as a query attribute; it overrides the field in the comment. */
     public void set(String name, String value) {
         fields.put(name, value);
     }
@@ -92,8 +94,8 @@
         return text.length;
     }
 
-    /** The first quoted literal, which is the session's key, or null. */
-    public String key() {
+    /** The first quoted literal, which is the session's key, or null if there is none. */
+    public String sessionKey() {
         int start = indexOf('\'', 0, text.length) + 1;
         int end = start;
         while (end < text.length && (text[end] != '\'' || end + 1 < text.length && text[end + 1] == '\'')) {
@@ -102,25 +104,26 @@
         return end < text.length ? new String(text, start, end - start, UTF_8) : null;
     }
 
-    /** The statement with {@code d} as the time left, all else as it came. */
-    public byte[] bytes(long leftMicros) {
+    /** The statement with the remaining time as the value of {@code d}, in milliseconds, at least 1. */
+    public byte[] bytes(long remainingMicros) {
         if (timeoutStart == NONE) {
             return text;
         }
-        byte[] left = Long.toString(Math.max(1, leftMicros / MICROS_PER_MILLI)).getBytes(US_ASCII);
-        byte[] out = new byte[text.length - (timeoutEnd - timeoutStart) + left.length];
+        byte[] timeout =
+                Long.toString(Math.max(1, remainingMicros / MICROS_PER_MILLI)).getBytes(US_ASCII);
+        byte[] out = new byte[text.length - (timeoutEnd - timeoutStart) + timeout.length];
         System.arraycopy(text, 0, out, 0, timeoutStart);
-        System.arraycopy(left, 0, out, timeoutStart, left.length);
-        System.arraycopy(text, timeoutEnd, out, timeoutStart + left.length, text.length - timeoutEnd);
+        System.arraycopy(timeout, 0, out, timeoutStart, timeout.length);
+        System.arraycopy(text, timeoutEnd, out, timeoutStart + timeout.length, text.length - timeoutEnd);
         return out;
     }
 
     /**
-     * The request that the statement makes.
+     * Builds the request from the statement's fields.
      *
-     * @param session the session's key, or null to take the first quoted literal
-     * @param payload what the backend gets
-     * @throws InvalidStatementException where a field that is needed is missing or impossible
+     * @param session the session's key, or null to use the first quoted literal
+     * @param payload what the backend sends
+     * @throws InvalidStatementException if a required field is missing or a value is invalid
      */
     public ClientRequest toRequest(
             List<RequestClass> classes, long arrivedAtMicros, String session, String protocol, Object payload)
@@ -138,13 +141,13 @@
         if (group < 0 || group > Integer.MAX_VALUE) {
             throw new InvalidStatementException("field cluster is missing or no group");
         }
-        // A client can't claim to wait for longer than its class allows: it would keep its slot for ever.
+        // Limited to the class's deadline: a client that states a longer timeout would occupy its slot indefinitely.
         long maxMillis = Math.max(classes.get(classIndex).deadlineMicros() / MICROS_PER_MILLI, 1);
         return new ClientRequest(
                 id,
                 classIndex,
                 "1".equals(fields.get("r")),
-                session != null ? session : key(),
+                session != null ? session : sessionKey(),
                 Math.max(0, number("after")) * MICROS_PER_MILLI,
                 (int) group,
                 arrivedAtMicros,
@@ -163,7 +166,7 @@
         throw new InvalidStatementException(name == null ? "field c, the class, is missing" : "field c names no class");
     }
 
-    /** A field's whole number, or {@link #NONE} where it is missing. */
+    /** A field's value as a whole number, or {@link #NONE} if the field is missing. */
     private long number(String name) throws InvalidStatementException {
         String value = fields.get(name);
         if (value == null) {
--- a/core/src/main/java/lupinvalve/core/StreamDecision.java
+++ b/core/src/main/java/lupinvalve/core/StreamDecision.java
@@ -1,11 +1,11 @@
 package lupinvalve.core;
 
-/** What a backend does with a streamed answer whose first bytes have come. */
+/** What a backend is to do with an answer whose first part has arrived. */
 public enum StreamDecision {
-    /** Hand each further chunk to {@link Pooler#answerChunk}. */
+    /** Pass each further chunk to {@link Pooler#answerChunk}. */
     PASS_ON,
-    /** Buffer it and report it whole: its end decides whether the client may have it. */
+    /** Buffer it and report it when it is complete: its end decides whether the client may get it. */
     BUFFER,
-    /** Nobody waits for it any more. */
+    /** Discard it: no client is waiting for it any more. */
     DROP
 }
--- a/core/src/main/java/lupinvalve/core/StreamedAnswers.java
+++ b/core/src/main/java/lupinvalve/core/StreamedAnswers.java
@@ -7,9 +7,9 @@
 import lupinvalve.routing.RouterEvent;
 import lupinvalve.routing.ServerRole;
 
-/** Passes answers on to their clients while they come from a db node, and ends those that stall. Core thread only. */
+/** Forwards answers to clients while they arrive from db nodes, and aborts those that stall. Core thread only. */
 final class StreamedAnswers {
-    /** A streamed answer of which nothing comes for so long is aborted. */
+    /** A streamed answer is aborted if no chunk of it arrives within this time. */
     private static final long STALL_TIMEOUT_MICROS = 15_000_000;
 
     private final EventLoop loop;
@@ -25,24 +25,26 @@
     }
 
     /**
-     * An answer has started to come. Where it is passed on, the router is notified that the request was served: how
-     * long a client takes to read the rest says nothing of the db node.
+     * Handles the start of an answer. If the answer is forwarded, the router is notified at once that the request was
+     * served: how long a client takes to read the rest says nothing about the db node.
      *
-     * @param retainsTokens whether this pooler remembers the tokens that writes' answers end with
+     * @param first what has been received so far, in the protocol's own form
+     * @param retainsTokens whether this pooler keeps the session tokens at the end of answers to writes
      */
     StreamDecision start(long handle, Object first, Backend.StreamSource source, boolean retainsTokens) {
         Attempt attempt = attempts.get(handle);
-        if (attempt == null || attempt.request.closed || attempt.request.streamed != null) {
+        if (attempt == null || attempt.request.closed || attempt.request.streamingAttempt != null) {
             return StreamDecision.DROP;
         }
         OpenRequest request = attempt.request;
-        // The log position at an answer's end decides whether a read is fresh enough, and is a write's session token.
+        // The log position at an answer's end shows whether a read is fresh enough; for a write it is the session
+        // token.
         if (request.rememberedTokenMicros > 0 || retainsTokens && request.isWrite()) {
             return StreamDecision.BUFFER;
         }
-        request.streamed = attempt;
+        request.streamingAttempt = attempt;
         loop.cancel(attempt.timeout);
-        loop.cancel(request.guard);
+        loop.cancel(request.watchdog);
         watchForStall(request, 0);
         request.frontend.answerStarted(request.ticket, first, source);
         if (!request.closed) {
@@ -51,7 +53,7 @@
                     attempt.number,
                     attempt.node,
                     AttemptOutcome.SERVED,
-                    loop.now() - attempt.sentAtMicros,
+                    loop.now() - attempt.startedAtMicros,
                     true,
                     LogPosition.UNKNOWN,
                     ServerRole.UNKNOWN));
@@ -59,16 +61,16 @@
         return StreamDecision.PASS_ON;
     }
 
-    /** A further chunk of an answer; ignored unless it is passed on. */
+    /** Forwards a further chunk of an answer; ignored unless the answer is being forwarded. */
     void chunk(long handle, byte[] chunk) {
         Attempt attempt = attempts.get(handle);
-        if (attempt != null && attempt.request.streamed == attempt) {
-            attempt.request.streamedChunks++;
+        if (attempt != null && attempt.request.streamingAttempt == attempt) {
+            attempt.request.forwardedChunks++;
             attempt.request.frontend.answerChunk(attempt.request.ticket, chunk);
         }
     }
 
-    /** The attempt of an answer that is passed on has ended. */
+    /** Handles the end of the attempt whose answer is being forwarded. */
     void end(OpenRequest request, AttemptOutcome outcome, Object rest, long position, ServerRole role) {
         if (outcome == AttemptOutcome.SERVED) {
             requests.close(request, RequestOutcome.SERVED);
@@ -79,20 +81,22 @@
         }
     }
 
-    /** The client of an answer that is passed on has disconnected. */
+    /** Handles the disconnect of a client to which an answer is being forwarded. */
     void clientDisconnected(OpenRequest request) {
-        attempts.discard(request.streamed);
+        attempts.discard(request.streamingAttempt);
         requests.close(request, RequestOutcome.DISCONNECTED);
     }
 
-    /** Aborts an answer that stalls, whichever of its two peers it is that does. */
+    /** Aborts an answer that stalls, whether the db node has stopped sending or the client has stopped reading. */
     private void watchForStall(OpenRequest request, long chunksBefore) {
-        request.guard = loop.after(STALL_TIMEOUT_MICROS, () -> {
-            if (request.streamedChunks > chunksBefore) {
-                watchForStall(request, request.streamedChunks);
+        request.watchdog = loop.after(STALL_TIMEOUT_MICROS, () -> {
+            if (request.forwardedChunks > chunksBefore) {
+                watchForStall(request, request.forwardedChunks);
             } else {
-                Log.warn("request %s: a streamed answer has stalled, aborted", request.routerId);
-                attempts.abandon(request.streamed, AttemptOutcome.TIMED_OUT);
+                Log.warn(
+                        "request %s: no chunk of its streamed answer within %d us, aborting the answer",
+                        request.routerId, STALL_TIMEOUT_MICROS);
+                attempts.abandon(request.streamingAttempt, AttemptOutcome.TIMED_OUT);
             }
         });
     }
--- a/core/src/test/java/lupinvalve/core/CoreTest.java
+++ b/core/src/test/java/lupinvalve/core/CoreTest.java
@@ -11,10 +11,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The tables and the statement, where a mistake would show only now and then on sockets. */
+/** The core's tables, event loop and statement parser, whose faults would rarely show in tests over sockets. */
 class CoreTest {
     @Test
-    void a_late_event_finds_nothing_once_its_slot_is_used_again() {
+    void a_stale_handle_finds_nothing_after_its_slot_is_reused() {
         HandleTable<String> table = new HandleTable<>(2);
         long first = table.put("first");
         assertEquals("first", table.remove(first));
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void timers_run_in_order_and_not_after_they_are_cancelled() {
+    void timers_run_in_order_unless_they_are_cancelled() {
         TimerQueue timers = new TimerQueue();
         List<String> ran = new ArrayList<>();
         timers.schedule(20, () -> ran.add("late"));
@@ -44,34 +44,36 @@
     }
 
     @Test
-    void what_is_urgent_goes_before_all_that_waits_and_keeps_its_order() throws InterruptedException {
+    void urgent_tasks_run_before_queued_tasks_in_the_order_of_posting() throws InterruptedException {
         EventLoop loop = new EventLoop();
         List<String> ran = new java.util.concurrent.CopyOnWriteArrayList<>();
-        java.util.concurrent.CountDownLatch over = new java.util.concurrent.CountDownLatch(1);
+        java.util.concurrent.CountDownLatch done = new java.util.concurrent.CountDownLatch(1);
         loop.post(() -> ran.add("request"));
-        loop.post(() -> loop.postUrgent(() -> ran.add("told meanwhile")));
+        loop.post(() -> loop.postUrgent(() -> ran.add("urgent, posted by a task")));
         loop.post(() -> ran.add("last request"));
-        loop.post(over::countDown);
-        loop.postUrgent(() -> ran.add("told"));
-        loop.postUrgent(() -> ran.add("told again"));
+        loop.post(done::countDown);
+        loop.postUrgent(() -> ran.add("first urgent"));
+        loop.postUrgent(() -> ran.add("second urgent"));
         loop.start();
-        over.await();
-        assertEquals(List.of("told", "told again", "request", "told meanwhile", "last request"), ran);
+        done.await();
+        assertEquals(
+                List.of("first urgent", "second urgent", "request", "urgent, posted by a task", "last request"), ran);
         java.util.concurrent.CountDownLatch woken = new java.util.concurrent.CountDownLatch(1);
         loop.postUrgent(woken::countDown);
-        assertTrue(woken.await(10, java.util.concurrent.TimeUnit.SECONDS), "it wakes a thread that waits");
+        assertTrue(
+                woken.await(10, java.util.concurrent.TimeUnit.SECONDS), "an urgent task must wake the waiting thread");
         loop.stop();
     }
 
     @Test
-    void a_statement_keeps_its_bytes_but_for_the_wait() {
+    void a_statement_keeps_its_bytes_except_for_the_timeout() {
         String text = "INSERT INTO rows VALUES ('it''s', '\\x00') /* d=1 */ RETURNING blob /* id=9,d=480 , c=x */";
         Statement statement = new Statement(text.getBytes(StandardCharsets.UTF_8));
-        assertEquals("it''s", statement.key());
+        assertEquals("it''s", statement.sessionKey());
         assertEquals("x", statement.field("c"));
         assertEquals(text.replace("d=480", "d=12"), new String(statement.bytes(12_900), StandardCharsets.UTF_8));
-        Statement bare = new Statement("SELECT '".getBytes(StandardCharsets.UTF_8));
-        assertNull(bare.key());
-        assertFalse(bare.bytes(5).length == 0);
+        Statement withoutFields = new Statement("SELECT '".getBytes(StandardCharsets.UTF_8));
+        assertNull(withoutFields.sessionKey());
+        assertFalse(withoutFields.bytes(5).length == 0);
     }
 }
--- a/core/src/test/java/lupinvalve/core/EndpointDrainingTest.java
+++ b/core/src/test/java/lupinvalve/core/EndpointDrainingTest.java
@@ -14,7 +14,7 @@
 import lupinvalve.routing.RouterSettings;
 import org.junit.jupiter.api.Test;
 
-/** Until when work may start at a draining db node, and which are drained by whom. */
+/** Until when requests may start at a draining db node, and drain commands from several sources. */
 class EndpointDrainingTest {
     private static final long GRACE_MICROS = 200_000;
     private static final long NOW = 1_000_000_000;
@@ -26,31 +26,31 @@
     }
 
     @Test
-    void aCompleteListMayRepeatAnOldNotificationWhichHasNoGraceLeft() {
+    void theGraceOfACompleteListIsOverAndThatOfAnUpdateCountsFromItsSending() {
         EndpointListEvent full = new EndpointListEvent(ListForm.FULL, List.of());
-        assertEquals(NOW - GRACE_MICROS, draining.bindsSinceMicros(full, NOW));
+        assertEquals(NOW - GRACE_MICROS, draining.notifiedSinceMicros(full, NOW));
         EndpointListEvent update = new EndpointListEvent(ListForm.UPDATE, List.of());
-        assertEquals(NOW, draining.bindsSinceMicros(update, NOW));
+        assertEquals(NOW, draining.notifiedSinceMicros(update, NOW));
         EndpointListEvent queued = new EndpointListEvent(ListForm.UPDATE, List.of(), NOW - 50_000);
-        assertEquals(NOW - 50_000, draining.bindsSinceMicros(queued, NOW));
+        assertEquals(NOW - 50_000, draining.notifiedSinceMicros(queued, NOW));
     }
 
     @Test
-    void theGraceCountsFromTheFirstNotificationUntilTheDbNodeIsLiveAgain() {
-        assertFalse(draining.isGraceSpent("a", NOW));
+    void theGraceCountsFromTheFirstNotificationUntilTheDbNodeIsLiveAgainOrUnlisted() {
+        assertFalse(draining.isTooLateToSend("a", NOW));
         draining.update(endpoint(EndpointState.DRAINING), NOW);
         draining.update(endpoint(EndpointState.DRAINING), NOW + 100_000);
-        assertFalse(draining.isGraceSpent("a", NOW + 149_999));
-        assertTrue(draining.isGraceSpent("a", NOW + 150_000));
+        assertFalse(draining.isTooLateToSend("a", NOW + 149_999));
+        assertTrue(draining.isTooLateToSend("a", NOW + 150_000));
         draining.update(endpoint(EndpointState.LIVE), NOW + 160_000);
-        assertFalse(draining.isGraceSpent("a", NOW + 160_000));
+        assertFalse(draining.isTooLateToSend("a", NOW + 160_000));
         draining.update(endpoint(EndpointState.DRAINING), NOW);
         draining.retainAll(Set.of("b"));
-        assertFalse(draining.isGraceSpent("a", NOW + 160_000));
+        assertFalse(draining.isTooLateToSend("a", NOW + 160_000));
     }
 
     @Test
-    void workStartsWithinTheGraceOfWhatIsKnownOrMayHaveBeenNotified() {
+    void requestsStartWithinTheGraceOfAKnownDrainOrOneSentSince() {
         assertEquals(Long.MAX_VALUE, draining.latestStartMicros("a", Long.MAX_VALUE));
         assertEquals(NOW + GRACE_MICROS, draining.latestStartMicros("a", NOW));
         draining.update(endpoint(EndpointState.DRAINING), NOW - 10);
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void whatOneSourceDrainsStaysDrainedWhateverAnotherSays() {
+    void aDbNodeIsDrainedWhileAnySourceDrainsIt() {
         DrainCommands drainA = new DrainCommands(Set.of("a"), Map.of());
         assertEquals(Set.of("a"), draining.apply("operators", drainA, NOW));
         assertEquals(Set.of(), draining.apply("group", drainA, NOW));
--- a/core/src/test/java/lupinvalve/core/LogTextsTest.java
+++ b/core/src/test/java/lupinvalve/core/LogTextsTest.java
@@ -11,7 +11,7 @@
 import lupinvalve.routing.EndpointState;
 import org.junit.jupiter.api.Test;
 
-/** What an on-call engineer reads of requests and of the list at the default level. */
+/** Log lines about requests and endpoint lists at the default level. */
 class LogTextsTest {
     private static DiscoveredEndpoint endpoint(String id, EndpointState state, long startedAtMicros) {
         return new DiscoveredEndpoint(
@@ -19,7 +19,7 @@
     }
 
     @Test
-    void summaryCountsEndsRetriesAndWhereAttemptsFailed() {
+    void summaryCountsOutcomesRetriesAndFailedAttemptsByDbNode() {
         RequestSummary summary = new RequestSummary();
         summary.attemptStarted(0);
         summary.attemptStarted(1);
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void summaryNamesTheDbNodesThatFailedMost() {
+    void summaryNamesTheDbNodesWithTheMostFailures() {
         RequestSummary summary = new RequestSummary();
         for (int node = 1; node <= 200; node++) {
             for (int i = 0; i < (node <= 5 ? node + 1 : 1); i++) {
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void changesOfTheListAreNamedUpToAFew() {
+    void changesOfTheListAreNamedUpToALimit() {
         Map<String, DiscoveredEndpoint> before =
                 Map.of("s-1", endpoint("s-1", EndpointState.LIVE, 1), "s-2", endpoint("s-2", EndpointState.LIVE, 1));
         assertEquals("nothing changed", EndpointListDiff.describe(before, before.values(), List.of()));
@@ -56,9 +56,9 @@
                                 endpoint("s-2", EndpointState.LIVE, 2),
                                 endpoint("s-3", EndpointState.LIVE, 1)),
                         List.of("s-4")));
-        List<String> gone = List.of("a", "b", "c", "d", "e", "f", "g", "h", "i", "j");
+        List<String> unlisted = List.of("a", "b", "c", "d", "e", "f", "g", "h", "i", "j");
         assertEquals(
                 "a unlisted, b unlisted, c unlisted, d unlisted, e unlisted, f unlisted, g unlisted, h unlisted and 2 more",
-                EndpointListDiff.describe(Map.of(), List.of(), gone));
+                EndpointListDiff.describe(Map.of(), List.of(), unlisted));
     }
 }
--- a/log/src/main/java/lupinvalve/log/Log.java
+++ b/log/src/main/java/lupinvalve/log/Log.java
@@ -3,45 +3,45 @@
 import java.io.PrintStream;
 import java.time.Instant;
 
-/** The program's own log: one line an event on standard error, at or above one level. Safe for all threads. */
+/** The program's log: one line per event on standard error, at or above a threshold level. Thread-safe. */
 public final class Log {
     /** Severity of a line. */
     public enum Level {
-        /** For each request; off by default. */
+        /** Details of each request; off by default. */
         DEBUG,
-        /** What the program does. */
+        /** Normal operation. */
         INFO,
-        /** What may need a look. */
+        /** A condition that may need attention. */
         WARN,
-        /** What is wrong. */
+        /** A fault. */
         ERROR
     }
 
     private static final int FAILURE_FRAMES_COUNT = 6;
     private static final ThreadLocal<Level> THREAD_LEVEL = new ThreadLocal<>();
-    private static volatile Level level = Level.INFO;
+    private static volatile Level commonLevel = Level.INFO;
     private static volatile PrintStream output = System.err;
 
     private Log() {}
 
-    /** Drops lines below this level. */
+    /** Sets the threshold below which lines are dropped. */
     public static void setLevel(Level threshold) {
-        level = threshold;
+        commonLevel = threshold;
     }
 
     /**
-     * Drops lines of the calling thread below this level, whatever the level of the others; null for the common one.
+     * Sets a threshold for the lines of the calling thread in place of the common one; null restores the common one.
      */
     public static void setThreadLevel(Level threshold) {
         THREAD_LEVEL.set(threshold);
     }
 
-    /** The level below which lines are dropped, unless a thread has its own. */
+    /** The threshold below which lines are dropped, for threads that have none of their own. */
     public static Level level() {
-        return level;
+        return commonLevel;
     }
 
-    /** Sets where lines go, for tests. */
+    /** Redirects the log; for tests. */
     public static void setOutput(PrintStream stream) {
         output = stream;
     }
@@ -53,32 +53,36 @@
 
     private static Level effectiveLevel() {
         Level threadLevel = THREAD_LEVEL.get();
-        return threadLevel == null ? level : threadLevel;
+        return threadLevel == null ? commonLevel : threadLevel;
     }
 
-    /** Writes a line at level DEBUG; {@code %s} and {@code %d} in the format stand for the values in order. */
+    /** Logs at level DEBUG; each {@code %s} and {@code %d} in the format is replaced by the next value. */
     public static void debug(String format, Object... values) {
         write(Level.DEBUG, format, values);
     }
 
-    /** The same at level INFO. */
+    /** Logs at level INFO; the format is that of {@link #debug}. */
     public static void info(String format, Object... values) {
         write(Level.INFO, format, values);
     }
 
-    /** The same at level WARN. */
+    /** Logs at level WARN; the format is that of {@link #debug}. */
     public static void warn(String format, Object... values) {
         write(Level.WARN, format, values);
     }
 
-    /** The same at level ERROR. */
+    /** Logs at level ERROR; the format is that of {@link #debug}. */
     public static void error(String format, Object... values) {
         write(Level.ERROR, format, values);
     }
 
-    /** A failure of the program itself, with where it happened. */
-    public static void failure(String what, Throwable failure) {
-        StringBuilder text = new StringBuilder(what).append(": ").append(failure);
+    /**
+     * Logs an unexpected exception at level ERROR, with the innermost frames of its stack trace.
+     *
+     * @param context the component or thread in which it occurred
+     */
+    public static void failure(String context, Throwable failure) {
+        StringBuilder text = new StringBuilder(context).append(": ").append(failure);
         StackTraceElement[] trace = failure.getStackTrace();
         for (int i = 0; i < Math.min(FAILURE_FRAMES_COUNT, trace.length); i++) {
             text.append(" < ").append(trace[i]);
@@ -90,7 +94,7 @@
         if (severity.compareTo(effectiveLevel()) < 0) {
             return;
         }
-        // Control characters in a value from outside could forge further lines.
+        // A control character in a value from outside the program could forge further lines.
         StringBuilder text = substitute(format, values);
         for (int i = 0; i < text.length(); i++) {
             if (Character.isISOControl(text.charAt(i))) {
@@ -101,16 +105,16 @@
     }
 
     /**
-     * Puts the values where the format says {@code %s} or {@code %d}. String.format would load a locale's data first,
-     * which delays a pooler's start.
+     * Replaces each {@code %s} and {@code %d} by the next value. String.format would load locale data on first use,
+     * which delays the start of a pooler.
      */
     private static StringBuilder substitute(String format, Object... values) {
         StringBuilder text = new StringBuilder();
-        int value = 0;
+        int next = 0;
         for (int i = 0; i < format.length(); i++) {
             char symbol = format.charAt(i);
-            if (symbol == '%' && i + 1 < format.length() && value < values.length) {
-                text.append(values[value++]);
+            if (symbol == '%' && i + 1 < format.length() && next < values.length) {
+                text.append(values[next++]);
                 i++;
             } else {
                 text.append(symbol);
--- a/log/src/main/java/lupinvalve/log/RepeatedWarnings.java
+++ b/log/src/main/java/lupinvalve/log/RepeatedWarnings.java
@@ -5,9 +5,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Limits the rate of warnings that may come by the thousand: the first of each text is logged at once, those that
- * follow are counted and logged with their number, once a second at most. Safe for all threads; keeps a bounded number
- * of texts.
+ * Limits the rate of warnings that may be repeated thousands of times. The first warning with a text is logged at once;
+ * later ones are counted, and their number is logged at most once a second. Thread-safe; keeps a bounded number of
+ * texts.
  */
 public final class RepeatedWarnings {
     private static final long PERIOD_NANOS = TimeUnit.SECONDS.toNanos(1);
@@ -20,7 +20,7 @@
 
     private final Map<String, Occurrences> byText = new HashMap<>();
 
-    /** Logs one more occurrence, or counts it. */
+    /** Logs a warning, or counts it for a later line. */
     public synchronized void warn(String text) {
         long now = System.nanoTime();
         Occurrences occurrences = byText.get(text);
@@ -36,7 +36,7 @@
         }
         occurrences.suppressed++;
         if (now - occurrences.loggedAtNanos >= PERIOD_NANOS) {
-            Log.warn("%s, %d times more", text, occurrences.suppressed);
+            Log.warn("%s; repeated %d times since the last such line", text, occurrences.suppressed);
             occurrences.suppressed = 0;
             occurrences.loggedAtNanos = now;
         }
--- a/maintenance/src/main/java/lupinvalve/maintenance/DrainCommands.java
+++ b/maintenance/src/main/java/lupinvalve/maintenance/DrainCommands.java
@@ -7,23 +7,23 @@
 import java.util.TreeSet;
 
 /**
- * Operators' commands to take db nodes out of use and back, as they stand. The two processes of a hot restart share
- * them. Immutable.
+ * Operators' commands to drain and to restore db nodes that are currently in effect. The two processes of a hot restart
+ * share them. Immutable.
  *
- * @param drained ids of db nodes that are out of use
- * @param restoredAtMicros when ids were taken back, in Unix microseconds
+ * @param drained ids of the drained db nodes
+ * @param restoredAtMicros when db nodes were restored, in Unix microseconds, by id
  */
 public record DrainCommands(Set<String> drained, Map<String, Long> restoredAtMicros) {
-    /** No command stands. */
+    /** No commands. */
     public static final DrainCommands NONE = new DrainCommands(Set.of(), Map.of());
 
-    /** Copies both, sorted by id. */
+    /** Copies both collections, sorted by id. */
     public DrainCommands {
         drained = Collections.unmodifiableSet(new TreeSet<>(drained));
         restoredAtMicros = Collections.unmodifiableMap(new TreeMap<>(restoredAtMicros));
     }
 
-    /** These commands after one more. Commands are idempotent: one to restore undoes any number to drain. */
+    /** Returns these commands with one more applied. They are idempotent: one restore undoes any number of drains. */
     public DrainCommands with(boolean drain, String id, long nowMicros) {
         Set<String> nextDrained = new TreeSet<>(drained);
         Map<String, Long> nextRestored = new TreeMap<>(restoredAtMicros);
@@ -36,14 +36,14 @@
         return new DrainCommands(nextDrained, nextRestored);
     }
 
-    /** These commands without those to restore from before the time given: their db nodes have warmed up. */
-    public DrainCommands withoutRestoresBefore(long micros) {
+    /** Returns these commands without restores before the given time, whose db nodes have warmed up since. */
+    public DrainCommands withoutRestoresBefore(long earliestMicros) {
         Map<String, Long> recent = new TreeMap<>(restoredAtMicros);
-        recent.values().removeIf(atMicros -> atMicros < micros);
+        recent.values().removeIf(atMicros -> atMicros < earliestMicros);
         return recent.size() == restoredAtMicros.size() ? this : new DrainCommands(drained, recent);
     }
 
-    /** Both commands at once: drained is what is so by either. */
+    /** Returns both sets of commands combined: a db node is drained if either set drains it. */
     public DrainCommands union(DrainCommands other) {
         Set<String> allDrained = new TreeSet<>(drained);
         allDrained.addAll(other.drained);
--- a/maintenance/src/main/java/lupinvalve/maintenance/DrainedEndpoints.java
+++ b/maintenance/src/main/java/lupinvalve/maintenance/DrainedEndpoints.java
@@ -11,32 +11,30 @@
 import lupinvalve.routing.EndpointState;
 
 /**
- * Decides what the router is notified of a listed db node that operators have drained or restored. A drained one is
- * departed, whatever discovery lists meanwhile. A restored one counts as started at that command, since operators
- * restart what they drain, and a db node that is warming up may be given only so much. No I/O, no clock; not safe for
- * use by several threads.
+ * Decides which state the router is given for a listed db node that operators have drained or restored. A drained db
+ * node counts as departed, whatever discovery lists. A restored one counts as started at the time of that command:
+ * operators restart the db nodes that they drain, and the load on a db node that is warming up must be limited. No I/O,
+ * no clock; not thread-safe.
  */
 public final class DrainedEndpoints {
-    /** Drained ids at most; each comes from an operator's hand. */
+    /** Maximum number of drained ids, each of them entered by an operator, and of remembered departed ids. */
     static final int MAX_IDS_COUNT = 1000;
-    /**
-     * For how long an id that has left the endpoint list is still known: a db node that restarts is off it meanwhile.
-     */
+    /** How long an id is remembered after it has left the endpoint list: a db node is not listed while it restarts. */
     static final long DEPARTED_ID_RETENTION_MICROS = 600_000_000;
 
     private final long warmUpMicros;
-    /** When ids left the endpoint list, the longest ago first. */
+    /** When ids left the endpoint list, earliest first. */
     private final LinkedHashMap<String, Long> departedAtMicros = new LinkedHashMap<>();
 
     private final Set<String> drained = new TreeSet<>();
     private final Map<String, Long> restoredAtMicros = new HashMap<>();
 
-    /** @param warmUpMicros for how long a db node warms up after its start */
+    /** @param warmUpMicros how long a db node warms up after its start */
     public DrainedEndpoints(long warmUpMicros) {
         this.warmUpMicros = warmUpMicros;
     }
 
-    /** A db node has left the endpoint list. */
+    /** Records that a db node has left the endpoint list. */
     public void endpointDeparted(String id, long nowMicros) {
         departedAtMicros.remove(id);
         departedAtMicros.put(id, nowMicros);
@@ -46,9 +44,9 @@
         }
     }
 
-    /** Why a command to drain or restore a db node is rejected; empty where it can be taken. */
+    /** Why a command to drain or restore a db node is rejected; empty if it is accepted. */
     public Optional<String> rejectionReason(boolean drain, String id, boolean listed, long nowMicros) {
-        // A db node that operators are just restarting is off the list, and its id is still known.
+        // While operators restart a db node it is not listed, but its id must still be accepted.
         boolean known = listed
                 || drained.contains(id)
                 || departedAtMicros.getOrDefault(id, Long.MIN_VALUE) >= nowMicros - DEPARTED_ID_RETENTION_MICROS;
@@ -60,7 +58,7 @@
                 : Optional.empty();
     }
 
-    /** Takes over the commands as they now stand; gives the ids of which the router has to be notified. */
+    /** Replaces the commands in effect. Returns the ids of which the router must be notified. */
     public Set<String> apply(DrainCommands commands, long nowMicros) {
         Set<String> changed = new TreeSet<>(drained);
         changed.addAll(commands.drained());
@@ -73,7 +71,7 @@
         return changed;
     }
 
-    /** The commands as they stand. */
+    /** The commands in effect. */
     public DrainCommands commands() {
         return new DrainCommands(drained, restoredAtMicros);
     }
@@ -83,7 +81,7 @@
         return drained.contains(id);
     }
 
-    /** What the router is notified of a listed db node. */
+    /** The endpoint that the router is given for a listed db node. */
     public Endpoint effective(Endpoint listed) {
         if (drained.contains(listed.node())) {
             return with(listed, EndpointState.DEPARTED, listed.startedAtMicros());
--- a/maintenance/src/main/java/lupinvalve/maintenance/Metrics.java
+++ b/maintenance/src/main/java/lupinvalve/maintenance/Metrics.java
@@ -5,17 +5,17 @@
 import java.util.concurrent.atomic.AtomicLongArray;
 
 /**
- * Counters and gauges of the pooler. Written by the core thread alone, read by any. All counters start from 0 with the
+ * Counters and gauges of the pooler. Written by the core thread only, read by any thread. Counters start at 0 in each
  * process.
  */
 public final class Metrics {
     /** How a request ended for its client. */
     public enum Result {
-        /** With a db node's answer. */
+        /** With a db node's complete answer. */
         SERVED("served"),
-        /** With an answer that says that a retry does no harm. */
+        /** With an answer that states that a retry is safe. */
         REJECTED("refused"),
-        /** With an answer that promises nothing of the effect. */
+        /** With an answer that leaves open whether the request took effect. */
         FAILED("failed");
 
         private final String exportedName;
@@ -26,7 +26,7 @@
     }
 
     private static final int RESULTS_COUNT = Result.values().length;
-    private static final int LINE_CHARS = 64;
+    private static final int TYPICAL_LINE_CHARS = 64;
 
     private final List<String> classes;
     private final AtomicLongArray requests;
@@ -35,42 +35,42 @@
     private final AtomicLong listedServers = new AtomicLong();
     private final AtomicLong avoidedServers = new AtomicLong();
 
-    /** @param classes names of the request classes, by their index */
+    /** @param classes names of the request classes, in the order of their indices */
     public Metrics(List<String> classes) {
         this.classes = List.copyOf(classes);
         requests = new AtomicLongArray(classes.size() * RESULTS_COUNT);
     }
 
-    /** A request has ended; core thread only. */
+    /** Counts the end of a request; core thread only. */
     public void requestEnded(int classIndex, Result result) {
         int index = classIndex * RESULTS_COUNT + result.ordinal();
         requests.lazySet(index, requests.get(index) + 1);
     }
 
-    /** An attempt has been handed to a socket in full; core thread only. */
+    /** Counts an attempt whose request is being handed to a socket; core thread only. */
     public void attemptSent() {
         attempts.lazySet(attempts.get() + 1);
     }
 
-    /** Requests that are open now; core thread only. */
+    /** Sets the number of open requests; core thread only. */
     public void setInFlight(int count) {
         inFlight.lazySet(count);
     }
 
-    /** Db nodes in the endpoint list, and those of them that get nothing now; core thread only. */
+    /** Sets the number of listed db nodes, and of those among them that get no requests now; core thread only. */
     public void setServers(int listed, int avoided) {
         listedServers.lazySet(listed);
         avoidedServers.lazySet(avoided);
     }
 
-    /** Requests of a class that have ended so. */
+    /** Number of requests of a class that have ended with a result; any thread. */
     public long requests(int classIndex, Result result) {
         return requests.get(classIndex * RESULTS_COUNT + result.ordinal());
     }
 
-    /** One metric a line, under the names that operators' tools read. */
+    /** All metrics, one a line, under the names that operators' tools read; any thread. */
     public String format() {
-        StringBuilder out = new StringBuilder(LINE_CHARS * classes.size() * RESULTS_COUNT);
+        StringBuilder out = new StringBuilder(TYPICAL_LINE_CHARS * classes.size() * RESULTS_COUNT);
         for (int i = 0; i < classes.size(); i++) {
             for (Result result : Result.values()) {
                 out.append("edge_node.requests.")
--- a/maintenance/src/main/java/lupinvalve/maintenance/ResourceBudgets.java
+++ b/maintenance/src/main/java/lupinvalve/maintenance/ResourceBudgets.java
@@ -1,33 +1,36 @@
 package lupinvalve.maintenance;
 
 /**
- * Divides two budgets: memory among streamed answers while their clients read, and connections among the two processes
- * of a hot restart. What a client has not read stays with the db node's machine, so one that reads nothing takes its
- * part and no more. No I/O; any thread.
+ * Divides two budgets: memory among streamed answers while clients read them, and connections among the two processes
+ * of a hot restart. Beyond its share of the memory, data that a client has not read stays on the db node's machine, so
+ * a client that reads nothing occupies its share and no more. No I/O; any thread.
  */
 public final class ResourceBudgets {
-    /** For all streamed answers together: an eighth of the least heap that a pooler is given (40 MB). */
+    /** For all streamed answers together: one eighth of the smallest heap that a pooler is given (40 MB). */
     static final long STREAM_BUDGET_BYTES = 5 << 20;
     /** Smaller buffers cost more system calls than they save memory. */
     static final long MIN_STREAM_BUFFER_BYTES = 8 << 10;
-    /** Larger buffers speed up nobody. */
+    /** Larger buffers do not speed up any client. */
     static final long MAX_STREAM_BUFFER_BYTES = 128 << 10;
-    /** For all answers that must be buffered whole: they can't wait elsewhere, so one too many fails. */
-    private static final long WHOLE_ANSWERS_BUDGET_BYTES = 12 << 20;
+    /**
+     * For all answers that must be buffered until they are complete. None of them can stay on the db node's machine
+     * meanwhile, so an answer that exceeds the budget fails.
+     */
+    private static final long BUFFERED_ANSWERS_BUDGET_BYTES = 12 << 20;
 
     private ResourceBudgets() {}
 
-    /** Connections to db nodes that one process may have, of those that the pooler may have. */
+    /** How many of the pooler's {@code total} connections to db nodes one process may use. */
     public static int maxConnections(int total, boolean anotherProcessRuns) {
         return anotherProcessRuns ? Math.max(1, total / 2) : total;
     }
 
-    /** Whether one more answer may be buffered whole beside those that are. */
+    /** Whether an answer of {@code moreBytes} may be buffered whole in addition to {@code bufferedBytes}. */
     public static boolean canBuffer(long bufferedBytes, int moreBytes) {
-        return bufferedBytes + moreBytes <= WHOLE_ANSWERS_BUDGET_BYTES;
+        return bufferedBytes + moreBytes <= BUFFERED_ANSWERS_BUDGET_BYTES;
     }
 
-    /** Bytes of buffer for each of so many streams. */
+    /** Size of the buffer of each stream, in bytes, if there are {@code streams} of them. */
     public static long streamBufferBytes(int streams) {
         return Math.max(
                 MIN_STREAM_BUFFER_BYTES, Math.min(MAX_STREAM_BUFFER_BYTES, STREAM_BUDGET_BYTES / Math.max(1, streams)));
--- a/maintenance/src/test/java/lupinvalve/maintenance/DrainTest.java
+++ b/maintenance/src/test/java/lupinvalve/maintenance/DrainTest.java
@@ -11,7 +11,7 @@
 import lupinvalve.routing.EndpointState;
 import org.junit.jupiter.api.Test;
 
-/** What operators take out of use: db nodes, and this pooler before its clients. */
+/** Drains of db nodes and of this pooler's clients. */
 class DrainTest {
     private static final long WARM_UP_MICROS = 10_000_000;
     private static final long NOW = 1_000_000_000;
@@ -21,13 +21,13 @@
         return new Endpoint(id, 1, 0, state, true, startedAtMicros);
     }
 
-    private void command(boolean drain, String id, long now) {
+    private void apply(boolean drain, String id, long now) {
         endpoints.apply(endpoints.commands().with(drain, id, now), now);
     }
 
     @Test
-    void aDrainedDbNodeIsDepartedWhateverIsListed() {
-        command(true, "a", NOW);
+    void aDrainedDbNodeCountsAsDepartedWhateverIsListed() {
+        apply(true, "a", NOW);
         for (EndpointState listed : EndpointState.values()) {
             assertEquals(
                     EndpointState.DEPARTED,
@@ -38,29 +38,29 @@
     }
 
     @Test
-    void oneRestoreUndoesAnyNumberOfDrainsAndStartsItsWarmUp() {
-        command(true, "a", NOW);
-        command(true, "a", NOW + 1);
-        command(false, "a", NOW + 2);
+    void oneRestoreUndoesAnyNumberOfDrainsAndStartsTheWarmUp() {
+        apply(true, "a", NOW);
+        apply(true, "a", NOW + 1);
+        apply(false, "a", NOW + 2);
         Endpoint effective = endpoints.effective(endpoint("a", EndpointState.LIVE, NOW + 1));
         assertEquals(EndpointState.LIVE, effective.state());
         assertEquals(NOW + 2, effective.startedAtMicros());
-        // One that starts once more is as cold as discovery says.
+        // After a later restart the start time that discovery lists counts.
         assertEquals(
                 NOW + 3,
                 endpoints.effective(endpoint("a", EndpointState.LIVE, NOW + 3)).startedAtMicros());
-        // A second call back changes nothing, least of all the time.
-        command(false, "a", NOW + 9);
+        // A second restore changes nothing and keeps the time of the first.
+        apply(false, "a", NOW + 9);
         assertEquals(
                 NOW + 2,
                 endpoints.effective(endpoint("a", EndpointState.LIVE, 0)).startedAtMicros());
     }
 
     @Test
-    void restoresAreForgottenOnceTheirDbNodesHaveWarmedUp() {
-        command(true, "a", NOW);
-        command(false, "a", NOW);
-        command(true, "b", NOW + WARM_UP_MICROS + 1);
+    void restoresAreRemovedOnceTheDbNodesHaveWarmedUp() {
+        apply(true, "a", NOW);
+        apply(false, "a", NOW);
+        apply(true, "b", NOW + WARM_UP_MICROS + 1);
         assertEquals(Map.of(), endpoints.commands().restoredAtMicros());
         assertEquals(
                 0, endpoints.effective(endpoint("a", EndpointState.LIVE, 0)).startedAtMicros());
@@ -72,17 +72,18 @@
         assertTrue(endpoints.rejectionReason(false, "a", false, NOW).isPresent());
         assertTrue(endpoints.rejectionReason(true, "a", true, NOW).isEmpty());
         assertTrue(endpoints.rejectionReason(false, "a", true, NOW).isEmpty());
-        command(true, "a", NOW);
-        assertTrue(endpoints.rejectionReason(false, "a", false, NOW).isEmpty(), "it left the list while it was out");
+        apply(true, "a", NOW);
+        assertTrue(
+                endpoints.rejectionReason(false, "a", false, NOW).isEmpty(), "it left the list while it was drained");
         for (int i = 1; i < DrainedEndpoints.MAX_IDS_COUNT; i++) {
-            command(true, "n" + i, NOW);
+            apply(true, "n" + i, NOW);
         }
         assertTrue(endpoints.rejectionReason(true, "one too many", true, NOW).isPresent());
-        assertTrue(endpoints.rejectionReason(true, "n7", true, NOW).isEmpty(), "it is out already");
+        assertTrue(endpoints.rejectionReason(true, "n7", true, NOW).isEmpty(), "it is drained already");
     }
 
     @Test
-    void aDbNodeThatLeftTheListAMomentAgoIsKnown() {
+    void aDbNodeThatLeftTheListRecentlyIsKnown() {
         endpoints.endpointDeparted("a", NOW);
         assertTrue(endpoints
                 .rejectionReason(true, "a", false, NOW + DrainedEndpoints.DEPARTED_ID_RETENTION_MICROS)
@@ -93,12 +94,13 @@
         for (int i = 0; i < DrainedEndpoints.MAX_IDS_COUNT; i++) {
             endpoints.endpointDeparted("n" + i, NOW + 1);
         }
-        assertTrue(endpoints.rejectionReason(true, "a", false, NOW + 2).isPresent(), "the longest gone makes room");
+        assertTrue(
+                endpoints.rejectionReason(true, "a", false, NOW + 2).isPresent(), "the id that left first is dropped");
         assertTrue(endpoints.rejectionReason(true, "n0", false, NOW + 2).isEmpty());
     }
 
     @Test
-    void onlyWhatHasChangedIsNotifiedAgain() {
+    void onlyChangedDbNodesAreReturned() {
         assertEquals(Set.of("a", "b"), endpoints.apply(new DrainCommands(Set.of("a", "b"), Map.of()), NOW));
         assertEquals(Set.of(), endpoints.apply(new DrainCommands(Set.of("a", "b"), Map.of()), NOW));
         assertEquals(Set.of("b", "c"), endpoints.apply(new DrainCommands(Set.of("a", "c"), Map.of("b", NOW)), NOW));
@@ -107,14 +109,14 @@
     }
 
     @Test
-    void unitedCommandsDrainWhatIsDrainedByEither() {
-        DrainCommands united = new DrainCommands(Set.of("a"), Map.of("b", 5L, "c", 6L))
+    void theUnionDrainsDbNodesThatEitherSetDrains() {
+        DrainCommands union = new DrainCommands(Set.of("a"), Map.of("b", 5L, "c", 6L))
                 .union(new DrainCommands(Set.of("b"), Map.of("c", 9L)));
-        assertEquals(new DrainCommands(Set.of("a", "b"), Map.of("c", 9L)), united);
+        assertEquals(new DrainCommands(Set.of("a", "b"), Map.of("c", 9L)), union);
     }
 
     @Test
-    void aClientDrainSaysNoAtOnceAndClosesConnectionsOnceNewOnesHaveStopped() {
+    void aClientDrainRejectsChecksAtOnceAndClosesConnectionsAfterADelay() {
         ClientDrain drain = new ClientDrain();
         assertTrue(drain.acceptsClients() && !drain.closesConnections(NOW));
         drain.quiesce(NOW);
@@ -125,6 +127,6 @@
         assertTrue(drain.acceptsClients() && !drain.closesConnections(NOW + 9_000_000));
         drain.shutDown();
         drain.resume();
-        assertTrue(drain.closesConnections(NOW), "a program that ends does not go back to work");
+        assertTrue(drain.closesConnections(NOW), "a shutdown cannot be undone");
     }
 }
