--- a/core/src/main/java/lupinvalve/core/Pooler.java
+++ b/core/src/main/java/lupinvalve/core/Pooler.java
@@ -277,7 +277,7 @@
     }
 
     /** Whether the id has a usable instance. */
-    public boolean isListed(String node) {
+    public boolean hasUsableInstance(String node) {
         return endpoints.instance(node) != null;
     }
 
--- a/daemon/src/test/java/lupinvalve/discovery/HttpEndpointDiscoveryTest.java
+++ b/daemon/src/test/java/lupinvalve/discovery/HttpEndpointDiscoveryTest.java
@@ -136,7 +136,7 @@
 
     private boolean lists(String id) {
         try {
-            return onCore(() -> pooler.isListed(id));
+            return onCore(() -> pooler.hasUsableInstance(id));
         } catch (Exception e) {
             throw new IllegalStateException(e);
         }
@@ -431,7 +431,7 @@
         say(second, HEAD + chunk(list(6, true, "a") + "\n"));
         World.await("listed", () -> {
             try {
-                return onCore(() -> empty.isListed("a"));
+                return onCore(() -> empty.hasUsableInstance("a"));
             } catch (Exception e) {
                 throw new IllegalStateException(e);
             }
@@ -521,7 +521,7 @@
             say(watch, chunk(list(7, false, "-a") + "\n"));
             World.await("stood still", () -> System.nanoTime() - stands > SECOND / 5);
             CompletableFuture<Boolean> lists = new CompletableFuture<>();
-            loop.post(() -> lists.complete(pooler.isListed("a")));
+            loop.post(() -> lists.complete(pooler.hasUsableInstance("a")));
             World.await("decides, or waits for the news", () -> lists.isDone() || HeldSockets.isAwaited());
             sockets.letGo();
             assertEquals(false, lists.get(10, TimeUnit.SECONDS));
