--- a/replication/src/main/java/lupinvalve/replication/MemberAddresses.java
+++ b/replication/src/main/java/lupinvalve/replication/MemberAddresses.java
@@ -35,7 +35,7 @@
     /** A majority holds a member's address; empty for a member that was removed. */
     void onCommitted(String member, String address) {
         if (!configured.contains(member)) {
-            peers.place(member, address);
+            peers.setMemberAddress(member, address);
         }
     }
 
--- a/replication/src/main/java/lupinvalve/replication/MemberRuntime.java
+++ b/replication/src/main/java/lupinvalve/replication/MemberRuntime.java
@@ -103,7 +103,7 @@
             activate(initialState.document());
         }
         listener.drainsChanged(initialState.drains());
-        config.members().forEach(peers::place);
+        config.members().forEach(peers::setMemberAddress);
         advanceBootstrap();
         tick();
     }
--- a/replication/src/main/java/lupinvalve/replication/PeerConnections.java
+++ b/replication/src/main/java/lupinvalve/replication/PeerConnections.java
@@ -105,7 +105,7 @@
     }
 
     /** Keeps a connection to a member at an address; another address for the same name replaces the first. */
-    void place(String member, String address) {
+    void setMemberAddress(String member, String address) {
         DialedMember current = dialed.get(member);
         if (stopped || member.equals(self.name()) || current != null && current.address.equals(address)) {
             return;
