--- a/daemon/src/test/java/lupinvalve/replication/OldMemberTest.java
+++ b/daemon/src/test/java/lupinvalve/replication/OldMemberTest.java
@@ -129,8 +129,8 @@
         }
         String said = lines.toString(StandardCharsets.UTF_8);
         assertEquals(1, old.get(), said);
-        assertEquals(2, said.split("can't follow a: no such call: follow", -1).length, said);
-        assertTrue(said.contains("store: follows b"), said);
+        assertEquals(2, said.split("can't watch the configuration at member a: no such call: follow", -1).length, said);
+        assertTrue(said.contains("store: watches the configuration at member b"), said);
     }
 
     private static ControlPlane.Listener pooler(AtomicReference<ReplicatedState.Document> acting) {
--- a/drills/src/test/java/lupinvalve/drills/InForce.java
+++ b/drills/src/test/java/lupinvalve/drills/InForce.java
@@ -15,7 +15,7 @@
 final class InForce {
     static final long BOUND = 6_000;
     private static final Pattern ADOPTED = Pattern.compile("store: adopted revision (\\d+), change");
-    private static final Pattern FOLLOWS = Pattern.compile("store: follows (\\S+)$");
+    private static final Pattern FOLLOWS = Pattern.compile("store: watches the configuration at member (\\S+)$");
 
     /** From a time on: which revision a pooler acts on, and whether it may. */
     private record State(long at, long revision, boolean may) {}
@@ -35,8 +35,9 @@
         Matcher follows = FOLLOWS.matcher(line);
         if (adopted.find()) {
             states.get(who).add(new State(at, Long.parseLong(adopted.group(1)), before.may()));
-        } else if (line.contains("store: fenced") || line.endsWith("store: returned")) {
-            states.get(who).add(new State(at, before.revision(), line.endsWith("store: returned")));
+        } else if (line.contains("store: fenced") || line.endsWith("store: returned to service: lease granted")) {
+            states.get(who)
+                    .add(new State(at, before.revision(), line.endsWith("store: returned to service: lease granted")));
         } else if (follows.find()) {
             followed.put(who, follows.group(1));
         }
--- a/drills/src/test/java/lupinvalve/drills/SubscribersTest.java
+++ b/drills/src/test/java/lupinvalve/drills/SubscribersTest.java
@@ -188,11 +188,11 @@
     void theJudgeSeesOneThatActsOnForTooLong() {
         InForce judge = new InForce();
         judge.line("s", "INFO store: adopted revision 1, change 3, digest d", 0);
-        judge.line("s", "INFO store: returned", 10);
+        judge.line("s", "INFO store: returned to service: lease granted", 10);
         judge.accepted(2, 100);
         assertEquals(List.of(), judge.findings(100 + InForce.BOUND));
         assertEquals(1, judge.findings(101 + InForce.BOUND).size());
-        judge.line("s", "INFO store: fenced", 5_000);
+        judge.line("s", "INFO store: fenced, not serving until a lease is granted", 5_000);
         assertEquals(List.of(), judge.findings(100_000));
     }
 }
--- a/faultinjection/src/test/java/lupinvalve/replication/CachedDocumentFileTest.java
+++ b/faultinjection/src/test/java/lupinvalve/replication/CachedDocumentFileTest.java
@@ -106,7 +106,7 @@
         }
         disk.put(CachedDocumentFile.NAME, whole);
         assertEquals(
-                "followed: of the cluster plant",
+                "followed: the file belongs to cluster plant, expected another",
                 assertThrows(IOException.class, () -> CachedDocumentFile.read(disk, "another"))
                         .getMessage());
     }
--- a/faultinjection/src/test/java/lupinvalve/replication/SegmentedLogTest.java
+++ b/faultinjection/src/test/java/lupinvalve/replication/SegmentedLogTest.java
@@ -121,11 +121,11 @@
     void aForeignFolderOrANewerFormatStopsTheStart() throws Exception {
         written();
         assertEquals(
-                "identity: of the cluster plant, not of dock",
+                "identity: the file belongs to cluster plant, expected dock",
                 assertThrows(IOException.class, () -> SegmentedLog.open(disk, "dock", "a", "d1"))
                         .getMessage());
         assertEquals(
-                "identity: of the member a, not of b",
+                "identity: the file belongs to member a, expected b",
                 assertThrows(IOException.class, () -> SegmentedLog.open(disk, "plant", "b", "d1"))
                         .getMessage());
         SimulatedDisk newer = disk.copy();
@@ -134,7 +134,7 @@
                 RecordFrames.frame(
                         new lupinvalve.statemachine.Cbor.Writer().number(2).toByteArray()));
         assertEquals(
-                "identity: format 2; this program reads 1",
+                "identity: format version 2 is not supported; this program reads version 1",
                 assertThrows(IOException.class, () -> open(newer)).getMessage());
         SimulatedDisk bare = disk.copy();
         bare.files.remove("identity");
--- a/replication/src/main/java/lupinvalve/replication/AuditLog.java
+++ b/replication/src/main/java/lupinvalve/replication/AuditLog.java
@@ -9,18 +9,19 @@
 import lupinvalve.statemachine.Command;
 
 /**
- * A member's audit entries on its own disk, one file for each incarnation, each entry forced before what it tells of is
- * done; and those of them that the group does not hold yet, earlier incarnations' first. On the group's thread.
+ * A member's audit entries on its own disk, in one file per process incarnation. Each entry is forced to disk before
+ * the event that it records takes effect. Also holds the entries that the Raft group has not committed yet; those of
+ * earlier incarnations are delivered first. Confined to the {@code store} event loop's thread.
  */
 final class AuditLog {
-    /** What names of audit files begin with. */
+    /** Prefix of the names of audit files; the start time of the incarnation follows, in Unix microseconds. */
     static final String FILE_PREFIX = "audit-";
 
     private static final int MAX_INCARNATIONS = 8;
     private static final int MAX_BATCH_ENTRIES = 100;
     /**
-     * By how much a pooler's clock may be off: the platform's is read once at the start and advanced by the monotonic
-     * one, and this is what the two may differ by after an hour.
+     * Assumed error of a pooler's clock. The system clock is read once at the start and advanced by the monotonic
+     * clock; the two may differ by this much after an hour.
      */
     private static final long CLOCK_ERROR_MICROS = 20_000;
 
@@ -28,12 +29,13 @@
     private final String fileName;
     private final AuditJournal journal;
     private final List<Command.AppendAudit> earlierIncarnations = new ArrayList<>();
-    /** Which of this incarnation's files: nothing is appended behind a write that failed. */
-    private int part;
+    /** Number of this incarnation's current file: after a failed write the next entry goes to a new file. */
+    private int filePart;
 
-    private Disk.AppendFile out;
+    /** Null until the next entry creates it. */
+    private Disk.AppendFile currentFile;
 
-    /** @param incarnationMicros when this process started, which names its file */
+    /** @param incarnationMicros when this process started, in Unix microseconds; part of its files' names */
     AuditLog(Disk disk, String pooler, long incarnationMicros) throws IOException {
         this.disk = disk;
         fileName = String.format("%s%020d", FILE_PREFIX, incarnationMicros);
@@ -50,7 +52,7 @@
         journal = new AuditJournal(pooler, incarnationMicros, CLOCK_ERROR_MICROS);
     }
 
-    /** All entries of a file; a torn end is left out. */
+    /** Reads all entries of a file; a record at its end that a crash has torn is ignored. */
     static List<AuditEntry> read(Disk disk, String file) throws IOException {
         List<byte[]> contents = new ArrayList<>();
         RecordFrames.read(file, disk.read(file), true, contents);
@@ -69,7 +71,7 @@
                 earlierIncarnations.add(batch(entries.subList(from, end)));
             }
         } catch (IOException e) {
-            Log.warn("store: %s", e.getMessage());
+            Log.warn("store: audit entries of an earlier run can't be read and are not delivered: %s", e.getMessage());
         }
     }
 
@@ -82,21 +84,21 @@
                 entries.stream().map(AuditEntry::encode).toList());
     }
 
-    /** Appends an entry and forces it; where that throws, what it tells of must not be done. */
+    /** Appends an entry and forces it to disk; if this throws, the recorded event must not take effect. */
     void append(AuditEntry.Event event, String version, long index, long nowMicros, String reason) throws IOException {
         List<AuditEntry> added = journal.add(event, version, index, nowMicros, reason);
         try {
-            if (out == null) {
-                out = disk.create(fileName + (part == 0 ? "" : "-" + part));
+            if (currentFile == null) {
+                currentFile = disk.create(fileName + (filePart == 0 ? "" : "-" + filePart));
             }
             for (AuditEntry entry : added) {
-                out.write(RecordFrames.frame(entry.encode()));
+                currentFile.write(RecordFrames.frame(entry.encode()));
             }
-            out.force();
+            currentFile.force();
         } catch (IOException e) {
-            part++;
+            filePart++;
             close();
-            out = null;
+            currentFile = null;
             throw e;
         }
         Log.info(
@@ -104,13 +106,14 @@
                 event.text(), version, index, reason.isEmpty() ? "" : ": " + reason);
     }
 
-    /** What is to be proposed to the group next, or null. */
+    /** The next batch of entries to propose to the Raft group, or null if there is none. */
     Command.AppendAudit nextBatch() {
         if (!earlierIncarnations.isEmpty()) {
             return earlierIncarnations.get(0);
         }
         List<AuditEntry> undelivered = journal.undelivered(MAX_BATCH_ENTRIES);
-        // A summary breaks the numbers' sequence: what follows goes apart.
+        // A batch carries only its first entry's number, so the numbers in it must be consecutive. Where a summary of
+        // dropped entries breaks the sequence, the entries after the gap go into a later batch.
         for (int i = 1; i < undelivered.size(); i++) {
             if (undelivered.get(i).number() != undelivered.get(i - 1).number() + 1) {
                 undelivered = undelivered.subList(0, i);
@@ -119,21 +122,21 @@
         return undelivered.isEmpty() ? null : batch(undelivered);
     }
 
-    /** The group holds a batch. */
+    /** Marks a batch as committed by the Raft group. */
     void markDelivered(Command.AppendAudit batch) {
         if (!earlierIncarnations.remove(batch)) {
             journal.markDelivered(batch.firstNumber() + batch.entries().size() - 1);
         }
     }
 
-    /** Closes the file; what was appended is on it. */
+    /** Closes the current file; all appended entries are already durable. */
     void close() {
         try {
-            if (out != null) {
-                out.close();
+            if (currentFile != null) {
+                currentFile.close();
             }
         } catch (IOException e) {
-            Log.warn("store: %s", e.getMessage());
+            Log.warn("store: closing the audit file failed: %s", e.getMessage());
         }
     }
 }
--- a/replication/src/main/java/lupinvalve/replication/CachedDocumentFile.java
+++ b/replication/src/main/java/lupinvalve/replication/CachedDocumentFile.java
@@ -11,8 +11,8 @@
 import lupinvalve.subscription.WatchResponse;
 
 /**
- * A subscriber's one file: the last state that it received, for a restart before any member responds. It is replaced
- * atomically, and read only if its checksum, its cluster and the document's digest are right.
+ * A subscriber's cache file: the last state that it received, used after a restart until a member responds. It is
+ * replaced atomically; reading it fails unless its checksum, its cluster and the document's digest match.
  */
 final class CachedDocumentFile {
     /** The file's name in the subscriber's folder. */
@@ -22,7 +22,7 @@
 
     private CachedDocumentFile() {}
 
-    /** Replaces the file. */
+    /** Replaces the file atomically and durably. */
     static void write(Disk disk, String cluster, SubscriberState.Cached state) throws IOException {
         Cbor.Writer out = new Cbor.Writer().number(FORMAT_VERSION).text(cluster).number(state.index());
         WatchResponse.writeDrains(out, state.drains());
@@ -38,9 +38,9 @@
     }
 
     /**
-     * The cached state; {@link SubscriberState.Cached#EMPTY} if there is no file.
+     * Reads the cached state; {@link SubscriberState.Cached#EMPTY} if there is no file.
      *
-     * @throws IOException if the file is damaged, or of another cluster or version
+     * @throws IOException if the file is damaged, or belongs to another cluster, or has another format version
      */
     static SubscriberState.Cached read(Disk disk, String cluster) throws IOException {
         if (!disk.names().contains(NAME)) {
@@ -49,23 +49,24 @@
         List<byte[]> records = new ArrayList<>();
         RecordFrames.read(NAME, disk.read(NAME), false, records);
         if (records.size() != 1) {
-            throw new IOException(NAME + ": " + records.size() + " records in place of one");
+            throw new IOException(NAME + ": " + records.size() + " records, expected 1");
         }
         Cbor.Reader in = new Cbor.Reader(records.get(0));
         long version = in.number();
         if (version != FORMAT_VERSION) {
-            throw new IOException(NAME + ": version " + version + "; this program knows " + FORMAT_VERSION);
+            throw new IOException(NAME + ": format version " + version
+                    + " is not supported; this program reads version " + FORMAT_VERSION);
         }
         String fileCluster = in.text();
         if (!fileCluster.equals(cluster)) {
-            throw new IOException(NAME + ": of the cluster " + fileCluster);
+            throw new IOException(NAME + ": the file belongs to cluster " + fileCluster + ", expected " + cluster);
         }
         long index = in.number();
         Map<Command.DrainTarget, ReplicatedState.Drain> drains = WatchResponse.readDrains(in);
         ReplicatedState.Document document =
                 in.flag() ? new ReplicatedState.Document(in.number(), in.number(), in.text(), in.bytes()) : null;
         if (document != null && !ReplicatedState.digest(document.content()).equals(document.digest())) {
-            throw new IOException(NAME + ": the document's digest is wrong");
+            throw new IOException(NAME + ": the document's content does not match its digest");
         }
         return new SubscriberState.Cached(document, drains, index);
     }
--- a/replication/src/main/java/lupinvalve/replication/CachedDocumentWriter.java
+++ b/replication/src/main/java/lupinvalve/replication/CachedDocumentWriter.java
@@ -10,8 +10,9 @@
 import lupinvalve.subscription.SubscriberState;
 
 /**
- * Writes a subscriber's cached document outside of its loop, as a slow disk must delay neither a change nor the lease.
- * Of several states that wait only the last is written. Safe for all threads.
+ * Writes a subscriber's cached document through an executor, outside of the subscriber's event loop, because a slow
+ * disk must delay neither a configuration change nor the lease. Of several pending states only the latest is written.
+ * Thread-safe.
  */
 final class CachedDocumentWriter {
     private static final int IDLE_TIMEOUT_SECONDS = 5;
@@ -26,9 +27,9 @@
     private boolean closing;
 
     /**
-     * Writes nothing yet.
+     * Creates a writer with nothing pending.
      *
-     * @param executor runs what waits for the disk
+     * @param executor runs the blocking writes
      */
     CachedDocumentWriter(Disk disk, String cluster, Executor executor) {
         this.disk = disk;
@@ -36,11 +37,11 @@
         this.executor = executor;
     }
 
-    /** An executor of one daemon thread that ends while there is nothing to write. */
+    /** An executor with one daemon thread, which ends when there was nothing to write for the idle timeout. */
     static Executor newDiskExecutor() {
         ThreadPoolExecutor executor = new ThreadPoolExecutor(
-                1, 1, IDLE_TIMEOUT_SECONDS, TimeUnit.SECONDS, new LinkedBlockingQueue<>(), work -> {
-                    Thread thread = new Thread(null, work, "store disk", STACK_BYTES);
+                1, 1, IDLE_TIMEOUT_SECONDS, TimeUnit.SECONDS, new LinkedBlockingQueue<>(), task -> {
+                    Thread thread = new Thread(null, task, "store disk", STACK_BYTES);
                     thread.setDaemon(true);
                     return thread;
                 });
@@ -48,24 +49,24 @@
         return executor;
     }
 
-    /** Replaces the cached state, now or once the disk is ready. */
+    /** Schedules the state to be written, in place of one that is still pending. */
     synchronized void write(SubscriberState.Cached state) {
         pending = state;
-        start();
+        scheduleWrite();
     }
 
-    /** Closes the disk once what is pending has been written. */
+    /** Closes the disk once a pending state has been written. */
     synchronized void close() {
         closing = true;
-        start();
+        scheduleWrite();
     }
 
-    /** Waits until the disk is closed; returns whether it was within the timeout. */
+    /** Waits until the disk is closed; returns false if the timeout passes first. */
     boolean awaitClosed(long timeoutMillis) throws InterruptedException {
         return diskClosed.await(timeoutMillis, TimeUnit.MILLISECONDS);
     }
 
-    private void start() {
+    private void scheduleWrite() {
         if (!running) {
             running = true;
             executor.execute(this::writePending);
@@ -84,8 +85,10 @@
             try {
                 CachedDocumentFile.write(disk, cluster, next);
             } catch (IOException e) {
-                // Not fatal: the members have what a restart would miss.
-                Log.error("store: the cached document can't be written: %s", e.getMessage());
+                // Not fatal: after a restart the members send what the cache lacks.
+                Log.error(
+                        "store: the cached document can't be written: %s; the subscriber goes on, and writes again at the next change",
+                        e.getMessage());
             }
         }
         closeDisk();
@@ -96,7 +99,7 @@
             try {
                 disk.close();
             } catch (IOException e) {
-                Log.warn("store: %s", e.getMessage());
+                Log.warn("store: closing the subscriber's folder failed: %s", e.getMessage());
             } finally {
                 diskClosed.countDown();
             }
--- a/replication/src/main/java/lupinvalve/replication/FolderDisk.java
+++ b/replication/src/main/java/lupinvalve/replication/FolderDisk.java
@@ -16,30 +16,30 @@
 import java.util.stream.Stream;
 
 /**
- * A folder of the file system, locked for one process at a time. Folder and files are for their owner alone, since they
- * have secrets.
+ * A folder of the file system. One process at a time may open it for writing, which a file lock ensures. The folder and
+ * its files are accessible to their owner only, because they contain secrets.
  */
 public final class FolderDisk implements Disk {
     private static final String LOCK_FILE = "lock";
     private static final String TEMPORARY_SUFFIX = ".new";
-    private static final Pattern FILE_NAMES = Pattern.compile("identity|followed|(history|snapshot|audit)-.*");
-    private static final String OWNER_FOLDER = "rwx------";
-    private static final String OWNER_FILE = "rw-------";
+    private static final Pattern FILE_NAME_PATTERN = Pattern.compile("identity|followed|(history|snapshot|audit)-.*");
+    private static final String FOLDER_PERMISSIONS = "rwx------";
+    private static final String FILE_PERMISSIONS = "rw-------";
 
     private final Path folder;
-    /** Has the lock; null if the folder is only read. */
+    /** Holds the file lock; null if the folder is open for reading only. */
     private final FileChannel lockChannel;
 
     /**
-     * Opens a folder, and creates it if it is to be written.
+     * Opens a folder; for writing, creates it if it does not exist.
      *
-     * @param writable whether files may be changed: the folder is locked then
-     * @throws IOException if the folder is to be written and another process has it open
+     * @param writable whether files may be changed; the folder is then locked
+     * @throws IOException if the folder is to be locked and another process holds the lock
      */
     public FolderDisk(Path folder, boolean writable) throws IOException {
         this.folder = folder;
         if (writable) {
-            Files.createDirectories(folder, permissions(OWNER_FOLDER, folder));
+            Files.createDirectories(folder, permissions(FOLDER_PERMISSIONS, folder));
             lockChannel = lock(folder);
         } else {
             lockChannel = null;
@@ -63,21 +63,23 @@
         return channel;
     }
 
-    /** Whether the lock was taken; it is released as the channel is closed. */
+    /** Returns whether the lock was acquired; closing the channel releases it. */
     private static boolean tryLock(FileChannel channel) throws IOException {
         try {
             FileLock lock = channel.tryLock();
             return lock != null;
         } catch (OverlappingFileLockException e) {
-            // This very process has the folder open.
+            // This process itself has the folder open for writing.
             return false;
         }
     }
 
-    private static FileAttribute<?>[] permissions(String rights, Path path) {
+    private static FileAttribute<?>[] permissions(String permissions, Path path) {
         boolean posix = path.getFileSystem().supportedFileAttributeViews().contains("posix");
         return posix
-                ? new FileAttribute<?>[] {PosixFilePermissions.asFileAttribute(PosixFilePermissions.fromString(rights))}
+                ? new FileAttribute<?>[] {
+                    PosixFilePermissions.asFileAttribute(PosixFilePermissions.fromString(permissions))
+                }
                 : new FileAttribute<?>[0];
     }
 
@@ -85,7 +87,7 @@
     public List<String> names() throws IOException {
         try (Stream<Path> files = Files.list(folder)) {
             return files.map(file -> file.getFileName().toString())
-                    .filter(name -> FILE_NAMES.matcher(name).matches())
+                    .filter(name -> FILE_NAME_PATTERN.matcher(name).matches())
                     .sorted()
                     .toList();
         }
@@ -98,7 +100,7 @@
 
     private static FileChannel createChannel(Path file) throws IOException {
         Files.deleteIfExists(file);
-        Files.createFile(file, permissions(OWNER_FILE, file));
+        Files.createFile(file, permissions(FILE_PERMISSIONS, file));
         return FileChannel.open(file, StandardOpenOption.WRITE);
     }
 
--- a/replication/src/main/java/lupinvalve/replication/FolderVerification.java
+++ b/replication/src/main/java/lupinvalve/replication/FolderVerification.java
@@ -8,15 +8,15 @@
 import lupinvalve.audit.AuditEntry;
 import lupinvalve.statemachine.ReplicatedState;
 
-/** Reads a stopped member's folder in full, for operators. Safe for all threads. */
+/** Verifies a stopped member's folder for operators, by reading all of its files. Thread-safe. */
 public final class FolderVerification {
     private FolderVerification() {}
 
     /**
-     * Reads a member's log and snapshot: what they hold, as JSON.
+     * Verifies a member's log and snapshot; returns a JSON summary of their content.
      *
-     * @param withSecrets whether the configuration's secrets are shown
-     * @throws IOException with one line that says what is damaged
+     * @param withSecrets whether secrets in the configuration are shown rather than masked
+     * @throws IOException if the folder is damaged; the message is one line and names the damage
      */
     public static String verify(Path folder, boolean withSecrets) throws IOException {
         if (!Files.isDirectory(folder)) {
@@ -47,9 +47,10 @@
     }
 
     /**
-     * Reads a member's audit entries, each incarnation's apart: what they tell, and whether they are one chain.
+     * Verifies a member's audit entries, those of each incarnation separately; returns a JSON summary of them that says
+     * whether each incarnation's entries form one unbroken hash chain.
      *
-     * @throws IOException with one line that says what is damaged
+     * @throws IOException if a file is damaged; the message is one line and names the damage
      */
     public static String verifyAudit(Path folder) throws IOException {
         List<AuditEntry> entries = new ArrayList<>();
--- a/replication/src/main/java/lupinvalve/replication/GroupClient.java
+++ b/replication/src/main/java/lupinvalve/replication/GroupClient.java
@@ -20,67 +20,73 @@
 import lupinvalve.net.Addresses;
 
 /**
- * Sends requests to the group, for the command line and for tools: one member after another until one can answer. What
- * may have happened is reported as that, and not retried unless a retry can do no harm. Safe for all threads.
+ * Sends requests to the Raft group, for the command line and for tools: to one member after another until one can
+ * respond. A request that may have been carried out is reported as such, and retried only if it is idempotent.
+ * Thread-safe.
  */
 public final class GroupClient {
     private static final int CONNECT_TIMEOUT_MILLIS = 2_000;
     private static final int RETRY_BACKOFF_MILLIS = 150;
 
     private final String cluster;
-    private final String name;
+    /** Name sent to members: that of the certificate, if there is one. */
+    private final String clientName;
     /** Null without TLS. */
     private final SSLContext tls;
 
     private final Map<String, String> members;
 
-    /** What became of a request: a JSON text, or why there is none. */
+    /**
+     * The result of a request.
+     *
+     * @param text JSON if the status is OK, else the reason
+     */
     public record Result(WireMessages.Status status, String text) {}
 
     /**
-     * A client that has shown nothing yet.
+     * Creates a client without a connection.
      *
-     * @param members addresses of the members to ask, by name
-     * @param files keys and certificates, or null for none
-     * @throws IOException where the keys can't be used
+     * @param members addresses of the members to send requests to, by name
+     * @param tlsFiles key and certificates, or null to connect without TLS
+     * @throws IOException if the key or the certificates can't be used
      */
-    public GroupClient(String cluster, Map<String, String> members, OperatorConfig.Tls files) throws IOException {
+    public GroupClient(String cluster, Map<String, String> members, OperatorConfig.Tls tlsFiles) throws IOException {
         this.cluster = cluster;
         this.members = members;
-        tls = files == null ? null : Tls.context(files);
-        name = files == null ? "operator" : certifiedName(files);
+        tls = tlsFiles == null ? null : Tls.context(tlsFiles);
+        clientName = tlsFiles == null ? "operator" : certificateName(tlsFiles);
     }
 
-    private static String certifiedName(OperatorConfig.Tls files) throws IOException {
+    private static String certificateName(OperatorConfig.Tls tlsFiles) throws IOException {
         try {
             X509Certificate own = (X509Certificate) CertificateFactory.getInstance("X.509")
-                    .generateCertificate(new ByteArrayInputStream(Files.readAllBytes(files.certificate())));
+                    .generateCertificate(new ByteArrayInputStream(Files.readAllBytes(tlsFiles.certificate())));
             return String.valueOf(
                     own.getSubjectAlternativeNames().iterator().next().get(1));
         } catch (GeneralSecurityException | RuntimeException e) {
-            throw new IOException("store.tls.certificate: " + files.certificate() + ": " + e.getMessage(), e);
+            throw new IOException("store.tls.certificate: " + tlsFiles.certificate() + ": " + e.getMessage(), e);
         }
     }
 
     /**
-     * Sends a request until there is a response or the time is over.
+     * Sends a request until a member responds or the timeout passes.
      *
-     * @param idempotent whether it may be retried where it may have happened
+     * @param idempotent whether the request may be sent again although it may have been carried out
      */
     public Result call(String request, List<byte[]> arguments, boolean idempotent, long timeoutMillis) {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMillis);
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMillis);
         Result last = new Result(WireMessages.Status.RETRY, "no member is in reach");
         while (true) {
             for (Map.Entry<String, String> member : members.entrySet()) {
-                long left = TimeUnit.NANOSECONDS.toMillis(end - System.nanoTime());
-                if (left <= 0) {
+                long remainingMillis = TimeUnit.NANOSECONDS.toMillis(deadlineNanos - System.nanoTime());
+                if (remainingMillis <= 0) {
                     return last;
                 }
-                last = callMember(member.getKey(), member.getValue(), request, arguments, left);
-                boolean over = last.status() == WireMessages.Status.INDETERMINATE
+                last = callMember(member.getKey(), member.getValue(), request, arguments, remainingMillis);
+                boolean isFinal = last.status() == WireMessages.Status.INDETERMINATE
                         ? !idempotent
                         : last.status() != WireMessages.Status.RETRY;
-                if (over) {
+                if (isFinal) {
                     return last;
                 }
             }
@@ -93,10 +99,10 @@
         }
     }
 
-    private static byte[] message(DataInputStream in) throws IOException {
+    private static byte[] readMessage(DataInputStream in) throws IOException {
         int length = in.readInt();
-        if (length < 1 || length > WireMessages.MAX_LENGTH_BYTES) {
-            throw new IOException("a message of " + length + " bytes");
+        if (length < 1 || length > WireMessages.MAX_MESSAGE_BYTES) {
+            throw new IOException("message of " + length + " bytes, expected 1 to " + WireMessages.MAX_MESSAGE_BYTES);
         }
         byte[] message = new byte[length];
         in.readFully(message);
@@ -112,28 +118,28 @@
             WireMessages.Response response = session.receive();
             return new Result(response.status(), response.text());
         } catch (IOException | IllegalArgumentException e) {
-            String why = member + " at " + address + ": "
+            String reason = member + " at " + address + ": "
                     + (e.getMessage() == null ? e.getClass().getSimpleName() : e.getMessage());
-            return new Result(sent ? WireMessages.Status.INDETERMINATE : WireMessages.Status.RETRY, why);
+            return new Result(sent ? WireMessages.Status.INDETERMINATE : WireMessages.Status.RETRY, reason);
         }
     }
 
     /**
-     * A connection to one member, for several requests in flight at once.
+     * Opens a connection to one member, for several requests in flight at once.
      *
-     * @throws IOException where it can't be reached, or is not who it should be
+     * @throws IOException if the member can't be reached, or the peer's certificate is for another name
      */
     public Session open(String member, String address, long timeoutMillis) throws IOException {
         Socket plain = new Socket();
         try {
-            InetSocketAddress at = Addresses.parse(address);
-            plain.connect(at, (int) Math.min(CONNECT_TIMEOUT_MILLIS, timeoutMillis));
+            InetSocketAddress socketAddress = Addresses.parse(address);
+            plain.connect(socketAddress, (int) Math.min(CONNECT_TIMEOUT_MILLIS, timeoutMillis));
             plain.setTcpNoDelay(true);
             plain.setSoTimeout((int) Math.min(Integer.MAX_VALUE, timeoutMillis));
             Socket socket = plain;
             if (tls != null) {
-                SSLSocket secure =
-                        (SSLSocket) tls.getSocketFactory().createSocket(plain, at.getHostString(), at.getPort(), true);
+                SSLSocket secure = (SSLSocket) tls.getSocketFactory()
+                        .createSocket(plain, socketAddress.getHostString(), socketAddress.getPort(), true);
                 secure.setEnabledProtocols(new String[] {Tls.VERSION});
                 secure.startHandshake();
                 Tls.check(secure.getSession(), member);
@@ -146,30 +152,30 @@
         }
     }
 
-    /** Requests on one connection; responses come in any order. One thread may send while another receives. */
+    /** Requests on one connection; responses arrive in any order. One thread may send while another receives. */
     public final class Session implements Closeable {
         private final Socket socket;
         private final DataInputStream in;
-        private long lastId;
+        private long lastRequestId;
 
         private Session(Socket socket) throws IOException {
             this.socket = socket;
             in = new DataInputStream(new BufferedInputStream(socket.getInputStream()));
-            // The member speaks first.
-            message(in);
-            socket.getOutputStream().write(new WireMessages.Hello(cluster, name, "", null).write());
+            // The accepting side, here the member, sends its Hello first.
+            readMessage(in);
+            socket.getOutputStream().write(new WireMessages.Hello(cluster, clientName, "", null).write());
         }
 
-        /** Sends a request; gives its number. */
+        /** Sends a request; returns its id, which its response has as well. */
         public long send(String request, List<byte[]> arguments) throws IOException {
-            socket.getOutputStream().write(new WireMessages.Request(++lastId, request, arguments).write());
-            return lastId;
+            socket.getOutputStream().write(new WireMessages.Request(++lastRequestId, request, arguments).write());
+            return lastRequestId;
         }
 
-        /** Waits for the next response, to whichever request. */
+        /** Waits for the next response, to any request in flight; skips other messages. */
         public WireMessages.Response receive() throws IOException {
             while (true) {
-                byte[] message = message(in);
+                byte[] message = readMessage(in);
                 if (WireMessages.kind(message) == WireMessages.Kind.RESPONSE) {
                     return WireMessages.Response.read(WireMessages.body(message));
                 }
--- a/replication/src/main/java/lupinvalve/replication/HandshakeException.java
+++ b/replication/src/main/java/lupinvalve/replication/HandshakeException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** The peer of a connection is not who it should be, or does not greet as it should: the connection ends. */
+/** The peer of a connection is not the expected one, or violates the handshake. The connection is closed. */
 final class HandshakeException extends IOException {
     private static final long serialVersionUID = 1L;
 
--- a/replication/src/main/java/lupinvalve/replication/LegacyStoreFile.java
+++ b/replication/src/main/java/lupinvalve/replication/LegacyStoreFile.java
@@ -14,26 +14,26 @@
 import lupinvalve.log.Log;
 
 /**
- * The file of the store before replication, {@code store.jsonl}: one entry a line, and a checksum. It is imported once,
- * by a group that has no configuration yet, and renamed then.
+ * The file {@code store.jsonl} of the store of versions without replication: one JSON entry a line, and a last line
+ * with a checksum. It is imported once, by a Raft group that has no configuration yet, and then renamed.
  */
 final class LegacyStoreFile implements LegacyStoreImport.Source {
     private static final String NAME = "store.jsonl";
     private static final String IMPORTED_NAME = "store.jsonl.imported";
-    private static final String CHECKSUM_LINE_START = "{\"crc\":";
+    private static final String CHECKSUM_LINE_PREFIX = "{\"crc\":";
     private static final String DOCUMENT_KEY = "document/operator";
     private static final String SESSION_KEY_PREFIX = "session/";
 
     private final Path folder;
     private final Map<String, Long> commitBySession = new HashMap<>();
     private byte[] document;
-    private boolean failureLogged;
+    private boolean renameFailureLogged;
 
     private LegacyStoreFile(Path folder) {
         this.folder = folder;
     }
 
-    /** Reads a folder's file; null if there is none, or with a line in the log if it is damaged. */
+    /** Reads the file in a folder; returns null if there is none, or if it is damaged, which is logged. */
     static LegacyStoreFile read(Path folder) {
         Path file = folder.resolve(NAME);
         if (!Files.exists(file)) {
@@ -53,14 +53,14 @@
         }
     }
 
-    /** The text without its checksum line. */
+    /** Returns the text without its checksum line, after verifying the checksum. */
     private static String verifiedEntries(String text) throws IOException {
-        int end = text.lastIndexOf(CHECKSUM_LINE_START);
-        String entries = text.substring(0, Math.max(0, end));
+        int entriesEnd = text.lastIndexOf(CHECKSUM_LINE_PREFIX);
+        String entries = text.substring(0, Math.max(0, entriesEnd));
         CRC32 crc = new CRC32();
         crc.update(entries.getBytes(StandardCharsets.UTF_8));
-        if (end < 0 || !text.substring(end).equals(CHECKSUM_LINE_START + crc.getValue() + "}\n")) {
-            throw new IOException("its checksum is wrong");
+        if (entriesEnd < 0 || !text.substring(entriesEnd).equals(CHECKSUM_LINE_PREFIX + crc.getValue() + "}\n")) {
+            throw new IOException("its checksum does not match its content");
         }
         return entries;
     }
@@ -106,9 +106,11 @@
             Log.info("store: the legacy store has been imported; its file is now %s", IMPORTED_NAME);
             return true;
         } catch (IOException e) {
-            if (!failureLogged) {
-                Log.warn("store: %s", e.getMessage());
-                failureLogged = true;
+            if (!renameFailureLogged) {
+                Log.warn(
+                        "store: the legacy store's file can't be renamed and may be imported again: %s",
+                        e.getMessage());
+                renameFailureLogged = true;
             }
             return false;
         }
--- a/replication/src/main/java/lupinvalve/replication/LegacyStoreImport.java
+++ b/replication/src/main/java/lupinvalve/replication/LegacyStoreImport.java
@@ -6,50 +6,50 @@
 import lupinvalve.statemachine.Command;
 
 /**
- * Brings what the store of an earlier version left at this member into the group once the member leads. Without I/O of
- * its own.
+ * Proposes to the Raft group what the store of a version without replication has left at this member, once this member
+ * leads. Does no I/O itself.
  */
 final class LegacyStoreImport {
-    /** What the earlier version left. */
+    /** The content of the earlier version's store. */
     interface Source {
-        /** The configuration, or null. */
+        /** The configuration, or null if there is none. */
         byte[] document();
 
-        /** Sessions' last commits. */
+        /** The log position of each session's last commit, by session. */
         Map<String, Long> sessions();
 
-        /** Notes that all is imported and is not to be read again; whether that could be noted. */
+        /** Marks the store as imported, so that it is not read again; returns whether that succeeded. */
         boolean markImported();
     }
 
-    /** Null where there is nothing to import, or an import is under way. */
+    /** Null if there is nothing to import, or an import is in flight. */
     private Source source;
 
-    /** @param source null where nothing was left */
+    /** @param source null if there is nothing to import */
     LegacyStoreImport(Source source) {
         this.source = source;
     }
 
     /**
-     * Called while this member leads: proposes what was left where the group has no configuration yet. Where it has
-     * one, that one stays, and the import is over.
+     * Called repeatedly while this member leads. Proposes the stored configuration as the group's first one; if the
+     * group has a configuration already, that one stays and the import ends.
      *
-     * @param valid whether a document can be a configuration
-     * @param commits gets each session's last commit
+     * @param isValid whether a document is a valid configuration
+     * @param commitSink receives the log position of each session's last commit
      */
-    void propose(RaftReplica leader, Predicate<byte[]> valid, BiConsumer<String, Long> commits) {
+    void propose(RaftReplica leader, Predicate<byte[]> isValid, BiConsumer<String, Long> commitSink) {
         Source current = source;
         source = null;
         if (current == null) {
             return;
         }
-        current.sessions().forEach(commits);
-        if (current.document() == null || !valid.test(current.document())) {
+        current.sessions().forEach(commitSink);
+        if (current.document() == null || !isValid.test(current.document())) {
             source = current.markImported() ? null : current;
             return;
         }
-        Command.PutDocument first = new Command.PutDocument(0, current.document());
-        leader.propose(first, (completion, outcome) -> {
+        Command.PutDocument firstDocument = new Command.PutDocument(0, current.document());
+        leader.propose(firstDocument, (completion, outcome) -> {
             boolean imported = completion == RaftReplica.Completion.DONE && current.markImported();
             source = imported ? null : current;
         });
--- a/replication/src/main/java/lupinvalve/replication/MemberAddresses.java
+++ b/replication/src/main/java/lupinvalve/replication/MemberAddresses.java
@@ -7,45 +7,45 @@
 import lupinvalve.statemachine.MemberId;
 
 /**
- * Where members are reached that the operator's file does not name: announced on their connections, and shared with all
- * through the log. On the group's thread.
+ * Addresses of members that the operator's file does not name: each member announces its address on its connections,
+ * and the leader replicates it to all members through the log. Confined to the {@code store} event loop's thread.
  */
 final class MemberAddresses {
-    /** Members that the operator's own file names; it goes before, as it knows the way from here. */
+    /** Members that this member's operator file names. The file takes precedence: its addresses are valid from here. */
     private final Set<String> configured;
 
     private final PeerConnections peers;
-    private final Map<String, String> announced = new HashMap<>();
+    private final Map<String, String> announcedAddresses = new HashMap<>();
 
     MemberAddresses(Set<String> configured, PeerConnections peers) {
         this.configured = configured;
         this.peers = peers;
     }
 
-    /** A connected member says where it is reached. */
+    /** A connected member has announced its address. */
     void onAnnounced(String member, String address) {
-        announced.put(member, address);
+        announcedAddresses.put(member, address);
     }
 
-    /** A member is connected no more. */
+    /** The last connection to a member has ended. */
     void onDisconnected(String member) {
-        announced.remove(member);
+        announcedAddresses.remove(member);
     }
 
-    /** A majority holds a member's address; empty for a member that was removed. */
+    /** A member's address has been committed; it is empty for a member that was removed. */
     void onCommitted(String member, String address) {
         if (!configured.contains(member)) {
             peers.setMemberAddress(member, address);
         }
     }
 
-    /** The leader's: proposes the address of one connected member that the log does not have yet. */
+    /** Called at the leader: proposes the address of one connected member, if the committed one differs. */
     void proposeMissing(RaftReplica leader) {
-        Map<String, String> shared = leader.state().memberAddresses();
+        Map<String, String> committedAddresses = leader.state().memberAddresses();
         for (MemberId member : peers.connected()) {
             String name = member.name();
-            String address = announced.get(name);
-            if (address != null && !configured.contains(name) && !address.equals(shared.get(name))) {
+            String address = announcedAddresses.get(name);
+            if (address != null && !configured.contains(name) && !address.equals(committedAddresses.get(name))) {
                 leader.propose(new Command.SetMemberAddress(name, address), (completion, outcome) -> {});
                 return;
             }
--- a/replication/src/main/java/lupinvalve/replication/MemberConnection.java
+++ b/replication/src/main/java/lupinvalve/replication/MemberConnection.java
@@ -9,25 +9,25 @@
 import lupinvalve.net.Link;
 import lupinvalve.net.Net;
 
-/** A subscriber's connection to one member, with one request in flight at most. Only the loop's thread uses it. */
+/** A subscriber's connection to one member, with at most one request in flight. Confined to the event loop's thread. */
 final class MemberConnection implements Link.Events {
     /** Size of the length field before each message on the wire. */
     private static final int LENGTH_FIELD_BYTES = 4;
 
-    /** Is notified on the loop's thread. */
+    /** Notified on the event loop's thread. */
     interface Listener {
         /** The handshake is complete: requests may be sent. */
         void onReady(MemberConnection connection);
 
-        /** The connection has failed or was closed by the member; nothing more is notified. */
+        /** The connection has failed or was closed by the member; this is the last notification. */
         void onClosed(MemberConnection connection, String reason);
 
         /** Bytes were sent or received. */
         void onTraffic(long sentBytes, long receivedBytes);
     }
 
-    /** The two ends of a connection, and whether it has TLS. */
-    record Route(String cluster, String subscriber, String member, String address, boolean secured) {}
+    /** The two ends of a connection, and whether it uses TLS. */
+    record Route(String cluster, String subscriber, String member, String address, boolean hasTls) {}
 
     private final EventLoop loop;
     private final Route route;
@@ -35,8 +35,8 @@
     private Link link;
     private boolean ready;
     private boolean closed;
-    private long lastCallId;
-    /** Takes the response to the request in flight; null if there is none. */
+    private long lastRequestId;
+    /** Receives the response to the request in flight; null if there is none. */
     private Consumer<WireMessages.Response> responseHandler;
 
     private TimerQueue.Timer timeout;
@@ -59,17 +59,17 @@
         return responseHandler != null;
     }
 
-    /** Connects; fails if the handshake takes longer than the timeout. */
+    /** Connects; the connection fails if it is not up, with the handshake done, within the timeout. */
     void connect(Net net, long timeoutMicros) {
         link = net.dial(Addresses.parse(route.address()), new WireMessages(), this);
-        timeout = loop.after(timeoutMicros, () -> fail("it can't be reached, or says nothing"));
+        timeout = loop.after(timeoutMicros, () -> fail("no connection or no Hello within the timeout"));
     }
 
     /** Sends a request; the connection fails if there is no response within the timeout. */
     void send(byte[] request, long timeoutMicros, Consumer<WireMessages.Response> handler) {
         responseHandler = handler;
-        write(new WireMessages.Request(++lastCallId, SubscriptionServer.CALL, List.of(request)).write());
-        timeout = loop.after(timeoutMicros, () -> fail("no answer in time"));
+        write(new WireMessages.Request(++lastRequestId, SubscriptionServer.CALL, List.of(request)).write());
+        timeout = loop.after(timeoutMicros, () -> fail("no response within the timeout"));
     }
 
     private void write(byte[] message) {
@@ -95,7 +95,7 @@
 
     @Override
     public void opened(Link opened) {
-        // The member sends the first message of the handshake.
+        // The accepting side, here the member, sends its Hello first.
     }
 
     @Override
@@ -116,14 +116,14 @@
         if (kind == WireMessages.Kind.HELLO) {
             onHandshake(WireMessages.Hello.read(body));
         } else if (!ready) {
-            throw new IOException("no greeting");
+            throw new IOException("received a message before the Hello");
         } else if (kind == WireMessages.Kind.RESPONSE) {
             onResponse(WireMessages.Response.read(body));
         }
     }
 
     private void onResponse(WireMessages.Response response) {
-        if (responseHandler == null || response.id() != lastCallId) {
+        if (responseHandler == null || response.id() != lastRequestId) {
             return;
         }
         loop.cancel(timeout);
@@ -140,9 +140,10 @@
                 && hello.name().equals(route.member())
                 && hello.announcement() != null;
         if (!expected) {
-            throw new IOException("at " + route.address() + " is " + hello.name() + " of " + hello.cluster());
+            throw new IOException("the peer at " + route.address() + " is " + hello.name() + " of cluster "
+                    + hello.cluster() + ", expected member " + route.member() + " of cluster " + route.cluster());
         }
-        if (route.secured()) {
+        if (route.hasTls()) {
             Tls.check(link, route.member());
         }
         loop.cancel(timeout);
@@ -152,12 +153,12 @@
     }
 
     @Override
-    public void malformed(Link from, String why) {
-        fail(why);
+    public void malformed(Link from, String reason) {
+        fail(reason);
     }
 
     @Override
     public void closed(Link from) {
-        fail("it was closed");
+        fail("the connection was closed");
     }
 }
--- a/replication/src/main/java/lupinvalve/replication/MemberEndpoint.java
+++ b/replication/src/main/java/lupinvalve/replication/MemberEndpoint.java
@@ -8,23 +8,23 @@
 import java.util.TreeSet;
 import lupinvalve.statemachine.MemberId;
 
-/** A member as the library names it. */
+/** A member as MicroRaft's endpoint. */
 record MemberEndpoint(MemberId member) implements RaftEndpoint {
     @Override
     public Object getId() {
         return member;
     }
 
-    static Set<MemberId> identities(Collection<RaftEndpoint> all) {
+    static Set<MemberId> identities(Collection<RaftEndpoint> endpoints) {
         Set<MemberId> identities = new TreeSet<>();
-        all.forEach(one -> identities.add((MemberId) one.getId()));
+        endpoints.forEach(endpoint -> identities.add((MemberId) endpoint.getId()));
         return identities;
     }
 
     static List<RaftEndpoint> all(Collection<MemberId> identities) {
-        List<RaftEndpoint> all = new ArrayList<>();
-        identities.forEach(one -> all.add(new MemberEndpoint(one)));
-        return all;
+        List<RaftEndpoint> endpoints = new ArrayList<>();
+        identities.forEach(identity -> endpoints.add(new MemberEndpoint(identity)));
+        return endpoints;
     }
 
     static MemberId of(RaftEndpoint endpoint) {
--- a/replication/src/main/java/lupinvalve/replication/MemberFailover.java
+++ b/replication/src/main/java/lupinvalve/replication/MemberFailover.java
@@ -8,13 +8,13 @@
 import lupinvalve.subscription.WatchResponse;
 
 /**
- * Keeps a subscriber connected: to one member at a time, to the next one after a failure, and back to the preferred
- * member once that is up. Only the loop's thread uses it, except for the sums.
+ * Keeps a subscriber connected to one member at a time: fails over to the next member after a failure, and returns to
+ * the preferred member once that is up. Confined to the event loop's thread, except for the counters at the end.
  */
 final class MemberFailover {
-    /** Is notified on the loop's thread. */
+    /** Notified on the event loop's thread. */
     interface Listener {
-        /** Requests may be sent on the current connection. */
+        /** The handshake on the current connection is complete: requests may be sent. */
         void onReady();
 
         /** Logs a line unless the last one was the same. */
@@ -31,7 +31,9 @@
     private final AtomicLong receivedBytes = new AtomicLong();
     private final AtomicLong failoverCount = new AtomicLong();
     private MemberConnection current;
-    /** An attempt to return to the preferred member, beside the current connection. */
+    /**
+     * A connection attempt to the preferred member, while the current connection stays in use; null if there is none.
+     */
     private MemberConnection candidate;
 
     private boolean closed;
@@ -71,7 +73,7 @@
                 candidate = null;
                 failoverCount.incrementAndGet();
             }
-            listener.logOnce("follows " + connection.member());
+            listener.logOnce("watches the configuration at member " + connection.member());
             listener.onReady();
         }
 
@@ -92,26 +94,26 @@
         }
     }
 
-    /** Leaves the current member for the next one. */
+    /** Closes the current connection and connects to the next member, after the selector's backoff. */
     void failOver(String reason) {
         if (closed) {
             return;
         }
-        listener.logOnce("can't follow " + reason);
+        listener.logOnce("can't watch the configuration at member " + reason + "; connecting to the next member");
         current.close();
         failoverCount.incrementAndGet();
         connect(selector.failOver(LeaseHolder.monotonicMicros()));
     }
 
-    /** Takes note of a good response, or leaves a member whose leases are denied or about to end. */
-    void judge(WatchResponse response, boolean leaseWanted) {
+    /** Records a response; fails over if the member denies leases for too long, or its own lease is about to end. */
+    void onResponse(WatchResponse response, boolean leaseWanted) {
         boolean granted = response.leaseMicros() > 0;
         if (granted && response.leaseMicros() < MemberSelector.LEASE_MIN_MICROS) {
-            failOver(current.member() + ": it is losing its own lease");
+            failOver(current.member() + ": its own lease is about to end");
         } else if (leaseWanted
                 && response.leaseMicros() == 0
                 && selector.onLeaseDenied(LeaseHolder.monotonicMicros())) {
-            failOver(current.member() + ": it grants no lease: " + response.leaseDenial());
+            failOver(current.member() + ": it grants no leases: " + response.leaseDenial());
         } else {
             selector.onSuccess();
             if (!leaseWanted || granted) {
@@ -120,7 +122,7 @@
         }
     }
 
-    /** Tries the preferred member again if that is due. */
+    /** Starts a connection attempt to the preferred member if one is due. */
     void retryPreferred() {
         if (isReady() && candidate == null && selector.isPreferredDue(LeaseHolder.monotonicMicros())) {
             candidate = connectTo(selector.preferredMember());
@@ -128,11 +130,11 @@
     }
 
     /** See {@link MemberSelector#responseTimeoutMicros}. */
-    long responseTimeoutMicros(boolean patient) {
-        return selector.responseTimeoutMicros(patient);
+    long responseTimeoutMicros(boolean extended) {
+        return selector.responseTimeoutMicros(extended);
     }
 
-    /** The connection to the current member; null before the first. */
+    /** The connection to the current member; null before the first one. */
     MemberConnection current() {
         return current;
     }
@@ -147,7 +149,7 @@
         return current != null && current.hasRequestInFlight();
     }
 
-    /** Closes the connections; none follows. */
+    /** Closes the connections and opens no more. */
     void close() {
         closed = true;
         if (current != null) {
@@ -158,7 +160,7 @@
         }
     }
 
-    /** Sum since the start; safe for all threads, like the others. */
+    /** Bytes sent since the start, without TLS overhead; like the counters below, safe for all threads. */
     long sentBytes() {
         return sentBytes.get();
     }
--- a/replication/src/main/java/lupinvalve/replication/NumberedFileName.java
+++ b/replication/src/main/java/lupinvalve/replication/NumberedFileName.java
@@ -1,23 +1,23 @@
 package lupinvalve.replication;
 
-/** Names of files that end in a number of 16 digits or more, so that they sort by number. */
+/** File names that end in a number, zero-padded to at least 16 digits so that the names sort by number. */
 final class NumberedFileName {
-    private static final int DIGITS_MIN_COUNT = 16;
+    private static final int MIN_DIGITS = 16;
 
     private NumberedFileName() {}
 
-    /** The name with this prefix and number. */
+    /** Returns the name with a prefix and a number. */
     static String of(String prefix, long number) {
         String digits = Long.toString(number);
-        return prefix + "0".repeat(Math.max(0, DIGITS_MIN_COUNT - digits.length())) + digits;
+        return prefix + "0".repeat(Math.max(0, MIN_DIGITS - digits.length())) + digits;
     }
 
-    /** The number in the name of a file with this prefix. */
+    /** Returns the number after the prefix in a file's name. */
     static long number(String name, String prefix) throws RecordFrames.CorruptException {
         try {
             return Long.parseLong(name.substring(prefix.length()));
         } catch (NumberFormatException e) {
-            throw new RecordFrames.CorruptException(name + ": not a name of this program's");
+            throw new RecordFrames.CorruptException(name + ": the name does not end in a number");
         }
     }
 }
--- a/replication/src/main/java/lupinvalve/replication/PeerConnections.java
+++ b/replication/src/main/java/lupinvalve/replication/PeerConnections.java
@@ -21,48 +21,51 @@
 import lupinvalve.statemachine.MemberId;
 
 /**
- * The connections between members, and those of operators and subscribers. Each member dials all others that it knows
- * an address of; of two connections to one, either does. On the group's thread.
+ * The connections between members, and those accepted from operators and subscribers. Each member dials every other
+ * member whose address it knows; where two connections to one member exist, either may be used. Confined to the
+ * {@code store} event loop's thread.
  */
 final class PeerConnections implements RaftReplica.MessageSender {
-    private static final long REDIAL_BACKOFF_MICROS = 300_000;
+    private static final long MIN_REDIAL_BACKOFF_MICROS = 300_000;
     private static final long MAX_REDIAL_BACKOFF_MICROS = 3_000_000;
-    /** Of one backoff to the next, as a fraction. */
-    private static final int BACKOFF_NUMERATOR = 3;
+    /** Growth of the backoff from one redial to the next, as a fraction. */
+    private static final int BACKOFF_GROWTH_NUMERATOR = 3;
 
-    private static final int BACKOFF_DENOMINATOR = 2;
-    /** How often each side of a connection shows that it lives. */
+    private static final int BACKOFF_GROWTH_DENOMINATOR = 2;
+    /** Interval of the heartbeats that each side of a connection sends. */
     static final long HEARTBEAT_INTERVAL_MICROS = 500_000;
 
     private static final long SILENCE_TIMEOUT_MICROS = 2_500_000;
     private static final long HELLO_TIMEOUT_MICROS = 3_000_000;
     private static final int MAX_MEMBER_CONNECTIONS = 64;
-    /** Connections accepted at most: members, operators with their tools, and subscribers. */
+    /** Limit on accepted connections: those of members, operators with their tools, and subscribers. */
     static final int MAX_ACCEPTED_CONNECTIONS = MAX_MEMBER_CONNECTIONS + SubscriptionServer.SUBSCRIBERS_MAX_COUNT;
 
     private static final int MAX_REQUESTS_IN_FLIGHT = 1000;
     private static final long MICROS_PER_MILLI = 1_000;
 
-    /** What this member says of itself on each connection. */
+    /** What this member's Hello says about it on each connection. */
     record Self(String cluster, String name, String address) {}
 
-    /** Checks by its certificate, where there is one, that a connection's peer is who it says. */
+    /** Checks that a peer's certificate is for the name in its Hello, where connections use TLS. */
     interface IdentityCheck {
         void check(Link link, String name) throws IOException;
     }
 
-    /** Is notified of what comes. */
+    /** Receives connection events and messages. */
     interface Listener {
-        /** A member is connected and says how far its bootstrap is, and where it is reached. */
+        /**
+         * A member has connected, or has announced a new phase of its bootstrap; {@code address} is where it listens.
+         */
         void announced(ClusterBootstrap.Announcement announcement, String address);
 
-        /** No connection to a member is left. */
+        /** The last connection to a member has ended. */
         void disconnected(MemberId member);
 
         void raftMessage(byte[] message) throws IOException;
 
-        /** @param caller the name that it has shown to be its own */
-        void request(String caller, WireMessages.Request request, Consumer<WireMessages.Response> channel);
+        /** @param caller the name in the caller's Hello, which passed the {@link IdentityCheck} */
+        void request(String caller, WireMessages.Request request, Consumer<WireMessages.Response> responder);
     }
 
     private final Net net;
@@ -70,11 +73,11 @@
     private final Self self;
     private final IdentityCheck identityCheck;
     private final Listener listener;
-    /** By name. */
-    private final Map<String, DialedMember> dialed = new TreeMap<>();
+    /** By the member's name. */
+    private final Map<String, DialedMember> dialedMembers = new TreeMap<>();
 
-    private final Set<Connection> accepted = new HashSet<>();
-    private final Map<MemberId, List<Connection>> connected = new HashMap<>();
+    private final Set<Connection> acceptedConnections = new HashSet<>();
+    private final Map<MemberId, List<Connection>> connectionsByMember = new HashMap<>();
     private ClusterBootstrap.Announcement announcement;
     private Net.Listener server;
     private boolean stopped;
@@ -95,7 +98,7 @@
         this.listener = listener;
     }
 
-    /** Begins to accept connections; from any thread, before all else. */
+    /** Begins to accept connections. May be called from any thread, before any other method. */
     void listen() throws IOException {
         server = net.listen(Addresses.parse(self.address()), WireMessages::new, new Acceptor());
     }
@@ -104,37 +107,40 @@
         return server.address();
     }
 
-    /** Keeps a connection to a member at an address; another address for the same name replaces the first. */
+    /**
+     * Keeps a connection to a member at an address, which replaces the member's previous one. With an empty address the
+     * member is no longer dialed.
+     */
     void setMemberAddress(String member, String address) {
-        DialedMember current = dialed.get(member);
+        DialedMember current = dialedMembers.get(member);
         if (stopped || member.equals(self.name()) || current != null && current.address.equals(address)) {
             return;
         }
         if (current != null) {
             current.stop();
-            dialed.remove(member);
+            dialedMembers.remove(member);
         }
         if (!address.isEmpty()) {
             DialedMember next = new DialedMember(member, address);
-            dialed.put(member, next);
+            dialedMembers.put(member, next);
             next.dial();
         }
     }
 
-    /** Announces something else of this member from now on, to all that are connected first. */
+    /** Replaces this member's announcement: sent to all connected members now, and on each later connection. */
     void announce(ClusterBootstrap.Announcement next) {
         announcement = next;
-        connected.values().forEach(connections -> connections.forEach(Connection::hello));
+        connectionsByMember.values().forEach(connections -> connections.forEach(Connection::sendHello));
     }
 
-    /** Which members are connected. */
+    /** The members with at least one connection. */
     Set<MemberId> connected() {
-        return new TreeSet<>(connected.keySet());
+        return new TreeSet<>(connectionsByMember.keySet());
     }
 
     @Override
     public void send(MemberId to, byte[] message) {
-        List<Connection> connections = connected.get(to);
+        List<Connection> connections = connectionsByMember.get(to);
         if (connections != null) {
             connections.get(0).link.write(WireMessages.message(WireMessages.Kind.RAFT, message));
         }
@@ -142,24 +148,29 @@
 
     @Override
     public boolean reaches(MemberId member) {
-        return connected.containsKey(member);
+        return connectionsByMember.containsKey(member);
     }
 
-    /** Sends a request to another member; there is a response within the time in any case. */
+    /**
+     * Sends a request to another member. {@code callback} always receives a response, if not the member's then one made
+     * here: {@link WireMessages.Status#RETRY} at once if the member is not connected or has too many requests in
+     * flight, {@link WireMessages.Status#INDETERMINATE} if the connection ends or the timeout passes.
+     */
     void call(
             MemberId member,
             String name,
             List<byte[]> arguments,
             long timeoutMicros,
-            Consumer<WireMessages.Response> then) {
-        List<Connection> connections = connected.get(member);
+            Consumer<WireMessages.Response> callback) {
+        List<Connection> connections = connectionsByMember.get(member);
         long id = ++lastRequestId;
         if (connections == null || connections.get(0).inFlight.size() >= MAX_REQUESTS_IN_FLIGHT) {
-            then.accept(new WireMessages.Response(id, WireMessages.Status.RETRY, member.name() + " is not in reach"));
+            callback.accept(
+                    new WireMessages.Response(id, WireMessages.Status.RETRY, member.name() + " is not in reach"));
             return;
         }
         Connection connection = connections.get(0);
-        connection.inFlight.put(id, then);
+        connection.inFlight.put(id, callback);
         connection.link.write(new WireMessages.Request(id, name, arguments).write());
         loop.after(
                 timeoutMicros,
@@ -170,30 +181,30 @@
         return new WireMessages.Response(id, WireMessages.Status.INDETERMINATE, reason);
     }
 
-    /** Drops all connections and dials no more. */
+    /** Drops all connections and stops dialing and accepting. */
     void stop() {
         stopped = true;
         if (server != null) {
             server.stop();
         }
-        dialed.values().forEach(DialedMember::stop);
-        new ArrayList<>(accepted).forEach(Connection::drop);
+        dialedMembers.values().forEach(DialedMember::stop);
+        new ArrayList<>(acceptedConnections).forEach(Connection::drop);
     }
 
-    /** Takes connections of others. */
+    /** Accepts connections from members, operators and subscribers. */
     private final class Acceptor implements Link.Events {
         private final Map<Link, Connection> connections = new HashMap<>();
 
         @Override
         public void opened(Link link) {
-            if (stopped || accepted.size() >= MAX_ACCEPTED_CONNECTIONS) {
+            if (stopped || acceptedConnections.size() >= MAX_ACCEPTED_CONNECTIONS) {
                 link.drop();
                 return;
             }
             Connection connection = new Connection(link, null);
             connections.put(link, connection);
-            accepted.add(connection);
-            connection.begin();
+            acceptedConnections.add(connection);
+            connection.startHandshake();
         }
 
         @Override
@@ -205,10 +216,10 @@
         }
 
         @Override
-        public void malformed(Link link, String why) {
+        public void malformed(Link link, String reason) {
             Connection connection = connections.get(link);
             if (connection != null) {
-                connection.fail(why);
+                connection.fail(reason);
             }
         }
 
@@ -221,48 +232,48 @@
         }
     }
 
-    /** One connection, from either side. */
+    /** One connection, dialed or accepted. */
     private final class Connection {
         private final Link link;
-        /** Null for one that was accepted. */
+        /** Null for an accepted connection. */
         private final DialedMember dialedMember;
 
         private final Map<Long, Consumer<WireMessages.Response>> inFlight = new HashMap<>();
-        /** The member at the other end; null for an operator or a subscriber, and before its greeting. */
+        /** The member at the other end; null for an operator or a subscriber, and before the peer's Hello. */
         private MemberId member;
 
-        private String caller = "";
-        private boolean greeted;
+        private String peerName = "";
+        private boolean helloReceived;
         private boolean closed;
-        private boolean subscriber;
-        private TimerQueue.Timer silence;
-        private TimerQueue.Timer heartbeat;
+        private boolean fromSubscriber;
+        private TimerQueue.Timer silenceTimer;
+        private TimerQueue.Timer heartbeatTimer;
 
         Connection(Link link, DialedMember dialedMember) {
             this.link = link;
             this.dialedMember = dialedMember;
         }
 
-        void begin() {
-            // Who was dialled speaks first: MINA's filter holds back what comes together with a handshake's last
-            // message until something else comes.
+        void startHandshake() {
+            // The accepting side sends its Hello first: MINA's TLS filter holds back data that arrives together with
+            // the last message of the TLS handshake until more data arrives.
             if (dialedMember == null) {
-                hello();
+                sendHello();
             }
-            silence = loop.after(
+            silenceTimer = loop.after(
                     HELLO_TIMEOUT_MICROS,
-                    () -> fail("no greeting within " + HELLO_TIMEOUT_MICROS / MICROS_PER_MILLI + " ms"));
+                    () -> fail("no Hello within " + HELLO_TIMEOUT_MICROS / MICROS_PER_MILLI + " ms"));
             scheduleHeartbeat();
         }
 
-        void hello() {
+        void sendHello() {
             link.write(new WireMessages.Hello(self.cluster(), self.name(), self.address(), announcement).write());
         }
 
         private void scheduleHeartbeat() {
-            heartbeat = loop.after(HEARTBEAT_INTERVAL_MICROS, () -> {
-                // A subscriber gets a response each time that it polls.
-                if (!subscriber) {
+            heartbeatTimer = loop.after(HEARTBEAT_INTERVAL_MICROS, () -> {
+                // A subscriber needs none: it receives a response to each of its polls.
+                if (!fromSubscriber) {
                     link.write(WireMessages.message(WireMessages.Kind.HEARTBEAT, new byte[0]));
                 }
                 scheduleHeartbeat();
@@ -270,8 +281,8 @@
         }
 
         void onMessages(List<byte[]> messages) {
-            loop.cancel(silence);
-            silence = loop.after(
+            loop.cancel(silenceTimer);
+            silenceTimer = loop.after(
                     SILENCE_TIMEOUT_MICROS,
                     () -> fail("no heartbeat within " + SILENCE_TIMEOUT_MICROS / MICROS_PER_MILLI + " ms"));
             try {
@@ -286,28 +297,28 @@
         }
 
         private void onMessage(WireMessages.Kind kind, byte[] body) throws IOException {
-            if (!greeted && kind != WireMessages.Kind.HELLO) {
-                throw new HandshakeException("no greeting");
+            if (!helloReceived && kind != WireMessages.Kind.HELLO) {
+                throw new HandshakeException("received a message of kind " + kind + " before the Hello");
             }
             switch (kind) {
                 case HELLO -> onHello(WireMessages.Hello.read(body));
                 case RAFT -> {
                     if (member == null) {
-                        throw new HandshakeException("an operator has no part in the group");
+                        throw new HandshakeException(peerName + " sent a Raft message but is not a member");
                     }
                     listener.raftMessage(body);
                 }
                 case REQUEST -> onRequest(WireMessages.Request.read(body));
                 case RESPONSE -> complete(WireMessages.Response.read(body));
                 case HEARTBEAT -> {
-                    // That it came is all.
+                    // Each message restarts the silence timer; a heartbeat has no other effect.
                 }
             }
         }
 
         private void onRequest(WireMessages.Request request) {
-            subscriber |= request.name().equals(SubscriptionServer.CALL);
-            listener.request(caller, request, response -> {
+            fromSubscriber |= request.name().equals(SubscriptionServer.CALL);
+            listener.request(peerName, request, response -> {
                 if (!closed) {
                     link.write(response.write());
                 }
@@ -317,17 +328,18 @@
         private void onHello(WireMessages.Hello hello) throws IOException {
             checkHello(hello);
             identityCheck.check(link, hello.name());
-            if (dialedMember != null && !greeted) {
-                hello();
+            if (dialedMember != null && !helloReceived) {
+                sendHello();
             }
-            greeted = true;
-            caller = hello.name();
+            helloReceived = true;
+            peerName = hello.name();
             if (hello.announcement() == null) {
                 return;
             }
             MemberId announced = hello.announcement().member();
             if (member != null && !member.equals(announced)) {
-                throw new HandshakeException(hello.name() + " has changed its disk");
+                throw new HandshakeException(hello.name() + " changed its disk id from " + member.diskId() + " to "
+                        + announced.diskId() + " on one connection");
             }
             if (member == null) {
                 onConnected(announced);
@@ -337,26 +349,31 @@
 
         private void checkHello(WireMessages.Hello hello) throws IOException {
             if (!hello.cluster().equals(self.cluster())) {
-                throw new HandshakeException(hello.name() + " is of the cluster " + hello.cluster());
+                throw new HandshakeException(
+                        hello.name() + " belongs to cluster " + hello.cluster() + ", expected " + self.cluster());
             }
             ClusterBootstrap.Announcement announced = hello.announcement();
             if (announced != null
                     && (!announced.member().name().equals(hello.name())
                             || hello.name().equals(self.name()))) {
-                throw new HandshakeException(hello.name() + " is not its own name, or this member's");
+                throw new HandshakeException("the Hello of " + hello.name() + " announces member "
+                        + announced.member().name() + "; both names must be equal, and differ from this member's, "
+                        + self.name());
             }
             if (dialedMember != null && !hello.name().equals(dialedMember.name)) {
-                throw new HandshakeException(
-                        "at " + dialedMember.address + " is " + hello.name() + ", not " + dialedMember.name);
+                throw new HandshakeException("the peer at " + dialedMember.address + " is " + hello.name()
+                        + ", expected " + dialedMember.name);
             }
         }
 
         private void onConnected(MemberId announced) {
             member = announced;
-            boolean first = !connected.containsKey(announced);
-            connected.computeIfAbsent(announced, key -> new ArrayList<>(2)).add(this);
+            boolean first = !connectionsByMember.containsKey(announced);
+            connectionsByMember
+                    .computeIfAbsent(announced, key -> new ArrayList<>(2))
+                    .add(this);
             if (dialedMember != null) {
-                dialedMember.backoffMicros = REDIAL_BACKOFF_MICROS;
+                dialedMember.backoffMicros = MIN_REDIAL_BACKOFF_MICROS;
             }
             if (first) {
                 Log.info("store: member %s connected", announced);
@@ -364,16 +381,16 @@
         }
 
         private void complete(WireMessages.Response response) {
-            Consumer<WireMessages.Response> then = inFlight.remove(response.id());
-            if (then != null) {
-                then.accept(response);
+            Consumer<WireMessages.Response> callback = inFlight.remove(response.id());
+            if (callback != null) {
+                callback.accept(response);
             }
         }
 
-        /** Ends the connection as the other side, or the way to it, does not do as it should. */
+        /** Drops the connection because the peer or the network has failed, or the peer has violated the protocol. */
         void fail(String reason) {
             if (!closed) {
-                Log.warn("store: connection with %s ended: %s", peer(), reason);
+                Log.warn("store: connection with %s dropped: %s", peer(), reason);
                 drop();
             }
         }
@@ -395,12 +412,12 @@
                 return;
             }
             closed = true;
-            loop.cancel(silence);
-            loop.cancel(heartbeat);
-            accepted.remove(this);
-            List<Connection> connections = member == null ? null : connected.get(member);
+            loop.cancel(silenceTimer);
+            loop.cancel(heartbeatTimer);
+            acceptedConnections.remove(this);
+            List<Connection> connections = member == null ? null : connectionsByMember.get(member);
             if (connections != null && connections.remove(this) && connections.isEmpty()) {
-                connected.remove(member);
+                connectionsByMember.remove(member);
                 Log.info("store: member %s disconnected", member);
                 listener.disconnected(member);
             }
@@ -411,13 +428,13 @@
         }
     }
 
-    /** A member that this one dials, again with backoff where the connection ends. */
+    /** A member that this one dials, and redials with backoff after the connection has ended. */
     private final class DialedMember implements Link.Events {
         private final String name;
         private final String address;
-        private long backoffMicros = REDIAL_BACKOFF_MICROS;
+        private long backoffMicros = MIN_REDIAL_BACKOFF_MICROS;
         private Connection connection;
-        /** Another address has replaced this one, or this member stops. */
+        /** True once another address has replaced this one, or this member stops. */
         private boolean abandoned;
 
         DialedMember(String name, String address) {
@@ -429,9 +446,9 @@
             if (abandoned || stopped) {
                 return;
             }
-            InetSocketAddress to = Addresses.parse(address);
-            connection = new Connection(net.dial(to, new WireMessages(), this), this);
-            connection.silence = loop.after(
+            InetSocketAddress socketAddress = Addresses.parse(address);
+            connection = new Connection(net.dial(socketAddress, new WireMessages(), this), this);
+            connection.silenceTimer = loop.after(
                     HELLO_TIMEOUT_MICROS,
                     () -> connection.fail("not connected within " + HELLO_TIMEOUT_MICROS / MICROS_PER_MILLI + " ms"));
         }
@@ -439,8 +456,9 @@
         void redial() {
             if (!abandoned && !stopped) {
                 loop.after(backoffMicros, this::dial);
-                backoffMicros =
-                        Math.min(MAX_REDIAL_BACKOFF_MICROS, backoffMicros * BACKOFF_NUMERATOR / BACKOFF_DENOMINATOR);
+                backoffMicros = Math.min(
+                        MAX_REDIAL_BACKOFF_MICROS,
+                        backoffMicros * BACKOFF_GROWTH_NUMERATOR / BACKOFF_GROWTH_DENOMINATOR);
             }
         }
 
@@ -453,8 +471,8 @@
 
         @Override
         public void opened(Link link) {
-            loop.cancel(connection.silence);
-            connection.begin();
+            loop.cancel(connection.silenceTimer);
+            connection.startHandshake();
         }
 
         @Override
@@ -463,8 +481,8 @@
         }
 
         @Override
-        public void malformed(Link link, String why) {
-            connection.fail(why);
+        public void malformed(Link link, String reason) {
+            connection.fail(reason);
         }
 
         @Override
--- a/replication/src/main/java/lupinvalve/replication/RecordBatch.java
+++ b/replication/src/main/java/lupinvalve/replication/RecordBatch.java
@@ -5,39 +5,39 @@
 import java.util.function.Consumer;
 import lupinvalve.statemachine.Cbor;
 
-/** Collects records that are written together: their count, then one after another. Not safe for threads. */
+/** Collects records that are written as one frame: their count, then one record after another. Not thread-safe. */
 final class RecordBatch {
-    /** A buffer that has grown beyond this is replaced. */
+    /** A larger buffer is replaced by a new one after use, to free its memory. */
     private static final int MAX_RETAINED_BUFFER_BYTES = 1 << 20;
 
     private ByteArrayOutputStream pending = new ByteArrayOutputStream();
-    private int records;
+    private int recordCount;
 
     /** Adds one record. */
     void add(Consumer<Cbor.Writer> record) {
         Cbor.Writer out = new Cbor.Writer();
         record.accept(out);
         pending.writeBytes(out.toByteArray());
-        records++;
+        recordCount++;
     }
 
-    /** Whether no record was added since the last {@link #clear}. */
+    /** Whether no record has been added since the last {@link #clear}. */
     boolean isEmpty() {
-        return records == 0;
+        return recordCount == 0;
     }
 
-    /** All records as one frame of a file. */
+    /** Returns all records as one frame, see {@link RecordFrames}. */
     byte[] frame() throws IOException {
         ByteArrayOutputStream content = new ByteArrayOutputStream(pending.size() + Long.BYTES);
-        content.writeBytes(new Cbor.Writer().number(records).toByteArray());
+        content.writeBytes(new Cbor.Writer().number(recordCount).toByteArray());
         pending.writeTo(content);
         return RecordFrames.frame(content.toByteArray());
     }
 
-    /** Forgets all records. */
+    /** Removes all records. */
     void clear() {
         pending = pending.size() > MAX_RETAINED_BUFFER_BYTES ? new ByteArrayOutputStream() : pending;
         pending.reset();
-        records = 0;
+        recordCount = 0;
     }
 }
--- a/replication/src/main/java/lupinvalve/replication/RecordFrames.java
+++ b/replication/src/main/java/lupinvalve/replication/RecordFrames.java
@@ -6,24 +6,24 @@
 import java.util.zip.CRC32C;
 
 /**
- * Records in a file, each with checksums: its length and that length inverted, the content, the content's CRC-32C, and
- * an end mark. A write that a crash has torn lacks its end; whatever else does not fit is damage.
+ * Frames records in a file. A frame has the content's length, that length inverted, the content, the content's CRC-32C,
+ * and an end mark. A frame whose write a crash has torn lacks its end; any other mismatch is corruption.
  */
 final class RecordFrames {
-    /** Of one record's content. */
+    /** Limit on the content of one record. */
     static final int MAX_CONTENT_BYTES = 64 << 20;
 
     private static final int HEADER_BYTES = 8;
     private static final int TRAILER_BYTES = 8;
     private static final int END_MARK = 0x4C757049;
-    /** In place of a position: the record is cut short. */
+    /** Returned in place of a position: the record is cut short. */
     private static final int TORN = -1;
-    /** In place of a position: a checksum is wrong. */
+    /** Returned in place of a position: a checksum or the end mark is wrong. */
     private static final int CORRUPT = -2;
 
     private RecordFrames() {}
 
-    /** A file, or a part of it, that is not what was written. */
+    /** A file is not as it was written: a part of it is damaged or missing. */
     static final class CorruptException extends IOException {
         private static final long serialVersionUID = 1L;
 
@@ -32,7 +32,7 @@
         }
     }
 
-    /** A record as it stands in a file. */
+    /** Returns the frame of a record with this content. */
     static byte[] frame(byte[] content) {
         CRC32C crc = new CRC32C();
         crc.update(content);
@@ -46,55 +46,58 @@
     }
 
     /**
-     * Takes the contents off a file.
+     * Reads the records of a file.
      *
-     * @param last whether a torn record may stand at its end
-     * @return how many bytes hold whole records
+     * @param name the file's name, for error messages
+     * @param mayEndTorn whether a torn record at the end of the file is accepted and ignored
+     * @param contents receives the content of each complete record
+     * @return the size of all complete records, in bytes
+     * @throws CorruptException if a record is damaged, or torn where that is not accepted
      */
-    static long read(String name, byte[] file, boolean last, List<byte[]> contents) throws CorruptException {
-        int at = 0;
-        while (at < file.length) {
-            int next = next(file, at);
+    static long read(String name, byte[] file, boolean mayEndTorn, List<byte[]> contents) throws CorruptException {
+        int position = 0;
+        while (position < file.length) {
+            int next = nextPosition(file, position);
             if (next < 0) {
-                String why = next == TORN ? "a record is cut short" : "a record's checksum is wrong";
-                if (next == TORN && last) {
-                    return at;
+                String reason = next == TORN ? "a record is cut short" : "a record's checksum is wrong";
+                if (next == TORN && mayEndTorn) {
+                    return position;
                 }
-                throw new CorruptException(name + ", byte " + at + ": " + why);
+                throw new CorruptException(name + ", byte " + position + ": " + reason);
             }
-            byte[] content = new byte[next - at - HEADER_BYTES - TRAILER_BYTES];
-            System.arraycopy(file, at + HEADER_BYTES, content, 0, content.length);
+            byte[] content = new byte[next - position - HEADER_BYTES - TRAILER_BYTES];
+            System.arraycopy(file, position + HEADER_BYTES, content, 0, content.length);
             contents.add(content);
-            at = next;
+            position = next;
         }
-        return at;
+        return position;
     }
 
-    /** Where the next record begins, or why this one is none. */
-    private static int next(byte[] file, int at) {
-        if (file.length - at < HEADER_BYTES) {
+    /** Returns the position after the record at a position, or {@link #TORN} or {@link #CORRUPT}. */
+    private static int nextPosition(byte[] file, int position) {
+        if (file.length - position < HEADER_BYTES) {
             return TORN;
         }
-        ByteBuffer in = ByteBuffer.wrap(file, at, file.length - at);
+        ByteBuffer in = ByteBuffer.wrap(file, position, file.length - position);
         int length = in.getInt();
         int inverted = in.getInt();
         if (length != ~inverted || length < 0 || length > MAX_CONTENT_BYTES) {
-            // Space that was set aside and never written is all zeros, to the end.
-            return allZeros(file, at + HEADER_BYTES) ? TORN : CORRUPT;
+            // Space that was allocated but never written reads as zeros, up to the end of the file.
+            return allZeros(file, position + HEADER_BYTES) ? TORN : CORRUPT;
         }
         if (in.remaining() < length + TRAILER_BYTES) {
             return TORN;
         }
         CRC32C crc = new CRC32C();
-        crc.update(file, at + HEADER_BYTES, length);
+        crc.update(file, position + HEADER_BYTES, length);
         in.position(in.position() + length);
-        int written = in.getInt();
+        int storedCrc = in.getInt();
         if (in.getInt() != END_MARK) {
-            // The mark ends in a byte that is not zero, so that one which is there in part can be told from a wrong
-            // one.
-            return allZeros(file, at + HEADER_BYTES + length + TRAILER_BYTES - 1) ? TORN : CORRUPT;
+            // The end mark's last byte is not zero. If that byte and all bytes after it are zero, the mark was written
+            // only in part; otherwise it is wrong.
+            return allZeros(file, position + HEADER_BYTES + length + TRAILER_BYTES - 1) ? TORN : CORRUPT;
         }
-        return written == (int) crc.getValue() ? at + HEADER_BYTES + length + TRAILER_BYTES : CORRUPT;
+        return storedCrc == (int) crc.getValue() ? position + HEADER_BYTES + length + TRAILER_BYTES : CORRUPT;
     }
 
     private static boolean allZeros(byte[] file, int from) {
--- a/replication/src/main/java/lupinvalve/replication/RestoredLog.java
+++ b/replication/src/main/java/lupinvalve/replication/RestoredLog.java
@@ -11,31 +11,35 @@
 import java.util.TreeMap;
 import lupinvalve.statemachine.Cbor;
 
-/** What a member's files had at its start: the snapshot and the log entries after it, until MicroRaft has them. */
+/**
+ * The snapshot and the log entries after it, as read from a member's files at its start, until MicroRaft has taken them
+ * over.
+ */
 final class RestoredLog {
     private final SegmentHeader header;
     private TreeMap<Long, LogEntry> entries = new TreeMap<>();
     private SnapshotEntry snapshot;
 
-    /** Starts empty; header records of the segments that are read go to {@code header}. */
+    /** Creates an empty log; {@code header} receives the header records of the segments that are read. */
     RestoredLog(SegmentHeader header) {
         this.header = header;
     }
 
-    /** Reads the records of one flush; returns the highest index of an entry in them, at least the one given. */
+    /** Reads the records of one flush; returns the highest entry index in them, at least {@code highestIndexBefore}. */
     long readRecords(String segment, byte[] content, long highestIndexBefore) throws IOException {
         long highestIndex = highestIndexBefore;
         Cbor.Reader in = new Cbor.Reader(content);
         for (int count = in.count(Integer.MAX_VALUE); count > 0; count--) {
-            int kind = in.count(RecordKind.MOST);
+            int kind = in.count(RecordKind.MAX_NUMBER);
             switch (kind) {
                 case RecordKind.ENTRY -> highestIndex = Math.max(highestIndex, readEntry(segment, in));
-                case RecordKind.CUT_FROM -> entries.tailMap(in.number(), true).clear();
+                case RecordKind.TRUNCATE_FROM -> entries.tailMap(in.number(), true)
+                        .clear();
                 case RecordKind.TERM -> header.readTerm(in);
-                case RecordKind.FOUNDERS -> header.readInitialMembers(in);
-                case RecordKind.SELF -> header.readLocalMember(in);
-                case RecordKind.COMMITTED -> header.advanceCommitIndex(in.number());
-                default -> throw new IOException(segment + ": a record of the unknown kind " + kind);
+                case RecordKind.INITIAL_MEMBERS -> header.readInitialMembers(in);
+                case RecordKind.LOCAL_MEMBER -> header.readLocalMember(in);
+                case RecordKind.COMMIT_INDEX -> header.advanceCommitIndex(in.number());
+                default -> throw new IOException(segment + ": unknown record kind " + kind);
             }
         }
         return highestIndex;
@@ -45,10 +49,11 @@
         LogEntry entry = RaftCodec.entry(in);
         long index = entry.getIndex();
         if (!entries.isEmpty() && index <= entries.lastKey()) {
-            throw new RecordFrames.CorruptException(segment + ": change " + index + " follows " + entries.lastKey());
+            throw new RecordFrames.CorruptException(
+                    segment + ": log index " + index + " follows " + entries.lastKey() + "; indexes must increase");
         }
         if (!entries.isEmpty() && index > entries.lastKey() + 1) {
-            // A snapshot must cover the gap; startFrom checks that.
+            // A snapshot must cover the gap; startFrom verifies that.
             entries.clear();
         }
         entries.put(index, entry);
@@ -56,32 +61,32 @@
     }
 
     /**
-     * Takes the snapshot that was found and drops the entries in it.
+     * Takes over the loaded snapshot and drops the entries that it covers.
      *
-     * @throws IOException if entries after the snapshot are missing, or a damaged snapshot would be needed
+     * @throws IOException if entries after the snapshot are missing, or a snapshot that is needed is damaged
      */
-    void startFrom(SnapshotFiles.Found found) throws IOException {
-        snapshot = found.newest();
+    void startFrom(SnapshotFiles.LoadResult loaded) throws IOException {
+        snapshot = loaded.newest();
         long snapshotIndex = snapshotIndex();
         if (entries.isEmpty()) {
-            if (found.fault() != null) {
-                throw found.fault();
+            if (loaded.fault() != null) {
+                throw loaded.fault();
             }
             return;
         }
         long firstIndex = entries.firstKey();
         if (firstIndex > snapshotIndex + 1) {
-            throw found.fault() != null ? found.fault() : missing(snapshotIndex + 1, firstIndex - 1);
+            throw loaded.fault() != null ? loaded.fault() : missingEntries(snapshotIndex + 1, firstIndex - 1);
         }
         entries.headMap(snapshotIndex, true).clear();
     }
 
-    private static RecordFrames.CorruptException missing(long firstIndex, long lastIndex) {
+    private static RecordFrames.CorruptException missingEntries(long firstIndex, long lastIndex) {
         return new RecordFrames.CorruptException(
                 SegmentFiles.PREFIX + "*: changes " + firstIndex + " to " + lastIndex + " are missing");
     }
 
-    /** What MicroRaft starts from, or null if this member has never run in a group. */
+    /** The state that MicroRaft starts from, or null if this member has never run in a Raft group. */
     RestoredRaftState toRaftState() {
         if (header.localMember() == null || header.initialMembers() == null) {
             return null;
@@ -94,7 +99,7 @@
                 new ArrayList<>(entries.values()));
     }
 
-    /** The chunks of the snapshot that was found. */
+    /** The chunks of the snapshot; empty without one. */
     List<byte[]> snapshotChunks() {
         List<byte[]> chunks = new ArrayList<>();
         if (snapshot != null) {
@@ -110,17 +115,17 @@
         return new TreeMap<>(entries.headMap(header.commitIndex(), true));
     }
 
-    /** Index of the snapshot, 0 without one. */
+    /** The log index of the snapshot, 0 without one. */
     long snapshotIndex() {
         return snapshot == null ? 0 : snapshot.getIndex();
     }
 
-    /** Index of the last entry. */
+    /** The index of the last entry, or of the snapshot if there is no entry after it. */
     long lastIndex() {
         return entries.isEmpty() ? snapshotIndex() : entries.lastKey();
     }
 
-    /** Frees the memory, once MicroRaft has taken it over. */
+    /** Releases the snapshot and the entries, once MicroRaft has taken them over. */
     void release() {
         entries = new TreeMap<>();
         snapshot = null;
--- a/replication/src/main/java/lupinvalve/replication/SegmentFiles.java
+++ b/replication/src/main/java/lupinvalve/replication/SegmentFiles.java
@@ -6,21 +6,22 @@
 import java.util.TreeMap;
 import lupinvalve.log.Log;
 
-/** The segments in a member's folder: the one that is being written, and closed ones until compaction deletes them. */
+/** The log segments in a member's folder: the current one and closed ones, until compaction deletes them. */
 final class SegmentFiles {
-    /** The prefix of the files' names; a segment's number follows. */
+    /** Prefix of the segments' file names; the segment's number follows. */
     static final String PREFIX = "history-";
 
+    /** A segment that exceeds this is closed, and the next one started. */
     private static final int SEGMENT_MAX_BYTES = 1 << 20;
 
-    /** @param highestIndex of an entry in it; 0 if it has none */
+    /** @param highestIndex the highest index of an entry in the segment; 0 if it has none */
     private record ClosedSegment(long highestIndex, long sizeBytes) {}
 
     private final Disk disk;
     private final TreeMap<Long, ClosedSegment> closedByNumber = new TreeMap<>();
     private Disk.AppendFile current;
     private long currentNumber;
-    /** The highest index of an entry that is in the current segment, or will be with the next write. */
+    /** The highest index of an entry in the current segment or in the next write to it. */
     private long currentHighestIndex;
 
     private long currentBytes;
@@ -31,10 +32,10 @@
     }
 
     /**
-     * Reads all segments.
+     * Reads all segments into {@code target}.
      *
-     * @param names of all files in the folder, sorted
-     * @param repair whether a record that a crash has torn is cut off in the file
+     * @param names the names of all files in the folder, sorted
+     * @param repair whether to truncate a file before a record that a crash has torn
      */
     void load(List<String> names, boolean repair, RestoredLog target) throws IOException {
         List<String> segments =
@@ -50,7 +51,7 @@
         List<byte[]> contents = new ArrayList<>();
         long completeBytes = RecordFrames.read(name, file, last, contents);
         if (completeBytes < file.length) {
-            Log.warn("store: %s: truncated at byte %s, as a crash has torn the record there", name, completeBytes);
+            Log.warn("store: %s: the record at byte %s was torn by a crash and is dropped", name, completeBytes);
             if (repair) {
                 disk.truncate(name, completeBytes);
             }
@@ -64,12 +65,12 @@
         totalBytes += completeBytes;
     }
 
-    /** An entry will be in the next write. */
+    /** Records that the next write will contain an entry. */
     void onEntryAdded(long index) {
         currentHighestIndex = Math.max(currentHighestIndex, index);
     }
 
-    /** Appends to the current segment; returns once the bytes are durable. */
+    /** Appends a frame to the current segment; returns once it is durable. */
     void append(byte[] frame) throws IOException {
         current.write(frame);
         current.force();
@@ -89,12 +90,12 @@
         current = disk.create(NumberedFileName.of(PREFIX, currentNumber));
     }
 
-    /** Whether the current segment is so large that the next one should be started. */
+    /** Whether the current segment has exceeded its size limit and the next one should be started. */
     boolean isFull() {
         return currentBytes > SEGMENT_MAX_BYTES;
     }
 
-    /** Deletes the oldest closed segments, as long as they have no entry after the index. */
+    /** Deletes closed segments, oldest first, until the next one has an entry after the index. */
     void deleteUpTo(long index) throws IOException {
         while (!closedByNumber.isEmpty()
                 && closedByNumber.firstEntry().getValue().highestIndex() <= index) {
@@ -104,7 +105,7 @@
         }
     }
 
-    /** Bytes of all segments. */
+    /** The size of all segments, in bytes. */
     long totalBytes() {
         return totalBytes;
     }
--- a/replication/src/main/java/lupinvalve/replication/SegmentHeader.java
+++ b/replication/src/main/java/lupinvalve/replication/SegmentHeader.java
@@ -10,8 +10,8 @@
 import lupinvalve.statemachine.Cbor;
 
 /**
- * The state that each segment begins with, so that older segments can be deleted: the local member, the group's initial
- * members, term and vote, and the commit index. Parts that are not known yet are null.
+ * The state written at the beginning of each segment, so that older segments can be deleted: the local member, the Raft
+ * group's initial members, the term with the vote in it, and the commit index. Parts that are not known yet are null.
  */
 final class SegmentHeader {
     private RaftEndpointPersistentState localMember;
@@ -39,22 +39,22 @@
         term = state;
     }
 
-    /** The term, 0 before the first. */
+    /** The current term, 0 before the first one. */
     int currentTerm() {
         return term == null ? 0 : term.getTerm();
     }
 
-    /** The term and the vote in it, also before the first. */
+    /** The current term and the vote in it; before the first one, term 0 without a vote. */
     RaftTermPersistentState termOrInitial() {
         return term != null ? term : termAndVote(0, List.of());
     }
 
-    /** The log index up to which entries are known to be committed. */
+    /** The highest log index that is known to be committed. */
     long commitIndex() {
         return commitIndex;
     }
 
-    /** Raises the commit index; returns whether it was lower. */
+    /** Raises the commit index; returns false if it is as high already. */
     boolean advanceCommitIndex(long index) {
         if (index <= commitIndex) {
             return false;
@@ -65,7 +65,7 @@
 
     // ---- records ----
 
-    /** Gives all records of a new segment but the commit index to a sink. */
+    /** Passes the header records of a new segment, all but the commit index, to a sink. */
     void writeTo(Consumer<Consumer<Cbor.Writer>> sink) {
         if (localMember != null) {
             sink.accept(this::writeLocalMember);
@@ -87,7 +87,7 @@
     }
 
     void writeLocalMember(Cbor.Writer out) {
-        RaftCodec.endpoints(out.number(RecordKind.SELF), List.of(localMember.getLocalEndpoint()))
+        RaftCodec.endpoints(out.number(RecordKind.LOCAL_MEMBER), List.of(localMember.getLocalEndpoint()))
                 .flag(localMember.isVoting());
     }
 
@@ -96,12 +96,12 @@
     }
 
     void writeInitialMembers(Cbor.Writer out) {
-        RaftCodec.view(out.number(RecordKind.FOUNDERS), initialMembers);
+        RaftCodec.view(out.number(RecordKind.INITIAL_MEMBERS), initialMembers);
     }
 
     void readTerm(Cbor.Reader in) throws IOException {
-        int number = (int) in.number();
-        term = termAndVote(number, RaftCodec.endpoints(in));
+        int termNumber = (int) in.number();
+        term = termAndVote(termNumber, RaftCodec.endpoints(in));
     }
 
     void writeTerm(Cbor.Writer out) {
@@ -110,13 +110,13 @@
     }
 
     void writeCommitIndex(Cbor.Writer out) {
-        out.number(RecordKind.COMMITTED).number(commitIndex);
+        out.number(RecordKind.COMMIT_INDEX).number(commitIndex);
     }
 
-    private static RaftTermPersistentState termAndVote(int number, List<RaftEndpoint> vote) {
+    private static RaftTermPersistentState termAndVote(int termNumber, List<RaftEndpoint> vote) {
         return RaftCodec.FACTORY
                 .createRaftTermPersistentStateBuilder()
-                .setTerm(number)
+                .setTerm(termNumber)
                 .setVotedFor(vote.isEmpty() ? null : vote.get(0))
                 .build();
     }
--- a/replication/src/main/java/lupinvalve/replication/SegmentedLog.java
+++ b/replication/src/main/java/lupinvalve/replication/SegmentedLog.java
@@ -20,11 +20,11 @@
 import lupinvalve.statemachine.MemberId;
 
 /**
- * A member's persistent Raft state: the log in segments, snapshots in files of their own, and the member's identity.
- * Records are batched until a flush, which writes them with one force of the disk (group commit).
+ * A member's persistent Raft state: the log in segments, each snapshot in a file of its own, and the member's identity.
+ * Records are batched until a flush, which writes them with one fsync (group commit).
  *
- * <p>Each segment begins with a {@link SegmentHeader}, so that older ones can be deleted. After the first fault of the
- * disk each call fails, as it is not known what the disk has. All calls are on the group's thread.
+ * <p>Each segment begins with a {@link SegmentHeader}, so that older segments can be deleted. After the first disk
+ * fault every call fails, because it is unknown what is on the disk. Confined to the {@code store} event loop's thread.
  */
 final class SegmentedLog implements RaftStore {
     private static final int DISK_ID_BYTES = 8;
@@ -37,7 +37,7 @@
     private final RestoredLog restored = new RestoredLog(header);
     private final RecordBatch batch = new RecordBatch();
     private ClusterBootstrap.Announcement announcement;
-    /** Whether the commit index must be written with the next flush. */
+    /** Whether the next flush must write the commit index. */
     private boolean commitIndexChanged;
 
     private IOException failure;
@@ -52,7 +52,7 @@
 
     // ---- opening ----
 
-    /** A random id for a disk. */
+    /** Returns a random id for a disk. */
     static String newDiskId() {
         byte[] random = new byte[DISK_ID_BYTES];
         new SecureRandom().nextBytes(random);
@@ -60,9 +60,9 @@
     }
 
     /**
-     * Opens a member's folder; an empty one becomes this member's, with the disk id given.
+     * Opens a member's folder; an empty one is initialized for this member, with {@code newDiskId} as its disk id.
      *
-     * @throws IOException if the folder is damaged or another member's
+     * @throws IOException if the folder is damaged or belongs to another member
      */
     static SegmentedLog open(Disk disk, String cluster, String member, String newDiskId) throws IOException {
         SegmentedLog log = new SegmentedLog(disk, cluster);
@@ -73,11 +73,12 @@
             log.persistAnnouncement(new ClusterBootstrap.Announcement(
                     new MemberId(member, newDiskId), ClusterBootstrap.Phase.UNBOUND, Set.of()));
         } else {
-            throw new RecordFrames.CorruptException(IdentityFile.NAME + " is missing beside " + names.get(0));
+            throw new RecordFrames.CorruptException(
+                    IdentityFile.NAME + " is missing, but the folder has " + names.get(0));
         }
         log.load(names, true);
         log.startNextSegment();
-        // A crash may have come between a snapshot and the deletion of the segments before it.
+        // The last run may have crashed between writing a snapshot and deleting the segments that it covers.
         log.truncateLogEntriesUntil(log.restored.snapshotIndex());
         return log;
     }
@@ -87,8 +88,8 @@
     }
 
     /**
-     * Opens a folder again after a fault of its disk. What a failed force has left in the page cache can be read but
-     * may not be durable, so each file is written again first.
+     * Reopens a folder after a disk fault. Data that a failed fsync has left in the page cache can be read but may not
+     * be durable, so every file is rewritten first.
      */
     static SegmentedLog reopenAfterFault(Disk disk, String cluster, String member) throws IOException {
         for (String file : disk.names()) {
@@ -118,7 +119,7 @@
 
     // ---- identity ----
 
-    /** Makes an announcement durable, before it is sent to others. */
+    /** Makes an announcement durable; to be called before it is sent to other members. */
     void persistAnnouncement(ClusterBootstrap.Announcement next) throws IOException {
         checkNotFailed();
         try {
@@ -129,46 +130,46 @@
         announcement = next;
     }
 
-    /** The member's identity and how far its bootstrap is. */
+    /** The member's identity and its phase of the Raft group's bootstrap. */
     ClusterBootstrap.Announcement announcement() {
         return announcement;
     }
 
-    // ---- what was restored ----
+    // ---- restored state ----
 
-    /** What MicroRaft starts from, or null if this member has never run in a group. */
+    /** The state that MicroRaft starts from, or null if this member has never run in a Raft group. */
     RestoredRaftState restoredState() {
         return restored.toRaftState();
     }
 
-    /** The chunks of the snapshot that was found. */
+    /** The chunks of the restored snapshot; empty without one. */
     List<byte[]> snapshotChunks() {
         return restored.snapshotChunks();
     }
 
-    /** The entries after that snapshot that were known to be committed, by index. */
+    /** The restored entries after the snapshot that were known to be committed, by index. */
     Map<Long, LogEntry> committedEntries() {
         return restored.committedEntries();
     }
 
-    /** Index of the last entry that was found. */
+    /** The index of the last restored entry, or of the snapshot if there is no entry after it. */
     long lastIndex() {
         return restored.lastIndex();
     }
 
-    /** The term, 0 before the first. */
+    /** The current term, 0 before the first one. */
     int currentTerm() {
         return header.currentTerm();
     }
 
-    /** Frees the memory of what was restored, once MicroRaft has taken it over. */
+    /** Releases the restored snapshot and entries, once MicroRaft has taken them over. */
     void releaseRestored() {
         restored.release();
     }
 
     // ---- faults ----
 
-    /** Sets what to run at the first fault of the disk. */
+    /** Sets the action to run at the first disk fault. */
     void onFailure(Runnable action) {
         onFailure = action;
     }
@@ -186,7 +187,9 @@
     private IOException recordFailure(IOException fault) {
         if (failure == null) {
             failure = fault;
-            Log.error("store: the disk fails: %s; nothing more is acknowledged", fault.getMessage());
+            Log.error(
+                    "store: disk fault: %s; this member acknowledges nothing more until its folder is reopened",
+                    fault.getMessage());
             onFailure.run();
         }
         return fault;
@@ -230,10 +233,10 @@
 
     @Override
     public void truncateLogEntriesFrom(long index) throws IOException {
-        add(out -> out.number(RecordKind.CUT_FROM).number(index));
+        add(out -> out.number(RecordKind.TRUNCATE_FROM).number(index));
     }
 
-    /** A majority has committed the log up to here; durable with the next flush. */
+    /** Records that a majority has committed the log up to an index; durable with the next flush. */
     void advanceCommitIndex(long index) throws IOException {
         checkNotFailed();
         commitIndexChanged |= header.advanceCommitIndex(index);
@@ -276,7 +279,7 @@
             if (snapshots.hasUnforced()) {
                 snapshots.force();
                 writeBatch();
-                // The entries in the snapshot are then in segments that can be deleted.
+                // The segments so far, with the entries that the snapshot covers, can then be deleted.
                 startNextSegment();
                 snapshots.deleteOlder();
             } else {
@@ -308,22 +311,22 @@
         writeBatch();
     }
 
-    // ---- sizes and end ----
+    // ---- sizes and close ----
 
-    /** Bytes of all segments. */
+    /** The size of all segments, in bytes. */
     long logBytes() {
         return segments.totalBytes();
     }
 
-    /** Bytes of the newest snapshot. */
+    /** The size of the newest snapshot, in bytes. */
     long snapshotBytes() {
         return snapshots.newestBytes();
     }
 
     /**
-     * Writes what is pending and closes the files.
+     * Writes pending records and closes the files.
      *
-     * @param closeDisk whether to close the disk as well, if no other log goes on with it
+     * @param closeDisk whether to close the disk as well; false if another log continues to use it
      */
     void close(boolean closeDisk) {
         try {
@@ -336,7 +339,7 @@
                 disk.close();
             }
         } catch (IOException e) {
-            Log.warn("store: %s", e.getMessage());
+            Log.warn("store: flushing and closing the log failed: %s", e.getMessage());
         }
     }
 }
--- a/replication/src/main/java/lupinvalve/replication/SessionTokens.java
+++ b/replication/src/main/java/lupinvalve/replication/SessionTokens.java
@@ -7,9 +7,9 @@
 import lupinvalve.statemachine.SessionTable;
 
 /**
- * Sessions' last commits, for causal reads: this pooler's own at once, all others' once a majority holds them. The
- * response to a write may wait for that, within a bound: its session then reads its own writes at any pooler. On the
- * core thread.
+ * The log position of each session's last commit, for causal reads: commits at this pooler are known at once, those at
+ * other poolers once a majority of members holds them. The response to a write may be delayed until then, for a bounded
+ * time, so that its session reads its own writes at any pooler. Confined to the core thread.
  */
 public final class SessionTokens implements SessionTokenStore {
     private final EventLoop loop;
@@ -18,10 +18,10 @@
     private final SessionTable sessions = new SessionTable();
 
     /**
-     * Session tokens that start from what was committed before.
+     * Starts from the commits that were replicated before.
      *
-     * @param waitMicros how long a write's response may wait for a majority; 0 for not at all
-     * @param known what was committed before this start
+     * @param waitMicros how long the response to a write may wait for a majority; 0 not to wait
+     * @param known the sessions' commits known at this start
      */
     public SessionTokens(EventLoop loop, ControlPlane controlPlane, long waitMicros, Command.SessionCommits known) {
         this.loop = loop;
@@ -30,7 +30,7 @@
         sessions.apply(known.atMicros(), known.positions());
     }
 
-    /** Commits that a majority holds; core thread. */
+    /** Applies commits, of any pooler, that a majority of members holds. */
     public void accepted(Command.SessionCommits commits) {
         sessions.apply(commits.atMicros(), commits.positions());
     }
@@ -54,7 +54,7 @@
             return;
         }
         sessions.apply(loop.now(), Map.of(session, position));
-        // Whichever comes first: the second time changes nothing.
+        // Runs at the first of two events: a majority holds the commit, or the timeout. A second run has no effect.
         controlPlane.publishCommit(session, position, () -> loop.post(then));
         loop.after(waitMicros, then);
     }
--- a/replication/src/main/java/lupinvalve/replication/SnapshotFiles.java
+++ b/replication/src/main/java/lupinvalve/replication/SnapshotFiles.java
@@ -11,40 +11,40 @@
 import java.util.TreeSet;
 import lupinvalve.statemachine.Cbor;
 
-/** The snapshots in a member's folder, each in a file of its own, and the one that is being written. */
+/** The snapshots in a member's folder, each in a file of its own, with the one that is being written. */
 final class SnapshotFiles {
-    /** The prefix of the files' names; a snapshot's index follows. */
+    /** Prefix of the snapshots' file names; the snapshot's log index follows. */
     static final String PREFIX = "snapshot-";
 
     private final Disk disk;
     private final TreeMap<Long, Long> sizeBytesByIndex = new TreeMap<>();
     private Disk.AppendFile current;
     private long currentIndex;
-    /** The numbers of the chunks of the current snapshot that were added. */
+    /** The numbers of the chunks that were added to the current snapshot. */
     private final Set<Integer> currentChunks = new TreeSet<>();
 
     private boolean currentComplete;
     private boolean unforced;
 
     /**
-     * What was found in a folder.
+     * The result of {@link #load}.
      *
-     * @param newest complete snapshot, or null
+     * @param newest the newest complete snapshot, or null
      * @param fault why a snapshot that should be complete could not be read, or null
      */
-    record Found(SnapshotEntry newest, IOException fault) {}
+    record LoadResult(SnapshotEntry newest, IOException fault) {}
 
     SnapshotFiles(Disk disk) {
         this.disk = disk;
     }
 
     /**
-     * Finds the newest complete snapshot among a folder's files.
+     * Loads the newest complete snapshot among a folder's files.
      *
-     * @param names of all files in the folder, sorted
-     * @param repair whether files of older snapshots are deleted
+     * @param names the names of all files in the folder, sorted
+     * @param repair whether to delete the files of older snapshots
      */
-    Found load(List<String> names, boolean repair) throws IOException {
+    LoadResult load(List<String> names, boolean repair) throws IOException {
         List<String> files = new ArrayList<>(
                 names.stream().filter(name -> name.startsWith(PREFIX)).toList());
         Collections.reverse(files);
@@ -68,10 +68,10 @@
                 sizeBytesByIndex.put(index, (long) file.length);
             }
         }
-        return new Found(newest, fault);
+        return new LoadResult(newest, fault);
     }
 
-    /** A snapshot with all its chunks, or null if it was interrupted while it was written or transferred. */
+    /** Reads a snapshot with all its chunks; returns null if its writing or its transfer was interrupted. */
     private static SnapshotEntry read(String name, byte[] file) throws IOException {
         List<byte[]> contents = new ArrayList<>();
         RecordFrames.read(name, file, true, contents);
@@ -93,7 +93,7 @@
                 .build();
     }
 
-    /** Writes a chunk, to a new file if it is of another snapshot than the last chunk. */
+    /** Writes a chunk; starts a new file if the chunk belongs to another snapshot than the one before. */
     void add(SnapshotChunk chunk) throws IOException {
         if (current == null || currentIndex != chunk.getIndex()) {
             startFile(chunk.getIndex());
@@ -117,7 +117,7 @@
         current = disk.create(NumberedFileName.of(PREFIX, index));
     }
 
-    /** Deletes a snapshot, also the one that is being written. */
+    /** Deletes a snapshot, even one that is being written. */
     void delete(long index) throws IOException {
         if (index == currentIndex && current != null) {
             current.close();
@@ -128,18 +128,18 @@
         }
     }
 
-    /** Whether a chunk was written that is not durable yet. */
+    /** Whether there are written chunks that are not durable yet. */
     boolean hasUnforced() {
         return unforced;
     }
 
-    /** Returns once all chunks that were written are durable. */
+    /** Returns once all written chunks are durable. */
     void force() throws IOException {
         current.force();
         unforced = false;
     }
 
-    /** Deletes the snapshots before the current one if that is complete; MicroRaft deletes only interrupted ones. */
+    /** Deletes the snapshots before the current one if that is complete, as MicroRaft deletes only interrupted ones. */
     void deleteOlder() throws IOException {
         while (currentComplete && sizeBytesByIndex.firstKey() < currentIndex) {
             long oldestIndex = sizeBytesByIndex.pollFirstEntry().getKey();
@@ -147,7 +147,7 @@
         }
     }
 
-    /** Bytes of the newest snapshot, 0 without one. */
+    /** The size of the newest snapshot in bytes, 0 without one. */
     long newestBytes() {
         return sizeBytesByIndex.isEmpty() ? 0 : sizeBytesByIndex.lastEntry().getValue();
     }
--- a/replication/src/main/java/lupinvalve/replication/Subscriber.java
+++ b/replication/src/main/java/lupinvalve/replication/Subscriber.java
@@ -22,17 +22,20 @@
 import lupinvalve.subscription.WatchResponse;
 
 /**
- * Watches the group's configuration and the operators' drains without being a member, by long polls at one member at a
- * time, and applies them to the pooler beside it. Hundreds of them may share one loop and one {@link Net} in a process;
- * the daemon's has its own.
+ * Watches the Raft group's configuration and the operators' drains without being a member, by long polling one member
+ * at a time, and applies them to its pooler in the same process. Hundreds of subscribers in one process may share an
+ * event loop and a {@link Net}; the daemon's subscriber has its own.
  *
- * <p>All private state belongs to the loop's thread; public methods are safe for all threads but the loop's own.
+ * <p>Private state is confined to the event loop's thread. Public methods may be called from any other thread.
  */
 public final class Subscriber implements ControlPlane {
     private static final long TICK_MICROS = 1_000_000;
-    /** Between a response and the next request, even if the pooler is slow; a member closes after 2.5 s of silence. */
+    /**
+     * Longest interval between a response and the next request, even if the pooler is slow to apply the response: a
+     * member closes a connection that is silent for 2.5 s.
+     */
     private static final long REQUEST_INTERVAL_MAX_MICROS = 1_000_000;
-    /** Before the full document is requested after a corrupt event. */
+    /** Delay before the full document is requested after a corrupt event. */
     private static final int CORRUPTION_RETRY_MILLIS = 200;
 
     private static final long STOP_TIMEOUT_MILLIS = 3_000;
@@ -43,9 +46,9 @@
     private final Net net;
     private final Tls tls;
     private final CachedDocumentWriter cacheWriter;
-    /** Whether loop and net are this subscriber's own. */
+    /** Whether loop and net belong to this subscriber, which then starts and stops them. */
     private final boolean ownsLoop;
-    /** Begins each line in the log; it has the subscriber's name if there are many in the process. */
+    /** Prefix of log lines; it has the subscriber's name if several share the process. */
     private final String logPrefix;
 
     private final SubscriberState.Cached cached;
@@ -60,14 +63,14 @@
     private boolean fenced;
     private long lastResponseMicros;
     private TimerQueue.Timer leaseEndTimer;
-    private String lastLine = "";
-    /** Written on the pooler's thread once it has applied the document. */
+    private String lastLoggedLine = "";
+    /** Set on the pooler's thread once the pooler has applied the document. */
     private volatile ReplicatedState.Document appliedDocument;
 
     /**
-     * The daemon's subscriber, with its own thread and connections.
+     * Creates the daemon's subscriber, with its own thread and connections.
      *
-     * @throws IOException with one line that says what is wrong with the folder or the settings
+     * @throws IOException if the folder or the settings can't be used; the message is one line and says why
      */
     public Subscriber(OperatorConfig.Store config) throws IOException {
         this(
@@ -80,12 +83,12 @@
     }
 
     /**
-     * One of many subscribers in a process.
+     * Creates one of several subscribers in a process.
      *
-     * @param loop runs it; not started or stopped here
-     * @param net has its connections, on the same loop; not closed here
-     * @param disk has the cached document, written on the loop; closed by {@link #stop}
-     * @param seed of its jitter
+     * @param loop runs the subscriber; not started or stopped here
+     * @param net carries its connections, on the same loop; not closed here
+     * @param disk holds the cached document, written on the loop; closed by {@link #stop}
+     * @param seed the random seed of its jitter
      */
     public Subscriber(OperatorConfig.Store config, EventLoop loop, Net net, Disk disk, long seed) throws IOException {
         this(config, loop, net, disk, Runnable::run, seed);
@@ -108,7 +111,7 @@
         net = ownsLoop ? new Net(loop, false, tls) : sharedNet;
         cacheWriter = new CachedDocumentWriter(disk, config.cluster(), diskExecutor);
         cached = readCache(disk);
-        state = new SubscriberState(leasesOn(), cached, LeaseHolder.monotonicMicros());
+        state = new SubscriberState(wantsLeases(), cached, LeaseHolder.monotonicMicros());
         members = new MemberFailover(config, loop, net, seed, new FailoverListener());
     }
 
@@ -124,7 +127,7 @@
         }
     }
 
-    /** The cached state; empty if the file can't be used, as members send everything again. */
+    /** Reads the cached state; returns an empty one if the file can't be used, as members send everything again. */
     private SubscriberState.Cached readCache(Disk disk) {
         try {
             return CachedDocumentFile.read(disk, config.cluster());
@@ -134,7 +137,7 @@
         }
     }
 
-    private boolean leasesOn() {
+    private boolean wantsLeases() {
         return config.audit() != OperatorConfig.Audit.OFF;
     }
 
@@ -144,8 +147,8 @@
     }
 
     @Override
-    public void start(ControlPlane.Listener beside) {
-        pooler = beside;
+    public void start(ControlPlane.Listener listener) {
+        pooler = listener;
         if (ownsLoop) {
             loop.start();
         }
@@ -174,8 +177,8 @@
     }
 
     private void logOnce(String line) {
-        if (!line.equals(lastLine)) {
-            lastLine = line;
+        if (!line.equals(lastLoggedLine)) {
+            lastLoggedLine = line;
             Log.info("%s: %s", logPrefix, line);
         }
     }
@@ -191,7 +194,7 @@
             Log.warn("%s: %s", logPrefix, line);
         }
         if (ready && !waiting && LeaseHolder.monotonicMicros() - lastResponseMicros > REQUEST_INTERVAL_MAX_MICROS) {
-            // The pooler is slow to apply the last response; the member must see that this subscriber is alive.
+            // The pooler is slow to apply the last response; without a request the member would drop the connection.
             sendRequest();
         }
         members.retryPreferred();
@@ -208,30 +211,31 @@
         long requestedMicros = LeaseHolder.monotonicMicros();
         MemberConnection connection = members.current();
         WatchRequest request = state.request();
-        // Without a lease there is nothing to lose by waiting, and a full document takes longer.
-        boolean patient = !state.hasLease(requestedMicros) || request.wantsFullDocument() || request.revision() == 0;
+        // A full document takes longer to arrive; and without a lease, none can expire during a longer wait.
+        boolean extendedTimeout =
+                !state.hasLease(requestedMicros) || request.wantsFullDocument() || request.revision() == 0;
         connection.send(
                 request.write(),
-                members.responseTimeoutMicros(patient),
-                answer -> onAnswer(connection, answer, requestedMicros));
+                members.responseTimeoutMicros(extendedTimeout),
+                response -> onResponse(connection, response, requestedMicros));
     }
 
-    private void onAnswer(MemberConnection connection, WireMessages.Response answer, long requestedMicros) {
+    private void onResponse(MemberConnection connection, WireMessages.Response response, long requestedMicros) {
         if (connection != members.current()) {
             return;
         }
-        if (answer.status() != WireMessages.Status.OK) {
-            members.failOver(connection.member() + ": " + answer.text());
+        if (response.status() != WireMessages.Status.OK) {
+            members.failOver(connection.member() + ": " + response.text());
             return;
         }
         try {
-            onResponse(WatchResponse.read(answer.content()), requestedMicros);
+            onWatchResponse(WatchResponse.read(response.content()), requestedMicros);
         } catch (IOException | IllegalArgumentException e) {
             members.failOver(connection.member() + ": " + e.getMessage());
         }
     }
 
-    private void onResponse(WatchResponse response, long requestedMicros) {
+    private void onWatchResponse(WatchResponse response, long requestedMicros) {
         lastResponseMicros = LeaseHolder.monotonicMicros();
         count(response.event());
         SubscriberState.Update update =
@@ -239,11 +243,11 @@
         updateFence();
         boolean corrupt = !update.corruption().isEmpty();
         if (corrupt) {
-            Log.warn("%s: %s; the full document is requested", logPrefix, update.corruption());
+            Log.warn("%s: %s; requesting the full document", logPrefix, update.corruption());
         }
         apply(update);
         if (!state.leaseDenial().isEmpty()) {
-            logOnce("has no lease: " + state.leaseDenial());
+            logOnce("lease denied: " + state.leaseDenial());
         }
         long delayMicros = MICROS_PER_MILLI * (corrupt ? CORRUPTION_RETRY_MILLIS : response.retryAfterMillis());
         long receivedIndex = state.receivedIndex();
@@ -251,8 +255,9 @@
             state.onApplied(receivedIndex);
             loop.after(delayMicros, this::sendRequest);
         }));
-        members.judge(
-                response, leasesOn() && state.configuration().unreadableReason().isEmpty());
+        members.onResponse(
+                response,
+                wantsLeases() && state.configuration().unreadableReason().isEmpty());
     }
 
     private void count(WatchResponse.Event event) {
@@ -267,7 +272,8 @@
         if (update.document() != null) {
             adopt(update.document());
         } else if (!state.configuration().unreadableReason().isEmpty()) {
-            logOnce("serves on, " + state.configuration().describe());
+            logOnce("can't apply the latest configuration; "
+                    + state.configuration().describe());
         }
         if (update.drains() != null) {
             pooler.drainsChanged(update.drains());
@@ -285,7 +291,7 @@
         pooler.runAfterApplied(() -> appliedDocument = document);
     }
 
-    /** Logs when the lease has ended and when there is one again. */
+    /** Logs that the lease has ended, or that there is one again. */
     private void updateFence() {
         if (!fencingEnabled()) {
             return;
@@ -295,13 +301,18 @@
         if (leaseEnded != fenced) {
             fenced = leaseEnded;
             String denial = state.leaseDenial().isEmpty() ? "" : ": " + state.leaseDenial();
-            Log.info("%s: %s", logPrefix, fenced ? "fenced" + denial : "returned");
+            Log.info(
+                    "%s: %s",
+                    logPrefix,
+                    fenced
+                            ? "fenced, not serving until a lease is granted" + denial
+                            : "returned to service: lease granted");
         }
         loop.cancel(leaseEndTimer);
         leaseEndTimer = leaseEnded ? null : loop.after(leaseLeftMicros, this::updateFence);
     }
 
-    // ---- from any thread ----
+    // ---- called from any thread ----
 
     @Override
     public boolean mayServe() {
@@ -313,7 +324,7 @@
         return config.audit() == OperatorConfig.Audit.FENCE;
     }
 
-    /** When the lease ends or has ended, by {@link System#nanoTime} in microseconds. */
+    /** The end of the current or the last lease, on the clock of {@link System#nanoTime}, in microseconds. */
     public long leaseUntilMicros() {
         return state.leaseUntilMicros();
     }
@@ -325,19 +336,19 @@
     }
 
     /**
-     * Sums since the start.
+     * Counters since the start.
      *
-     * @param sentBytes without what TLS adds
-     * @param receivedBytes without what TLS adds
-     * @param requests that were sent
-     * @param fullDocuments that were received
-     * @param deltas that were received, one a revision
-     * @param failovers from one member to another
+     * @param sentBytes bytes sent, without TLS overhead
+     * @param receivedBytes bytes received, without TLS overhead
+     * @param requests requests sent
+     * @param fullDocuments full documents received
+     * @param deltas deltas received, one per revision
+     * @param failovers changes from one member to another
      */
     public record Traffic(
             long sentBytes, long receivedBytes, long requests, long fullDocuments, long deltas, long failovers) {}
 
-    /** The sums since the start. */
+    /** Returns the counters since the start. */
     public Traffic traffic() {
         return new Traffic(
                 members.sentBytes(),
@@ -353,17 +364,17 @@
         return false;
     }
 
-    /** Subscribers take no part in the replication of sessions' commits: {@code then} runs at once. */
+    /** Subscribers take no part in the replication of sessions' commits; {@code onCommitted} runs at once. */
     @Override
-    public void publishCommit(String session, long position, Runnable then) {
-        if (then != null) {
-            then.run();
+    public void publishCommit(String session, long position, Runnable onCommitted) {
+        if (onCommitted != null) {
+            onCommitted.run();
         }
     }
 
     @Override
     public void publishEndpoints(List<Command.KnownEndpoint> nodes) {
-        // Only members replicate the list of db nodes.
+        // Only members replicate lists of db nodes.
     }
 
     @Override
@@ -373,7 +384,7 @@
             if (ownsLoop) {
                 net.secureAnew();
             }
-            Log.info("store: keys and certificates read anew");
+            Log.info("store: keys and certificates reloaded");
         }
     }
 
@@ -392,7 +403,9 @@
         try {
             if (!connectionsClosed.await(STOP_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
                     || !cacheWriter.awaitClosed(STOP_TIMEOUT_MILLIS)) {
-                Log.warn("store: graceful shutdown timed out");
+                Log.warn(
+                        "store: connections or folder not closed within %s ms; stopping without waiting further",
+                        STOP_TIMEOUT_MILLIS);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/replication/src/main/java/lupinvalve/replication/SubscriptionServer.java
+++ b/replication/src/main/java/lupinvalve/replication/SubscriptionServer.java
@@ -15,23 +15,23 @@
 import lupinvalve.subscription.WatchService;
 
 /**
- * Serves a member's subscribers by long polls: requests wait here for an update, for a bounded time. The group's thread
- * runs all of it.
+ * Serves a member's subscribers by long polling: a request waits here for an update, for a bounded time. Confined to
+ * the {@code store} event loop's thread.
  */
 final class SubscriptionServer {
-    /** The name of the subscribers' call on the wire. */
+    /** The name of the subscribers' request on the wire. */
     static final String CALL = "follow";
-    /** Subscribers of one member at most. */
+    /** Limit on the subscribers of one member. */
     static final int SUBSCRIBERS_MAX_COUNT = 1024;
-    /** Waiting requests are responded to in batches, so that a document is not sent to all subscribers at once. */
-    private static final int BATCH_COUNT = 32;
+    /** Pending requests are responded to in batches, so that a document is not sent to all subscribers at once. */
+    private static final int RESPONSES_PER_BATCH = 32;
 
     private static final long BATCH_INTERVAL_MICROS = 1_000;
 
     private record PendingRequest(
-            long callId, WatchRequest request, long sinceMicros, Consumer<WireMessages.Response> responder) {}
+            long requestId, WatchRequest request, long receivedMicros, Consumer<WireMessages.Response> responder) {}
 
-    private final MemberRuntime group;
+    private final MemberRuntime member;
     private final WatchService service;
     private final Map<String, PendingRequest> pendingBySubscriber = new HashMap<>();
     private long lastChangeIndex;
@@ -43,17 +43,20 @@
     /**
      * Starts without subscribers.
      *
-     * @param restoredState what this member knows to be committed before the start
+     * @param restoredState the state committed before this start, as far as this member's log has it
      */
-    SubscriptionServer(MemberRuntime group, ReplicatedState restoredState) {
-        this.group = group;
-        boolean grantsLeases = group.config().audit() != OperatorConfig.Audit.OFF;
+    SubscriptionServer(MemberRuntime member, ReplicatedState restoredState) {
+        this.member = member;
+        boolean grantsLeases = member.config().audit() != OperatorConfig.Audit.OFF;
         service = new WatchService(
-                grantsLeases ? "" : "store.audit is off at " + group.config().name(), LeaseHolder.monotonicMicros());
+                grantsLeases ? "" : "store.audit is off at " + member.config().name(), LeaseHolder.monotonicMicros());
         onRestored(restoredState);
     }
 
-    /** The log index of the last change that matters to subscribers, applied here or known to be committed. */
+    /**
+     * The log index of the last change relevant to subscribers, that is, of the document or the drains, which is
+     * applied here or known to be committed.
+     */
     long lastChangeIndex() {
         return lastChangeIndex;
     }
@@ -68,18 +71,18 @@
         service.onOwnLease(untilMicros, leaderIndex, LeaseHolder.monotonicMicros());
     }
 
-    /** A change has been applied here. */
+    /** A committed change has been applied at this member. */
     void onApplied(ReplicatedState state, Command command, ReplicatedState.Outcome outcome) {
-        boolean mattersToSubscribers = command instanceof Command.PutDocument
+        boolean relevantToSubscribers = command instanceof Command.PutDocument
                 || command instanceof Command.StartDrain
                 || command instanceof Command.EndDrain;
-        if (mattersToSubscribers && outcome.result() == ReplicatedState.Result.APPLIED) {
+        if (relevantToSubscribers && outcome.result() == ReplicatedState.Result.APPLIED) {
             onRestored(state);
         }
         service.advanceAppliedIndex(state.appliedIndex());
     }
 
-    /** The state has been restored from a snapshot, or document or drains have changed. */
+    /** The state has been restored from a snapshot, or the document or the drains have changed. */
     void onRestored(ReplicatedState state) {
         lastChangeIndex = Math.max(lastChangeIndex, state.appliedIndex());
         service.onApplied(state.document(), state.drains(), state.appliedIndex(), LeaseHolder.monotonicMicros());
@@ -89,22 +92,23 @@
                 due.add(subscriber);
             }
         });
-        for (int from = 0; from < due.size(); from += BATCH_COUNT) {
-            List<String> batch = due.subList(from, Math.min(due.size(), from + BATCH_COUNT));
-            group.loop().after(from / BATCH_COUNT * BATCH_INTERVAL_MICROS, () -> batch.forEach(this::respond));
+        for (int from = 0; from < due.size(); from += RESPONSES_PER_BATCH) {
+            List<String> batch = due.subList(from, Math.min(due.size(), from + RESPONSES_PER_BATCH));
+            member.loop().after(from / RESPONSES_PER_BATCH * BATCH_INTERVAL_MICROS, () -> batch.forEach(this::respond));
         }
     }
 
-    /** Takes a subscriber's request; {@code responder} is called once, now or later. */
-    void onRequest(String subscriber, WireMessages.Request call, Consumer<WireMessages.Response> responder)
+    /** Handles a subscriber's request; {@code responder} receives one response, at once or after the poll. */
+    void onRequest(String subscriber, WireMessages.Request wireRequest, Consumer<WireMessages.Response> responder)
             throws IOException {
-        if (call.arguments().isEmpty()) {
+        if (wireRequest.arguments().isEmpty()) {
             throw new IOException(CALL + " lacks an argument");
         }
-        WatchRequest request = WatchRequest.read(call.arguments().get(0));
+        WatchRequest request = WatchRequest.read(wireRequest.arguments().get(0));
         requestCount++;
         service.onRequest(subscriber);
-        PendingRequest pending = new PendingRequest(call.id(), request, LeaseHolder.monotonicMicros(), responder);
+        PendingRequest pending =
+                new PendingRequest(wireRequest.id(), request, LeaseHolder.monotonicMicros(), responder);
         if (!pendingBySubscriber.containsKey(subscriber) && pendingBySubscriber.size() >= SUBSCRIBERS_MAX_COUNT) {
             reject(pending, "too many follow this member");
             return;
@@ -115,26 +119,26 @@
                 || service.canAdmit(subscriber, request, LeaseHolder.monotonicMicros())) {
             respond(subscriber, pending);
         } else {
-            group.loop().after(WatchService.LONG_POLL_MICROS, () -> respond(subscriber, pending));
+            member.loop().after(WatchService.LONG_POLL_MICROS, () -> respond(subscriber, pending));
         }
     }
 
-    /** Why a subscriber had better go to another member, or null. */
+    /** Why subscribers should fail over to another member, or null. */
     private String unavailableReason() {
-        if (group.termination() != null) {
-            return "this member takes no part any more: " + group.termination().reason();
+        if (member.termination() != null) {
+            return "this member takes no part any more: " + member.termination().reason();
         }
-        if (group.replica() == null) {
+        if (member.replica() == null) {
             return "the group is not founded yet";
         }
-        if (group.configuration().isQuorumLost()) {
+        if (member.configuration().isQuorumLost()) {
             return "cut off from the majority";
         }
         return service.lacksOwnLease(LeaseHolder.monotonicMicros()) ? "this member has no lease itself" : null;
     }
 
     private static void reject(PendingRequest pending, String reason) {
-        pending.responder().accept(new WireMessages.Response(pending.callId(), WireMessages.Status.RETRY, reason));
+        pending.responder().accept(new WireMessages.Response(pending.requestId(), WireMessages.Status.RETRY, reason));
     }
 
     private void respond(String subscriber) {
@@ -144,7 +148,7 @@
         }
     }
 
-    /** Responds to a request unless that was done before or a later request has replaced it. */
+    /** Responds to a request, unless it has had a response or a later request of the subscriber has replaced it. */
     private void respond(String subscriber, PendingRequest pending) {
         if (!pendingBySubscriber.remove(subscriber, pending)) {
             return;
@@ -156,15 +160,15 @@
         }
         long nowMicros = LeaseHolder.monotonicMicros();
         WatchResponse response =
-                service.respond(subscriber, pending.request(), nowMicros - pending.sinceMicros(), nowMicros);
+                service.respond(subscriber, pending.request(), nowMicros - pending.receivedMicros(), nowMicros);
         fullDocumentCount += response.event() instanceof WatchResponse.Event.FullDocument ? 1 : 0;
         deltaResponseCount += response.event() instanceof WatchResponse.Event.Deltas ? 1 : 0;
         byte[] content = response.write();
         responseBytes += content.length;
-        pending.responder().accept(new WireMessages.Response(pending.callId(), WireMessages.Status.OK, "", content));
+        pending.responder().accept(new WireMessages.Response(pending.requestId(), WireMessages.Status.OK, "", content));
     }
 
-    /** Writes the fields of the status call; counts and bytes of responses are sums since the start. */
+    /** Writes the status fields for operators; the {@code follow_} fields are sums since the start. */
     void writeStatus(JsonGenerator out) throws IOException {
         out.writeNumberField("subscribers_waiting", pendingBySubscriber.size());
         out.writeNumberField("subscribers_with_lease", service.leaseCount(LeaseHolder.monotonicMicros()));
--- a/replication/src/main/java/lupinvalve/replication/Tls.java
+++ b/replication/src/main/java/lupinvalve/replication/Tls.java
@@ -31,13 +31,15 @@
 import org.apache.mina.filter.ssl.SslFilter;
 
 /**
- * TLS 1.3 between members and with operators, both sides with certificates of one authority, from PEM files. Read anew
- * on demand: connections that are up keep what they began with.
+ * Mutual TLS 1.3 between members, operators and subscribers, with certificates of one authority, read from PEM files.
+ * The files can be reloaded; established connections keep the certificates that they began with.
  */
 final class Tls implements Net.Security {
     static final String VERSION = "TLSv1.3";
-    private static final Pattern PEM = Pattern.compile("-----BEGIN ([A-Z0-9 ]+)-----([^-]+)-----END \\1-----");
-    private static final int DNS_NAME = 2;
+    private static final Pattern PEM_BLOCK = Pattern.compile("-----BEGIN ([A-Z0-9 ]+)-----([^-]+)-----END \\1-----");
+    /** Type of a DNS name among the subject alternative names of a certificate (RFC 5280). */
+    private static final int DNS_NAME_TYPE = 2;
+
     private final OperatorConfig.Tls files;
     private volatile SSLContext context;
 
@@ -46,7 +48,7 @@
         context = context(files);
     }
 
-    /** Takes over what the files say now; throws, and changes nothing, where they can't be used. */
+    /** Reads the files again for later connections; if they can't be used, throws and changes nothing. */
     void reload() throws IOException {
         context = context(files);
     }
@@ -61,19 +63,21 @@
         return filter;
     }
 
-    /** What the files have: own key and certificate, and the authority that peers' must be of. */
+    /**
+     * Creates a context from the files: the own key and certificate, and the authority that must have issued peers'.
+     */
     static SSLContext context(OperatorConfig.Tls files) throws IOException {
         try {
-            List<X509Certificate> chain = certificates(files.certificate());
+            List<X509Certificate> chain = readCertificates(files.certificate());
             KeyStore own = KeyStore.getInstance("PKCS12");
             own.load(null, null);
-            own.setKeyEntry("own", key(files.key()), new char[0], chain.toArray(new Certificate[0]));
+            own.setKeyEntry("own", readPrivateKey(files.key()), new char[0], chain.toArray(new Certificate[0]));
             KeyManagerFactory keys = KeyManagerFactory.getInstance("PKIX");
             keys.init(own, new char[0]);
             KeyStore authority = KeyStore.getInstance("PKCS12");
             authority.load(null, null);
-            for (X509Certificate one : certificates(files.authority())) {
-                authority.setCertificateEntry("authority" + authority.size(), one);
+            for (X509Certificate certificate : readCertificates(files.authority())) {
+                authority.setCertificateEntry("authority" + authority.size(), certificate);
             }
             TrustManagerFactory trust = TrustManagerFactory.getInstance("PKIX");
             trust.init(authority);
@@ -85,32 +89,32 @@
         }
     }
 
-    private static List<byte[]> blocks(Path file, String kind) throws IOException {
+    private static List<byte[]> readPemBlocks(Path file, String type) throws IOException {
         List<byte[]> blocks = new ArrayList<>();
-        Matcher pem = PEM.matcher(Files.readString(file, StandardCharsets.US_ASCII));
+        Matcher pem = PEM_BLOCK.matcher(Files.readString(file, StandardCharsets.US_ASCII));
         while (pem.find()) {
-            if (pem.group(1).equals(kind)) {
+            if (pem.group(1).equals(type)) {
                 blocks.add(Base64.getMimeDecoder().decode(pem.group(2)));
             }
         }
         if (blocks.isEmpty()) {
-            throw new IOException("store.tls: " + file + " has no " + kind + " in PEM");
+            throw new IOException("store.tls: " + file + " has no " + type + " in PEM");
         }
         return blocks;
     }
 
-    private static List<X509Certificate> certificates(Path file) throws IOException, GeneralSecurityException {
+    private static List<X509Certificate> readCertificates(Path file) throws IOException, GeneralSecurityException {
         CertificateFactory factory = CertificateFactory.getInstance("X.509");
-        List<X509Certificate> all = new ArrayList<>();
-        for (byte[] block : blocks(file, "CERTIFICATE")) {
-            all.add((X509Certificate) factory.generateCertificate(new ByteArrayInputStream(block)));
+        List<X509Certificate> certificates = new ArrayList<>();
+        for (byte[] block : readPemBlocks(file, "CERTIFICATE")) {
+            certificates.add((X509Certificate) factory.generateCertificate(new ByteArrayInputStream(block)));
         }
-        return all;
+        return certificates;
     }
 
-    private static PrivateKey key(Path file) throws IOException, GeneralSecurityException {
+    private static PrivateKey readPrivateKey(Path file) throws IOException, GeneralSecurityException {
         PKCS8EncodedKeySpec spec =
-                new PKCS8EncodedKeySpec(blocks(file, "PRIVATE KEY").get(0));
+                new PKCS8EncodedKeySpec(readPemBlocks(file, "PRIVATE KEY").get(0));
         try {
             return KeyFactory.getInstance("EC").generatePrivate(spec);
         } catch (GeneralSecurityException e) {
@@ -118,27 +122,27 @@
         }
     }
 
-    /** Throws where the peer's certificate does not name it as it says. */
+    /** Throws if the peer's certificate is not for the name that the peer claims. */
     static void check(Link link, String name) throws IOException {
         if (!(link.attribute(SslFilter.SSL_SECURED) instanceof SSLSession session)) {
-            throw new HandshakeException("no TLS");
+            throw new HandshakeException("the connection does not use TLS");
         }
         check(session, name);
     }
 
-    /** The same for a session of a plain socket. */
+    /** The same for the TLS session of a socket. */
     static void check(SSLSession session, String name) throws IOException {
         try {
             Collection<List<?>> names =
                     ((X509Certificate) session.getPeerCertificates()[0]).getSubjectAlternativeNames();
             if (names == null
                     || names.stream()
-                            .noneMatch(one ->
-                                    one.get(0).equals(DNS_NAME) && one.get(1).equals(name))) {
-                throw new HandshakeException("its certificate is not for " + name);
+                            .noneMatch(entry -> entry.get(0).equals(DNS_NAME_TYPE)
+                                    && entry.get(1).equals(name))) {
+                throw new HandshakeException("the peer's certificate is not for " + name);
             }
         } catch (GeneralSecurityException | SSLPeerUnverifiedException e) {
-            throw new HandshakeException("its certificate: " + e.getMessage(), e);
+            throw new HandshakeException("the peer's certificate can't be checked: " + e.getMessage(), e);
         }
     }
 }
--- a/replication/src/main/java/lupinvalve/replication/WireMessages.java
+++ b/replication/src/main/java/lupinvalve/replication/WireMessages.java
@@ -11,11 +11,11 @@
 import lupinvalve.statemachine.DecodingException;
 
 /**
- * The messages between members, operators and subscribers: a length, a kind, and CBOR. Cuts them off a stream; one
- * instance a connection, on that connection's thread.
+ * The messages between members, operators and subscribers: a length, a kind, and a CBOR body. An instance splits one
+ * connection's byte stream into messages, on that connection's thread.
  */
 public final class WireMessages implements Framer {
-    /** What a message is. */
+    /** The kind of a message; its ordinal is sent on the wire. */
     enum Kind {
         HELLO,
         RAFT,
@@ -24,37 +24,38 @@
         HEARTBEAT
     }
 
-    /** How a request ended; the numbers are the wire's. */
+    /** The result of a request; its ordinal is sent on the wire. */
     public enum Status {
         OK,
-        /** The revision expected is not the one that holds. */
+        /** The expected revision is not the current one. */
         CONFLICT,
-        /** It can't be done, and asking again does not help. */
+        /** The request can't be carried out, and a retry would not help. */
         REJECTED,
-        /** Nothing has happened, and asking again may help. */
+        /** The request was not carried out, and a retry may help. */
         RETRY,
-        /** It may have happened. */
+        /** The request may or may not have been carried out. */
         INDETERMINATE
     }
 
-    private static final int VERSION = 1;
-    /** Of one message. */
-    static final int MAX_LENGTH_BYTES = 16 << 20;
-    /** Of the first message of a connection: nothing is known of its peer yet. */
-    private static final int MAX_FIRST_LENGTH_BYTES = 64 << 10;
+    private static final int PROTOCOL_VERSION = 1;
+    /** Limit on one message, without its length field. */
+    static final int MAX_MESSAGE_BYTES = 16 << 20;
+    /** Limit on the first message of a connection, lower because its peer is not identified yet. */
+    private static final int MAX_FIRST_MESSAGE_BYTES = 64 << 10;
 
     private static final int MAX_ARGUMENTS = 16;
-    private static final int LENGTH_BYTES = 4;
+    private static final int LENGTH_FIELD_BYTES = 4;
 
     /**
-     * Who is at this end of a connection.
+     * The first message from each end of a connection: identifies its sender.
      *
-     * @param announcement how far a member's bootstrap is; null for an operator or a subscriber
+     * @param address where a member listens; empty for an operator or a subscriber
+     * @param announcement a member's identity and bootstrap phase; null for an operator or a subscriber
      */
     record Hello(String cluster, String name, String address, ClusterBootstrap.Announcement announcement) {
         byte[] write() {
             Cbor.Writer out = new Cbor.Writer()
-                    .number(VERSION)
+                    .number(PROTOCOL_VERSION)
                     .text(cluster)
                     .text(name)
                     .text(address)
@@ -68,9 +69,9 @@
         static Hello read(byte[] body) throws IOException {
             Cbor.Reader in = new Cbor.Reader(body);
             long version = in.number();
-            if (version != VERSION) {
+            if (version != PROTOCOL_VERSION) {
                 throw new DecodingException(
-                        "version " + version + " of the store's wire; this program speaks " + VERSION);
+                        "protocol version " + version + " is not supported; this program supports " + PROTOCOL_VERSION);
             }
             return new Hello(
                     in.text(), in.text(), in.text(), in.flag() ? ClusterBootstrap.Announcement.read(in) : null);
@@ -80,7 +81,7 @@
     /**
      * A request to a member.
      *
-     * @param id numbers the requests of one connection; the response has the same
+     * @param id the number of the request on its connection; its response has the same
      */
     public record Request(long id, String name, List<byte[]> arguments) {
         byte[] write() {
@@ -94,7 +95,7 @@
             long id = in.number();
             String name = in.text();
             List<byte[]> arguments = new ArrayList<>();
-            for (int left = in.count(MAX_ARGUMENTS); left > 0; left--) {
+            for (int remaining = in.count(MAX_ARGUMENTS); remaining > 0; remaining--) {
                 arguments.add(in.bytes());
             }
             return new Request(id, name, arguments);
@@ -102,9 +103,10 @@
     }
 
     /**
-     * The response to a request: a JSON text, or why there is none.
+     * The response to a request.
      *
-     * @param content what is no text, or empty; versions before subscriptions neither send nor see it
+     * @param text where the status is OK, the result, which is JSON for operators; else the reason
+     * @param content binary content, or empty; versions without subscriptions neither send nor read it
      */
     public record Response(long id, Status status, String text, byte[] content) {
         /** A response without content. */
@@ -126,7 +128,7 @@
     }
 
     static byte[] message(Kind kind, byte[] body) {
-        return ByteBuffer.allocate(LENGTH_BYTES + 1 + body.length)
+        return ByteBuffer.allocate(LENGTH_FIELD_BYTES + 1 + body.length)
                 .putInt(1 + body.length)
                 .put((byte) kind.ordinal())
                 .put(body)
@@ -135,7 +137,7 @@
 
     static Kind kind(byte[] message) throws IOException {
         if (message[0] < 0 || message[0] >= Kind.values().length) {
-            throw new DecodingException("a message of the unknown kind " + message[0]);
+            throw new DecodingException("unknown message kind " + message[0]);
         }
         return Kind.values()[message[0]];
     }
@@ -144,24 +146,26 @@
         return Arrays.copyOfRange(message, 1, message.length);
     }
 
-    /** Whether a first message has come. */
-    private boolean greeted;
+    /** Whether the first message of the connection has been received. */
+    private boolean firstMessageReceived;
 
     @Override
     public int cut(byte[] bytes, int from, int to, List<byte[]> out) throws Malformed {
-        int at = from;
-        while (to - at >= LENGTH_BYTES) {
-            int length = ByteBuffer.wrap(bytes, at, LENGTH_BYTES).getInt();
-            if (length < 1 || length > (greeted ? MAX_LENGTH_BYTES : MAX_FIRST_LENGTH_BYTES)) {
-                throw new Malformed("a message of " + length + " bytes");
+        int position = from;
+        while (to - position >= LENGTH_FIELD_BYTES) {
+            int length = ByteBuffer.wrap(bytes, position, LENGTH_FIELD_BYTES).getInt();
+            int maxBytes = firstMessageReceived ? MAX_MESSAGE_BYTES : MAX_FIRST_MESSAGE_BYTES;
+            if (length < 1 || length > maxBytes) {
+                throw new Malformed("message of " + length + " bytes, expected 1 to " + maxBytes);
             }
-            if (to - at - LENGTH_BYTES < length) {
+            if (to - position - LENGTH_FIELD_BYTES < length) {
                 break;
             }
-            out.add(Arrays.copyOfRange(bytes, at + LENGTH_BYTES, at + LENGTH_BYTES + length));
-            at += LENGTH_BYTES + length;
-            greeted = true;
+            int bodyStart = position + LENGTH_FIELD_BYTES;
+            out.add(Arrays.copyOfRange(bytes, bodyStart, bodyStart + length));
+            position = bodyStart + length;
+            firstMessageReceived = true;
         }
-        return at;
+        return position;
     }
 }
