--- a/audit/src/main/java/lupinvalve/audit/AuditEntry.java
+++ b/audit/src/main/java/lupinvalve/audit/AuditEntry.java
@@ -7,16 +7,16 @@
 import lupinvalve.statemachine.Digests;
 
 /**
- * One event that a pooler notes of itself. Each entry has the digest of the one before, so that a missing or changed
- * one shows.
+ * One event that a pooler records about itself. Each entry has the digest of the previous one, so that a missing or
+ * modified entry is detected.
  *
- * @param incarnation which of the pooler's processes: when it started, Unix time in microseconds
- * @param number from 1 in each incarnation
- * @param version the configuration that is acted on, in words; empty where none
- * @param index of the log entry up to which the pooler acts
- * @param atMicros by the pooler's own clock, Unix time
- * @param errorMicros by how much that clock may be off
- * @param previousDigest of the entry before in this incarnation; empty for the first
+ * @param incarnation identifies the pooler's process: its start, Unix time in microseconds
+ * @param number consecutive, from 1 in each incarnation
+ * @param version name of the configuration that the event is about; empty if there is none
+ * @param index log index up to which the pooler acts on committed changes
+ * @param atMicros time of the event by the pooler's own clock, Unix time
+ * @param errorMicros maximum error of that clock
+ * @param previousDigest digest of the previous entry in this incarnation; empty for the first
  */
 public record AuditEntry(
         String pooler,
@@ -29,27 +29,27 @@
         long errorMicros,
         String reason,
         String previousDigest) {
-    /** What was noted. Stored and sent by ordinal: the order must not change. */
+    /** The kind of event. Stored and sent by ordinal: the order must not change. */
     public enum Event {
         /** The process started. */
         STARTED,
         /** The process ended. */
         ENDED,
-        /** It has a version and may act on it from now on. */
+        /** The pooler has a version and may act on it from now on. */
         ADOPTED,
-        /** All its decisions are under the version from now on, and none under the one before. */
+        /** From now on, all decisions of the pooler use the version and none uses an earlier one. */
         CEASED_OTHERS,
-        /** It can't act on a version. */
+        /** The pooler can't use a version. */
         REFUSED,
-        /** No quorum is in reach. */
+        /** No quorum is reachable. */
         CUT_OFF,
-        /** A quorum is in reach again. */
+        /** A quorum is reachable again. */
         BACK,
-        /** Its lease has ended and it rejects all requests. */
+        /** The lease of the pooler has ended and it rejects all requests. */
         FENCED,
-        /** It has a lease again. */
+        /** The pooler has a lease again. */
         RETURNED,
-        /** Earlier entries were dropped; the reason tells how many and when they were. */
+        /** Earlier entries were dropped; the reason has their number and times. */
         DROPPED;
 
         /** The name in answers and logs. */
@@ -61,12 +61,12 @@
     private static final int MAX_REASON_CHARS = 300;
     private static final int DIGEST_BYTES = 16;
 
-    /** Shortens the reason. */
+    /** Truncates a reason that is too long. */
     public AuditEntry {
         reason = reason.length() > MAX_REASON_CHARS ? reason.substring(0, MAX_REASON_CHARS) : reason;
     }
 
-    /** The entry as it is stored and sent. */
+    /** Encodes the entry as it is stored and sent. */
     public byte[] encode() {
         return new Cbor.Writer()
                 .text(pooler)
@@ -82,7 +82,7 @@
                 .toByteArray();
     }
 
-    /** Decodes what {@link #encode} gave; throws {@link DecodingException} where the bytes are no entry. */
+    /** Decodes an entry; throws {@link DecodingException} if the bytes are not exactly one. */
     public static AuditEntry decode(byte[] bytes) throws IOException {
         Cbor.Reader in = new Cbor.Reader(bytes);
         AuditEntry entry = new AuditEntry(
@@ -102,7 +102,7 @@
         return entry;
     }
 
-    /** What the next entry has as {@link #previousDigest}. */
+    /** Digest of this entry, which is the next entry's {@link #previousDigest}. */
     public String digest() {
         return Digests.sha256Hex(encode(), DIGEST_BYTES);
     }
--- a/audit/src/main/java/lupinvalve/audit/AuditHistory.java
+++ b/audit/src/main/java/lupinvalve/audit/AuditHistory.java
@@ -9,22 +9,22 @@
 import java.util.stream.Stream;
 
 /**
- * Which pooler acted on which version when, as far as its own entries tell; where they don't, that is said with the
- * reason. Immutable after construction. No I/O.
+ * Which pooler acted on which version and when, as far as its own entries show; where they don't, the result says so,
+ * with the reason. Immutable after construction. No I/O.
  */
 public final class AuditHistory {
-    /** The end of a span where nothing says that the pooler ceased. */
+    /** The end of a span if no entry shows that the pooler stopped acting on the version. */
     public static final long OPEN_END_MICROS = Long.MAX_VALUE;
-    /** For how long after its last entry a pooler counts as unchanged: a change would have brought another entry. */
+    /** Time after its last entry for which a pooler is assumed unchanged: a change would have added another entry. */
     private static final long COVERAGE_MICROS = 5_000_000;
 
     /**
-     * From when to when a pooler may have acted on a version, widened by what its clock may be off.
+     * The period in which a pooler may have acted on a version, widened by the maximum error of its clock.
      *
      * @param index of the version's log entry
-     * @param toMicros {@link #OPEN_END_MICROS} where nothing says that it ceased
-     * @param ended whether an entry tells the end; else {@code toMicros} is only where knowledge ends
-     * @param reason of the end, or why it is not known
+     * @param toMicros {@link #OPEN_END_MICROS} if no entry shows that the pooler stopped acting on the version
+     * @param ended whether an entry shows the end; otherwise the pooler may have stopped earlier than {@code toMicros}
+     * @param reason of the end, or why the end is not known
      */
     public record VersionSpan(
             String pooler,
@@ -51,8 +51,8 @@
             return new VersionSpan(pooler, incarnation, version, index, startMicros, OPEN_END_MICROS, false, "");
         }
 
-        private VersionSpan endingAt(long endMicros, boolean byEntry, String why) {
-            return new VersionSpan(pooler, incarnation, version, index, fromMicros, endMicros, byEntry, why);
+        private VersionSpan endingAt(long endMicros, boolean endedByEntry, String endReason) {
+            return new VersionSpan(pooler, incarnation, version, index, fromMicros, endMicros, endedByEntry, endReason);
         }
 
         private boolean covers(long micros) {
@@ -61,7 +61,7 @@
     }
 
     /**
-     * What is known of one pooler at a time.
+     * What the entries show about one pooler at a point in time.
      *
      * @param versions that it may have acted on
      * @param certain whether its entries cover the time
@@ -69,10 +69,10 @@
      */
     public record Coverage(String pooler, List<String> versions, boolean certain, String reason) {}
 
-    /** Entries by pooler and incarnation, in the order of their numbers. */
+    /** Entries by pooler and incarnation, sorted by number. */
     private final TreeMap<String, TreeMap<Long, List<AuditEntry>>> entriesByPooler = new TreeMap<>();
 
-    /** @param entries of all poolers, in any order; duplicates count once */
+    /** @param entries of all poolers, in any order; duplicates are ignored */
     public AuditHistory(Collection<AuditEntry> entries) {
         for (AuditEntry entry : entries) {
             List<AuditEntry> incarnation = entriesByPooler
@@ -93,12 +93,12 @@
         return entriesByPooler.get(pooler).values().stream().flatMap(List::stream);
     }
 
-    /** Names of all poolers with entries, in order. */
+    /** Names of all poolers with entries, sorted. */
     public List<String> poolers() {
         return List.copyOf(entriesByPooler.keySet());
     }
 
-    /** Breaks of the entries' chains, each in words. */
+    /** Descriptions of the breaks in the entries' chains, one for each broken incarnation. */
     public List<String> chainBreaks() {
         List<String> breaks = new ArrayList<>();
         incarnations().forEach(incarnation -> {
@@ -110,13 +110,13 @@
         return breaks;
     }
 
-    /** All that a pooler may have acted on, in order. */
+    /** All periods in which a pooler may have acted on a version, by incarnation. */
     public List<VersionSpan> spansOf(String pooler) {
         List<VersionSpan> spans = new ArrayList<>();
         TreeMap<Long, List<AuditEntry>> incarnations = entriesByPooler.getOrDefault(pooler, new TreeMap<>());
         incarnations.forEach((started, entries) -> {
             Replay replay = new Replay(spans);
-            entries.forEach(replay::take);
+            entries.forEach(replay::apply);
             replay.finish(nextStart(incarnations, started));
         });
         return spans;
@@ -139,47 +139,47 @@
     /** Replays the entries of one incarnation and collects the spans. */
     private static final class Replay {
         private final List<VersionSpan> spans;
-        private final List<VersionSpan> open = new ArrayList<>();
+        private final List<VersionSpan> openSpans = new ArrayList<>();
         private boolean fenced;
 
         Replay(List<VersionSpan> spans) {
             this.spans = spans;
         }
 
-        void take(AuditEntry entry) {
+        void apply(AuditEntry entry) {
             switch (entry.event()) {
-                case ADOPTED -> open.add(VersionSpan.adopted(entry));
+                case ADOPTED -> openSpans.add(VersionSpan.adopted(entry));
                 case CEASED_OTHERS -> ceaseOthers(entry);
                 case FENCED -> fence(entry, "fenced");
                 case ENDED -> fence(entry, "ended");
                 case RETURNED -> {
                     fenced = false;
-                    open.replaceAll(span -> span.startingAt(earliest(entry)));
+                    openSpans.replaceAll(span -> span.startingAt(earliest(entry)));
                 }
                 default -> {
-                    // What it acts on stays.
+                    // The other events do not change which version is acted on.
                 }
             }
         }
 
         private void ceaseOthers(AuditEntry entry) {
             VersionSpan current = null;
-            for (VersionSpan span : open) {
+            for (VersionSpan span : openSpans) {
                 if (span.version().equals(entry.version())) {
                     current = current == null ? span : current;
                 } else if (!fenced) {
                     spans.add(span.endingAt(latest(entry), true, "took up " + entry.version()));
                 }
             }
-            open.clear();
+            openSpans.clear();
             if (current != null) {
-                open.add(current);
+                openSpans.add(current);
             }
         }
 
         private void fence(AuditEntry entry, String reason) {
             if (!fenced) {
-                open.forEach(span -> spans.add(span.endingAt(latest(entry), true, reason)));
+                openSpans.forEach(span -> spans.add(span.endingAt(latest(entry), true, reason)));
             }
             fenced = true;
         }
@@ -189,12 +189,12 @@
                 String reason = nextStartMicros == OPEN_END_MICROS
                         ? "no entry since"
                         : "its next process started; when this one ended is not known";
-                open.forEach(span -> spans.add(span.endingAt(nextStartMicros, false, reason)));
+                openSpans.forEach(span -> spans.add(span.endingAt(nextStartMicros, false, reason)));
             }
         }
     }
 
-    /** For each pooler, what it may have acted on at a time. */
+    /** For each pooler, the versions that it may have acted on at a point in time. */
     public List<Coverage> coverageAt(long micros) {
         return entriesByPooler.keySet().stream()
                 .map(pooler -> coverage(pooler, micros))
@@ -230,11 +230,11 @@
                 .orElse(null);
     }
 
-    /** All spans, of all poolers, under a version or one whose name begins so. */
-    public List<VersionSpan> spansUnder(String version) {
+    /** Spans of all poolers under the versions whose name starts with a prefix. */
+    public List<VersionSpan> spansUnder(String versionPrefix) {
         return entriesByPooler.keySet().stream()
                 .flatMap(pooler -> spansOf(pooler).stream())
-                .filter(span -> span.version().startsWith(version))
+                .filter(span -> span.version().startsWith(versionPrefix))
                 .toList();
     }
 }
--- a/audit/src/main/java/lupinvalve/audit/AuditJournal.java
+++ b/audit/src/main/java/lupinvalve/audit/AuditJournal.java
@@ -4,11 +4,12 @@
 import java.util.List;
 
 /**
- * The audit entries of one incarnation: chains them, bounds their number, and tells which are to be delivered to the
- * group. No I/O: the caller forces what {@link #add} returns to disk before it acts on it. Not thread-safe.
+ * The audit entries of one incarnation: chains them by digest, limits their number, and selects those that must be
+ * delivered to the group. No I/O: the caller writes and fsyncs the entries that {@link #add} returns before it acts on
+ * the event. Not thread-safe.
  */
 public final class AuditJournal {
-    /** Entries retained at most; beyond it the older half is replaced by a summary. */
+    /** Maximum number of retained entries; beyond it the older half is replaced by a summary. */
     static final int MAX_ENTRIES = 4_000;
 
     private final String pooler;
@@ -19,14 +20,14 @@
     private String lastDigest = "";
     private long deliveredNumber;
 
-    /** @param errorMicros by how much the pooler's clock may be off */
+    /** @param errorMicros maximum error of the pooler's clock */
     public AuditJournal(String pooler, long incarnation, long errorMicros) {
         this.pooler = pooler;
         this.incarnation = incarnation;
         this.errorMicros = errorMicros;
     }
 
-    /** Notes an event; returns the entries to be written: this one, and a summary before it where some were dropped. */
+    /** Records an event; returns the entries to write: a summary if older entries were dropped, then the new one. */
     public List<AuditEntry> add(AuditEntry.Event event, String version, long index, long atMicros, String reason) {
         List<AuditEntry> added = new ArrayList<>();
         if (retained.size() >= MAX_ENTRIES) {
@@ -57,20 +58,20 @@
         return entry;
     }
 
-    /** The first entries that the group does not have yet, {@code max} at most. */
-    public List<AuditEntry> undelivered(int max) {
+    /** The oldest entries that were not delivered to the group, at most {@code maxCount}. */
+    public List<AuditEntry> undelivered(int maxCount) {
         return retained.stream()
                 .filter(entry -> entry.number() > deliveredNumber)
-                .limit(max)
+                .limit(maxCount)
                 .toList();
     }
 
-    /** The group has all entries up to a number. */
-    public void markDelivered(long upTo) {
-        deliveredNumber = Math.max(deliveredNumber, upTo);
+    /** Records that the group has all entries up to a number. */
+    public void markDelivered(long lastDeliveredNumber) {
+        deliveredNumber = Math.max(deliveredNumber, lastDeliveredNumber);
     }
 
-    /** Why entries of one incarnation, in the order of their numbers, are not one chain, or null. */
+    /** Describes the first break in the chain of one incarnation's entries, sorted by number; null if there is none. */
     public static String chainBreak(List<AuditEntry> entries) {
         AuditEntry previous = null;
         for (AuditEntry entry : entries) {
--- a/audit/src/main/java/lupinvalve/audit/LeaseManager.java
+++ b/audit/src/main/java/lupinvalve/audit/LeaseManager.java
@@ -8,36 +8,36 @@
 import java.util.TreeMap;
 
 /**
- * The leader's side of leases: who may act, and on which log entries. A strict change is done once each pooler acts on
- * it or its lease has ended. A pooler that stays behind one is excluded: it gets no lease, with the reason; a minority
- * at most, as a quorum has committed the change. Lasts for one term. No I/O, not thread-safe; times are of the leader's
- * monotonic clock.
+ * The leader's side of leases: which poolers may act, and which log index they must have applied. A strict change is
+ * done once each pooler either has applied it or has no valid lease. A pooler that lags behind a strict change is
+ * excluded: its requests are denied with the reason. At most a minority can be excluded, as a quorum has committed the
+ * change. An instance serves for one term. No I/O, not thread-safe; times are of the leader's monotonic clock.
  */
 public final class LeaseManager {
-    /** How long a pooler may take to act on a strict change before it gets no further lease. */
+    /** Time that a pooler has to apply a strict change before its lease is no longer renewed. */
     public static final long CATCH_UP_MICROS = 500_000;
-    /** An excluded pooler gets a lease again once it has kept up for so long; doubled with each exclusion. */
+    /** An excluded pooler must keep up for this long before it gets a lease again; doubles with each exclusion. */
     private static final long READMISSION_MICROS = 300_000;
 
     private static final long MAX_READMISSION_MICROS = 5_000_000;
     private static final int MAX_READMISSION_DOUBLINGS = 10;
 
-    /** Before any time of the clock; differences to it don't overflow. */
-    private static final long LONG_AGO_MICROS = Long.MIN_VALUE / 2;
+    /** Earlier than any time of the clock, but differences to it don't overflow. */
+    private static final long DISTANT_PAST_MICROS = Long.MIN_VALUE / 2;
 
-    /** What is known of one pooler. */
+    /** The state of one pooler. */
     private static final class Holder {
         long untilMicros;
-        /** Up to which log entry it acts. */
+        /** Log index up to which the pooler has applied changes. */
         long activeIndex;
-        /** Up to which those act that hold a lease of it. */
-        long followersIndex;
-        /** Why it is excluded, or empty. */
+        /** Log index up to which all holders of a lease granted by this pooler have applied changes. */
+        long subscribersIndex;
+        /** Why the pooler is excluded, or empty. */
         String excludedReason = "";
 
         int exclusionCount;
-        boolean keepsUp;
-        long keepsUpSinceMicros;
+        boolean caughtUp;
+        long caughtUpSinceMicros;
 
         boolean isExcluded() {
             return !excludedReason.isEmpty();
@@ -52,38 +52,42 @@
     /**
      * The answer to a request for a lease.
      *
-     * @param durationMicros 0 where it was not granted
-     * @param reason why it was not granted, or empty
+     * @param durationMicros for which it is granted; 0 if it is denied
+     * @param reason why it is denied, or empty
      */
     public record Renewal(long durationMicros, String reason) {
-        private static Renewal rejected(String reason) {
+        private static Renewal denied(String reason) {
             return new Renewal(0, reason);
         }
     }
 
     private final Map<String, Holder> holders = new HashMap<>();
-    /** Until when leases of the leader before may be valid, which nobody here knows of. */
+    /** Latest end of leases that the previous leader may have granted; this leader has no record of them. */
     private final long earlierLeasesUntilMicros;
 
     private long requiredIndex;
-    private long requiredSinceMicros = LONG_AGO_MICROS;
+    private long requiredSinceMicros = DISTANT_PAST_MICROS;
 
     /**
-     * From when this member leads on.
+     * Creates the manager when this member becomes the leader.
      *
-     * @param committedIndex the last change that a leader before may have called done: nobody gets a lease for less
+     * @param committedIndex the last change that a previous leader may have reported as done: a pooler that has not
+     *     applied it gets no lease
      */
     public LeaseManager(long nowMicros, long committedIndex) {
-        earlierLeasesUntilMicros = nowMicros + withDrift(Lease.DURATION_MICROS);
+        earlierLeasesUntilMicros = nowMicros + withMaxDrift(Lease.DURATION_MICROS);
         requiredIndex = committedIndex;
     }
 
-    /** How long a lease may last by this clock. */
-    private static long withDrift(long durationMicros) {
+    /** The longest time that a lease of this duration may last by the leader's clock. */
+    private static long withMaxDrift(long durationMicros) {
         return (long) (durationMicros * (1 + Lease.MAX_CLOCK_DRIFT_RATIO)) + 1;
     }
 
-    /** A strict change was committed: a pooler that acts on less gets no lease once it had time to catch up. */
+    /**
+     * Records a committed strict change: a pooler that has not applied it within {@link #CATCH_UP_MICROS} gets no
+     * lease.
+     */
     public void requireIndex(long index, long nowMicros) {
         if (index > requiredIndex) {
             requiredIndex = index;
@@ -92,40 +96,40 @@
     }
 
     /**
-     * A pooler requests a lease.
+     * Handles a pooler's request for a lease.
      *
-     * @param activeIndex up to which log entry it acts
-     * @param objection why it can't act on more, or empty
+     * @param activeIndex log index up to which the pooler has applied changes
+     * @param objection why it can't apply more, or empty
      */
     public Renewal renew(String pooler, long activeIndex, String objection, long nowMicros) {
         return renew(pooler, activeIndex, objection, Long.MAX_VALUE, nowMicros);
     }
 
     /**
-     * The same for a pooler that has subscribers.
+     * Handles a request for a lease by a pooler that has subscribers.
      *
-     * @param followersIndex up to which log entry those act that hold a lease of its own; they are waited for, and
-     *     don't exclude it
+     * @param subscribersIndex log index up to which all holders of a lease granted by the pooler have applied changes;
+     *     a strict change waits for them, but their lag does not exclude the pooler
      */
-    public Renewal renew(String pooler, long activeIndex, String objection, long followersIndex, long nowMicros) {
+    public Renewal renew(String pooler, long activeIndex, String objection, long subscribersIndex, long nowMicros) {
         Holder holder = holders.computeIfAbsent(pooler, name -> new Holder());
         holder.activeIndex = activeIndex;
-        holder.followersIndex = followersIndex;
+        holder.subscribersIndex = subscribersIndex;
         if (isBehind(holder, objection, nowMicros)) {
             return exclude(holder, objection, nowMicros);
         }
         if (holder.isExcluded()) {
-            if (!mayReturn(holder, nowMicros)) {
-                return Renewal.rejected("was shut out (" + holder.excludedReason + ") and is watched for a while");
+            if (!isReadmissionDue(holder, nowMicros)) {
+                return Renewal.denied("was shut out (" + holder.excludedReason + ") and is watched for a while");
             }
             holder.excludedReason = "";
         }
-        holder.untilMicros = Math.max(holder.untilMicros, nowMicros + withDrift(Lease.DURATION_MICROS));
+        holder.untilMicros = Math.max(holder.untilMicros, nowMicros + withMaxDrift(Lease.DURATION_MICROS));
         return new Renewal(Lease.DURATION_MICROS, "");
     }
 
     private boolean isBehind(Holder holder, String objection, long nowMicros) {
-        // One without a lease may have been left out already when the change was called done.
+        // A pooler without a valid lease may already have been disregarded when the change was reported as done.
         return holder.activeIndex < requiredIndex
                 && (nowMicros - requiredSinceMicros > CATCH_UP_MICROS
                         || !objection.isEmpty()
@@ -133,44 +137,44 @@
     }
 
     private Renewal exclude(Holder holder, String objection, long nowMicros) {
-        // One that has just started had no lease of late: it comes up to date, which is no exclusion to count.
+        // A pooler that has just started had no recent lease: it is catching up, which does not count as an exclusion.
         if (!holder.isExcluded() && holder.untilMicros > nowMicros - Lease.DURATION_MICROS) {
             holder.exclusionCount++;
         }
         holder.excludedReason = objection.isEmpty()
                 ? "acts on change " + holder.activeIndex + ", " + requiredIndex + " is wanted"
                 : objection;
-        holder.keepsUp = false;
-        return Renewal.rejected(holder.excludedReason);
+        holder.caughtUp = false;
+        return Renewal.denied(holder.excludedReason);
     }
 
-    /** Guards against a pooler that keeps up for a moment again and again. */
-    private static boolean mayReturn(Holder holder, long nowMicros) {
-        if (!holder.keepsUp) {
-            holder.keepsUp = true;
-            holder.keepsUpSinceMicros = nowMicros;
+    /** Keeps a pooler excluded that has repeatedly caught up for a short time only. */
+    private static boolean isReadmissionDue(Holder holder, long nowMicros) {
+        if (!holder.caughtUp) {
+            holder.caughtUp = true;
+            holder.caughtUpSinceMicros = nowMicros;
         }
-        return holder.exclusionCount == 0 || nowMicros - holder.keepsUpSinceMicros >= holder.readmissionMicros();
+        return holder.exclusionCount == 0 || nowMicros - holder.caughtUpSinceMicros >= holder.readmissionMicros();
     }
 
     private boolean mayAct(Holder holder, long nowMicros) {
         return nowMicros < Math.max(earlierLeasesUntilMicros, holder == null ? 0 : holder.untilMicros);
     }
 
-    /** The poolers that must be waited for before a change is done: those that may act on less. */
+    /** The poolers that a change waits for: those that may act and may not have applied it. */
     public List<String> pendingPoolers(long index, Collection<String> poolers, long nowMicros) {
         List<String> pending = new ArrayList<>();
         for (String pooler : poolers) {
             Holder holder = holders.get(pooler);
             if (mayAct(holder, nowMicros)
-                    && (holder == null || Math.min(holder.activeIndex, holder.followersIndex) < index)) {
+                    && (holder == null || Math.min(holder.activeIndex, holder.subscribersIndex) < index)) {
                 pending.add(pooler);
             }
         }
         return pending;
     }
 
-    /** The poolers that may not act now, each with the reason. */
+    /** The poolers that may not act now, with the reason for each. */
     public Map<String, String> excludedPoolers(Collection<String> poolers, long nowMicros) {
         Map<String, String> reasons = new TreeMap<>();
         for (String pooler : poolers) {
--- a/audit/src/main/java/lupinvalve/audit/package-info.java
+++ b/audit/src/main/java/lupinvalve/audit/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Which pooler may act on which configuration, and which one did: leases, and audit entries with what follows from
- * them. No I/O, threads or clocks: times are arguments.
+ * Leases, which decide which pooler may act on which configuration, and audit entries, which record which pooler acted
+ * on which one and when. No I/O, threads or clocks: callers pass the time as an argument.
  */
 package lupinvalve.audit;
--- a/audit/src/test/java/lupinvalve/audit/AuditEntryTest.java
+++ b/audit/src/test/java/lupinvalve/audit/AuditEntryTest.java
@@ -12,21 +12,21 @@
 class AuditEntryTest {
     private static final AuditEntry ENTRY = new AuditEntry(
             "p-1", 1_000_000, 2, AuditEntry.Event.FENCED, "7-ab", 41, 2_000_000, 20_000, "lease ended", "00ff");
-    /** As released versions have stored and sent it. */
+    /** The encoding of {@link #ENTRY} that released versions have stored and sent. */
     private static final byte[] STORED = HexFormat.of()
             .parseHex("63702d311a000f4240020764372d616218291a001e8480194e206b6c6561736520656e6465646430306666");
 
     @Test
-    void anEntryIsEncodedAndDecodedAsEver() throws IOException {
+    void entriesKeepTheirEncoding() throws IOException {
         assertEquals(HexFormat.of().formatHex(STORED), HexFormat.of().formatHex(ENTRY.encode()));
         assertEquals(ENTRY, AuditEntry.decode(STORED));
         assertEquals("8bb3ea3b190f01d20f3be758278848c0", ENTRY.digest());
     }
 
     @Test
-    void anErrorSaysWhichValueIsWrong() {
+    void decodingErrorsIdentifyTheInvalidValue() {
         byte[] damaged = STORED.clone();
-        // The number of the event becomes a truth value.
+        // Replaces the integer of the event by a boolean.
         damaged[10] = (byte) 0xf5;
         String message = assertThrows(DecodingException.class, () -> AuditEntry.decode(damaged))
                 .getMessage();
--- a/audit/src/test/java/lupinvalve/audit/AuditHistoryTest.java
+++ b/audit/src/test/java/lupinvalve/audit/AuditHistoryTest.java
@@ -14,9 +14,9 @@
     private static final long SECOND_MICROS = 1_000_000;
     private final List<AuditEntry> entries = new ArrayList<>();
 
-    private void incarnation(String pooler, long start, Object... events) {
-        AuditJournal journal = new AuditJournal(pooler, start, 0);
-        entries.addAll(journal.add(AuditEntry.Event.STARTED, "", 0, start, ""));
+    private void addIncarnation(String pooler, long startMicros, Object... events) {
+        AuditJournal journal = new AuditJournal(pooler, startMicros, 0);
+        entries.addAll(journal.add(AuditEntry.Event.STARTED, "", 0, startMicros, ""));
         for (int i = 0; i < events.length; i += 3) {
             entries.addAll(journal.add(
                     (AuditEntry.Event) events[i],
@@ -27,7 +27,7 @@
         }
     }
 
-    private static String text(AuditHistory.VersionSpan span) {
+    private static String describe(AuditHistory.VersionSpan span) {
         return span.version() + " " + span.fromMicros() / SECOND_MICROS + "-"
                 + (span.toMicros() == AuditHistory.OPEN_END_MICROS ? "?" : span.toMicros() / SECOND_MICROS)
                 + (span.ended() ? "" : "?");
@@ -35,12 +35,12 @@
 
     private List<String> spans(String pooler) {
         return new AuditHistory(entries)
-                .spansOf(pooler).stream().map(AuditHistoryTest::text).toList();
+                .spansOf(pooler).stream().map(AuditHistoryTest::describe).toList();
     }
 
     @Test
-    void oldAndNewMayBothBeActedOnBetweenTheTwoEntries() {
-        incarnation(
+    void bothVersionsMayBeInUseBetweenAdoptionAndTheEndOfTheOldOne() {
+        addIncarnation(
                 "p",
                 0,
                 AuditEntry.Event.ADOPTED,
@@ -68,8 +68,8 @@
     }
 
     @Test
-    void aFencedPoolerActsOnNothingUntilItReturns() {
-        incarnation(
+    void aFencedPoolerActsOnNoVersionUntilItsLeaseReturns() {
+        addIncarnation(
                 "p",
                 0,
                 AuditEntry.Event.ADOPTED,
@@ -100,8 +100,8 @@
     }
 
     @Test
-    void coverageOfADeadPoolerEndsWithItsLastEntry() {
-        incarnation("p", 0, AuditEntry.Event.ADOPTED, "1-a", 1, AuditEntry.Event.CEASED_OTHERS, "1-a", 1);
+    void coverageOfAFailedPoolerEndsAfterItsLastEntry() {
+        addIncarnation("p", 0, AuditEntry.Event.ADOPTED, "1-a", 1, AuditEntry.Event.CEASED_OTHERS, "1-a", 1);
         assertEquals(List.of("1-a 1-??"), spans("p"));
         AuditHistory history = new AuditHistory(entries);
         assertTrue(history.coverageAt(2 * SECOND_MICROS).get(0).certain());
@@ -110,14 +110,14 @@
                 "no entry since " + SECOND_MICROS + " us",
                 history.coverageAt(60 * SECOND_MICROS).get(0).reason());
         assertEquals(
-                List.of("1-a"), history.coverageAt(60 * SECOND_MICROS).get(0).versions(), "it may have");
-        incarnation("p", 30 * SECOND_MICROS, AuditEntry.Event.ADOPTED, "2-b", 31);
-        assertEquals(List.of("1-a 1-30?", "2-b 31-??"), spans("p"), "its next process ends what it may have done");
+                List.of("1-a"), history.coverageAt(60 * SECOND_MICROS).get(0).versions(), "it may still act on it");
+        addIncarnation("p", 30 * SECOND_MICROS, AuditEntry.Event.ADOPTED, "2-b", 31);
+        assertEquals(List.of("1-a 1-30?", "2-b 31-??"), spans("p"), "the start of the next process ends the span");
     }
 
     @Test
-    void entriesComeInAnyOrderAndTwiceAndOneThatIsMissingOrChangedShows() throws IOException {
-        incarnation(
+    void orderAndDuplicatesDoNotMatterButMissingAndModifiedEntriesAreDetected() throws IOException {
+        addIncarnation(
                 "p",
                 0,
                 AuditEntry.Event.ADOPTED,
@@ -129,23 +129,23 @@
                 AuditEntry.Event.ADOPTED,
                 "2-b",
                 3);
-        List<AuditEntry> whole = List.copyOf(entries);
+        List<AuditEntry> complete = List.copyOf(entries);
         java.util.Collections.reverse(entries);
-        entries.addAll(whole);
+        entries.addAll(complete);
         assertEquals(List.of(), new AuditHistory(entries).chainBreaks());
-        AuditEntry second = whole.get(1);
+        AuditEntry second = complete.get(1);
         assertEquals(second, AuditEntry.decode(second.encode()));
-        List<AuditEntry> missing = new ArrayList<>(whole);
+        List<AuditEntry> missing = new ArrayList<>(complete);
         missing.remove(second);
         assertEquals(List.of("p's entries 2 to 2 are missing"), new AuditHistory(missing).chainBreaks());
-        List<AuditEntry> changed = new ArrayList<>(missing);
-        changed.add(new AuditEntry(
+        List<AuditEntry> modified = new ArrayList<>(missing);
+        modified.add(new AuditEntry(
                 "p", 0, 2, second.event(), "9-z", second.index(), second.atMicros(), 0, "", second.previousDigest()));
-        assertEquals(List.of("p's entry 3 does not follow from 2"), new AuditHistory(changed).chainBreaks());
+        assertEquals(List.of("p's entry 3 does not follow from 2"), new AuditHistory(modified).chainBreaks());
     }
 
     @Test
-    void entriesDroppedAtTheBoundAreSummedUp() {
+    void entriesDroppedAtTheLimitAreSummarized() {
         AuditJournal journal = new AuditJournal("p", 1, 0);
         List<AuditEntry> all = new ArrayList<>();
         for (int i = 0; i <= AuditJournal.MAX_ENTRIES; i++) {
--- a/statemachine/src/main/java/lupinvalve/statemachine/ActiveConfiguration.java
+++ b/statemachine/src/main/java/lupinvalve/statemachine/ActiveConfiguration.java
@@ -1,20 +1,20 @@
 package lupinvalve.statemachine;
 
 /**
- * Decides which configuration a pooler acts on: the last committed one that this version can read. Without a quorum it
- * keeps that one, and says so. Not thread-safe; times are of one monotonic clock.
+ * Decides which configuration a pooler uses: the last committed one that this version can read. Without a quorum, that
+ * one stays active and the loss of the quorum is reported. Not thread-safe; times are of one monotonic clock.
  */
 public final class ActiveConfiguration {
-    /** Elections take less: a shorter gap is no loss of the quorum. */
+    /** Longer than an election takes: a shorter gap does not count as a loss of the quorum. */
     static final long QUORUM_LOSS_GRACE_MICROS = 3_000_000;
 
-    /** What is to be done about a committed configuration. */
+    /** What must be done with a committed configuration. */
     public enum Verdict {
-        /** It is the active one from now on. */
+        /** It has become the active one. */
         ACTIVATE,
-        /** It is the active one already, or an older one. */
+        /** It is already active, or older than the active one. */
         NOT_NEWER,
-        /** This version can't act on it; the active one stays. */
+        /** This version can't use it; the active one stays active. */
         UNREADABLE
     }
 
@@ -23,15 +23,15 @@
     private long lastContactMicros;
     private boolean quorumLost;
 
-    /** @param nowMicros the start, which counts as contact with the quorum */
+    /** @param nowMicros the start time, which counts as contact with the quorum */
     public ActiveConfiguration(long nowMicros) {
         lastContactMicros = nowMicros;
     }
 
     /**
-     * A configuration has been committed.
+     * Handles a committed configuration.
      *
-     * @param objection why this version can't act on it, or null
+     * @param objection why this version can't use it, or null if it can
      */
     public Verdict onCommitted(ReplicatedState.Document document, String objection) {
         if (active != null && document.index() <= active.index()) {
@@ -46,25 +46,25 @@
         return Verdict.ACTIVATE;
     }
 
-    /** Undoes an activation that could not be noted in the audit: the one before, or none, is active again. */
-    public void revertTo(ReplicatedState.Document before) {
-        active = before;
+    /** Undoes an activation that could not be recorded in the audit: the previous one, or none, is active again. */
+    public void revertTo(ReplicatedState.Document previous) {
+        active = previous;
     }
 
-    /** The configuration that is acted on, or null. */
+    /** The active configuration, or null. */
     public ReplicatedState.Document active() {
         return active;
     }
 
     /**
-     * Takes whether a quorum is in reach now.
+     * Records whether a quorum is reachable now.
      *
-     * @return a line for the log where {@link #isQuorumLost} has changed, else null
+     * @return the line to log if {@link #isQuorumLost} has changed, else null
      */
-    public String onQuorumContact(boolean inReach, long nowMicros) {
-        if (inReach) {
+    public String onQuorumContact(boolean reachable, long nowMicros) {
+        if (reachable) {
             lastContactMicros = nowMicros;
-            String line = quorumLost ? "quorum in reach again" : null;
+            String line = quorumLost ? "quorum reachable again" : null;
             quorumLost = false;
             return line;
         }
@@ -75,7 +75,7 @@
         return "quorum lost: " + describe();
     }
 
-    /** The active configuration in words, for logs and operators. */
+    /** Describes the active configuration, for logs and status answers to operators. */
     public String describe() {
         String serving = active == null
                 ? "no configuration was accepted yet; what needs one is not served"
@@ -83,12 +83,12 @@
         return unreadableReason == null ? serving : serving + "; " + unreadableReason;
     }
 
-    /** Why the newest committed configuration can't be acted on, or empty. */
+    /** Why the newest committed configuration can't be used, or empty. */
     public String unreadableReason() {
         return unreadableReason == null ? "" : unreadableReason;
     }
 
-    /** Whether no quorum has been in reach for longer than an election takes. */
+    /** Whether no quorum has been reachable for longer than an election takes. */
     public boolean isQuorumLost() {
         return quorumLost;
     }
--- a/statemachine/src/main/java/lupinvalve/statemachine/Cbor.java
+++ b/statemachine/src/main/java/lupinvalve/statemachine/Cbor.java
@@ -8,7 +8,7 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 
-/** Codec for CBOR sequences (RFC 8949, RFC 8742), the form of values in files and on the wire. */
+/** Codec for CBOR sequences (RFC 8949, RFC 8742), the encoding of values in files and on the wire. */
 public final class Cbor {
     private static final CBORFactory FACTORY = new CBORFactory();
 
@@ -28,14 +28,14 @@
             }
         }
 
-        private interface Write {
+        private interface WriteAction {
             void run() throws IOException;
         }
 
-        /** A failed write to memory is a fault of the program. */
-        private Writer write(Write write) {
+        /** Runs a write; as it goes to memory, an {@link IOException} can only be a programming error. */
+        private Writer write(WriteAction action) {
             try {
-                write.run();
+                action.run();
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
@@ -70,14 +70,14 @@
     }
 
     /**
-     * Reads a sequence value by value. Not thread-safe. Each method throws {@link DecodingException} where the next
-     * value is of another kind or missing, and another {@link IOException} where the bytes are no CBOR.
+     * Reads a sequence value by value. Not thread-safe. Each method throws {@link DecodingException} if the next value
+     * is of another type or missing, and another {@link IOException} if the bytes are not CBOR.
      */
     public static final class Reader {
         private final CBORParser parser;
         private int valueNumber;
 
-        /** Starts before the first value. */
+        /** Starts at the first value. */
         public Reader(byte[] bytes) throws IOException {
             parser = FACTORY.createParser(bytes);
         }
@@ -98,18 +98,18 @@
             return problem(token + " in place of " + expected);
         }
 
-        private DecodingException problem(String what) {
+        private DecodingException problem(String description) {
             return new DecodingException(
-                    what, valueNumber, parser.currentLocation().getByteOffset());
+                    description, valueNumber, parser.currentLocation().getByteOffset());
         }
 
-        /** An integer. */
+        /** Reads an integer. */
         public long number() throws IOException {
             expect(JsonToken.VALUE_NUMBER_INT);
             return parser.getLongValue();
         }
 
-        /** The number of items that follow, or an ordinal; throws also where it is negative or above {@code max}. */
+        /** Reads a count of items or an ordinal; also throws if it is negative or above {@code max}. */
         public int count(int max) throws IOException {
             long count = number();
             if (count < 0 || count > max) {
@@ -118,19 +118,19 @@
             return (int) count;
         }
 
-        /** A string. */
+        /** Reads a string. */
         public String text() throws IOException {
             expect(JsonToken.VALUE_STRING);
             return parser.getText();
         }
 
-        /** A byte string. */
+        /** Reads a byte string. */
         public byte[] bytes() throws IOException {
             expect(JsonToken.VALUE_EMBEDDED_OBJECT);
             return parser.getBinaryValue();
         }
 
-        /** A boolean. */
+        /** Reads a boolean. */
         public boolean flag() throws IOException {
             JsonToken token = next();
             if (token != JsonToken.VALUE_TRUE && token != JsonToken.VALUE_FALSE) {
@@ -139,7 +139,7 @@
             return token == JsonToken.VALUE_TRUE;
         }
 
-        /** A byte string, or an empty array at the end of the sequence. */
+        /** Reads a byte string; returns an empty array at the end of the sequence. */
         public byte[] bytesOrEmpty() throws IOException {
             JsonToken token = next();
             if (token != null && token != JsonToken.VALUE_EMBEDDED_OBJECT) {
@@ -148,7 +148,7 @@
             return token == null ? new byte[0] : parser.getBinaryValue();
         }
 
-        /** Whether the sequence has ended; otherwise one value is skipped. */
+        /** Whether the sequence has ended; skips one value if it has not. */
         public boolean atEnd() throws IOException {
             return next() == null;
         }
--- a/statemachine/src/main/java/lupinvalve/statemachine/ClusterBootstrap.java
+++ b/statemachine/src/main/java/lupinvalve/statemachine/ClusterBootstrap.java
@@ -8,23 +8,24 @@
 import java.util.TreeSet;
 
 /**
- * Decides when a group is bootstrapped, and with which disks. All founders must be connected at once, each binds itself
- * to the same set of disks, and only when all have announced that they are bound does the group exist. A member that
- * comes later, or again with another disk, joins only once the group's members have agreed to it. Not thread-safe.
+ * Decides when a group is bootstrapped, and with which disks. All founders must be connected at the same time, each
+ * binds itself to the same set of disks, and the group exists only once all of them have announced that they are bound.
+ * A member that connects later, or returns with another disk, joins only once the group's members have agreed to it.
+ * Not thread-safe.
  *
- * <p>Guards against two groups under one name, and against a founder that comes back with an empty disk while the
- * others remember it: in neither case may there be a second first log entry.
+ * <p>Prevents two groups with the same name, and a second bootstrap by a founder that returns with an empty disk while
+ * the others still have a record of its old one: either could create two different first log entries.
  */
 public final class ClusterBootstrap {
-    /** How far a member's bootstrap is. Stored and sent by ordinal: the order must not change. */
+    /** State of a member's bootstrap. Stored and sent by ordinal: the order must not change. */
     public enum Phase {
-        /** Bound to no set of founders. */
+        /** Not bound to a set of founders. */
         UNBOUND("alone"),
-        /** Bound to one set of founders, and to no other from then on. */
+        /** Bound to one set of founders; it can never be bound to another one. */
         BOUND("bound"),
-        /** A founder of the group that exists. */
+        /** A founder of the existing group. */
         BOOTSTRAPPED("founded"),
-        /** No founder: a member only once the group's members have agreed to it. */
+        /** Not a founder: becomes a member only once the group's members have agreed to it. */
         JOINING("newcomer");
 
         private final String statusName;
@@ -33,16 +34,16 @@
             this.statusName = statusName;
         }
 
-        /** The name in operators' status answers. */
+        /** The name in status answers to operators. */
         public String statusName() {
             return statusName;
         }
     }
 
     /**
-     * What a member announces of itself; it must be on its disk before it is sent.
+     * A member's announcement of its bootstrap state; it must be on the member's disk before it is sent.
      *
-     * @param founders the set that it is bound to, or that founded the group; empty while unbound
+     * @param founders the set that the member is bound to, or the founders of the group; empty while unbound
      */
     public record Announcement(MemberId member, Phase phase, Set<MemberId> founders) {
         /** Copies the set. */
@@ -50,13 +51,13 @@
             founders = Collections.unmodifiableSet(new TreeSet<>(founders));
         }
 
-        /** Appends it to a sequence. */
+        /** Appends this announcement to a sequence. */
         public void write(Cbor.Writer out) {
             out.text(member.name()).text(member.diskId()).number(phase.ordinal());
             MemberId.writeAll(out, founders);
         }
 
-        /** Reads what {@link #write} has written. */
+        /** Reads an announcement that {@link #write} has written. */
         public static Announcement read(Cbor.Reader in) throws IOException {
             return new Announcement(
                     new MemberId(in.text(), in.text()),
@@ -64,12 +65,12 @@
                     MemberId.readAll(in));
         }
 
-        private boolean isOfGroup() {
+        private boolean knowsGroup() {
             return phase == Phase.BOOTSTRAPPED || phase == Phase.JOINING;
         }
 
-        private boolean isBoundTo(Set<MemberId> set) {
-            return phase == Phase.BOUND && founders.equals(set);
+        private boolean isBoundTo(Set<MemberId> founderSet) {
+            return phase == Phase.BOUND && founders.equals(founderSet);
         }
     }
 
@@ -80,9 +81,9 @@
     private Announcement own;
 
     /**
-     * Starts from what this member's disk says.
+     * Starts from the announcement on this member's disk.
      *
-     * @param founderNames the members of the configuration file
+     * @param founderNames names of the members in the configuration file
      */
     public ClusterBootstrap(Announcement own, Set<String> founderNames) {
         this.own = own;
@@ -90,23 +91,23 @@
         decide();
     }
 
-    /** What this member is to announce now. */
+    /** The announcement that this member must send now. */
     public Announcement own() {
         return own;
     }
 
-    /** Takes another member's announcement; {@link #own} may have changed then. */
+    /** Handles another member's announcement; {@link #own} may change. */
     public void onAnnouncement(Announcement announcement) {
         announcements.put(announcement.member().name(), announcement);
         decide();
     }
 
-    /** Forgets another member's announcement as its connection ends: it may be outdated. */
+    /** Discards another member's announcement when its connection ends, as it may be outdated. */
     public void onDisconnected(String name) {
         announcements.remove(name);
     }
 
-    /** Why the group is not bootstrapped yet, for operators. */
+    /** Why the group is not bootstrapped yet, for status answers to operators. */
     public String pendingReason() {
         Set<String> missing = otherFounders();
         missing.removeAll(announcements.keySet());
@@ -123,19 +124,19 @@
     }
 
     private void decide() {
-        Announcement before;
+        Announcement previous;
         do {
-            before = own;
+            previous = own;
             step();
-        } while (!own.equals(before));
+        } while (!own.equals(previous));
     }
 
     private void step() {
-        if (own.isOfGroup()) {
+        if (own.knowsGroup()) {
             return;
         }
         for (Announcement other : announcements.values()) {
-            if (other.isOfGroup()) {
+            if (other.knowsGroup()) {
                 join(other.founders());
                 return;
             }
@@ -152,7 +153,7 @@
         }
     }
 
-    /** A group exists. It was founded with this disk only if this one is bound to the same set. */
+    /** Handles that a group exists. This member is a founder with this disk only if it is bound to the same set. */
     private void join(Set<MemberId> founders) {
         Phase phase = own.isBoundTo(founders) ? Phase.BOOTSTRAPPED : Phase.JOINING;
         own = new Announcement(own.member(), phase, founders);
@@ -164,7 +165,7 @@
         for (String name : otherFounders()) {
             present.add(announcements.get(name).member());
         }
-        // A member that is bound already can't be bound to another set.
+        // A member that is already bound can't be bound to another set.
         if (announcements.values().stream()
                 .allMatch(other ->
                         other.phase() != Phase.BOUND || other.founders().equals(present))) {
--- a/statemachine/src/main/java/lupinvalve/statemachine/Command.java
+++ b/statemachine/src/main/java/lupinvalve/statemachine/Command.java
@@ -7,11 +7,11 @@
 import lupinvalve.routing.Endpoint;
 
 /**
- * A command of the replicated log: one entry's effect on {@link ReplicatedState}. Immutable. Times are part of the
- * command, since members that apply it later must come to the same state.
+ * A command in the replicated log: the effect of one log entry on {@link ReplicatedState}. Immutable. Times are part of
+ * the command, because members that apply it later must reach the same state.
  */
 public sealed interface Command {
-    /** What operators may drain. Sent by ordinal: the order must not change. */
+    /** What operators may drain. Sent to subscribers by ordinal: the order must not change. */
     enum TargetKind {
         /** A db node. */
         NODE,
@@ -29,10 +29,10 @@
     }
 
     /**
-     * A db node as a pooler last knew it.
+     * A db node with its role, state and log position as a pooler last knew them.
      *
-     * @param addresses by protocol
-     * @param logPosition {@link LogPosition#UNKNOWN} where it is unknown
+     * @param addresses of the db node, by protocol name
+     * @param logPosition {@code LogPosition.UNKNOWN} if it is unknown
      */
     record KnownEndpoint(Endpoint endpoint, Map<String, String> addresses, long logPosition) {
         /** Copies the addresses. */
@@ -45,14 +45,14 @@
     record NoOp() implements Command {}
 
     /**
-     * Replaces the configuration document, if the current one has the expected revision.
+     * Replaces the configuration document if the current one has the expected revision.
      *
-     * @param expectedRevision 0 where there is no document yet
+     * @param expectedRevision 0 if there is no document yet
      */
     record PutDocument(long expectedRevision, byte[] document) implements Command {}
 
     /**
-     * Starts a drain, or changes nothing where one is under way.
+     * Starts a drain; changes nothing if the target is already being drained.
      *
      * @param atMicros Unix time of the operator's call
      */
@@ -62,19 +62,19 @@
     record EndDrain(DrainTarget target) implements Command {}
 
     /**
-     * Sessions' last commits since the last such command of the same pooler.
+     * The last commit of each session that committed since the pooler's previous command of this kind.
      *
      * @param atMicros when the batch was made
      * @param positions log position by session token
      */
     record SessionCommits(long atMicros, Map<String, Long> positions) implements Command {
-        /** Copies the positions, in the order of the sessions. */
+        /** Copies the positions, sorted by session token. */
         public SessionCommits {
             positions = Collections.unmodifiableMap(new TreeMap<>(positions));
         }
     }
 
-    /** The db nodes with roles and log positions; a revision that is not newer changes nothing. */
+    /** The db nodes with roles and log positions; ignored unless its revision is newer than the current one. */
     record EndpointList(long revision, List<KnownEndpoint> endpoints) implements Command {
         /** Copies the endpoints. */
         public EndpointList {
@@ -85,8 +85,8 @@
     /**
      * Audit entries of one incarnation of a pooler; their content is opaque here.
      *
-     * @param incarnation which of the pooler's processes
-     * @param firstNumber of the first entry; the others follow without gaps
+     * @param incarnation identifies one process of the pooler
+     * @param firstNumber number of the first entry; the others are numbered consecutively
      */
     record AppendAudit(String pooler, long incarnation, long firstNumber, List<byte[]> entries) implements Command {
         /** Copies the list. */
@@ -95,6 +95,6 @@
         }
     }
 
-    /** Where the other members reach a member; an empty address removes it. */
+    /** Sets the address at which the other members connect to a member; an empty address removes it. */
     record SetMemberAddress(String member, String address) implements Command {}
 }
--- a/statemachine/src/main/java/lupinvalve/statemachine/CommandCodec.java
+++ b/statemachine/src/main/java/lupinvalve/statemachine/CommandCodec.java
@@ -9,7 +9,7 @@
 import lupinvalve.routing.Endpoint;
 import lupinvalve.routing.EndpointState;
 
-/** Commands as bytes of the log and of the wire: the kind's number, then its fields in a fixed order. */
+/** Codec for commands in the log and on the wire: the number of the kind, then its fields in a fixed order. */
 public final class CommandCodec {
     private static final int NO_OP = 0;
     private static final int PUT_DOCUMENT = 1;
@@ -49,7 +49,7 @@
         return out.toByteArray();
     }
 
-    /** Decodes a command; throws {@link DecodingException} where the bytes are none, or more than one. */
+    /** Decodes a command; throws {@link DecodingException} if the bytes are not exactly one command. */
     public static Command decode(byte[] bytes) throws IOException {
         Cbor.Reader in = new Cbor.Reader(bytes);
         int kind = in.count(MAX_KIND);
@@ -71,7 +71,7 @@
         return command;
     }
 
-    // Parts that snapshots have as well.
+    // The following are also used by SnapshotCodec.
 
     static void writeTarget(Cbor.Writer out, Command.DrainTarget target) {
         out.flag(target.kind() == Command.TargetKind.POOLER).text(target.name());
--- a/statemachine/src/main/java/lupinvalve/statemachine/DecodingException.java
+++ b/statemachine/src/main/java/lupinvalve/statemachine/DecodingException.java
@@ -2,20 +2,21 @@
 
 import java.io.IOException;
 
-/** Bytes from disk or from the network are not what they should be; the message says what, and where if known. */
+/** Bytes from disk or the network that are not valid; the message has the fault and, if known, its position. */
 public final class DecodingException extends IOException {
     private static final long serialVersionUID = 1;
 
-    /** A value that can be read, but must not stand there. */
+    /** For a well-formed value that is not allowed at its place. */
     public DecodingException(String problem) {
         super(problem);
     }
 
     /**
-     * A value that can't be read.
+     * For a value that is malformed, missing or of the wrong type.
      *
-     * @param valueNumber of the value in its sequence, from 1: sequences are positional, so it names the field
-     * @param byteOffset where the value ends
+     * @param valueNumber position of the value in its sequence, from 1; as sequences are positional, it identifies the
+     *     field
+     * @param byteOffset of the end of the value
      */
     DecodingException(String problem, int valueNumber, long byteOffset) {
         super("CBOR value " + valueNumber + ", up to byte " + byteOffset + ": " + problem);
--- a/statemachine/src/main/java/lupinvalve/statemachine/Digests.java
+++ b/statemachine/src/main/java/lupinvalve/statemachine/Digests.java
@@ -8,7 +8,7 @@
 public final class Digests {
     private Digests() {}
 
-    /** The first bytes of the content's SHA-256, in hex. */
+    /** The first {@code byteCount} bytes of the content's SHA-256, in hex. */
     public static String sha256Hex(byte[] content, int byteCount) {
         try {
             return HexFormat.of().formatHex(MessageDigest.getInstance("SHA-256").digest(content), 0, byteCount);
--- a/statemachine/src/main/java/lupinvalve/statemachine/MemberId.java
+++ b/statemachine/src/main/java/lupinvalve/statemachine/MemberId.java
@@ -6,15 +6,15 @@
 import java.util.TreeSet;
 
 /**
- * A member of the group: its name and the disk that holds its log. A member that has lost its disk is another one, so
- * that it can't vote as if it remembered its votes.
+ * A member of the group: its name and the disk that holds its log. A member that has lost its disk has another
+ * identity, so that it can't vote as if it still had a record of its earlier votes.
  *
- * @param diskId drawn when the disk was first used
+ * @param diskId generated when the disk was first used
  */
 public record MemberId(String name, String diskId) implements Comparable<MemberId> {
-    /** Members of a group at most. */
+    /** Maximum number of members in a group. */
     public static final int MAX_MEMBERS = 15;
-    /** Bound of a set that is read. */
+    /** Maximum size of a set that is read. */
     private static final int MAX_SET_SIZE = 4 * MAX_MEMBERS;
 
     @Override
@@ -28,18 +28,18 @@
         return name + "/" + diskId;
     }
 
-    /** Writes a set: its size, then name and disk of each. */
-    public static void writeAll(Cbor.Writer out, Collection<MemberId> all) {
-        out.number(all.size());
-        all.forEach(one -> out.text(one.name).text(one.diskId));
+    /** Writes a set: its size, then each member's name and disk ID. */
+    public static void writeAll(Cbor.Writer out, Collection<MemberId> members) {
+        out.number(members.size());
+        members.forEach(member -> out.text(member.name).text(member.diskId));
     }
 
-    /** Reads what {@link #writeAll} has written. */
+    /** Reads a set that {@link #writeAll} has written. */
     public static Set<MemberId> readAll(Cbor.Reader in) throws IOException {
-        Set<MemberId> all = new TreeSet<>();
+        Set<MemberId> members = new TreeSet<>();
         for (int remaining = in.count(MAX_SET_SIZE); remaining > 0; remaining--) {
-            all.add(new MemberId(in.text(), in.text()));
+            members.add(new MemberId(in.text(), in.text()));
         }
-        return all;
+        return members;
     }
 }
--- a/statemachine/src/main/java/lupinvalve/statemachine/MembershipChange.java
+++ b/statemachine/src/main/java/lupinvalve/statemachine/MembershipChange.java
@@ -5,26 +5,26 @@
 import java.util.TreeSet;
 
 /**
- * Plans an operator's membership change as steps that each keep a quorum: a new member first learns without a vote, and
- * a leader that is to be removed first transfers the leadership. Stateless: each step is planned from the group as it
- * is.
+ * Plans an operator's membership change as steps that each keep a quorum: a new member first replicates the log as a
+ * learner without a vote, and a leader that is to be removed first transfers the leadership. Stateless: each step is
+ * planned from the current state of the group.
  */
 public final class MembershipChange {
-    /** A learner may vote once it lacks no more entries than this: it has the rest within a moment. */
+    /** Maximum lag at which a learner becomes a voter: it replicates the missing entries almost at once. */
     public static final long MAX_PROMOTION_LAG_ENTRIES = 500;
 
     private MembershipChange() {}
 
-    /** What an operator wants: a member to add or to remove, by name. */
+    /** An operator's request to add or remove a member, by name. */
     public record Request(boolean add, String name) {}
 
     /**
-     * The group as its leader sees it, by the last membership change that was committed.
+     * The group from its leader's view, as of the last committed membership change.
      *
-     * @param nonMembers connected and of the cluster, but not members
-     * @param reachable members heard of lately, the leader among them
-     * @param matchIndexes up to which log index each member has the leader's log
-     * @param lastIndex of the leader's log
+     * @param nonMembers processes of the cluster that are connected but not members
+     * @param reachable members that have responded recently, including the leader
+     * @param matchIndexes log index up to which each member has replicated the leader's log
+     * @param lastIndex last index of the leader's log
      * @param membershipIndex log index of the last membership change
      */
     public record GroupView(
@@ -47,50 +47,52 @@
         }
     }
 
-    /** What to do next. */
+    /** The next step of a membership change. */
     public sealed interface Step {
         /** Adds a member without a vote. */
         record AddLearner(MemberId member) implements Step {}
 
-        /** Gives a learner its vote. */
+        /** Makes a learner a voter. */
         record PromoteToVoter(MemberId member) implements Step {}
 
         /** Removes a voter or a learner. */
         record RemoveMember(MemberId member) implements Step {}
 
-        /** Makes another member the leader. */
+        /** Transfers the leadership to another member. */
         record TransferLeadership(MemberId successor) implements Step {}
 
-        /** Nothing yet: something must happen by itself first. */
+        /** No step for now: the condition in the reason must be met first. */
         record Wait(String reason) implements Step {}
 
-        /** The group is as the operator wants it. */
+        /** The change is complete. */
         record Done() implements Step {}
 
-        /** The change can't be made. */
+        /** The change is rejected. */
         record Rejected(String reason) implements Step {}
     }
 
-    /** The next step towards what an operator wants. */
+    /** The next step towards an operator's request. */
     public static Step nextStep(Request request, GroupView view) {
-        return request.add() ? add(request.name(), view) : remove(named(request.name(), view.members()), view);
+        return request.add() ? add(request.name(), view) : remove(findByName(request.name(), view.members()), view);
     }
 
     private static Step add(String name, GroupView view) {
-        MemberId nonMember = named(name, view.nonMembers());
-        MemberId member = named(name, view.members());
+        MemberId nonMember = findByName(name, view.nonMembers());
+        MemberId member = findByName(name, view.members());
         if (member == null) {
             return addNew(name, nonMember, view);
         }
         if (!view.reachable().contains(member)) {
-            // If it is back with another disk, the old one is gone for good; until it is back, nothing is known of it.
+            // A member that is connected with another disk has lost the old one for good; until it reconnects, nothing
+            // is
+            // known about its disk.
             return nonMember != null
                     ? remove(member, view)
                     : new Step.Wait(name + " is a member and out of reach: start it");
         }
         if (view.voters().contains(member)) {
-            // Should the leader fail now, the others must know who votes, or they could wait for a member that is gone.
-            return allReachableVotersKnow(view) ? new Step.Done() : new Step.Wait("not all have heard of it yet");
+            // If the leader fails before the others know the new voters, they could wait for the vote of a lost member.
+            return allReachableVotersHaveChange(view) ? new Step.Done() : new Step.Wait("not all have heard of it yet");
         }
         return view.matchIndex(member) + MAX_PROMOTION_LAG_ENTRIES < view.lastIndex()
                 ? new Step.Wait(name + " is still learning")
@@ -106,7 +108,7 @@
                 : new Step.AddLearner(nonMember);
     }
 
-    private static boolean allReachableVotersKnow(GroupView view) {
+    private static boolean allReachableVotersHaveChange(GroupView view) {
         return view.voters().stream()
                 .allMatch(voter -> voter.equals(view.leader())
                         || !view.reachable().contains(voter)
@@ -135,7 +137,7 @@
                 : new Step.RemoveMember(member);
     }
 
-    /** The first of the reachable ones with the longest log. */
+    /** The reachable candidate with the longest log; the first of several. */
     private static MemberId mostUpToDate(Set<MemberId> candidates, GroupView view) {
         MemberId best = null;
         for (MemberId candidate : candidates) {
@@ -147,8 +149,8 @@
         return best;
     }
 
-    private static MemberId named(String name, Set<MemberId> among) {
-        return among.stream()
+    private static MemberId findByName(String name, Set<MemberId> candidates) {
+        return candidates.stream()
                 .filter(member -> member.name().equals(name))
                 .findFirst()
                 .orElse(null);
--- a/statemachine/src/main/java/lupinvalve/statemachine/ReplicatedState.java
+++ b/statemachine/src/main/java/lupinvalve/statemachine/ReplicatedState.java
@@ -9,61 +9,61 @@
 import java.util.TreeMap;
 
 /**
- * The replicated state machine: the state that the log's commands, one after another, come to. Deterministic: members
- * that have applied the same commands have the same state, whatever their clocks and versions. Not thread-safe.
+ * The replicated state machine: the state that results from applying the log's commands in order. Deterministic:
+ * members that have applied the same commands have the same state, whatever their clocks and versions. Not thread-safe.
  */
 public final class ReplicatedState {
-    /** Size of a configuration document at most. */
+    /** Maximum size of a configuration document. */
     public static final int MAX_DOCUMENT_BYTES = 1 << 20;
-    /** Drains under way at once at most. */
+    /** Maximum number of drains in effect. */
     public static final int MAX_DRAINS = 1000;
-    /** Length of a name, an address or a drain's reason at most. */
+    /** Maximum length of a name, an address or a drain's reason. */
     public static final int MAX_NAME_CHARS = 200;
-    /** Db nodes in the endpoint list at most. */
+    /** Maximum number of db nodes in the endpoint list. */
     public static final int MAX_ENDPOINTS = 4096;
-    /** Members with an address at most. */
+    /** Maximum number of members with an address. */
     public static final int MAX_MEMBER_ADDRESSES = 64;
-    /** Audit entries retained at most; the oldest go first. */
+    /** Maximum number of retained audit entries; the oldest are evicted first. */
     public static final int MAX_AUDIT_ENTRIES = 20_000;
-    /** Audit entries of one command at most. */
+    /** Maximum number of audit entries in one command. */
     public static final int MAX_AUDIT_ENTRIES_PER_COMMAND = 200;
-    /** Size of an audit entry at most. */
+    /** Maximum size of an encoded audit entry. */
     public static final int MAX_AUDIT_ENTRY_BYTES = 2_000;
 
     private static final int DIGEST_BYTES = 8;
 
-    /** What became of a command. */
+    /** Result of applying a command. */
     public enum Result {
         /** The state has changed. */
         APPLIED,
-        /** The state was so already. */
+        /** The state already was as requested, or newer; nothing has changed. */
         UNCHANGED,
-        /** The configuration document has another revision than expected. */
+        /** The revision of the current configuration document is not the expected one. */
         CONFLICT,
-        /** One of the bounds above would be exceeded. */
+        /** One of the limits of {@link ReplicatedState} would be exceeded. */
         LIMIT_EXCEEDED
     }
 
-    /** @param revision of the configuration document, after the command */
+    /** @param revision of the configuration document after the command, 0 if there is none */
     public record Outcome(Result result, long revision) {}
 
     /**
      * A committed configuration document.
      *
-     * @param revision counts up by one with each document
-     * @param index of the log entry that put it
-     * @param digest names the content in logs, see {@link ReplicatedState#digest}
+     * @param revision increases by one with each document
+     * @param index of the log entry that stored it
+     * @param digest identifies the content, see {@link ReplicatedState#digest}
      */
     public record Document(long revision, long index, String digest, byte[] content) {}
 
     /**
      * A drain that operators started.
      *
-     * @param sinceMicros Unix time
+     * @param sinceMicros when the operator started it, Unix time
      */
     public record Drain(String reason, long sinceMicros) {}
 
-    /** All of the state but the sessions, as a snapshot has it. */
+    /** The whole state except the sessions, as read from a snapshot. */
     record Contents(
             long appliedIndex,
             Document document,
@@ -77,7 +77,7 @@
     private final TreeMap<Command.DrainTarget, Drain> drains = new TreeMap<>();
     private final TreeMap<String, String> memberAddresses = new TreeMap<>();
     private final SessionTable sessions = new SessionTable();
-    /** By pooler, incarnation and number, in the order of arrival. */
+    /** Keyed by pooler, incarnation and number, in the order in which they were applied. */
     private final LinkedHashMap<String, byte[]> auditEntries = new LinkedHashMap<>();
 
     private Command.EndpointList endpointList = new Command.EndpointList(0, List.of());
@@ -85,7 +85,7 @@
     /**
      * Applies a committed command.
      *
-     * @param index of its log entry
+     * @param index of the command's log entry
      */
     public Outcome apply(long index, Command command) {
         appliedIndex = index;
@@ -183,7 +183,7 @@
         return Result.APPLIED;
     }
 
-    /** Index of the log entry that was applied last. */
+    /** Index of the last applied log entry. */
     public long appliedIndex() {
         return appliedIndex;
     }
@@ -198,32 +198,32 @@
         return document == null ? 0 : document.revision();
     }
 
-    /** Drains under way; a copy. */
+    /** Drains in effect; a copy. */
     public Map<Command.DrainTarget, Drain> drains() {
         return new TreeMap<>(drains);
     }
 
-    /** Where each member is reached, by the member's name; a copy. */
+    /** Address of each member by its name; a copy. */
     public Map<String, String> memberAddresses() {
         return new TreeMap<>(memberAddresses);
     }
 
-    /** The db nodes as the newest list has them. */
+    /** The newest endpoint list. */
     public Command.EndpointList endpointList() {
         return endpointList;
     }
 
-    /** Audit entries by "pooler/incarnation/number", in the order of arrival; a view. */
+    /** Audit entries by "pooler/incarnation/number", in order of application; a read-only view. */
     public Map<String, byte[]> auditEntries() {
         return Collections.unmodifiableMap(auditEntries);
     }
 
-    /** How many sessions have a commit that still counts. */
+    /** Number of sessions with a retained last commit. */
     public int sessionCount() {
         return sessions.size();
     }
 
-    /** All sessions' commits as one command. */
+    /** The last commits of all sessions, as one command. */
     public Command.SessionCommits sessionCommits() {
         Map<String, Long> positions = new HashMap<>();
         sessions.forEachOldestFirst(positions::put);
@@ -234,7 +234,7 @@
         return sessions;
     }
 
-    /** Replaces the whole state; there are no sessions afterwards. */
+    /** Replaces the whole state; the session table is empty afterwards. */
     void restore(Contents contents) {
         auditEntries.clear();
         auditEntries.putAll(contents.auditEntries());
@@ -248,7 +248,7 @@
         sessions.clear();
     }
 
-    /** Names a document's content in logs: the beginning of its SHA-256, in hex. */
+    /** Identifies a document's content: a prefix of its SHA-256, in hex. */
     public static String digest(byte[] content) {
         return Digests.sha256Hex(content, DIGEST_BYTES);
     }
--- a/statemachine/src/main/java/lupinvalve/statemachine/SessionCommitBatcher.java
+++ b/statemachine/src/main/java/lupinvalve/statemachine/SessionCommitBatcher.java
@@ -4,14 +4,14 @@
 import java.util.Map;
 
 /**
- * Batches the sessions' commits of one pooler for the log, one batch in flight at a time: each costs the group a force
- * of its disks however much it carries. Holds no more sessions than the {@link SessionTable}. Not thread-safe; times
- * are of one monotonic clock.
+ * Batches the last commits of one pooler's sessions for the log, with one batch in flight at a time: each batch costs
+ * the group an fsync on its disks, whatever its size. Holds no more sessions than the {@link SessionTable}. Not
+ * thread-safe; times are of one monotonic clock.
  */
 public final class SessionCommitBatcher {
-    /** How long the first commit of a batch waits for others. */
+    /** Time that the first commit of a batch waits for further commits. */
     static final long BATCH_DELAY_MICROS = 5_000;
-    /** Pause after a batch was rejected. */
+    /** Backoff after a rejected batch. */
     static final long RETRY_BACKOFF_MICROS = 200_000;
 
     private static final int MAX_BATCH_SESSIONS = 4000;
@@ -24,8 +24,10 @@
     private long notBeforeMicros;
 
     /**
-     * Adds a commit, unless so many other sessions wait that the table would drop it. Returns its batch's number, which
-     * {@link #onBatchAnswered} reaches once a quorum has the batch.
+     * Adds a commit, unless so many other sessions are waiting that the {@link SessionTable} would evict it.
+     *
+     * @return the number of the commit's batch; {@link #onBatchAnswered} returns this number or a higher one once a
+     *     quorum has the batch
      */
     public long add(String session, long position, long nowMicros) {
         if (waiting.isEmpty()) {
@@ -37,7 +39,7 @@
         return batchNumber + 1;
     }
 
-    /** When {@link #nextBatch} has one, or {@link Long#MAX_VALUE} where nothing waits or one is in flight. */
+    /** When the next batch is due, or {@link Long#MAX_VALUE} if no commit is waiting or a batch is in flight. */
     public long nextBatchMicros() {
         return batchInFlight != null || waiting.isEmpty()
                 ? Long.MAX_VALUE
@@ -46,7 +48,7 @@
                         waiting.size() >= MAX_BATCH_SESSIONS ? 0 : waitingSinceMicros + BATCH_DELAY_MICROS);
     }
 
-    /** The next batch to send, or null where none is due. */
+    /** The next batch to send, or null if none is due. */
     public Command.SessionCommits nextBatch(long nowMicros) {
         if (nowMicros < nextBatchMicros()) {
             return null;
@@ -54,11 +56,11 @@
         Map<String, Long> batch = waiting;
         waiting = new HashMap<>();
         if (batch.size() > MAX_BATCH_SESSIONS) {
-            Map<String, Long> first = new HashMap<>();
+            Map<String, Long> limited = new HashMap<>();
             for (Map.Entry<String, Long> commit : batch.entrySet()) {
-                (first.size() < MAX_BATCH_SESSIONS ? first : waiting).put(commit.getKey(), commit.getValue());
+                (limited.size() < MAX_BATCH_SESSIONS ? limited : waiting).put(commit.getKey(), commit.getValue());
             }
-            batch = first;
+            batch = limited;
             waitingSinceMicros = nowMicros;
         }
         batchInFlight = new Command.SessionCommits(nowMicros, batch);
@@ -70,9 +72,10 @@
     }
 
     /**
-     * The batch in flight has been committed, or rejected; its commits then wait again, with those that came meanwhile.
+     * Handles the answer to the batch in flight. The commits of a rejected batch are queued again and merged with those
+     * added since it was sent.
      *
-     * @return up to which batch number a quorum has all commits, or 0 where that has not changed
+     * @return the batch number up to which a quorum has all commits, or 0 if that has not changed
      */
     public long onBatchAnswered(boolean committed, long nowMicros) {
         if (batchInFlight == null) {
@@ -87,7 +90,7 @@
         return committed ? batchInFlightNumber : 0;
     }
 
-    /** Sessions that wait or are in flight. */
+    /** Number of sessions waiting plus number of sessions in flight. */
     public int size() {
         return waiting.size()
                 + (batchInFlight == null ? 0 : batchInFlight.positions().size());
--- a/statemachine/src/main/java/lupinvalve/statemachine/SessionTable.java
+++ b/statemachine/src/main/java/lupinvalve/statemachine/SessionTable.java
@@ -7,38 +7,38 @@
 
 /**
  * The last commit of each session, for causal reads. A log position is a time in microseconds: a commit older than
- * {@link #MAX_AGE_MICROS} is dropped, since no db node that serves lags so far. Beyond {@link #MAX_SESSIONS} the oldest
- * go first. Not thread-safe.
+ * {@link #MAX_AGE_MICROS} is evicted, since no db node that serves requests lags that far. Beyond {@link #MAX_SESSIONS}
+ * the oldest commits are evicted first. Not thread-safe.
  */
 public final class SessionTable {
-    /** Age of a commit at most. */
+    /** Maximum age of a commit. */
     public static final long MAX_AGE_MICROS = 600_000_000;
-    /** Sessions at most. */
+    /** Maximum number of sessions. */
     public static final int MAX_SESSIONS = 50_000;
 
-    private record ByPosition(long position, String session) implements Comparable<ByPosition> {
+    private record SessionPosition(long position, String session) implements Comparable<SessionPosition> {
         @Override
-        public int compareTo(ByPosition other) {
+        public int compareTo(SessionPosition other) {
             int order = Long.compare(position, other.position);
             return order != 0 ? order : session.compareTo(other.session);
         }
     }
 
     private final Map<String, Long> lastCommits = new HashMap<>();
-    private final TreeSet<ByPosition> oldestFirst = new TreeSet<>();
+    private final TreeSet<SessionPosition> oldestFirst = new TreeSet<>();
     private long latestMicros;
 
-    /** Log position of the session's last commit, or 0. */
+    /** Log position of the session's last commit, or 0 if there is none. */
     public long lastCommit(String session) {
         return lastCommits.getOrDefault(session, 0L);
     }
 
-    /** How many sessions are in the table. */
+    /** Number of sessions in the table. */
     public int size() {
         return lastCommits.size();
     }
 
-    /** Adds commits as of a time; drops what is too old by the latest time so far. */
+    /** Adds the commits of a batch made at {@code atMicros}; evicts commits too old by the latest such time. */
     public void apply(long atMicros, Map<String, Long> positions) {
         latestMicros = Math.max(latestMicros, atMicros);
         positions.forEach(this::put);
@@ -50,22 +50,22 @@
     }
 
     private void put(String session, long position) {
-        Long before = lastCommits.get(session);
-        if (before != null && before >= position || position < latestMicros - MAX_AGE_MICROS) {
+        Long previous = lastCommits.get(session);
+        if (previous != null && previous >= position || position < latestMicros - MAX_AGE_MICROS) {
             return;
         }
-        if (before != null) {
-            oldestFirst.remove(new ByPosition(before, session));
+        if (previous != null) {
+            oldestFirst.remove(new SessionPosition(previous, session));
         }
         lastCommits.put(session, position);
-        oldestFirst.add(new ByPosition(position, session));
+        oldestFirst.add(new SessionPosition(position, session));
     }
 
     long latestMicros() {
         return latestMicros;
     }
 
-    /** All commits, the oldest first: the same order at all members. */
+    /** Visits all commits, oldest first, in the same order at all members. */
     void forEachOldestFirst(ObjLongConsumer<String> consumer) {
         oldestFirst.forEach(commit -> consumer.accept(commit.session(), commit.position()));
     }
--- a/statemachine/src/main/java/lupinvalve/statemachine/SnapshotCodec.java
+++ b/statemachine/src/main/java/lupinvalve/statemachine/SnapshotCodec.java
@@ -8,15 +8,15 @@
 import java.util.Map;
 
 /**
- * Snapshots of {@link ReplicatedState} as chunks of bytes. The first chunk begins with the format's version and has all
- * but audit entries and sessions; chunks of audit entries follow, then chunks of sessions.
+ * Codec for snapshots of {@link ReplicatedState} as chunks of bytes. The first chunk begins with the format version and
+ * has everything but audit entries and sessions; chunks of audit entries follow, then chunks of sessions.
  */
 public final class SnapshotCodec {
-    /** Keeps a chunk well under the largest message of the wire. */
+    /** Keeps a chunk well below the maximum message size of the wire protocol. */
     private static final int MAX_ITEMS_PER_CHUNK = 4000;
 
     private static final int FORMAT = 1;
-    /** Written only where there are audit entries, so that older programs read all other snapshots. */
+    /** Written only if there are audit entries, so that older versions can read all other snapshots. */
     private static final int FORMAT_WITH_AUDIT = 2;
 
     private SnapshotCodec() {}
@@ -25,13 +25,13 @@
     public static List<byte[]> encode(ReplicatedState state) {
         List<byte[]> auditChunks = auditChunks(state);
         List<byte[]> chunks = new ArrayList<>();
-        chunks.add(head(state, auditChunks.size()));
+        chunks.add(headerChunk(state, auditChunks.size()));
         chunks.addAll(auditChunks);
         addSessionChunks(state, chunks);
         return chunks;
     }
 
-    private static byte[] head(ReplicatedState state, int auditChunkCount) {
+    private static byte[] headerChunk(ReplicatedState state, int auditChunkCount) {
         Cbor.Writer out = new Cbor.Writer()
                 .number(auditChunkCount == 0 ? FORMAT : FORMAT_WITH_AUDIT)
                 .number(state.appliedIndex())
@@ -57,27 +57,29 @@
 
     private static List<byte[]> auditChunks(ReplicatedState state) {
         List<byte[]> chunks = new ArrayList<>();
-        List<Map.Entry<String, byte[]>> all = List.copyOf(state.auditEntries().entrySet());
-        for (int from = 0; from < all.size(); from += MAX_ITEMS_PER_CHUNK) {
-            List<Map.Entry<String, byte[]>> some = all.subList(from, Math.min(all.size(), from + MAX_ITEMS_PER_CHUNK));
-            Cbor.Writer out = new Cbor.Writer().number(some.size());
-            some.forEach(entry -> out.text(entry.getKey()).bytes(entry.getValue()));
+        List<Map.Entry<String, byte[]>> entries =
+                List.copyOf(state.auditEntries().entrySet());
+        for (int from = 0; from < entries.size(); from += MAX_ITEMS_PER_CHUNK) {
+            List<Map.Entry<String, byte[]>> items =
+                    entries.subList(from, Math.min(entries.size(), from + MAX_ITEMS_PER_CHUNK));
+            Cbor.Writer out = new Cbor.Writer().number(items.size());
+            items.forEach(entry -> out.text(entry.getKey()).bytes(entry.getValue()));
             chunks.add(out.toByteArray());
         }
         return chunks;
     }
 
     private static void addSessionChunks(ReplicatedState state, List<byte[]> chunks) {
-        Map<String, Long> some = new LinkedHashMap<>();
+        Map<String, Long> items = new LinkedHashMap<>();
         state.sessions().forEachOldestFirst((session, position) -> {
-            some.put(session, position);
-            if (some.size() == MAX_ITEMS_PER_CHUNK) {
-                chunks.add(sessionChunk(some));
-                some.clear();
+            items.put(session, position);
+            if (items.size() == MAX_ITEMS_PER_CHUNK) {
+                chunks.add(sessionChunk(items));
+                items.clear();
             }
         });
-        if (!some.isEmpty()) {
-            chunks.add(sessionChunk(some));
+        if (!items.isEmpty()) {
+            chunks.add(sessionChunk(items));
         }
     }
 
@@ -87,7 +89,7 @@
         return out.toByteArray();
     }
 
-    /** Replaces a state by a snapshot's; throws {@link DecodingException} where the chunks are no such snapshot. */
+    /** Replaces a state by that of a snapshot; throws {@link DecodingException} if the chunks are not one. */
     public static void restore(ReplicatedState state, List<byte[]> chunks) throws IOException {
         Cbor.Reader in = new Cbor.Reader(chunks.get(0));
         long format = in.number();
--- a/statemachine/src/main/java/lupinvalve/statemachine/package-info.java
+++ b/statemachine/src/main/java/lupinvalve/statemachine/package-info.java
@@ -1,6 +1,6 @@
 /**
  * The replicated state machine of a group of poolers, and the decisions around it: bootstrap, membership changes,
- * batches, compaction. No I/O, threads or clocks: times are arguments. {@code replication} carries it over the network
- * and to disk.
+ * batching of session commits, log compaction. No I/O, threads or clocks: callers pass the time as an argument.
+ * {@code replication} does the network and disk I/O.
  */
 package lupinvalve.statemachine;
--- a/statemachine/src/test/java/lupinvalve/statemachine/ReplicatedStateTest.java
+++ b/statemachine/src/test/java/lupinvalve/statemachine/ReplicatedStateTest.java
@@ -23,7 +23,7 @@
         return text.getBytes(StandardCharsets.UTF_8);
     }
 
-    private static Command any(Random random, long now) {
+    private static Command randomCommand(Random random, long now) {
         Command.DrainTarget target =
                 new Command.DrainTarget(Command.TargetKind.values()[random.nextInt(2)], "x" + random.nextInt(4));
         return switch (random.nextInt(7)) {
@@ -54,32 +54,32 @@
     }
 
     @Test
-    void commandsAndSnapshotsComeBackAsTheyWereAndLeadToTheSameState() throws Exception {
+    void decodedCommandsAndRestoredSnapshotsLeadToTheSameState() throws Exception {
         for (int seed = 0; seed < 60; seed++) {
             Random random = new Random(seed);
-            ReplicatedState one = new ReplicatedState();
-            ReplicatedState read = new ReplicatedState();
-            ReplicatedState resumed = new ReplicatedState();
+            ReplicatedState original = new ReplicatedState();
+            ReplicatedState fromDecoded = new ReplicatedState();
+            ReplicatedState fromSnapshots = new ReplicatedState();
             for (int i = 1; i < 150; i++) {
-                Command command = any(random, 1_000_000_000L + i * 20_000_000L);
-                byte[] written = CommandCodec.encode(command);
-                assertArrayEquals(written, CommandCodec.encode(CommandCodec.decode(written)));
-                ReplicatedState.Outcome outcome = one.apply(i, command);
-                assertEquals(outcome, read.apply(i, CommandCodec.decode(written)));
-                assertEquals(outcome, resumed.apply(i, command));
+                Command command = randomCommand(random, 1_000_000_000L + i * 20_000_000L);
+                byte[] encoded = CommandCodec.encode(command);
+                assertArrayEquals(encoded, CommandCodec.encode(CommandCodec.decode(encoded)));
+                ReplicatedState.Outcome outcome = original.apply(i, command);
+                assertEquals(outcome, fromDecoded.apply(i, CommandCodec.decode(encoded)));
+                assertEquals(outcome, fromSnapshots.apply(i, command));
                 if (random.nextInt(10) == 0) {
-                    ReplicatedState next = new ReplicatedState();
-                    SnapshotCodec.restore(next, SnapshotCodec.encode(resumed));
-                    resumed = next;
+                    ReplicatedState restored = new ReplicatedState();
+                    SnapshotCodec.restore(restored, SnapshotCodec.encode(fromSnapshots));
+                    fromSnapshots = restored;
                 }
             }
-            assertEquals(snapshot(one), snapshot(read));
-            assertEquals(snapshot(one), snapshot(resumed));
+            assertEquals(snapshot(original), snapshot(fromDecoded));
+            assertEquals(snapshot(original), snapshot(fromSnapshots));
         }
     }
 
     @Test
-    void aDocumentReplacesOnlyTheExpectedRevision() {
+    void aDocumentIsStoredOnlyOnTheExpectedRevision() {
         ReplicatedState state = new ReplicatedState();
         assertNull(state.document());
         assertEquals(
@@ -99,7 +99,7 @@
     }
 
     @Test
-    void sessionsAreBoundedAndAge() {
+    void sessionTableEvictsOldAndExcessSessions() {
         SessionTable sessions = new SessionTable();
         Map<String, Long> many = new HashMap<>();
         for (int i = 0; i < SessionTable.MAX_SESSIONS + 100; i++) {
@@ -110,14 +110,14 @@
         assertEquals(0, sessions.lastCommit("s99"));
         assertEquals(1_000_000_100L, sessions.lastCommit("s100"));
         sessions.apply(1_000_000_000L, Map.of("s100", 5L));
-        assertEquals(1_000_000_100L, sessions.lastCommit("s100"), "a commit never goes back");
+        assertEquals(1_000_000_100L, sessions.lastCommit("s100"), "an older commit does not replace a newer one");
         sessions.apply(1_000_000_200L + SessionTable.MAX_AGE_MICROS, Map.of());
         assertEquals(0, sessions.lastCommit("s199"));
         assertEquals(1_000_000_200L, sessions.lastCommit("s200"));
     }
 
     @Test
-    void whatIsNoCommandIsRejected() {
+    void invalidBytesAreRejected() {
         byte[] put = CommandCodec.encode(new Command.PutDocument(0, bytes("{}")));
         assertThrows(IOException.class, () -> CommandCodec.decode(Arrays.copyOf(put, put.length - 1)));
         assertThrows(DecodingException.class, () -> CommandCodec.decode(new byte[] {23}));
@@ -130,50 +130,52 @@
     }
 
     @Test
-    void aBatchIsInFlightUntilItIsAnsweredAndNothingIsForgotten() {
+    void oneBatchIsInFlightAtATimeAndNoCommitIsLost() {
         for (int seed = 0; seed < 200; seed++) {
             Random random = new Random(seed);
             SessionCommitBatcher batcher = new SessionCommitBatcher();
-            Map<String, Long> wanted = new HashMap<>();
-            Map<String, Long> accepted = new HashMap<>();
-            List<Map.Entry<Long, Map.Entry<String, Long>>> numbers = new ArrayList<>();
+            Map<String, Long> expected = new HashMap<>();
+            Map<String, Long> committedPositions = new HashMap<>();
+            List<Map.Entry<Long, Map.Entry<String, Long>>> pendingCommits = new ArrayList<>();
             Command.SessionCommits batch = null;
-            long done = 0;
+            long committedBatchNumber = 0;
             for (long now = 0; now < 40_000_000 || batcher.size() > 0; now += 1000 + random.nextInt(300_000)) {
                 if (now < 40_000_000) {
                     String session = "s" + random.nextInt(5000);
-                    wanted.put(session, now);
-                    numbers.add(Map.entry(batcher.add(session, now, now), Map.entry(session, now)));
+                    expected.put(session, now);
+                    pendingCommits.add(Map.entry(batcher.add(session, now, now), Map.entry(session, now)));
                 }
                 if (batch == null) {
                     batch = batcher.nextBatch(now);
                 } else {
                     boolean committed = random.nextInt(3) > 0;
                     if (committed) {
-                        batch.positions().forEach((session, position) -> accepted.merge(session, position, Math::max));
+                        batch.positions()
+                                .forEach((session, position) -> committedPositions.merge(session, position, Math::max));
                     }
-                    done = Math.max(done, batcher.onBatchAnswered(committed, now));
+                    committedBatchNumber = Math.max(committedBatchNumber, batcher.onBatchAnswered(committed, now));
                     batch = null;
                 }
-                for (Map.Entry<Long, Map.Entry<String, Long>> number : numbers) {
-                    if (number.getKey() <= done) {
+                for (Map.Entry<Long, Map.Entry<String, Long>> pendingCommit : pendingCommits) {
+                    if (pendingCommit.getKey() <= committedBatchNumber) {
                         assertEquals(
                                 true,
-                                accepted.getOrDefault(number.getValue().getKey(), -1L)
-                                        >= number.getValue().getValue(),
-                                "reported as committed before it was");
+                                committedPositions.getOrDefault(
+                                                pendingCommit.getValue().getKey(), -1L)
+                                        >= pendingCommit.getValue().getValue(),
+                                "commit was reported as committed too early");
                     }
                 }
-                long upTo = done;
-                numbers.removeIf(number -> number.getKey() <= upTo);
+                long lastCommittedNumber = committedBatchNumber;
+                pendingCommits.removeIf(pendingCommit -> pendingCommit.getKey() <= lastCommittedNumber);
             }
-            assertEquals(wanted, accepted);
-            assertEquals(List.of(), numbers);
+            assertEquals(expected, committedPositions);
+            assertEquals(List.of(), pendingCommits);
         }
     }
 
     @Test
-    void theLogIsCompactedOnceItOutweighsTheState() {
+    void compactionIsDueOnceTheLogIsLargerThanTheSnapshot() {
         assertEquals(false, CompactionPolicy.isDue(CompactionPolicy.MIN_HISTORY_BYTES, 0, 0));
         assertEquals(true, CompactionPolicy.isDue(CompactionPolicy.MIN_HISTORY_BYTES + 1, 0, 0));
         assertEquals(false, CompactionPolicy.isDue(3_000_000, 0, 3_000_000));
@@ -181,7 +183,7 @@
     }
 
     @Test
-    void withoutAQuorumAPoolerKeepsItsConfigurationAndSaysSoOnce() {
+    void quorumLossKeepsTheConfigurationAndIsReportedOnce() {
         ActiveConfiguration active = new ActiveConfiguration(0);
         assertEquals("no configuration was accepted yet; what needs one is not served", active.describe());
         ReplicatedState.Document first = new ReplicatedState.Document(1, 5, "d1", bytes("{}"));
@@ -198,7 +200,7 @@
                 active.onQuorumContact(false, ActiveConfiguration.QUORUM_LOSS_GRACE_MICROS));
         assertNull(active.onQuorumContact(false, ActiveConfiguration.QUORUM_LOSS_GRACE_MICROS + 1));
         assertEquals(
-                "quorum in reach again",
+                "quorum reachable again",
                 active.onQuorumContact(true, ActiveConfiguration.QUORUM_LOSS_GRACE_MICROS + 2));
         assertNull(active.onQuorumContact(true, ActiveConfiguration.QUORUM_LOSS_GRACE_MICROS + 3));
     }
--- a/statemachine/src/test/java/lupinvalve/statemachine/StoredFormatTest.java
+++ b/statemachine/src/test/java/lupinvalve/statemachine/StoredFormatTest.java
@@ -13,7 +13,7 @@
 import lupinvalve.routing.EndpointState;
 import org.junit.jupiter.api.Test;
 
-/** Bytes as released versions have stored and sent them. */
+/** Guards the encoding: bytes that released versions have stored or sent must be written and read unchanged. */
 class StoredFormatTest {
     private static final Command PUT_FIRST = new Command.PutDocument(0, bytes("{}"));
 
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void commandsAreEncodedAndDecodedAsEver() throws IOException {
+    void commandsKeepTheirEncoding() throws IOException {
         for (Map.Entry<String, Command> stored : COMMANDS.entrySet()) {
             assertEquals(stored.getKey(), hex(CommandCodec.encode(stored.getValue())));
             Command decoded = CommandCodec.decode(HexFormat.of().parseHex(stored.getKey()));
@@ -67,7 +67,7 @@
     }
 
     @Test
-    void snapshotsAreEncodedAndRestoredAsEver() throws IOException {
+    void snapshotsKeepTheirEncoding() throws IOException {
         ReplicatedState state = new ReplicatedState();
         List<Command> commands = new ArrayList<>(List.of(PUT_FIRST));
         COMMANDS.entrySet().stream()
@@ -91,7 +91,7 @@
     }
 
     @Test
-    void announcementsAreWrittenAsEver() throws IOException {
+    void announcementsKeepTheirEncoding() throws IOException {
         ClusterBootstrap.Announcement announcement = new ClusterBootstrap.Announcement(
                 new MemberId("a", "d1"), ClusterBootstrap.Phase.JOINING, Set.of(new MemberId("b", "d2")));
         Cbor.Writer out = new Cbor.Writer();
--- a/subscription/src/main/java/lupinvalve/subscription/BlockIndex.java
+++ b/subscription/src/main/java/lupinvalve/subscription/BlockIndex.java
@@ -5,13 +5,13 @@
 import java.util.Map;
 
 /**
- * Finds parts of one text in another by a rolling hash: blocks of the source are indexed by hash, and the hash of a
- * window is rolled along the target. Immutable once built.
+ * Finds parts of a target text that are also in a source text, by a rolling hash: blocks of the source are indexed by
+ * hash, and the hash of a window is rolled along the target. Immutable once built.
  */
 final class BlockIndex {
-    /** Size of an indexed block; shorter common parts are not found. */
+    /** Size of an indexed block; common parts shorter than this are not found. */
     static final int BLOCK_BYTES = 24;
-    /** Blocks with the same hash that are indexed and compared. */
+    /** Maximum number of blocks with the same hash that are indexed and compared. */
     private static final int CANDIDATES_MAX_COUNT = 8;
 
     private static final int HASH_MULTIPLIER = 0x01000193;
@@ -29,7 +29,7 @@
 
     private final byte[] source;
     private final Map<Integer, int[]> offsetsByHash = new HashMap<>();
-    /** The factor of a window's oldest byte in its hash. */
+    /** Factor of a window's oldest byte in the window's hash. */
     private final int oldestByteFactor;
 
     BlockIndex(byte[] source) {
@@ -66,9 +66,10 @@
     /**
      * The next part of a target that is also in the source, or null.
      *
-     * @param startOffset where in the target to start
-     * @param unmatchedOffset where the target's unmatched bytes begin: a match is extended back to there at most
-     * @param expectedSourceOffset where in the source the unmatched bytes would be, had bytes only been replaced
+     * @param startOffset offset in the target at which the search starts
+     * @param unmatchedOffset offset of the target's unmatched bytes; a match is extended backwards to there at most
+     * @param expectedSourceOffset offset in the source of the unmatched bytes if bytes were only replaced, and neither
+     *     inserted nor removed
      */
     Match next(byte[] target, int startOffset, int unmatchedOffset, int expectedSourceOffset) {
         if (startOffset + BLOCK_BYTES > target.length) {
@@ -103,7 +104,7 @@
         return longest;
     }
 
-    /** The common part around an offset of the target and one of the source; null if shorter than a block. */
+    /** The common part that covers an offset of the target and one of the source; null if shorter than a block. */
     private Match match(byte[] target, int targetOffset, int unmatchedOffset, int sourceOffset) {
         if (sourceOffset < 0
                 || sourceOffset + BLOCK_BYTES > source.length
@@ -115,12 +116,12 @@
         if (length < BLOCK_BYTES) {
             return null;
         }
-        int back = 0;
-        while (back < targetOffset - unmatchedOffset
-                && back < sourceOffset
-                && source[sourceOffset - back - 1] == target[targetOffset - back - 1]) {
-            back++;
+        int backwardLength = 0;
+        while (backwardLength < targetOffset - unmatchedOffset
+                && backwardLength < sourceOffset
+                && source[sourceOffset - backwardLength - 1] == target[targetOffset - backwardLength - 1]) {
+            backwardLength++;
         }
-        return new Match(sourceOffset - back, targetOffset - back, length + back);
+        return new Match(sourceOffset - backwardLength, targetOffset - backwardLength, length + backwardLength);
     }
 }
--- a/subscription/src/main/java/lupinvalve/subscription/DocumentDelta.java
+++ b/subscription/src/main/java/lupinvalve/subscription/DocumentDelta.java
@@ -8,19 +8,19 @@
 import lupinvalve.statemachine.Cbor;
 import lupinvalve.statemachine.ReplicatedState;
 
-/** The difference between two texts: parts copied from the old one, each followed by inserted bytes. */
+/** The difference between two texts: a sequence of parts copied from the old text, each followed by inserted bytes. */
 public record DocumentDelta(List<Instruction> instructions) {
-    /** Instructions of a delta at most; where a delta would need more, the rest of the text is inserted. */
+    /** Maximum number of instructions; if a delta would need more, the rest of the text is inserted. */
     public static final int INSTRUCTIONS_MAX_COUNT = 4_096;
-    /** An instruction's size on the wire without its inserted bytes, at most. */
+    /** Maximum size of an instruction on the wire, without its inserted bytes. */
     private static final int INSTRUCTION_OVERHEAD_BYTES = 16;
 
     /**
      * Copies a part of the old text, then inserts bytes.
      *
-     * @param copyOffset where the part begins in the old text
+     * @param copyOffset offset of the part in the old text
      * @param copyLength of the part; 0 for none
-     * @param inserted what follows the part in the new text
+     * @param inserted bytes that follow the part in the new text
      */
     public record Instruction(int copyOffset, int copyLength, byte[] inserted) {}
 
@@ -52,9 +52,9 @@
     }
 
     /**
-     * The new text.
+     * Applies this delta to the old text; returns the new text.
      *
-     * @throws IOException if this delta was not made from the old text given, or the new text would be too long
+     * @throws IOException if this delta does not fit the old text, or the new text would be too long
      */
     public byte[] apply(byte[] before) throws IOException {
         ByteArrayOutputStream after = new ByteArrayOutputStream(before.length);
@@ -62,12 +62,12 @@
             int offset = instruction.copyOffset();
             int length = instruction.copyLength();
             if (offset < 0 || length < 0 || (long) offset + length > before.length) {
-                throw new IOException(
-                        "a delta that copies " + length + " bytes from offset " + offset + " of " + before.length);
+                throw new IOException("delta copies " + length + " bytes from offset " + offset + " of a document of "
+                        + before.length + " bytes");
             }
             if ((long) after.size() + length + instruction.inserted().length > ReplicatedState.MAX_DOCUMENT_BYTES) {
                 throw new IOException(
-                        "a delta to a document of more than " + ReplicatedState.MAX_DOCUMENT_BYTES + " bytes");
+                        "delta produces a document of more than " + ReplicatedState.MAX_DOCUMENT_BYTES + " bytes");
             }
             after.write(before, offset, length);
             after.write(instruction.inserted());
--- a/subscription/src/main/java/lupinvalve/subscription/FullDocumentLimiter.java
+++ b/subscription/src/main/java/lupinvalve/subscription/FullDocumentLimiter.java
@@ -4,22 +4,22 @@
 import java.util.Map;
 
 /**
- * Limits the full documents that a member sends at once, by the bytes that subscribers have not confirmed yet; one
- * document is always admitted. Rejected subscribers are told a Retry-After that grows with their number. One thread
- * uses it.
+ * Limits the full documents that a member sends concurrently, by the number of bytes that subscribers have not
+ * confirmed yet; a document is always admitted if no other is in flight. Rejected subscribers get a Retry-After that
+ * grows with the number of rejections. Confined to one thread.
  */
 public final class FullDocumentLimiter {
-    /** Unconfirmed bytes at most. */
+    /** Maximum number of unconfirmed bytes. */
     static final long IN_FLIGHT_MAX_BYTES = 8 << 20;
-    /** After this an unconfirmed document counts no longer. */
+    /** Time after which an unconfirmed document no longer counts as in flight. */
     static final long CONFIRM_TIMEOUT_MICROS = 2_000_000;
-    /** Added to Retry-After for each rejection within the window. */
+    /** Increment of Retry-After for each rejection within the window. */
     static final int RETRY_STEP_MILLIS = 5;
     /** Retry-After without rejections in the window. */
     static final int RETRY_MIN_MILLIS = 50;
-    /** Retry-After at most. */
+    /** Maximum Retry-After. */
     static final int RETRY_MAX_MILLIS = 1_000;
-    /** Rejections are counted anew after this. */
+    /** Length of the window in which rejections are counted. */
     private static final long REJECTION_WINDOW_MICROS = 1_000_000;
 
     private record InFlight(int sizeBytes, long sentMicros) {}
@@ -29,7 +29,7 @@
     private long windowStartMicros;
     private int rejectedCount;
 
-    /** Whether a document may be sent to a subscriber now; if so it counts as in flight. */
+    /** Returns whether a document may be sent to a subscriber now; if so, it counts as in flight. */
     public boolean admit(String subscriber, int sizeBytes, long nowMicros) {
         confirm(subscriber);
         if (inFlightBytes + sizeBytes > IN_FLIGHT_MAX_BYTES) {
@@ -51,7 +51,7 @@
         });
     }
 
-    /** A subscriber has sent its next request: what was sent to it has arrived, or never will. */
+    /** Handles a subscriber's next request: the document sent to it has arrived, or was lost. */
     public void confirm(String subscriber) {
         InFlight sent = inFlightBySubscriber.remove(subscriber);
         inFlightBytes -= sent == null ? 0 : sent.sizeBytes();
--- a/subscription/src/main/java/lupinvalve/subscription/MemberSelector.java
+++ b/subscription/src/main/java/lupinvalve/subscription/MemberSelector.java
@@ -8,68 +8,66 @@
 
 /**
  * Selects the member that a subscriber watches, and decides timeouts, failover and backoff. Each subscriber has its own
- * order of members, by a hash of both names, so that the members have about the same number of subscribers. After a
- * round in which all members failed there is an exponential backoff with jitter.
+ * order of members, by a hash of both names, so that subscribers are spread evenly over the members. A round in which
+ * all members failed is followed by an exponential backoff with jitter.
  *
- * <p>Times are in microseconds. One thread uses it.
+ * <p>Times are in microseconds. Confined to one thread.
  */
 public final class MemberSelector {
     /** Backoff after the first round in which all members failed. */
     public static final long BACKOFF_MIN_MICROS = 100_000;
-    /** Backoff at most. */
+    /** Maximum backoff. */
     public static final long BACKOFF_MAX_MICROS = 2_000_000;
-    /** Timeout of a response without a full document: the long poll and a margin. */
+    /** Timeout of a response without a full document: the long poll plus a margin. */
     public static final long RESPONSE_TIMEOUT_MICROS = WatchService.LONG_POLL_MICROS + 500_000;
-    /** Timeout of a response that may have a full document. */
+    /** Timeout of a response that may contain a full document; also the maximum response timeout. */
     public static final long FULL_DOCUMENT_TIMEOUT_MICROS = 3_000_000;
-    /** Timeout of connect and handshake; short at first, as a lease may be running out. */
+    /** Initial timeout of connect and handshake; short, as a lease may be about to expire. */
     public static final long HANDSHAKE_TIMEOUT_MIN_MICROS = 700_000;
-    /** Timeout of connect and handshake at most. */
+    /** Maximum timeout of connect and handshake. */
     public static final long HANDSHAKE_TIMEOUT_MAX_MICROS = 3_000_000;
-    /** A lease for less than this is from a member whose own lease runs out: subscribers fail over. */
+    /** A lease shorter than this comes from a member whose own lease is about to expire: subscribers fail over. */
     public static final long LEASE_MIN_MICROS = 600_000;
-    /**
-     * After this, and jitter of up to as much, a subscriber of another member attempts to return to its preferred one.
-     */
+    /** Interval, plus jitter of up to the same amount, after which a subscriber retries its preferred member. */
     public static final long PREFERRED_RETRY_MICROS = 60_000_000;
-    /** How long a member may respond without granting a lease before its subscribers fail over; doubles each time. */
+    /** Time that a member may respond without granting a lease before a subscriber fails over; doubles each time. */
     public static final long DENIED_TIMEOUT_MIN_MICROS = 5_000_000;
-    /** The timeout for denied leases at most. */
+    /** Maximum timeout for denied leases. */
     public static final long DENIED_TIMEOUT_MAX_MICROS = 60_000_000;
-    /** Jitter of the subscribers that leave a member together. */
+    /** Maximum jitter of a failover, as the subscribers of a failed member fail over together. */
     private static final long FAILOVER_JITTER_MICROS = 50_000;
-    /** Doublings of a backoff that are computed at most. */
+    /** Maximum number of doublings of a backoff or of the timeout for denied leases; avoids overflow. */
     private static final int DOUBLINGS_MAX_COUNT = 10;
 
     private static final int HANDSHAKE_DOUBLINGS_MAX_COUNT = 3;
-    private static final long NEVER = Long.MIN_VALUE;
+    private static final long NEVER_MICROS = Long.MIN_VALUE;
 
-    private final List<String> order;
+    private final List<String> memberOrder;
     private final Random random;
-    private int current;
-    /** Members that failed in this round. */
-    private int failedInRound;
-    /** Rounds in a row in which all members failed. */
-    private int failedRounds;
-    /** From when the time to the next attempt at the preferred member counts. */
+    private int currentIndex;
+    /** Number of members that failed in the current round. */
+    private int failedMemberCount;
+    /** Number of consecutive rounds in which all members failed. */
+    private int failedRoundCount;
+    /** Start of the interval before the next attempt at the preferred member. */
     private long preferredRetryFromMicros;
 
-    private long deniedSinceMicros = NEVER;
+    private long deniedSinceMicros = NEVER_MICROS;
     private int deniedCount;
 
     /**
      * Starts with the preferred member.
      *
-     * @param seed of the jitter
+     * @param seed of the random jitter
      */
     public MemberSelector(String subscriber, Collection<String> members, long seed) {
-        order = new ArrayList<>(members);
-        order.sort(Comparator.comparingLong((String member) -> hash(subscriber + "/" + member))
+        memberOrder = new ArrayList<>(members);
+        memberOrder.sort(Comparator.comparingLong((String member) -> hash(subscriber + "/" + member))
                 .thenComparing(member -> member));
         random = new Random(seed);
     }
 
-    /** FNV-1a with a finalizer, as similar texts must not have similar hashes. */
+    /** FNV-1a with a finalizer, so that similar names do not have similar hashes. */
     private static long hash(String text) {
         long hash = 0xcbf29ce484222325L;
         for (int i = 0; i < text.length(); i++) {
@@ -79,56 +77,56 @@
         return hash ^ hash >>> 33;
     }
 
-    /** The member to watch now. */
+    /** The member that the subscriber currently watches. */
     public String currentMember() {
-        return order.get(current);
+        return memberOrder.get(currentIndex);
     }
 
-    /** The member to watch if all are healthy. */
+    /** The first member in this subscriber's order, watched if all are healthy. */
     public String preferredMember() {
-        return order.get(0);
+        return memberOrder.get(0);
     }
 
     /**
      * Fails over from the current member to the next.
      *
-     * @return the delay before the attempt at the next one
+     * @return the delay before connecting to the next member, in microseconds
      */
     public long failOver(long nowMicros) {
-        if (current == 0) {
-            postponePreferred(nowMicros);
+        if (currentIndex == 0) {
+            postponePreferredRetry(nowMicros);
         }
-        current = (current + 1) % order.size();
-        failedInRound++;
-        if (failedInRound < order.size()) {
+        currentIndex = (currentIndex + 1) % memberOrder.size();
+        failedMemberCount++;
+        if (failedMemberCount < memberOrder.size()) {
             return (long) (FAILOVER_JITTER_MICROS * random.nextDouble());
         }
-        failedInRound = 0;
-        failedRounds++;
+        failedMemberCount = 0;
+        failedRoundCount++;
         long backoffMicros =
-                Math.min(BACKOFF_MAX_MICROS, BACKOFF_MIN_MICROS << Math.min(failedRounds - 1, DOUBLINGS_MAX_COUNT));
+                Math.min(BACKOFF_MAX_MICROS, BACKOFF_MIN_MICROS << Math.min(failedRoundCount - 1, DOUBLINGS_MAX_COUNT));
         return backoffMicros / 2 + (long) (backoffMicros / 2 * random.nextDouble());
     }
 
-    private void postponePreferred(long nowMicros) {
+    private void postponePreferredRetry(long nowMicros) {
         preferredRetryFromMicros = nowMicros + (long) (PREFERRED_RETRY_MICROS * random.nextDouble());
     }
 
-    /** The member has responded as it should. */
+    /** Resets the failure counts after a valid response. */
     public void onSuccess() {
-        failedInRound = 0;
-        failedRounds = 0;
+        failedMemberCount = 0;
+        failedRoundCount = 0;
     }
 
-    /** The member has granted a lease, or none is wanted. */
+    /** Resets the timeout for denied leases: a lease was granted, or none is wanted. */
     public void onLeaseGranted() {
-        deniedSinceMicros = NEVER;
+        deniedSinceMicros = NEVER_MICROS;
         deniedCount = 0;
     }
 
-    /** The member has responded but granted no lease. Returns whether to fail over. */
+    /** Handles a response that denies a lease; returns whether to fail over. */
     public boolean onLeaseDenied(long nowMicros) {
-        if (deniedSinceMicros == NEVER) {
+        if (deniedSinceMicros == NEVER_MICROS) {
             deniedSinceMicros = nowMicros;
         }
         long timeoutMicros = Math.min(
@@ -142,15 +140,17 @@
     }
 
     /**
-     * Timeout of a response; it grows with the failures, as retries don't help an overloaded member.
+     * Timeout of a response; it grows with the number of failures, as early retries add to the load of an overloaded
+     * member.
      *
-     * @param patient whether a full document may be sent, or there is no lease that might run out
+     * @param allowFullDocument whether to use {@link #FULL_DOCUMENT_TIMEOUT_MICROS}: a full document may be sent, or
+     *     there is no lease that might expire
      */
-    public long responseTimeoutMicros(boolean patient) {
-        if (patient) {
+    public long responseTimeoutMicros(boolean allowFullDocument) {
+        if (allowFullDocument) {
             return FULL_DOCUMENT_TIMEOUT_MICROS;
         }
-        long failures = failedInRound + (long) failedRounds * order.size();
+        long failures = failedMemberCount + (long) failedRoundCount * memberOrder.size();
         return Math.min(
                 FULL_DOCUMENT_TIMEOUT_MICROS, RESPONSE_TIMEOUT_MICROS + failures * WatchService.LONG_POLL_MICROS);
     }
@@ -159,22 +159,20 @@
     public long handshakeTimeoutMicros() {
         return Math.min(
                 HANDSHAKE_TIMEOUT_MAX_MICROS,
-                HANDSHAKE_TIMEOUT_MIN_MICROS << Math.min(failedRounds, HANDSHAKE_DOUBLINGS_MAX_COUNT));
+                HANDSHAKE_TIMEOUT_MIN_MICROS << Math.min(failedRoundCount, HANDSHAKE_DOUBLINGS_MAX_COUNT));
     }
 
-    /** Whether to attempt the preferred member again, beside the current one. */
+    /** Whether to retry the preferred member now, in parallel to the current one. */
     public boolean isPreferredDue(long nowMicros) {
-        return current != 0 && nowMicros - preferredRetryFromMicros >= PREFERRED_RETRY_MICROS;
+        return currentIndex != 0 && nowMicros - preferredRetryFromMicros >= PREFERRED_RETRY_MICROS;
     }
 
-    /**
-     * An attempt at the preferred member has ended: it is the current one if it is up, else there is a later attempt.
-     */
+    /** Handles the end of an attempt at the preferred member: switches to it if it is up, otherwise retries later. */
     public void onPreferredAttempted(boolean up, long nowMicros) {
         if (up) {
-            current = 0;
+            currentIndex = 0;
         } else {
-            postponePreferred(nowMicros);
+            postponePreferredRetry(nowMicros);
         }
     }
 }
--- a/subscription/src/main/java/lupinvalve/subscription/RevisionHistory.java
+++ b/subscription/src/main/java/lupinvalve/subscription/RevisionHistory.java
@@ -5,28 +5,28 @@
 import java.util.List;
 import lupinvalve.statemachine.ReplicatedState;
 
-/** The current document and a bounded number of deltas that led to it. One thread uses it. */
+/** The current document and a bounded number of deltas from earlier revisions to it. Confined to one thread. */
 public final class RevisionHistory {
-    /** Deltas that are retained at most. */
+    /** Maximum number of retained deltas. */
     public static final int DELTAS_MAX_COUNT = 256;
-    /** Size of all retained deltas, at most. */
+    /** Maximum total size of the retained deltas. */
     public static final int DELTAS_MAX_BYTES = 1 << 20;
 
-    /** The delta from one revision to the next. */
-    private record Step(long fromRevision, String fromDigest, DocumentDelta delta) {}
+    /** The delta from one revision to the next one. */
+    private record RevisionStep(long fromRevision, String fromDigest, DocumentDelta delta) {}
 
-    private final ArrayDeque<Step> steps = new ArrayDeque<>();
+    private final ArrayDeque<RevisionStep> steps = new ArrayDeque<>();
     private long retainedBytes;
     private ReplicatedState.Document current;
 
-    /** A majority has accepted a document. One of the current revision or an older one changes nothing. */
+    /** Adds a document that a majority has accepted. One of the current revision or an older one is ignored. */
     public void onAccepted(ReplicatedState.Document next) {
         if (next == null || current != null && next.revision() <= current.revision()) {
             return;
         }
         if (current != null && next.revision() == current.revision() + 1) {
             DocumentDelta delta = DocumentDelta.between(current.content(), next.content());
-            steps.addLast(new Step(current.revision(), current.digest(), delta));
+            steps.addLast(new RevisionStep(current.revision(), current.digest(), delta));
             retainedBytes += delta.sizeBytes();
         } else {
             // A snapshot may skip revisions.
@@ -52,7 +52,7 @@
         List<DocumentDelta> deltas = new ArrayList<>();
         long sizeBytes = 0;
         boolean found = false;
-        for (Step step : steps) {
+        for (RevisionStep step : steps) {
             found |= step.fromRevision() == revision && step.fromDigest().equals(digest);
             if (found) {
                 deltas.add(step.delta());
--- a/subscription/src/main/java/lupinvalve/subscription/SubscriberLeases.java
+++ b/subscription/src/main/java/lupinvalve/subscription/SubscriberLeases.java
@@ -6,31 +6,31 @@
 import lupinvalve.audit.Lease;
 
 /**
- * The leases that a member grants to its subscribers. A member grants nothing past the end of its own lease, and that
- * comes with what the leader had applied when it granted it; so each change is known here, or the own lease has ended,
- * at most a lease's length after a majority accepted it.
+ * The leases that a member grants to its subscribers. A member grants no lease past the end of its own, and its own
+ * lease comes with the log index that the leader had applied at the grant. So, at most one lease duration after a
+ * majority has accepted a change, the member either knows the change or has no valid lease.
  *
- * <p>Times are of the member's monotonic clock, in microseconds. One thread uses it.
+ * <p>Times are of the member's monotonic clock, in microseconds. Confined to one thread.
  */
 public final class SubscriberLeases {
     /**
-     * For how long a subscriber with a lease may lag behind a change that is known here before it gets no further one.
+     * Time that a subscriber with a lease may lag behind a change known to this member before its renewals are denied.
      */
     public static final long CATCH_UP_MICROS = 1_000_000;
 
     /**
      * The response to a request for a lease.
      *
-     * @param lengthMicros for how long it is granted; 0 if it is denied
+     * @param durationMicros for which it is granted; 0 if it is denied
      * @param denial why it is denied, or empty
      */
-    public record Grant(long lengthMicros, String denial) {
+    public record Grant(long durationMicros, String denial) {
         static Grant denied(String reason) {
             return new Grant(0, reason);
         }
     }
 
-    /** A change that subscribers must apply, and since when it is known here. */
+    /** A change that subscribers must apply, and the time since when this member knows it. */
     private record KnownChange(long index, long sinceMicros) {}
 
     private static final class SubscriberLease {
@@ -39,12 +39,14 @@
     }
 
     private final Map<String, SubscriberLease> leases = new HashMap<>();
-    /** Changes that are known here for less than the time to catch up. */
+    /** Changes known to this member for less than {@link #CATCH_UP_MICROS}. */
     private final ArrayDeque<KnownChange> recentChanges = new ArrayDeque<>();
 
+    /** Latest end of leases that this member granted before its start. */
     private final long previousIncarnationUntilMicros;
+
     private long newestIndex;
-    /** Subscribers with a lease must have applied the log up to here to renew it. */
+    /** Log index that a subscriber must have applied to renew a valid lease. */
     private long requiredIndex;
 
     private long ownLeaseUntilMicros = Long.MIN_VALUE;
@@ -52,13 +54,13 @@
     /**
      * Starts without leases.
      *
-     * @param nowMicros the member's start: leases that it granted before are not known here, and may last for a while
+     * @param nowMicros the member's start; leases that it granted before are unknown, but may still be valid
      */
     public SubscriberLeases(long nowMicros) {
         previousIncarnationUntilMicros = nowMicros + (long) (Lease.DURATION_MICROS * (1 + Lease.MAX_CLOCK_DRIFT_RATIO));
     }
 
-    /** There is a change that subscribers must apply: applied here, or known from the leader. */
+    /** Records a change that subscribers must apply: this member has applied it, or knows it from the leader. */
     public void onChange(long index, long nowMicros) {
         if (index > newestIndex) {
             newestIndex = index;
@@ -68,9 +70,9 @@
     }
 
     /**
-     * The member's own lease has been granted.
+     * Handles that the member's own lease was granted.
      *
-     * @param untilMicros when it ends
+     * @param untilMicros end of the lease
      * @param leaderIndex the last change for subscribers that the leader had applied when it granted the lease
      */
     public void onOwnLease(long untilMicros, long leaderIndex, long nowMicros) {
@@ -78,7 +80,7 @@
         ownLeaseUntilMicros = Math.max(ownLeaseUntilMicros, untilMicros);
     }
 
-    /** How long the own lease still lasts, in microseconds; not above 0 if it has ended. */
+    /** Remaining time of the member's own lease; zero or negative if it has ended. */
     public long ownLeaseLeftMicros(long nowMicros) {
         return ownLeaseUntilMicros == Long.MIN_VALUE ? 0 : ownLeaseUntilMicros - nowMicros;
     }
@@ -90,36 +92,36 @@
     }
 
     /**
-     * A subscriber requests a lease or its renewal.
+     * Handles a subscriber's request for a lease or its renewal.
      *
-     * @param appliedIndex the log index up to which it has applied everything
+     * @param appliedIndex the log index up to which it has applied all changes
      * @param objection why it can't apply more, or empty
      */
     public Grant renew(String subscriber, long appliedIndex, String objection, long nowMicros) {
-        long ownLeftMicros = ownLeaseLeftMicros(nowMicros);
-        if (ownLeftMicros <= 0) {
+        long ownLeaseLeftMicros = ownLeaseLeftMicros(nowMicros);
+        if (ownLeaseLeftMicros <= 0) {
             return Grant.denied("this member has no lease itself");
         }
         SubscriberLease lease = leases.computeIfAbsent(subscriber, name -> new SubscriberLease());
-        // A strict change does not wait for a subscriber without a lease here, or for one that went back by a restart.
+        // A strict change does not wait for a subscriber that has no lease here or whose restart lost applied changes.
         boolean renewal = nowMicros < lease.untilMicros && appliedIndex >= lease.appliedIndex;
         lease.appliedIndex = appliedIndex;
         if (renewal) {
             advanceRequiredIndex(nowMicros);
         }
-        long leastIndex = renewal ? requiredIndex : newestIndex;
-        if (appliedIndex < leastIndex) {
+        long minIndex = renewal ? requiredIndex : newestIndex;
+        if (appliedIndex < minIndex) {
             return Grant.denied(
                     objection.isEmpty()
-                            ? "acts on change " + appliedIndex + ", " + leastIndex + " is wanted"
+                            ? "acts on change " + appliedIndex + ", " + minIndex + " is wanted"
                             : objection);
         }
-        long lengthMicros = Math.min(Lease.DURATION_MICROS, ownLeftMicros);
-        lease.untilMicros = Math.max(lease.untilMicros, nowMicros + lengthMicros);
-        return new Grant(lengthMicros, "");
+        long durationMicros = Math.min(Lease.DURATION_MICROS, ownLeaseLeftMicros);
+        lease.untilMicros = Math.max(lease.untilMicros, nowMicros + durationMicros);
+        return new Grant(durationMicros, "");
     }
 
-    /** Whether a subscriber that has no lease here would be granted one now. */
+    /** Whether a subscriber has no lease of this member and would be granted one now. */
     public boolean canAdmit(String subscriber, long appliedIndex, long nowMicros) {
         SubscriberLease lease = leases.get(subscriber);
         boolean hasLease = lease != null && nowMicros < lease.untilMicros;
@@ -127,10 +129,11 @@
     }
 
     /**
-     * The log index up to which all subscribers with a lease of this member have applied everything: a strict change
-     * beyond it is not done. 0 until the leases have ended that were granted before this member's start.
+     * The log index up to which all subscribers with a lease of this member have applied all changes: a strict change
+     * beyond it is not done. 0 until the leases granted before this member's start have ended.
      *
-     * @param appliedIndex what the member has applied itself: subscribers that come later must have applied that
+     * @param appliedIndex the log index that the member itself has applied: subscribers that are admitted later must
+     *     have applied it
      */
     public long appliedFloor(long appliedIndex, long nowMicros) {
         leases.values().removeIf(lease -> nowMicros >= lease.untilMicros);
@@ -141,7 +144,7 @@
         return floor;
     }
 
-    /** How many subscribers have a lease of this member. */
+    /** Number of subscribers that hold a lease granted by this member. */
     public int activeCount(long nowMicros) {
         return (int) leases.values().stream()
                 .filter(lease -> nowMicros < lease.untilMicros)
--- a/subscription/src/main/java/lupinvalve/subscription/SubscriberState.java
+++ b/subscription/src/main/java/lupinvalve/subscription/SubscriberState.java
@@ -9,15 +9,15 @@
 import lupinvalve.statemachine.ReplicatedState;
 
 /**
- * A subscriber's state: what it has received, what its pooler has applied, its lease, and what its next request says.
- * It never goes back behind what it has received, whichever member responds.
+ * A subscriber's state: what it has received, what its pooler has applied, its lease, and the content of its next
+ * request. It never returns to a state older than one it has applied, whichever member responds.
  *
- * <p>Times are of one monotonic clock, in microseconds. One thread uses it; {@link #hasLease} and
- * {@link #leaseUntilMicros} are safe for all threads.
+ * <p>Times are of one monotonic clock, in microseconds. Confined to one thread, except {@link #hasLease} and
+ * {@link #leaseUntilMicros}, which are thread-safe.
  */
 public final class SubscriberState {
     /**
-     * What a subscriber caches on its disk for a restart.
+     * State that a subscriber caches on its disk for a restart.
      *
      * @param document the last applied one, or null
      * @param drains the operators' drains
@@ -25,16 +25,16 @@
      */
     public record Cached(
             ReplicatedState.Document document, Map<Command.DrainTarget, ReplicatedState.Drain> drains, long index) {
-        /** Nothing was received yet. */
+        /** The state before the first response. */
         public static final Cached EMPTY = new Cached(null, Map.of(), 0);
     }
 
     /**
-     * What the pooler must do after a response.
+     * The changes that the pooler must make after a response.
      *
      * @param document to apply, or null
      * @param drains the operators' drains as they are now, or null if they have not changed
-     * @param corruption what was wrong with the event, or empty; the next request is for the full document
+     * @param corruption why the event could not be applied, or empty; if not, the next request is for the full document
      */
     public record Update(
             ReplicatedState.Document document,
@@ -42,7 +42,7 @@
             String corruption) {
         private static final Update NONE = new Update(null, null, "");
 
-        /** Whether there is anything that a restart must know. */
+        /** Whether there is a change that must be cached for a restart. */
         public boolean changesState() {
             return document != null || drains != null;
         }
@@ -62,7 +62,7 @@
     /**
      * Starts from what an earlier run cached.
      *
-     * @param wantsLease whether requests ask for a lease
+     * @param wantsLease whether to request a lease
      */
     public SubscriberState(boolean wantsLease, Cached cached, long nowMicros) {
         this.wantsLease = wantsLease;
@@ -76,9 +76,9 @@
     }
 
     /**
-     * The cached document if it is to be applied, else null.
+     * The cached document if it can be applied, otherwise null.
      *
-     * @param validator says why this version can't apply a document, or null if it can
+     * @param validator returns why this version can't apply a document, or null if it can
      */
     public ReplicatedState.Document restoreCached(Function<byte[], String> validator) {
         return document == null ? null : applicableDocument(validator);
@@ -98,10 +98,10 @@
     }
 
     /**
-     * Takes up a member's response.
+     * Handles a member's response.
      *
      * @param requestedMicros a time before the request was sent
-     * @param validator says why this version can't apply a document, or null if it can
+     * @param validator returns why this version can't apply a document, or null if it can
      */
     public Update onResponse(
             WatchResponse response, long requestedMicros, long nowMicros, Function<byte[], String> validator) {
@@ -139,7 +139,7 @@
             return;
         }
         leaseDenial = "";
-        // The member received the request after it was sent, and granted the lease this much later by its own clock.
+        // The member received the request after requestedMicros and granted the lease queuedMicros later by its clock.
         long queuedMicros = (long) (Math.max(0, response.queuedMicros()) * (1 - Lease.MAX_CLOCK_DRIFT_RATIO));
         lease.onGranted(
                 Math.min(nowMicros, requestedMicros + queuedMicros),
@@ -148,18 +148,19 @@
 
     private ReplicatedState.Document documentAfter(WatchResponse.Event event) throws IOException {
         ReplicatedState.Document next;
-        if (event instanceof WatchResponse.Event.FullDocument full) {
-            next = full.document();
+        if (event instanceof WatchResponse.Event.FullDocument fullDocument) {
+            next = fullDocument.document();
         } else {
-            WatchResponse.Event.Deltas changed = (WatchResponse.Event.Deltas) event;
+            WatchResponse.Event.Deltas update = (WatchResponse.Event.Deltas) event;
             byte[] content = document == null ? new byte[0] : document.content();
-            for (DocumentDelta delta : changed.deltas()) {
+            for (DocumentDelta delta : update.deltas()) {
                 content = delta.apply(content);
             }
-            next = new ReplicatedState.Document(changed.revision(), changed.index(), changed.digest(), content);
+            next = new ReplicatedState.Document(update.revision(), update.index(), update.digest(), content);
         }
         if (!ReplicatedState.digest(next.content()).equals(next.digest())) {
-            throw new IOException("revision " + next.revision() + " comes to another digest than " + next.digest());
+            throw new IOException(
+                    "revision " + next.revision() + ": the document does not match the digest " + next.digest());
         }
         return next;
     }
@@ -169,22 +170,22 @@
         return verdict == ActiveConfiguration.Verdict.ACTIVATE ? document : null;
     }
 
-    /** The log index up to which everything was received. */
+    /** The log index up to which all changes were received. */
     public long receivedIndex() {
         return receivedIndex;
     }
 
-    /** The pooler has applied the log up to here. */
+    /** Records that the pooler has applied the log up to an index. */
     public void onApplied(long index) {
         appliedIndex = Math.max(appliedIndex, index);
     }
 
-    /** The log index up to which the pooler has applied everything. */
+    /** The log index up to which the pooler has applied all changes. */
     public long appliedIndex() {
         return appliedIndex;
     }
 
-    /** What to cache for a restart. */
+    /** The state to cache for a restart. */
     public Cached toCache() {
         return new Cached(
                 configuration.active(),
@@ -192,12 +193,12 @@
                 configuration.unreadableReason().isEmpty() ? receivedIndex : appliedIndex);
     }
 
-    /** Whether there is a valid lease; safe for all threads. */
+    /** Whether there is a valid lease; thread-safe. */
     public boolean hasLease(long nowMicros) {
         return lease.isValid(nowMicros);
     }
 
-    /** When the lease ends or has ended; safe for all threads. */
+    /** When the lease ends or has ended; thread-safe. */
     public long leaseUntilMicros() {
         return lease.untilMicros();
     }
@@ -207,7 +208,7 @@
         return leaseDenial;
     }
 
-    /** The operators' drains as received last. */
+    /** The operators' drains as last received. */
     public Map<Command.DrainTarget, ReplicatedState.Drain> drains() {
         return drains;
     }
--- a/subscription/src/main/java/lupinvalve/subscription/WatchRequest.java
+++ b/subscription/src/main/java/lupinvalve/subscription/WatchRequest.java
@@ -4,17 +4,17 @@
 import lupinvalve.statemachine.Cbor;
 
 /**
- * A subscriber's request: what it has, and up to where it applies the log. It is also its heartbeat, its
- * acknowledgement of the last response and its request for a lease.
+ * A subscriber's watch request, with the document and drains that it has and the log index that it has applied. It is
+ * also the subscriber's heartbeat, its acknowledgement of the last response and its request for a lease.
  *
  * @param version of the protocol
- * @param appliedIndex the log index up to which its pooler has applied everything
- * @param revision of the document that deltas may start from, 0 for none
+ * @param appliedIndex the log index up to which its pooler has applied all changes
+ * @param revision of its document, from which deltas may start; 0 for none
  * @param digest that document's digest
  * @param drainsDigest the digest of the operators' drains that it has, empty for none yet
  * @param wantsLease whether it requests a lease
- * @param wantsFullDocument whether deltas came to a wrong digest, so that the full document is needed
- * @param objection why it can't apply the document that it has, or empty
+ * @param wantsFullDocument whether deltas resulted in a wrong digest, so that the full document is needed
+ * @param objection why it can't apply the document that it has received, or empty
  */
 public record WatchRequest(
         int version,
@@ -25,19 +25,19 @@
         boolean wantsLease,
         boolean wantsFullDocument,
         String objection) {
-    /** The protocol's version that this program supports. */
+    /** The protocol version that this program supports. */
     public static final int VERSION = 1;
 
     private static final int OBJECTION_MAX_CHARS = 500;
 
-    /** Cuts an objection that is too long. */
+    /** Truncates an objection that is too long. */
     public WatchRequest {
         if (objection.length() > OBJECTION_MAX_CHARS) {
             objection = objection.substring(0, OBJECTION_MAX_CHARS);
         }
     }
 
-    /** The bytes for the wire; the version is the first field in every version. */
+    /** Encodes the request for the wire; the version is the first field in all protocol versions. */
     public byte[] write() {
         return new Cbor.Writer()
                 .number(version)
@@ -52,7 +52,7 @@
     }
 
     /**
-     * Reads what {@link #write} wrote.
+     * Decodes a request that {@link #write} has encoded.
      *
      * @throws UnsupportedVersionException if the request has a version that this program does not support
      */
--- a/subscription/src/main/java/lupinvalve/subscription/WatchResponse.java
+++ b/subscription/src/main/java/lupinvalve/subscription/WatchResponse.java
@@ -12,15 +12,15 @@
 /**
  * A member's response to a {@link WatchRequest}.
  *
- * @param leaseMicros for how long the subscriber's pooler may act, counted from when this was granted; 0 if no lease is
+ * @param leaseMicros duration of the lease granted to the subscriber's pooler, counted from the grant; 0 if no lease is
  *     granted
- * @param queuedMicros how long the request waited at the member before that, by the member's clock
+ * @param queuedMicros time that the request waited at the member before the grant, by the member's clock
  * @param leaseDenial why no lease is granted, or empty
  * @param completeIndex the log index up to which this response and all before it are complete; {@link #INCOMPLETE} if
- *     something is left out
- * @param retryAfterMillis when to send the next request; 0 for at once
- * @param event what to do with the document
- * @param drains all of the operators' drains if they differ from those that the subscriber has, or null
+ *     something is missing
+ * @param retryAfterMillis delay before the next request; 0 for none
+ * @param event change of the document
+ * @param drains all of the operators' drains if they differ from the subscriber's, or null
  */
 public record WatchResponse(
         long leaseMicros,
@@ -30,7 +30,7 @@
         int retryAfterMillis,
         Event event,
         Map<Command.DrainTarget, ReplicatedState.Drain> drains) {
-    /** The complete index of a response that leaves something out. */
+    /** The complete index of a response in which something is missing. */
     public static final long INCOMPLETE = 0;
 
     private static final int RETRY_AFTER_MAX_MILLIS = 60_000;
@@ -41,18 +41,18 @@
     private static final int KIND_FULL_DOCUMENT = 1;
     private static final int KIND_DELTAS = 2;
 
-    /** What happened to the document since the revision that the subscriber has. */
+    /** Change of the document since the subscriber's revision. */
     public sealed interface Event {
-        /** Nothing, or it can't be sent now. */
+        /** No change, or one that can't be sent now. */
         record Unchanged() implements Event {}
 
-        /** A new document. */
+        /** A new document, sent in full. */
         record FullDocument(ReplicatedState.Document document) implements Event {}
 
         /**
          * Deltas from the subscriber's document to the new one, oldest first.
          *
-         * @param digest of the document that must result
+         * @param digest expected digest of the resulting document
          */
         record Deltas(long revision, long index, String digest, List<DocumentDelta> deltas) implements Event {
             /** Takes an immutable copy of the list. */
@@ -62,7 +62,7 @@
         }
     }
 
-    /** The bytes for the wire. */
+    /** Encodes the response for the wire. */
     public byte[] write() {
         Cbor.Writer out = new Cbor.Writer()
                 .number(leaseMicros)
@@ -79,26 +79,26 @@
     }
 
     private void writeEvent(Cbor.Writer out) {
-        if (event instanceof Event.FullDocument full) {
-            ReplicatedState.Document document = full.document();
+        if (event instanceof Event.FullDocument fullDocument) {
+            ReplicatedState.Document document = fullDocument.document();
             out.number(KIND_FULL_DOCUMENT)
                     .number(document.revision())
                     .number(document.index())
                     .text(document.digest())
                     .bytes(document.content());
-        } else if (event instanceof Event.Deltas changed) {
+        } else if (event instanceof Event.Deltas deltas) {
             out.number(KIND_DELTAS)
-                    .number(changed.revision())
-                    .number(changed.index())
-                    .text(changed.digest())
-                    .number(changed.deltas().size());
-            changed.deltas().forEach(delta -> delta.write(out));
+                    .number(deltas.revision())
+                    .number(deltas.index())
+                    .text(deltas.digest())
+                    .number(deltas.deltas().size());
+            deltas.deltas().forEach(delta -> delta.write(out));
         } else {
             out.number(KIND_UNCHANGED);
         }
     }
 
-    /** Reads what {@link #write} wrote. */
+    /** Decodes a response that {@link #write} has encoded. */
     public static WatchResponse read(byte[] bytes) throws IOException {
         Cbor.Reader in = new Cbor.Reader(bytes);
         long leaseMicros = in.number();
@@ -130,7 +130,7 @@
         return new Event.Deltas(revision, index, digest, deltas);
     }
 
-    /** Writes operators' drains in the form of the wire and of a subscriber's cache file. */
+    /** Writes operators' drains in the encoding used on the wire and in a subscriber's cache file. */
     public static void writeDrains(Cbor.Writer out, Map<Command.DrainTarget, ReplicatedState.Drain> drains) {
         out.number(drains.size());
         new TreeMap<>(drains)
@@ -140,7 +140,7 @@
                         .number(drain.sinceMicros()));
     }
 
-    /** Reads what {@link #writeDrains} wrote. */
+    /** Reads drains that {@link #writeDrains} has written. */
     public static Map<Command.DrainTarget, ReplicatedState.Drain> readDrains(Cbor.Reader in) throws IOException {
         Map<Command.DrainTarget, ReplicatedState.Drain> drains = new TreeMap<>();
         for (int count = in.count(ReplicatedState.MAX_DRAINS); count > 0; count--) {
@@ -151,7 +151,7 @@
         return drains;
     }
 
-    /** The digest that stands for drains in a request. */
+    /** The digest of drains, as sent in a {@link WatchRequest}. */
     public static String digest(Map<Command.DrainTarget, ReplicatedState.Drain> drains) {
         Cbor.Writer out = new Cbor.Writer();
         writeDrains(out, drains);
--- a/subscription/src/main/java/lupinvalve/subscription/WatchService.java
+++ b/subscription/src/main/java/lupinvalve/subscription/WatchService.java
@@ -7,14 +7,14 @@
 import lupinvalve.statemachine.ReplicatedState;
 
 /**
- * Decides what a member responds to its subscribers: watch events, leases, and Retry-After. Times are of the member's
- * monotonic clock, in microseconds. One thread uses it.
+ * Decides how a member responds to its subscribers: watch events, leases, and Retry-After. Times are of the member's
+ * monotonic clock, in microseconds. Confined to one thread.
  */
 public final class WatchService {
-    /** How long a request may wait for an event. Two requests, one of them lost, must fit in a lease. */
+    /** Maximum time that a request waits for an event. Two long polls, one of them lost, must fit into a lease. */
     public static final long LONG_POLL_MICROS = 500_000;
 
-    /** Why this member grants no leases at all, or empty if it does. */
+    /** Why this member never grants leases, or empty if it does. */
     private final String leasesDisabledReason;
 
     private final RevisionHistory history = new RevisionHistory();
@@ -25,7 +25,7 @@
     private long appliedIndex;
 
     /**
-     * A service that has applied nothing yet.
+     * Creates a service that has applied no change yet.
      *
      * @param leasesDisabledReason why this member grants no leases, or empty if it does
      */
@@ -39,11 +39,11 @@
     }
 
     /**
-     * This member has applied a change of the document or the drains. An older state than before, as after a fault of
-     * the disk, changes nothing.
+     * Handles that this member has applied a change of the document or the drains. A state older than before, as after
+     * a disk fault, is ignored.
      *
-     * @param document the current one, or null
-     * @param index the last change of document or drains
+     * @param document the current document, or null
+     * @param index log index of the last change of the document or the drains
      */
     public void onApplied(
             ReplicatedState.Document document,
@@ -62,17 +62,17 @@
         }
     }
 
-    /** This member has applied the log up to here; changes for subscribers are reported by {@link #onApplied}. */
+    /** Advances the log index that this member has applied; changes for subscribers go through {@link #onApplied}. */
     public void advanceAppliedIndex(long index) {
         appliedIndex = Math.max(appliedIndex, index);
     }
 
-    /** The member's own lease has been granted, see {@link SubscriberLeases#onOwnLease}. */
+    /** Handles that the member's own lease was granted, see {@link SubscriberLeases#onOwnLease}. */
     public void onOwnLease(long untilMicros, long leaderIndex, long nowMicros) {
         leases.onOwnLease(untilMicros, leaderIndex, nowMicros);
     }
 
-    /** Whether this member grants leases but can't now, so that its subscribers had better go to another one. */
+    /** Whether this member grants leases but has no valid lease itself; its subscribers should then fail over. */
     public boolean lacksOwnLease(long nowMicros) {
         return grantsLeases() && leases.ownLeaseLeftMicros(nowMicros) <= 0;
     }
@@ -82,12 +82,12 @@
         return grantsLeases() && request.wantsLease() && leases.canAdmit(subscriber, request.appliedIndex(), nowMicros);
     }
 
-    /** Whether there is something that a subscriber does not have yet. */
+    /** Whether there is an update that a subscriber does not have yet. */
     public boolean hasUpdate(WatchRequest request) {
         return !isAhead(request) && (drainsDiffer(request) || documentDiffers(request));
     }
 
-    /** Whether the subscriber has applied more than this member, which then has nothing for it. */
+    /** Whether the subscriber has applied more than this member, which then has no update for it. */
     private boolean isAhead(WatchRequest request) {
         return request.appliedIndex() > appliedIndex;
     }
@@ -106,7 +106,7 @@
         return request.wantsFullDocument() || request.revision() < document.revision() || otherContent;
     }
 
-    /** A subscriber's request has arrived. */
+    /** Handles the arrival of a subscriber's request. */
     public void onRequest(String subscriber) {
         fullDocuments.confirm(subscriber);
     }
@@ -114,10 +114,10 @@
     /**
      * Responds to a subscriber.
      *
-     * @param queuedMicros how long its request has waited here
+     * @param queuedMicros time that the request has waited at this member
      */
     public WatchResponse respond(String subscriber, WatchRequest request, long queuedMicros, long nowMicros) {
-        SubscriberLeases.Grant lease = lease(subscriber, request, nowMicros);
+        SubscriberLeases.Grant lease = renewLease(subscriber, request, nowMicros);
         WatchResponse.Event event = new WatchResponse.Event.Unchanged();
         long completeIndex = appliedIndex;
         int retryAfterMillis = 0;
@@ -133,7 +133,7 @@
         Map<Command.DrainTarget, ReplicatedState.Drain> changedDrains =
                 isAhead(request) || !drainsDiffer(request) ? null : drains;
         return new WatchResponse(
-                lease.lengthMicros(),
+                lease.durationMicros(),
                 queuedMicros,
                 lease.denial(),
                 completeIndex,
@@ -142,7 +142,7 @@
                 changedDrains);
     }
 
-    private SubscriberLeases.Grant lease(String subscriber, WatchRequest request, long nowMicros) {
+    private SubscriberLeases.Grant renewLease(String subscriber, WatchRequest request, long nowMicros) {
         if (!request.wantsLease()) {
             return SubscriberLeases.Grant.denied("");
         }
@@ -152,7 +152,7 @@
         return leases.renew(subscriber, request.appliedIndex(), request.objection(), nowMicros);
     }
 
-    /** Deltas or the full document; null if only a full document would do and the limiter rejects it. */
+    /** Deltas or the full document; null if the full document is needed and the limiter rejects it. */
     private WatchResponse.Event documentUpdate(String subscriber, WatchRequest request, long nowMicros) {
         ReplicatedState.Document document = history.current();
         List<DocumentDelta> deltas =
@@ -165,12 +165,12 @@
                 : null;
     }
 
-    /** The log index up to which this member's subscribers apply, see {@link SubscriberLeases#appliedFloor}. */
+    /** The log index that all of this member's subscribers have applied, see {@link SubscriberLeases#appliedFloor}. */
     public long appliedFloor(long nowMicros) {
         return leases.appliedFloor(appliedIndex, nowMicros);
     }
 
-    /** How many subscribers have a lease of this member. */
+    /** Number of subscribers that hold a lease granted by this member. */
     public int leaseCount(long nowMicros) {
         return leases.activeCount(nowMicros);
     }
--- a/subscription/src/test/java/lupinvalve/subscription/CorruptedResponse.java
+++ b/subscription/src/test/java/lupinvalve/subscription/CorruptedResponse.java
@@ -5,15 +5,17 @@
 import java.util.List;
 import lupinvalve.statemachine.ReplicatedState;
 
-/** Deltas with a wrong result, as if member and subscriber had started from different contents. */
+/**
+ * Creates responses whose deltas produce a wrong document, as if member and subscriber had started from different ones.
+ */
 final class CorruptedResponse {
     private CorruptedResponse() {}
 
     /**
-     * The response with one byte too many at the end of its deltas.
+     * Returns the response with one extra byte at the end of its last delta.
      *
      * @param applied the document that the deltas start from
-     * @param matchingDigest whether its digest is that of the wrong result, as if nobody checked it
+     * @param matchingDigest whether the digest matches the wrong result, as if the subscriber did not check it
      */
     static WatchResponse of(WatchResponse response, ReplicatedState.Document applied, boolean matchingDigest) {
         WatchResponse.Event.Deltas event = (WatchResponse.Event.Deltas) response.event();
--- a/subscription/src/test/java/lupinvalve/subscription/DecisionsTest.java
+++ b/subscription/src/test/java/lupinvalve/subscription/DecisionsTest.java
@@ -19,7 +19,7 @@
 import lupinvalve.statemachine.ReplicatedState;
 import org.junit.jupiter.api.Test;
 
-/** What members and subscribers decide, each by itself. */
+/** Unit tests of the decisions of members and subscribers. */
 class DecisionsTest {
     private static final List<String> MEMBERS = List.of("a", "b", "c");
 
@@ -28,12 +28,12 @@
         return new ReplicatedState.Document(revision, revision * 10, ReplicatedState.digest(content), content);
     }
 
-    private static WatchRequest request(long index, ReplicatedState.Document holding) {
+    private static WatchRequest request(long index, ReplicatedState.Document current) {
         return new WatchRequest(
                 WatchRequest.VERSION,
                 index,
-                holding == null ? 0 : holding.revision(),
-                holding == null ? "" : holding.digest(),
+                current == null ? 0 : current.revision(),
+                current == null ? "" : current.digest(),
                 WatchResponse.digest(Map.of()),
                 true,
                 false,
@@ -41,12 +41,12 @@
     }
 
     @Test
-    void aDeltaLeadsFromAnyTextToAnyOther() throws IOException {
+    void aDeltaTransformsAnyTextIntoAnyOther() throws IOException {
         Random random = new Random(1);
         for (int i = 0; i < 5_000; i++) {
-            // Few letters, so that beginnings and ends overlap.
-            byte[] before = text(random);
-            byte[] after = text(random);
+            // Only two letters, so that matches overlap.
+            byte[] before = randomText(random);
+            byte[] after = randomText(random);
             DocumentDelta delta = DocumentDelta.between(before, after);
             assertArrayEquals(after, delta.apply(before));
         }
@@ -56,12 +56,12 @@
         assertRejected(new DocumentDelta.Instruction(0, 1, new byte[ReplicatedState.MAX_DOCUMENT_BYTES]), 5);
     }
 
-    private static void assertRejected(DocumentDelta.Instruction piece, int length) {
-        assertThrows(IOException.class, () -> new DocumentDelta(List.of(piece)).apply(new byte[length]));
+    private static void assertRejected(DocumentDelta.Instruction instruction, int length) {
+        assertThrows(IOException.class, () -> new DocumentDelta(List.of(instruction)).apply(new byte[length]));
     }
 
     @Test
-    void aFewEntriesChangedAnywhereAreAFewHundredBytes() throws IOException {
+    void aDeltaOfThreeChangedEntriesIsUnder900Bytes() throws IOException {
         Random random = new Random(2);
         String[] entries = new String[1_200];
         for (int i = 0; i < entries.length; i++) {
@@ -70,8 +70,8 @@
         byte[] before = document(entries);
         for (int round = 0; round < 200; round++) {
             for (int change = 0; change < 3; change++) {
-                int which = random.nextInt(entries.length);
-                entries[which] = random.nextInt(10) == 0 ? "" : entry(which, random.nextInt(60_000));
+                int index = random.nextInt(entries.length);
+                entries[index] = random.nextInt(10) == 0 ? "" : entry(index, random.nextInt(60_000));
             }
             byte[] after = document(entries);
             DocumentDelta delta = DocumentDelta.between(before, after);
@@ -91,7 +91,7 @@
         return ("{\"databases\":[" + String.join("", entries) + "{}]}").getBytes(StandardCharsets.UTF_8);
     }
 
-    private static byte[] text(Random random) {
+    private static byte[] randomText(Random random) {
         byte[] text = new byte[random.nextInt(random.nextBoolean() ? 12 : 300)];
         for (int i = 0; i < text.length; i++) {
             text[i] = (byte) ('a' + random.nextInt(2));
@@ -100,28 +100,29 @@
     }
 
     @Test
-    void aHistoryIsBoundedAndClearedWhereRevisionsWereSkipped() {
+    void historyIsBoundedAndClearedIfRevisionsAreSkipped() {
         RevisionHistory history = new RevisionHistory();
         ReplicatedState.Document first = document(1, "x".repeat(2_000) + "1");
         history.onAccepted(first);
         for (int revision = 2; revision <= RevisionHistory.DELTAS_MAX_COUNT + 2; revision++) {
             history.onAccepted(document(revision, "x".repeat(2_000) + revision));
         }
-        assertNull(history.since(1, first.digest()), "too long ago");
+        assertNull(history.since(1, first.digest()), "the delta has been evicted");
         ReplicatedState.Document last = document(
                 RevisionHistory.DELTAS_MAX_COUNT + 1, "x".repeat(2_000) + (RevisionHistory.DELTAS_MAX_COUNT + 1));
         assertEquals(1, history.since(last.revision(), last.digest()).size());
         assertNull(history.since(last.revision(), "another content"));
         history.onAccepted(first);
-        assertEquals(RevisionHistory.DELTAS_MAX_COUNT + 2, history.current().revision(), "never back");
+        assertEquals(
+                RevisionHistory.DELTAS_MAX_COUNT + 2, history.current().revision(), "an older revision is ignored");
         history.onAccepted(document(1_000, "y".repeat(100)));
         assertNull(history.since(last.revision(), last.digest()));
         history.onAccepted(document(1_001, "z".repeat(100)));
-        assertNull(history.since(1_000, history.current().digest()), "a difference as long as the whole is none");
+        assertNull(history.since(1_000, history.current().digest()), "deltas as large as the document are not used");
     }
 
     @Test
-    void requestsAndResponsesAreReadAsWrittenAndANewerRequestIsRejected() throws IOException {
+    void requestsAndResponsesAreDecodedAsEncodedAndNewerVersionsAreRejected() throws IOException {
         WatchRequest request = new WatchRequest(WatchRequest.VERSION, 7, 2, "d", "h", true, false, "o");
         assertEquals(request, WatchRequest.read(request.write()));
         WatchRequest newer = new WatchRequest(WatchRequest.VERSION + 1, 7, 2, "d", "h", true, false, "o");
@@ -129,55 +130,57 @@
                 "version 2 of following is asked for; this member speaks 1",
                 assertThrows(WatchRequest.UnsupportedVersionException.class, () -> WatchRequest.read(newer.write()))
                         .getMessage());
-        Map<Command.DrainTarget, ReplicatedState.Drain> holds = new TreeMap<>();
-        holds.put(new Command.DrainTarget(Command.TargetKind.POOLER, "p"), new ReplicatedState.Drain("w", 5));
-        WatchResponse answer = new WatchResponse(1, 2, "why", 3, 4, new WatchResponse.Event.Unchanged(), holds);
-        assertEquals(answer, WatchResponse.read(answer.write()));
-        ReplicatedState.Document whole = document(3, "{}");
-        WatchResponse all = WatchResponse.read(
-                new WatchResponse(1, 2, "", 3, 4, new WatchResponse.Event.FullDocument(whole), null).write());
+        Map<Command.DrainTarget, ReplicatedState.Drain> drains = new TreeMap<>();
+        drains.put(new Command.DrainTarget(Command.TargetKind.POOLER, "p"), new ReplicatedState.Drain("w", 5));
+        WatchResponse response = new WatchResponse(1, 2, "why", 3, 4, new WatchResponse.Event.Unchanged(), drains);
+        assertEquals(response, WatchResponse.read(response.write()));
+        ReplicatedState.Document document = document(3, "{}");
+        WatchResponse decoded = WatchResponse.read(
+                new WatchResponse(1, 2, "", 3, 4, new WatchResponse.Event.FullDocument(document), null).write());
         assertArrayEquals(
-                whole.content(),
-                ((WatchResponse.Event.FullDocument) all.event()).document().content());
+                document.content(),
+                ((WatchResponse.Event.FullDocument) decoded.event()).document().content());
     }
 
     @Test
-    void aMemberGrantsNothingPastItsOwnLeaseNorToASubscriberThatLags() {
+    void aMemberGrantsNoLeasePastItsOwnNorToALaggingSubscriber() {
         SubscriberLeases leases = new SubscriberLeases(0);
-        assertEquals(0, leases.renew("s", 5, "", 0).lengthMicros(), "it has no right itself");
+        assertEquals(0, leases.renew("s", 5, "", 0).durationMicros(), "the member has no lease itself");
         leases.onOwnLease(1_500_000, 5, 0);
-        assertEquals(1_500_000, leases.renew("s", 5, "", 0).lengthMicros());
+        assertEquals(1_500_000, leases.renew("s", 5, "", 0).durationMicros());
         leases.onOwnLease(10_000_000, 5, 100);
-        assertEquals(Lease.DURATION_MICROS, leases.renew("s", 5, "", 100).lengthMicros());
+        assertEquals(Lease.DURATION_MICROS, leases.renew("s", 5, "", 100).durationMicros());
         leases.onChange(9, 200);
         assertTrue(leases.renew("s", 5, "", 200 + SubscriberLeases.CATCH_UP_MICROS - 1)
-                        .lengthMicros()
+                        .durationMicros()
                 > 0);
-        SubscriberLeases.Grant late = leases.renew("s", 5, "", 200 + SubscriberLeases.CATCH_UP_MICROS);
-        assertEquals(new SubscriberLeases.Grant(0, "acts on change 5, 9 is wanted"), late);
+        SubscriberLeases.Grant denied = leases.renew("s", 5, "", 200 + SubscriberLeases.CATCH_UP_MICROS);
+        assertEquals(new SubscriberLeases.Grant(0, "acts on change 5, 9 is wanted"), denied);
         assertEquals(
                 "can't",
                 leases.renew("s", 5, "can't", 200 + SubscriberLeases.CATCH_UP_MICROS)
                         .denial());
         assertEquals(
-                0, leases.renew("new", 8, "", 300).lengthMicros(), "one without a lease may have been passed over");
+                0,
+                leases.renew("new", 8, "", 300).durationMicros(),
+                "the change may not have waited for a subscriber without a lease");
         assertFalse(leases.canAdmit("new", 8, 300));
         assertTrue(leases.canAdmit("new", 9, 300));
         assertTrue(
-                leases.renew("s", 9, "", 300 + SubscriberLeases.CATCH_UP_MICROS).lengthMicros() > 0,
-                "it comes back by acting on it");
+                leases.renew("s", 9, "", 300 + SubscriberLeases.CATCH_UP_MICROS).durationMicros() > 0,
+                "a subscriber that has caught up gets a lease again");
         assertEquals(
                 0,
-                leases.renew("s", 8, "", 400 + SubscriberLeases.CATCH_UP_MICROS).lengthMicros(),
-                "one that has gone back");
+                leases.renew("s", 8, "", 400 + SubscriberLeases.CATCH_UP_MICROS).durationMicros(),
+                "the subscriber has lost applied changes");
     }
 
     @Test
-    void theFloorIsWhatTheSlowestSubscriberWithALeaseHasApplied() {
+    void theAppliedFloorIsTheLowestIndexOfSubscribersWithALease() {
         SubscriberLeases leases = new SubscriberLeases(0);
         leases.onOwnLease(60_000_000, 5, 0);
         leases.renew("s", 5, "", 0);
-        assertEquals(0, leases.appliedFloor(7, 0), "leases of an earlier incarnation may last");
+        assertEquals(0, leases.appliedFloor(7, 0), "leases of an earlier incarnation may still be valid");
         long later = 2_100_000;
         assertEquals(7, leases.appliedFloor(7, later), "its lease has ended");
         leases.renew("s", 6, "", later);
@@ -189,51 +192,55 @@
     }
 
     @Test
-    void aBurstOfSubscribersGetsFullDocumentsInTurns() {
+    void fullDocumentsInFlightAreLimited() {
         FullDocumentLimiter limiter = new FullDocumentLimiter();
-        int size = 1 << 20;
+        int sizeBytes = 1 << 20;
         int admitted = 0;
         for (int i = 0; i < 300; i++) {
-            admitted += limiter.admit("s" + i, size, 0) ? 1 : 0;
+            admitted += limiter.admit("s" + i, sizeBytes, 0) ? 1 : 0;
         }
-        assertEquals(FullDocumentLimiter.IN_FLIGHT_MAX_BYTES / size, admitted);
+        assertEquals(FullDocumentLimiter.IN_FLIGHT_MAX_BYTES / sizeBytes, admitted);
         int first = limiter.retryAfterMillis(0);
         int second = limiter.retryAfterMillis(0);
         assertTrue(first < second && second <= FullDocumentLimiter.RETRY_MAX_MILLIS);
         limiter.confirm("s0");
-        assertTrue(limiter.admit("s299", size, 0));
-        assertFalse(limiter.admit("s298", size, 0));
+        assertTrue(limiter.admit("s299", sizeBytes, 0));
+        assertFalse(limiter.admit("s298", sizeBytes, 0));
         assertTrue(
-                limiter.admit("s298", size, FullDocumentLimiter.CONFIRM_TIMEOUT_MICROS),
-                "what was not confirmed counts no longer");
+                limiter.admit("s298", sizeBytes, FullDocumentLimiter.CONFIRM_TIMEOUT_MICROS),
+                "unconfirmed documents no longer count after the timeout");
         FullDocumentLimiter large = new FullDocumentLimiter();
         assertTrue(
                 large.admit("s", (int) FullDocumentLimiter.IN_FLIGHT_MAX_BYTES + 1, 0),
-                "one goes out whatever its size");
+                "a single document is admitted whatever its size");
     }
 
     @Test
-    void subscribersAreSpreadOverMembersAndBackoffGrowsToItsBound() {
-        Map<String, Integer> first = new HashMap<>();
+    void subscribersAreSpreadOverMembersAndBackoffGrowsToItsMaximum() {
+        Map<String, Integer> subscriberCounts = new HashMap<>();
         for (int i = 0; i < 910; i++) {
-            first.merge(new MemberSelector("pooler-" + i, MEMBERS, 1).currentMember(), 1, Integer::sum);
+            subscriberCounts.merge(new MemberSelector("pooler-" + i, MEMBERS, 1).currentMember(), 1, Integer::sum);
         }
-        assertTrue(first.size() == 3 && first.values().stream().allMatch(n -> n > 250 && n < 360), first.toString());
+        assertTrue(
+                subscriberCounts.size() == 3
+                        && subscriberCounts.values().stream().allMatch(count -> count > 250 && count < 360),
+                subscriberCounts.toString());
         MemberSelector selector = new MemberSelector("s", MEMBERS, 1);
-        long longest = 0;
-        long before = 0;
+        long maxDelayMicros = 0;
+        long delayMicros = 0;
         for (int round = 0; round < 12; round++) {
             for (int i = 0; i < MEMBERS.size(); i++) {
-                before = selector.failOver(0);
+                delayMicros = selector.failOver(0);
             }
-            longest = Math.max(longest, before);
-            assertTrue(before <= MemberSelector.BACKOFF_MAX_MICROS);
+            maxDelayMicros = Math.max(maxDelayMicros, delayMicros);
+            assertTrue(delayMicros <= MemberSelector.BACKOFF_MAX_MICROS);
         }
-        assertTrue(longest > MemberSelector.BACKOFF_MAX_MICROS / 2);
+        assertTrue(maxDelayMicros > MemberSelector.BACKOFF_MAX_MICROS / 2);
         assertEquals(MemberSelector.HANDSHAKE_TIMEOUT_MAX_MICROS, selector.handshakeTimeoutMicros());
         selector.onSuccess();
         assertEquals(MemberSelector.HANDSHAKE_TIMEOUT_MIN_MICROS, selector.handshakeTimeoutMicros());
-        assertTrue(selector.failOver(0) < MemberSelector.BACKOFF_MIN_MICROS, "the next member is tried soon");
+        assertTrue(
+                selector.failOver(0) < MemberSelector.BACKOFF_MIN_MICROS, "the next member is tried without backoff");
         assertFalse(selector.isPreferredDue(MemberSelector.PREFERRED_RETRY_MICROS - 1));
         assertTrue(selector.isPreferredDue(2 * MemberSelector.PREFERRED_RETRY_MICROS));
         selector.onPreferredAttempted(true, 0);
@@ -241,60 +248,63 @@
     }
 
     @Test
-    void aMemberThatDeniesLeasesIsLeftAfterATimeoutThatDoubles() {
+    void failoverFromAMemberThatDeniesLeasesHasATimeoutThatDoubles() {
         MemberSelector selector = new MemberSelector("s", MEMBERS, 1);
         assertFalse(selector.onLeaseDenied(100));
         assertFalse(selector.onLeaseDenied(99 + MemberSelector.DENIED_TIMEOUT_MIN_MICROS));
         assertTrue(selector.onLeaseDenied(100 + MemberSelector.DENIED_TIMEOUT_MIN_MICROS));
         assertFalse(
-                selector.onLeaseDenied(100 + 2 * MemberSelector.DENIED_TIMEOUT_MIN_MICROS),
-                "twice as long the next time");
+                selector.onLeaseDenied(100 + 2 * MemberSelector.DENIED_TIMEOUT_MIN_MICROS), "the timeout has doubled");
         assertTrue(selector.onLeaseDenied(100 + 3 * MemberSelector.DENIED_TIMEOUT_MIN_MICROS));
         selector.onLeaseGranted();
-        assertFalse(selector.onLeaseDenied(100 + 9 * MemberSelector.DENIED_TIMEOUT_MIN_MICROS), "counted anew");
+        assertFalse(
+                selector.onLeaseDenied(100 + 9 * MemberSelector.DENIED_TIMEOUT_MIN_MICROS),
+                "a granted lease resets the timeout");
         assertTrue(selector.onLeaseDenied(100 + 10 * MemberSelector.DENIED_TIMEOUT_MIN_MICROS));
     }
 
     @Test
-    void aSubscriberNeverGoesBackAndRequestsTheFullDocumentWhereADeltaIsWrong() {
+    void aSubscriberIgnoresOlderStatesAndRequestsTheFullDocumentAfterAWrongDelta() {
         SubscriberState state = new SubscriberState(true, SubscriberState.Cached.EMPTY, 0);
         ReplicatedState.Document one = document(1, "{\"a\":1}");
         ReplicatedState.Document two = document(2, "{\"a\":2}");
-        WatchResponse whole = new WatchResponse(0, 0, "", 10, 0, new WatchResponse.Event.FullDocument(one), Map.of());
-        assertEquals(one, state.onResponse(whole, 0, 0, content -> null).document());
-        assertEquals(0, state.appliedIndex(), "until its pooler acts on it");
+        WatchResponse first = new WatchResponse(0, 0, "", 10, 0, new WatchResponse.Event.FullDocument(one), Map.of());
+        assertEquals(one, state.onResponse(first, 0, 0, content -> null).document());
+        assertEquals(0, state.appliedIndex(), "the pooler has not applied it yet");
         state.onApplied(state.receivedIndex());
         DocumentDelta wrong = DocumentDelta.between(one.content(), "{\"a\":3}".getBytes(StandardCharsets.UTF_8));
-        WatchResponse.Event differences = new WatchResponse.Event.Deltas(2, 20, two.digest(), List.of(wrong));
-        WatchResponse other = new WatchResponse(0, 0, "", 20, 0, differences, null);
-        assertTrue(state.onResponse(other, 0, 0, content -> null)
+        WatchResponse.Event deltas = new WatchResponse.Event.Deltas(2, 20, two.digest(), List.of(wrong));
+        WatchResponse corrupt = new WatchResponse(0, 0, "", 20, 0, deltas, null);
+        assertTrue(state.onResponse(corrupt, 0, 0, content -> null)
                 .corruption()
-                .startsWith("revision 2 comes to another digest"));
+                .startsWith("revision 2: the document does not match the digest "));
         assertTrue(
                 state.request().wantsFullDocument() && state.request().revision() == 1 && state.receivedIndex() == 10);
-        WatchResponse good = new WatchResponse(0, 0, "", 20, 0, new WatchResponse.Event.FullDocument(two), null);
-        assertEquals(two, state.onResponse(good, 0, 0, content -> null).document());
+        WatchResponse second = new WatchResponse(0, 0, "", 20, 0, new WatchResponse.Event.FullDocument(two), null);
+        assertEquals(two, state.onResponse(second, 0, 0, content -> null).document());
         state.onApplied(state.receivedIndex());
-        assertNull(state.onResponse(whole, 0, 0, content -> null).document(), "a member that is behind");
+        assertNull(
+                state.onResponse(first, 0, 0, content -> null).document(), "a response of a lagging member is ignored");
         assertEquals(2, state.request().revision());
         ReplicatedState.Document unreadable = document(3, "{\"new\":1}");
-        WatchResponse next = new WatchResponse(0, 0, "", 30, 0, new WatchResponse.Event.FullDocument(unreadable), null);
-        assertNull(state.onResponse(next, 0, 0, content -> "unknown").document());
+        WatchResponse third =
+                new WatchResponse(0, 0, "", 30, 0, new WatchResponse.Event.FullDocument(unreadable), null);
+        assertNull(state.onResponse(third, 0, 0, content -> "unknown").document());
         state.onApplied(state.receivedIndex());
-        assertEquals(20, state.request().appliedIndex(), "it does not act on what it can't read");
+        assertEquals(20, state.request().appliedIndex(), "a document that can't be used does not count as applied");
         assertEquals("revision 3 can't be used: unknown", state.request().objection());
         assertEquals(2, state.toCache().document().revision());
     }
 
     @Test
-    void aLeaseCountsFromWhenTheMemberGrantedItAtTheEarliest() {
+    void aLeaseStartsAtTheEarliestTimeOfItsGrant() {
         SubscriberState state = new SubscriberState(true, SubscriberState.Cached.EMPTY, 0);
-        long granted = 1_000_000 + (long) (400_000 * (1 - Lease.MAX_CLOCK_DRIFT_RATIO));
-        WatchResponse answer =
+        long grantedMicros = 1_000_000 + (long) (400_000 * (1 - Lease.MAX_CLOCK_DRIFT_RATIO));
+        WatchResponse response =
                 new WatchResponse(Lease.DURATION_MICROS, 400_000, "", 1, 0, new WatchResponse.Event.Unchanged(), null);
-        state.onResponse(answer, 1_000_000, 1_450_000, content -> null);
-        assertEquals(Lease.endMicros(granted, Lease.DURATION_MICROS), state.leaseUntilMicros());
-        // A member that says it had the request for longer than it was away is not believed.
+        state.onResponse(response, 1_000_000, 1_450_000, content -> null);
+        assertEquals(Lease.endMicros(grantedMicros, Lease.DURATION_MICROS), state.leaseUntilMicros());
+        // A queued time longer than the round trip is limited to it.
         SubscriberState other = new SubscriberState(true, SubscriberState.Cached.EMPTY, 0);
         other.onResponse(
                 new WatchResponse(60_000_000, 90_000_000, "", 1, 0, new WatchResponse.Event.Unchanged(), null),
@@ -305,7 +315,7 @@
     }
 
     @Test
-    void aServiceSendsTheSmallestUpdateAndHasNoneForARequestThatHasAll() {
+    void aServiceSendsDeltasIfPossibleAndNothingToAnUpToDateSubscriber() {
         WatchService service = new WatchService("", 0);
         ReplicatedState.Document one = document(1, "x".repeat(500) + 1);
         ReplicatedState.Document two = document(2, "x".repeat(500) + 2);
@@ -315,9 +325,9 @@
         assertTrue(service.hasUpdate(request(10, one)));
         assertTrue(service.respond("s", request(10, one), 0, 0).event() instanceof WatchResponse.Event.Deltas);
         assertTrue(service.respond("s", request(0, null), 0, 0).event() instanceof WatchResponse.Event.FullDocument);
-        assertFalse(service.hasUpdate(request(30, document(3, "later"))), "one that is ahead of this member");
+        assertFalse(service.hasUpdate(request(30, document(3, "later"))), "the subscriber is ahead of this member");
         service.onApplied(one, Map.of(), 10, 0);
-        assertFalse(service.hasUpdate(request(20, two)), "an older state, as after a disk's failure, changes nothing");
+        assertFalse(service.hasUpdate(request(20, two)), "an older state, as after a disk failure, is ignored");
         assertTrue(service.lacksOwnLease(0));
         assertEquals(
                 "off",
--- a/subscription/src/test/java/lupinvalve/subscription/SimulatedFaults.java
+++ b/subscription/src/test/java/lupinvalve/subscription/SimulatedFaults.java
@@ -21,63 +21,63 @@
         random = network.random;
     }
 
-    private <T> T any(List<T> all) {
-        return all.get(random.nextInt(all.size()));
+    private <T> T randomOf(List<T> candidates) {
+        return candidates.get(random.nextInt(candidates.size()));
     }
 
-    private void electAnotherInstead(VirtualProcess process) {
+    private void electAnotherIfLeader(VirtualProcess process) {
         if (process == group.leader()) {
             long atMicros = network.nowMicros() + ELECTION_MIN_MICROS + random.nextInt(ELECTION_SPREAD_MICROS);
             network.runAt(atMicros, group::electAnother);
         }
     }
 
-    /** Blocks one direction between a subscriber or a member and a member. */
-    void blockOneWay(long forMicros) {
-        VirtualProcess process = random.nextBoolean() ? any(group.members()) : any(group.subscribers());
-        SimulatedMember member = any(group.members());
+    /** Blocks one direction between a member and a subscriber or another member. */
+    void blockOneWay(long durationMicros) {
+        VirtualProcess process = random.nextBoolean() ? randomOf(group.members()) : randomOf(group.subscribers());
+        SimulatedMember member = randomOf(group.members());
         boolean toMember = random.nextBoolean();
-        network.block(toMember ? process : member, toMember ? member : process, forMicros);
+        network.block(toMember ? process : member, toMember ? member : process, durationMicros);
     }
 
-    /** Partitions a member from the other members, not from subscribers. */
-    void partition(long forMicros) {
-        SimulatedMember member = any(group.members());
+    /** Partitions a member from the other members, but not from subscribers. */
+    void partition(long durationMicros) {
+        SimulatedMember member = randomOf(group.members());
         for (SimulatedMember other : group.members()) {
-            network.block(member, other, forMicros);
-            network.block(other, member, forMicros);
+            network.block(member, other, durationMicros);
+            network.block(other, member, durationMicros);
         }
-        electAnotherInstead(member);
+        electAnotherIfLeader(member);
     }
 
-    /** Keeps the log from a member, which still renews its lease. */
-    void lag(long forMicros) {
-        SimulatedMember member = any(group.members());
+    /** Stops replication of the log to a member, which still renews its lease. */
+    void lag(long durationMicros) {
+        SimulatedMember member = randomOf(group.members());
         member.setLagging(true);
-        network.runAt(network.nowMicros() + forMicros, () -> member.setLagging(false));
+        network.runAt(network.nowMicros() + durationMicros, () -> member.setLagging(false));
     }
 
-    void pauseMember(long forMicros) {
-        SimulatedMember member = any(group.members());
-        member.pause(forMicros);
-        electAnotherInstead(member);
+    void pauseMember(long durationMicros) {
+        SimulatedMember member = randomOf(group.members());
+        member.pause(durationMicros);
+        electAnotherIfLeader(member);
     }
 
-    void pauseSubscriber(long forMicros) {
-        any(group.subscribers()).pause(forMicros);
+    void pauseSubscriber(long durationMicros) {
+        randomOf(group.subscribers()).pause(durationMicros);
     }
 
-    void restartMember(long forMicros) {
-        SimulatedMember member = any(group.members());
+    void restartMember(long durationMicros) {
+        SimulatedMember member = randomOf(group.members());
         member.kill();
-        electAnotherInstead(member);
-        network.runAt(network.nowMicros() + forMicros, () -> {
+        electAnotherIfLeader(member);
+        network.runAt(network.nowMicros() + durationMicros, () -> {
             member.markUp();
             member.start();
         });
     }
 
-    /** Restarts a part of the subscribers together; some lose their disks. */
+    /** Restarts a random part of the subscribers together; some lose their disks. */
     void restartSubscribers(double ratio) {
         for (SimulatedSubscriber subscriber : group.subscribers()) {
             if (random.nextDouble() < ratio) {
@@ -102,7 +102,7 @@
     /** Ends all faults. */
     void heal() {
         network.unblockAll();
-        group.corrupt(0);
+        group.setCorruptionRatio(0);
         for (SimulatedMember member : group.members()) {
             member.setLagging(false);
             member.resume();
--- a/subscription/src/test/java/lupinvalve/subscription/SimulatedGroup.java
+++ b/subscription/src/test/java/lupinvalve/subscription/SimulatedGroup.java
@@ -14,10 +14,10 @@
 
 /**
  * Three members and their subscribers in virtual time, and the checker of what subscribers apply. Of the replicated log
- * only its promise is simulated: an order of committed changes that each leader has completely.
+ * only its guarantee is simulated: a sequence of committed changes that each leader has in full.
  */
 final class SimulatedGroup {
-    /** Faults of the code that the checker must find. */
+    /** Programming errors that the checker must detect. */
     enum PlantedFault {
         NONE,
         LEASE_COUNTED_FROM_RESPONSE,
@@ -27,7 +27,7 @@
         ADMITS_LAGGING_SUBSCRIBER
     }
 
-    /** A change must be applied by all that may act within this. */
+    /** Maximum time from a commit until all subscribers that may act have applied the change. */
     static final long IN_FORCE_MAX_MICROS = 6_000_000;
 
     private static final Command.DrainTarget DRAINED = new Command.DrainTarget(Command.TargetKind.NODE, "n");
@@ -36,7 +36,7 @@
     private static final long STRICT_CHECK_INTERVAL_MICROS = 20_000;
     private static final int DOCUMENT_FILLER_CHARS = 300;
 
-    /** A committed change: the document and the drain's number after it. */
+    /** A committed change, with the document and the number of the drain after it. */
     record CommittedChange(long index, long atMicros, ReplicatedState.Document document, int drainNumber) {}
 
     private final VirtualNetwork network;
@@ -103,7 +103,7 @@
         return member.responds() && reached > MEMBERS_COUNT / 2;
     }
 
-    /** Elects another member that reaches a majority; it has all that was committed. */
+    /** Elects another member that reaches a majority; it has all committed changes. */
     void electAnother() {
         List<SimulatedMember> candidates = members.stream()
                 .filter(member -> member != leader && hasMajority(member))
@@ -133,7 +133,7 @@
     /**
      * Commits a change of a drain, or of the document, if the leader has a majority.
      *
-     * @param strict whether it is followed until it is reported as done
+     * @param strict whether it is a strict change, which is watched until it is done
      */
     void commit(boolean drain, boolean strict) {
         if (!hasMajority(leader)) {
@@ -179,9 +179,9 @@
         subscribers.forEach(subscriber -> subscriber.requireApplied(change.index()));
     }
 
-    // ---- faults of responses ----
+    // ---- corruption of responses ----
 
-    void corrupt(double ratio) {
+    void setCorruptionRatio(double ratio) {
         corruptionRatio = ratio;
     }
 
@@ -191,11 +191,11 @@
 
     // ---- checker ----
 
-    /** Checks all subscribers at an interval, from now on. */
-    void checkEach(long intervalMicros) {
+    /** Checks all subscribers periodically from now on. */
+    void checkPeriodically(long intervalMicros) {
         network.runAt(network.nowMicros() + intervalMicros, () -> {
             subscribers.forEach(SimulatedSubscriber::check);
-            checkEach(intervalMicros);
+            checkPeriodically(intervalMicros);
         });
     }
 
@@ -212,16 +212,16 @@
         }
     }
 
-    /** A subscriber that may act has not applied a change. */
+    /** Reports that a subscriber that may act has not applied a change. */
     void reportUnapplied(String subscriber, CommittedChange change, long mustHaveAppliedIndex) {
         long sinceMicros = network.nowMicros() - change.atMicros();
         latestUnappliedMicros = Math.max(latestUnappliedMicros, sinceMicros);
         if (sinceMicros > IN_FORCE_MAX_MICROS) {
-            addFinding("late: " + subscriber + " acts on less than change " + change.index());
+            addFinding("late: " + subscriber + " has not applied change " + change.index());
         }
         if (mustHaveAppliedIndex >= change.index()) {
-            addFinding("strict: " + subscriber + " acts on less than change " + change.index()
-                    + ", which was called done");
+            addFinding("strict: " + subscriber + " has not applied change " + change.index()
+                    + ", which was reported as done");
         }
     }
 
@@ -245,7 +245,7 @@
                 .toList();
     }
 
-    // ---- counts, to see that enough has happened ----
+    // ---- counts, to verify that the simulation covers enough ----
 
     void countUpdate() {
         updateCount++;
@@ -267,7 +267,7 @@
         return strictDoneCount;
     }
 
-    /** The longest time after its commit that a change was not applied by a subscriber that might act. */
+    /** The longest time from a commit until the last check at which a subscriber that might act had not applied it. */
     long latestUnappliedMicros() {
         return latestUnappliedMicros;
     }
--- a/subscription/src/test/java/lupinvalve/subscription/SimulatedMember.java
+++ b/subscription/src/test/java/lupinvalve/subscription/SimulatedMember.java
@@ -9,7 +9,7 @@
 import lupinvalve.subscription.SimulatedGroup.CommittedChange;
 import lupinvalve.subscription.SimulatedGroup.PlantedFault;
 
-/** A member in virtual time: applies the leader's log, has a lease of the leader, and serves subscribers. */
+/** A member in virtual time: applies the leader's log, holds a lease granted by the leader, and serves subscribers. */
 final class SimulatedMember extends VirtualProcess {
     private static final long CONFIRM_INTERVAL_MICROS = 100_000;
     private static final long RENEW_INTERVAL_MICROS = 300_000;
@@ -24,7 +24,7 @@
     private final VirtualNetwork network;
     private final Map<String, PendingRequest> pendingBySubscriber = new HashMap<>();
     private WatchService service;
-    /** The leases that this member grants to members while it leads, or null. */
+    /** The leases that this member grants to members while it is the leader, otherwise null. */
     private LeaseManager memberLeases;
 
     private long appliedIndex;
@@ -42,18 +42,18 @@
         service = new WatchService("", clockMicros());
         memberLeases = null;
         pendingBySubscriber.clear();
-        // What its disk has is known at the start.
+        // The changes on its disk are applied at the start.
         apply();
         runLater(network.randomDelayMicros(), this::replicate);
         renewOwnLease();
         confirmLeadership();
     }
 
-    /** Applies what the leader's log has, if the leader can be heard. */
+    /** Applies the leader's log if the leader is reachable. */
     private void replicate() {
         SimulatedMember leader = group.leader();
-        boolean hearsLeader = this == leader || !lagging && leader.responds() && !network.isBlocked(leader, this);
-        if (hearsLeader && appliedCount < group.committedCount()) {
+        boolean reachesLeader = this == leader || !lagging && leader.responds() && !network.isBlocked(leader, this);
+        if (reachesLeader && appliedCount < group.committedCount()) {
             applyAll();
         }
         runLater(
@@ -69,7 +69,7 @@
 
     private void apply() {
         for (CommittedChange change : group.committed(appliedCount)) {
-            // Each document by itself, so that there are deltas.
+            // Each document is applied separately, so that there are deltas.
             service.onApplied(
                     change.document(), SimulatedGroup.drains(change.drainNumber()), change.index(), clockMicros());
             appliedIndex = Math.max(appliedIndex, change.index());
@@ -83,21 +83,21 @@
 
     private void confirmLeadership() {
         long startedMicros = clockMicros();
-        if (leads() && group.hasMajority(this)) {
+        if (isLeader() && group.hasMajority(this)) {
             runLater(network.randomDelayMicros(), () -> {
-                if (leads() && group.hasMajority(this)) {
+                if (isLeader() && group.hasMajority(this)) {
                     confirmedMicros = startedMicros;
                     memberLeases = memberLeases == null ? new LeaseManager(clockMicros(), appliedIndex) : memberLeases;
                 }
             });
-        } else if (!leads() && network.random.nextDouble() < LEADERSHIP_LOSS_NOTICED_RATIO) {
-            // It learns sooner or later that it does not lead any more.
+        } else if (!isLeader() && network.random.nextDouble() < LEADERSHIP_LOSS_NOTICED_RATIO) {
+            // The member notices the loss of its leadership after a random delay.
             memberLeases = null;
         }
         runLater(CONFIRM_INTERVAL_MICROS, this::confirmLeadership);
     }
 
-    private boolean leads() {
+    private boolean isLeader() {
         return group.leader() == this;
     }
 
@@ -119,12 +119,12 @@
     }
 
     private LeaseManager.Renewal grantMemberLease(String member, long memberIndex, long appliedFloor) {
-        long leftMicros = memberLeases == null ? 0 : confirmedMicros + Lease.DURATION_MICROS - clockMicros();
-        if (leftMicros <= 0) {
+        long remainingMicros = memberLeases == null ? 0 : confirmedMicros + Lease.DURATION_MICROS - clockMicros();
+        if (remainingMicros <= 0) {
             return new LeaseManager.Renewal(0, "");
         }
         LeaseManager.Renewal granted = memberLeases.renew(member, memberIndex, "", appliedFloor, clockMicros());
-        return new LeaseManager.Renewal(Math.min(leftMicros, granted.durationMicros()), granted.reason());
+        return new LeaseManager.Renewal(Math.min(remainingMicros, granted.durationMicros()), granted.reason());
     }
 
     private void onOwnLease(LeaseManager.Renewal granted, long requestedMicros, long leaderIndex) {
@@ -137,16 +137,17 @@
         }
     }
 
-    /** Takes a request as {@code SubscriptionServer} does; the handler is given null where the member rejects it. */
+    /** Handles a request like {@code SubscriptionServer}; the handler receives null if the member rejects it. */
     void onRequest(SimulatedSubscriber subscriber, WatchRequest request, Consumer<WatchResponse> handler) {
         service.onRequest(subscriber.name());
         long receivedMicros = clockMicros();
-        WatchRequest seen =
+        WatchRequest effectiveRequest =
                 group.planted() == PlantedFault.ADMITS_LAGGING_SUBSCRIBER ? withHighestIndex(request) : request;
         Runnable responder = () -> {
             WatchResponse response = service.lacksOwnLease(clockMicros())
                     ? null
-                    : service.respond(subscriber.name(), seen, clockMicros() - receivedMicros, clockMicros());
+                    : service.respond(
+                            subscriber.name(), effectiveRequest, clockMicros() - receivedMicros, clockMicros());
             network.send(this, subscriber, () -> handler.accept(response));
         };
         if (service.hasUpdate(request)
@@ -189,7 +190,7 @@
         applyAll();
     }
 
-    void setLagging(boolean now) {
-        lagging = now;
+    void setLagging(boolean lagging) {
+        this.lagging = lagging;
     }
 }
