--- a/subscription/src/test/java/lupinvalve/subscription/SimulatedSubscriber.java
+++ b/subscription/src/test/java/lupinvalve/subscription/SimulatedSubscriber.java
@@ -5,7 +5,9 @@
 import lupinvalve.subscription.SimulatedGroup.CommittedChange;
 import lupinvalve.subscription.SimulatedGroup.PlantedFault;
 
-/** A subscriber in virtual time, as {@code Subscriber} has it, with a pooler that takes its time to apply. */
+/**
+ * A subscriber in virtual time that behaves like {@code Subscriber}, with a pooler that applies changes after a delay.
+ */
 final class SimulatedSubscriber extends VirtualProcess {
     private static final long CORRUPTION_RETRY_MICROS = 200_000;
     private static final long APPLY_USUAL_MICROS = 1_000;
@@ -18,14 +20,14 @@
     private SubscriberState.Cached disk = SubscriberState.Cached.EMPTY;
     private SubscriberState state;
     private MemberSelector selector;
-    /** Tells late events of an earlier connection from those of the current one. */
+    /** Distinguishes late events of an earlier connection from those of the current one. */
     private int connectionNumber;
 
     private boolean requestSent;
     private ReplicatedState.Document appliedDocument;
     private int appliedDrainNumber;
     private long poolerBusyUntilMicros;
-    /** A strict change that was reported as done. */
+    /** Log index of the last strict change that was reported as done. */
     private long mustHaveAppliedIndex;
 
     SimulatedSubscriber(SimulatedGroup group, VirtualNetwork network, String name) {
@@ -48,47 +50,48 @@
     }
 
     private void connect(long delayMicros) {
-        int number = ++connectionNumber;
+        int connection = ++connectionNumber;
         requestSent = false;
         runLater(delayMicros, () -> {
-            if (number == connectionNumber) {
-                handshake(group.member(selector.currentMember()), number);
+            if (connection == connectionNumber) {
+                handshake(group.member(selector.currentMember()), connection);
             }
         });
     }
 
-    private void handshake(SimulatedMember member, int number) {
+    private void handshake(SimulatedMember member, int connection) {
         runLater(selector.handshakeTimeoutMicros(), () -> {
-            if (number == connectionNumber && !requestSent) {
+            if (connection == connectionNumber && !requestSent) {
                 failOver();
             }
         });
         if (!member.isUp()) {
             runLater(network.randomDelayMicros(), () -> {
-                if (number == connectionNumber) {
+                if (connection == connectionNumber) {
                     failOver();
                 }
             });
             return;
         }
-        network.send(this, member, () -> network.send(member, this, () -> sendRequest(member, number)));
+        network.send(this, member, () -> network.send(member, this, () -> sendRequest(member, connection)));
     }
 
     private void failOver() {
         connect(selector.failOver(clockMicros()));
     }
 
-    private void sendRequest(SimulatedMember member, int number) {
-        if (number != connectionNumber) {
+    private void sendRequest(SimulatedMember member, int connection) {
+        if (connection != connectionNumber) {
             return;
         }
         requestSent = true;
         long requestedMicros = clockMicros();
         AtomicBoolean responded = new AtomicBoolean();
         WatchRequest request = state.request();
-        boolean patient = !state.hasLease(requestedMicros) || request.wantsFullDocument() || request.revision() == 0;
-        runLater(selector.responseTimeoutMicros(patient), () -> {
-            if (number == connectionNumber && !responded.get()) {
+        boolean allowFullDocument =
+                !state.hasLease(requestedMicros) || request.wantsFullDocument() || request.revision() == 0;
+        runLater(selector.responseTimeoutMicros(allowFullDocument), () -> {
+            if (connection == connectionNumber && !responded.get()) {
                 failOver();
             }
         });
@@ -97,21 +100,21 @@
                 this,
                 member,
                 () -> member.onRequest(this, request, response -> {
-                    if (number != connectionNumber || member.incarnation() != memberIncarnation) {
+                    if (connection != connectionNumber || member.incarnation() != memberIncarnation) {
                         return;
                     }
                     responded.set(true);
                     if (response == null) {
                         failOver();
                     } else {
-                        onResponse(response, requestedMicros, member, number);
+                        onResponse(response, requestedMicros, member, connection);
                     }
                 }));
     }
 
-    private void onResponse(WatchResponse sent, long requestedMicros, SimulatedMember member, int number) {
-        WatchResponse response = maybeCorrupted(sent);
-        SubscriberState.Update update = takeUp(response, requestedMicros);
+    private void onResponse(WatchResponse sent, long requestedMicros, SimulatedMember member, int connection) {
+        WatchResponse response = corruptAtRandom(sent);
+        SubscriberState.Update update = handle(response, requestedMicros);
         boolean corrupt = !update.corruption().isEmpty();
         if (corrupt) {
             group.countCorruption();
@@ -127,9 +130,9 @@
         runLater(poolerBusyUntilMicros - nowMicros, () -> {
             apply(update);
             state.onApplied(receivedIndex);
-            runLater(retryMicros, () -> sendRequest(member, number));
+            runLater(retryMicros, () -> sendRequest(member, connection));
         });
-        judgeMember(response);
+        failOverIfNeeded(response);
     }
 
     private long randomApplyMicros() {
@@ -138,11 +141,11 @@
                 : (long) (network.random.nextDouble() * APPLY_SLOW_MICROS);
     }
 
-    private SubscriberState.Update takeUp(WatchResponse response, long requestedMicros) {
+    private SubscriberState.Update handle(WatchResponse response, long requestedMicros) {
         if (group.planted() != PlantedFault.LEASE_COUNTED_FROM_RESPONSE) {
             return state.onResponse(response, requestedMicros, clockMicros(), document -> null);
         }
-        WatchResponse notQueued = new WatchResponse(
+        WatchResponse withoutQueueTime = new WatchResponse(
                 response.leaseMicros(),
                 0,
                 response.leaseDenial(),
@@ -150,7 +153,7 @@
                 response.retryAfterMillis(),
                 response.event(),
                 response.drains());
-        return state.onResponse(notQueued, clockMicros(), clockMicros(), document -> null);
+        return state.onResponse(withoutQueueTime, clockMicros(), clockMicros(), document -> null);
     }
 
     private void apply(SubscriberState.Update update) {
@@ -162,10 +165,10 @@
         }
     }
 
-    private void judgeMember(WatchResponse response) {
+    private void failOverIfNeeded(WatchResponse response) {
         boolean granted = response.leaseMicros() > 0;
-        boolean aboutToEnd = granted && response.leaseMicros() < MemberSelector.LEASE_MIN_MICROS;
-        if (aboutToEnd || response.leaseMicros() == 0 && selector.onLeaseDenied(clockMicros())) {
+        boolean aboutToExpire = granted && response.leaseMicros() < MemberSelector.LEASE_MIN_MICROS;
+        if (aboutToExpire || response.leaseMicros() == 0 && selector.onLeaseDenied(clockMicros())) {
             failOver();
         } else {
             selector.onSuccess();
@@ -175,10 +178,10 @@
         }
     }
 
-    private WatchResponse maybeCorrupted(WatchResponse response) {
-        boolean corrupts = response.event() instanceof WatchResponse.Event.Deltas
+    private WatchResponse corruptAtRandom(WatchResponse response) {
+        boolean corrupted = response.event() instanceof WatchResponse.Event.Deltas
                 && network.random.nextDouble() < group.corruptionRatio();
-        return corrupts
+        return corrupted
                 ? CorruptedResponse.of(response, appliedDocument, group.planted() == PlantedFault.DIGEST_UNCHECKED)
                 : response;
     }
@@ -187,17 +190,17 @@
         mustHaveAppliedIndex = Math.max(mustHaveAppliedIndex, index);
     }
 
-    /** Checks what an outsider sees of it now, unless it is fenced or does not run. */
+    /** Checks the applied state, unless the subscriber is fenced or not running. */
     void check() {
         if (!responds() || state == null || !state.hasLease(clockMicros())) {
             return;
         }
         if (appliedDocument != null && !group.isCommitted(appliedDocument)) {
-            group.addFinding(name() + " acts on content that nobody accepted");
+            group.addFinding(name() + " acts on a document that was never committed");
         }
         group.forEachFromNewest(change -> {
             if (hasApplied(change)) {
-                // It has applied all before as well.
+                // It has applied all earlier changes as well.
                 return false;
             }
             group.reportUnapplied(name(), change, mustHaveAppliedIndex);
@@ -212,7 +215,7 @@
         return appliedDrainNumber >= change.drainNumber() && documentApplied;
     }
 
-    /** Whether it has a lease and has applied a change. */
+    /** Whether the subscriber has a lease and has applied the last change. */
     boolean isHealthy(CommittedChange last) {
         return state.hasLease(clockMicros())
                 && appliedDocument != null
--- a/subscription/src/test/java/lupinvalve/subscription/SubscriptionSimulationTest.java
+++ b/subscription/src/test/java/lupinvalve/subscription/SubscriptionSimulationTest.java
@@ -12,13 +12,13 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Random faults in virtual time: no subscriber that may act has applied what is old or was never committed, and all are
- * healthy soon after the faults.
+ * Random faults in virtual time: no subscriber that may act uses an outdated or uncommitted state, and all subscribers
+ * are healthy soon after the faults.
  */
 class SubscriptionSimulationTest {
     private static final long SECOND_MICROS = 1_000_000;
-    private static final long FAULTS_MICROS = 14 * SECOND_MICROS;
-    private static final long QUIET_MICROS = 10 * SECOND_MICROS;
+    private static final long FAULT_PHASE_MICROS = 14 * SECOND_MICROS;
+    private static final long RECOVERY_MICROS = 10 * SECOND_MICROS;
     private static final long FAULT_MAX_MICROS = 12 * SECOND_MICROS;
     private static final long CHECK_INTERVAL_MICROS = 20_000;
     private static final int RUNS_COUNT = 1_000;
@@ -32,49 +32,49 @@
         SimulatedGroup group = new SimulatedGroup(network, subscriberCount, planted);
         SimulatedFaults faults = new SimulatedFaults(network, group);
         Random random = network.random;
-        group.checkEach(CHECK_INTERVAL_MICROS);
-        group.corrupt(random.nextBoolean() ? 0.05 : 0);
+        group.checkPeriodically(CHECK_INTERVAL_MICROS);
+        group.setCorruptionRatio(random.nextBoolean() ? 0.05 : 0);
         for (int i = 0; i < CHANGES_COUNT; i++) {
             boolean drain = random.nextInt(4) == 0;
             boolean strict = random.nextInt(3) == 0;
-            network.runAt((long) (random.nextDouble() * FAULTS_MICROS), () -> group.commit(drain, strict));
+            network.runAt((long) (random.nextDouble() * FAULT_PHASE_MICROS), () -> group.commit(drain, strict));
         }
         for (int i = random.nextInt(7); i > 0; i--) {
             scheduleFault(network, faults);
         }
-        network.advanceTo(FAULTS_MICROS);
+        network.advanceTo(FAULT_PHASE_MICROS);
         faults.heal();
-        network.advanceTo(FAULTS_MICROS + QUIET_MICROS - SECOND_MICROS);
+        network.advanceTo(FAULT_PHASE_MICROS + RECOVERY_MICROS - SECOND_MICROS);
         group.commit(false, false);
-        network.advanceTo(FAULTS_MICROS + QUIET_MICROS + 6 * SECOND_MICROS);
+        network.advanceTo(FAULT_PHASE_MICROS + RECOVERY_MICROS + 6 * SECOND_MICROS);
         return group;
     }
 
     private static void scheduleFault(VirtualNetwork network, SimulatedFaults faults) {
         Random random = network.random;
         int kind = random.nextInt(8);
-        // Long partitions, with subscribers that stay at the member, are what leases are for.
+        // Leases matter most in long partitions in which subscribers stay with the partitioned member.
         double ratio = kind == 2 ? random.nextDouble() : random.nextDouble() * random.nextDouble();
-        long forMicros = (long) (ratio * FAULT_MAX_MICROS);
-        network.runAt((long) (random.nextDouble() * FAULTS_MICROS), () -> {
+        long durationMicros = (long) (ratio * FAULT_MAX_MICROS);
+        network.runAt((long) (random.nextDouble() * FAULT_PHASE_MICROS), () -> {
             switch (kind) {
-                case 0, 1 -> faults.blockOneWay(forMicros);
-                case 2 -> faults.partition(forMicros);
-                case 3 -> faults.pauseMember(forMicros);
-                case 4 -> faults.pauseSubscriber(forMicros);
-                case 5 -> faults.restartMember(forMicros);
+                case 0, 1 -> faults.blockOneWay(durationMicros);
+                case 2 -> faults.partition(durationMicros);
+                case 3 -> faults.pauseMember(durationMicros);
+                case 4 -> faults.pauseSubscriber(durationMicros);
+                case 5 -> faults.restartMember(durationMicros);
                 case 6 -> faults.restartSubscribers(random.nextDouble());
-                default -> faults.lag(forMicros);
+                default -> faults.lag(durationMicros);
             }
         });
     }
 
     @Test
-    void nobodyActsOnWhatIsOldOrWasNeverCommitted() {
+    void noSubscriberActsOnAnOutdatedOrUncommittedState() {
         Set<String> findings = new TreeSet<>();
-        long updates = 0;
-        long strict = 0;
-        long corruptions = 0;
+        long updateCount = 0;
+        long strictDoneCount = 0;
+        long corruptionCount = 0;
         long latestMicros = 0;
         for (int seed = 0; seed < RUNS_COUNT + LARGE_RUNS_COUNT; seed++) {
             SimulatedGroup group =
@@ -84,28 +84,29 @@
             }
             List<String> unhealthy = group.unhealthy();
             if (!unhealthy.isEmpty()) {
-                findings.add("seed " + seed + ": not healthy in the end: " + unhealthy);
+                findings.add("seed " + seed + ": not healthy after the faults: " + unhealthy);
             }
-            updates += group.updateCount();
-            strict += group.strictDoneCount();
-            corruptions += group.corruptionCount();
+            updateCount += group.updateCount();
+            strictDoneCount += group.strictDoneCount();
+            corruptionCount += group.corruptionCount();
             latestMicros = Math.max(latestMicros, group.latestUnappliedMicros());
         }
         assertEquals(Set.of(), findings);
-        // A lease's length until the member knows, the time to catch up, a lease's length again; with clocks that
-        // drift.
+        // One lease duration until the member knows the change, the time to catch up, and one lease duration until the
+        // subscriber's lease ends; with clocks that drift.
         double boundMicros =
                 2 * Lease.DURATION_MICROS * (1 + 2 * Lease.MAX_CLOCK_DRIFT_RATIO) + SubscriberLeases.CATCH_UP_MICROS;
         assertTrue(latestMicros > 3 * SECOND_MICROS && latestMicros < boundMicros, latestMicros + " us");
         assertTrue(
-                updates > 50_000 && strict > 1_000 && corruptions > 100,
-                updates + " updates, " + strict + " strict, " + corruptions + " corruptions");
+                updateCount > 50_000 && strictDoneCount > 1_000 && corruptionCount > 100,
+                updateCount + " updates, " + strictDoneCount + " strict, " + corruptionCount + " corruptions");
     }
 
-    /** Whether one of the first runs finds a planted fault. */
-    private static boolean finds(PlantedFault planted, String what) {
+    /** Whether a run with the planted fault has a finding with the given text. */
+    private static boolean finds(PlantedFault planted, String findingText) {
         for (int seed = 0; seed < RUNS_COUNT; seed++) {
-            if (run(seed, SUBSCRIBERS_COUNT, planted).findings().stream().anyMatch(finding -> finding.contains(what))) {
+            if (run(seed, SUBSCRIBERS_COUNT, planted).findings().stream()
+                    .anyMatch(finding -> finding.contains(findingText))) {
                 return true;
             }
         }
@@ -113,11 +114,13 @@
     }
 
     @Test
-    void theCheckerFindsPlantedFaults() {
-        assertTrue(finds(PlantedFault.LEASE_COUNTED_FROM_RESPONSE, "strict"), "a lease counted from its response");
-        assertTrue(finds(PlantedFault.DIGEST_UNCHECKED, "nobody accepted"), "a digest that is not checked");
-        assertTrue(finds(PlantedFault.GRANTS_PAST_OWN_LEASE, "late"), "a member that grants past its own lease");
-        assertTrue(finds(PlantedFault.LEADER_INDEX_IGNORED, "late"), "a member that does not know what the leader has");
-        assertTrue(finds(PlantedFault.ADMITS_LAGGING_SUBSCRIBER, "strict"), "a lease for one that has not caught up");
+    void theCheckerDetectsPlantedFaults() {
+        assertTrue(finds(PlantedFault.LEASE_COUNTED_FROM_RESPONSE, "strict"), "lease counted from its response");
+        assertTrue(finds(PlantedFault.DIGEST_UNCHECKED, "was never committed"), "digest not checked");
+        assertTrue(
+                finds(PlantedFault.GRANTS_PAST_OWN_LEASE, "late"),
+                "leases granted past the end of the member's own lease");
+        assertTrue(finds(PlantedFault.LEADER_INDEX_IGNORED, "late"), "index of the leader ignored");
+        assertTrue(finds(PlantedFault.ADMITS_LAGGING_SUBSCRIBER, "strict"), "lease granted to a lagging subscriber");
     }
 }
--- a/subscription/src/test/java/lupinvalve/subscription/VirtualNetwork.java
+++ b/subscription/src/test/java/lupinvalve/subscription/VirtualNetwork.java
@@ -5,7 +5,7 @@
 import java.util.Random;
 import java.util.Set;
 
-/** Virtual time, and messages between processes that may be late or lost, by route and direction. */
+/** Virtual time, and messages between processes that may be delayed, lost, or blocked by route and direction. */
 final class VirtualNetwork {
     private static final double LOSS_RATIO = 0.001;
     private static final long DELAY_MIN_MICROS = 100;
@@ -15,7 +15,7 @@
     private static final double USUAL_RATIO = 0.9;
     private static final double NOT_LATE_RATIO = 0.99;
 
-    /** @param process whose event it is, in the incarnation given, or null */
+    /** @param process that runs the action, only in the given incarnation; null if the action belongs to no process */
     private record Event(long atMicros, long order, VirtualProcess process, int incarnation, Runnable action)
             implements Comparable<Event> {
         @Override
@@ -43,13 +43,14 @@
     }
 
     long randomDelayMicros() {
-        double kind = random.nextDouble();
-        int mostMicros =
-                kind < USUAL_RATIO ? DELAY_USUAL_MICROS : kind < NOT_LATE_RATIO ? DELAY_SLOW_MICROS : DELAY_LATE_MICROS;
-        return DELAY_MIN_MICROS + (long) (random.nextDouble() * mostMicros);
+        double quantile = random.nextDouble();
+        int maxMicros = quantile < USUAL_RATIO
+                ? DELAY_USUAL_MICROS
+                : quantile < NOT_LATE_RATIO ? DELAY_SLOW_MICROS : DELAY_LATE_MICROS;
+        return DELAY_MIN_MICROS + (long) (random.nextDouble() * maxMicros);
     }
 
-    /** Runs an action at a process after a message's delay, unless the route is blocked when it is sent or arrives. */
+    /** Runs an action at a process after a message delay, unless the route is blocked when it is sent or arrives. */
     void send(VirtualProcess from, VirtualProcess to, Runnable action) {
         if (isBlocked(from, to) || random.nextDouble() < LOSS_RATIO) {
             return;
@@ -61,13 +62,13 @@
         });
     }
 
-    /** Runs an action of a process's current incarnation, after a time by the network's clock. */
+    /** Runs an action in a process's current incarnation after a delay by the network's clock. */
     void runLater(long delayMicros, VirtualProcess process, Runnable action) {
         events.add(
                 new Event(nowMicros + Math.max(0, delayMicros), nextOrder++, process, process.incarnation(), action));
     }
 
-    /** Runs an action at a time, whichever processes run then. */
+    /** Runs an action at a time, independently of any process. */
     void runAt(long atMicros, Runnable action) {
         events.add(new Event(atMicros, nextOrder++, null, 0, action));
     }
@@ -92,8 +93,8 @@
             return;
         }
         if (process.isPaused()) {
-            long resumesMicros = process.pausedUntilMicros();
-            events.add(new Event(resumesMicros, nextOrder++, process, event.incarnation(), event.action()));
+            long resumeMicros = process.pausedUntilMicros();
+            events.add(new Event(resumeMicros, nextOrder++, process, event.incarnation(), event.action()));
             return;
         }
         event.action().run();
@@ -103,11 +104,11 @@
         return blockedRoutes.contains(new Route(from.name(), to.name()));
     }
 
-    /** Loses all messages in one direction, for a while. */
-    void block(VirtualProcess from, VirtualProcess to, long forMicros) {
+    /** Drops all messages in one direction for a time. */
+    void block(VirtualProcess from, VirtualProcess to, long durationMicros) {
         Route route = new Route(from.name(), to.name());
         blockedRoutes.add(route);
-        runAt(nowMicros + forMicros, () -> blockedRoutes.remove(route));
+        runAt(nowMicros + durationMicros, () -> blockedRoutes.remove(route));
     }
 
     void unblockAll() {
--- a/subscription/src/test/java/lupinvalve/subscription/VirtualProcess.java
+++ b/subscription/src/test/java/lupinvalve/subscription/VirtualProcess.java
@@ -1,6 +1,6 @@
 package lupinvalve.subscription;
 
-/** A process in virtual time, with a clock that drifts; it may be paused, end, and start again. */
+/** A process in virtual time with a drifting clock; it can be paused, killed and restarted. */
 class VirtualProcess {
     private static final double DRIFT_MAX_RATIO = 0.0024;
     private static final double CLOCK_OFFSET_MAX_MICROS = 1e12;
@@ -24,7 +24,7 @@
         return name;
     }
 
-    /** The time by the process's own clock. */
+    /** The current time by the process's own clock. */
     final long clockMicros() {
         return clockOffsetMicros + (long) (network.nowMicros() * clockRate);
     }
@@ -53,15 +53,15 @@
         return pausedUntilMicros;
     }
 
-    final void pause(long forMicros) {
-        pausedUntilMicros = network.nowMicros() + forMicros;
+    final void pause(long durationMicros) {
+        pausedUntilMicros = network.nowMicros() + durationMicros;
     }
 
     final void resume() {
         pausedUntilMicros = Math.min(pausedUntilMicros, network.nowMicros());
     }
 
-    /** Ends this incarnation and all that it was about to do. */
+    /** Ends this incarnation and drops all of its scheduled actions. */
     final void kill() {
         incarnation++;
         up = false;
