--- a/daemon/src/test/java/lupinvalve/mysql/MysqlPort.java
+++ b/daemon/src/test/java/lupinvalve/mysql/MysqlPort.java
@@ -24,20 +24,26 @@
 import lupinvalve.integration.DbNode.Makes;
 import lupinvalve.net.Framer;
 
-/** Speaks MySQL's protocol for a scripted db node: the stand-in for a server that tracks session state. */
+/** MySQL endpoint of a scripted db node: stands in for a MySQL server that tracks session state. */
 public final class MysqlPort {
-    public static final String USER = "pooler", PASSWORD = "soap";
+    public static final String USER = "pooler";
+    public static final String PASSWORD = "soap";
     private static final byte[] NONCE = "abcdefghijklmnopqrst".getBytes(UTF_8);
-    private static final KeyPair KEYS = keys();
+    private static final KeyPair RSA_KEYS = generateKeys();
     private final DbNode node;
-    private final boolean cached;
-    /** Statements prepared here, over all connections. */
-    public final AtomicInteger prepares = new AtomicInteger();
+    private final boolean isPasswordCached;
+    /** Statements prepared at this server, over all connections. */
+    public final AtomicInteger prepareCount = new AtomicInteger();
 
-    /** @param cached whether the server has the account's password cached; else it asks for it under its key */
-    public MysqlPort(DbNode node, boolean cached) throws IOException {
+    /**
+     * Starts the endpoint and registers its address with the node.
+     *
+     * @param isPasswordCached whether the server has the account's password cached; if not, it requires the password
+     *     encrypted with its public key
+     */
+    public MysqlPort(DbNode node, boolean isPasswordCached) throws IOException {
         this.node = node;
-        this.cached = cached;
+        this.isPasswordCached = isPasswordCached;
         ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         node.mysql = "127.0.0.1:" + server.getLocalPort();
         node.serve(server, socket -> {
@@ -49,8 +55,8 @@
         });
     }
 
-    /** Made once: it takes longer than a connection may to come up. */
-    private static KeyPair keys() {
+    /** Generated once for all servers: it takes longer than the pooler's connect timeout. */
+    private static KeyPair generateKeys() {
         try {
             return KeyPairGenerator.getInstance("RSA").generateKeyPair();
         } catch (GeneralSecurityException e) {
@@ -62,7 +68,7 @@
         private final Socket socket;
         private final InputStream in;
         private final Map<Long, String> prepared = new HashMap<>();
-        private final Map<Integer, String> ahead = new HashMap<>();
+        private final Map<Integer, String> longData = new HashMap<>();
         private int sequence;
 
         Session(Socket socket) throws IOException {
@@ -73,7 +79,7 @@
         private byte[] read() throws IOException {
             byte[] head = in.readNBytes(4);
             if (head.length < 4) {
-                throw new IOException("end");
+                throw new IOException("connection closed");
             }
             sequence = head[3] + 1;
             byte[] packet = Arrays.copyOf(head, 4 + (head[0] & 255 | (head[1] & 255) << 8 | (head[2] & 255) << 16));
@@ -81,22 +87,22 @@
             return packet;
         }
 
-        private void write(Out out) throws IOException {
+        private void write(PacketWriter out) throws IOException {
             socket.getOutputStream().write(out.packet(sequence++));
         }
 
         void run() throws IOException, Framer.Malformed, GeneralSecurityException {
             login();
             while (true) {
-                In packet = new In(read());
+                PacketReader packet = new PacketReader(read());
                 switch (packet.int1()) {
                     case 3 -> {
                         Map<String, String> fields = new HashMap<>();
-                        int count = (int) packet.lenenc();
-                        packet.lenenc();
+                        int count = (int) packet.lengthEncodedInt();
+                        packet.lengthEncodedInt();
                         if (count > 0) {
                             Params.read(packet, count, true, null, List.of())
-                                    .forEach(p -> fields.put(p.name(), p.text()));
+                                    .forEach(param -> fields.put(param.name(), param.text()));
                         }
                         String statement = new String(packet.rest(), UTF_8);
                         fields.putAll(DbNode.fields(statement));
@@ -112,114 +118,121 @@
                         }
                     }
                     case 24 -> {
-                        packet.fixed(4);
-                        ahead.merge((int) packet.fixed(2), new String(packet.rest(), UTF_8), String::concat);
+                        packet.fixedInt(4);
+                        longData.merge((int) packet.fixedInt(2), new String(packet.rest(), UTF_8), String::concat);
                     }
-                    case 25 -> prepared.remove(packet.fixed(4));
-                    default -> throw new IOException("command");
+                    case 25 -> prepared.remove(packet.fixedInt(4));
+                    default -> throw new IOException("unknown command");
                 }
             }
         }
 
         private void login() throws IOException, Framer.Malformed, GeneralSecurityException {
             long capabilities = 0x200 | 0x8000 | 0x80000 | 0x800000 | 0x1000000 | 0x8000000;
-            write(new Out()
+            write(new PacketWriter()
                     .int1(10)
-                    .zero("8.0.0")
-                    .fixed(1, 4)
+                    .nulTerminated("8.0.0")
+                    .fixedInt(1, 4)
                     .raw(Arrays.copyOf(NONCE, 8))
                     .int1(0)
-                    .fixed(capabilities & 0xFFFF, 2)
+                    .fixedInt(capabilities & 0xFFFF, 2)
                     .int1(45)
-                    .fixed(2, 2)
-                    .fixed(capabilities >> 16, 2)
+                    .fixedInt(2, 2)
+                    .fixedInt(capabilities >> 16, 2)
                     .int1(21)
                     .raw(new byte[10])
                     .raw(Arrays.copyOfRange(NONCE, 8, 20))
                     .int1(0)
-                    .zero("caching_sha2_password"));
-            In packet = new In(read());
+                    .nulTerminated("caching_sha2_password"));
+            PacketReader packet = new PacketReader(read());
             packet.raw(32);
-            String user = packet.zero();
-            byte[] proof = packet.raw(packet.int1());
+            String user = packet.nulTerminated();
+            byte[] authResponse = packet.raw(packet.int1());
             MessageDigest sha = MessageDigest.getInstance("SHA-256");
-            byte[] once = sha.digest(PASSWORD.getBytes(UTF_8));
-            sha.update(sha.digest(once));
-            byte[] mask = sha.digest(NONCE);
-            for (int i = 0; i < mask.length; i++) {
-                mask[i] ^= once[i];
+            byte[] hash = sha.digest(PASSWORD.getBytes(UTF_8));
+            sha.update(sha.digest(hash));
+            byte[] expected = sha.digest(NONCE);
+            for (int i = 0; i < expected.length; i++) {
+                expected[i] ^= hash[i];
             }
-            if (cached) {
-                write(new Out().int1(1).int1(3));
+            if (isPasswordCached) {
+                write(new PacketWriter().int1(1).int1(3));
             }
-            if (user.equals(USER) && Arrays.equals(mask, proof) && (cached || underKey())) {
+            if (user.equals(USER)
+                    && Arrays.equals(expected, authResponse)
+                    && (isPasswordCached || takesEncryptedPassword())) {
                 ok(0);
             } else {
                 error(1045, "28000");
             }
         }
 
-        private boolean underKey() throws IOException, GeneralSecurityException, Framer.Malformed {
-            KeyPair pair = KEYS;
-            write(new Out().int1(1).int1(4));
+        /** Sends the public key on request; returns whether the client answers with the right password. */
+        private boolean takesEncryptedPassword() throws IOException, GeneralSecurityException, Framer.Malformed {
+            KeyPair keys = RSA_KEYS;
+            write(new PacketWriter().int1(1).int1(4));
             read();
-            write(new Out()
+            write(new PacketWriter()
                     .int1(1)
                     .text("-----BEGIN PUBLIC KEY-----\n"
                             + Base64.getMimeEncoder()
-                                    .encodeToString(pair.getPublic().getEncoded())
+                                    .encodeToString(keys.getPublic().getEncoded())
                             + "\n-----END PUBLIC KEY-----\n"));
             Cipher cipher = Cipher.getInstance("RSA/ECB/OAEPWithSHA-1AndMGF1Padding");
-            cipher.init(Cipher.DECRYPT_MODE, pair.getPrivate());
-            byte[] open = cipher.doFinal(new In(read()).rest());
-            for (int i = 0; i < open.length; i++) {
-                open[i] ^= NONCE[i % 20];
+            cipher.init(Cipher.DECRYPT_MODE, keys.getPrivate());
+            byte[] decrypted = cipher.doFinal(new PacketReader(read()).rest());
+            for (int i = 0; i < decrypted.length; i++) {
+                decrypted[i] ^= NONCE[i % 20];
             }
-            return new String(open, UTF_8).equals(PASSWORD + "\0");
+            return new String(decrypted, UTF_8).equals(PASSWORD + "\0");
         }
 
         private void prepare(String statement) throws IOException {
-            prepares.incrementAndGet();
+            prepareCount.incrementAndGet();
             long id = 7 + prepared.size() * 3L;
             prepared.put(id, statement);
-            int places = statement.replaceAll("[^?]", "").length();
-            write(new Out()
+            int placeholders = statement.replaceAll("[^?]", "").length();
+            write(new PacketWriter()
                     .int1(0)
-                    .fixed(id, 4)
-                    .fixed(1, 2)
-                    .fixed(places, 2)
+                    .fixedInt(id, 4)
+                    .fixedInt(1, 2)
+                    .fixedInt(placeholders, 2)
                     .int1(0)
-                    .fixed(0, 2));
-            for (int i = 0; i < places + 1; i++) {
-                write(Variables.column("c"));
+                    .fixedInt(0, 2));
+            for (int i = 0; i < placeholders + 1; i++) {
+                write(Variables.columnDefinition("c"));
             }
         }
 
-        private boolean execute(In packet) throws IOException, Framer.Malformed {
-            String statement = prepared.get(packet.fixed(4));
+        private boolean execute(PacketReader packet) throws IOException, Framer.Malformed {
+            String statement = prepared.get(packet.fixedInt(4));
             packet.raw(5);
             if (statement == null) {
                 error(1243, "HY000");
                 return true;
             }
-            int places = statement.replaceAll("[^?]", "").length();
-            List<Boolean> sent = new ArrayList<>();
-            for (int i = 0; i < places; i++) {
-                sent.add(ahead.containsKey(i));
+            int placeholders = statement.replaceAll("[^?]", "").length();
+            List<Boolean> sentAsLongData = new ArrayList<>();
+            for (int i = 0; i < placeholders; i++) {
+                sentAsLongData.add(longData.containsKey(i));
             }
-            List<Params.Param> params = Params.read(packet, (int) packet.lenenc(), true, null, sent);
+            List<Params.Param> params =
+                    Params.read(packet, (int) packet.lengthEncodedInt(), true, null, sentAsLongData);
             Map<String, String> fields = DbNode.fields(statement);
             StringBuilder values = new StringBuilder();
             for (int i = 0; i < params.size(); i++) {
-                if (i < places) {
+                if (i < placeholders) {
                     values.append(" <")
-                            .append(sent.get(i) ? ahead.get(i) : params.get(i).text())
+                            .append(
+                                    sentAsLongData.get(i)
+                                            ? longData.get(i)
+                                            : params.get(i).text())
                             .append('>');
                 } else {
                     fields.put(params.get(i).name(), params.get(i).text());
                 }
             }
-            ahead.clear();
+            longData.clear();
             return answer(statement + values, fields, true);
         }
 
@@ -228,9 +241,12 @@
             switch (makes) {
                 case SPOILT -> socket.getOutputStream().write(node.strange);
                 case SERVED, MORE -> {
-                    write(new Out().lenenc(1));
-                    write(Variables.column("blob"));
-                    write(binary ? new Out().int1(0).int1(0).counted("value") : new Out().counted("value"));
+                    write(new PacketWriter().lengthEncodedInt(1));
+                    write(Variables.columnDefinition("blob"));
+                    write(
+                            binary
+                                    ? new PacketWriter().int1(0).int1(0).lengthEncoded("value")
+                                    : new PacketWriter().lengthEncoded("value"));
                     ok(0xFE);
                     socket.getOutputStream().write(makes == Makes.MORE ? node.strange : new byte[0]);
                 }
@@ -250,28 +266,31 @@
         }
 
         private void ok(int header) throws IOException {
-            byte[] asOf = new Out()
-                    .counted("as_of")
-                    .counted(Long.toString(node.asOf.getAsLong()))
+            byte[] asOf = new PacketWriter()
+                    .lengthEncoded("as_of")
+                    .lengthEncoded(Long.toString(node.asOf.getAsLong()))
                     .payload();
-            byte[] rank = new Out().counted("rank").counted(node.rank()).payload();
-            write(new Out()
+            byte[] rank = new PacketWriter()
+                    .lengthEncoded("rank")
+                    .lengthEncoded(node.rank())
+                    .payload();
+            write(new PacketWriter()
                     .int1(header)
-                    .lenenc(0)
-                    .lenenc(0)
-                    .fixed(2 | 0x4000, 2)
-                    .fixed(0, 2)
-                    .counted("")
-                    .counted(new Out()
+                    .lengthEncodedInt(0)
+                    .lengthEncodedInt(0)
+                    .fixedInt(2 | 0x4000, 2)
+                    .fixedInt(0, 2)
+                    .lengthEncoded("")
+                    .lengthEncoded(new PacketWriter()
                             .int1(0)
-                            .counted(asOf)
+                            .lengthEncoded(asOf)
                             .int1(0)
-                            .counted(rank)
+                            .lengthEncoded(rank)
                             .payload()));
         }
 
         private void error(int code, String state) throws IOException {
-            write(new Out().int1(0xFF).fixed(code, 2).raw(("#" + state + "no").getBytes(ISO_8859_1)));
+            write(new PacketWriter().int1(0xFF).fixedInt(code, 2).raw(("#" + state + "no").getBytes(ISO_8859_1)));
         }
     }
 }
--- a/daemon/src/test/java/lupinvalve/mysql/MysqlTest.java
+++ b/daemon/src/test/java/lupinvalve/mysql/MysqlTest.java
@@ -29,13 +29,15 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The MySQL front by MySQL's own driver, before stand-ins for MySQL servers. */
+/** Tests the MySQL frontend with MySQL's own driver and raw packets, in front of stand-ins for MySQL servers. */
 class MysqlTest {
     @TempDir
     Path folder;
 
-    private final DbNode primary, replica;
-    private final MysqlPort primaryPort, replicaPort;
+    private final DbNode primary;
+    private final DbNode replica;
+    private final MysqlPort primaryPort;
+    private final MysqlPort replicaPort;
 
     MysqlTest() throws Exception {
         primary = new DbNode("s-1", true);
@@ -59,7 +61,7 @@
                         null),
                 primary,
                 replica);
-        // The front is served once a configuration with its accounts has been accepted.
+        // The MySQL frontend listens once a configuration with its accounts has been accepted.
         assertNull(world.daemon.mysqlAddress());
         String document = "{\"mysql\": {\"user\": \"portal\", \"password\": \"towel\", \"node_user\": \""
                 + MysqlPort.USER + "\", \"node_password\": \"" + MysqlPort.PASSWORD + "\"}}";
@@ -69,7 +71,7 @@
                 WireMessages.Status.OK,
                 operator.call("put", List.of("0".getBytes(UTF_8), document.getBytes(UTF_8)), false, 10_000)
                         .status());
-        World.await("served", () -> world.daemon.mysqlAddress() != null);
+        World.await("the MySQL frontend listens", () -> world.daemon.mysqlAddress() != null);
         return world;
     }
 
@@ -77,20 +79,24 @@
         return world.mysql("portal", "towel");
     }
 
-    private static String comment(String cls, String id, int wait) {
-        return " /* id=" + id + ",c=" + cls + ",t=acme,d=" + wait + ",cluster=1 */";
+    /** The comment with a request's fields; {@code timeoutMillis} is the timeout. */
+    private static String comment(String requestClass, String id, int timeoutMillis) {
+        return " /* id=" + id + ",c=" + requestClass + ",t=acme,d=" + timeoutMillis + ",cluster=1 */";
     }
 
-    private static String read(String cls, String id, int wait) {
-        return "SELECT blob FROM rows WHERE handle = 'k1'" + comment(cls, id, wait);
+    private static String read(String requestClass, String id, int timeoutMillis) {
+        return "SELECT blob FROM rows WHERE handle = 'k1'" + comment(requestClass, id, timeoutMillis);
     }
 
-    private static String booking(String id, int wait) {
+    private static String booking(String id, int timeoutMillis) {
         return "INSERT INTO rows (handle, blob) VALUES ('k1', 'x') RETURNING blob"
-                + comment("pickup-booking", id, wait);
+                + comment("pickup-booking", id, timeoutMillis);
     }
 
-    /** JDBC takes a write for one without rows, so each statement is told apart by what it gives. */
+    /**
+     * The first value of a statement's result. Goes through execute(): JDBC's methods for writes expect no rows, which
+     * these writes return.
+     */
     private static String value(Statement statement, String query) throws SQLException {
         boolean rows = statement instanceof PreparedStatement prepared ? prepared.execute() : statement.execute(query);
         assertTrue(rows);
@@ -104,7 +110,8 @@
         return value(statement, null);
     }
 
-    private static String end(Connection client, String query) throws SQLException {
+    /** The value that a query gives, or its error code, or its SQLSTATE where the driver has no code. */
+    private static String outcome(Connection client, String query) throws SQLException {
         try (Statement statement = client.createStatement()) {
             return value(statement, query);
         } catch (SQLException e) {
@@ -113,7 +120,7 @@
     }
 
     @Test
-    void an_account_is_checked() throws Exception {
+    void clients_with_a_wrong_user_or_password_are_rejected() throws Exception {
         try (World world = world()) {
             assertThrows(
                     SQLException.class, () -> world.mysql("portal", "wrong").close());
@@ -126,10 +133,10 @@
     }
 
     @Test
-    void statements_are_served_plain_and_prepared_with_their_fields_in_attributes_or_the_comment() throws Exception {
+    void plain_and_prepared_statements_are_served_with_fields_in_attributes_or_the_comment() throws Exception {
         try (World world = world();
                 Connection client = client(world)) {
-            assertEquals("value", end(client, read("bag-status", "a1", 900)));
+            assertEquals("value", outcome(client, read("bag-status", "a1", 900)));
             try (Statement plain = client.createStatement()) {
                 JdbcStatement named = plain.unwrap(JdbcStatement.class);
                 named.setAttribute("c", "pickup-booking");
@@ -151,7 +158,7 @@
             int last = primary.seen.size() - 1;
             assertTrue(primary.seen.get(last - 1).endsWith(" <k1> <sheets>"), primary.seen.get(last - 1));
             assertTrue(primary.seen.get(last).endsWith(" <k2> <towels>"), primary.seen.get(last));
-            assertEquals(1, primaryPort.prepares.get());
+            assertEquals(1, primaryPort.prepareCount.get());
         }
     }
 
@@ -174,31 +181,31 @@
                         "SELECT blob FROM rows WHERE handle = ?" + comment("bag-status", "b1", 900))) {
             read.setString(1, "k1");
             assertEquals("value", value(read));
-            // Whichever of the two replicas ran it leaves.
+            // The replica that ran it, whichever of the two, leaves the service.
             DbNode first = replica.seen.isEmpty() ? other : replica;
             DbNode second = first == other ? replica : other;
             world.phase(first, "terminated");
-            World.await("told", () -> first.open.get() == 0);
+            World.await("connections to the leaving db node are closed", () -> first.open.get() == 0);
             int before = first.seen.size();
             for (int i = 0; i < 5; i++) {
                 assertEquals("value", value(read));
             }
             assertEquals(before, first.seen.size());
             assertEquals(5, second.seen.size());
-            assertEquals(1, (second == other ? otherPort : replicaPort).prepares.get());
+            assertEquals(1, (second == other ? otherPort : replicaPort).prepareCount.get());
         }
     }
 
     @Test
-    void deadlines_refusals_and_errors_end_as_documented() throws Exception {
+    void timeouts_rejections_and_errors_give_the_documented_codes() throws Exception {
         try (World world = world();
                 Connection client = client(world)) {
             primary.script.add(Makes.HANG);
             long start = System.nanoTime();
-            assertEquals("1105", end(client, booking("c1", 300)));
+            assertEquals("1105", outcome(client, booking("c1", 300)));
             assertTrue(System.nanoTime() - start < 1_500_000_000L);
             primary.script.add(Makes.ERROR);
-            assertEquals("1105", end(client, booking("c2", 900)));
+            assertEquals("1105", outcome(client, booking("c2", 900)));
             for (int i = 0; i < 64; i++) {
                 primary.script.add(Makes.FULL);
             }
@@ -207,12 +214,12 @@
             assertEquals(1226, refused.getErrorCode());
             assertTrue(refused.getMessage().contains("retry after 50 ms"), refused.getMessage());
             assertFalse(primary.runs.containsKey("c3"));
-            assertEquals("1064", end(client, "SELECT blob FROM rows"));
+            assertEquals("1064", outcome(client, "SELECT blob FROM rows"));
         }
     }
 
     @Test
-    void a_booking_whose_connection_breaks_fails_and_ran_once() throws Exception {
+    void a_write_whose_connection_breaks_fails_and_runs_once() throws Exception {
         primary.script.add(Makes.DROP);
         try (World world = world();
                 Connection client = client(world);
@@ -226,7 +233,7 @@
     }
 
     @Test
-    void a_client_of_both_protocols_sees_its_writes_though_the_replica_is_behind() throws Exception {
+    void a_client_of_both_protocols_reads_its_writes_while_the_replica_lags() throws Exception {
         long stopped = System.currentTimeMillis() - 200;
         replica.asOf = () -> stopped;
         try (World world = world();
@@ -235,10 +242,10 @@
             try (ResultSet rows = pg.createStatement().executeQuery(booking("e1", 900))) {
                 assertTrue(rows.next());
             }
-            // No read carries the commit: the pooler's store remembers it.
-            assertEquals("value", end(mysql, read("own-order-view", "e2", 900)));
+            // The reads don't carry the commit's log position: the pooler's store has recorded it.
+            assertEquals("value", outcome(mysql, read("own-order-view", "e2", 900)));
             assertEquals(1, primary.runs.get("e2"));
-            assertEquals("value", end(mysql, booking("e3", 900)));
+            assertEquals("value", outcome(mysql, booking("e3", 900)));
             try (ResultSet rows = pg.createStatement().executeQuery(read("own-order-view", "e4", 900))) {
                 assertTrue(rows.next());
             }
@@ -247,22 +254,22 @@
     }
 
     @Test
-    void reads_keep_their_bound_of_age() throws Exception {
+    void reads_respect_their_staleness_bound() throws Exception {
         long stopped = System.currentTimeMillis() - 5_000;
         replica.asOf = () -> stopped;
         try (World world = world();
                 Connection client = client(world)) {
-            // The replica's first answer tells how far behind it is; from then on it is sent no such read.
-            assertEquals("value", end(client, read("own-order-view", "f0", 900)));
-            assertEquals("value", end(client, read("bag-status", "f1", 900)));
-            assertEquals("value", end(client, read("bag-status", "f2", 900)));
+            // The replica's first answer shows how far it lags; after that it gets no read with that bound.
+            assertEquals("value", outcome(client, read("own-order-view", "f0", 900)));
+            assertEquals("value", outcome(client, read("bag-status", "f1", 900)));
+            assertEquals("value", outcome(client, read("bag-status", "f2", 900)));
             assertFalse(replica.runs.containsKey("f1") || replica.runs.containsKey("f2"));
         }
     }
 
     @Test
-    void the_same_work_ends_the_same_over_both_fronts() throws Exception {
-        List<String> ends = new ArrayList<>();
+    void both_protocols_give_the_same_outcomes() throws Exception {
+        List<String> outcomes = new ArrayList<>();
         try (World world = world();
                 Connection mysql = client(world);
                 Connection pg = world.pg()) {
@@ -271,26 +278,27 @@
                     if (makes == Makes.MISS || makes == Makes.BEHIND || makes.compareTo(Makes.DROP) > 0) {
                         continue;
                     }
-                    // Misses would send the write round the members: one answer of the primary decides here.
+                    // MISS and BEHIND are left out: the pooler would try the write at other db nodes. Here the outcome
+                    // must depend on the primary's answer alone.
                     primary.script.clear();
                     for (int i = 0; i < (makes == Makes.FULL ? 64 : 1); i++) {
                         primary.script.add(makes);
                     }
                     String query = booking(makes + "-" + (client == mysql), 900);
-                    String end = client == mysql ? end(client, query) : pgEnd(client, query);
-                    ends.add(makes + " "
-                            + end.replace("53300", "refused")
+                    String outcome = client == mysql ? outcome(client, query) : pgOutcome(client, query);
+                    outcomes.add(makes + " "
+                            + outcome.replace("53300", "refused")
                                     .replace("1226", "refused")
                                     .replace("58000", "failed")
                                     .replace("1105", "failed"));
                     primary.script.clear();
-                    // A broken or silent connection ejects the primary for a moment: it must be back for the next.
+                    // A broken or hung connection ejects the primary for a moment; it must be back for the next case.
                     for (int i = 0;
                             !"value"
                                     .equals(
                                             client == mysql
-                                                    ? end(client, booking("w", 900))
-                                                    : pgEnd(client, booking("w", 900)));
+                                                    ? outcome(client, booking("w", 900))
+                                                    : pgOutcome(client, booking("w", 900)));
                             i++) {
                         assertTrue(i < 50);
                     }
@@ -299,11 +307,12 @@
         }
         assertEquals(
                 List.of("SERVED value", "FULL refused", "ERROR failed", "HANG failed", "DROP failed"),
-                ends.subList(0, 5));
-        assertEquals(ends.subList(0, 5), ends.subList(5, 10));
+                outcomes.subList(0, 5));
+        assertEquals(outcomes.subList(0, 5), outcomes.subList(5, 10));
     }
 
-    private static String pgEnd(Connection client, String query) throws SQLException {
+    /** The value that a query gives over PostgreSQL's protocol, or its SQLSTATE. */
+    private static String pgOutcome(Connection client, String query) throws SQLException {
         try (Statement statement = client.createStatement()) {
             return value(statement, query);
         } catch (SQLException e) {
@@ -312,18 +321,20 @@
     }
 
     @Test
-    void silent_connections_give_way_to_clients() throws Exception {
+    void silent_connections_are_closed_to_make_room_for_new_clients() throws Exception {
         try (World world = world(64)) {
             List<Socket> silent = new ArrayList<>();
             for (int i = 0; i < 40; i++) {
                 silent.add(new Socket("127.0.0.1", world.daemon.mysqlAddress().getPort()));
             }
             for (Socket socket : silent) {
-                // Greeted, or told that there is no room: a connection whose greeting is on its way can't give way.
+                // Wait for the handshake or the error for too many connections: a connection whose handshake is still
+                // on
+                // its way can't be closed to make room.
                 socket.getInputStream().read();
             }
             try (Connection client = client(world)) {
-                assertEquals("value", end(client, read("bag-status", "s1", 900)));
+                assertEquals("value", outcome(client, read("bag-status", "s1", 900)));
             }
             for (Socket socket : silent) {
                 socket.close();
@@ -332,146 +343,146 @@
     }
 
     @Test
-    void a_spoilt_answer_may_have_run_and_bytes_behind_a_whole_one_spoil_the_connection() throws Exception {
-        byte[] head = new Out().lenenc(1).packet(1);
-        byte[] column = Variables.column("blob").packet(2);
+    void a_malformed_answer_fails_its_request_and_bytes_after_a_whole_one_close_the_connection() throws Exception {
+        byte[] head = new PacketWriter().lengthEncodedInt(1).packet(1);
+        byte[] column = Variables.columnDefinition("blob").packet(2);
         byte[] end = Protocol.Ok.PLAIN.packet(0xFE, Protocol.SESSION_TRACK, 4);
         try (World world = world();
                 Connection client = client(world)) {
             int id = 0;
-            for (byte[] spoilt : List.of(
+            for (byte[] malformed : List.of(
                     "noise".getBytes(),
                     new byte[] {-1, -1, -1, 1, 0},
-                    new Out()
+                    new PacketWriter()
                             .raw(head)
                             .raw(column)
-                            .raw(new Out().int1(9).text("odd").packet(3))
+                            .raw(new PacketWriter().int1(9).text("odd").packet(3))
                             .raw(end)
                             .payload(),
-                    new Out()
+                    new PacketWriter()
                             .raw(head)
                             .raw(column)
-                            .raw(new Out().counted("odd").int1(0).packet(3))
+                            .raw(new PacketWriter().lengthEncoded("odd").int1(0).packet(3))
                             .raw(end)
                             .payload(),
-                    new Out()
+                    new PacketWriter()
                             .raw(head)
-                            .raw(new Out().counted("odd").packet(2))
+                            .raw(new PacketWriter().lengthEncoded("odd").packet(2))
                             .raw(end)
                             .payload(),
-                    new Out()
+                    new PacketWriter()
                             .raw(head)
                             .raw(column)
-                            .raw(new Out().counted("odd").packet(7))
+                            .raw(new PacketWriter().lengthEncoded("odd").packet(7))
                             .raw(end)
                             .payload())) {
-                primary.strange = spoilt;
+                primary.strange = malformed;
                 primary.script.add(Makes.SPOILT);
-                assertEquals("1105", end(client, booking("v" + ++id, 900)));
-                assertEquals("value", end(client, booking("w" + id, 900)));
+                assertEquals("1105", outcome(client, booking("v" + ++id, 900)));
+                assertEquals("value", outcome(client, booking("w" + id, 900)));
             }
             assertTrue(primary.runs.values().stream().allMatch(runs -> runs == 1));
-            primary.strange = new Out().raw(head).raw(column).payload();
+            primary.strange = new PacketWriter().raw(head).raw(column).payload();
             primary.script.add(Makes.MORE);
-            assertEquals("value", end(client, booking("x", 900)));
-            assertEquals("value", end(client, booking("y", 900)));
+            assertEquals("value", outcome(client, booking("x", 900)));
+            assertEquals("value", outcome(client, booking("y", 900)));
         }
     }
 
     @Test
-    void bad_fields_and_anothers_id_are_turned_down() throws Exception {
+    void invalid_fields_and_the_id_of_an_open_request_are_rejected() throws Exception {
         primary.script.add(Makes.HANG);
         try (World world = world();
                 Connection client = client(world);
                 Connection stranger = client(world)) {
             Thread owner = new Thread(() -> {
                 try {
-                    end(client, booking("o1", 700));
+                    outcome(client, booking("o1", 700));
                 } catch (SQLException e) {
                     throw new IllegalStateException(e);
                 }
             });
             owner.start();
-            World.await("out", () -> primary.runs.containsKey("o1"));
-            assertEquals("1064", end(stranger, booking("o1", 700)));
-            assertEquals("1064", end(stranger, booking("o2", 700).replace("d=700", "d=1e3")));
-            assertEquals("1064", end(stranger, booking("o2", 700).replace("id=o2,", "")));
+            World.await("the request o1 runs", () -> primary.runs.containsKey("o1"));
+            assertEquals("1064", outcome(stranger, booking("o1", 700)));
+            assertEquals("1064", outcome(stranger, booking("o2", 700).replace("d=700", "d=1e3")));
+            assertEquals("1064", outcome(stranger, booking("o2", 700).replace("id=o2,", "")));
             assertEquals(1, primary.seen.size());
             owner.join();
         }
     }
 
     @Test
-    void broken_packets_end_their_own_connection_only() throws Exception {
+    void a_malformed_packet_ends_its_own_connection_only() throws Exception {
         try (World world = world();
                 Connection client = client(world);
-                Socket broken =
+                Socket malformed =
                         new Socket("127.0.0.1", world.daemon.mysqlAddress().getPort())) {
-            broken.setSoTimeout(10_000);
-            broken.getOutputStream().write(new byte[] {1, 0, 0, 1, 0});
-            byte[] all = broken.getInputStream().readAllBytes();
+            malformed.setSoTimeout(10_000);
+            malformed.getOutputStream().write(new byte[] {1, 0, 0, 1, 0});
+            byte[] all = malformed.getInputStream().readAllBytes();
             assertTrue(new String(all, java.nio.charset.StandardCharsets.ISO_8859_1).contains("08S01packet too short"));
-            assertEquals("value", end(client, read("bag-status", "g1", 900)));
+            assertEquals("value", outcome(client, read("bag-status", "g1", 900)));
         }
     }
 
-    private RawMysqlClient raw(World world) throws Exception {
+    private RawMysqlClient rawClient(World world) throws Exception {
         return new RawMysqlClient(world.daemon.mysqlAddress(), "portal", "towel");
     }
 
     @Test
-    void commands_past_the_bound_are_refused_in_their_turn_and_the_connection_goes_on() throws Exception {
-        int waiting = 64;
-        int more = 6;
+    void commands_beyond_the_limit_are_rejected_in_order_and_the_connection_stays_open() throws Exception {
+        int maxWaiting = 64;
+        int beyondLimit = 6;
         try (World world = world();
-                RawMysqlClient client = raw(world)) {
-            CountDownLatch held = new CountDownLatch(1);
-            primary.hold = held;
+                RawMysqlClient client = rawClient(world)) {
+            CountDownLatch released = new CountDownLatch(1);
+            primary.hold = released;
             List<byte[]> commands = new ArrayList<>();
             commands.add(RawMysqlClient.command(Protocol.COM_QUERY, booking("a", 5000)));
             List<String> expected = new ArrayList<>();
             expected.add("rows");
-            for (int i = 0; i < waiting + more; i++) {
+            for (int i = 0; i < maxWaiting + beyondLimit; i++) {
                 commands.add(RawMysqlClient.command(Protocol.COM_PING, ""));
-                expected.add(i < waiting ? "ok" : "1226");
+                expected.add(i < maxWaiting ? "ok" : "1226");
             }
             client.send(commands.toArray(new byte[0][]));
-            World.await("it runs", () -> primary.runs.containsKey("a"));
-            held.countDown();
-            // Those behind another request of this client are told in their turn.
-            assertEquals(expected, client.answers(1 + waiting + more));
+            World.await("the request a runs", () -> primary.runs.containsKey("a"));
+            released.countDown();
+            // Commands that came after another request of this client are answered in order, rejected ones too.
+            assertEquals(expected, client.answers(1 + maxWaiting + beyondLimit));
             client.send(RawMysqlClient.command(Protocol.COM_PING, ""));
             assertEquals(List.of("ok"), client.answers(1));
         }
     }
 
     @Test
-    void what_breaks_the_protocol_is_told_once_all_before_it_is_answered() throws Exception {
+    void a_protocol_violation_is_reported_after_the_answers_to_all_earlier_commands() throws Exception {
         try (World world = world();
-                RawMysqlClient client = raw(world)) {
-            CountDownLatch held = new CountDownLatch(1);
-            primary.hold = held;
+                RawMysqlClient client = rawClient(world)) {
+            CountDownLatch released = new CountDownLatch(1);
+            primary.hold = released;
             client.send(RawMysqlClient.command(Protocol.COM_QUERY, booking("a", 5000)));
-            World.await("it runs", () -> primary.runs.containsKey("a"));
+            World.await("the request a runs", () -> primary.runs.containsKey("a"));
             client.send(RawMysqlClient.command(Protocol.COM_PING, ""), new byte[] {0, 0, (byte) 255, 0, 1});
-            held.countDown();
+            released.countDown();
             assertEquals(List.of("rows", "ok", "1153", "end"), client.answers(4));
         }
     }
 
     @Test
-    void a_command_that_can_not_be_read_takes_no_answer_from_those_around_it() throws Exception {
+    void a_malformed_command_and_those_around_it_each_get_an_answer() throws Exception {
         try (World world = world();
-                RawMysqlClient client = raw(world)) {
-            CountDownLatch held = new CountDownLatch(1);
-            primary.hold = held;
+                RawMysqlClient client = rawClient(world)) {
+            CountDownLatch released = new CountDownLatch(1);
+            primary.hold = released;
             client.send(RawMysqlClient.command(Protocol.COM_QUERY, booking("a", 5000)));
-            World.await("it runs", () -> primary.runs.containsKey("a"));
+            World.await("the request a runs", () -> primary.runs.containsKey("a"));
             client.send(
                     RawMysqlClient.command(Protocol.COM_PING, ""),
-                    RawMysqlClient.command(Protocol.COM_EXECUTE, "x"),
+                    RawMysqlClient.command(Protocol.COM_STMT_EXECUTE, "x"),
                     RawMysqlClient.command(Protocol.COM_PING, ""));
-            held.countDown();
+            released.countDown();
             assertEquals(List.of("rows", "ok", "1153", "1153", "end"), client.answers(5));
         }
     }
--- a/daemon/src/test/java/lupinvalve/mysql/RawMysqlClient.java
+++ b/daemon/src/test/java/lupinvalve/mysql/RawMysqlClient.java
@@ -12,10 +12,15 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** A client that writes its packets by itself, so that it can send several commands at once. */
+/** A client on a plain socket, which can send several commands in one write. */
 final class RawMysqlClient implements Closeable {
-    private static final int GREETING_NONCE = 1 + 4, SECOND_NONCE = 8 + 1 + 2 + 1 + 2 + 2 + 1 + 10;
-    private static final int ANSWER_BEGINS = 1;
+    /** Bytes in the handshake from the end of the server version to the first part of the nonce. */
+    private static final int FIRST_NONCE_OFFSET = 1 + 4;
+    /** Bytes in the handshake from the first part of the nonce to the second. */
+    private static final int SECOND_NONCE_OFFSET = 8 + 1 + 2 + 1 + 2 + 2 + 1 + 10;
+    /** Sequence number of the first packet of each answer. */
+    private static final int FIRST_SEQUENCE = 1;
+
     private final Socket socket;
     private final DataInputStream in;
     private int sequence;
@@ -24,35 +29,37 @@
         socket = new Socket(address.getAddress(), address.getPort());
         socket.setSoTimeout(10_000);
         in = new DataInputStream(socket.getInputStream());
-        byte[] greeting = packet();
-        int version = 1;
-        while (greeting[version] != 0) {
-            version++;
+        byte[] handshake = readPacket();
+        int versionEnd = 1;
+        while (handshake[versionEnd] != 0) {
+            versionEnd++;
         }
-        int at = version + GREETING_NONCE;
-        byte[] nonce = Arrays.copyOf(Arrays.copyOfRange(greeting, at, at + 8), MysqlClient.NONCE_BYTES);
-        System.arraycopy(greeting, at + SECOND_NONCE, nonce, 8, nonce.length - 8);
-        byte[] proof = Protocol.scramble(Protocol.NATIVE, password, nonce);
+        int nonceStart = versionEnd + FIRST_NONCE_OFFSET;
+        byte[] nonce =
+                Arrays.copyOf(Arrays.copyOfRange(handshake, nonceStart, nonceStart + 8), MysqlClient.NONCE_BYTES);
+        System.arraycopy(handshake, nonceStart + SECOND_NONCE_OFFSET, nonce, 8, nonce.length - 8);
+        byte[] authResponse = Protocol.scramble(Protocol.NATIVE_PASSWORD, password, nonce);
         socket.getOutputStream()
-                .write(new Out()
-                        .fixed(Protocol.PROTOCOL_41 | Protocol.SECURE_CONNECTION | Protocol.PLUGIN_AUTH, 4)
-                        .fixed(0, 4)
+                .write(new PacketWriter()
+                        .fixedInt(Protocol.PROTOCOL_41 | Protocol.SECURE_CONNECTION | Protocol.PLUGIN_AUTH, 4)
+                        .fixedInt(0, 4)
                         .raw(new byte[24])
-                        .zero(user)
-                        .int1(proof.length)
-                        .raw(proof)
-                        .zero(Protocol.NATIVE)
+                        .nulTerminated(user)
+                        .int1(authResponse.length)
+                        .raw(authResponse)
+                        .nulTerminated(Protocol.NATIVE_PASSWORD)
                         .packet(1));
-        if (packet()[0] != 0) {
-            throw new IOException("not let in");
+        if (readPacket()[0] != 0) {
+            throw new IOException("login failed");
         }
     }
 
-    static byte[] command(int kind, String text) {
-        return new Out().int1(kind).raw(text.getBytes(UTF_8)).packet(0);
+    /** The packet of a command, such as {@link Protocol#COM_QUERY}, with its text. */
+    static byte[] command(int code, String text) {
+        return new PacketWriter().int1(code).raw(text.getBytes(UTF_8)).packet(0);
     }
 
-    /** Writes all of them at once. */
+    /** Sends all commands in one write. */
     void send(byte[]... commands) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         for (byte[] command : commands) {
@@ -61,26 +68,28 @@
         socket.getOutputStream().write(bytes.toByteArray());
     }
 
-    private byte[] packet() throws IOException {
+    /** Reads a packet; returns its payload and keeps its sequence number. */
+    private byte[] readPacket() throws IOException {
         int length = in.readUnsignedByte() | in.readUnsignedByte() << 8 | in.readUnsignedByte() << 16;
         sequence = in.readUnsignedByte();
         return in.readNBytes(length);
     }
 
     /**
-     * What the next so many answers begin with: "ok", "rows" or an error's code; "end" where the connection ends first.
+     * Reads the next {@code count} answers; gives "ok", "rows" or the error code for each, and "end" where the
+     * connection is closed first.
      */
     List<String> answers(int count) throws IOException {
         List<String> answers = new ArrayList<>();
         while (true) {
             byte[] packet;
             try {
-                packet = packet();
+                packet = readPacket();
             } catch (java.io.EOFException e) {
                 answers.add("end");
                 return answers;
             }
-            if (sequence == ANSWER_BEGINS) {
+            if (sequence == FIRST_SEQUENCE) {
                 int code = packet[0] & 255;
                 answers.add(
                         code == 0
--- a/mysql/src/main/java/lupinvalve/mysql/MysqlBackend.java
+++ b/mysql/src/main/java/lupinvalve/mysql/MysqlBackend.java
@@ -25,12 +25,15 @@
 import lupinvalve.routing.ServerRole;
 
 /**
- * Speaks MySQL's protocol to db nodes. Each connection prepares a statement when it first executes it: a prepare runs
- * nothing, so until the execute is written the request has not run.
+ * Pool of MySQL connections to db nodes. A connection prepares a statement when it first executes it: a prepare runs
+ * nothing, so the request can't have run before its COM_STMT_EXECUTE is written. Core thread only.
  */
 public final class MysqlBackend extends Pool {
-    private static final int PACKET_MOST = 4 << 20, ANSWER_MOST = 4 << 20, STATEMENTS_MOST = 64, COLUMNS_MOST = 4096;
-    private static final long WANTED = Protocol.LONG_PASSWORD
+    private static final int MAX_PACKET_BYTES = 4 << 20;
+    private static final int MAX_ANSWER_BYTES = 4 << 20;
+    private static final int MAX_PREPARED_STATEMENTS = 64;
+    private static final int MAX_COLUMNS = 4096;
+    private static final long WANTED_CAPABILITIES = Protocol.LONG_PASSWORD
             | Protocol.FOUND_ROWS
             | Protocol.PROTOCOL_41
             | Protocol.TRANSACTIONS
@@ -40,65 +43,73 @@
             | Protocol.DEPRECATE_EOF
             | Protocol.QUERY_ATTRIBUTES;
     private static final String OAEP = "RSA/ECB/OAEPWithSHA-1AndMGF1Padding";
-    private String user, password, database;
+    private String user;
+    private String password;
+    private String database;
 
-    public MysqlBackend(Dialer net, Pooler pooler, Bounds bounds, String user, String password, String database) {
-        super(net, pooler, bounds);
+    /** A pool with no connections yet; {@code database} may be empty. */
+    public MysqlBackend(Dialer dialer, Pooler pooler, Bounds bounds, String user, String password, String database) {
+        super(dialer, pooler, bounds);
         this.user = user;
         this.password = password;
         this.database = database;
         try {
-            // The first cipher of a JVM takes a tenth of a second, which the core thread must not lose while it serves.
+            // The JVM's first cipher takes 0.1 s to load, for which the core thread must not stall while it serves.
             Cipher.getInstance(OAEP);
         } catch (GeneralSecurityException e) {
-            Log.warn("no %s: only servers that have the account cached can be used", OAEP);
+            Log.warn("cipher %s is missing: logins succeed only on servers that have the password cached", OAEP);
         }
     }
 
-    /** Connections from now on are opened with this account; those that are up stay. Core thread. */
+    /** Changes the account and database of connections opened from now on; existing ones stay open. Core thread. */
     public void account(String newUser, String newPassword, String newDatabase) {
         user = newUser;
         password = newPassword;
         database = newDatabase;
     }
 
-    private enum At {
-        GREETING,
-        LOGIN,
-        READY,
-        PREPARING,
-        DEFINITIONS,
+    /** What a connection expects next. */
+    private enum State {
+        HANDSHAKE,
+        AUTH_RESULT,
+        IDLE,
+        PREPARE_RESPONSE,
+        PREPARE_DEFINITIONS,
         ANSWER,
-        COLUMNS,
+        COLUMN_DEFINITIONS,
         ROWS
     }
 
     private static final class MysqlConn extends Conn {
-        private At at = At.GREETING;
+        private State state = State.HANDSHAKE;
         private long capabilities;
         private byte[] nonce = new byte[0];
-        private String plugin = Protocol.NATIVE;
-        private boolean keyAsked;
-        /** Statements prepared on this connection, by text; the one used longest ago comes first. */
-        private final Map<String, Long> prepared = new LinkedHashMap<>(16, 0.75f, true);
-
-        private int definitions, columns, size, sequence;
-        private int[] types = new int[0];
-        private AttemptOutcome error;
-        private List<byte[]> packets = new ArrayList<>();
+        private String authPlugin = Protocol.NATIVE_PASSWORD;
+        private boolean isKeyRequested;
+        /** Ids of the statements prepared on this connection, by text; the least recently used comes first. */
+        private final Map<String, Long> preparedIds = new LinkedHashMap<>(16, 0.75f, true);
+
+        private int definitionsLeft;
+        private int columnCount;
+        private int answerBytes;
+        private int expectedSequence;
+        private int[] columnTypes = new int[0];
+        private List<byte[]> answerPackets = new ArrayList<>();
+        /** The outcome that an ERR packet during the login stands for; null where none has come. */
+        private AttemptOutcome errorOutcome;
 
         MysqlConn(String node) {
             super(node);
         }
 
-        boolean has(int capability) {
+        boolean hasCapability(int capability) {
             return (capabilities & capability) != 0;
         }
     }
 
     @Override
     protected Framer framer() {
-        return new MysqlFramer(PACKET_MOST);
+        return new MysqlFramer(MAX_PACKET_BYTES);
     }
 
     @Override
@@ -108,135 +119,139 @@
 
     @Override
     protected void opened(Conn conn) {
-        // The server speaks first.
+        // The server sends the first packet, its handshake.
     }
 
     @Override
     protected AttemptOutcome known(Conn conn) {
-        return ((MysqlConn) conn).error;
+        return ((MysqlConn) conn).errorOutcome;
     }
 
     @Override
     protected void message(Conn conn, byte[] packet) {
-        MysqlConn c = (MysqlConn) conn;
+        MysqlConn mysqlConn = (MysqlConn) conn;
         try {
-            c.size += packet.length;
-            if (packet.length == 4 || (packet[3] & 255) != (c.sequence & 255) || c.size > ANSWER_MOST) {
-                throw new Framer.Malformed("packet out of order, empty or past the bound of an answer");
+            mysqlConn.answerBytes += packet.length;
+            if (packet.length == 4
+                    || (packet[3] & 255) != (mysqlConn.expectedSequence & 255)
+                    || mysqlConn.answerBytes > MAX_ANSWER_BYTES) {
+                throw new Framer.Malformed("packet out of sequence or empty, or answer too long");
             }
-            c.sequence++;
-            switch (c.at) {
-                case GREETING -> greeting(c, packet);
-                case LOGIN -> login(c, packet);
-                case PREPARING -> preparing(c, packet);
-                case DEFINITIONS -> {
-                    if (--c.definitions == 0) {
-                        execute(c);
+            mysqlConn.expectedSequence++;
+            switch (mysqlConn.state) {
+                case HANDSHAKE -> takeHandshake(mysqlConn, packet);
+                case AUTH_RESULT -> takeAuthResult(mysqlConn, packet);
+                case PREPARE_RESPONSE -> takePrepareResponse(mysqlConn, packet);
+                case PREPARE_DEFINITIONS -> {
+                    if (--mysqlConn.definitionsLeft == 0) {
+                        executePrepared(mysqlConn);
                     }
                 }
-                case ANSWER, COLUMNS, ROWS -> answer(c, packet);
-                default -> fault(c, "unasked packet");
+                case ANSWER, COLUMN_DEFINITIONS, ROWS -> takeAnswer(mysqlConn, packet);
+                default -> protocolError(mysqlConn, "packet without a request");
             }
         } catch (Framer.Malformed e) {
-            fault(c, e.getMessage());
+            protocolError(mysqlConn, e.getMessage());
         }
     }
 
-    /** What comes makes no sense: nothing more can be read from this connection. */
-    private void fault(MysqlConn c, String why) {
-        Log.warn("db node: %s", why);
-        c.error = null;
-        broken(c);
+    /** Closes a connection whose db node violated the protocol: what it sends can no longer be interpreted. */
+    private void protocolError(MysqlConn conn, String why) {
+        Log.warn("db node violated MySQL's protocol: %s; its connection is closed", why);
+        conn.errorOutcome = null;
+        broken(conn);
     }
 
-    /** Writes a packet; the next to come has the number behind its own. */
-    private static void say(MysqlConn c, Out packet, int sequence) {
-        c.sequence = sequence + 1;
-        c.write(packet.packet(sequence));
+    /** Writes a packet; the next packet from the db node must have the following sequence number. */
+    private static void write(MysqlConn conn, PacketWriter packet, int sequence) {
+        conn.expectedSequence = sequence + 1;
+        conn.write(packet.packet(sequence));
     }
 
     // ---- login ----
 
-    private void greeting(MysqlConn c, byte[] packet) throws Framer.Malformed {
-        In in = new In(packet);
+    /** Takes the server's handshake, and answers with the handshake response. */
+    private void takeHandshake(MysqlConn conn, byte[] packet) throws Framer.Malformed {
+        PacketReader in = new PacketReader(packet);
         int version = in.int1();
         if (version == 0xFF) {
-            c.error = ending(packet);
-            broken(c);
+            conn.errorOutcome = outcomeOf(packet);
+            broken(conn);
             return;
         }
-        in.zero();
-        in.fixed(4);
+        in.nulTerminated();
+        in.fixedInt(4);
         byte[] first = in.raw(8);
         in.int1();
-        long capabilities = in.fixed(2);
+        long capabilities = in.fixedInt(2);
         in.int1();
-        in.fixed(2);
-        capabilities |= in.fixed(2) << 16;
-        int length = in.int1();
+        in.fixedInt(2);
+        capabilities |= in.fixedInt(2) << 16;
+        int nonceBytes = in.int1();
         in.raw(10);
-        byte[] second = in.raw(Math.min(in.left(), Math.max(13, length - 8)));
-        c.nonce = Arrays.copyOf(first, 20);
-        System.arraycopy(second, 0, c.nonce, 8, Math.min(12, second.length));
-        c.plugin = (capabilities & Protocol.PLUGIN_AUTH) != 0 ? in.zero() : Protocol.NATIVE;
-        long needed = Protocol.PROTOCOL_41 | Protocol.SESSION_TRACK | Protocol.DEPRECATE_EOF;
-        if (version != 10 || (capabilities & needed) != needed) {
-            throw new Framer.Malformed("server tracks no session state");
+        byte[] second = in.raw(Math.min(in.remaining(), Math.max(13, nonceBytes - 8)));
+        conn.nonce = Arrays.copyOf(first, 20);
+        System.arraycopy(second, 0, conn.nonce, 8, Math.min(12, second.length));
+        conn.authPlugin = (capabilities & Protocol.PLUGIN_AUTH) != 0 ? in.nulTerminated() : Protocol.NATIVE_PASSWORD;
+        long required = Protocol.PROTOCOL_41 | Protocol.SESSION_TRACK | Protocol.DEPRECATE_EOF;
+        if (version != 10 || (capabilities & required) != required) {
+            throw new Framer.Malformed("server lacks protocol 4.1, SESSION_TRACK or DEPRECATE_EOF");
         }
-        c.capabilities = capabilities & (WANTED | (database.isEmpty() ? 0 : Protocol.CONNECT_WITH_DB));
-        byte[] proof = Protocol.scramble(c.plugin, password, c.nonce);
-        Out out = new Out()
-                .fixed(c.capabilities, 4)
-                .fixed(PACKET_MOST, 4)
+        conn.capabilities = capabilities & (WANTED_CAPABILITIES | (database.isEmpty() ? 0 : Protocol.CONNECT_WITH_DB));
+        byte[] authResponse = Protocol.scramble(conn.authPlugin, password, conn.nonce);
+        PacketWriter out = new PacketWriter()
+                .fixedInt(conn.capabilities, 4)
+                .fixedInt(MAX_PACKET_BYTES, 4)
                 .int1(45)
                 .raw(new byte[23])
-                .zero(user);
-        out.int1(proof == null ? 0 : proof.length).raw(proof == null ? new byte[0] : proof);
-        if (c.has(Protocol.CONNECT_WITH_DB)) {
-            out.zero(database);
+                .nulTerminated(user);
+        out.int1(authResponse == null ? 0 : authResponse.length).raw(authResponse == null ? new byte[0] : authResponse);
+        if (conn.hasCapability(Protocol.CONNECT_WITH_DB)) {
+            out.nulTerminated(database);
         }
-        c.at = At.LOGIN;
-        say(c, out.zero(c.plugin), packet[3] + 1);
+        conn.state = State.AUTH_RESULT;
+        write(conn, out.nulTerminated(conn.authPlugin), packet[3] + 1);
     }
 
-    private void login(MysqlConn c, byte[] packet) throws Framer.Malformed {
-        In in = new In(packet);
+    /** Takes the server's answer to the handshake response or to a later packet of the login. */
+    private void takeAuthResult(MysqlConn conn, byte[] packet) throws Framer.Malformed {
+        PacketReader in = new PacketReader(packet);
         switch (in.int1()) {
             case 0 -> {
-                c.at = At.READY;
-                greeted(c);
+                conn.state = State.IDLE;
+                greeted(conn);
             }
             case 0xFE -> {
-                c.plugin = in.zero();
-                c.nonce = Arrays.copyOf(in.rest(), 20);
-                byte[] proof = Protocol.scramble(c.plugin, password, c.nonce);
-                if (proof == null) {
-                    throw new Framer.Malformed("login method " + c.plugin);
+                conn.authPlugin = in.nulTerminated();
+                conn.nonce = Arrays.copyOf(in.rest(), 20);
+                byte[] authResponse = Protocol.scramble(conn.authPlugin, password, conn.nonce);
+                if (authResponse == null) {
+                    throw new Framer.Malformed("unsupported authentication plugin " + conn.authPlugin);
                 }
-                say(c, new Out().raw(proof), packet[3] + 1);
+                write(conn, new PacketWriter().raw(authResponse), packet[3] + 1);
             }
-            case 1 -> more(c, in, packet[3] + 1);
+            case 1 -> takeAuthMoreData(conn, in, packet[3] + 1);
             case 0xFF -> {
-                c.error = ending(packet);
-                broken(c);
+                conn.errorOutcome = outcomeOf(packet);
+                broken(conn);
             }
-            default -> throw new Framer.Malformed("unexpected packet in login");
+            default -> throw new Framer.Malformed("unexpected packet during the login");
         }
     }
 
-    /** The server does not have the account in its cache: the password goes out under the server's key. */
-    private void more(MysqlConn c, In in, int sequence) throws Framer.Malformed {
+    /** Takes AuthMoreData: a server without the cached password needs it encrypted with its public key. */
+    private void takeAuthMoreData(MysqlConn conn, PacketReader in, int sequence) throws Framer.Malformed {
         byte[] data = in.rest();
-        if (c.keyAsked) {
-            c.keyAsked = false;
-            say(c, new Out().raw(sealed(data, c.nonce)), sequence);
+        if (conn.isKeyRequested) {
+            conn.isKeyRequested = false;
+            write(conn, new PacketWriter().raw(encryptedPassword(data, conn.nonce)), sequence);
         } else if (data.length == 1 && data[0] == 4) {
-            c.keyAsked = true;
-            say(c, new Out().int1(2), sequence);
+            conn.isKeyRequested = true;
+            write(conn, new PacketWriter().int1(2), sequence);
         }
     }
 
-    private byte[] sealed(byte[] pem, byte[] nonce) throws Framer.Malformed {
+    private byte[] encryptedPassword(byte[] pem, byte[] nonce) throws Framer.Malformed {
         try {
             String key = new String(pem, ISO_8859_1).replaceAll("-----[A-Z ]+-----", "");
             Cipher cipher = Cipher.getInstance(OAEP);
@@ -247,7 +262,7 @@
                                     Base64.getMimeDecoder().decode(key))));
             return cipher.doFinal(Protocol.xor((password + "\0").getBytes(UTF_8), nonce));
         } catch (GeneralSecurityException | IllegalArgumentException e) {
-            throw new Framer.Malformed("server key: " + e.getMessage());
+            throw new Framer.Malformed("unusable public key: " + e.getMessage());
         }
     }
 
@@ -255,190 +270,198 @@
 
     @Override
     protected void start(Conn conn) {
-        MysqlConn c = (MysqlConn) conn;
-        c.error = null;
-        c.size = 0;
-        c.packets = new ArrayList<>();
-        if (c.job().probe()) {
-            leaving(c);
-            c.at = At.ANSWER;
-            say(c, new Out().int1(Protocol.COM_PING), 0);
+        MysqlConn mysqlConn = (MysqlConn) conn;
+        mysqlConn.errorOutcome = null;
+        mysqlConn.answerBytes = 0;
+        mysqlConn.answerPackets = new ArrayList<>();
+        if (mysqlConn.job().probe()) {
+            leaving(mysqlConn);
+            mysqlConn.state = State.ANSWER;
+            write(mysqlConn, new PacketWriter().int1(Protocol.COM_PING), 0);
             return;
         }
-        MysqlRequest request = (MysqlRequest) c.job().statement;
+        MysqlRequest request = (MysqlRequest) mysqlConn.job().statement;
         if (!request.prepared()) {
-            leaving(c);
-            c.at = At.ANSWER;
-            Out out = new Out().int1(Protocol.COM_QUERY);
-            if (c.has(Protocol.QUERY_ATTRIBUTES)) {
-                out.lenenc(request.params().size()).lenenc(1);
+            leaving(mysqlConn);
+            mysqlConn.state = State.ANSWER;
+            PacketWriter out = new PacketWriter().int1(Protocol.COM_QUERY);
+            if (mysqlConn.hasCapability(Protocol.QUERY_ATTRIBUTES)) {
+                out.lengthEncodedInt(request.params().size()).lengthEncodedInt(1);
                 if (!request.params().isEmpty()) {
-                    Params.write(out, timed(c, request.params()), true);
+                    Params.write(out, withTimeLeft(mysqlConn, request.params()), true);
                 }
             }
-            say(c, out.raw(request.statement().bytes(c.job().wanted(loop.now()))), 0);
-        } else if (c.prepared.containsKey(key(request))) {
-            execute(c);
+            write(mysqlConn, out.raw(request.statement().bytes(mysqlConn.job().wanted(loop.now()))), 0);
+        } else if (mysqlConn.preparedIds.containsKey(statementKey(request))) {
+            executePrepared(mysqlConn);
         } else {
-            c.at = At.PREPARING;
-            say(c, new Out().int1(Protocol.COM_PREPARE).raw(request.text()), 0);
+            mysqlConn.state = State.PREPARE_RESPONSE;
+            write(mysqlConn, new PacketWriter().int1(Protocol.COM_STMT_PREPARE).raw(request.text()), 0);
         }
     }
 
-    private static String key(MysqlRequest request) {
+    private static String statementKey(MysqlRequest request) {
         return new String(request.text(), ISO_8859_1);
     }
 
-    /** The attributes with {@code d} as the time left. */
-    private List<Params.Param> timed(MysqlConn c, List<Params.Param> params) {
+    /** The parameters, with the attribute {@code d}, the timeout, set to the milliseconds that are left. */
+    private List<Params.Param> withTimeLeft(MysqlConn conn, List<Params.Param> params) {
         List<Params.Param> out = new ArrayList<>(params);
-        out.replaceAll(p -> p.name().equals("d")
-                ? Params.text("d", Long.toString(Math.max(1, c.job().wanted(loop.now()) / 1000)))
-                : p);
+        out.replaceAll(param -> param.name().equals("d")
+                ? Params.text("d", Long.toString(Math.max(1, conn.job().wanted(loop.now()) / 1000)))
+                : param);
         return out;
     }
 
-    private void preparing(MysqlConn c, byte[] packet) throws Framer.Malformed {
-        In in = new In(packet);
+    /** Takes the answer to COM_STMT_PREPARE. */
+    private void takePrepareResponse(MysqlConn conn, byte[] packet) throws Framer.Malformed {
+        PacketReader in = new PacketReader(packet);
         if (in.int1() != 0) {
-            // It has not run, but would be refused likewise anywhere else.
-            AttemptOutcome ending = ending(packet);
-            c.at = At.READY;
-            done(c, true, ending, null, LogPosition.UNKNOWN, role(packet));
+            // The request has not run, but any other db node would reject the statement as well.
+            AttemptOutcome outcome = outcomeOf(packet);
+            conn.state = State.IDLE;
+            done(conn, true, outcome, null, LogPosition.UNKNOWN, roleOf(packet));
             return;
         }
-        MysqlRequest request = (MysqlRequest) c.job().statement;
-        c.prepared.put(key(request), in.fixed(4));
-        int columns = (int) in.fixed(2);
-        int params = (int) in.fixed(2);
-        if (params != request.values()) {
-            c.at = At.READY;
-            Log.warn("db node counts %d places in a statement, not %d", params, request.values());
-            done(c, false, AttemptOutcome.ERROR, null, LogPosition.UNKNOWN, ServerRole.UNKNOWN);
+        MysqlRequest request = (MysqlRequest) conn.job().statement;
+        conn.preparedIds.put(statementKey(request), in.fixedInt(4));
+        int columns = (int) in.fixedInt(2);
+        int params = (int) in.fixedInt(2);
+        if (params != request.valueCount()) {
+            conn.state = State.IDLE;
+            Log.warn(
+                    "db node found %d placeholders in a statement where the pooler found %d; the attempt fails",
+                    params, request.valueCount());
+            done(conn, false, AttemptOutcome.ERROR, null, LogPosition.UNKNOWN, ServerRole.UNKNOWN);
             return;
         }
-        c.definitions = columns + params;
-        c.at = At.DEFINITIONS;
-        if (c.definitions == 0) {
-            execute(c);
+        conn.definitionsLeft = columns + params;
+        conn.state = State.PREPARE_DEFINITIONS;
+        if (conn.definitionsLeft == 0) {
+            executePrepared(conn);
         }
     }
 
-    private void execute(MysqlConn c) {
-        MysqlRequest request = (MysqlRequest) c.job().statement;
-        long id = c.prepared.get(key(request));
-        trim(c);
-        for (MysqlRequest.LongData piece : request.ahead()) {
-            c.write(new Out()
-                    .int1(Protocol.COM_LONG_DATA)
-                    .fixed(id, 4)
-                    .fixed(piece.param(), 2)
+    private void executePrepared(MysqlConn conn) {
+        MysqlRequest request = (MysqlRequest) conn.job().statement;
+        long id = conn.preparedIds.get(statementKey(request));
+        closeSurplusStatements(conn);
+        for (MysqlRequest.LongData piece : request.longData()) {
+            conn.write(new PacketWriter()
+                    .int1(Protocol.COM_STMT_SEND_LONG_DATA)
+                    .fixedInt(id, 4)
+                    .fixedInt(piece.param(), 2)
                     .raw(piece.bytes())
                     .packet(0));
         }
-        boolean named = c.has(Protocol.QUERY_ATTRIBUTES);
-        List<Params.Param> params =
-                named ? timed(c, request.params()) : request.params().subList(0, request.values());
-        Out out = new Out()
-                .int1(Protocol.COM_EXECUTE)
-                .fixed(id, 4)
-                .int1(named ? Protocol.COUNT_TOLD : 0)
-                .fixed(1, 4);
-        if (named) {
-            out.lenenc(params.size());
+        boolean hasNames = conn.hasCapability(Protocol.QUERY_ATTRIBUTES);
+        List<Params.Param> params = hasNames
+                ? withTimeLeft(conn, request.params())
+                : request.params().subList(0, request.valueCount());
+        PacketWriter out = new PacketWriter()
+                .int1(Protocol.COM_STMT_EXECUTE)
+                .fixedInt(id, 4)
+                .int1(hasNames ? Protocol.PARAMETER_COUNT_AVAILABLE : 0)
+                .fixedInt(1, 4);
+        if (hasNames) {
+            out.lengthEncodedInt(params.size());
         }
         if (!params.isEmpty()) {
-            Params.write(out, params, named);
+            Params.write(out, params, hasNames);
         }
-        leaving(c);
-        c.at = At.ANSWER;
-        say(c, out, 0);
+        leaving(conn);
+        conn.state = State.ANSWER;
+        write(conn, out, 0);
     }
 
-    /** Bounds what a connection holds prepared at the db node. */
-    private static void trim(MysqlConn c) {
-        Iterator<Long> oldest = c.prepared.values().iterator();
-        while (c.prepared.size() > STATEMENTS_MOST) {
+    /** Closes the least recently used statements beyond the number that a connection may keep at the db node. */
+    private static void closeSurplusStatements(MysqlConn conn) {
+        Iterator<Long> oldest = conn.preparedIds.values().iterator();
+        while (conn.preparedIds.size() > MAX_PREPARED_STATEMENTS) {
             long id = oldest.next();
             oldest.remove();
-            c.write(new Out().int1(Protocol.COM_CLOSE).fixed(id, 4).packet(0));
+            PacketWriter close =
+                    new PacketWriter().int1(Protocol.COM_STMT_CLOSE).fixedInt(id, 4);
+            conn.write(close.packet(0));
         }
     }
 
     // ---- answers ----
 
-    private void answer(MysqlConn c, byte[] packet) throws Framer.Malformed {
+    /** Takes a packet of an answer: an OK or ERR packet, or a result set. */
+    private void takeAnswer(MysqlConn conn, byte[] packet) throws Framer.Malformed {
         int first = packet[4] & 255;
         if (first == 0xFF) {
             if (packet.length < 13 || packet[7] != '#') {
-                throw new Framer.Malformed("ERR packet's length");
+                throw new Framer.Malformed("malformed ERR packet");
             }
-            c.at = At.READY;
-            done(c, true, ending(packet), null, LogPosition.UNKNOWN, role(packet));
-        } else if (c.at == At.ANSWER && first == 0 || c.at == At.ROWS && first == 0xFE) {
-            end(c, Protocol.Ok.read(new In(packet)));
-        } else if (c.at == At.ANSWER) {
-            long columns = new In(packet).lenenc();
-            if (columns > COLUMNS_MOST) {
-                throw new Framer.Malformed("columns " + columns);
+            conn.state = State.IDLE;
+            done(conn, true, outcomeOf(packet), null, LogPosition.UNKNOWN, roleOf(packet));
+        } else if (conn.state == State.ANSWER && first == 0 || conn.state == State.ROWS && first == 0xFE) {
+            endAnswer(conn, Protocol.Ok.read(new PacketReader(packet)));
+        } else if (conn.state == State.ANSWER) {
+            long columns = new PacketReader(packet).lengthEncodedInt();
+            if (columns > MAX_COLUMNS) {
+                throw new Framer.Malformed(columns + " columns in an answer");
             }
-            c.columns = (int) columns;
-            c.types = new int[c.columns];
-            c.definitions = c.columns;
-            c.packets.add(packet);
-            c.at = At.COLUMNS;
-        } else if (c.at == At.COLUMNS) {
-            c.packets.add(packet);
-            c.types[c.columns - c.definitions] = type(new In(packet));
-            if (--c.definitions == 0) {
-                c.at = At.ROWS;
+            conn.columnCount = (int) columns;
+            conn.columnTypes = new int[conn.columnCount];
+            conn.definitionsLeft = conn.columnCount;
+            conn.answerPackets.add(packet);
+            conn.state = State.COLUMN_DEFINITIONS;
+        } else if (conn.state == State.COLUMN_DEFINITIONS) {
+            conn.answerPackets.add(packet);
+            conn.columnTypes[conn.columnCount - conn.definitionsLeft] = columnType(new PacketReader(packet));
+            if (--conn.definitionsLeft == 0) {
+                conn.state = State.ROWS;
             }
         } else {
-            sound(c, new In(packet));
-            c.packets.add(packet);
+            checkRow(conn, new PacketReader(packet));
+            conn.answerPackets.add(packet);
         }
     }
 
-    /** The type that a column's definition tells. */
-    private static int type(In in) throws Framer.Malformed {
+    /** The column type in a column definition packet. */
+    private static int columnType(PacketReader in) throws Framer.Malformed {
         for (int name = 0; name < 6; name++) {
-            in.counted();
+            in.lengthEncodedBytes();
         }
-        if (in.lenenc() != 12 || in.left() != 12) {
-            throw new Framer.Malformed("column's definition");
+        if (in.lengthEncodedInt() != 12 || in.remaining() != 12) {
+            throw new Framer.Malformed("malformed column definition");
         }
         in.raw(6);
         return in.int1();
     }
 
-    /** Guards against rows whose lengths don't agree: a client would read something that no db node said. */
-    private static void sound(MysqlConn c, In in) throws Framer.Malformed {
-        boolean prepared = ((MysqlRequest) c.job().statement).prepared();
+    /** Rejects a row whose lengths don't add up: a client would read values that the db node never sent. */
+    private static void checkRow(MysqlConn conn, PacketReader in) throws Framer.Malformed {
+        boolean prepared = ((MysqlRequest) conn.job().statement).prepared();
         byte[] nulls = new byte[0];
         if (prepared) {
             if (in.int1() != 0) {
-                throw new Framer.Malformed("row's head");
+                throw new Framer.Malformed("binary row without its leading zero byte");
             }
-            nulls = in.raw((c.columns + 9) / 8);
+            nulls = in.raw((conn.columnCount + 9) / 8);
         }
-        for (int i = 0; i < c.columns; i++) {
+        for (int i = 0; i < conn.columnCount; i++) {
             if (prepared && (nulls[(i + 2) / 8] >> (i + 2) % 8 & 1) == 0) {
-                Params.value(in, c.types[i]);
-            } else if (!prepared && !in.absent()) {
-                in.counted();
+                Params.value(in, conn.columnTypes[i]);
+            } else if (!prepared && !in.skipNull()) {
+                in.lengthEncodedBytes();
             }
         }
-        if (in.left() > 0) {
-            throw new Framer.Malformed("row's length");
+        if (in.remaining() > 0) {
+            throw new Framer.Malformed("bytes after the last column of a row");
         }
     }
 
-    private void end(MysqlConn c, Protocol.Ok ok) {
-        c.at = At.READY;
+    /** Takes the OK packet that ends an answer, with the db node's log position and role. */
+    private void endAnswer(MysqlConn conn, Protocol.Ok ok) {
+        conn.state = State.IDLE;
         long position = LogPosition.UNKNOWN;
         ServerRole role = ServerRole.UNKNOWN;
-        String asOf = ok.tracked(Protocol.AS_OF);
-        String rank = ok.tracked(Protocol.RANK);
+        String asOf = ok.trackedValue(Protocol.AS_OF);
+        String rank = ok.trackedValue(Protocol.RANK);
         if (asOf != null) {
             position = LogPositionParser.parse(asOf, 3, loop.now());
         }
@@ -447,16 +470,17 @@
                     ? ServerRole.PRIMARY
                     : rank.equals("copy") ? ServerRole.REPLICA : ServerRole.UNKNOWN;
         }
-        boolean more = (ok.status() & Protocol.STATUS_MORE) != 0;
-        if (more) {
-            done(c, false, AttemptOutcome.ERROR, null, position, role);
+        boolean hasMoreResults = (ok.status() & Protocol.STATUS_MORE_RESULTS_EXIST) != 0;
+        if (hasMoreResults) {
+            done(conn, false, AttemptOutcome.ERROR, null, position, role);
         } else {
-            done(c, true, AttemptOutcome.SERVED, new MysqlRequest.Answer(c.packets, c.columns, ok), position, role);
+            MysqlRequest.Answer answer = new MysqlRequest.Answer(conn.answerPackets, conn.columnCount, ok);
+            done(conn, true, AttemptOutcome.SERVED, answer, position, role);
         }
     }
 
-    /** How an ERR packet ends an attempt; docs/mysql.md lists the codes. */
-    private static AttemptOutcome ending(byte[] packet) {
+    /** The outcome that an ERR packet stands for; docs/mysql.md lists the codes. */
+    private static AttemptOutcome outcomeOf(byte[] packet) {
         int code = packet.length < 7 ? 0 : packet[5] & 255 | (packet[6] & 255) << 8;
         String state = packet.length < 13 ? "" : new String(packet, 8, 5, ISO_8859_1);
         return switch (code) {
@@ -466,8 +490,8 @@
         };
     }
 
-    /** An ERR packet carries no session state, but a write that is read-only there names a replica. */
-    private static ServerRole role(byte[] packet) {
+    /** An ERR packet carries no session state, but a server that rejects a write as read-only is a replica. */
+    private static ServerRole roleOf(byte[] packet) {
         int code = packet.length < 7 ? 0 : packet[5] & 255 | (packet[6] & 255) << 8;
         return code == 1290 || code == 1836 ? ServerRole.REPLICA : ServerRole.UNKNOWN;
     }
--- a/mysql/src/main/java/lupinvalve/mysql/MysqlClient.java
+++ b/mysql/src/main/java/lupinvalve/mysql/MysqlClient.java
@@ -3,39 +3,41 @@
 import java.util.ArrayDeque;
 import lupinvalve.net.Link;
 
-/** One client's connection: how far its login is, its prepared statements, and its commands that wait their turn. */
+/**
+ * One client's connection: the state of its login, its prepared statements and its waiting commands. Core thread only.
+ */
 final class MysqlClient {
-    /** Length of the random bytes with which a client proves its password. */
+    /** Length of the random bytes that the server sends and the client scrambles its password with. */
     static final int NONCE_BYTES = 20;
 
-    /** How far a login is. */
+    /** The state of the login. */
     enum Phase {
-        /** The client's first packet is due. */
+        /** The handshake has been sent; the client's handshake response is expected. */
         LOGIN,
-        /** The client was told to prove its password by another method. */
-        METHOD_SWITCHED,
-        /** Commands may come. */
+        /** An AuthSwitchRequest has been sent, as the client offered an unknown plugin; its answer is expected. */
+        AUTH_SWITCH_REQUESTED,
+        /** The client is logged in and may send commands. */
         READY
     }
 
     /**
-     * A command that waits its turn.
+     * A command that waits until those before it have been answered.
      *
-     * @param packet null for one that is refused when its turn comes, as too many wait
+     * @param packet null for a command that is to be rejected when its turn comes, as too many wait
      */
     record Command(byte[] packet, long atMicros) {
-        private static final Command REFUSED = new Command(null, 0);
+        private static final Command REJECTED = new Command(null, 0);
 
-        /** One too many: all that is kept of it is that an answer is due. */
-        static Command refused() {
-            return REFUSED;
+        /** A command beyond the limit: nothing is kept but that it must be answered. */
+        static Command rejected() {
+            return REJECTED;
         }
 
-        boolean isRefused() {
+        boolean isRejected() {
             return packet == null;
         }
 
-        /** Bytes that it takes while it waits. */
+        /** Bytes of memory that the command takes while it waits. */
         int size() {
             return packet == null ? 0 : packet.length;
         }
@@ -43,52 +45,52 @@
 
     final Link link;
     final byte[] nonce = new byte[NONCE_BYTES];
-    final PreparedStatements prepared = new PreparedStatements(this);
-    final ArrayDeque<Command> waiting = new ArrayDeque<>();
-    /** The number by which the front and the pooler know the connection. */
-    long slot;
+    final PreparedStatements preparedStatements = new PreparedStatements(this);
+    final ArrayDeque<Command> waitingCommands = new ArrayDeque<>();
+    /** Handle in the frontend's table of clients; also the ticket under which the client's requests are submitted. */
+    long handle;
 
     Phase phase = Phase.LOGIN;
     long capabilities;
     /** Whether a request of this client is open at the pooler. */
-    boolean busy;
+    boolean hasOpenRequest;
     /**
-     * Why nothing more that it sends can be read; null where it can. The connection ends once all before that is
-     * answered.
+     * How the client violated the protocol, so that nothing more can be read from it; null where it has not. The
+     * connection ends once all commands before that have been answered.
      */
-    String fault;
-    /** Whether it is looked at again in a moment, as clients are sent away. */
-    boolean parts;
-    /** The pooler's handle of that request, or -1. */
-    long request = -1;
+    String protocolError;
+    /** Whether another attempt to close the connection is scheduled, as clients are being drained. */
+    boolean isCloseScheduled;
+    /** The pooler's handle of the open request, or -1. */
+    long requestHandle = -1;
 
     MysqlClient(Link link) {
         this.link = link;
     }
 
-    /** Whether an answer is due, so that a further command waits. */
-    boolean waits() {
-        return busy || !waiting.isEmpty();
+    /** Whether an answer is pending, so that a further command must wait. */
+    boolean isAnswerPending() {
+        return hasOpenRequest || !waitingCommands.isEmpty();
     }
 
     /** Whether both sides have a capability. */
-    boolean has(int capability) {
+    boolean hasCapability(int capability) {
         return (capabilities & capability) != 0;
     }
 
-    /** Answers a command with a plain OK. */
+    /** Answers a command with an OK packet. */
     void ok() {
         link.write(Protocol.Ok.PLAIN.packet(0, capabilities, 1));
     }
 
-    /** Answers a command with an error. */
+    /** Answers a command with an ERR packet. */
     void error(int code, String state, String text) {
         link.write(Protocol.error(1, code, state, text));
     }
 
-    /** Passes an answer of a db node on, as this client reads it. */
+    /** Forwards a db node's answer, adapted to this client's capabilities. */
     void answer(MysqlRequest.Answer answer) {
-        // One write: an answer in many small segments costs a small machine more than its bytes do.
-        link.write(answer.packets(has(Protocol.DEPRECATE_EOF), capabilities));
+        // In one write: on a small machine, many small segments cost more CPU time than the bytes themselves.
+        link.write(answer.packets(hasCapability(Protocol.DEPRECATE_EOF), capabilities));
     }
 }
--- a/mysql/src/main/java/lupinvalve/mysql/MysqlFront.java
+++ b/mysql/src/main/java/lupinvalve/mysql/MysqlFront.java
@@ -20,27 +20,28 @@
 import lupinvalve.routing.ServerRole;
 
 /**
- * Takes MySQL clients' connections and commands, and passes requests to the pooler and its answers back.
- * {@link MysqlLogin} does logins, {@link PreparedStatements} what needs no db node. Core thread only.
+ * Serves MySQL clients: takes their connections and commands, submits requests to the pooler, and sends its answers
+ * back in the order of the commands. {@link MysqlLogin} handles logins, and {@link PreparedStatements} the commands on
+ * prepared statements that need no db node. Core thread only.
  */
 public final class MysqlFront implements Frontend, Link.Events {
-    /** The name by which db nodes that speak this protocol are asked for. */
+    /** The name of this protocol, under which the pooler keeps its backend and db nodes state their address for it. */
     public static final String PROTOCOL = "mysql";
 
-    private static final int PACKET_MOST = 1 << 20;
-    /** Commands of one client that wait their turn. */
-    private static final int WAITING_MOST = 64;
-    /** Bytes of all commands that wait their turn. */
-    private static final long WAITING_BYTES = 8 << 20;
-    /** A client that has much to read gets its next answer once no more than this is left. */
-    private static final long ROOM_AGAIN = 256 << 10;
-    /** Pause before a connection that could not end is looked at again. */
-    private static final long AGAIN = 20_000;
-    /** Once the program ends, a client has so long to go on with what it has begun to send, or to read. */
-    private static final long LAST_PATIENCE = 300_000;
-
-    private static final int REFUSED = 1226;
-    private static final int FAILED = 1105;
+    private static final int MAX_PACKET_BYTES = 1 << 20;
+    /** Commands of one client that may wait until those before them have been answered. */
+    private static final int MAX_WAITING_COMMANDS = 64;
+    /** Bound on the waiting commands of all clients. */
+    private static final long MAX_WAITING_BYTES = 8 << 20;
+    /** A client that is slow to read gets its next answer once no more than this is unread. */
+    private static final long RESUME_UNREAD_BYTES = 256 << 10;
+    /** Pause before another attempt to close a connection that was in use. */
+    private static final long CLOSE_RETRY_MICROS = 20_000;
+    /** How long, during a drain or a shutdown, a partly sent packet or a partly read answer delays the close. */
+    private static final long CLOSE_GRACE_MICROS = 300_000;
+
+    private static final int REQUEST_REJECTED = 1226;
+    private static final int REQUEST_FAILED = 1105;
     private static final int TOO_MANY_CONNECTIONS = 1040;
     private static final int UNKNOWN_COMMAND = 1047;
     private static final int PARSE_ERROR = 1064;
@@ -52,26 +53,32 @@
     private final Map<Link, MysqlClient> byLink = new IdentityHashMap<>();
     private final Spare<MysqlClient> spare;
     private final ClientEnds ends;
-    private long waiting;
+    /** Bytes of the waiting commands of all clients. */
+    private long waitingBytes;
 
-    /** A front for one account; it takes at most so many clients. */
-    public MysqlFront(Pooler pooler, int clientsMost, String user, String password) {
+    /**
+     * A frontend without clients.
+     *
+     * @param maxClients connections held at once; those beyond get error 1040 and are closed
+     * @param user the name of the one account that clients log in with
+     */
+    public MysqlFront(Pooler pooler, int maxClients, String user, String password) {
         this.pooler = pooler;
         login = new MysqlLogin(user, password);
-        clients = new HandleTable<>(Spare.places(clientsMost));
+        clients = new HandleTable<>(Spare.places(maxClients));
         spare = new Spare<>(
-                pooler.loop(), clients, clientsMost, pooler.settings().limits().maxOpenRequests(), this::retire);
+                pooler.loop(), clients, maxClients, pooler.settings().limits().maxOpenRequests(), this::retire);
         ends = new ClientEnds(pooler.loop());
     }
 
-    /** Changes the account; those logged in stay. */
+    /** Changes the account; clients that are logged in stay connected. */
     public void account(String newUser, String newPassword) {
         login.account(newUser, newPassword);
     }
 
-    /** Cuts what a client sends into packets. */
+    /** A framer for one client's connection. */
     public Framer framer() {
-        return new MysqlFramer(PACKET_MOST);
+        return new MysqlFramer(MAX_PACKET_BYTES);
     }
 
     // ---- connections ----
@@ -80,9 +87,9 @@
     public void opened(Link link) {
         spare.makeRoom();
         if (spare.isFull()) {
-            link.write(new Out()
+            link.write(new PacketWriter()
                     .int1(0xFF)
-                    .fixed(TOO_MANY_CONNECTIONS, 2)
+                    .fixedInt(TOO_MANY_CONNECTIONS, 2)
                     .text("Too many connections")
                     .packet(0));
             link.finish();
@@ -90,13 +97,13 @@
             return;
         }
         MysqlClient client = new MysqlClient(link);
-        client.slot = clients.put(client);
+        client.handle = clients.put(client);
         byLink.put(link, client);
         spare.opened(client);
-        if (ends()) {
-            pooler.loop().after(LAST_PATIENCE, () -> part(client));
+        if (closesIdleConnections()) {
+            pooler.loop().after(CLOSE_GRACE_MICROS, () -> closeWhenIdle(client));
         }
-        login.greet(client);
+        login.sendHandshake(client);
     }
 
     @Override
@@ -107,62 +114,67 @@
         }
     }
 
+    /** Removes a client that has disconnected or is being closed, and cancels its request. */
     private void forget(MysqlClient client, EndReason reason) {
-        ends.ended(reason, client.link, client.waiting.size() + (client.busy ? 1 : 0));
+        ends.ended(reason, client.link, client.waitingCommands.size() + (client.hasOpenRequest ? 1 : 0));
         byLink.remove(client.link);
-        clients.remove(client.slot);
+        clients.remove(client.handle);
         spare.gone(client);
-        client.waiting.forEach(command -> waiting -= command.size());
-        client.waiting.clear();
-        if (client.busy) {
-            pooler.clientDisconnected(client.request);
+        client.waitingCommands.forEach(command -> waitingBytes -= command.size());
+        client.waitingCommands.clear();
+        if (client.hasOpenRequest) {
+            pooler.clientDisconnected(client.requestHandle);
         }
     }
 
+    /** Closes a connection once all that was written to it has been sent. */
     private void end(MysqlClient client, EndReason reason) {
-        if (clients.get(client.slot) == client) {
+        if (clients.get(client.handle) == client) {
             forget(client, reason);
             client.link.finish();
         }
     }
 
     /**
-     * Asks for the end of a connection on which nothing is due; {@link #closed} follows, unless its client has begun to
-     * use it.
+     * Requests the close of a connection without pending answers; {@link #closed} follows, unless the client sends
+     * something first.
+     *
+     * @param patienceMicros for how long a partly received packet or an answer still on its way prevents the close
+     * @return whether the close has been requested
      */
-    private boolean retire(MysqlClient client, long patience, EndReason reason) {
-        return !client.waits() && client.link.retire(patience, reason);
+    private boolean retire(MysqlClient client, long patienceMicros, EndReason reason) {
+        return !client.isAnswerPending() && client.link.retire(patienceMicros, reason);
     }
 
     @Override
     public void malformed(Link link, String why) {
         MysqlClient client = byLink.get(link);
-        if (client != null && client.fault == null) {
-            client.fault = why;
-            endIfFaulty(client);
+        if (client != null && client.protocolError == null) {
+            client.protocolError = why;
+            endAfterProtocolError(client);
         }
     }
 
-    /** Ends a connection of which nothing more can be read, once what was read before that is answered. */
-    private void endIfFaulty(MysqlClient client) {
-        if (client.fault != null && !client.busy && client.waiting.isEmpty()) {
-            client.link.write(Protocol.error(1, MALFORMED_PACKET, "08S01", client.fault));
+    /** Ends a connection whose client violated the protocol, once all commands before that have been answered. */
+    private void endAfterProtocolError(MysqlClient client) {
+        if (client.protocolError != null && !client.hasOpenRequest && client.waitingCommands.isEmpty()) {
+            client.link.write(Protocol.error(1, MALFORMED_PACKET, "08S01", client.protocolError));
             end(client, EndReason.UNREADABLE);
         }
     }
 
     /**
-     * A command that breaks the protocol: its client is told so, and so is each command that came behind it; then the
-     * connection ends.
+     * Handles a command that violates the protocol: answers it and each command after it with an error, then ends the
+     * connection.
      *
-     * @param untold commands that came with it and have not been looked at
+     * @param unprocessed commands that were read together with it and have not been processed
      */
-    private void refuseAll(MysqlClient client, int untold, String why) {
-        for (int count = client.waiting.size() + untold; count > 0; count--) {
+    private void rejectRemaining(MysqlClient client, int unprocessed, String why) {
+        for (int count = client.waitingCommands.size() + unprocessed; count > 0; count--) {
             client.error(MALFORMED_PACKET, "08S01", why);
         }
-        client.waiting.forEach(command -> waiting -= command.size());
-        client.waiting.clear();
+        client.waitingCommands.forEach(command -> waitingBytes -= command.size());
+        client.waitingCommands.clear();
         malformed(client.link, why);
     }
 
@@ -170,112 +182,118 @@
     public void messages(Link link, List<byte[]> packets, long atMicros) {
         MysqlClient client = byLink.get(link);
         for (int i = 0; i < packets.size(); i++) {
-            if (client == null || client.fault != null || clients.get(client.slot) != client) {
+            if (client == null || client.protocolError != null || clients.get(client.handle) != client) {
                 return;
             }
             try {
-                take(client, packets.get(i), atMicros);
+                takePacket(client, packets.get(i), atMicros);
             } catch (Framer.Malformed e) {
-                refuseAll(client, packets.size() - i - 1, e.getMessage());
+                rejectRemaining(client, packets.size() - i - 1, e.getMessage());
             }
         }
     }
 
-    private void take(MysqlClient client, byte[] packet, long atMicros) throws Framer.Malformed {
+    /** Takes a packet: a login, a command, or one that must wait for those before it. */
+    private void takePacket(MysqlClient client, byte[] packet, long atMicros) throws Framer.Malformed {
         if (client.phase != MysqlClient.Phase.READY) {
-            login(client, packet);
-        } else if (client.waits()
-                && (client.waiting.size() >= WAITING_MOST || waiting + packet.length > WAITING_BYTES)) {
-            client.waiting.add(MysqlClient.Command.refused());
-        } else if (client.waits()) {
-            waiting += packet.length;
-            client.waiting.add(new MysqlClient.Command(packet, atMicros));
+            takeLogin(client, packet);
+        } else if (client.isAnswerPending()
+                && (client.waitingCommands.size() >= MAX_WAITING_COMMANDS
+                        || waitingBytes + packet.length > MAX_WAITING_BYTES)) {
+            client.waitingCommands.add(MysqlClient.Command.rejected());
+        } else if (client.isAnswerPending()) {
+            waitingBytes += packet.length;
+            client.waitingCommands.add(new MysqlClient.Command(packet, atMicros));
         } else {
-            command(client, packet, atMicros);
-            rest(client);
+            takeCommand(client, packet, atMicros);
+            markIdle(client);
         }
     }
 
-    private void login(MysqlClient client, byte[] packet) throws Framer.Malformed {
-        if (!login.take(client, packet)) {
+    private void takeLogin(MysqlClient client, byte[] packet) throws Framer.Malformed {
+        if (!login.takeResponse(client, packet)) {
             end(client, EndReason.NOT_LET_IN);
         }
     }
 
     // ---- commands ----
 
-    private void command(MysqlClient client, byte[] packet, long atMicros) throws Framer.Malformed {
+    private void takeCommand(MysqlClient client, byte[] packet, long atMicros) throws Framer.Malformed {
         spare.busy(client);
-        In in = new In(packet);
+        PacketReader in = new PacketReader(packet);
         switch (in.int1()) {
             case Protocol.COM_QUIT -> end(client, EndReason.GOODBYE);
             case Protocol.COM_PING, Protocol.COM_INIT_DB -> client.ok();
-            case Protocol.COM_QUERY -> query(client, in, atMicros);
-            case Protocol.COM_PREPARE -> client.prepared.prepare(in.rest());
-            case Protocol.COM_EXECUTE -> {
-                MysqlRequest request = client.prepared.execute(in);
+            case Protocol.COM_QUERY -> takeQuery(client, in, atMicros);
+            case Protocol.COM_STMT_PREPARE -> client.preparedStatements.prepare(in.rest());
+            case Protocol.COM_STMT_EXECUTE -> {
+                MysqlRequest request = client.preparedStatements.execute(in);
                 if (request != null) {
-                    ask(client, request, atMicros);
+                    submit(client, request, atMicros);
                 }
             }
-            case Protocol.COM_LONG_DATA -> client.prepared.longData(in);
-            case Protocol.COM_CLOSE -> client.prepared.close(in.fixed(4));
-            case Protocol.COM_RESET -> client.prepared.reset(in.fixed(4));
+            case Protocol.COM_STMT_SEND_LONG_DATA -> client.preparedStatements.takeLongData(in);
+            case Protocol.COM_STMT_CLOSE -> client.preparedStatements.close(in.fixedInt(4));
+            case Protocol.COM_STMT_RESET -> client.preparedStatements.reset(in.fixedInt(4));
             case Protocol.COM_RESET_CONNECTION -> {
-                client.prepared.clear();
+                client.preparedStatements.clear();
                 client.ok();
             }
             default -> client.error(UNKNOWN_COMMAND, "08S01", "Unknown command");
         }
     }
 
-    private void query(MysqlClient client, In in, long atMicros) throws Framer.Malformed {
+    private void takeQuery(MysqlClient client, PacketReader in, long atMicros) throws Framer.Malformed {
         List<Params.Param> attributes = List.of();
-        if (client.has(Protocol.QUERY_ATTRIBUTES)) {
-            int count = Params.count(in.lenenc());
-            in.lenenc();
+        if (client.hasCapability(Protocol.QUERY_ATTRIBUTES)) {
+            int count = Params.checkedCount(in.lengthEncodedInt());
+            in.lengthEncodedInt();
             if (count > 0) {
                 attributes = Params.read(in, count, true, null, List.of());
             }
         }
         byte[] text = in.rest();
-        String start = new String(text, 0, Math.min(text.length, 32), ISO_8859_1)
+        String prefix = new String(text, 0, Math.min(text.length, 32), ISO_8859_1)
                 .strip()
                 .toUpperCase(Locale.ROOT);
-        byte[][] variables =
-                Variables.answer(new String(text, ISO_8859_1), client.has(Protocol.DEPRECATE_EOF), client.capabilities);
+        byte[][] variables = Variables.answer(
+                new String(text, ISO_8859_1), client.hasCapability(Protocol.DEPRECATE_EOF), client.capabilities);
         if (variables != null) {
             client.link.write(variables);
-        } else if (start.startsWith("SET ") || start.startsWith("USE ")) {
+        } else if (prefix.startsWith("SET ") || prefix.startsWith("USE ")) {
             client.ok();
-        } else if (start.isEmpty() || start.equals(";")) {
+        } else if (prefix.isEmpty() || prefix.equals(";")) {
             client.error(EMPTY_QUERY, "42000", "Query was empty");
         } else {
-            ask(client, new MysqlRequest(text, new Statement(text), false, attributes, 0, List.of()), atMicros);
+            submit(client, new MysqlRequest(text, new Statement(text), false, attributes, 0, List.of()), atMicros);
         }
     }
 
-    private void ask(MysqlClient client, MysqlRequest request, long atMicros) {
+    /**
+     * Submits a request to the pooler. Query attributes become fields of the statement; the first value of a string
+     * type is the session token.
+     */
+    private void submit(MysqlClient client, MysqlRequest request, long atMicros) {
         String session = null;
         for (int i = 0; i < request.params().size(); i++) {
-            Params.Param p = request.params().get(i);
-            if (i >= request.values() && p.text() != null) {
-                request.statement().set(p.name(), p.text());
-            } else if (session == null && i < request.values() && p.textual()) {
-                session = p.text();
+            Params.Param param = request.params().get(i);
+            if (i >= request.valueCount() && param.text() != null) {
+                request.statement().set(param.name(), param.text());
+            } else if (session == null && i < request.valueCount() && param.isText()) {
+                session = param.text();
             }
         }
         try {
-            ClientRequest ask =
+            ClientRequest clientRequest =
                     request.statement().toRequest(pooler.settings().classes(), atMicros, session, PROTOCOL, request);
-            if (pooler.hasOpenRequest(ask.id())) {
+            if (pooler.hasOpenRequest(clientRequest.id())) {
                 throw new InvalidStatementException("field id names an open request");
             }
-            client.busy = true;
-            client.request = -1;
-            long handle = pooler.submit(this, client.slot, ask);
-            if (client.busy) {
-                client.request = handle;
+            client.hasOpenRequest = true;
+            client.requestHandle = -1;
+            long handle = pooler.submit(this, client.handle, clientRequest);
+            if (client.hasOpenRequest) {
+                client.requestHandle = handle;
             }
         } catch (InvalidStatementException e) {
             client.error(PARSE_ERROR, "42000", e.getMessage());
@@ -291,7 +309,7 @@
             return;
         }
         client.answer((MysqlRequest.Answer) answer);
-        answered(client);
+        requestAnswered(client);
     }
 
     @Override
@@ -299,10 +317,10 @@
         MysqlClient client = clients.get(ticket);
         if (client != null) {
             client.error(
-                    REFUSED,
+                    REQUEST_REJECTED,
                     "42000",
                     "refused: a repeat does no harm; retry after " + (retryAfterMicros + 999) / 1000 + " ms");
-            answered(client);
+            requestAnswered(client);
         }
     }
 
@@ -310,8 +328,8 @@
     public void failed(long ticket) {
         MysqlClient client = clients.get(ticket);
         if (client != null) {
-            client.error(FAILED, "HY000", "failed: it may have run");
-            answered(client);
+            client.error(REQUEST_FAILED, "HY000", "failed: it may have run");
+            requestAnswered(client);
         }
     }
 
@@ -321,71 +339,80 @@
         return client == null || client.link.left();
     }
 
-    private void answered(MysqlClient client) {
-        client.busy = false;
-        client.request = -1;
-        next(client);
+    /** The open request has been answered: continues with the commands that wait. */
+    private void requestAnswered(MysqlClient client) {
+        client.hasOpenRequest = false;
+        client.requestHandle = -1;
+        takeWaitingCommands(client);
     }
 
-    /** Goes on with the commands that wait, as far as their client reads its answers. */
-    private void next(MysqlClient client) {
+    /** Processes waiting commands in order, until one becomes a request or the client is slow to read its answers. */
+    private void takeWaitingCommands(MysqlClient client) {
         try {
-            while (!client.busy && !client.waiting.isEmpty() && clients.get(client.slot) == client) {
+            while (!client.hasOpenRequest
+                    && !client.waitingCommands.isEmpty()
+                    && clients.get(client.handle) == client) {
                 if (client.link.isFull()) {
-                    client.link.whenRoom(ROOM_AGAIN, () -> next(client));
+                    client.link.whenRoom(RESUME_UNREAD_BYTES, () -> takeWaitingCommands(client));
                     return;
                 }
-                MysqlClient.Command command = client.waiting.poll();
-                waiting -= command.size();
-                if (command.isRefused()) {
-                    client.error(REFUSED, "42000", "too many commands at once: a repeat does no harm");
+                MysqlClient.Command command = client.waitingCommands.poll();
+                waitingBytes -= command.size();
+                if (command.isRejected()) {
+                    client.error(REQUEST_REJECTED, "42000", "too many commands at once: a repeat does no harm");
                 } else {
-                    command(client, command.packet(), command.atMicros());
+                    takeCommand(client, command.packet(), command.atMicros());
                 }
             }
-            endIfFaulty(client);
-            rest(client);
+            endAfterProtocolError(client);
+            markIdle(client);
         } catch (Framer.Malformed e) {
-            refuseAll(client, 0, e.getMessage());
+            rejectRemaining(client, 0, e.getMessage());
         }
     }
 
-    private void rest(MysqlClient client) {
-        if (client.waits() || clients.get(client.slot) != client) {
+    /** Marks a connection without pending answers as idle, or closes it during a drain or a shutdown. */
+    private void markIdle(MysqlClient client) {
+        if (client.isAnswerPending() || clients.get(client.handle) != client) {
             return;
         }
-        if (ends()) {
-            part(client);
+        if (closesIdleConnections()) {
+            closeWhenIdle(client);
         } else {
             spare.rests(client);
         }
     }
 
-    /** Whether connections end as soon as nothing is due on them. */
-    private boolean ends() {
+    /**
+     * Whether connections are to be closed as soon as they have no pending answer, because of a drain or a shutdown.
+     */
+    private boolean closesIdleConnections() {
         return pooler.clientDrain().closesConnections(pooler.loop().now());
     }
 
-    /** Ends a connection as clients are sent away, as soon as its client is not using it. */
-    private void part(MysqlClient client) {
-        if (client.parts || !ends() || clients.get(client.slot) != client || client.waits()) {
+    /** During a drain or a shutdown, closes a connection once its client is not using it; retries until then. */
+    private void closeWhenIdle(MysqlClient client) {
+        if (client.isCloseScheduled
+                || !closesIdleConnections()
+                || clients.get(client.handle) != client
+                || client.isAnswerPending()) {
             return;
         }
-        retire(client, LAST_PATIENCE, EndReason.SENT_AWAY);
-        // Until it has ended: its client may use it meanwhile.
-        client.parts = true;
-        pooler.loop().after(AGAIN, () -> {
-            client.parts = false;
-            part(client);
+        retire(client, CLOSE_GRACE_MICROS, EndReason.SENT_AWAY);
+        // Repeated until it has ended: its client may send something meanwhile, which keeps it open.
+        client.isCloseScheduled = true;
+        pooler.loop().after(CLOSE_RETRY_MICROS, () -> {
+            client.isCloseScheduled = false;
+            closeWhenIdle(client);
         });
     }
 
-    /** Connections end as soon as nothing is due on them, as long as the drain says so. */
+    /** Closes each connection as soon as it has no pending answer, for as long as the drain or shutdown lasts. */
     public void close() {
-        clients.forEach(this::part);
+        clients.forEach(this::closeWhenIdle);
     }
 
-    /** How many clients are connected. */
+    /** The number of connected clients. */
     public int open() {
         return clients.size();
     }
--- a/mysql/src/main/java/lupinvalve/mysql/MysqlRequest.java
+++ b/mysql/src/main/java/lupinvalve/mysql/MysqlRequest.java
@@ -5,35 +5,42 @@
 import lupinvalve.core.Statement;
 
 /**
- * What a client asked, ready to be said to any db node.
+ * A client's request in a form that can be sent to any db node.
  *
- * @param prepared whether it executes a prepared statement; its values come first in {@code params}
- * @param params values, then query attributes
- * @param values how many of them are values
- * @param ahead values that were sent ahead as long data
+ * @param text the statement as the client sent it
+ * @param prepared whether it executes a prepared statement
+ * @param params the values of the statement's placeholders, then the query attributes
+ * @param valueCount how many of {@code params} are values of placeholders
+ * @param longData pieces of values that were sent before the execution by COM_STMT_SEND_LONG_DATA
  */
 record MysqlRequest(
         byte[] text,
         Statement statement,
         boolean prepared,
         List<Params.Param> params,
-        int values,
-        List<LongData> ahead) {
-    /** A piece of a value that was sent ahead. */
+        int valueCount,
+        List<LongData> longData) {
+    /** A piece of a value that was sent before the execution; {@code param} is the index of its placeholder. */
     record LongData(int param, byte[] bytes) {}
 
-    /** An answer: packets before the closing OK, as bytes that came, and that OK. */
-    record Answer(List<byte[]> packets, int columns, Protocol.Ok ok) {
+    /**
+     * A db node's answer.
+     *
+     * @param packets the packets before the final OK packet, as they came; empty where the answer has no rows
+     * @param columnCount number of column definitions in {@code packets}
+     */
+    record Answer(List<byte[]> packets, int columnCount, Protocol.Ok ok) {
         /**
-         * The whole answer as a client with the given capabilities reads it, numbered from 1.
+         * The whole answer for a client with the given capabilities, with sequence numbers from 1 on.
          *
-         * @param newer whether the client reads no EOF packets
+         * @param deprecateEof whether the client has the DEPRECATE_EOF capability: an OK packet ends its result sets,
+         *     and there is no EOF packet after the column definitions
          */
-        byte[][] packets(boolean newer, long capabilities) {
+        byte[][] packets(boolean deprecateEof, long capabilities) {
             List<byte[]> out = new ArrayList<>();
             for (byte[] packet : packets) {
-                out.add(Out.packet(packet, 4, out.size() + 1));
-                if (out.size() == columns + 1 && !newer) {
+                out.add(PacketWriter.packet(packet, 4, out.size() + 1));
+                if (out.size() == columnCount + 1 && !deprecateEof) {
                     out.add(Protocol.eof(ok.status(), out.size() + 1));
                 }
             }
@@ -41,7 +48,7 @@
             if (out.isEmpty()) {
                 out.add(ok.packet(0, capabilities, sequence));
             } else {
-                out.add(newer ? ok.packet(0xFE, capabilities, sequence) : Protocol.eof(ok.status(), sequence));
+                out.add(deprecateEof ? ok.packet(0xFE, capabilities, sequence) : Protocol.eof(ok.status(), sequence));
             }
             return out.toArray(new byte[0][]);
         }
--- a/mysql/src/main/java/lupinvalve/mysql/Params.java
+++ b/mysql/src/main/java/lupinvalve/mysql/Params.java
@@ -6,85 +6,108 @@
 import java.util.List;
 import lupinvalve.net.Framer;
 
-/** Values bound to a statement, and query attributes, which travel in the same form. Values stay as their bytes. */
+/**
+ * Parameters of COM_STMT_EXECUTE and COM_QUERY: values of placeholders, and query attributes, which are encoded alike.
+ * Values are kept in their encoded form.
+ */
 final class Params {
     static final int STRING = 0xFE;
-    private static final int COUNT_MOST = 65535;
+    private static final int MAX_COUNT = 65535;
 
-    /** One value; {@code value} is its bytes as they came, or null for NULL or a value sent ahead. */
-    record Param(int type, String name, byte[] value, boolean ahead) {
-        /** The value where it is a text or a whole number. */
+    /**
+     * One parameter.
+     *
+     * @param type the protocol's type code
+     * @param value the encoded value as it came; null for NULL and for a value sent by COM_STMT_SEND_LONG_DATA
+     * @param sentAsLongData whether the value was sent by COM_STMT_SEND_LONG_DATA
+     */
+    record Param(int type, String name, byte[] value, boolean sentAsLongData) {
+        /**
+         * The value as text where its type is a string or a number; null for any other type and for a missing value.
+         */
         String text() {
             if (value == null) {
                 return null;
             }
             try {
-                In in = new In(new Out().fixed(0, 4).raw(value).payload());
+                PacketReader in = new PacketReader(
+                        new PacketWriter().fixedInt(0, 4).raw(value).payload());
                 return switch (type & 255) {
-                    case 1 -> Long.toString((byte) in.fixed(1));
-                    case 2, 13 -> Long.toString((short) in.fixed(2));
-                    case 3, 9 -> Long.toString((int) in.fixed(4));
-                    case 8 -> Long.toString(in.fixed(8));
-                    case 4 -> Float.toString(Float.intBitsToFloat((int) in.fixed(4)));
-                    case 5 -> Double.toString(Double.longBitsToDouble(in.fixed(8)));
+                    case 1 -> Long.toString((byte) in.fixedInt(1));
+                    case 2, 13 -> Long.toString((short) in.fixedInt(2));
+                    case 3, 9 -> Long.toString((int) in.fixedInt(4));
+                    case 8 -> Long.toString(in.fixedInt(8));
+                    case 4 -> Float.toString(Float.intBitsToFloat((int) in.fixedInt(4)));
+                    case 5 -> Double.toString(Double.longBitsToDouble(in.fixedInt(8)));
                     case 6, 7, 10, 11, 12 -> null;
-                    default -> in.countedText();
+                    default -> in.lengthEncodedText();
                 };
             } catch (Framer.Malformed e) {
                 return null;
             }
         }
 
-        boolean textual() {
-            int kind = type & 255;
-            return kind >= 15 && kind != 16;
+        /** Whether the type is encoded as a string; BIT is, but holds no text. */
+        boolean isText() {
+            int typeCode = type & 255;
+            return typeCode >= 15 && typeCode != 16;
         }
     }
 
     private Params() {}
 
-    /** A count of values as it was told, if it may be. */
-    static int count(long told) throws Framer.Malformed {
-        if (told > COUNT_MOST) {
+    /** Checks a number of parameters that a client sent. */
+    static int checkedCount(long sent) throws Framer.Malformed {
+        if (sent > MAX_COUNT) {
             throw new Framer.Malformed("too many parameters");
         }
-        return (int) told;
+        return (int) sent;
     }
 
+    /** A parameter of a string type. */
     static Param text(String name, String value) {
-        return new Param(STRING, name, new Out().counted(value.getBytes(UTF_8)).payload(), false);
+        return new Param(
+                STRING,
+                name,
+                new PacketWriter().lengthEncoded(value.getBytes(UTF_8)).payload(),
+                false);
     }
 
     /**
-     * Reads so many values.
+     * Reads {@code count} parameters.
      *
-     * @param named whether names stand beside the types
-     * @param before the types of the last execution, used where none are told
-     * @param ahead for each value whether it was sent ahead as long data
+     * @param hasNames whether each type is followed by the parameter's name
+     * @param previous the parameters of the statement's last execution, whose types apply where the client sends none
+     * @param sentAsLongData for each placeholder whether its value was sent by COM_STMT_SEND_LONG_DATA
      */
-    static List<Param> read(In in, int count, boolean named, List<Param> before, List<Boolean> ahead)
+    static List<Param> read(
+            PacketReader in, int count, boolean hasNames, List<Param> previous, List<Boolean> sentAsLongData)
             throws Framer.Malformed {
         byte[] nulls = in.raw((count + 7) / 8);
-        boolean told = in.int1() == 1;
-        if (!told && (before == null || before.size() != count)) {
+        boolean hasTypes = in.int1() == 1;
+        if (!hasTypes && (previous == null || previous.size() != count)) {
             throw new Framer.Malformed("types of parameters are missing");
         }
         int[] types = new int[count];
         String[] names = new String[count];
         for (int i = 0; i < count; i++) {
-            types[i] = told ? (int) in.fixed(2) : before.get(i).type();
-            names[i] = told ? named ? in.countedText() : "" : before.get(i).name();
+            types[i] = hasTypes ? (int) in.fixedInt(2) : previous.get(i).type();
+            names[i] = hasTypes
+                    ? hasNames ? in.lengthEncodedText() : ""
+                    : previous.get(i).name();
         }
         List<Param> params = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            boolean sentAhead = i < ahead.size() && ahead.get(i);
-            boolean none = (nulls[i / 8] >> i % 8 & 1) != 0;
-            params.add(new Param(types[i], names[i], none || sentAhead ? null : value(in, types[i] & 255), sentAhead));
+            boolean isLongData = i < sentAsLongData.size() && sentAsLongData.get(i);
+            boolean isNull = (nulls[i / 8] >> i % 8 & 1) != 0;
+            byte[] value = isNull || isLongData ? null : value(in, types[i] & 255);
+            params.add(new Param(types[i], names[i], value, isLongData));
         }
         return params;
     }
 
-    static byte[] value(In in, int type) throws Framer.Malformed {
+    /** Reads a value of the given type code in the binary protocol; the result includes its length, if it has one. */
+    static byte[] value(PacketReader in, int type) throws Framer.Malformed {
         int size =
                 switch (type) {
                     case 1 -> 1;
@@ -99,48 +122,52 @@
         }
         if (type == 7 || type >= 10 && type <= 12) {
             int length = in.int1();
-            return new Out().int1(length).raw(in.raw(length)).payload();
+            return new PacketWriter().int1(length).raw(in.raw(length)).payload();
         }
-        return new Out().counted(in.counted()).payload();
+        return new PacketWriter().lengthEncoded(in.lengthEncodedBytes()).payload();
     }
 
-    /** Writes values with their types, and names where the peer takes query attributes. */
-    static void write(Out out, List<Param> params, boolean named) {
+    /**
+     * Writes parameters: the NULL bitmap, the types and the values.
+     *
+     * @param hasNames whether each type is followed by the parameter's name, as with the QUERY_ATTRIBUTES capability
+     */
+    static void write(PacketWriter out, List<Param> params, boolean hasNames) {
         byte[] nulls = new byte[(params.size() + 7) / 8];
         for (int i = 0; i < params.size(); i++) {
-            if (params.get(i).value() == null && !params.get(i).ahead()) {
+            if (params.get(i).value() == null && !params.get(i).sentAsLongData()) {
                 nulls[i / 8] |= (byte) (1 << i % 8);
             }
         }
         out.raw(nulls).int1(1);
-        for (Param p : params) {
-            out.fixed(p.type(), 2);
-            if (named) {
-                out.counted(p.name());
+        for (Param param : params) {
+            out.fixedInt(param.type(), 2);
+            if (hasNames) {
+                out.lengthEncoded(param.name());
             }
         }
-        for (Param p : params) {
-            if (p.value() != null) {
-                out.raw(p.value());
+        for (Param param : params) {
+            if (param.value() != null) {
+                out.raw(param.value());
             }
         }
     }
 
-    /** Places for values in a statement: question marks outside quotes and comments. */
-    static int places(byte[] text) {
+    /** The number of placeholders in a statement: question marks outside quotes and comments. */
+    static int countPlaceholders(byte[] text) {
         int count = 0;
         for (int i = 0; i < text.length; i++) {
-            int b = text[i];
+            int current = text[i];
             int next = i + 1 < text.length ? text[i + 1] : 0;
-            if (b == '?') {
+            if (current == '?') {
                 count++;
-            } else if (b == '\'' || b == '"' || b == '`') {
-                i = quoted(text, i);
-            } else if (b == '#' || b == '-' && next == '-') {
+            } else if (current == '\'' || current == '"' || current == '`') {
+                i = closingQuote(text, i);
+            } else if (current == '#' || current == '-' && next == '-') {
                 while (i < text.length && text[i] != '\n') {
                     i++;
                 }
-            } else if (b == '/' && next == '*') {
+            } else if (current == '/' && next == '*') {
                 i += 2;
                 while (i + 1 < text.length && !(text[i] == '*' && text[i + 1] == '/')) {
                     i++;
@@ -151,11 +178,12 @@
         return count;
     }
 
-    private static int quoted(byte[] text, int from) {
-        int i = from + 1;
-        while (i < text.length && text[i] != text[from]) {
-            i += text[i] == '\\' && text[from] != '`' ? 2 : 1;
+    /** The index of the quote that ends a quoted text; past the end of the statement where there is none. */
+    private static int closingQuote(byte[] text, int openingQuote) {
+        int index = openingQuote + 1;
+        while (index < text.length && text[index] != text[openingQuote]) {
+            index += text[index] == '\\' && text[openingQuote] != '`' ? 2 : 1;
         }
-        return i;
+        return index;
     }
 }
--- a/mysql/src/main/java/lupinvalve/mysql/PreparedStatements.java
+++ b/mysql/src/main/java/lupinvalve/mysql/PreparedStatements.java
@@ -8,16 +8,16 @@
 import lupinvalve.net.Framer;
 
 /**
- * The prepared statements of one client, under numbers of the pooler's own, so that each outlives the db node that
- * first ran it. Answers the commands that need no db node.
+ * The prepared statements of one client, under statement ids of the pooler's own, so that they stay valid whichever db
+ * node executes them. Answers the commands on prepared statements that need no db node. Core thread only.
  */
 final class PreparedStatements {
-    private static final int STATEMENTS_MOST = 256;
-    private static final int PLACES_MOST = 65535;
-    /** Bytes of the values sent ahead for one execution. */
-    private static final int AHEAD_MOST = 1 << 20;
+    private static final int MAX_STATEMENTS = 256;
+    private static final int MAX_PLACEHOLDERS = 65535;
+    /** Bound on the values sent by COM_STMT_SEND_LONG_DATA for one execution. */
+    private static final int MAX_LONG_DATA_BYTES = 1 << 20;
 
-    private static final int TOO_MANY_PLACES = 1390;
+    private static final int TOO_MANY_PLACEHOLDERS = 1390;
     private static final int TOO_MANY_STATEMENTS = 1461;
     private static final int WRONG_ARGUMENTS = 1210;
     private static final int UNKNOWN_STATEMENT = 1243;
@@ -27,21 +27,22 @@
 
     private static final class Prepared {
         final byte[] text;
-        final int places;
-        /** Types of the last execution's values. */
-        List<Params.Param> types;
+        final int placeholders;
+        /** Parameters of the last execution, whose types apply to an execution without types; null before the first. */
+        List<Params.Param> lastParams;
+        /** Pieces of values for the next execution. */
+        List<MysqlRequest.LongData> longData = new ArrayList<>();
 
-        List<MysqlRequest.LongData> ahead = new ArrayList<>();
-        int aheadBytes;
+        int longDataBytes;
 
-        Prepared(byte[] text, int places) {
+        Prepared(byte[] text, int placeholders) {
             this.text = text;
-            this.places = places;
+            this.placeholders = placeholders;
         }
 
-        void forgetAhead() {
-            ahead = new ArrayList<>();
-            aheadBytes = 0;
+        void clearLongData() {
+            longData = new ArrayList<>();
+            longDataBytes = 0;
         }
     }
 
@@ -49,124 +50,128 @@
         this.client = client;
     }
 
-    /** Answered by the front alone: a prepare runs nothing, and names no group that a db node could be chosen from. */
+    /**
+     * Answers COM_STMT_PREPARE without a db node: a prepare runs nothing, and need not name the cluster from which a db
+     * node would be chosen.
+     */
     void prepare(byte[] text) {
-        int places = Params.places(text);
-        if (places > PLACES_MOST || statements.size() >= STATEMENTS_MOST) {
+        int placeholders = Params.countPlaceholders(text);
+        if (placeholders > MAX_PLACEHOLDERS || statements.size() >= MAX_STATEMENTS) {
             client.error(
-                    places > PLACES_MOST ? TOO_MANY_PLACES : TOO_MANY_STATEMENTS,
-                    places > PLACES_MOST ? "HY000" : "42000",
+                    placeholders > MAX_PLACEHOLDERS ? TOO_MANY_PLACEHOLDERS : TOO_MANY_STATEMENTS,
+                    placeholders > MAX_PLACEHOLDERS ? "HY000" : "42000",
                     "Too many placeholders or prepared statements");
             return;
         }
         long id = ++lastId;
-        statements.put(id, new Prepared(text, places));
+        statements.put(id, new Prepared(text, placeholders));
         int sequence = 1;
-        client.link.write(new Out()
+        client.link.write(new PacketWriter()
                 .int1(0)
-                .fixed(id, 4)
-                .fixed(0, 2)
-                .fixed(places, 2)
+                .fixedInt(id, 4)
+                .fixedInt(0, 2)
+                .fixedInt(placeholders, 2)
                 .int1(0)
-                .fixed(0, 2)
+                .fixedInt(0, 2)
                 .packet(sequence++));
-        for (int i = 0; i < places; i++) {
-            client.link.write(new Out()
-                    .counted("def")
-                    .counted("")
-                    .counted("")
-                    .counted("")
-                    .counted("?")
-                    .counted("")
-                    .lenenc(12)
-                    .fixed(63, 2)
-                    .fixed(0, 4)
+        for (int i = 0; i < placeholders; i++) {
+            client.link.write(new PacketWriter()
+                    .lengthEncoded("def")
+                    .lengthEncoded("")
+                    .lengthEncoded("")
+                    .lengthEncoded("")
+                    .lengthEncoded("?")
+                    .lengthEncoded("")
+                    .lengthEncodedInt(12)
+                    .fixedInt(63, 2)
+                    .fixedInt(0, 4)
                     .int1(0xFD)
-                    .fixed(128, 2)
+                    .fixedInt(128, 2)
                     .int1(0)
-                    .fixed(0, 2)
+                    .fixedInt(0, 2)
                     .packet(sequence++));
         }
-        if (places > 0 && !client.has(Protocol.DEPRECATE_EOF)) {
+        if (placeholders > 0 && !client.hasCapability(Protocol.DEPRECATE_EOF)) {
             client.link.write(Protocol.eof(Protocol.STATUS_AUTOCOMMIT, sequence));
         }
     }
 
-    /** Keeps a piece of a value for the next execution. */
-    void longData(In in) throws Framer.Malformed {
-        Prepared statement = statements.get(in.fixed(4));
-        int param = (int) in.fixed(2);
+    /** Takes COM_STMT_SEND_LONG_DATA, which has no answer: keeps a piece of a value for the next execution. */
+    void takeLongData(PacketReader in) throws Framer.Malformed {
+        Prepared statement = statements.get(in.fixedInt(4));
+        int param = (int) in.fixedInt(2);
         byte[] bytes = in.rest();
-        if (statement == null || param >= statement.places) {
+        if (statement == null || param >= statement.placeholders) {
             return;
         }
-        statement.aheadBytes += bytes.length;
-        if (statement.aheadBytes > AHEAD_MOST) {
+        statement.longDataBytes += bytes.length;
+        if (statement.longDataBytes > MAX_LONG_DATA_BYTES) {
             throw new Framer.Malformed("values sent ahead are too long");
         }
-        statement.ahead.add(new MysqlRequest.LongData(param, bytes));
+        statement.longData.add(new MysqlRequest.LongData(param, bytes));
     }
 
-    /** Reads an execution's values; null where the command was answered with an error. */
-    MysqlRequest execute(In in) throws Framer.Malformed {
-        Prepared statement = statements.get(in.fixed(4));
+    /** Reads COM_STMT_EXECUTE; null where it has been answered with an error. */
+    MysqlRequest execute(PacketReader in) throws Framer.Malformed {
+        Prepared statement = statements.get(in.fixedInt(4));
         if (statement == null) {
-            unknown();
+            sendUnknownStatement();
             return null;
         }
         int flags = in.int1();
-        in.fixed(4);
-        List<MysqlRequest.LongData> ahead = statement.ahead;
+        in.fixedInt(4);
+        List<MysqlRequest.LongData> longData = statement.longData;
         List<Params.Param> params = List.of();
-        boolean named = client.has(Protocol.QUERY_ATTRIBUTES);
-        int count = statement.places;
-        if (named && (count > 0 || (flags & Protocol.COUNT_TOLD) != 0)) {
-            count = Params.count(in.lenenc());
+        boolean hasNames = client.hasCapability(Protocol.QUERY_ATTRIBUTES);
+        int count = statement.placeholders;
+        if (hasNames && (count > 0 || (flags & Protocol.PARAMETER_COUNT_AVAILABLE) != 0)) {
+            count = Params.checkedCount(in.lengthEncodedInt());
         }
-        if (count < statement.places) {
+        if (count < statement.placeholders) {
             client.error(WRONG_ARGUMENTS, "HY000", "Incorrect arguments to EXECUTE");
             return null;
         }
         if (count > 0) {
-            params = Params.read(in, count, named, statement.types, sentAhead(statement));
-            statement.types = params;
+            params = Params.read(in, count, hasNames, statement.lastParams, sentAsLongData(statement));
+            statement.lastParams = params;
         }
-        statement.forgetAhead();
-        return new MysqlRequest(statement.text, new Statement(statement.text), true, params, statement.places, ahead);
+        statement.clearLongData();
+        return new MysqlRequest(
+                statement.text, new Statement(statement.text), true, params, statement.placeholders, longData);
     }
 
-    /** For each value whether it was sent ahead. */
-    private static List<Boolean> sentAhead(Prepared statement) {
-        List<Boolean> sentAhead = new ArrayList<>();
-        for (int i = 0; i < statement.places; i++) {
+    /** For each placeholder whether its value was sent by COM_STMT_SEND_LONG_DATA. */
+    private static List<Boolean> sentAsLongData(Prepared statement) {
+        List<Boolean> sentAsLongData = new ArrayList<>();
+        for (int i = 0; i < statement.placeholders; i++) {
             int param = i;
-            sentAhead.add(statement.ahead.stream().anyMatch(piece -> piece.param() == param));
+            sentAsLongData.add(statement.longData.stream().anyMatch(piece -> piece.param() == param));
         }
-        return sentAhead;
+        return sentAsLongData;
     }
 
-    /** Drops what was sent ahead for a statement. */
+    /** Answers COM_STMT_RESET: discards the long data sent for a statement. */
     void reset(long id) {
         Prepared statement = statements.get(id);
         if (statement == null) {
-            unknown();
+            sendUnknownStatement();
         } else {
-            statement.forgetAhead();
+            statement.clearLongData();
             client.ok();
         }
     }
 
-    /** Forgets a statement; nothing is answered. */
+    /** Takes COM_STMT_CLOSE, which has no answer: removes a statement. */
     void close(long id) {
         statements.remove(id);
     }
 
-    /** Forgets all statements; their numbers are not given again. */
+    /** Removes all statements; their ids are not reused. */
     void clear() {
         statements.clear();
     }
 
-    private void unknown() {
+    private void sendUnknownStatement() {
         client.error(UNKNOWN_STATEMENT, "HY000", "Unknown prepared statement");
     }
 }
--- a/mysql/src/main/java/lupinvalve/mysql/Protocol.java
+++ b/mysql/src/main/java/lupinvalve/mysql/Protocol.java
@@ -7,157 +7,184 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What both sides of MySQL's protocol share: numbers, OK and ERR packets, passwords. */
+/**
+ * Constants of MySQL's protocol, and what its two sides have in common: OK, EOF and ERR packets, and password
+ * scrambles.
+ */
 final class Protocol {
-    static final int LONG_PASSWORD = 1,
-            FOUND_ROWS = 2,
-            CONNECT_WITH_DB = 8,
-            PROTOCOL_41 = 0x200,
-            TRANSACTIONS = 0x2000,
-            SECURE_CONNECTION = 0x8000,
-            PLUGIN_AUTH = 0x80000,
-            LENENC_AUTH = 0x200000,
-            SESSION_TRACK = 0x800000,
-            DEPRECATE_EOF = 0x1000000,
-            QUERY_ATTRIBUTES = 0x8000000;
-    static final int COM_QUIT = 1,
-            COM_INIT_DB = 2,
-            COM_QUERY = 3,
-            COM_PING = 14,
-            COM_PREPARE = 22,
-            COM_EXECUTE = 23,
-            COM_LONG_DATA = 24,
-            COM_CLOSE = 25,
-            COM_RESET = 26,
-            COM_RESET_CONNECTION = 31;
-    static final int STATUS_AUTOCOMMIT = 2, STATUS_MORE = 8, STATUS_STATE_CHANGED = 0x4000;
-    /** Flag of an execute: the count of its parameters, query attributes among them, is told. */
-    static final int COUNT_TOLD = 8;
+    static final int LONG_PASSWORD = 1;
+    static final int FOUND_ROWS = 2;
+    static final int CONNECT_WITH_DB = 8;
+    static final int PROTOCOL_41 = 0x200;
+    static final int TRANSACTIONS = 0x2000;
+    static final int SECURE_CONNECTION = 0x8000;
+    static final int PLUGIN_AUTH = 0x80000;
+    static final int PLUGIN_AUTH_LENENC_CLIENT_DATA = 0x200000;
+    static final int SESSION_TRACK = 0x800000;
+    static final int DEPRECATE_EOF = 0x1000000;
+    static final int QUERY_ATTRIBUTES = 0x8000000;
+    static final int COM_QUIT = 1;
+    static final int COM_INIT_DB = 2;
+    static final int COM_QUERY = 3;
+    static final int COM_PING = 14;
+    static final int COM_STMT_PREPARE = 22;
+    static final int COM_STMT_EXECUTE = 23;
+    static final int COM_STMT_SEND_LONG_DATA = 24;
+    static final int COM_STMT_CLOSE = 25;
+    static final int COM_STMT_RESET = 26;
+    static final int COM_RESET_CONNECTION = 31;
+    static final int STATUS_AUTOCOMMIT = 2;
+    static final int STATUS_MORE_RESULTS_EXIST = 8;
+    static final int STATUS_SESSION_STATE_CHANGED = 0x4000;
+    /** Flag of COM_STMT_EXECUTE: the packet holds the number of its parameters, query attributes included. */
+    static final int PARAMETER_COUNT_AVAILABLE = 8;
 
-    static final String NATIVE = "mysql_native_password", SHA2 = "caching_sha2_password";
-    /** The tracked variables that tell a db node's position, in Unix milliseconds, and its role. */
-    static final String AS_OF = "as_of", RANK = "rank";
+    static final String NATIVE_PASSWORD = "mysql_native_password";
+    static final String CACHING_SHA2_PASSWORD = "caching_sha2_password";
+    /** The tracked system variable that holds a db node's log position, in milliseconds of Unix time. */
+    static final String AS_OF = "as_of";
+    /** The tracked system variable that holds a db node's role. */
+    static final String RANK = "rank";
 
     private Protocol() {}
 
+    /** An ERR packet. */
     static byte[] error(int sequence, int code, String state, String message) {
-        return new Out()
+        return new PacketWriter()
                 .int1(0xFF)
-                .fixed(code, 2)
+                .fixedInt(code, 2)
                 .text("#")
                 .text(state)
                 .text(message)
                 .packet(sequence);
     }
 
-    /** One tracked variable and its value. */
-    record Tracked(String name, String value) {}
+    /** A system variable that the session tracker reports, and its value. */
+    record TrackedVariable(String name, String value) {}
 
-    /** An OK packet's content; {@code tracked} holds system variables only. */
-    record Ok(long affected, long insertId, int status, int warnings, byte[] info, List<Tracked> tracked) {
+    /** The content of an OK packet; of the session state changes, only system variables are kept. */
+    record Ok(long affected, long insertId, int status, int warnings, byte[] info, List<TrackedVariable> tracked) {
         static final Ok PLAIN = new Ok(0, 0, STATUS_AUTOCOMMIT, 0, new byte[0], List.of());
 
-        /** Reads an OK from a peer that tracks session state. */
-        static Ok read(In in) throws lupinvalve.net.Framer.Malformed {
+        /** Reads an OK packet from a peer with the SESSION_TRACK capability. */
+        static Ok read(PacketReader in) throws lupinvalve.net.Framer.Malformed {
             in.int1();
-            long affected = in.lenenc();
-            long insertId = in.lenenc();
-            int status = (int) in.fixed(2);
-            int warnings = (int) in.fixed(2);
-            byte[] info = in.left() > 0 ? in.counted() : new byte[0];
-            List<Tracked> tracked = new ArrayList<>();
-            if ((status & STATUS_STATE_CHANGED) != 0 && in.left() > 0) {
-                In states = new In(new Out().fixed(0, 4).raw(in.counted()).payload());
-                while (states.left() > 0) {
+            long affected = in.lengthEncodedInt();
+            long insertId = in.lengthEncodedInt();
+            int status = (int) in.fixedInt(2);
+            int warnings = (int) in.fixedInt(2);
+            byte[] info = in.remaining() > 0 ? in.lengthEncodedBytes() : new byte[0];
+            List<TrackedVariable> tracked = new ArrayList<>();
+            if ((status & STATUS_SESSION_STATE_CHANGED) != 0 && in.remaining() > 0) {
+                PacketReader states = new PacketReader(new PacketWriter()
+                        .fixedInt(0, 4)
+                        .raw(in.lengthEncodedBytes())
+                        .payload());
+                while (states.remaining() > 0) {
                     int type = states.int1();
-                    In entry =
-                            new In(new Out().fixed(0, 4).raw(states.counted()).payload());
-                    while (type == 0 && entry.left() > 0) {
-                        tracked.add(new Tracked(entry.countedText(), entry.countedText()));
+                    PacketReader entry = new PacketReader(new PacketWriter()
+                            .fixedInt(0, 4)
+                            .raw(states.lengthEncodedBytes())
+                            .payload());
+                    while (type == 0 && entry.remaining() > 0) {
+                        tracked.add(new TrackedVariable(entry.lengthEncodedText(), entry.lengthEncodedText()));
                     }
                 }
             }
-            if (in.left() > 0) {
-                throw new lupinvalve.net.Framer.Malformed("OK packet's length");
+            if (in.remaining() > 0) {
+                throw new lupinvalve.net.Framer.Malformed("bytes after the end of an OK packet");
             }
             return new Ok(affected, insertId, status, warnings, info, tracked);
         }
 
-        /** The packet as a peer with the given capabilities reads it. */
+        /**
+         * The packet for a peer with the given capabilities.
+         *
+         * @param header 0, or 0xFE where the packet ends a result set in place of an EOF packet
+         */
         byte[] packet(int header, long capabilities, int sequence) {
-            boolean tracks = (capabilities & SESSION_TRACK) != 0;
-            boolean changed = tracks && !tracked.isEmpty();
-            Out out = new Out()
+            boolean tracksSession = (capabilities & SESSION_TRACK) != 0;
+            boolean changed = tracksSession && !tracked.isEmpty();
+            PacketWriter out = new PacketWriter()
                     .int1(header)
-                    .lenenc(affected)
-                    .lenenc(insertId)
-                    .fixed(changed ? status | STATUS_STATE_CHANGED : status & ~STATUS_STATE_CHANGED, 2)
-                    .fixed(warnings, 2);
-            if (!tracks) {
+                    .lengthEncodedInt(affected)
+                    .lengthEncodedInt(insertId)
+                    .fixedInt(
+                            changed ? status | STATUS_SESSION_STATE_CHANGED : status & ~STATUS_SESSION_STATE_CHANGED, 2)
+                    .fixedInt(warnings, 2);
+            if (!tracksSession) {
                 return out.raw(info).packet(sequence);
             }
             if (info.length > 0 || changed) {
-                out.counted(info);
+                out.lengthEncoded(info);
             }
             if (changed) {
-                Out states = new Out();
-                for (Tracked t : tracked) {
+                PacketWriter states = new PacketWriter();
+                for (TrackedVariable variable : tracked) {
                     states.int1(0)
-                            .counted(new Out()
-                                    .counted(t.name())
-                                    .counted(t.value())
+                            .lengthEncoded(new PacketWriter()
+                                    .lengthEncoded(variable.name())
+                                    .lengthEncoded(variable.value())
                                     .payload());
                 }
-                out.counted(states.payload());
+                out.lengthEncoded(states.payload());
             }
             return out.packet(sequence);
         }
 
-        String tracked(String name) {
+        /** The reported value of a system variable, or null where the packet has none. */
+        String trackedValue(String name) {
             return tracked.stream()
-                    .filter(t -> t.name().equals(name))
-                    .map(Tracked::value)
+                    .filter(variable -> variable.name().equals(name))
+                    .map(TrackedVariable::value)
                     .findFirst()
                     .orElse(null);
         }
     }
 
+    /** An EOF packet. */
     static byte[] eof(int status, int sequence) {
-        return new Out()
+        return new PacketWriter()
                 .int1(0xFE)
-                .fixed(0, 2)
-                .fixed(status & ~STATUS_STATE_CHANGED, 2)
+                .fixedInt(0, 2)
+                .fixedInt(status & ~STATUS_SESSION_STATE_CHANGED, 2)
                 .packet(sequence);
     }
 
-    /** What a client proves that it knows a password with, or null for an unknown method. */
+    /**
+     * The authentication response by which a client proves that it knows a password.
+     *
+     * @param nonce the random bytes that the server sent
+     * @return null for an unknown plugin
+     */
     static byte[] scramble(String plugin, String password, byte[] nonce) {
         if (password.isEmpty()) {
             return new byte[0];
         }
         byte[] secret = password.getBytes(UTF_8);
-        if (plugin.equals(NATIVE)) {
-            byte[] once = digest("SHA-1", secret);
-            return xor(once, digest("SHA-1", nonce, digest("SHA-1", once)));
+        if (plugin.equals(NATIVE_PASSWORD)) {
+            byte[] hash = digest("SHA-1", secret);
+            return xor(hash, digest("SHA-1", nonce, digest("SHA-1", hash)));
         }
-        if (plugin.equals(SHA2)) {
-            byte[] once = digest("SHA-256", secret);
-            return xor(once, digest("SHA-256", digest("SHA-256", once), nonce));
+        if (plugin.equals(CACHING_SHA2_PASSWORD)) {
+            byte[] hash = digest("SHA-256", secret);
+            return xor(hash, digest("SHA-256", digest("SHA-256", hash), nonce));
         }
         return null;
     }
 
-    static byte[] xor(byte[] a, byte[] b) {
-        byte[] out = new byte[a.length];
-        for (int i = 0; i < a.length; i++) {
-            out[i] = (byte) (a[i] ^ b[i % b.length]);
+    /** XORs bytes with a mask, which is repeated where it is shorter. */
+    static byte[] xor(byte[] bytes, byte[] mask) {
+        byte[] out = new byte[bytes.length];
+        for (int i = 0; i < bytes.length; i++) {
+            out[i] = (byte) (bytes[i] ^ mask[i % mask.length]);
         }
         return out;
     }
 
-    private static byte[] digest(String method, byte[]... parts) {
+    private static byte[] digest(String algorithm, byte[]... parts) {
         try {
-            MessageDigest digest = MessageDigest.getInstance(method);
+            MessageDigest digest = MessageDigest.getInstance(algorithm);
             for (byte[] part : parts) {
                 digest.update(part);
             }
--- a/mysql/src/main/java/lupinvalve/mysql/Variables.java
+++ b/mysql/src/main/java/lupinvalve/mysql/Variables.java
@@ -8,13 +8,14 @@
 import java.util.regex.Pattern;
 
 /**
- * Answers what drivers ask of every server when they connect: {@code SELECT @@name, ...} alone. The values are those
- * that hold on this front; they name nothing of a db node.
+ * Answers the query for system variables that drivers send when they connect, which is {@code SELECT @@name, ...} and
+ * nothing else. The values describe the pooler's own MySQL endpoint, not a db node.
  */
 final class Variables {
-    private static final Pattern QUERY =
+    private static final Pattern VARIABLES_QUERY =
             Pattern.compile("(?is)\\s*(?:/\\*.*?\\*/\\s*)?select\\s+(@@.+?)(?:\\s+limit\\s+1)?\\s*;?\\s*");
-    private static final Pattern ITEM = Pattern.compile("(?i)@@(?:session\\.|global\\.)?(\\w+)(?:\\s+as\\s+(\\w+))?");
+    private static final Pattern VARIABLE_ITEM =
+            Pattern.compile("(?i)@@(?:session\\.|global\\.)?(\\w+)(?:\\s+as\\s+(\\w+))?");
     private static final Map<String, String> VALUES = Map.ofEntries(
             Map.entry("auto_increment_increment", "1"),
             Map.entry("character_set_client", "utf8mb4"),
@@ -43,58 +44,62 @@
 
     private Variables() {}
 
-    /** The whole answer, or null where the query asks for anything else. */
-    static byte[][] answer(String query, boolean newer, long capabilities) {
-        Matcher matcher = QUERY.matcher(query);
+    /**
+     * The packets of the whole answer, or null where the query is of any other form. An unknown variable is NULL.
+     *
+     * @param deprecateEof whether the client has the DEPRECATE_EOF capability
+     */
+    static byte[][] answer(String query, boolean deprecateEof, long capabilities) {
+        Matcher matcher = VARIABLES_QUERY.matcher(query);
         if (query.length() > 4096 || !matcher.matches()) {
             return null;
         }
         List<byte[]> packets = new ArrayList<>();
         String[] items = matcher.group(1).split(",");
         int sequence = 1;
-        packets.add(new Out().lenenc(items.length).packet(sequence++));
-        Out row = new Out();
+        packets.add(new PacketWriter().lengthEncodedInt(items.length).packet(sequence++));
+        PacketWriter row = new PacketWriter();
         for (String item : items) {
-            Matcher named = ITEM.matcher(item.strip());
-            if (!named.matches()) {
+            Matcher itemMatcher = VARIABLE_ITEM.matcher(item.strip());
+            if (!itemMatcher.matches()) {
                 return null;
             }
-            String name = named.group(1).toLowerCase(Locale.ROOT);
-            String label = named.group(2) != null ? named.group(2) : item.strip();
-            packets.add(column(label).packet(sequence++));
+            String name = itemMatcher.group(1).toLowerCase(Locale.ROOT);
+            String label = itemMatcher.group(2) != null ? itemMatcher.group(2) : item.strip();
+            packets.add(columnDefinition(label).packet(sequence++));
             String value = VALUES.get(name);
             if (value == null) {
                 row.int1(0xFB);
             } else {
-                row.counted(value);
+                row.lengthEncoded(value);
             }
         }
-        if (!newer) {
+        if (!deprecateEof) {
             packets.add(Protocol.eof(Protocol.STATUS_AUTOCOMMIT, sequence++));
         }
         packets.add(row.packet(sequence++));
         packets.add(
-                newer
+                deprecateEof
                         ? Protocol.Ok.PLAIN.packet(0xFE, capabilities, sequence)
                         : Protocol.eof(Protocol.STATUS_AUTOCOMMIT, sequence));
         return packets.toArray(new byte[0][]);
     }
 
-    /** A column definition of a text. */
-    static Out column(String name) {
-        return new Out()
-                .counted("def")
-                .counted("")
-                .counted("")
-                .counted("")
-                .counted(name)
-                .counted("")
-                .lenenc(12)
-                .fixed(45, 2)
-                .fixed(1024, 4)
+    /** A column definition packet for a column of strings. */
+    static PacketWriter columnDefinition(String name) {
+        return new PacketWriter()
+                .lengthEncoded("def")
+                .lengthEncoded("")
+                .lengthEncoded("")
+                .lengthEncoded("")
+                .lengthEncoded(name)
+                .lengthEncoded("")
+                .lengthEncodedInt(12)
+                .fixedInt(45, 2)
+                .fixedInt(1024, 4)
                 .int1(0xFD)
-                .fixed(0, 2)
+                .fixedInt(0, 2)
                 .int1(0)
-                .fixed(0, 2);
+                .fixedInt(0, 2);
     }
 }
--- a/pg/src/main/java/lupinvalve/pg/PgBackend.java
+++ b/pg/src/main/java/lupinvalve/pg/PgBackend.java
@@ -15,41 +15,56 @@
 import lupinvalve.routing.LogPosition;
 import lupinvalve.routing.ServerRole;
 
-/** Speaks PostgreSQL's protocol to db nodes: simple queries only. */
+/**
+ * Pool of PostgreSQL connections to db nodes. Requests are sent as simple queries; an answer is a RowDescription, at
+ * most one DataRow of one column, and a CommandComplete, or an ErrorResponse. Core thread only.
+ */
 public final class PgBackend extends Pool {
-    /** Values have 4 MiB at most; what is longer is taken for spoilt. */
-    private static final int ROW_MOST = (4 << 20) + 64, ANSWER_MOST = ROW_MOST + (32 << 10);
+    /** Values have at most 4 MiB; a longer row is treated as malformed. */
+    private static final int MAX_ROW_BYTES = (4 << 20) + 64;
 
-    private static final byte[] PROBE = PgMessages.texts('Q', "SHOW vitals");
-    private final byte[] startup;
-    /** Bytes of long answers that are held whole. */
-    private long kept;
+    private static final int MAX_ANSWER_BYTES = MAX_ROW_BYTES + (32 << 10);
 
-    public PgBackend(Dialer net, Pooler pooler, Bounds bounds, String user, String database) {
-        super(net, pooler, bounds);
-        startup = PgMessages.startup(user, database);
+    private static final byte[] HEALTH_CHECK_QUERY = PgMessages.textMessage('Q', "SHOW vitals");
+    private final byte[] startupMessage;
+    /** Bytes of long rows that are buffered whole, over all connections. */
+    private long bufferedBytes;
+
+    /**
+     * A pool with no connections yet.
+     *
+     * @param user the account that its connections log in with
+     * @param database the database that they open
+     */
+    public PgBackend(Dialer dialer, Pooler pooler, Bounds bounds, String user, String database) {
+        super(dialer, pooler, bounds);
+        startupMessage = PgMessages.startup(user, database);
     }
 
-    /** How far an answer has come. */
-    private enum At {
-        START,
-        HEAD,
-        ROW,
-        COMPLETE,
-        FAILED
+    /** The last message of the answer that has arrived; NONE before the first. */
+    private enum AnswerState {
+        NONE,
+        ROW_DESCRIPTION,
+        DATA_ROW,
+        COMMAND_COMPLETE,
+        ERROR_RESPONSE
     }
 
     private static final class PgConn extends Conn {
-        private List<byte[]> answer = new ArrayList<>(3);
-        private At at = At.START;
-        private int size;
-        private AttemptOutcome error;
+        private List<byte[]> answerMessages = new ArrayList<>(3);
+        private AnswerState state = AnswerState.NONE;
+        private int answerBytes;
+        /** The outcome that an ErrorResponse stands for; null where none has arrived. */
+        private AttemptOutcome errorOutcome;
+        /** The answer's DataRow, or the first chunk of a long one; null where none has arrived. */
         private byte[] row;
-        /** What is still to come of a row in pieces, and whether it is passed on meanwhile. */
-        private int left;
+        /** Bytes still to come of a long row, which arrives in chunks. */
+        private int rowBytesLeft;
+        /** Whether the chunks of a long row are streamed to the client as they arrive. */
+        private boolean isStreaming;
+        /** Bytes of a long row that count towards the pool's total, as it is buffered whole. */
+        private int bufferedBytes;
 
-        private boolean passing;
-        private int kept;
         private long position = LogPosition.UNKNOWN;
         private ServerRole role = ServerRole.UNKNOWN;
 
@@ -60,7 +75,7 @@
 
     @Override
     protected Framer framer() {
-        return new PgFramer(false, ROW_MOST);
+        return new PgFramer(false, MAX_ROW_BYTES);
     }
 
     @Override
@@ -70,75 +85,89 @@
 
     @Override
     protected void opened(Conn conn) {
-        conn.write(startup);
+        conn.write(startupMessage);
     }
 
     @Override
     protected void start(Conn conn) {
-        PgConn c = (PgConn) conn;
-        c.answer = new ArrayList<>(3);
-        c.at = At.START;
-        c.size = 0;
-        c.error = null;
-        c.row = null;
-        c.left = 0;
-        c.passing = false;
-        c.position = LogPosition.UNKNOWN;
-        c.role = ServerRole.UNKNOWN;
-        leaving(c);
-        if (c.job().probe()) {
-            c.write(PROBE);
+        PgConn pgConn = (PgConn) conn;
+        pgConn.answerMessages = new ArrayList<>(3);
+        pgConn.state = AnswerState.NONE;
+        pgConn.answerBytes = 0;
+        pgConn.errorOutcome = null;
+        pgConn.row = null;
+        pgConn.rowBytesLeft = 0;
+        pgConn.isStreaming = false;
+        pgConn.position = LogPosition.UNKNOWN;
+        pgConn.role = ServerRole.UNKNOWN;
+        leaving(pgConn);
+        if (pgConn.job().probe()) {
+            pgConn.write(HEALTH_CHECK_QUERY);
             return;
         }
-        byte[] text = ((Statement) c.job().statement).bytes(c.job().wanted(loop.now()));
-        c.write(PgMessages.message('Q', Arrays.copyOf(text, text.length + 1)));
+        byte[] query = ((Statement) pgConn.job().statement).bytes(pgConn.job().wanted(loop.now()));
+        pgConn.write(PgMessages.message('Q', Arrays.copyOf(query, query.length + 1)));
     }
 
     @Override
     protected void message(Conn conn, byte[] message) {
-        PgConn c = (PgConn) conn;
-        c.size += message.length;
-        boolean sound;
-        if (c.left > 0) {
-            sound = piece(c, message);
-        } else if (message[0] == 'D' && message.length > 1 && PgFramer.int32(message, 1) > PgFramer.WHOLE_MOST) {
-            sound = begun(c) && first(c, message);
+        PgConn pgConn = (PgConn) conn;
+        pgConn.answerBytes += message.length;
+        boolean isValid;
+        if (pgConn.rowBytesLeft > 0) {
+            isValid = takeRowChunk(pgConn, message);
+        } else if (message[0] == 'D'
+                && message.length > 1
+                && PgFramer.int32(message, 1) > PgFramer.MAX_WHOLE_ROW_BYTES) {
+            isValid = begun(pgConn) && startLongRow(pgConn, message);
         } else {
-            sound = PgMessages.sound(message) && (begun(c) ? answered(c, message) : greeting(c, message));
+            isValid = PgMessages.isWellFormed(message)
+                    && (begun(pgConn) ? takeAnswerMessage(pgConn, message) : takeStartupAnswer(pgConn, message));
         }
-        if (c.size > ANSWER_MOST || !sound) {
-            // It may have run, and where the next answer starts nobody can tell.
-            Log.warn("db node: a spoilt %s message", (char) message[0]);
-            c.error = null;
-            broken(c);
+        if (pgConn.answerBytes > MAX_ANSWER_BYTES || !isValid) {
+            // The request may have run, and where the next answer would start in the stream is unknown.
+            Log.warn(
+                    "db node sent an invalid, unexpected or oversized message of type %s; its connection is closed",
+                    (char) message[0]);
+            pgConn.errorOutcome = null;
+            broken(pgConn);
         }
     }
 
-    /** Takes the first piece of a long row; gives whether it may stand there. */
-    private boolean first(PgConn c, byte[] message) {
+    /**
+     * Takes the first chunk of a long row, and decides whether the row is streamed or buffered whole.
+     *
+     * @return whether a row is valid here and can be taken; if not, the connection is closed
+     */
+    private boolean startLongRow(PgConn conn, byte[] message) {
         int length = PgFramer.int32(message, 1) + 1;
-        if (c.at != At.HEAD || c.job().probe() || !PgMessages.row(message, length)) {
+        if (conn.state != AnswerState.ROW_DESCRIPTION
+                || conn.job().probe()
+                || !PgMessages.isSingleColumnRow(message, length)) {
             return false;
         }
-        c.at = At.ROW;
-        c.row = message;
-        c.left = length - message.length;
-        c.answer.add(message);
-        switch (pooler.answerStarted(c.job().attempt, c.answer.toArray(new byte[0][]), wait -> held(c, wait))) {
+        conn.state = AnswerState.DATA_ROW;
+        conn.row = message;
+        conn.rowBytesLeft = length - message.length;
+        conn.answerMessages.add(message);
+        switch (pooler.answerStarted(
+                conn.job().attempt, conn.answerMessages.toArray(new byte[0][]), wait -> held(conn, wait))) {
             case PASS_ON -> {
-                c.passing = true;
-                c.answer.clear();
+                conn.isStreaming = true;
+                conn.answerMessages.clear();
             }
             case DROP -> {
                 return false;
             }
             default -> {
-                if (!ResourceBudgets.canBuffer(kept, length)) {
-                    Log.warn("no room for an answer of %d bytes that must be held whole", length);
+                if (!ResourceBudgets.canBuffer(bufferedBytes, length)) {
+                    Log.warn(
+                            "the memory for buffered answers is used up: an answer of %d bytes is dropped and its db node's connection closed",
+                            length);
                     return false;
                 }
-                c.kept = length;
-                kept += length;
+                conn.bufferedBytes = length;
+                bufferedBytes += length;
             }
         }
         return true;
@@ -146,29 +175,29 @@
 
     @Override
     protected void released(Conn conn) {
-        PgConn c = (PgConn) conn;
-        kept -= c.kept;
-        c.kept = 0;
-        c.answer = new ArrayList<>(3);
-        c.row = null;
+        PgConn pgConn = (PgConn) conn;
+        bufferedBytes -= pgConn.bufferedBytes;
+        pgConn.bufferedBytes = 0;
+        pgConn.answerMessages = new ArrayList<>(3);
+        pgConn.row = null;
     }
 
-    private boolean piece(PgConn c, byte[] piece) {
-        c.left -= piece.length;
-        if (c.passing) {
-            pooler.answerChunk(c.job().attempt, piece);
+    private boolean takeRowChunk(PgConn conn, byte[] chunk) {
+        conn.rowBytesLeft -= chunk.length;
+        if (conn.isStreaming) {
+            pooler.answerChunk(conn.job().attempt, chunk);
         } else {
-            c.answer.add(piece);
+            conn.answerMessages.add(chunk);
         }
         return true;
     }
 
-    /** Before the first request; gives whether the message may stand there. */
-    private boolean greeting(PgConn c, byte[] message) {
+    /** Takes a message of the answer to the startup message; returns whether its type is valid there. */
+    private boolean takeStartupAnswer(PgConn conn, byte[] message) {
         switch (message[0]) {
             case 'R', 'S', 'K', 'N' -> {}
-            case 'E' -> c.error = ending(message);
-            case 'Z' -> greeted(c);
+            case 'E' -> conn.errorOutcome = outcomeOf(message);
+            case 'Z' -> greeted(conn);
             default -> {
                 return false;
             }
@@ -176,64 +205,81 @@
         return true;
     }
 
-    /** Takes a message of an answer: T, D, C or an error, then Z. Gives whether it may stand there. */
-    private boolean answered(PgConn c, byte[] message) {
-        At next =
+    /**
+     * Takes a message of an answer: RowDescription, DataRow and CommandComplete or an ErrorResponse, then
+     * ReadyForQuery; ParameterStatus and NoticeResponse may come anywhere.
+     *
+     * @return whether the message is valid at this point
+     */
+    private boolean takeAnswerMessage(PgConn conn, byte[] message) {
+        AnswerState next =
                 switch (message[0]) {
-                    case 'S', 'N' -> c.at;
-                    case 'T' -> c.at == At.START ? At.HEAD : null;
-                    case 'D' -> c.at == At.HEAD ? At.ROW : null;
-                    case 'C' -> c.at == At.HEAD || c.at == At.ROW ? At.COMPLETE : null;
-                    case 'E' -> c.at == At.COMPLETE || c.at == At.FAILED ? null : At.FAILED;
-                    case 'Z' -> c.at == At.COMPLETE || c.at == At.FAILED ? c.at : null;
+                    case 'S', 'N' -> conn.state;
+                    case 'T' -> conn.state == AnswerState.NONE ? AnswerState.ROW_DESCRIPTION : null;
+                    case 'D' -> conn.state == AnswerState.ROW_DESCRIPTION ? AnswerState.DATA_ROW : null;
+                    case 'C' -> conn.state == AnswerState.ROW_DESCRIPTION || conn.state == AnswerState.DATA_ROW
+                            ? AnswerState.COMMAND_COMPLETE
+                            : null;
+                    case 'E' -> conn.state == AnswerState.COMMAND_COMPLETE || conn.state == AnswerState.ERROR_RESPONSE
+                            ? null
+                            : AnswerState.ERROR_RESPONSE;
+                    case 'Z' -> conn.state == AnswerState.COMMAND_COMPLETE || conn.state == AnswerState.ERROR_RESPONSE
+                            ? conn.state
+                            : null;
                     default -> null;
                 };
         if (next == null) {
             return false;
         }
-        c.at = next;
+        conn.state = next;
         switch (message[0]) {
-            case 'S' -> status(c, message);
-            case 'T', 'C' -> c.answer.add(message);
+            case 'S' -> takeParameterStatus(conn, message);
+            case 'T', 'C' -> conn.answerMessages.add(message);
             case 'D' -> {
-                c.answer.add(message);
-                c.row = message;
+                conn.answerMessages.add(message);
+                conn.row = message;
             }
-            case 'E' -> c.error = ending(message);
-            case 'Z' -> ready(c);
+            case 'E' -> conn.errorOutcome = outcomeOf(message);
+            case 'Z' -> takeReadyForQuery(conn);
             default -> {}
         }
         return true;
     }
 
-    private static AttemptOutcome ending(byte[] message) {
+    /** The outcome that an ErrorResponse stands for. */
+    private static AttemptOutcome outcomeOf(byte[] message) {
         String code = PgMessages.errorField(message, 'C');
         return switch (code) {
             case "25006", "72000" -> AttemptOutcome.MISSED;
             case "53300", "57P03" -> AttemptOutcome.REJECTED;
             case "XX000" -> AttemptOutcome.ERROR;
             default -> {
-                Log.warn("db node answers %s: %s", code, PgMessages.errorField(message, 'M'));
+                Log.warn(
+                        "db node answered with SQLSTATE %s: %s; the attempt counts as failed",
+                        code, PgMessages.errorField(message, 'M'));
                 yield AttemptOutcome.ERROR;
             }
         };
     }
 
-    /** Role and position stand beside rows and errors alike. */
-    private void status(PgConn c, byte[] message) {
+    /**
+     * Takes a ParameterStatus. Db nodes report their role and log position in these, both beside rows and beside
+     * errors.
+     */
+    private void takeParameterStatus(PgConn conn, byte[] message) {
         String name = PgMessages.text(message, 5);
         if (!name.equals("as_of") && !name.equals("rank")) {
             return;
         }
         String value = PgMessages.text(message, 5 + name.length() + 1);
         if (name.equals("rank")) {
-            c.role = role(value);
+            conn.role = roleOf(value);
         } else {
-            c.position = LogPositionParser.parse(value, 3, loop.now());
+            conn.position = LogPositionParser.parse(value, 3, loop.now());
         }
     }
 
-    private static ServerRole role(String rank) {
+    private static ServerRole roleOf(String rank) {
         return switch (rank) {
             case "source" -> ServerRole.PRIMARY;
             case "copy" -> ServerRole.REPLICA;
@@ -241,25 +287,30 @@
         };
     }
 
-    private void ready(PgConn c) {
-        if (c.job().probe()) {
-            vitals(c);
+    private void takeReadyForQuery(PgConn conn) {
+        if (conn.job().probe()) {
+            takeLoadReport(conn);
             return;
         }
-        AttemptOutcome ending =
-                c.error != null ? c.error : c.row != null ? AttemptOutcome.SERVED : AttemptOutcome.ERROR;
-        byte[][] answer = ending == AttemptOutcome.SERVED ? c.answer.toArray(new byte[0][]) : null;
-        done(c, true, ending, answer, c.position, c.role);
+        AttemptOutcome outcome = conn.errorOutcome != null
+                ? conn.errorOutcome
+                : conn.row != null ? AttemptOutcome.SERVED : AttemptOutcome.ERROR;
+        byte[][] answer = outcome == AttemptOutcome.SERVED ? conn.answerMessages.toArray(new byte[0][]) : null;
+        done(conn, true, outcome, answer, conn.position, conn.role);
     }
 
-    /** The report's one row: {@code x0=seconds,x1=0}. */
-    private void vitals(PgConn c) {
-        AttemptOutcome ending =
-                c.error != null ? c.error : c.row != null ? AttemptOutcome.SERVED : AttemptOutcome.ERROR;
+    /**
+     * Ends a health check. The load report is one row, {@code x0=seconds,x1=0}: the log position in seconds of Unix
+     * time, and 1 for the primary or 0 for a replica.
+     */
+    private void takeLoadReport(PgConn conn) {
+        AttemptOutcome outcome = conn.errorOutcome != null
+                ? conn.errorOutcome
+                : conn.row != null ? AttemptOutcome.SERVED : AttemptOutcome.ERROR;
         long position = LogPosition.UNKNOWN;
         ServerRole role = ServerRole.UNKNOWN;
-        if (ending == AttemptOutcome.SERVED && c.row.length > 11) {
-            String report = new String(c.row, 11, c.row.length - 11, java.nio.charset.StandardCharsets.UTF_8);
+        if (outcome == AttemptOutcome.SERVED && conn.row.length > 11) {
+            String report = new String(conn.row, 11, conn.row.length - 11, java.nio.charset.StandardCharsets.UTF_8);
             for (String field : report.split(",")) {
                 if (field.startsWith("x0=")) {
                     position = LogPositionParser.parse(field.substring(3), 6, loop.now());
@@ -268,11 +319,11 @@
                 }
             }
         }
-        done(c, true, ending, null, position, role);
+        done(conn, true, outcome, null, position, role);
     }
 
     @Override
     protected AttemptOutcome known(Conn conn) {
-        return ((PgConn) conn).error;
+        return ((PgConn) conn).errorOutcome;
     }
 }
