--- a/pg/src/main/java/lupinvalve/pg/PgFront.java
+++ b/pg/src/main/java/lupinvalve/pg/PgFront.java
@@ -24,56 +24,80 @@
 import lupinvalve.net.Spare;
 import lupinvalve.routing.ServerRole;
 
-/** Speaks PostgreSQL's protocol to clients: simple queries, pipelined or not, answered in order. Core thread only. */
+/**
+ * Serves PostgreSQL clients: takes their connections and simple queries, submits the queries to the pooler, and answers
+ * each connection's queries in order, pipelined or not. Core thread only.
+ */
 public final class PgFront implements Frontend, Link.Events {
+    /** The name of this protocol, under which the pooler keeps its backend and db nodes state their address for it. */
     public static final String PROTOCOL = "pg";
-    /** Values have been seen with 400 KB, which are 800 KB as hexadecimal digits. */
-    private static final int MESSAGE_MOST = 1 << 20;
-
-    private static final int PIPELINED_MOST = 64;
-    /** Bytes of all statements that wait for their answers. */
-    private static final long WAITING_MOST = 8 << 20;
-    /** Bytes of long answers that wait for their clients to read those before them; one more is told to have failed. */
-    private static final long UNSENT_MOST = 16 << 20;
-    /** A client that has much to read gets its next answer once no more than this is left. */
-    private static final long ROOM_AGAIN = 256 << 10;
-    /** From this size on an answer counts as a long one. */
-    private static final int LONG_ANSWER = 64 << 10;
-    /** A row that broke off is filled up in pieces of this size. */
-    private static final int FILLER = 16 << 10;
-    /** Connections past the bound that are still told so, and for how long they may stay. */
-    private static final int EXTRA_MOST = 32;
-
-    private static final long EXTRA_WAIT = 250_000, AGAIN = 20_000;
-    /** Once the program ends, a client has so long to go on with what it has begun to send, or to read. */
-    private static final long LAST_PATIENCE = 300_000;
+    /** Values of 400 KB occur, which are 800 KB as hexadecimal digits. */
+    private static final int MAX_MESSAGE_BYTES = 1 << 20;
+    /** Answers that one client may have pending. */
+    private static final int MAX_PIPELINED_REQUESTS = 64;
+    /** Bound on the statements of all clients that are not answered yet. */
+    private static final long MAX_PENDING_STATEMENT_BYTES = 8 << 20;
+    /**
+     * Bound on the long answers of all clients that wait until the answers before them have been read. An answer beyond
+     * it is replaced by an error.
+     */
+    private static final long MAX_UNSENT_BYTES = 16 << 20;
+    /** A client that is slow to read gets its next answer once no more than this is unread. */
+    private static final long RESUME_UNREAD_BYTES = 256 << 10;
+    /** From this size on an answer counts towards {@link #MAX_UNSENT_BYTES}. */
+    private static final int LONG_ANSWER_BYTES = 64 << 10;
+    /** An aborted row is padded in pieces of this size. */
+    private static final int PADDING_BYTES = 16 << 10;
+    /**
+     * Connections beyond the limit that still have time to send a message, so that they can be answered with an error.
+     */
+    private static final int MAX_EXCESS_LINKS = 32;
+    /** For how long a connection beyond the limit may stay open without having sent a message. */
+    private static final long EXCESS_LINK_WAIT_MICROS = 250_000;
+    /** Pause before another attempt to close a connection that was in use. */
+    private static final long CLOSE_RETRY_MICROS = 20_000;
+    /** How long, during a drain or a shutdown, a partly sent message or a partly read answer delays the close. */
+    private static final long CLOSE_GRACE_MICROS = 300_000;
 
     private final Pooler pooler;
     private final HandleTable<Client> clients;
     private final HandleTable<Reply> replies;
     private final IdentityHashMap<Link, Client> byLink = new IdentityHashMap<>();
     private final Spare<Client> spare;
-    /** Connections past the bound, and whether they have been told so. */
-    private final Map<Link, Boolean> extra = new IdentityHashMap<>();
-    /** Whose requests a cancel names, by process number and secret key, which each connection is told. */
-    private final Map<Long, Client> byKey = new HashMap<>();
+    /** Connections beyond the limit, and whether an error has been sent on them. */
+    private final Map<Link, Boolean> excessLinks = new IdentityHashMap<>();
+    /** Clients by the process number and secret key of their BackendKeyData, which a CancelRequest carries. */
+    private final Map<Long, Client> byCancelKey = new HashMap<>();
 
     private final SecureRandom random = new SecureRandom();
     private final ClientEnds ends;
-    private long waiting, unsent;
-    private int streams, numbers;
+    /** Bytes of statements that are not answered yet. */
+    private long pendingStatementBytes;
+    /** Bytes of long answers that wait for the answers before them. */
+    private long unsentBytes;
+    /** Answers that are being streamed. */
+    private int streamCount;
+
+    private int lastProcessNumber;
 
     private static final class Client {
         final Link link;
-        long slot, key;
+        /** Handle in the table of clients. */
+        long handle;
+
+        long cancelKey;
         final long openedAt;
-        boolean welcomed, asked;
-        /** Whether it is looked at again in a moment, as clients are sent away. */
-        boolean parts;
-        /** Why the connection ends once all that is due has been answered; null where it goes on. */
-        EndReason last;
+        /** Whether its startup message has been answered, so that commands may come. */
+        boolean isStarted;
 
-        final ArrayDeque<Reply> due = new ArrayDeque<>();
+        boolean hasSentCommand;
+        /** Whether another attempt to close the connection is scheduled, as clients are being drained. */
+        boolean isCloseScheduled;
+        /** Why the connection ends once all pending answers have been written; null where it stays open. */
+        EndReason endReason;
+
+        /** Answers that have not been written yet, in the order of their commands. */
+        final ArrayDeque<Reply> pendingReplies = new ArrayDeque<>();
 
         Client(Link link, long openedAt) {
             this.link = link;
@@ -81,43 +105,52 @@
         }
     }
 
-    /** An answer that is due on a connection; its bytes wait for those before it. */
+    /** A pending answer on a connection, which is written once all answers before it have been. */
     private static final class Reply {
         final Client client;
-        long request = -1, ticket;
-        int size;
-        byte[][] bytes;
-        /** Of a long answer: where it comes from, and what waits for the answers before it. */
+        /** The pooler's handle of the request, or -1 for an answer without one. */
+        long request = -1;
+        /** Handle in the table of replies; identifies the request to the pooler. */
+        long ticket;
+
+        int statementBytes;
+        /** The messages that end the answer; null until they are known. */
+        byte[][] messages;
+        /** Of a streamed answer: the db node's connection that it comes from; otherwise null. */
         Backend.StreamSource source;
-
-        final ArrayDeque<byte[]> pieces = new ArrayDeque<>(0);
-        /**
-         * How much of its row has yet to come, whether any of it has been written, and whether it broke off and is
-         * being filled up.
-         */
-        long rowLeft;
-
-        boolean begun, isFilling;
-        /** What is counted of it as long as it has not been written. */
-        long unsent;
+        /** Of a streamed answer: chunks that have arrived and not been written yet. */
+        final ArrayDeque<byte[]> chunks = new ArrayDeque<>(0);
+        /** Of a streamed answer: bytes of its row that have yet to arrive, or to be padded. */
+        long rowBytesLeft;
+        /** Whether any part of a streamed answer has been written. */
+        boolean isPartlyWritten;
+        /** Whether a streamed answer was aborted and its row is being padded. */
+        boolean isPadding;
+        /** Bytes of the answer that count towards the total of unsent long answers. */
+        long unsentBytes;
 
         Reply(Client client) {
             this.client = client;
         }
     }
 
-    /** @param clientsMost connections held at once; those beyond are told 53300 */
-    public PgFront(Pooler pooler, int clientsMost) {
+    /**
+     * A frontend without clients.
+     *
+     * @param maxClients connections held at once; those beyond get error 53300 and are closed
+     */
+    public PgFront(Pooler pooler, int maxClients) {
         this.pooler = pooler;
-        clients = new HandleTable<>(Spare.places(clientsMost));
+        clients = new HandleTable<>(Spare.places(maxClients));
         spare = new Spare<>(
-                pooler.loop(), clients, clientsMost, pooler.settings().limits().maxOpenRequests(), this::retire);
-        replies = new HandleTable<>(clientsMost * 8);
+                pooler.loop(), clients, maxClients, pooler.settings().limits().maxOpenRequests(), this::retire);
+        replies = new HandleTable<>(maxClients * 8);
         ends = new ClientEnds(pooler.loop());
     }
 
+    /** A framer for one client's connection. */
     public Framer framer() {
-        return new PgFramer(true, MESSAGE_MOST);
+        return new PgFramer(true, MAX_MESSAGE_BYTES);
     }
 
     // ---- connections ----
@@ -126,84 +159,94 @@
     public void opened(Link link) {
         spare.makeRoom();
         if (spare.isFull()) {
-            // Answered once it has spoken: closing on unread bytes would reset the connection before the answer.
-            extra.put(link, false);
-            turnAway(link, extra.size() > EXTRA_MOST ? 0 : EXTRA_WAIT);
+            // Answered once it has sent a message: closing with unread bytes would reset the connection, and the
+            // client might never read the error.
+            excessLinks.put(link, false);
+            closeExcessLink(link, excessLinks.size() > MAX_EXCESS_LINKS ? 0 : EXCESS_LINK_WAIT_MICROS);
             return;
         }
         Client client = new Client(link, pooler.loop().now());
-        client.slot = clients.put(client);
+        client.handle = clients.put(client);
         byLink.put(link, client);
         spare.opened(client);
-        part(client);
+        closeWhenIdle(client);
     }
 
-    /** Whether connections end as soon as nothing is due on them. */
-    private boolean ends() {
+    /**
+     * Whether connections are to be closed as soon as they have no pending answer, because of a drain or a shutdown.
+     */
+    private boolean closesIdleConnections() {
         return pooler.clientDrain().closesConnections(pooler.loop().now());
     }
 
-    /** Ends a connection past the bound that has said nothing; one that has is told why by {@link #messages}. */
-    private void turnAway(Link link, long waitMicros) {
+    /**
+     * Closes a connection beyond the limit on which nothing has arrived, and tries again while bytes have; a whole
+     * message is answered with an error by {@link #messages}, which then closes the connection.
+     */
+    private void closeExcessLink(Link link, long waitMicros) {
         pooler.loop().after(waitMicros, () -> {
-            if (extra.containsKey(link)) {
+            if (excessLinks.containsKey(link)) {
                 link.retire(0, EndReason.PAST_BOUND);
-                turnAway(link, AGAIN);
+                closeExcessLink(link, CLOSE_RETRY_MICROS);
             }
         });
     }
 
     @Override
     public void closed(Link link) {
-        if (extra.remove(link) != null) {
+        if (excessLinks.remove(link) != null) {
             ends.ended(link.reason(), link, 0);
         }
         Client client = byLink.remove(link);
         if (client != null) {
-            drop(client, link.reason());
+            forget(client, link.reason());
         }
     }
 
-    /** Ends a connection once what was written to it is out. */
+    /** Closes a connection once all that was written to it has been sent. */
     private void end(Client client, EndReason reason) {
-        drop(client, reason);
+        forget(client, reason);
         client.link.finish();
     }
 
     /**
-     * Asks for the end of a connection on which nothing is due; {@link #closed} follows, unless its client has begun to
-     * use it.
+     * Requests the close of a connection without pending answers; {@link #closed} follows, unless the client sends
+     * something first.
+     *
+     * @param patienceMicros for how long a partly received message or an answer still on its way prevents the close
+     * @return whether the close has been requested
      */
-    private boolean retire(Client client, long patience, EndReason reason) {
-        return client.due.isEmpty() && client.link.retire(patience, reason);
+    private boolean retire(Client client, long patienceMicros, EndReason reason) {
+        return client.pendingReplies.isEmpty() && client.link.retire(patienceMicros, reason);
     }
 
-    private void drop(Client client, EndReason reason) {
-        ends.ended(reason, client.link, client.due.size());
+    /** Removes a client that has disconnected or is being closed, and cancels its requests. */
+    private void forget(Client client, EndReason reason) {
+        ends.ended(reason, client.link, client.pendingReplies.size());
         byLink.remove(client.link);
-        byKey.remove(client.key);
+        byCancelKey.remove(client.cancelKey);
         spare.gone(client);
-        clients.remove(client.slot);
-        for (Reply reply : client.due) {
-            unsent -= reply.unsent;
-            if (reply.bytes == null) {
+        clients.remove(client.handle);
+        for (Reply reply : client.pendingReplies) {
+            unsentBytes -= reply.unsentBytes;
+            if (reply.messages == null) {
                 if (replies.remove(reply.ticket) == null) {
                     continue;
                 }
-                over(reply);
+                release(reply);
                 pooler.clientDisconnected(reply.request);
             }
         }
-        client.due.clear();
+        client.pendingReplies.clear();
     }
 
     @Override
     public void malformed(Link link, String why) {
         Client client = byLink.get(link);
-        if (client != null && client.last == null) {
-            client.last = EndReason.UNREADABLE;
+        if (client != null && client.endReason == null) {
+            client.endReason = EndReason.UNREADABLE;
             answer(client, PgMessages.error("FATAL", "08P01", why, null));
-        } else if (extra.remove(link) != null) {
+        } else if (excessLinks.remove(link) != null) {
             link.write(PgMessages.error("FATAL", "08P01", why, null));
             link.finish();
             ends.ended(EndReason.UNREADABLE, link, 0);
@@ -214,155 +257,163 @@
     public void messages(Link link, List<byte[]> messages, long atMicros) {
         Client client = byLink.get(link);
         if (client == null) {
-            if (extra.containsKey(link)) {
-                refuse(link, messages);
+            if (excessLinks.containsKey(link)) {
+                rejectExcessLink(link, messages);
             }
             return;
         }
         for (byte[] message : messages) {
-            if (client.last != null || clients.get(client.slot) != client) {
+            if (client.endReason != null || clients.get(client.handle) != client) {
                 return;
             }
-            if (!client.welcomed) {
-                startup(client, message);
+            if (!client.isStarted) {
+                takeStartup(client, message);
             } else {
-                command(client, message, atMicros);
+                takeCommand(client, message, atMicros);
             }
         }
     }
 
     /**
-     * Tells a connection past the bound so: once, and for each statement that has been read with its startup or behind
-     * it.
+     * Sends the error for too many clients on a connection beyond the limit: once, or once for each statement where the
+     * client pipelined several behind its startup message. Then closes the connection.
      */
-    private void refuse(Link link, List<byte[]> messages) {
+    private void rejectExcessLink(Link link, List<byte[]> messages) {
         long statements = messages.stream().filter(message -> message[0] == 'Q').count();
-        boolean told = extra.put(link, true);
-        for (long left = Math.max(statements, told ? 0 : 1); left > 0; left--) {
+        boolean isAnswered = excessLinks.put(link, true);
+        for (long errorsLeft = Math.max(statements, isAnswered ? 0 : 1); errorsLeft > 0; errorsLeft--) {
             link.write(PgMessages.error(
                     "FATAL",
                     "53300",
                     "too many clients",
-                    advice(pooler.settings().limits().maxRetryAfterMicros())));
+                    retryAdvice(pooler.settings().limits().maxRetryAfterMicros())));
         }
-        // Where more has been read it is told next, and refused as well.
+        // Where more has been read from the socket, it comes in the next call and is rejected as well.
         if (link.finishIfAllTold()) {
-            extra.remove(link);
+            excessLinks.remove(link);
             ends.ended(EndReason.PAST_BOUND, link, 0);
         }
     }
 
-    private void startup(Client client, byte[] message) {
+    /** Takes an untyped first message: a startup message, SSLRequest, GSSENCRequest or CancelRequest. */
+    private void takeStartup(Client client, byte[] message) {
         int code = PgFramer.int32(message, 4);
-        if (code == PgFramer.SSL_REQUEST || code == PgFramer.GSS_REQUEST) {
-            client.link.write(PgMessages.NO);
-        } else if (code == PgFramer.CANCEL_REQUEST) {
-            Client named = message.length == 16
-                    ? byKey.get((long) PgFramer.int32(message, 8) << 32 | PgFramer.int32(message, 12) & 0xFFFFFFFFL)
+        if (code == PgFramer.SSL_REQUEST_CODE || code == PgFramer.GSS_REQUEST_CODE) {
+            client.link.write(PgMessages.ENCRYPTION_REFUSED);
+        } else if (code == PgFramer.CANCEL_REQUEST_CODE) {
+            Client target = message.length == 16
+                    ? byCancelKey.get(
+                            (long) PgFramer.int32(message, 8) << 32 | PgFramer.int32(message, 12) & 0xFFFFFFFFL)
                     : null;
             end(client, EndReason.CANCEL_REQUEST);
-            if (named != null) {
-                cancel(named);
+            if (target != null) {
+                cancel(target);
             }
         } else if (code >> 16 != 3) {
-            client.last = EndReason.UNREADABLE;
+            client.endReason = EndReason.UNREADABLE;
             answer(client, PgMessages.error("FATAL", "0A000", "protocol version 3 only", null));
         } else {
-            client.welcomed = true;
-            client.key = (long) ++numbers << 32 | random.nextInt() & 0xFFFFFFFFL;
-            byKey.put(client.key, client);
+            client.isStarted = true;
+            client.cancelKey = (long) ++lastProcessNumber << 32 | random.nextInt() & 0xFFFFFFFFL;
+            byCancelKey.put(client.cancelKey, client);
             client.link.write(
-                    PgMessages.AUTHENTICATED,
-                    PgMessages.key(client.key),
-                    PgMessages.texts('S', "server_version", "15.0"),
-                    PgMessages.texts('S', "client_encoding", "UTF8"),
-                    PgMessages.texts('S', "standard_conforming_strings", "on"),
-                    PgMessages.texts('S', "integer_datetimes", "on"),
-                    PgMessages.READY);
+                    PgMessages.AUTHENTICATION_OK,
+                    PgMessages.backendKeyData(client.cancelKey),
+                    PgMessages.textMessage('S', "server_version", "15.0"),
+                    PgMessages.textMessage('S', "client_encoding", "UTF8"),
+                    PgMessages.textMessage('S', "standard_conforming_strings", "on"),
+                    PgMessages.textMessage('S', "integer_datetimes", "on"),
+                    PgMessages.READY_FOR_QUERY);
         }
     }
 
-    /** The client wants the request that it waits for called off: what is out of it ends, and nothing more goes out. */
+    /**
+     * Cancels the oldest request that the client waits for: attempts in flight are abandoned, no further ones start,
+     * and the request is answered with an error. Does nothing where that request is already answered.
+     */
     private void cancel(Client client) {
-        Reply reply = client.due.peek();
-        if (reply == null || reply.bytes != null || reply.isFilling) {
+        Reply reply = client.pendingReplies.peek();
+        if (reply == null || reply.messages != null || reply.isPadding) {
             return;
         }
         pooler.clientDisconnected(reply.request);
         byte[] error = PgMessages.error("ERROR", "57014", "canceled at its client's request", null);
         if (reply.source != null) {
-            breakOff(reply, error);
+            abortStream(reply, error);
         } else {
-            settle(reply.ticket, error);
+            complete(reply.ticket, error);
         }
     }
 
-    private void command(Client client, byte[] message, long atMicros) {
+    private void takeCommand(Client client, byte[] message, long atMicros) {
         spare.busy(client);
-        client.asked = true;
+        client.hasSentCommand = true;
         switch (message[0]) {
-            case 'Q' -> query(client, message, atMicros);
+            case 'Q' -> takeQuery(client, message, atMicros);
             case 'X' -> {
-                client.last = EndReason.GOODBYE;
+                client.endReason = EndReason.GOODBYE;
                 flush(client);
             }
-            case 'S' -> answer(client, PgMessages.READY);
+            case 'S' -> answer(client, PgMessages.READY_FOR_QUERY);
             case 'P', 'B', 'E', 'D', 'C', 'F', 'H', 'd', 'c', 'f' -> {
-                client.last = EndReason.UNREADABLE;
+                client.endReason = EndReason.UNREADABLE;
                 answer(client, PgMessages.error("FATAL", "0A000", "simple queries only", null));
             }
             default -> {
-                client.last = EndReason.UNREADABLE;
+                client.endReason = EndReason.UNREADABLE;
                 answer(client, PgMessages.error("FATAL", "08P01", "unknown message type", null));
             }
         }
     }
 
-    private void query(Client client, byte[] message, long atMicros) {
+    private void takeQuery(Client client, byte[] message, long atMicros) {
         if (message[message.length - 1] != 0) {
-            client.last = EndReason.UNREADABLE;
+            client.endReason = EndReason.UNREADABLE;
             answer(client, PgMessages.error("FATAL", "08P01", "a query ends with a zero byte", null));
             return;
         }
         byte[] text = Arrays.copyOfRange(message, 5, message.length - 1);
-        String word = firstWord(text);
-        if (word.isEmpty() && !pooler.clientDrain().acceptsClients()) {
+        String keyword = firstKeyword(text);
+        if (keyword.isEmpty() && !pooler.clientDrain().acceptsClients()) {
             answer(
                     client,
                     PgMessages.error("ERROR", "57P03", "draining: clients are sent away", null),
-                    PgMessages.READY);
-        } else if (word.isEmpty()) {
-            answer(client, PgMessages.EMPTY, PgMessages.READY);
-        } else if (word.equals("SET") || word.equals("RESET") || word.equals("DISCARD")) {
-            answer(client, PgMessages.texts('C', word), PgMessages.READY);
+                    PgMessages.READY_FOR_QUERY);
+        } else if (keyword.isEmpty()) {
+            answer(client, PgMessages.EMPTY_QUERY_RESPONSE, PgMessages.READY_FOR_QUERY);
+        } else if (keyword.equals("SET") || keyword.equals("RESET") || keyword.equals("DISCARD")) {
+            answer(client, PgMessages.textMessage('C', keyword), PgMessages.READY_FOR_QUERY);
         } else {
-            ask(client, new Statement(text), atMicros);
+            submit(client, new Statement(text), atMicros);
         }
     }
 
-    private void ask(Client client, Statement statement, long atMicros) {
+    private void submit(Client client, Statement statement, long atMicros) {
         try {
-            ClientRequest ask = statement.toRequest(pooler.settings().classes(), atMicros, null, PROTOCOL, statement);
-            if (pooler.hasOpenRequest(ask.id())) {
+            ClientRequest request =
+                    statement.toRequest(pooler.settings().classes(), atMicros, null, PROTOCOL, statement);
+            if (pooler.hasOpenRequest(request.id())) {
                 throw new InvalidStatementException("field id names an open request");
             }
-            if (client.due.size() >= PIPELINED_MOST || replies.isFull() || waiting + statement.size() > WAITING_MOST) {
-                pooler.metrics().requestEnded(ask.classIndex(), Metrics.Result.REJECTED);
-                answer(client, refusal(pooler.settings().limits().maxRetryAfterMicros()), PgMessages.READY);
+            if (client.pendingReplies.size() >= MAX_PIPELINED_REQUESTS
+                    || replies.isFull()
+                    || pendingStatementBytes + statement.size() > MAX_PENDING_STATEMENT_BYTES) {
+                pooler.metrics().requestEnded(request.classIndex(), Metrics.Result.REJECTED);
+                answer(client, rejection(pooler.settings().limits().maxRetryAfterMicros()), PgMessages.READY_FOR_QUERY);
                 return;
             }
             Reply reply = new Reply(client);
-            reply.size = statement.size();
-            waiting += reply.size;
-            client.due.add(reply);
+            reply.statementBytes = statement.size();
+            pendingStatementBytes += reply.statementBytes;
+            client.pendingReplies.add(reply);
             reply.ticket = replies.put(reply);
-            reply.request = pooler.submit(this, reply.ticket, ask);
+            reply.request = pooler.submit(this, reply.ticket, request);
         } catch (InvalidStatementException e) {
-            answer(client, PgMessages.error("ERROR", "42601", e.getMessage(), null), PgMessages.READY);
+            answer(client, PgMessages.error("ERROR", "42601", e.getMessage(), null), PgMessages.READY_FOR_QUERY);
         }
     }
 
-    private static String firstWord(byte[] text) {
+    private static String firstKeyword(byte[] text) {
         int from = 0;
         while (from < text.length && (text[from] <= ' ' || text[from] == ';')) {
             from++;
@@ -377,29 +428,32 @@
 
     // ---- answers ----
 
-    private static byte[] refusal(long retryAfterMicros) {
-        return PgMessages.error("ERROR", "53300", "refused: a repeat does no harm", advice(retryAfterMicros));
+    /** The error for a rejected request, which has not run. */
+    private static byte[] rejection(long retryAfterMicros) {
+        return PgMessages.error("ERROR", "53300", "refused: a repeat does no harm", retryAdvice(retryAfterMicros));
     }
 
-    private static String advice(long retryAfterMicros) {
+    /** The error's detail: milliseconds after which to retry, rounded up; null for no advice. */
+    private static String retryAdvice(long retryAfterMicros) {
         return retryAfterMicros > 0 ? Long.toString((retryAfterMicros + 999) / 1000) : null;
     }
 
     @Override
     public void served(long ticket, Object answer, long position, ServerRole role) {
-        settle(ticket, (byte[][]) answer);
+        complete(ticket, (byte[][]) answer);
     }
 
     @Override
     public void rejected(long ticket, long retryAfterMicros) {
-        settle(ticket, refusal(retryAfterMicros));
+        complete(ticket, rejection(retryAfterMicros));
     }
 
     @Override
     public void failed(long ticket) {
-        settle(ticket, failure());
+        complete(ticket, failure());
     }
 
+    /** The error for a request that may have run. */
     private static byte[] failure() {
         return PgMessages.error("ERROR", "58000", "failed: it may have run", null);
     }
@@ -415,171 +469,189 @@
         Reply reply = replies.get(ticket);
         if (reply != null) {
             reply.source = source;
-            streams++;
+            streamCount++;
             byte[][] messages = (byte[][]) first;
             byte[] row = messages[messages.length - 1];
-            reply.rowLeft = 1L + PgFramer.int32(row, 1) - row.length;
-            reply.pieces.addAll(Arrays.asList(messages));
-            pass(reply);
+            reply.rowBytesLeft = 1L + PgFramer.int32(row, 1) - row.length;
+            reply.chunks.addAll(Arrays.asList(messages));
+            writeChunks(reply);
         }
     }
 
     @Override
-    public void answerChunk(long ticket, byte[] piece) {
+    public void answerChunk(long ticket, byte[] chunk) {
         Reply reply = replies.get(ticket);
-        if (reply != null && !reply.isFilling) {
-            reply.rowLeft -= piece.length;
-            reply.pieces.add(piece);
-            pass(reply);
+        if (reply != null && !reply.isPadding) {
+            reply.rowBytesLeft -= chunk.length;
+            reply.chunks.add(chunk);
+            writeChunks(reply);
         }
     }
 
     @Override
     public void answerAborted(long ticket) {
         Reply reply = replies.get(ticket);
-        if (reply != null && !reply.isFilling) {
-            breakOff(reply, failure());
+        if (reply != null && !reply.isPadding) {
+            abortStream(reply, failure());
         }
     }
 
     /**
-     * Ends an answer whose row can't be finished by an error. What has been written of the row is first filled up to
-     * the length that it said of itself: the error voids it, and what is due behind it can be answered on the same
-     * connection.
+     * Ends a streamed answer, whose row can't be completed, with an error. A partly written row is first padded up to
+     * the length in its header: the error makes the client discard the row, and the answers after it can still be sent
+     * on the same connection.
      */
-    private void breakOff(Reply reply, byte[] error) {
-        reply.pieces.clear();
+    private void abortStream(Reply reply, byte[] error) {
+        reply.chunks.clear();
         reply.source = null;
-        streams--;
-        reply.isFilling = true;
-        fill(reply, error);
+        streamCount--;
+        reply.isPadding = true;
+        padRow(reply, error);
     }
 
-    private void fill(Reply reply, byte[] error) {
+    /** Writes padding as fast as the client reads, then the error. */
+    private void padRow(Reply reply, byte[] error) {
         Link link = reply.client.link;
-        while (reply.begun && reply.rowLeft > 0 && link.unread() <= ResourceBudgets.streamBufferBytes(streams)) {
-            byte[] filler = new byte[(int) Math.min(FILLER, reply.rowLeft)];
-            link.write(filler);
-            reply.rowLeft -= filler.length;
-        }
-        if (reply.begun && reply.rowLeft > 0) {
-            link.whenRoom(ResourceBudgets.streamBufferBytes(streams) / 2, () -> {
+        while (reply.isPartlyWritten
+                && reply.rowBytesLeft > 0
+                && link.unread() <= ResourceBudgets.streamBufferBytes(streamCount)) {
+            byte[] padding = new byte[(int) Math.min(PADDING_BYTES, reply.rowBytesLeft)];
+            link.write(padding);
+            reply.rowBytesLeft -= padding.length;
+        }
+        if (reply.isPartlyWritten && reply.rowBytesLeft > 0) {
+            link.whenRoom(ResourceBudgets.streamBufferBytes(streamCount) / 2, () -> {
                 if (replies.get(reply.ticket) == reply) {
-                    fill(reply, error);
+                    padRow(reply, error);
                 }
             });
         } else {
-            settle(reply.ticket, error);
+            complete(reply.ticket, error);
         }
     }
 
-    /** Hands on what has come of a long answer, and lets the rest come as its client reads. */
-    private void pass(Reply reply) {
+    /**
+     * Writes the chunks of a streamed answer that have arrived, if all answers before it have been written, and pauses
+     * reading from the db node while the client has too much unread.
+     */
+    private void writeChunks(Reply reply) {
         Client client = reply.client;
-        if (client.due.peek() != reply) {
+        if (client.pendingReplies.peek() != reply) {
             reply.source.pauseReading(true);
             return;
         }
-        byte[][] pieces = reply.pieces.toArray(new byte[0][]);
-        reply.pieces.clear();
-        reply.begun |= pieces.length > 0;
-        client.link.write(pieces);
-        long share = ResourceBudgets.streamBufferBytes(streams);
-        boolean full = client.link.unread() > share;
-        reply.source.pauseReading(full);
-        if (full) {
-            client.link.whenRoom(share / 2, () -> {
+        byte[][] chunks = reply.chunks.toArray(new byte[0][]);
+        reply.chunks.clear();
+        reply.isPartlyWritten |= chunks.length > 0;
+        client.link.write(chunks);
+        long bufferBytes = ResourceBudgets.streamBufferBytes(streamCount);
+        boolean isFull = client.link.unread() > bufferBytes;
+        reply.source.pauseReading(isFull);
+        if (isFull) {
+            client.link.whenRoom(bufferBytes / 2, () -> {
                 if (replies.get(reply.ticket) == reply) {
-                    pass(reply);
+                    writeChunks(reply);
                 }
             });
         }
     }
 
-    private void over(Reply reply) {
-        waiting -= reply.size;
-        streams -= reply.source != null ? 1 : 0;
+    /** Takes a reply that has been answered or dropped out of the totals. */
+    private void release(Reply reply) {
+        pendingStatementBytes -= reply.statementBytes;
+        streamCount -= reply.source != null ? 1 : 0;
     }
 
-    private void settle(long ticket, byte[]... bytes) {
+    /** Ends a request's answer with the given messages and ReadyForQuery, and writes it if it is next in order. */
+    private void complete(long ticket, byte[]... messages) {
         Reply reply = replies.remove(ticket);
         if (reply != null) {
-            over(reply);
-            long size = Arrays.stream(bytes).mapToLong(part -> part.length).sum();
-            reply.unsent = size >= LONG_ANSWER ? size : 0;
-            byte[][] kept = bytes;
-            if (reply.unsent > 0 && unsent + size > UNSENT_MOST) {
-                Log.warn("no room for an answer of %d bytes: clients read too slowly", size);
-                reply.unsent = 0;
-                kept = new byte[][] {failure()};
+            release(reply);
+            long size = Arrays.stream(messages).mapToLong(part -> part.length).sum();
+            reply.unsentBytes = size >= LONG_ANSWER_BYTES ? size : 0;
+            byte[][] sent = messages;
+            if (reply.unsentBytes > 0 && unsentBytes + size > MAX_UNSENT_BYTES) {
+                Log.warn(
+                        "an answer of %d bytes is replaced by an error: answers that clients have not read yet hold %d of %d bytes",
+                        size, unsentBytes, MAX_UNSENT_BYTES);
+                reply.unsentBytes = 0;
+                sent = new byte[][] {failure()};
             }
-            unsent += reply.unsent;
-            reply.bytes = Arrays.copyOf(kept, kept.length + 1);
-            reply.bytes[kept.length] = PgMessages.READY;
+            unsentBytes += reply.unsentBytes;
+            reply.messages = Arrays.copyOf(sent, sent.length + 1);
+            reply.messages[sent.length] = PgMessages.READY_FOR_QUERY;
             flush(reply.client);
         }
     }
 
-    private void answer(Client client, byte[]... bytes) {
+    /** Answers a command that needs no db node, after all answers before it. */
+    private void answer(Client client, byte[]... messages) {
         Reply reply = new Reply(client);
-        reply.bytes = bytes;
-        client.due.add(reply);
+        reply.messages = messages;
+        client.pendingReplies.add(reply);
         flush(client);
     }
 
+    /**
+     * Writes pending answers in order, as far as they are known and the client reads; then closes the connection if it
+     * is to end.
+     */
     private void flush(Client client) {
-        while (!client.due.isEmpty() && client.due.peek().bytes != null) {
+        while (!client.pendingReplies.isEmpty() && client.pendingReplies.peek().messages != null) {
             if (client.link.isFull()) {
-                client.link.whenRoom(ROOM_AGAIN, () -> flush(client));
+                client.link.whenRoom(RESUME_UNREAD_BYTES, () -> flush(client));
                 return;
             }
-            Reply reply = client.due.poll();
-            unsent -= reply.unsent;
-            if (!reply.pieces.isEmpty()) {
-                client.link.write(reply.pieces.toArray(new byte[0][]));
+            Reply reply = client.pendingReplies.poll();
+            unsentBytes -= reply.unsentBytes;
+            if (!reply.chunks.isEmpty()) {
+                client.link.write(reply.chunks.toArray(new byte[0][]));
             }
-            client.link.write(reply.bytes);
+            client.link.write(reply.messages);
         }
-        if (!client.due.isEmpty() && client.due.peek().source != null) {
-            pass(client.due.peek());
+        if (!client.pendingReplies.isEmpty() && client.pendingReplies.peek().source != null) {
+            writeChunks(client.pendingReplies.peek());
         }
-        if (!client.due.isEmpty() || clients.get(client.slot) != client) {
+        if (!client.pendingReplies.isEmpty() || clients.get(client.handle) != client) {
             return;
         }
-        if (client.last != null) {
-            end(client, client.last);
-        } else if (ends()) {
-            part(client);
+        if (client.endReason != null) {
+            end(client, client.endReason);
+        } else if (closesIdleConnections()) {
+            closeWhenIdle(client);
         } else {
             spare.rests(client);
         }
     }
 
-    /** Ends a connection as clients are sent away, as soon as its client is not using it. */
-    private void part(Client client) {
-        if (client.parts || !ends() || clients.get(client.slot) != client || !client.due.isEmpty()) {
+    /** During a drain or a shutdown, closes a connection once its client is not using it; retries until then. */
+    private void closeWhenIdle(Client client) {
+        if (client.isCloseScheduled
+                || !closesIdleConnections()
+                || clients.get(client.handle) != client
+                || !client.pendingReplies.isEmpty()) {
             return;
         }
-        // A connection that was just opened brings a request as a rule: it may be on its way.
-        boolean fresh = !client.asked && pooler.loop().now() - client.openedAt < LAST_PATIENCE;
-        if (!fresh) {
-            retire(client, LAST_PATIENCE, EndReason.SENT_AWAY);
+        // The first request of a connection that was just opened is probably on its way.
+        boolean isFresh = !client.hasSentCommand && pooler.loop().now() - client.openedAt < CLOSE_GRACE_MICROS;
+        if (!isFresh) {
+            retire(client, CLOSE_GRACE_MICROS, EndReason.SENT_AWAY);
         }
-        // Until it has ended: its client may use it meanwhile.
-        client.parts = true;
-        pooler.loop().after(AGAIN, () -> {
-            client.parts = false;
-            part(client);
+        // Repeated until it has ended: its client may send something meanwhile, which keeps it open.
+        client.isCloseScheduled = true;
+        pooler.loop().after(CLOSE_RETRY_MICROS, () -> {
+            client.isCloseScheduled = false;
+            closeWhenIdle(client);
         });
     }
 
-    /** Connections end as soon as nothing is due on them, as long as the drain says so. */
+    /** Closes each connection as soon as it has no pending answer, for as long as the drain or shutdown lasts. */
     public void close() {
-        clients.forEach(this::part);
+        clients.forEach(this::closeWhenIdle);
     }
 
-    /** Connections that have not ended yet. */
+    /** The number of open connections, those beyond the limit included. */
     public int open() {
-        return clients.size() + extra.size();
+        return clients.size() + excessLinks.size();
     }
 }
