--- a/daemon/src/main/java/lupinvalve/cli/Daemon.java
+++ b/daemon/src/main/java/lupinvalve/cli/Daemon.java
@@ -117,7 +117,7 @@
         // Two fronts and two pools share the sockets that one of each would have.
         int parts = file.mysql() == null ? 1 : 2;
         int sockets = Math.max(64, config.sockets() - SPARE);
-        net.bound(sockets + PARTING);
+        net.setMaxConnections(sockets + PARTING);
         int clients = Math.min(600, sockets * 5 / 9) / parts;
         front = new PgFront(pooler, clients);
         Pool.Bounds bounds = new Pool.Bounds(
@@ -140,7 +140,7 @@
                     ? null
                     : folder.resolve("lupinvalve-" + config.name().replaceAll("[^A-Za-z0-9_.-]", "_"));
             operations = new Operations(
-                    pooler, stem, this::endConnections, another -> pools.forEach(pool -> pool.beside(another)));
+                    pooler, stem, this::endConnections, another -> pools.forEach(pool -> pool.setOtherProcessRunning(another)));
             door = new AdminServer(new AdminCommands(operations));
         }
     }
--- a/daemon/src/main/java/lupinvalve/cli/WarmUp.java
+++ b/daemon/src/main/java/lupinvalve/cli/WarmUp.java
@@ -12,7 +12,7 @@
 import lupinvalve.core.EventLoop;
 import lupinvalve.core.Pooler;
 import lupinvalve.log.Log;
-import lupinvalve.net.Memory;
+import lupinvalve.net.InMemoryDialer;
 import lupinvalve.net.Pool;
 import lupinvalve.pg.PgBackend;
 import lupinvalve.pg.PgFront;
@@ -57,7 +57,7 @@
         Pooler pooler = new Pooler(loop, config.site().settings());
         pooler.discovery(new Silent());
         PgFront front = new PgFront(pooler, 16);
-        Memory net = new Memory(loop, address -> new NodeScript(address.getPort() == PRIMARY));
+        InMemoryDialer net = new InMemoryDialer(loop, address -> new NodeScript(address.getPort() == PRIMARY));
         pooler.addBackend(
                 PgFront.PROTOCOL,
                 new PgBackend(
--- a/daemon/src/test/java/lupinvalve/discovery/HttpEndpointDiscoveryTest.java
+++ b/daemon/src/test/java/lupinvalve/discovery/HttpEndpointDiscoveryTest.java
@@ -516,14 +516,14 @@
         say(watch, HEAD + chunk(list(6, true, "a") + "\n"));
         World.await("listed", () -> lists("a"));
         try (HeldSockets sockets = new HeldSockets(net)) {
-            sockets.hold();
+            sockets.pause();
             long stands = System.nanoTime();
             say(watch, chunk(list(7, false, "-a") + "\n"));
             World.await("stood still", () -> System.nanoTime() - stands > SECOND / 5);
             CompletableFuture<Boolean> lists = new CompletableFuture<>();
             loop.post(() -> lists.complete(pooler.isListed("a")));
             World.await("decides, or waits for the news", () -> lists.isDone() || HeldSockets.isAwaited());
-            sockets.letGo();
+            sockets.resume();
             assertEquals(false, lists.get(10, TimeUnit.SECONDS));
         }
     }
@@ -534,7 +534,7 @@
         say(watch, HEAD + chunk(list(6, true, "a") + "\n"));
         World.await("listed", () -> lists("a"));
         try (HeldSockets sockets = new HeldSockets(net)) {
-            sockets.hold();
+            sockets.pause();
             long stands = System.nanoTime();
             World.await("stood still", () -> System.nanoTime() - stands > SECOND / 5);
             for (int i = 0; i < 20; i++) {
--- a/daemon/src/test/java/lupinvalve/net/AcceptorTest.java
+++ b/daemon/src/test/java/lupinvalve/net/AcceptorTest.java
@@ -34,7 +34,7 @@
     void noMoreAreOpenThanThereIsRoomForHoweverFastTheyCome() throws Exception {
         List<Socket> clients = new ArrayList<>();
         try (HeldCore pooler = new HeldCore(text -> text)) {
-            pooler.net.bound(20);
+            pooler.net.setMaxConnections(20);
             // The core ends none of them meanwhile.
             HeldCore.Stop stop = pooler.stop();
             stop.reached();
--- a/daemon/src/test/java/lupinvalve/net/ClientEndsTest.java
+++ b/daemon/src/test/java/lupinvalve/net/ClientEndLogTest.java
@@ -12,9 +12,9 @@
 import org.junit.jupiter.api.Test;
 
 /** What the log at the default level tells of clients' connections that have ended. */
-class ClientEndsTest {
+class ClientEndLogTest {
     private final EventLoop loop = new EventLoop();
-    private final ClientEnds ends = new ClientEnds(loop);
+    private final ClientEndLog ends = new ClientEndLog(loop);
     private final Link link = new Link(loop, (bytes, from, to, out) -> to, null);
 
     private List<String> logged(Runnable work) {
--- a/daemon/src/test/java/lupinvalve/net/CrossedEndTest.java
+++ b/daemon/src/test/java/lupinvalve/net/CrossedEndTest.java
@@ -97,7 +97,7 @@
             if (path == Path.ROOM) {
                 World.await("connected", () -> pool.links.size() == SmallFront.MOST + 1);
             }
-            decided.hold();
+            decided.pause();
             pool.letGo();
             World.await("decided", pool.links.get(0)::isRetiring);
         }
@@ -123,7 +123,7 @@
     void whatComesBeforeTheLastLookIsAnswered(SmallFront.Protocol protocol, Path path) throws Exception {
         try (Decided front = new Decided(protocol, path)) {
             FutureTask<Throwable> asked = front.asks();
-            front.decided.letGo();
+            front.decided.resume();
             SQLException answer = assertInstanceOf(SQLException.class, asked.get());
             assertEquals(
                     protocol == SmallFront.Protocol.PG ? "53300" : "42000", answer.getSQLState(), answer.toString());
@@ -134,12 +134,12 @@
     @CsvSource({"PG,ROOM", "PG,SILENCE", "PG,SENT_AWAY", "MYSQL,ROOM", "MYSQL,SENT_AWAY"})
     void whatComesBeforeTheEndIsLeftUnreadUnderAReset(SmallFront.Protocol protocol, Path path) throws Exception {
         try (Decided front = new Decided(protocol, path)) {
-            front.looked.holdLater();
-            front.decided.letGo();
-            front.looked.reached();
+            front.looked.pauseAtNextRead();
+            front.decided.resume();
+            front.looked.awaitPaused();
             assertTrue(front.pool.links.get(0).isBarred(), "the last look has been taken");
             FutureTask<Throwable> asked = front.asks();
-            front.looked.letGo();
+            front.looked.resume();
             assertInstanceOf(SocketException.class, asked.get());
         }
     }
@@ -158,14 +158,14 @@
                     new Socket("127.0.0.1", pool.listener.address().getPort())) {
                 newcomer.setSoTimeout(10_000);
                 World.await("taken", () -> pool.links.size() == SmallFront.MOST + 1);
-                decided.hold();
+                decided.pause();
                 World.await("decided", pool.links.get(SmallFront.MOST)::isRetiring);
-                looked.holdLater();
-                decided.letGo();
-                looked.reached();
+                looked.pauseAtNextRead();
+                decided.resume();
+                looked.awaitPaused();
                 newcomer.getOutputStream().write("\0\0\0\20\0\3\0\0user\0\0\0\0Q\0\0\0\5\0".getBytes(ISO_8859_1));
                 World.await("in the machine", () -> pool.bytesWaiting(SmallFront.MOST) > 0);
-                looked.letGo();
+                looked.resume();
                 assertThrows(
                         SocketException.class, () -> newcomer.getInputStream().read());
             }
@@ -203,7 +203,7 @@
                 Socket client = new Socket("127.0.0.1", pool.listener.address().getPort())) {
             client.setSoTimeout(10_000);
             World.await("taken", () -> pool.links.size() == 1);
-            sockets.hold();
+            sockets.pause();
             Link link = pool.links.get(0);
             pool.loop.post(() -> {
                 link.retire(0, EndReason.MADE_ROOM);
@@ -211,7 +211,7 @@
                 link.finish();
             });
             World.await("decided", link::isBarred);
-            sockets.letGo();
+            sockets.resume();
             assertEquals(lastWord.length, client.getInputStream().readAllBytes().length);
         }
     }
--- a/daemon/src/test/java/lupinvalve/net/DepartureTest.java
+++ b/daemon/src/test/java/lupinvalve/net/DepartureTest.java
@@ -62,7 +62,7 @@
             World.await("read", pooler.links.get(0)::more);
             HeldCore.Stop between = pooler.stop();
             goes.go(client);
-            World.await("seen to have gone", pooler.links.get(0)::left);
+            World.await("seen to have gone", pooler.links.get(0)::hasEnded);
             before.letGo();
             letWhatIsOutArrive(between);
             World.await("over", () -> over(pooler));
@@ -107,7 +107,7 @@
             pooler.rounds(2);
             HeldCore.Stop between = pooler.stop();
             Goes.CLOSE.go(client);
-            World.await("seen to have gone", pooler.links.get(0)::left);
+            World.await("seen to have gone", pooler.links.get(0)::hasEnded);
             before.letGo();
             letWhatIsOutArrive(between);
             World.await("over", () -> over(pooler));
--- a/daemon/src/test/java/lupinvalve/net/FirstByteTest.java
+++ b/daemon/src/test/java/lupinvalve/net/FirstByteTest.java
@@ -30,13 +30,13 @@
             before.reached();
             ask(client, booking("a", 2000));
             World.await("read", pooler.links.get(0)::more);
-            sockets.hold();
+            sockets.pause();
             before.letGo();
             pooler.onCore(() -> null);
             long decided = pooler.loop.now();
             pooler.listed(draining(primary, "p"));
             World.await("its time is over", () -> pooler.loop.now() > decided + 320_000);
-            sockets.letGo();
+            sockets.resume();
             assertEquals(List.of("53300"), answer(client));
             assertEquals(1, primary.seen.size(), primary.seen.toString());
         }
@@ -54,12 +54,12 @@
             before.reached();
             ask(client, booking("a", 2000));
             World.await("read", pooler.links.get(0)::more);
-            sockets.hold();
+            sockets.pause();
             before.letGo();
             pooler.onCore(() -> null);
             long decided = pooler.loop.now();
             World.await("its time is over", () -> pooler.loop.now() > decided + 320_000);
-            sockets.letGo();
+            sockets.resume();
             // Nothing drains: it goes out once, on another connection.
             assertEquals(List.of("T", "D", "C"), answer(client));
             assertEquals(2, primary.seen.size(), primary.seen.toString());
--- a/daemon/src/test/java/lupinvalve/net/HeldLinkTest.java
+++ b/daemon/src/test/java/lupinvalve/net/HeldLinkTest.java
@@ -104,7 +104,7 @@
             loop.post(() -> {
                 before.accept(link);
                 byte[] part = new byte[64 << 10];
-                for (int i = 0; i < 60 || link.unread() < 1 << 20 && i < 400; i++) {
+                for (int i = 0; i < 60 || link.pendingWriteBytes() < 1 << 20 && i < 400; i++) {
                     link.write(part);
                 }
                 wrote.countDown();
@@ -123,16 +123,16 @@
 
     @Test
     void aHeldLinkReadsNothingAndRoomIsToldOnceThePeerHasRead() throws Exception {
-        unread(link -> link.hold(true), (loop, listener, peer, link) -> {
+        unread(link -> link.pauseReading(true), (loop, listener, peer, link) -> {
             CountDownLatch room = new CountDownLatch(1);
-            loop.post(() -> link.whenRoom(1000, room::countDown));
+            loop.post(() -> link.whenPendingAtMost(1000, room::countDown));
             peer.getOutputStream().write(new byte[1000]);
             Thread.sleep(200);
-            assertTrue(link.unread() > 0 && room.getCount() == 1, "nobody has read");
+            assertTrue(link.pendingWriteBytes() > 0 && room.getCount() == 1, "nobody has read");
             assertEquals(0, link.read(), "nothing has been read");
             readAll(peer);
             room.await();
-            loop.post(() -> link.hold(false));
+            loop.post(() -> link.pauseReading(false));
             World.await("read", () -> link.read() == 1000);
         });
     }
--- a/daemon/src/test/java/lupinvalve/net/HeldSockets.java
+++ b/daemon/src/test/java/lupinvalve/net/HeldSockets.java
@@ -31,22 +31,22 @@
     }
 
     /** Returns once the thread stands still. */
-    public void hold() throws IOException, InterruptedException {
-        holdLater();
-        reached();
+    public void pause() throws IOException, InterruptedException {
+        pauseAtNextRead();
+        awaitPaused();
     }
 
     /** The thread will stand still once it comes to read what has come by now. */
-    public void holdLater() throws IOException {
+    public void pauseAtNextRead() throws IOException {
         peer.getOutputStream().write(1);
     }
 
     /** Waits until it stands still. */
-    public void reached() throws InterruptedException {
+    public void awaitPaused() throws InterruptedException {
         held.await();
     }
 
-    public void letGo() {
+    public void resume() {
         go.countDown();
     }
 
@@ -59,7 +59,7 @@
 
     @Override
     public void close() throws IOException {
-        letGo();
+        resume();
         peer.close();
         server.close();
     }
--- a/daemon/src/test/java/lupinvalve/net/SurplusTest.java
+++ b/daemon/src/test/java/lupinvalve/net/SurplusTest.java
@@ -49,7 +49,7 @@
                 // Likewise.
             }
         });
-        Memory net = new Memory(loop, address -> new NodeScript(true));
+        InMemoryDialer net = new InMemoryDialer(loop, address -> new NodeScript(true));
         pool = new PgBackend(net, pooler, new Pool.Bounds(50, 250_000, IDLE, 250_000), "api", "ledger");
         pooler.addBackend(PgFront.PROTOCOL, pool);
         loop.start();
@@ -110,15 +110,15 @@
                         1_000_000,
                         1_000_000);
             }
-            pool.beside(true);
+            pool.setOtherProcessRunning(true);
         });
         while (onCore(pool::open) > 25 && System.nanoTime() < end) {
-            loop.post(() -> pool.beside(true));
+            loop.post(() -> pool.setOtherProcessRunning(true));
             Thread.sleep(20);
         }
         assertEquals(25, onCore(pool::open));
         loop.post(() -> {
-            pool.beside(false);
+            pool.setOtherProcessRunning(false);
             for (int i = 0; i < 40; i++) {
                 pool.send(
                         300 + i,
--- a/discovery/src/main/java/lupinvalve/discovery/HttpEndpointDiscovery.java
+++ b/discovery/src/main/java/lupinvalve/discovery/HttpEndpointDiscovery.java
@@ -104,7 +104,7 @@
      */
     private void readPendingEvents() {
         long maxAge = Math.max(MIN_UNREAD_AGE_MICROS, pooler.settings().rules().drainGraceMicros() / 2);
-        long upTo = net.readUpTo(maxAge, READ_TIMEOUT_MICROS);
+        long upTo = net.awaitReadUpTo(maxAge, READ_TIMEOUT_MICROS);
         long now = loop.now();
         // After a timeout, which has been logged, service goes on.
         knownUpToMicros = now - upTo > maxAge ? now : upTo;
@@ -294,10 +294,10 @@
         @Override
         public void closed(Link closed) {
             // An answer without a length ends with its connection, but not with a reset.
-            if (!ended && !watching && headRead && !chunked && contentBytes < 0 && body.size() > 0 && !closed.broke()) {
+            if (!ended && !watching && headRead && !chunked && contentBytes < 0 && body.size() > 0 && !closed.endedByError()) {
                 completeList();
             } else {
-                fail(closed.broke() ? "reset" : "closed");
+                fail(closed.endedByError() ? "reset" : "closed");
             }
         }
 
@@ -321,7 +321,7 @@
 
         private void process(byte[] bytes) throws IOException {
             byte[] rest = bytes;
-            inFlightSinceMicros = inFlightSinceMicros == 0 ? link.unreadSince() : inFlightSinceMicros;
+            inFlightSinceMicros = inFlightSinceMicros == 0 ? link.earliestArrivalMicros() : inFlightSinceMicros;
             if (!headRead) {
                 head.writeBytes(bytes);
                 byte[] all = head.toByteArray();
--- a/mysql/src/main/java/lupinvalve/mysql/MysqlBackend.java
+++ b/mysql/src/main/java/lupinvalve/mysql/MysqlBackend.java
@@ -73,7 +73,7 @@
         ROWS
     }
 
-    private static final class MysqlConn extends Conn {
+    private static final class MysqlConn extends PooledConnection {
         private At at = At.GREETING;
         private long capabilities;
         private byte[] nonce = new byte[0];
@@ -102,22 +102,22 @@
     }
 
     @Override
-    protected Conn connect(String node) {
+    protected PooledConnection connect(String node) {
         return new MysqlConn(node);
     }
 
     @Override
-    protected void opened(Conn conn) {
+    protected void opened(PooledConnection conn) {
         // The server speaks first.
     }
 
     @Override
-    protected AttemptOutcome known(Conn conn) {
+    protected AttemptOutcome knownOutcome(PooledConnection conn) {
         return ((MysqlConn) conn).error;
     }
 
     @Override
-    protected void message(Conn conn, byte[] packet) {
+    protected void message(PooledConnection conn, byte[] packet) {
         MysqlConn c = (MysqlConn) conn;
         try {
             c.size += packet.length;
@@ -146,7 +146,7 @@
     private void fault(MysqlConn c, String why) {
         Log.warn("db node: %s", why);
         c.error = null;
-        broken(c);
+        closeBroken(c);
     }
 
     /** Writes a packet; the next to come has the number behind its own. */
@@ -162,7 +162,7 @@
         int version = in.int1();
         if (version == 0xFF) {
             c.error = ending(packet);
-            broken(c);
+            closeBroken(c);
             return;
         }
         in.zero();
@@ -204,7 +204,7 @@
         switch (in.int1()) {
             case 0 -> {
                 c.at = At.READY;
-                greeted(c);
+                connectionReady(c);
             }
             case 0xFE -> {
                 c.plugin = in.zero();
@@ -218,7 +218,7 @@
             case 1 -> more(c, in, packet[3] + 1);
             case 0xFF -> {
                 c.error = ending(packet);
-                broken(c);
+                closeBroken(c);
             }
             default -> throw new Framer.Malformed("unexpected packet in login");
         }
@@ -254,20 +254,20 @@
     // ---- requests ----
 
     @Override
-    protected void start(Conn conn) {
+    protected void start(PooledConnection conn) {
         MysqlConn c = (MysqlConn) conn;
         c.error = null;
         c.size = 0;
         c.packets = new ArrayList<>();
-        if (c.job().probe()) {
-            leaving(c);
+        if (c.job().isProbe()) {
+            markSent(c);
             c.at = At.ANSWER;
             say(c, new Out().int1(Protocol.COM_PING), 0);
             return;
         }
         MysqlRequest request = (MysqlRequest) c.job().statement;
         if (!request.prepared()) {
-            leaving(c);
+            markSent(c);
             c.at = At.ANSWER;
             Out out = new Out().int1(Protocol.COM_QUERY);
             if (c.has(Protocol.QUERY_ATTRIBUTES)) {
@@ -276,7 +276,7 @@
                     Params.write(out, timed(c, request.params()), true);
                 }
             }
-            say(c, out.raw(request.statement().bytes(c.job().wanted(loop.now()))), 0);
+            say(c, out.raw(request.statement().bytes(c.job().remainingStartMicros(loop.now()))), 0);
         } else if (c.prepared.containsKey(key(request))) {
             execute(c);
         } else {
@@ -293,7 +293,7 @@
     private List<Params.Param> timed(MysqlConn c, List<Params.Param> params) {
         List<Params.Param> out = new ArrayList<>(params);
         out.replaceAll(p -> p.name().equals("d")
-                ? Params.text("d", Long.toString(Math.max(1, c.job().wanted(loop.now()) / 1000)))
+                ? Params.text("d", Long.toString(Math.max(1, c.job().remainingStartMicros(loop.now()) / 1000)))
                 : p);
         return out;
     }
@@ -304,7 +304,7 @@
             // It has not run, but would be refused likewise anywhere else.
             AttemptOutcome ending = ending(packet);
             c.at = At.READY;
-            done(c, true, ending, null, LogPosition.UNKNOWN, role(packet));
+            completeJob(c, true, ending, null, LogPosition.UNKNOWN, role(packet));
             return;
         }
         MysqlRequest request = (MysqlRequest) c.job().statement;
@@ -314,7 +314,7 @@
         if (params != request.values()) {
             c.at = At.READY;
             Log.warn("db node counts %d places in a statement, not %d", params, request.values());
-            done(c, false, AttemptOutcome.ERROR, null, LogPosition.UNKNOWN, ServerRole.UNKNOWN);
+            completeJob(c, false, AttemptOutcome.ERROR, null, LogPosition.UNKNOWN, ServerRole.UNKNOWN);
             return;
         }
         c.definitions = columns + params;
@@ -350,7 +350,7 @@
         if (!params.isEmpty()) {
             Params.write(out, params, named);
         }
-        leaving(c);
+        markSent(c);
         c.at = At.ANSWER;
         say(c, out, 0);
     }
@@ -374,7 +374,7 @@
                 throw new Framer.Malformed("ERR packet's length");
             }
             c.at = At.READY;
-            done(c, true, ending(packet), null, LogPosition.UNKNOWN, role(packet));
+            completeJob(c, true, ending(packet), null, LogPosition.UNKNOWN, role(packet));
         } else if (c.at == At.ANSWER && first == 0 || c.at == At.ROWS && first == 0xFE) {
             end(c, Protocol.Ok.read(new In(packet)));
         } else if (c.at == At.ANSWER) {
@@ -449,9 +449,9 @@
         }
         boolean more = (ok.status() & Protocol.STATUS_MORE) != 0;
         if (more) {
-            done(c, false, AttemptOutcome.ERROR, null, position, role);
+            completeJob(c, false, AttemptOutcome.ERROR, null, position, role);
         } else {
-            done(c, true, AttemptOutcome.SERVED, new MysqlRequest.Answer(c.packets, c.columns, ok), position, role);
+            completeJob(c, true, AttemptOutcome.SERVED, new MysqlRequest.Answer(c.packets, c.columns, ok), position, role);
         }
     }
 
--- a/mysql/src/main/java/lupinvalve/mysql/MysqlFront.java
+++ b/mysql/src/main/java/lupinvalve/mysql/MysqlFront.java
@@ -12,11 +12,11 @@
 import lupinvalve.core.InvalidStatementException;
 import lupinvalve.core.Pooler;
 import lupinvalve.core.Statement;
-import lupinvalve.net.ClientEnds;
+import lupinvalve.net.ClientEndLog;
 import lupinvalve.net.EndReason;
 import lupinvalve.net.Framer;
 import lupinvalve.net.Link;
-import lupinvalve.net.Spare;
+import lupinvalve.net.ClientEviction;
 import lupinvalve.routing.ServerRole;
 
 /**
@@ -50,18 +50,18 @@
     private final MysqlLogin login;
     private final HandleTable<MysqlClient> clients;
     private final Map<Link, MysqlClient> byLink = new IdentityHashMap<>();
-    private final Spare<MysqlClient> spare;
-    private final ClientEnds ends;
+    private final ClientEviction<MysqlClient> spare;
+    private final ClientEndLog ends;
     private long waiting;
 
     /** A front for one account; it takes at most so many clients. */
     public MysqlFront(Pooler pooler, int clientsMost, String user, String password) {
         this.pooler = pooler;
         login = new MysqlLogin(user, password);
-        clients = new HandleTable<>(Spare.places(clientsMost));
-        spare = new Spare<>(
+        clients = new HandleTable<>(ClientEviction.tableCapacity(clientsMost));
+        spare = new ClientEviction<>(
                 pooler.loop(), clients, clientsMost, pooler.settings().limits().maxOpenRequests(), this::retire);
-        ends = new ClientEnds(pooler.loop());
+        ends = new ClientEndLog(pooler.loop());
     }
 
     /** Changes the account; those logged in stay. */
@@ -111,7 +111,7 @@
         ends.ended(reason, client.link, client.waiting.size() + (client.busy ? 1 : 0));
         byLink.remove(client.link);
         clients.remove(client.slot);
-        spare.gone(client);
+        spare.closed(client);
         client.waiting.forEach(command -> waiting -= command.size());
         client.waiting.clear();
         if (client.busy) {
@@ -318,7 +318,7 @@
     @Override
     public boolean isClientDisconnected(long ticket) {
         MysqlClient client = clients.get(ticket);
-        return client == null || client.link.left();
+        return client == null || client.link.hasEnded();
     }
 
     private void answered(MysqlClient client) {
@@ -331,8 +331,8 @@
     private void next(MysqlClient client) {
         try {
             while (!client.busy && !client.waiting.isEmpty() && clients.get(client.slot) == client) {
-                if (client.link.isFull()) {
-                    client.link.whenRoom(ROOM_AGAIN, () -> next(client));
+                if (client.link.isWriteBacklogged()) {
+                    client.link.whenPendingAtMost(ROOM_AGAIN, () -> next(client));
                     return;
                 }
                 MysqlClient.Command command = client.waiting.poll();
@@ -357,7 +357,7 @@
         if (ends()) {
             part(client);
         } else {
-            spare.rests(client);
+            spare.idle(client);
         }
     }
 
--- a/net/src/main/java/lupinvalve/net/ClientEnds.java
+++ b/net/src/main/java/lupinvalve/net/ClientEndLog.java
@@ -11,7 +11,7 @@
  * reason at once, those that follow by count, in a line every few seconds. Core thread only; holds a count for each
  * reason.
  */
-public final class ClientEnds {
+public final class ClientEndLog {
     private static final long PERIOD_MICROS = 5_000_000;
 
     private static final class Count {
@@ -32,7 +32,7 @@
 
     private boolean isSummaryDue;
 
-    public ClientEnds(EventLoop loop) {
+    public ClientEndLog(EventLoop loop) {
         this.loop = loop;
     }
 
--- a/net/src/main/java/lupinvalve/net/Spare.java
+++ b/net/src/main/java/lupinvalve/net/ClientEviction.java
@@ -15,9 +15,9 @@
  * connection for good after one request, and against those that open them by the hundred and say nothing. Core thread
  * only.
  */
-public final class Spare<C> {
-    /** Asks for the end of a connection; {@link #gone} follows, or {@link #busy} where its client uses it first. */
-    public interface Ends<C> {
+public final class ClientEviction<C> {
+    /** Asks for the end of a connection; {@link #closed} follows, or {@link #busy} where its client uses it first. */
+    public interface Closer<C> {
         /**
          * @param patience as for {@link Link#retire}
          * @param reason for the log
@@ -39,7 +39,7 @@
     private final HandleTable<C> clients;
     private final int most;
     private final long allowed;
-    private final Ends<C> close;
+    private final Closer<C> close;
     private final Map<C, TimerQueue.Timer> silent = new LinkedHashMap<>();
     private final Map<C, Long> resting = new LinkedHashMap<>();
     /** Those whose end has been asked for: they count as gone unless their clients use them. */
@@ -48,12 +48,12 @@
     private TimerQueue.Timer again;
 
     /**
-     * @param most connections that may be open at once; the table holds {@link #places} so that newcomers need not wait
+     * @param most connections that may be open at once; the table holds {@link #tableCapacity} so that newcomers need not wait
      *     for those that end
      * @param allowed connections that clients can have for requests, whatever the table holds
      * @param close ends a connection
      */
-    public Spare(EventLoop loop, HandleTable<C> clients, int most, long allowed, Ends<C> close) {
+    public ClientEviction(EventLoop loop, HandleTable<C> clients, int most, long allowed, Closer<C> close) {
         this.loop = loop;
         this.most = most;
         this.clients = clients;
@@ -65,7 +65,7 @@
      * How large a table must be that holds so many connections and those that are ending: many may be, where newcomers
      * come faster than the sockets' thread closes.
      */
-    public static int places(int most) {
+    public static int tableCapacity(int most) {
         return most * 4;
     }
 
@@ -123,7 +123,7 @@
     }
 
     /** Nothing is due on the connection. */
-    public void rests(C client) {
+    public void idle(C client) {
         if (!silent.containsKey(client)) {
             resting.remove(client);
             resting.put(client, loop.now());
@@ -131,7 +131,7 @@
         }
     }
 
-    public void gone(C client) {
+    public void closed(C client) {
         busy(client);
     }
 
--- a/net/src/main/java/lupinvalve/net/Memory.java
+++ b/net/src/main/java/lupinvalve/net/InMemoryDialer.java
@@ -13,7 +13,7 @@
  * Connections without sockets, for a rehearsal: what a link writes is handed to a scripted peer, and what that answers
  * comes in as if it had been read.
  */
-public final class Memory implements Dialer {
+public final class InMemoryDialer implements Dialer {
     /** The other end of a connection. */
     public interface Peer {
         /** Takes what was written and gives what comes back, which may be nothing. */
@@ -24,7 +24,7 @@
     private final Function<InetSocketAddress, Peer> peers;
 
     /** @param peers gives the peer at an address, a new one for each connection */
-    public Memory(EventLoop loop, Function<InetSocketAddress, Peer> peers) {
+    public InMemoryDialer(EventLoop loop, Function<InetSocketAddress, Peer> peers) {
         this.loop = loop;
         this.peers = peers;
     }
--- a/net/src/main/java/lupinvalve/net/Link.java
+++ b/net/src/main/java/lupinvalve/net/Link.java
@@ -377,12 +377,12 @@
     }
 
     /** Whether the connection has ended, told or not: the core may be behind. */
-    public boolean left() {
+    public boolean hasEnded() {
         return left;
     }
 
     /** Whether it ended in a reset or another fault, not by the peer's word. */
-    public boolean broke() {
+    public boolean endedByError() {
         return broke;
     }
 
@@ -442,7 +442,7 @@
     }
 
     /** Whether nothing more is read for now, so that what the peer sends waits in its own machine. */
-    public void hold(boolean wait) {
+    public void pauseReading(boolean wait) {
         if (held == wait) {
             return;
         }
@@ -457,17 +457,17 @@
     }
 
     /** Bytes written that the peer's machine has not taken yet. */
-    public long unread() {
+    public long pendingWriteBytes() {
         return over ? 0 : outbound.unread();
     }
 
     /** Whether the peer has so much to read that answers wait. */
-    public boolean isFull() {
+    public boolean isWriteBacklogged() {
         return !over && outbound.isFull();
     }
 
     /** Runs {@code then} once, on the core thread, when no more than so many bytes are unread. */
-    public void whenRoom(long bytes, Runnable then) {
+    public void whenPendingAtMost(long bytes, Runnable then) {
         outbound.whenRoom(bytes, then);
     }
 
@@ -512,7 +512,7 @@
     }
 
     /** The earliest time at which the messages that are being told may have come; long ago where nobody knows. */
-    public long unreadSince() {
+    public long earliestArrivalMicros() {
         return unreadSince;
     }
 
@@ -599,7 +599,7 @@
     }
 
     /** The same, unless something has been read that has not been told yet; whether it is done. */
-    public boolean finishIfAllTold() {
+    public boolean finishIfAllProcessed() {
         if (session != null) {
             session.suspendRead();
         }
--- a/net/src/main/java/lupinvalve/net/Net.java
+++ b/net/src/main/java/lupinvalve/net/Net.java
@@ -106,12 +106,12 @@
      * descriptors: a burst is taken in faster than what is past the fronts' bounds can be told so, and with none left
      * nothing can be dialled.
      */
-    public void bound(int sessions) {
+    public void setMaxConnections(int sessions) {
         sessionsMost = sessions;
     }
 
     /** Connections from now on are secured as it is said now; those that are up stay. */
-    public void secureAnew() {
+    public void reloadSecurity() {
         if (security != null) {
             connector.getFilterChain().replace(SECURITY, security.filter(true));
             acceptors.forEach(acceptor -> acceptor.getFilterChain().replace(SECURITY, security.filter(false)));
@@ -511,7 +511,7 @@
      *
      * @return the time up to which that holds, which is older than the age where the wait was in vain
      */
-    public long readUpTo(long ageMicros, long most) {
+    public long awaitReadUpTo(long ageMicros, long most) {
         if (progress == null || connector.getManagedSessionCount() == 0) {
             // Nothing comes where no connection is up.
             return loop.now();
--- a/net/src/main/java/lupinvalve/net/Pool.java
+++ b/net/src/main/java/lupinvalve/net/Pool.java
@@ -28,35 +28,35 @@
         public final long attempt;
         public final String node;
         public final Object statement;
-        public final long waitMicros, wantedMicros;
+        public final long timeoutMicros, startWithinMicros;
         final long startedAt;
 
-        Job(long attempt, String node, Object statement, long waitMicros, long wantedMicros, long startedAt) {
+        Job(long attempt, String node, Object statement, long timeoutMicros, long startWithinMicros, long startedAt) {
             this.attempt = attempt;
             this.node = node;
             this.statement = statement;
-            this.waitMicros = waitMicros;
-            this.wantedMicros = wantedMicros;
+            this.timeoutMicros = timeoutMicros;
+            this.startWithinMicros = startWithinMicros;
             this.startedAt = startedAt;
         }
 
-        public boolean probe() {
+        public boolean isProbe() {
             return attempt < 0;
         }
 
         /** What is left of the wait. */
-        public long left(long now) {
-            return startedAt + waitMicros - now;
+        public long remainingMicros(long now) {
+            return startedAt + timeoutMicros - now;
         }
 
         /** For how long the db node may begin it. */
-        public long wanted(long now) {
-            return startedAt + wantedMicros - now;
+        public long remainingStartMicros(long now) {
+            return startedAt + startWithinMicros - now;
         }
     }
 
     /** A connection to a db node; protocols add what they must remember of it. */
-    public static class Conn {
+    public static class PooledConnection {
         private final String node;
         /** The db node's process that it was opened to. */
         private EndpointInstance instance;
@@ -71,7 +71,7 @@
 
         private TimerQueue.Timer limit;
 
-        protected Conn(String node) {
+        protected PooledConnection(String node) {
             this.node = node;
         }
 
@@ -116,14 +116,14 @@
     /** Bounds of a pool. */
     public record Bounds(int connections, long connectMicros, long idleMicros, long probeMicros) {}
 
-    private static final long SURPLUS_LEAST = 500_000;
+    private static final long SURPLUS_IDLE_MIN_MICROS = 500_000;
     private final Dialer net;
     private final Bounds bounds;
     protected final Pooler pooler;
     protected final EventLoop loop;
-    private final HandleTable<Conn> conns;
-    private final Map<String, ArrayDeque<Conn>> idle = new HashMap<>();
-    private final Map<Long, Conn> byAttempt = new HashMap<>();
+    private final HandleTable<PooledConnection> conns;
+    private final Map<String, ArrayDeque<PooledConnection>> idle = new HashMap<>();
+    private final Map<Long, PooledConnection> byAttempt = new HashMap<>();
     private final Trust trust;
     private int most;
     /** For how long a connection may rest while another to its db node has been used since. */
@@ -138,7 +138,7 @@
         most = bounds.connections();
         trust = new Trust(bounds.idleMicros());
         surplus = Math.max(
-                Math.min(SURPLUS_LEAST, bounds.idleMicros()),
+                Math.min(SURPLUS_IDLE_MIN_MICROS, bounds.idleMicros()),
                 bounds.idleMicros() / pooler.settings().instanceCount());
     }
 
@@ -151,35 +151,35 @@
 
     protected abstract Framer framer();
 
-    protected abstract Conn connect(String node);
+    protected abstract PooledConnection connect(String node);
 
     /** The connection is up; says the first word where that is the client's. */
-    protected abstract void opened(Conn conn);
+    protected abstract void opened(PooledConnection conn);
 
-    /** Writes the job's request, with {@link #leaving} before that; what prepares it may go first. */
-    protected abstract void start(Conn conn);
+    /** Writes the job's request, with {@link #markSent} before that; what prepares it may go first. */
+    protected abstract void start(PooledConnection conn);
 
-    /** Takes a message; calls {@link #greeted} and {@link #done}. */
-    protected abstract void message(Conn conn, byte[] message);
+    /** Takes a message; calls {@link #connectionReady} and {@link #completeJob}. */
+    protected abstract void message(PooledConnection conn, byte[] message);
 
     /** The connection ended or is given up: what is already known of the job's end, or null. */
-    protected abstract AttemptOutcome known(Conn conn);
+    protected abstract AttemptOutcome knownOutcome(PooledConnection conn);
 
     /** The connection's job is over, however it ended. */
-    protected void released(Conn conn) {
+    protected void released(PooledConnection conn) {
         // Nothing to put away.
     }
 
     // ---- what a protocol calls ----
 
     /** The db node takes requests on this connection from now on. */
-    protected final void greeted(Conn conn) {
+    protected final void connectionReady(PooledConnection conn) {
         if (conn.greeted) {
             return;
         }
         if (conn.more) {
             Log.warn("db node %s says more than its greeting", conn.node);
-            broken(conn);
+            closeBroken(conn);
             return;
         }
         conn.greeted = true;
@@ -202,11 +202,11 @@
      * The job has its whole answer; the connection is free, or is closed where it can't be used again. Guards against
      * bytes behind the answer, which would be read as the next request's: they spoil the connection, not the answer.
      */
-    protected final void done(
-            Conn conn, boolean reusable, AttemptOutcome ending, Object answer, long position, ServerRole role) {
+    protected final void completeJob(
+            PooledConnection conn, boolean reusable, AttemptOutcome ending, Object answer, long position, ServerRole role) {
         Job job = conn.job;
         trust.kept(conn.rested);
-        conn.link.hold(false);
+        conn.link.pauseReading(false);
         release(conn);
         if (reusable && !conn.more) {
             rest(conn);
@@ -218,14 +218,14 @@
     }
 
     /** Whether reading from the connection waits until its answer has room where it goes. */
-    protected final void held(Conn conn, boolean wait) {
+    protected final void pauseReading(PooledConnection conn, boolean wait) {
         if (conns.get(conn.slot) == conn) {
-            conn.link.hold(wait);
+            conn.link.pauseReading(wait);
         }
     }
 
     /** Nothing more can be read from the connection: it is closed, and its job ends as if it had broken. */
-    protected final void broken(Conn conn) {
+    protected final void closeBroken(PooledConnection conn) {
         conn.link.drop();
         loop.cancel(conn.limit);
         forget(conn);
@@ -237,8 +237,8 @@
 
     @Override
     public final void send(
-            long attempt, String node, String address, Object statement, long waitMicros, long wantedMicros) {
-        take(new Job(attempt, node, statement, waitMicros, wantedMicros, loop.now()), address);
+            long attempt, String node, String address, Object statement, long timeoutMicros, long startWithinMicros) {
+        take(new Job(attempt, node, statement, timeoutMicros, startWithinMicros, loop.now()), address);
     }
 
     @Override
@@ -249,9 +249,9 @@
     }
 
     private void take(Job job, String address) {
-        ArrayDeque<Conn> resting = idle.get(job.node);
+        ArrayDeque<PooledConnection> resting = idle.get(job.node);
         // The one used last: the others may reach their idle time and be closed.
-        Conn conn = resting == null ? null : resting.peekLast();
+        PooledConnection conn = resting == null ? null : resting.peekLast();
         if (conn != null && loop.now() - conn.restAt > trust.micros) {
             // The others have rested longer still.
             closeIdleConnections(job.node);
@@ -269,7 +269,7 @@
         }
         loop.cancel(conn.greeted ? conn.limit : null);
         conn.job = job;
-        if (!job.probe()) {
+        if (!job.isProbe()) {
             byAttempt.put(job.attempt, conn);
         }
         if (conn.greeted) {
@@ -277,7 +277,7 @@
         }
     }
 
-    private Conn open(Job job, String address) {
+    private PooledConnection open(Job job, String address) {
         if (conns.size() >= most && !evict()) {
             Log.warn("no connection free for %s", job.node);
             return null;
@@ -289,7 +289,7 @@
             Log.warn("db node %s: %s", job.node, e.getMessage());
             return null;
         }
-        Conn conn = connect(job.node);
+        PooledConnection conn = connect(job.node);
         conn.instance = pooler.instance(job.node);
         conn.openedAt = loop.now();
         conn.slot = conns.put(conn);
@@ -305,8 +305,8 @@
 
     /** Closes the connection that has rested longest at some db node, to make room. */
     private boolean evict() {
-        for (ArrayDeque<Conn> resting : idle.values()) {
-            Conn conn = resting.pollFirst();
+        for (ArrayDeque<PooledConnection> resting : idle.values()) {
+            PooledConnection conn = resting.pollFirst();
             if (conn != null) {
                 end(conn);
                 return true;
@@ -317,7 +317,7 @@
 
     @Override
     public final boolean abandon(long attempt) {
-        Conn conn = byAttempt.remove(attempt);
+        PooledConnection conn = byAttempt.remove(attempt);
         if (conn == null) {
             return true;
         }
@@ -334,13 +334,13 @@
 
     @Override
     public final boolean isAwaitingConnection(long attempt) {
-        Conn conn = byAttempt.get(attempt);
+        PooledConnection conn = byAttempt.get(attempt);
         return conn != null && !conn.started;
     }
 
     @Override
     public final void closeIdleConnections(String node) {
-        ArrayDeque<Conn> resting = idle.remove(node);
+        ArrayDeque<PooledConnection> resting = idle.remove(node);
         if (resting != null) {
             resting.forEach(this::end);
         }
@@ -348,9 +348,9 @@
 
     // ---- one connection ----
 
-    private void begin(Conn conn) {
-        if (conn.job.probe()) {
-            conn.limit = loop.after(conn.job.left(loop.now()), () -> {
+    private void begin(PooledConnection conn) {
+        if (conn.job.isProbe()) {
+            conn.limit = loop.after(conn.job.remainingMicros(loop.now()), () -> {
                 Job job = conn.job;
                 release(conn);
                 forget(conn);
@@ -362,10 +362,10 @@
         conn.through = conn.link.handed();
     }
 
-    private void release(Conn conn) {
+    private void release(PooledConnection conn) {
         if (conn.job != null) {
             byAttempt.remove(conn.job.attempt);
-            if (conn.job.probe() && conn.greeted) {
+            if (conn.job.isProbe() && conn.greeted) {
                 loop.cancel(conn.limit);
             }
         }
@@ -375,21 +375,21 @@
     }
 
     /** Another process of this pooler runs, or no longer: both keep within one limit on descriptors. */
-    public final void beside(boolean another) {
+    public final void setOtherProcessRunning(boolean another) {
         most = ResourceBudgets.maxConnections(bounds.connections(), another);
         while (conns.size() > most && evict()) {
             // What rests goes first; what is busy is not ended for room.
         }
     }
 
-    private void rest(Conn conn) {
+    private void rest(PooledConnection conn) {
         if (!pooler.isCurrentInstance(conn.node, conn.instance, conn.openedAt)) {
             // It left, or another process took its id, while this connection was busy or on its way up.
             forget(conn);
             conn.link.drop();
             return;
         }
-        ArrayDeque<Conn> resting = idle.computeIfAbsent(conn.node, n -> new ArrayDeque<>());
+        ArrayDeque<PooledConnection> resting = idle.computeIfAbsent(conn.node, n -> new ArrayDeque<>());
         resting.addLast(conn);
         conn.restAt = loop.now();
         conn.limit = loop.after(surplus, () -> settle(conn));
@@ -399,7 +399,7 @@
      * A connection has rested for a while: the one used last stays, the others go. Guards the db nodes' tables, which
      * all poolers fill together: what one keeps for its rare peaks takes room and capacity there from all.
      */
-    private void settle(Conn conn) {
+    private void settle(PooledConnection conn) {
         if (idle.get(conn.node).peekLast() == conn && surplus < bounds.idleMicros()) {
             conn.limit = loop.after(bounds.idleMicros() - surplus, () -> end(conn));
         } else {
@@ -407,20 +407,20 @@
         }
     }
 
-    private void end(Conn conn) {
+    private void end(PooledConnection conn) {
         loop.cancel(conn.limit);
         forget(conn);
         conn.link.drop();
     }
 
-    private void forget(Conn conn) {
+    private void forget(PooledConnection conn) {
         conns.remove(conn.slot);
-        ArrayDeque<Conn> resting = idle.get(conn.node);
+        ArrayDeque<PooledConnection> resting = idle.get(conn.node);
         if (resting != null && resting.isEmpty()) {
             // Db nodes that have left leave nothing behind.
             idle.remove(conn.node);
         } else if (resting != null) {
-            for (Iterator<Conn> it = resting.iterator(); it.hasNext(); ) {
+            for (Iterator<PooledConnection> it = resting.iterator(); it.hasNext(); ) {
                 if (it.next() == conn) {
                     it.remove();
                     break;
@@ -430,12 +430,12 @@
     }
 
     /** The connection is gone with its job: whether the request may have run depends on what was written. */
-    private void lost(Conn conn, boolean left) {
+    private void lost(PooledConnection conn, boolean left) {
         Job job = conn.job;
         if (job == null) {
             return;
         }
-        AttemptOutcome known = known(conn);
+        AttemptOutcome known = knownOutcome(conn);
         if (left) {
             trust.lost(conn.rested);
         }
@@ -449,7 +449,7 @@
     }
 
     private void tell(Job job, AttemptOutcome ending, Object answer, long position, ServerRole role) {
-        if (job.probe()) {
+        if (job.isProbe()) {
             pooler.healthCheckEnded(job.node, ending, loop.now() - job.startedAt, position, role);
         } else {
             pooler.attemptEnded(job.attempt, ending, answer, position, role);
@@ -457,9 +457,9 @@
     }
 
     private final class Events implements Link.Events {
-        private final Conn conn;
+        private final PooledConnection conn;
 
-        Events(Conn conn) {
+        Events(PooledConnection conn) {
             this.conn = conn;
         }
 
@@ -474,11 +474,11 @@
                 conn.more = i + 1 < messages.size() || link.more();
                 if (conn.greeted && conn.job == null) {
                     Log.warn("db node %s speaks unasked", conn.node);
-                    broken(conn);
+                    closeBroken(conn);
                 } else if (conn.started && link.writtenAtRead() < conn.through) {
                     // It came before the request was out: a copy or the rest of an earlier answer.
                     Log.warn("db node %s answers what it was not asked", conn.node);
-                    broken(conn);
+                    closeBroken(conn);
                 } else {
                     message(conn, messages.get(i));
                 }
@@ -488,7 +488,7 @@
         @Override
         public void malformed(Link link, String why) {
             Log.warn("db node %s: %s", conn.node, why);
-            broken(conn);
+            closeBroken(conn);
         }
 
         @Override
@@ -500,17 +500,17 @@
     }
 
     /** Called right before the request itself is written: from here on it may have run. */
-    protected final void leaving(Conn conn) {
+    protected final void markSent(PooledConnection conn) {
         conn.started = true;
         conn.before = conn.link.handed();
-        if (!conn.job.probe()) {
+        if (!conn.job.isProbe()) {
             pooler.metrics().attemptSent();
             conn.link.beginBy(pooler.latestStartMicros(conn.node));
         }
     }
 
     /** Whether the job's request has been written, so that what comes now answers it. */
-    protected final boolean begun(Conn conn) {
+    protected final boolean isSent(PooledConnection conn) {
         return conn.started;
     }
 }
--- a/pg/src/main/java/lupinvalve/pg/PgBackend.java
+++ b/pg/src/main/java/lupinvalve/pg/PgBackend.java
@@ -39,7 +39,7 @@
         FAILED
     }
 
-    private static final class PgConn extends Conn {
+    private static final class PgConn extends PooledConnection {
         private List<byte[]> answer = new ArrayList<>(3);
         private At at = At.START;
         private int size;
@@ -64,17 +64,17 @@
     }
 
     @Override
-    protected Conn connect(String node) {
+    protected PooledConnection connect(String node) {
         return new PgConn(node);
     }
 
     @Override
-    protected void opened(Conn conn) {
+    protected void opened(PooledConnection conn) {
         conn.write(startup);
     }
 
     @Override
-    protected void start(Conn conn) {
+    protected void start(PooledConnection conn) {
         PgConn c = (PgConn) conn;
         c.answer = new ArrayList<>(3);
         c.at = At.START;
@@ -85,46 +85,46 @@
         c.passing = false;
         c.position = LogPosition.UNKNOWN;
         c.role = ServerRole.UNKNOWN;
-        leaving(c);
-        if (c.job().probe()) {
+        markSent(c);
+        if (c.job().isProbe()) {
             c.write(PROBE);
             return;
         }
-        byte[] text = ((Statement) c.job().statement).bytes(c.job().wanted(loop.now()));
+        byte[] text = ((Statement) c.job().statement).bytes(c.job().remainingStartMicros(loop.now()));
         c.write(PgMessages.message('Q', Arrays.copyOf(text, text.length + 1)));
     }
 
     @Override
-    protected void message(Conn conn, byte[] message) {
+    protected void message(PooledConnection conn, byte[] message) {
         PgConn c = (PgConn) conn;
         c.size += message.length;
         boolean sound;
         if (c.left > 0) {
             sound = piece(c, message);
         } else if (message[0] == 'D' && message.length > 1 && PgFramer.int32(message, 1) > PgFramer.WHOLE_MOST) {
-            sound = begun(c) && first(c, message);
+            sound = isSent(c) && first(c, message);
         } else {
-            sound = PgMessages.sound(message) && (begun(c) ? answered(c, message) : greeting(c, message));
+            sound = PgMessages.sound(message) && (isSent(c) ? answered(c, message) : greeting(c, message));
         }
         if (c.size > ANSWER_MOST || !sound) {
             // It may have run, and where the next answer starts nobody can tell.
             Log.warn("db node: a spoilt %s message", (char) message[0]);
             c.error = null;
-            broken(c);
+            closeBroken(c);
         }
     }
 
     /** Takes the first piece of a long row; gives whether it may stand there. */
     private boolean first(PgConn c, byte[] message) {
         int length = PgFramer.int32(message, 1) + 1;
-        if (c.at != At.HEAD || c.job().probe() || !PgMessages.row(message, length)) {
+        if (c.at != At.HEAD || c.job().isProbe() || !PgMessages.row(message, length)) {
             return false;
         }
         c.at = At.ROW;
         c.row = message;
         c.left = length - message.length;
         c.answer.add(message);
-        switch (pooler.answerStarted(c.job().attempt, c.answer.toArray(new byte[0][]), wait -> held(c, wait))) {
+        switch (pooler.answerStarted(c.job().attempt, c.answer.toArray(new byte[0][]), wait -> pauseReading(c, wait))) {
             case PASS_ON -> {
                 c.passing = true;
                 c.answer.clear();
@@ -145,7 +145,7 @@
     }
 
     @Override
-    protected void released(Conn conn) {
+    protected void released(PooledConnection conn) {
         PgConn c = (PgConn) conn;
         kept -= c.kept;
         c.kept = 0;
@@ -168,7 +168,7 @@
         switch (message[0]) {
             case 'R', 'S', 'K', 'N' -> {}
             case 'E' -> c.error = ending(message);
-            case 'Z' -> greeted(c);
+            case 'Z' -> connectionReady(c);
             default -> {
                 return false;
             }
@@ -242,14 +242,14 @@
     }
 
     private void ready(PgConn c) {
-        if (c.job().probe()) {
+        if (c.job().isProbe()) {
             vitals(c);
             return;
         }
         AttemptOutcome ending =
                 c.error != null ? c.error : c.row != null ? AttemptOutcome.SERVED : AttemptOutcome.ERROR;
         byte[][] answer = ending == AttemptOutcome.SERVED ? c.answer.toArray(new byte[0][]) : null;
-        done(c, true, ending, answer, c.position, c.role);
+        completeJob(c, true, ending, answer, c.position, c.role);
     }
 
     /** The report's one row: {@code x0=seconds,x1=0}. */
@@ -268,11 +268,11 @@
                 }
             }
         }
-        done(c, true, ending, null, position, role);
+        completeJob(c, true, ending, null, position, role);
     }
 
     @Override
-    protected AttemptOutcome known(Conn conn) {
+    protected AttemptOutcome knownOutcome(PooledConnection conn) {
         return ((PgConn) conn).error;
     }
 }
--- a/pg/src/main/java/lupinvalve/pg/PgFront.java
+++ b/pg/src/main/java/lupinvalve/pg/PgFront.java
@@ -17,11 +17,11 @@
 import lupinvalve.log.Log;
 import lupinvalve.maintenance.Metrics;
 import lupinvalve.maintenance.ResourceBudgets;
-import lupinvalve.net.ClientEnds;
+import lupinvalve.net.ClientEndLog;
 import lupinvalve.net.EndReason;
 import lupinvalve.net.Framer;
 import lupinvalve.net.Link;
-import lupinvalve.net.Spare;
+import lupinvalve.net.ClientEviction;
 import lupinvalve.routing.ServerRole;
 
 /** Speaks PostgreSQL's protocol to clients: simple queries, pipelined or not, answered in order. Core thread only. */
@@ -52,14 +52,14 @@
     private final HandleTable<Client> clients;
     private final HandleTable<Reply> replies;
     private final IdentityHashMap<Link, Client> byLink = new IdentityHashMap<>();
-    private final Spare<Client> spare;
+    private final ClientEviction<Client> spare;
     /** Connections past the bound, and whether they have been told so. */
     private final Map<Link, Boolean> extra = new IdentityHashMap<>();
     /** Whose requests a cancel names, by process number and secret key, which each connection is told. */
     private final Map<Long, Client> byKey = new HashMap<>();
 
     private final SecureRandom random = new SecureRandom();
-    private final ClientEnds ends;
+    private final ClientEndLog ends;
     private long waiting, unsent;
     private int streams, numbers;
 
@@ -109,11 +109,11 @@
     /** @param clientsMost connections held at once; those beyond are told 53300 */
     public PgFront(Pooler pooler, int clientsMost) {
         this.pooler = pooler;
-        clients = new HandleTable<>(Spare.places(clientsMost));
-        spare = new Spare<>(
+        clients = new HandleTable<>(ClientEviction.tableCapacity(clientsMost));
+        spare = new ClientEviction<>(
                 pooler.loop(), clients, clientsMost, pooler.settings().limits().maxOpenRequests(), this::retire);
         replies = new HandleTable<>(clientsMost * 8);
-        ends = new ClientEnds(pooler.loop());
+        ends = new ClientEndLog(pooler.loop());
     }
 
     public Framer framer() {
@@ -182,7 +182,7 @@
         ends.ended(reason, client.link, client.due.size());
         byLink.remove(client.link);
         byKey.remove(client.key);
-        spare.gone(client);
+        spare.closed(client);
         clients.remove(client.slot);
         for (Reply reply : client.due) {
             unsent -= reply.unsent;
@@ -246,7 +246,7 @@
                     advice(pooler.settings().limits().maxRetryAfterMicros())));
         }
         // Where more has been read it is told next, and refused as well.
-        if (link.finishIfAllTold()) {
+        if (link.finishIfAllProcessed()) {
             extra.remove(link);
             ends.ended(EndReason.PAST_BOUND, link, 0);
         }
@@ -407,7 +407,7 @@
     @Override
     public boolean isClientDisconnected(long ticket) {
         Reply reply = replies.get(ticket);
-        return reply == null || reply.client.link.left();
+        return reply == null || reply.client.link.hasEnded();
     }
 
     @Override
@@ -457,13 +457,13 @@
 
     private void fill(Reply reply, byte[] error) {
         Link link = reply.client.link;
-        while (reply.begun && reply.rowLeft > 0 && link.unread() <= ResourceBudgets.streamBufferBytes(streams)) {
+        while (reply.begun && reply.rowLeft > 0 && link.pendingWriteBytes() <= ResourceBudgets.streamBufferBytes(streams)) {
             byte[] filler = new byte[(int) Math.min(FILLER, reply.rowLeft)];
             link.write(filler);
             reply.rowLeft -= filler.length;
         }
         if (reply.begun && reply.rowLeft > 0) {
-            link.whenRoom(ResourceBudgets.streamBufferBytes(streams) / 2, () -> {
+            link.whenPendingAtMost(ResourceBudgets.streamBufferBytes(streams) / 2, () -> {
                 if (replies.get(reply.ticket) == reply) {
                     fill(reply, error);
                 }
@@ -485,10 +485,10 @@
         reply.begun |= pieces.length > 0;
         client.link.write(pieces);
         long share = ResourceBudgets.streamBufferBytes(streams);
-        boolean full = client.link.unread() > share;
+        boolean full = client.link.pendingWriteBytes() > share;
         reply.source.pauseReading(full);
         if (full) {
-            client.link.whenRoom(share / 2, () -> {
+            client.link.whenPendingAtMost(share / 2, () -> {
                 if (replies.get(reply.ticket) == reply) {
                     pass(reply);
                 }
@@ -529,8 +529,8 @@
 
     private void flush(Client client) {
         while (!client.due.isEmpty() && client.due.peek().bytes != null) {
-            if (client.link.isFull()) {
-                client.link.whenRoom(ROOM_AGAIN, () -> flush(client));
+            if (client.link.isWriteBacklogged()) {
+                client.link.whenPendingAtMost(ROOM_AGAIN, () -> flush(client));
                 return;
             }
             Reply reply = client.due.poll();
@@ -551,7 +551,7 @@
         } else if (ends()) {
             part(client);
         } else {
-            spare.rests(client);
+            spare.idle(client);
         }
     }
 
--- a/replication/src/main/java/lupinvalve/replication/RaftMember.java
+++ b/replication/src/main/java/lupinvalve/replication/RaftMember.java
@@ -135,7 +135,7 @@
     public void reloadCertificates() throws IOException {
         if (tls != null) {
             tls.reload();
-            net.secureAnew();
+            net.reloadSecurity();
             Log.info("store: keys and certificates reloaded");
         }
     }
--- a/replication/src/main/java/lupinvalve/replication/Subscriber.java
+++ b/replication/src/main/java/lupinvalve/replication/Subscriber.java
@@ -371,7 +371,7 @@
         if (tls != null) {
             tls.reload();
             if (ownsLoop) {
-                net.secureAnew();
+                net.reloadSecurity();
             }
             Log.info("store: keys and certificates read anew");
         }
--- a/warmup/src/main/java/lupinvalve/warmup/ClientScript.java
+++ b/warmup/src/main/java/lupinvalve/warmup/ClientScript.java
@@ -9,11 +9,11 @@
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import lupinvalve.log.Log;
-import lupinvalve.net.Memory;
+import lupinvalve.net.InMemoryDialer;
 import lupinvalve.routing.RequestClass;
 
 /** A scripted client: one request after another, reads and writes of all classes in turn. Not thread-safe. */
-public final class ClientScript implements Memory.Peer {
+public final class ClientScript implements InMemoryDialer.Peer {
     private static final int STARTUP_HEADER_BYTES = 8;
     private static final int PROTOCOL_VERSION = 3 << 16;
     private static final int READY_FOR_QUERY_BYTES = 6;
--- a/warmup/src/main/java/lupinvalve/warmup/NodeScript.java
+++ b/warmup/src/main/java/lupinvalve/warmup/NodeScript.java
@@ -7,13 +7,13 @@
 import java.io.DataOutputStream;
 import java.io.IOException;
 import java.nio.ByteBuffer;
-import lupinvalve.net.Memory;
+import lupinvalve.net.InMemoryDialer;
 
 /**
  * A scripted db node on one connection: accepts any user and answers each read, and each write if it is a primary. Not
  * thread-safe.
  */
-public final class NodeScript implements Memory.Peer {
+public final class NodeScript implements InMemoryDialer.Peer {
     private static final int BUFFER_BYTES = 16 << 10;
     private static final int LENGTH_BYTES = 4;
 
