--- a/capacity/src/main/java/lupinvalve/capacity/RestingConnections.java
+++ b/capacity/src/main/java/lupinvalve/capacity/RestingConnections.java
@@ -7,8 +7,8 @@
 
 /**
  * One pooler's connections to one db node in virtual time: requests come at random, each takes the connection used last
- * or opens one. As in {@code Pool.settle}, one that rested for a while stays if it is the one used last, up to the
- * longer time, and is closed else. No I/O; the same seed gives the same figures.
+ * or opens one. As in {@code Pool.closeIfSurplus}, one that rested for a while stays if it is the one used last, up to
+ * the longer time, and is closed else. No I/O; the same seed gives the same figures.
  */
 final class RestingConnections {
     /**
--- a/capacity/src/test/java/lupinvalve/capacity/CodeFactsTest.java
+++ b/capacity/src/test/java/lupinvalve/capacity/CodeFactsTest.java
@@ -57,7 +57,8 @@
         assertEquals(
                 CodeFacts.CHANGE_PROBE_SECONDS,
                 constant("lupinvalve.routing.PrimarySearch", "CHECK_ROUND_MICROS") / MICROS);
-        assertEquals(CodeFacts.SURPLUS_LEAST_SECONDS, constant("lupinvalve.net.Pool", "SURPLUS_IDLE_MIN_MICROS") / MICROS);
+        assertEquals(
+                CodeFacts.SURPLUS_LEAST_SECONDS, constant("lupinvalve.net.Pool", "SURPLUS_IDLE_MIN_MICROS") / MICROS);
     }
 
     @Test
--- a/daemon/src/main/java/lupinvalve/cli/Daemon.java
+++ b/daemon/src/main/java/lupinvalve/cli/Daemon.java
@@ -140,7 +140,10 @@
                     ? null
                     : folder.resolve("lupinvalve-" + config.name().replaceAll("[^A-Za-z0-9_.-]", "_"));
             operations = new Operations(
-                    pooler, stem, this::endConnections, another -> pools.forEach(pool -> pool.setOtherProcessRunning(another)));
+                    pooler,
+                    stem,
+                    this::endConnections,
+                    another -> pools.forEach(pool -> pool.setOtherProcessRunning(another)));
             door = new AdminServer(new AdminCommands(operations));
         }
     }
--- a/discovery/src/main/java/lupinvalve/discovery/HttpEndpointDiscovery.java
+++ b/discovery/src/main/java/lupinvalve/discovery/HttpEndpointDiscovery.java
@@ -294,7 +294,13 @@
         @Override
         public void closed(Link closed) {
             // An answer without a length ends with its connection, but not with a reset.
-            if (!ended && !watching && headRead && !chunked && contentBytes < 0 && body.size() > 0 && !closed.endedByError()) {
+            if (!ended
+                    && !watching
+                    && headRead
+                    && !chunked
+                    && contentBytes < 0
+                    && body.size() > 0
+                    && !closed.endedByError()) {
                 completeList();
             } else {
                 fail(closed.endedByError() ? "reset" : "closed");
--- a/mysql/src/main/java/lupinvalve/mysql/MysqlBackend.java
+++ b/mysql/src/main/java/lupinvalve/mysql/MysqlBackend.java
@@ -451,7 +451,8 @@
         if (more) {
             completeJob(c, false, AttemptOutcome.ERROR, null, position, role);
         } else {
-            completeJob(c, true, AttemptOutcome.SERVED, new MysqlRequest.Answer(c.packets, c.columns, ok), position, role);
+            completeJob(
+                    c, true, AttemptOutcome.SERVED, new MysqlRequest.Answer(c.packets, c.columns, ok), position, role);
         }
     }
 
--- a/mysql/src/main/java/lupinvalve/mysql/MysqlFront.java
+++ b/mysql/src/main/java/lupinvalve/mysql/MysqlFront.java
@@ -13,10 +13,10 @@
 import lupinvalve.core.Pooler;
 import lupinvalve.core.Statement;
 import lupinvalve.net.ClientEndLog;
+import lupinvalve.net.ClientEviction;
 import lupinvalve.net.EndReason;
 import lupinvalve.net.Framer;
 import lupinvalve.net.Link;
-import lupinvalve.net.ClientEviction;
 import lupinvalve.routing.ServerRole;
 
 /**
--- a/pg/src/main/java/lupinvalve/pg/PgFront.java
+++ b/pg/src/main/java/lupinvalve/pg/PgFront.java
@@ -18,10 +18,10 @@
 import lupinvalve.maintenance.Metrics;
 import lupinvalve.maintenance.ResourceBudgets;
 import lupinvalve.net.ClientEndLog;
+import lupinvalve.net.ClientEviction;
 import lupinvalve.net.EndReason;
 import lupinvalve.net.Framer;
 import lupinvalve.net.Link;
-import lupinvalve.net.ClientEviction;
 import lupinvalve.routing.ServerRole;
 
 /** Speaks PostgreSQL's protocol to clients: simple queries, pipelined or not, answered in order. Core thread only. */
@@ -457,7 +457,9 @@
 
     private void fill(Reply reply, byte[] error) {
         Link link = reply.client.link;
-        while (reply.begun && reply.rowLeft > 0 && link.pendingWriteBytes() <= ResourceBudgets.streamBufferBytes(streams)) {
+        while (reply.begun
+                && reply.rowLeft > 0
+                && link.pendingWriteBytes() <= ResourceBudgets.streamBufferBytes(streams)) {
             byte[] filler = new byte[(int) Math.min(FILLER, reply.rowLeft)];
             link.write(filler);
             reply.rowLeft -= filler.length;
