--- a/daemon/src/test/java/lupinvalve/net/AcceptorTest.java
+++ b/daemon/src/test/java/lupinvalve/net/AcceptorTest.java
@@ -28,35 +28,38 @@
 import org.apache.mina.transport.socket.nio.NioSession;
 import org.junit.jupiter.api.Test;
 
-/** The system resets connections that wait to be taken when a port closes: during an upgrade each costs a request. */
+/**
+ * The system resets connections that wait in the backlog when a port closes: during an upgrade each would cost a
+ * request.
+ */
 class AcceptorTest {
     @Test
-    void noMoreAreOpenThanThereIsRoomForHoweverFastTheyCome() throws Exception {
+    void connectionLimitHoldsInABurst() throws Exception {
         List<Socket> clients = new ArrayList<>();
         try (HeldCore pooler = new HeldCore(text -> text)) {
             pooler.net.setMaxConnections(20);
-            // The core ends none of them meanwhile.
-            HeldCore.Stop stop = pooler.stop();
-            stop.reached();
+            // The core closes none of them meanwhile.
+            HeldCore.Pause pause = pooler.pauseCore();
+            pause.awaitReached();
             for (int i = 0; i < 60; i++) {
                 clients.add(new Socket(
                         InetAddress.getLoopbackAddress(),
                         pooler.listener.address().getPort()));
             }
-            // Those that there was no room for are told so by their end.
+            // Connections over the limit are closed unread.
             clients.get(59).setSoTimeout(10_000);
             assertEquals(-1, clients.get(59).getInputStream().read());
             assertEquals(20, pooler.links.size());
-            stop.letGo();
+            pause.resume();
             for (int i = 0; i < 20; i++) {
                 clients.get(i).close();
             }
-            World.await("there is room again", () -> {
+            World.await("connections accepted again", () -> {
                 try {
                     Socket next = pooler.client();
                     clients.add(next);
-                    HeldCore.ask(next, "");
-                    return HeldCore.answer(next).equals(List.of("I"));
+                    HeldCore.sendQuery(next, "");
+                    return HeldCore.readAnswer(next).equals(List.of("I"));
                 } catch (Exception e) {
                     return false;
                 }
@@ -68,20 +71,20 @@
         }
     }
 
-    /** A failed accept costs the one connection: clients behind it are taken at once, and the log tells of it. */
+    /** A failed accept costs one connection: clients behind it are accepted at once, and the failure is logged. */
     @Test
-    void failedAcceptsStopNothing() throws Exception {
+    void failedAcceptDoesNotStopTheAcceptor() throws Exception {
         ExecutorService threads = Executors.newCachedThreadPool();
         SimpleIoProcessorPool<NioSession> processor = new SimpleIoProcessorPool<>(NioProcessor.class, threads, 1, null);
         AtomicInteger calls = new AtomicInteger();
         Net.Acceptor acceptor = new Net.Acceptor(threads, processor, true, new AtomicInteger(), () -> true) {
             @Override
-            NioSession takeNext(IoProcessor<NioSession> by, ServerSocketChannel handle) throws Exception {
+            NioSession acceptNext(IoProcessor<NioSession> sessions, ServerSocketChannel handle) throws Exception {
                 if (calls.incrementAndGet() % 2 == 0) {
                     handle.accept().close();
                     throw new IOException("Software caused connection abort");
                 }
-                return super.takeNext(by, handle);
+                return super.acceptNext(sessions, handle);
             }
         };
         acceptor.setHandler(new IoHandlerAdapter() {
@@ -91,20 +94,20 @@
             }
         });
         int clients = 40;
-        int taken = 0;
+        int answered = 0;
         try {
             acceptor.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-            long begun = System.nanoTime();
+            long startNanos = System.nanoTime();
             for (int i = 0; i < clients; i++) {
                 try (Socket client = new Socket(
                         InetAddress.getLoopbackAddress(),
                         acceptor.getLocalAddress().getPort())) {
                     client.setSoTimeout(10_000);
-                    taken += client.getInputStream().read() == '!' ? 1 : 0;
+                    answered += client.getInputStream().read() == '!' ? 1 : 0;
                 }
             }
-            long millis = (System.nanoTime() - begun) / 1_000_000;
-            assertEquals(clients / 2, taken);
+            long millis = (System.nanoTime() - startNanos) / 1_000_000;
+            assertEquals(clients / 2, answered);
             assertTrue(millis < 2_000, clients / 2 + " failed accepts took " + millis + " ms");
         } finally {
             acceptor.dispose(false);
@@ -114,18 +117,18 @@
     }
 
     @Test
-    void whatWaitsToBeTakenAsThePortClosesIsTaken() throws Exception {
+    void backlogIsAcceptedBeforeThePortCloses() throws Exception {
         ExecutorService threads = Executors.newCachedThreadPool();
         SimpleIoProcessorPool<NioSession> processor = new SimpleIoProcessorPool<>(NioProcessor.class, threads, 1, null);
         CountDownLatch reached = new CountDownLatch(1);
-        CountDownLatch held = new CountDownLatch(1);
-        AtomicInteger taken = new AtomicInteger();
+        CountDownLatch resumed = new CountDownLatch(1);
+        AtomicInteger accepted = new AtomicInteger();
         Net.Acceptor acceptor = new Net.Acceptor(threads, processor, true, new AtomicInteger(), () -> true) {
             @Override
-            protected NioSession accept(IoProcessor<NioSession> by, ServerSocketChannel handle) throws Exception {
+            protected NioSession accept(IoProcessor<NioSession> sessions, ServerSocketChannel handle) throws Exception {
                 reached.countDown();
-                held.await();
-                return super.accept(by, handle);
+                resumed.await();
+                return super.accept(sessions, handle);
             }
         };
         acceptor.setBacklog(64);
@@ -133,7 +136,7 @@
         acceptor.setHandler(new IoHandlerAdapter() {
             @Override
             public void sessionOpened(IoSession session) {
-                taken.incrementAndGet();
+                accepted.incrementAndGet();
             }
         });
         List<Socket> clients = new ArrayList<>();
@@ -148,13 +151,13 @@
             Thread closing = new Thread(acceptor::unbind);
             closing.start();
             World.await(
-                    "asked to close",
+                    "close under way",
                     () -> closing.getState() == Thread.State.TIMED_WAITING
                             || closing.getState() == Thread.State.WAITING);
-            held.countDown();
+            resumed.countDown();
             closing.join();
-            World.await("all taken", () -> taken.get() == clients.size());
-            assertEquals(20, taken.get());
+            World.await("all accepted", () -> accepted.get() == clients.size());
+            assertEquals(20, accepted.get());
         } finally {
             for (Socket client : clients) {
                 client.close();
@@ -165,11 +168,9 @@
         }
     }
 
-    /**
-     * What the system lacks for a moment as the port is opened ends no start; an address that is taken does, at once.
-     */
+    /** A temporary shortage of system resources must not fail a start; an address in use must fail it at once. */
     @Test
-    void aPortThatCanNotBeOpenedForAMomentIsTriedAgain() throws Exception {
+    void bindIsRetriedOnAResourceShortage() throws Exception {
         ExecutorService threads = Executors.newCachedThreadPool();
         SimpleIoProcessorPool<NioSession> processor = new SimpleIoProcessorPool<>(NioProcessor.class, threads, 1, null);
         AtomicInteger calls = new AtomicInteger();
@@ -191,8 +192,8 @@
                     InetAddress.getLoopbackAddress(), acceptor.getLocalAddress().getPort())) {
                 assertTrue(client.isConnected());
             }
-            InetSocketAddress taken = new InetSocketAddress(InetAddress.getLoopbackAddress(), other.getLocalPort());
-            assertThrows(BindException.class, () -> Net.bind(acceptor, taken));
+            InetSocketAddress inUse = new InetSocketAddress(InetAddress.getLoopbackAddress(), other.getLocalPort());
+            assertThrows(BindException.class, () -> Net.bind(acceptor, inUse));
             assertEquals(5, calls.get());
         } finally {
             acceptor.dispose(false);
--- a/daemon/src/test/java/lupinvalve/net/BarredLinkTest.java
+++ b/daemon/src/test/java/lupinvalve/net/BarredLinkTest.java
@@ -8,41 +8,41 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Between the decision to end a connection and its end, bytes may come: nobody may go round for them without a pause.
+ * Input may arrive after reading was stopped for a close: the processor's thread must not poll for it without a pause.
  */
 class BarredLinkTest {
-    private static final int UNREAD = 8 << 20;
+    private static final int UNREAD_BYTES = 8 << 20;
 
     @Test
-    void whatComesWhileTheLastWordsAreNotReadIsLookedAtOnceAndNotAgain() throws Exception {
+    void inputDuringFinishIsNotPolledAgainAndAgain() throws Exception {
         try (HeldCore pooler = new HeldCore(text -> text);
                 Socket client = pooler.client()) {
             Link link = pooler.links.get(0);
             pooler.onCore(() -> {
-                link.write(new byte[UNREAD]);
+                link.write(new byte[UNREAD_BYTES]);
                 link.finish();
                 return null;
             });
-            HeldCore.ask(client, "");
-            // It stays open meanwhile, with a statement that nobody reads.
-            pooler.rounds(20);
-            assertTrue(link.isBarred());
-            assertTrue(link.barredReads() <= 2, "came to it " + link.barredReads() + " times");
+            HeldCore.sendQuery(client, "");
+            // The connection stays open meanwhile, with a statement that is not read.
+            pooler.awaitSelectRounds(20);
+            assertTrue(link.isReadingStopped());
+            assertTrue(link.readsAfterStop() <= 2, "tried to read " + link.readsAfterStop() + " times");
         }
     }
 
-    /** A connection whose end was asked for is read on until the last look, and what that finds keeps it open. */
+    /** Input that the core has not handled yet keeps a connection open when its close is requested. */
     @Test
-    void aConnectionThatIsUsedBeforeTheLastLookGoesOn() throws Exception {
+    void connectionUsedBeforeTheFinalReadStaysOpen() throws Exception {
         try (HeldCore pooler = new HeldCore(text -> text);
                 Socket client = pooler.client()) {
             Link link = pooler.links.get(0);
-            HeldCore.Stop stop = pooler.stop();
-            stop.reached();
-            HeldCore.ask(client, "");
-            World.await("read", link::more);
-            stop.letGo();
-            assertEquals(java.util.List.of("I"), HeldCore.answer(client));
+            HeldCore.Pause pause = pooler.pauseCore();
+            pause.awaitReached();
+            HeldCore.sendQuery(client, "");
+            World.await("read", link::hasMoreInput);
+            pause.resume();
+            assertEquals(java.util.List.of("I"), HeldCore.readAnswer(client));
             pooler.onCore(() -> link.retire(0, EndReason.MADE_ROOM));
             assertEquals(-1, client.getInputStream().read());
         }
--- a/daemon/src/test/java/lupinvalve/net/ClientEndLogTest.java
+++ b/daemon/src/test/java/lupinvalve/net/ClientEndLogTest.java
@@ -11,15 +11,15 @@
 import lupinvalve.log.Log;
 import org.junit.jupiter.api.Test;
 
-/** What the log at the default level tells of clients' connections that have ended. */
+/** What the log at its default level contains about client connections that have ended. */
 class ClientEndLogTest {
     private final EventLoop loop = new EventLoop();
     private final ClientEndLog ends = new ClientEndLog(loop);
     private final Link link = new Link(loop, (bytes, from, to, out) -> to, null);
 
     private List<String> logged(Runnable work) {
-        ByteArrayOutputStream said = new ByteArrayOutputStream();
-        Log.setOutput(new PrintStream(said, true, StandardCharsets.UTF_8));
+        ByteArrayOutputStream output = new ByteArrayOutputStream();
+        Log.setOutput(new PrintStream(output, true, StandardCharsets.UTF_8));
         Log.setThreadLevel(Log.Level.INFO);
         try {
             work.run();
@@ -27,14 +27,14 @@
             Log.setThreadLevel(null);
             Log.setOutput(System.err);
         }
-        return said.toString(StandardCharsets.UTF_8)
+        return output.toString(StandardCharsets.UTF_8)
                 .lines()
                 .map(line -> line.replaceFirst("^\\S+ ", "").replaceAll("\\d+ ms", "N ms"))
                 .toList();
     }
 
     @Test
-    void theFirstOfAReasonIsToldAtOnceAndRepeatsAreCounted() {
+    void firstEndOfAReasonIsLoggedAtOnceAndRepeatsAreCounted() {
         List<String> lines = logged(() -> {
             for (int i = 0; i < 38; i++) {
                 ends.ended(EndReason.MADE_ROOM, link, 0);
@@ -47,21 +47,21 @@
                         "INFO client ? ended: to make room; open N ms, nothing due",
                         "WARN client ? ended: a long answer broke off; open N ms, 3 requests due"),
                 lines);
-        String counted = ends.take();
+        String counted = ends.takeSummary();
         assertTrue(
                 counted.matches("37 to make room \\(open \\d+ to \\d+ ms, 0 requests due\\); "
                         + "1 a long answer broke off \\(open \\d+ to \\d+ ms, 2 requests due\\)"),
                 counted);
-        assertEquals("", ends.take());
+        assertEquals("", ends.takeSummary());
     }
 
     @Test
-    void clientsThatGoByThemselvesWithNothingDueAreCountedBesideOthersOnly() {
+    void clientsThatCloseWithNothingUnansweredAreOnlyCounted() {
         assertEquals(List.of(), logged(() -> {
             ends.ended(EndReason.CLIENT_LEFT, link, 0);
             ends.ended(EndReason.GOODBYE, link, 0);
         }));
-        assertEquals("", ends.take());
+        assertEquals("", ends.takeSummary());
         assertEquals(
                 List.of("WARN client ? ended: by the client; open N ms, 1 requests due"),
                 logged(() -> ends.ended(EndReason.CLIENT_LEFT, link, 1)));
--- a/daemon/src/test/java/lupinvalve/net/CrossedEndTest.java
+++ b/daemon/src/test/java/lupinvalve/net/CrossedEndTest.java
@@ -22,66 +22,69 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * What a client sends between the pooler's decision to end its connection and the end itself. The thread of the sockets
- * is held up at two points, and the statement is seen in the system's own table before it goes on: what has come by
- * that thread's last look is answered, and what comes behind it lies unread as the connection closes. A reset must say
- * so; an end in order would say that all was answered.
+ * What a client sends between the pooler's decision to close its connection and the close. The thread of the sockets is
+ * paused at two points, and the statement is seen in the system's table of sockets before the thread continues: what
+ * arrives before the final read is answered; what arrives after it is unread when the connection closes. The client
+ * must then see a reset, as an orderly end would mean that everything was answered.
  */
 class CrossedEndTest {
-    private static final int STATEMENT = 80;
+    private static final int STATEMENT_MIN_BYTES = 80;
 
     /**
-     * Why the connection is ended. MySQL drivers ask by themselves once they are in, so that none of them is silent.
+     * Why the connection is closed. MySQL drivers send a command by themselves after the login, so none of them is
+     * silent.
      */
-    enum Path {
-        ROOM,
+    enum Cause {
+        MADE_ROOM,
         SILENCE,
         SENT_AWAY
     }
 
-    private static Throwable root(Throwable of) {
-        return of.getCause() == null ? of : root(of.getCause());
+    private static Throwable rootCause(Throwable error) {
+        return error.getCause() == null ? error : rootCause(error.getCause());
     }
 
-    private static FutureTask<Throwable> ask(Connection client) {
-        FutureTask<Throwable> asked = new FutureTask<>(() -> {
+    private static FutureTask<Throwable> sendQuery(Connection client) {
+        FutureTask<Throwable> answer = new FutureTask<>(() -> {
             try {
                 client.createStatement()
                         .executeQuery(
                                 "SELECT blob FROM rows WHERE handle = 'k' /* id=crossed,c=bag-status,t=acme,d=400,cluster=1 */");
                 return null;
             } catch (SQLException e) {
-                return root(e);
+                return rootCause(e);
             }
         });
-        World.thread(asked::run);
-        return asked;
+        World.thread(answer::run);
+        return answer;
     }
 
-    private static void decide(Path path, SmallFront pool, FutureTask<Connection> newcomer) throws Exception {
-        switch (path) {
-            case ROOM -> World.thread(newcomer::run);
-            case SENT_AWAY -> pool.loop.post(pool.closeFront);
+    private static void triggerClose(Cause cause, SmallFront smallFront, FutureTask<Connection> newClient)
+            throws Exception {
+        switch (cause) {
+            case MADE_ROOM -> World.thread(newClient::run);
+            case SENT_AWAY -> smallFront.loop.post(smallFront.closeFront);
             default -> {
-                // Its time runs out.
+                // Its time runs out by itself.
             }
         }
     }
 
-    /** A front whose clients have been asked to leave along a path, while the thread of its sockets stands still. */
-    private static final class Decided implements Closeable {
-        final SmallFront pool;
-        final HeldSockets decided, looked;
+    /** A front that has requested the close of its clients' connections while the thread of the sockets is paused. */
+    private static final class PendingClose implements Closeable {
+        final SmallFront smallFront;
+        final HeldSockets beforeRead;
+        final HeldSockets beforeClose;
         final List<Connection> clients = new ArrayList<>();
 
-        Decided(SmallFront.Protocol protocol, Path path) throws Exception {
-            pool = new SmallFront(protocol);
-            decided = new HeldSockets(pool.net);
-            looked = new HeldSockets(pool.net);
-            for (int i = 0; i < SmallFront.MOST; i++) {
-                clients.add(pool.client());
-                if (path != Path.SILENCE) {
-                    // Each has asked, so that it counts as resting.
+        PendingClose(SmallFront.Protocol protocol, Cause cause) throws Exception {
+            smallFront = new SmallFront(protocol);
+            beforeRead = new HeldSockets(smallFront.net);
+            beforeClose = new HeldSockets(smallFront.net);
+            for (int i = 0; i < SmallFront.MAX_CLIENTS; i++) {
+                clients.add(smallFront.client());
+                if (cause != Cause.SILENCE) {
+                    // Each has sent a request, so that it counts as idle.
                     Connection client = clients.get(i);
                     assertThrows(
                             SQLException.class,
@@ -90,129 +93,129 @@
                                             "SELECT blob FROM rows WHERE handle = 'k' /* id=first,c=bag-status,t=acme,d=400,cluster=1 */"));
                 }
             }
-            long rested = System.nanoTime();
-            World.await("rested", () -> System.nanoTime() - rested > 200_000_000L);
-            pool.hold();
-            decide(path, pool, new FutureTask<>(pool::client));
-            if (path == Path.ROOM) {
-                World.await("connected", () -> pool.links.size() == SmallFront.MOST + 1);
+            long idleStartNanos = System.nanoTime();
+            World.await("idle long enough", () -> System.nanoTime() - idleStartNanos > 200_000_000L);
+            smallFront.pauseCore();
+            triggerClose(cause, smallFront, new FutureTask<>(smallFront::client));
+            if (cause == Cause.MADE_ROOM) {
+                World.await("connected", () -> smallFront.links.size() == SmallFront.MAX_CLIENTS + 1);
             }
-            decided.pause();
-            pool.letGo();
-            World.await("decided", pool.links.get(0)::isRetiring);
+            beforeRead.pause();
+            smallFront.resumeCore();
+            World.await("decided", smallFront.links.get(0)::isRetiring);
         }
 
-        /** The first client asks; its statement is in the machine once this returns. */
-        FutureTask<Throwable> asks() throws InterruptedException {
-            long before = pool.bytesWaiting(0);
-            FutureTask<Throwable> asked = ask(clients.get(0));
-            World.await("in the machine", () -> pool.bytesWaiting(0) > before + STATEMENT);
-            return asked;
+        /** The first client sends a statement, which is in this machine's receive buffer when this returns. */
+        FutureTask<Throwable> sendStatement() throws InterruptedException {
+            long before = smallFront.bytesWaiting(0);
+            FutureTask<Throwable> answer = sendQuery(clients.get(0));
+            World.await("in the receive buffer", () -> smallFront.bytesWaiting(0) > before + STATEMENT_MIN_BYTES);
+            return answer;
         }
 
         @Override
         public void close() throws IOException {
-            decided.close();
-            looked.close();
-            pool.close();
+            beforeRead.close();
+            beforeClose.close();
+            smallFront.close();
         }
     }
 
     @ParameterizedTest
-    @CsvSource({"PG,ROOM", "PG,SILENCE", "PG,SENT_AWAY", "MYSQL,ROOM", "MYSQL,SENT_AWAY"})
-    void whatComesBeforeTheLastLookIsAnswered(SmallFront.Protocol protocol, Path path) throws Exception {
-        try (Decided front = new Decided(protocol, path)) {
-            FutureTask<Throwable> asked = front.asks();
-            front.decided.resume();
-            SQLException answer = assertInstanceOf(SQLException.class, asked.get());
-            assertEquals(
-                    protocol == SmallFront.Protocol.PG ? "53300" : "42000", answer.getSQLState(), answer.toString());
+    @CsvSource({"PG,MADE_ROOM", "PG,SILENCE", "PG,SENT_AWAY", "MYSQL,MADE_ROOM", "MYSQL,SENT_AWAY"})
+    void statementBeforeTheFinalReadIsAnswered(SmallFront.Protocol protocol, Cause cause) throws Exception {
+        try (PendingClose pending = new PendingClose(protocol, cause)) {
+            FutureTask<Throwable> answer = pending.sendStatement();
+            pending.beforeRead.resume();
+            SQLException error = assertInstanceOf(SQLException.class, answer.get());
+            assertEquals(protocol == SmallFront.Protocol.PG ? "53300" : "42000", error.getSQLState(), error.toString());
         }
     }
 
     @ParameterizedTest
-    @CsvSource({"PG,ROOM", "PG,SILENCE", "PG,SENT_AWAY", "MYSQL,ROOM", "MYSQL,SENT_AWAY"})
-    void whatComesBeforeTheEndIsLeftUnreadUnderAReset(SmallFront.Protocol protocol, Path path) throws Exception {
-        try (Decided front = new Decided(protocol, path)) {
-            front.looked.pauseAtNextRead();
-            front.decided.resume();
-            front.looked.awaitPaused();
-            assertTrue(front.pool.links.get(0).isBarred(), "the last look has been taken");
-            FutureTask<Throwable> asked = front.asks();
-            front.looked.resume();
-            assertInstanceOf(SocketException.class, asked.get());
+    @CsvSource({"PG,MADE_ROOM", "PG,SILENCE", "PG,SENT_AWAY", "MYSQL,MADE_ROOM", "MYSQL,SENT_AWAY"})
+    void statementAfterTheFinalReadGetsAReset(SmallFront.Protocol protocol, Cause cause) throws Exception {
+        try (PendingClose pending = new PendingClose(protocol, cause)) {
+            pending.beforeClose.pauseAtNextRead();
+            pending.beforeRead.resume();
+            pending.beforeClose.awaitPaused();
+            assertTrue(pending.smallFront.links.get(0).isReadingStopped(), "the final read has been done");
+            FutureTask<Throwable> answer = pending.sendStatement();
+            pending.beforeClose.resume();
+            assertInstanceOf(SocketException.class, answer.get());
         }
     }
 
     /**
-     * A connection past the bound on clients, whose startup and first statements come as it is ended for saying
-     * nothing.
+     * A connection over the limit on clients, whose startup and first statement arrive while it is closed as silent.
      */
     @Test
-    void whatANewcomerPastTheBoundSendsAsItEndsIsLeftUnreadUnderAReset() throws Exception {
-        try (SmallFront pool = new SmallFront(SmallFront.Protocol.PG);
-                HeldSockets decided = new HeldSockets(pool.net);
-                HeldSockets looked = new HeldSockets(pool.net)) {
-            pool.fillWithBusyClients();
-            try (Socket newcomer =
-                    new Socket("127.0.0.1", pool.listener.address().getPort())) {
-                newcomer.setSoTimeout(10_000);
-                World.await("taken", () -> pool.links.size() == SmallFront.MOST + 1);
-                decided.pause();
-                World.await("decided", pool.links.get(SmallFront.MOST)::isRetiring);
-                looked.pauseAtNextRead();
-                decided.resume();
-                looked.awaitPaused();
-                newcomer.getOutputStream().write("\0\0\0\20\0\3\0\0user\0\0\0\0Q\0\0\0\5\0".getBytes(ISO_8859_1));
-                World.await("in the machine", () -> pool.bytesWaiting(SmallFront.MOST) > 0);
-                looked.resume();
+    void clientOverTheLimitThatSendsAfterTheFinalReadGetsAReset() throws Exception {
+        try (SmallFront smallFront = new SmallFront(SmallFront.Protocol.PG);
+                HeldSockets beforeRead = new HeldSockets(smallFront.net);
+                HeldSockets beforeClose = new HeldSockets(smallFront.net)) {
+            smallFront.fillWithBusyClients();
+            try (Socket newClient =
+                    new Socket("127.0.0.1", smallFront.listener.address().getPort())) {
+                newClient.setSoTimeout(10_000);
+                World.await("accepted", () -> smallFront.links.size() == SmallFront.MAX_CLIENTS + 1);
+                beforeRead.pause();
+                World.await("decided", smallFront.links.get(SmallFront.MAX_CLIENTS)::isRetiring);
+                beforeClose.pauseAtNextRead();
+                beforeRead.resume();
+                beforeClose.awaitPaused();
+                newClient.getOutputStream().write("\0\0\0\20\0\3\0\0user\0\0\0\0Q\0\0\0\5\0".getBytes(ISO_8859_1));
+                World.await("in the receive buffer", () -> smallFront.bytesWaiting(SmallFront.MAX_CLIENTS) > 0);
+                beforeClose.resume();
                 assertThrows(
-                        SocketException.class, () -> newcomer.getInputStream().read());
+                        SocketException.class, () -> newClient.getInputStream().read());
             }
         }
     }
 
-    /** Without anything unread the end is one in order, as ever. */
+    /** If nothing is unread the client sees an orderly end. */
     @ParameterizedTest
     @CsvSource({"PG", "MYSQL"})
-    void anEndThatNothingCrossesIsInOrder(SmallFront.Protocol protocol) throws Exception {
-        try (SmallFront pool = new SmallFront(protocol);
-                Socket client = new Socket("127.0.0.1", pool.listener.address().getPort())) {
+    void closeWithoutUnreadInputIsOrderly(SmallFront.Protocol protocol) throws Exception {
+        try (SmallFront smallFront = new SmallFront(protocol);
+                Socket client =
+                        new Socket("127.0.0.1", smallFront.listener.address().getPort())) {
             client.setSoTimeout(10_000);
-            World.await("taken", () -> pool.links.size() == 1);
-            pool.loop.post(pool.closeFront);
+            World.await("accepted", () -> smallFront.links.size() == 1);
+            smallFront.loop.post(smallFront.closeFront);
             DataInputStream in = new DataInputStream(client.getInputStream());
             if (protocol == SmallFront.Protocol.MYSQL) {
                 byte[] head = in.readNBytes(4);
                 in.skipNBytes(head[0] & 255);
             }
             assertEquals(-1, in.read());
-            assertTrue(pool.links.get(0).isBarred());
+            assertTrue(smallFront.links.get(0).isReadingStopped());
         }
     }
 
     /**
-     * A connection that was asked to end, is used after all, and then ends with its last word: a late last look takes
-     * nothing of that.
+     * A connection whose close was requested is used after all and then finished: a final read that runs late must not
+     * discard what is left to flush.
      */
     @Test
-    void aLastLookThatComesLateCutsNoLastWord() throws Exception {
-        byte[] lastWord = new byte[8 << 20];
-        try (SmallFront pool = new SmallFront(SmallFront.Protocol.PG);
-                HeldSockets sockets = new HeldSockets(pool.net);
-                Socket client = new Socket("127.0.0.1", pool.listener.address().getPort())) {
+    void lateFinalReadDoesNotTruncateTheFinalAnswer() throws Exception {
+        byte[] finalAnswer = new byte[8 << 20];
+        try (SmallFront smallFront = new SmallFront(SmallFront.Protocol.PG);
+                HeldSockets sockets = new HeldSockets(smallFront.net);
+                Socket client =
+                        new Socket("127.0.0.1", smallFront.listener.address().getPort())) {
             client.setSoTimeout(10_000);
-            World.await("taken", () -> pool.links.size() == 1);
+            World.await("accepted", () -> smallFront.links.size() == 1);
             sockets.pause();
-            Link link = pool.links.get(0);
-            pool.loop.post(() -> {
+            Link link = smallFront.links.get(0);
+            smallFront.loop.post(() -> {
                 link.retire(0, EndReason.MADE_ROOM);
-                link.write(lastWord);
+                link.write(finalAnswer);
                 link.finish();
             });
-            World.await("decided", link::isBarred);
+            World.await("decided", link::isReadingStopped);
             sockets.resume();
-            assertEquals(lastWord.length, client.getInputStream().readAllBytes().length);
+            assertEquals(finalAnswer.length, client.getInputStream().readAllBytes().length);
         }
     }
 }
--- a/daemon/src/test/java/lupinvalve/net/EndsTest.java
+++ b/daemon/src/test/java/lupinvalve/net/EndsTest.java
@@ -16,14 +16,14 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Ends that the pooler chooses while a request is on its way: the core is held up, so that the request has been read
- * and framed but not told when the core decides. There is no db node, so the answer is a refusal; what counts is that
- * there is one.
+ * Closes that the pooler decides on while a request is in flight: the core is paused, so that the request has been read
+ * and framed but not delivered when the core decides. There is no db node, so the answer is a rejection; what counts is
+ * that there is an answer.
  */
 class EndsTest {
-    /** What a query ends as: the error's code. */
-    private static FutureTask<String> ask(Connection client, String id) {
-        FutureTask<String> asked = new FutureTask<>(() -> {
+    /** Sends a query; its result is the error's codes, or "served". */
+    private static FutureTask<String> sendQuery(Connection client, String id) {
+        FutureTask<String> answer = new FutureTask<>(() -> {
             try {
                 client.createStatement()
                         .executeQuery("SELECT blob FROM rows WHERE handle = 'k1' /* id=" + id
@@ -33,112 +33,113 @@
                 return e.getSQLState() + " " + e.getErrorCode();
             }
         });
-        World.thread(asked::run);
-        return asked;
+        World.thread(answer::run);
+        return answer;
     }
 
-    private static String refused(SmallFront.Protocol protocol) {
+    private static String rejection(SmallFront.Protocol protocol) {
         return protocol == SmallFront.Protocol.PG ? "53300 0" : "42000 1226";
     }
 
     @ParameterizedTest
     @EnumSource
-    void a_connection_whose_request_is_under_way_does_not_make_room(SmallFront.Protocol protocol) throws Exception {
-        try (SmallFront pool = new SmallFront(protocol)) {
-            List<Connection> resting = new ArrayList<>();
-            for (int i = 0; i < SmallFront.MOST; i++) {
-                resting.add(pool.client());
-                assertEquals(refused(protocol), ask(resting.get(i), "a" + i).get());
+    void connectionWithRequestInFlightIsNotEvicted(SmallFront.Protocol protocol) throws Exception {
+        try (SmallFront front = new SmallFront(protocol)) {
+            List<Connection> idle = new ArrayList<>();
+            for (int i = 0; i < SmallFront.MAX_CLIENTS; i++) {
+                idle.add(front.client());
+                assertEquals(
+                        rejection(protocol), sendQuery(idle.get(i), "a" + i).get());
             }
-            long rested = System.nanoTime();
-            World.await("rested", () -> System.nanoTime() - rested > 200_000_000L);
-            pool.hold();
-            FutureTask<Connection> newcomer = new FutureTask<>(pool::client);
-            World.thread(newcomer::run);
-            World.await("connected", () -> pool.links.size() == SmallFront.MOST + 1);
-            FutureTask<String> asked = ask(resting.get(0), "b");
-            World.await("read", pool.links.get(0)::more);
-            pool.letGo();
-            assertEquals(refused(protocol), asked.get());
-            // The next one had nothing under way.
-            newcomer.get().close();
-            assertTrue(ask(resting.get(1), "c").get().startsWith("08"));
+            long idleStartNanos = System.nanoTime();
+            World.await("idle long enough", () -> System.nanoTime() - idleStartNanos > 200_000_000L);
+            front.pauseCore();
+            FutureTask<Connection> newClient = new FutureTask<>(front::client);
+            World.thread(newClient::run);
+            World.await("connected", () -> front.links.size() == SmallFront.MAX_CLIENTS + 1);
+            FutureTask<String> answer = sendQuery(idle.get(0), "b");
+            World.await("read", front.links.get(0)::hasMoreInput);
+            front.resumeCore();
+            assertEquals(rejection(protocol), answer.get());
+            // The next one had no request in flight.
+            newClient.get().close();
+            assertTrue(sendQuery(idle.get(1), "c").get().startsWith("08"));
         }
     }
 
     @ParameterizedTest
     @EnumSource
-    void a_request_that_crosses_with_the_end_of_the_program_is_answered(SmallFront.Protocol protocol) throws Exception {
-        try (SmallFront pool = new SmallFront(protocol);
-                Connection client = pool.client();
-                Connection idle = pool.client()) {
-            // One that was only just opened would be given a moment for its first request.
-            assertEquals(refused(protocol), ask(idle, "i").get());
-            pool.hold();
-            pool.loop.post(pool.closeFront);
-            FutureTask<String> asked = ask(client, "d");
-            World.await("read", pool.links.get(0)::more);
-            pool.letGo();
-            assertEquals(refused(protocol), asked.get());
-            assertTrue(ask(idle, "e").get().startsWith("08"));
+    void requestThatCrossesWithShutdownIsAnswered(SmallFront.Protocol protocol) throws Exception {
+        try (SmallFront front = new SmallFront(protocol);
+                Connection client = front.client();
+                Connection idle = front.client()) {
+            // A connection that was only just opened would get some time for its first request.
+            assertEquals(rejection(protocol), sendQuery(idle, "i").get());
+            front.pauseCore();
+            front.loop.post(front.closeFront);
+            FutureTask<String> answer = sendQuery(client, "d");
+            World.await("read", front.links.get(0)::hasMoreInput);
+            front.resumeCore();
+            assertEquals(rejection(protocol), answer.get());
+            assertTrue(sendQuery(idle, "e").get().startsWith("08"));
         }
     }
 
     @ParameterizedTest
     @EnumSource
-    void a_request_under_way_is_answered_before_its_silent_connection_ends(SmallFront.Protocol protocol)
-            throws Exception {
-        try (SmallFront pool = new SmallFront(protocol);
-                Connection client = pool.client()) {
-            // Logged in, but without a command so far: silent to the front.
-            World.await("told", () -> !pool.links.get(0).more());
-            pool.hold();
-            pool.fill();
-            FutureTask<String> asked = ask(client, "f");
-            World.await("read", pool.links.get(0)::more);
+    void requestInFlightIsAnsweredBeforeSilentConnectionCloses(SmallFront.Protocol protocol) throws Exception {
+        try (SmallFront front = new SmallFront(protocol);
+                Connection client = front.client()) {
+            // Logged in but without a command so far, which makes it silent for the front.
+            World.await("delivered", () -> !front.links.get(0).hasMoreInput());
+            front.pauseCore();
+            front.fillQueue();
+            FutureTask<String> answer = sendQuery(client, "f");
+            World.await("read", front.links.get(0)::hasMoreInput);
             long start = System.nanoTime();
             World.await("due", () -> System.nanoTime() - start > 2_700_000_000L);
-            pool.letGo();
-            assertTrue(asked.get().startsWith(refused(protocol)));
+            front.resumeCore();
+            assertTrue(answer.get().startsWith(rejection(protocol)));
         }
     }
 
     @ParameterizedTest
     @EnumSource
-    void newcomers_past_the_bound_are_told_so_whatever_has_been_read(SmallFront.Protocol protocol) throws Exception {
-        try (SmallFront pool = new SmallFront(protocol)) {
+    void clientsOverTheLimitGetAnErrorWhateverHasBeenRead(SmallFront.Protocol protocol) throws Exception {
+        try (SmallFront front = new SmallFront(protocol)) {
             List<Connection> first = new ArrayList<>();
-            for (int i = 0; i < SmallFront.MOST; i++) {
-                first.add(pool.client());
-                assertEquals(refused(protocol), ask(first.get(i), "g" + i).get());
+            for (int i = 0; i < SmallFront.MAX_CLIENTS; i++) {
+                first.add(front.client());
+                assertEquals(
+                        rejection(protocol), sendQuery(first.get(i), "g" + i).get());
             }
-            // Busy while the newcomers are told of, so that there is nobody to make room.
-            pool.hold();
+            // All are busy when the core hears of the new clients, so that none can be evicted.
+            front.pauseCore();
             List<FutureTask<String>> busy = new ArrayList<>();
-            for (int i = 0; i < SmallFront.MOST; i++) {
-                busy.add(ask(first.get(i), "h" + i));
-                World.await("read", pool.links.get(i)::more);
+            for (int i = 0; i < SmallFront.MAX_CLIENTS; i++) {
+                busy.add(sendQuery(first.get(i), "h" + i));
+                World.await("read", front.links.get(i)::hasMoreInput);
             }
             byte[] bytes = "\0\0\0\20\0\3\0\0user\0\0\0\0Q\0\0\0\5\0".getBytes(ISO_8859_1);
             List<Socket> newcomers = new ArrayList<>();
             for (int i = 0; i < 40; i++) {
-                Socket socket = new Socket("127.0.0.1", pool.listener.address().getPort());
+                Socket socket = new Socket("127.0.0.1", front.listener.address().getPort());
                 socket.setSoTimeout(10_000);
                 newcomers.add(socket);
-                int count = SmallFront.MOST + i + 1;
+                int count = SmallFront.MAX_CLIENTS + i + 1;
                 socket.getOutputStream().write(bytes, 0, 1);
                 World.await(
                         "begun",
-                        () -> pool.links.size() == count
-                                && pool.links.get(count - 1).more());
+                        () -> front.links.size() == count
+                                && front.links.get(count - 1).hasMoreInput());
             }
-            pool.fill();
+            front.fillQueue();
             for (int i = 0; i < 40; i++) {
-                Link link = pool.links.get(SmallFront.MOST + i);
+                Link link = front.links.get(SmallFront.MAX_CLIENTS + i);
                 newcomers.get(i).getOutputStream().write(bytes, 1, bytes.length - 1);
-                World.await("read", () -> link.read() == bytes.length);
+                World.await("read", () -> link.bytesRead() == bytes.length);
             }
-            pool.letGo();
+            front.resumeCore();
             for (Socket socket : newcomers) {
                 int type = protocol == SmallFront.Protocol.PG
                         ? socket.getInputStream().read()
@@ -146,36 +147,36 @@
                 assertEquals(protocol == SmallFront.Protocol.PG ? 'E' : 255, type);
                 socket.close();
             }
-            for (FutureTask<String> asked : busy) {
-                assertEquals(refused(protocol), asked.get());
+            for (FutureTask<String> answer : busy) {
+                assertEquals(rejection(protocol), answer.get());
             }
         }
     }
 
-    /** Statements that come with a startup past the bound have been read: each is told that it is refused. */
+    /** Statements that arrive together with a startup over the limit have been read, so each gets its own rejection. */
     @Test
-    void eachStatementOfANewcomerPastTheBoundIsRefused() throws Exception {
-        try (SmallFront pool = new SmallFront(SmallFront.Protocol.PG)) {
-            pool.fillWithBusyClients();
+    void eachStatementOfAClientOverTheLimitIsRejected() throws Exception {
+        try (SmallFront front = new SmallFront(SmallFront.Protocol.PG)) {
+            front.fillWithBusyClients();
             byte[] startup = "\0\0\0\20\0\3\0\0user\0\0\0\0".getBytes(ISO_8859_1);
             byte[] statement = "Q\0\0\0\15SELECT 1\0".getBytes(ISO_8859_1);
-            try (Socket newcomer =
-                    new Socket("127.0.0.1", pool.listener.address().getPort())) {
-                newcomer.setSoTimeout(10_000);
-                World.await("taken", () -> pool.links.size() == SmallFront.MOST + 1);
-                pool.hold();
-                Link link = pool.links.get(SmallFront.MOST);
-                newcomer.getOutputStream().write(startup);
-                World.await("read", () -> link.read() == startup.length);
+            try (Socket newClient =
+                    new Socket("127.0.0.1", front.listener.address().getPort())) {
+                newClient.setSoTimeout(10_000);
+                World.await("accepted", () -> front.links.size() == SmallFront.MAX_CLIENTS + 1);
+                front.pauseCore();
+                Link link = front.links.get(SmallFront.MAX_CLIENTS);
+                newClient.getOutputStream().write(startup);
+                World.await("read", () -> link.bytesRead() == startup.length);
                 for (int i = 1; i <= 3; i++) {
                     int count = startup.length + i * statement.length;
-                    newcomer.getOutputStream().write(statement);
-                    World.await("read", () -> link.read() == count);
+                    newClient.getOutputStream().write(statement);
+                    World.await("read", () -> link.bytesRead() == count);
                 }
-                pool.letGo();
+                front.resumeCore();
                 // One for the startup, which came alone, and one for each statement.
-                String told = new String(newcomer.getInputStream().readAllBytes(), ISO_8859_1);
-                assertEquals(4, told.split("C53300").length - 1, told);
+                String answers = new String(newClient.getInputStream().readAllBytes(), ISO_8859_1);
+                assertEquals(4, answers.split("C53300").length - 1, answers);
             }
         }
     }
--- a/daemon/src/test/java/lupinvalve/net/FirstByteTest.java
+++ b/daemon/src/test/java/lupinvalve/net/FirstByteTest.java
@@ -1,10 +1,10 @@
 package lupinvalve.net;
 
-import static lupinvalve.net.HeldCore.answer;
-import static lupinvalve.net.HeldCore.ask;
-import static lupinvalve.net.HeldCore.booking;
 import static lupinvalve.net.HeldCore.draining;
 import static lupinvalve.net.HeldCore.entry;
+import static lupinvalve.net.HeldCore.insertQuery;
+import static lupinvalve.net.HeldCore.readAnswer;
+import static lupinvalve.net.HeldCore.sendQuery;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.net.Socket;
@@ -14,54 +14,54 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What was decided goes out in the time for which the decision holds, or not at all: a drain counts at the first byte.
+ * A request is sent while the decision for it is valid, or not at all: a drain is obeyed by the time of the first byte.
  */
 class FirstByteTest {
     @Test
-    void whatASlowThreadHasNotBegunToWriteDoesNotGoToADbNodeThatDrains() throws Exception {
+    void requestDelayedBySlowIoThreadIsNotSentToADrainingDbNode() throws Exception {
         try (DbNode primary = new DbNode("p", true);
                 HeldCore pooler = new HeldCore(text -> text, entry(primary, "p", 0));
                 HeldSockets sockets = new HeldSockets(pooler.net);
                 Socket client = pooler.client()) {
-            // A connection rests, so that the request is written as soon as it is decided.
-            ask(client, booking("y", 2000));
-            assertEquals(List.of("T", "D", "C"), answer(client));
-            HeldCore.Stop before = pooler.stop();
-            before.reached();
-            ask(client, booking("a", 2000));
-            World.await("read", pooler.links.get(0)::more);
+            // An idle connection makes the core write the request as soon as it has decided.
+            sendQuery(client, insertQuery("y", 2000));
+            assertEquals(List.of("T", "D", "C"), readAnswer(client));
+            HeldCore.Pause beforeDecision = pooler.pauseCore();
+            beforeDecision.awaitReached();
+            sendQuery(client, insertQuery("a", 2000));
+            World.await("read", pooler.links.get(0)::hasMoreInput);
             sockets.pause();
-            before.letGo();
+            beforeDecision.resume();
             pooler.onCore(() -> null);
-            long decided = pooler.loop.now();
-            pooler.listed(draining(primary, "p"));
-            World.await("its time is over", () -> pooler.loop.now() > decided + 320_000);
+            long decidedMicros = pooler.loop.now();
+            pooler.applyUpdate(draining(primary, "p"));
+            World.await("send deadline passed", () -> pooler.loop.now() > decidedMicros + 320_000);
             sockets.resume();
-            assertEquals(List.of("53300"), answer(client));
+            assertEquals(List.of("53300"), readAnswer(client));
             assertEquals(1, primary.seen.size(), primary.seen.toString());
         }
     }
 
     @Test
-    void whatASlowThreadHasNotBegunToWriteIsDecidedAnew() throws Exception {
+    void requestDelayedBySlowIoThreadIsRoutedAgain() throws Exception {
         try (DbNode primary = new DbNode("p", true);
                 HeldCore pooler = new HeldCore(text -> text, entry(primary, "p", 0));
                 HeldSockets sockets = new HeldSockets(pooler.net);
                 Socket client = pooler.client()) {
-            ask(client, booking("y", 2000));
-            assertEquals(List.of("T", "D", "C"), answer(client));
-            HeldCore.Stop before = pooler.stop();
-            before.reached();
-            ask(client, booking("a", 2000));
-            World.await("read", pooler.links.get(0)::more);
+            sendQuery(client, insertQuery("y", 2000));
+            assertEquals(List.of("T", "D", "C"), readAnswer(client));
+            HeldCore.Pause beforeDecision = pooler.pauseCore();
+            beforeDecision.awaitReached();
+            sendQuery(client, insertQuery("a", 2000));
+            World.await("read", pooler.links.get(0)::hasMoreInput);
             sockets.pause();
-            before.letGo();
+            beforeDecision.resume();
             pooler.onCore(() -> null);
-            long decided = pooler.loop.now();
-            World.await("its time is over", () -> pooler.loop.now() > decided + 320_000);
+            long decidedMicros = pooler.loop.now();
+            World.await("send deadline passed", () -> pooler.loop.now() > decidedMicros + 320_000);
             sockets.resume();
-            // Nothing drains: it goes out once, on another connection.
-            assertEquals(List.of("T", "D", "C"), answer(client));
+            // No db node drains: the request is sent once, on another connection.
+            assertEquals(List.of("T", "D", "C"), readAnswer(client));
             assertEquals(2, primary.seen.size(), primary.seen.toString());
             assertEquals(2, primary.met.get());
         }
--- a/daemon/src/test/java/lupinvalve/net/HeldCore.java
+++ b/daemon/src/test/java/lupinvalve/net/HeldCore.java
@@ -32,7 +32,7 @@
 import lupinvalve.routing.EndpointState;
 import lupinvalve.routing.ListForm;
 
-/** A pooler on real sockets whose core can be held up at a point, and whose list is given by hand. */
+/** A pooler on real sockets whose core can be paused at a point of its queue, and whose endpoint list the test sets. */
 final class HeldCore implements Closeable {
     final EventLoop loop = new EventLoop();
     final Net net = new Net(loop);
@@ -51,12 +51,12 @@
         pooler.discovery(new EndpointDiscovery() {
             @Override
             public void subscribe(boolean active) {
-                // The list is given by hand.
+                // The test sets the list.
             }
 
             @Override
             public void fetch() {
-                // Likewise.
+                // The test sets the list.
             }
 
             @Override
@@ -88,19 +88,19 @@
                 new Endpoint(id, 1, 0, EndpointState.DRAINING, node.primary, 0), live.addresses());
     }
 
-    static DiscoveredEndpoint gone(String id) {
+    static DiscoveredEndpoint departed(String id) {
         return new DiscoveredEndpoint(new Endpoint(id, 1, 0, EndpointState.DEPARTED, false, 0), Map.of());
     }
 
-    void listed(DiscoveredEndpoint... entries) throws Exception {
+    void applyUpdate(DiscoveredEndpoint... entries) throws Exception {
         onCore(() -> {
             pooler.onEndpointListEvent(new EndpointListEvent(ListForm.UPDATE, List.of(entries)));
             return null;
         });
     }
 
-    /** The whole list, which may say what was told before. */
-    void listedWhole(DiscoveredEndpoint... entries) throws Exception {
+    /** Applies a full list, which may be older than its arrival. */
+    void applyFullList(DiscoveredEndpoint... entries) throws Exception {
         onCore(() -> {
             pooler.onEndpointListEvent(new EndpointListEvent(ListForm.FULL, List.of(entries)));
             return null;
@@ -108,73 +108,74 @@
     }
 
     /** Requests that are open. */
-    int requests() throws Exception {
+    int openRequests() throws Exception {
         return onCore(pooler::openRequests);
     }
 
-    <T> T onCore(Supplier<T> asked) throws Exception {
+    <T> T onCore(Supplier<T> query) throws Exception {
         CompletableFuture<T> answer = new CompletableFuture<>();
-        loop.post(() -> answer.complete(asked.get()));
+        loop.post(() -> answer.complete(query.get()));
         return answer.get(10, TimeUnit.SECONDS);
     }
 
-    /** A point in the core's queue at which it stops until it is let go. */
-    final class Stop {
-        private final CountDownLatch reached = new CountDownLatch(1), go = new CountDownLatch(1);
+    /** A point in the core's queue at which the core waits until it is resumed. */
+    final class Pause {
+        private final CountDownLatch reached = new CountDownLatch(1);
+        private final CountDownLatch resumed = new CountDownLatch(1);
 
-        private Stop() {
+        private Pause() {
             loop.post(() -> {
                 reached.countDown();
                 try {
-                    go.await();
+                    resumed.await();
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 }
             });
         }
 
-        void reached() throws InterruptedException {
+        void awaitReached() throws InterruptedException {
             reached.await();
         }
 
-        void letGo() {
-            go.countDown();
+        void resume() {
+            resumed.countDown();
         }
     }
 
-    /** Waits until MINA's thread has come round so often, and with that has read what was there. */
-    void rounds(int count) throws Exception {
+    /** Waits until MINA's thread has made this many rounds, and so has read what was there. */
+    void awaitSelectRounds(int count) throws Exception {
         for (int i = 0; i < count; i++) {
-            int before = links.size();
-            try (Socket newcomer = new Socket("127.0.0.1", listener.address().getPort())) {
-                World.await("come round", () -> links.size() > before && newcomer.isConnected());
+            int linksBefore = links.size();
+            try (Socket newClient = new Socket("127.0.0.1", listener.address().getPort())) {
+                World.await("select round done", () -> links.size() > linksBefore && newClient.isConnected());
             }
         }
     }
 
-    /** The core stops behind all that has been posted by now. */
-    Stop stop() {
-        return new Stop();
+    /** Pauses the core behind everything that has been posted by now. */
+    Pause pauseCore() {
+        return new Pause();
     }
 
-    /** A client's connection, after its startup; the link to it is the last of {@link #links}. */
+    /** A client's connection after its startup; its link is the last of {@link #links}. */
     Socket client() throws Exception {
         Socket socket = new Socket("127.0.0.1", listener.address().getPort());
         socket.setSoTimeout(10_000);
         socket.setTcpNoDelay(true);
         socket.getOutputStream().write("\0\0\0\20\0\3\0\0user\0\0\0\0".getBytes(ISO_8859_1));
-        answer(socket);
+        readAnswer(socket);
         return socket;
     }
 
-    static void ask(Socket client, String query) throws IOException {
+    static void sendQuery(Socket client, String query) throws IOException {
         int length = query.length() + 5;
         client.getOutputStream()
                 .write(("Q\0\0" + (char) (length >> 8) + (char) (length & 255) + query + "\0").getBytes(ISO_8859_1));
     }
 
-    /** What comes up to ReadyForQuery: types, and of errors the code; "end" where the connection is over. */
-    static List<String> answer(Socket client) throws IOException {
+    /** Reads up to ReadyForQuery: the types of the messages, for errors the code; "end" if the connection ends. */
+    static List<String> readAnswer(Socket client) throws IOException {
         DataInputStream in = new DataInputStream(client.getInputStream());
         List<String> got = new ArrayList<>();
         while (true) {
@@ -194,12 +195,12 @@
         }
     }
 
-    static String read(String id, String kind, int wait) {
+    static String selectQuery(String id, String kind, int wait) {
         return "SELECT blob FROM rows WHERE handle = 'k1' /* id=" + id + ",c=" + kind + ",t=acme,d=" + wait
                 + ",cluster=1 */";
     }
 
-    static String booking(String id, int wait) {
+    static String insertQuery(String id, int wait) {
         return "INSERT INTO rows (handle, blob) VALUES ('k1', '\\x9f') RETURNING blob /* id=" + id
                 + ",c=pickup-booking,t=acme,d=" + wait + ",cluster=1 */";
     }
--- a/daemon/src/test/java/lupinvalve/net/HeldLinkTest.java
+++ b/daemon/src/test/java/lupinvalve/net/HeldLinkTest.java
@@ -19,10 +19,10 @@
 import org.apache.mina.core.session.DummySession;
 import org.junit.jupiter.api.Test;
 
-/** What keeps long answers in their peers' machines instead of in this one's memory. */
+/** Flow control: long answers that are not read, and incomplete messages, must not fill this process's memory. */
 class HeldLinkTest {
-    /** The wire of these tests: every byte is a message. */
-    private static final Framer BYTES = (bytes, from, to, out) -> {
+    /** Makes one message of every read. */
+    private static final Framer EVERY_READ = (bytes, from, to, out) -> {
         out.add(Arrays.copyOfRange(bytes, from, to));
         return to;
     };
@@ -36,7 +36,7 @@
 
             @Override
             public void messages(Link link, List<byte[]> messages, long atMicros) {
-                // Counted by the link itself.
+                // The link itself counts the bytes.
             }
 
             @Override
@@ -52,30 +52,31 @@
     }
 
     @Test
-    void messagesThatAreNotWholeShareOneBudgetAndGiveItBack() throws Exception {
+    void incompleteMessagesShareOneBudgetAndReleaseIt() throws Exception {
         EventLoop loop = new EventLoop();
         loop.start();
-        Room room = new Room(10_000);
+        ByteBudget budget = new ByteBudget(10_000);
         List<String> faults = new CopyOnWriteArrayList<>();
         Framer never = (bytes, from, to, out) -> from;
         List<Link> links = new ArrayList<>();
         try {
             for (int i = 0; i < 4; i++) {
-                links.add(new Link(loop, i == 3 ? BYTES : never, events(new AtomicReference<>(), faults), room, false));
-                links.get(i).received(new DummySession(), IoBuffer.allocate(4500));
+                links.add(new Link(
+                        loop, i == 3 ? EVERY_READ : never, events(new AtomicReference<>(), faults), budget, false));
+                links.get(i).onReceived(new DummySession(), IoBuffer.allocate(4500));
             }
-            World.await("the third has no room", () -> faults.size() > 0);
-            assertEquals(2 * 4500, room.taken());
-            // Those that were begun in time go on, and what has ended makes room.
-            links.get(0).ended();
-            links.get(0).ended();
-            assertEquals(4500, room.taken());
-            links.get(1).received(new DummySession(), IoBuffer.allocate(4500));
-            assertEquals(9000, room.taken());
-            CountDownLatch told = new CountDownLatch(1);
-            loop.post(told::countDown);
-            told.await();
-            // The last one was whole at once, but had to be read first.
+            World.await("the third exceeds the budget", () -> faults.size() > 0);
+            assertEquals(2 * 4500, budget.takenBytes());
+            // Messages begun within the budget can be continued, and a connection that ends releases its share.
+            links.get(0).onClosed();
+            links.get(0).onClosed();
+            assertEquals(4500, budget.takenBytes());
+            links.get(1).onReceived(new DummySession(), IoBuffer.allocate(4500));
+            assertEquals(9000, budget.takenBytes());
+            CountDownLatch delivered = new CountDownLatch(1);
+            loop.post(delivered::countDown);
+            delivered.await();
+            // The fourth link's message was complete at once, but its bytes needed the budget first.
             assertEquals(2, faults.size());
         } finally {
             loop.stop();
@@ -86,15 +87,17 @@
         void run(EventLoop loop, Net.Listener listener, Socket peer, Link link) throws Exception;
     }
 
-    /** A connection with a peer that reads nothing so far, and more written to it than the system takes. */
-    private static void unread(Consumer<Link> before, Body body) throws Exception {
+    /**
+     * Runs with a connection whose peer has read nothing so far, and with more written to it than the system accepts.
+     */
+    private static void withUnreadOutput(Consumer<Link> before, Body body) throws Exception {
         EventLoop loop = new EventLoop();
         Net net = new Net(loop);
         AtomicReference<Link> opened = new AtomicReference<>();
         Link.Events events = events(opened, new ArrayList<>());
         loop.start();
         Net.Listener listener =
-                net.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), () -> BYTES, events);
+                net.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), () -> EVERY_READ, events);
         try (Socket peer = new Socket()) {
             peer.setReceiveBufferSize(4096);
             peer.connect(listener.address());
@@ -122,24 +125,24 @@
     }
 
     @Test
-    void aHeldLinkReadsNothingAndRoomIsToldOnceThePeerHasRead() throws Exception {
-        unread(link -> link.pauseReading(true), (loop, listener, peer, link) -> {
-            CountDownLatch room = new CountDownLatch(1);
-            loop.post(() -> link.whenPendingAtMost(1000, room::countDown));
+    void pausedLinkReadsNothingAndDrainIsNotifiedOnceThePeerHasRead() throws Exception {
+        withUnreadOutput(link -> link.pauseReading(true), (loop, listener, peer, link) -> {
+            CountDownLatch drained = new CountDownLatch(1);
+            loop.post(() -> link.whenPendingAtMost(1000, drained::countDown));
             peer.getOutputStream().write(new byte[1000]);
             Thread.sleep(200);
-            assertTrue(link.pendingWriteBytes() > 0 && room.getCount() == 1, "nobody has read");
-            assertEquals(0, link.read(), "nothing has been read");
+            assertTrue(link.pendingWriteBytes() > 0 && drained.getCount() == 1, "nobody has read");
+            assertEquals(0, link.bytesRead(), "nothing has been read");
             readAll(peer);
-            room.await();
+            drained.await();
             loop.post(() -> link.pauseReading(false));
-            World.await("read", () -> link.read() == 1000);
+            World.await("read", () -> link.bytesRead() == 1000);
         });
     }
 
     @Test
-    void aConnectionThatHasEndedCountsUntilItsLastWordIsOut() throws Exception {
-        unread(link -> {}, (loop, listener, peer, link) -> {
+    void finishedConnectionCountsAsOpenUntilItIsFlushed() throws Exception {
+        withUnreadOutput(link -> {}, (loop, listener, peer, link) -> {
             CountDownLatch finished = new CountDownLatch(1);
             loop.post(() -> {
                 link.finish();
@@ -149,7 +152,7 @@
             Thread.sleep(200);
             assertEquals(1, listener.open());
             readAll(peer);
-            World.await("out", () -> listener.open() == 0);
+            World.await("flushed", () -> listener.open() == 0);
         });
     }
 }
--- a/daemon/src/test/java/lupinvalve/net/HeldSockets.java
+++ b/daemon/src/test/java/lupinvalve/net/HeldSockets.java
@@ -9,48 +9,51 @@
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
 
-/** Holds up the thread that reads and writes the sockets of a {@link Net}, as a machine does that gives it no time. */
+/**
+ * Pauses the thread that reads and writes the sockets of a {@link Net}, like a machine that gives it no time to run.
+ */
 public final class HeldSockets implements Closeable {
-    private final CountDownLatch held = new CountDownLatch(1), go = new CountDownLatch(1);
+    private final CountDownLatch paused = new CountDownLatch(1);
+    private final CountDownLatch resumed = new CountDownLatch(1);
     private final ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
     private final Socket peer;
 
     public HeldSockets(Net net) throws IOException {
-        net.dial(new InetSocketAddress("127.0.0.1", server.getLocalPort()), this::cut, new Silent());
+        net.dial(new InetSocketAddress("127.0.0.1", server.getLocalPort()), this::pauseInFramer, new Silent());
         peer = server.accept();
     }
 
-    private int cut(byte[] bytes, int from, int to, List<byte[]> out) {
-        held.countDown();
+    private int pauseInFramer(byte[] bytes, int from, int to, List<byte[]> out) {
+        paused.countDown();
         try {
-            go.await();
+            resumed.await();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
         return to;
     }
 
-    /** Returns once the thread stands still. */
+    /** Returns once the thread is paused. */
     public void pause() throws IOException, InterruptedException {
         pauseAtNextRead();
         awaitPaused();
     }
 
-    /** The thread will stand still once it comes to read what has come by now. */
+    /** Makes the thread pause when it reads what has arrived by now. */
     public void pauseAtNextRead() throws IOException {
         peer.getOutputStream().write(1);
     }
 
-    /** Waits until it stands still. */
+    /** Waits until the thread is paused. */
     public void awaitPaused() throws InterruptedException {
-        held.await();
+        paused.await();
     }
 
     public void resume() {
-        go.countDown();
+        resumed.countDown();
     }
 
-    /** Whether a core waits for what has come to its sockets. */
+    /** Whether some core thread waits for the sockets to be read. */
     public static boolean isAwaited() {
         return Thread.getAllStackTraces().values().stream().anyMatch(stack -> List.of(stack).stream()
                 .anyMatch(frame -> frame.getClassName().endsWith("ReadProgress")
@@ -67,17 +70,17 @@
     private static final class Silent implements Link.Events {
         @Override
         public void opened(Link link) {
-            // Nothing is said on it.
+            // Nothing is sent on it.
         }
 
         @Override
         public void messages(Link link, List<byte[]> messages, long atMicros) {
-            // None are cut.
+            // The framer produces no message.
         }
 
         @Override
         public void malformed(Link link, String why) {
-            // Nothing is read.
+            // The framer reports no error.
         }
 
         @Override
--- a/daemon/src/test/java/lupinvalve/net/LateConnectionTest.java
+++ b/daemon/src/test/java/lupinvalve/net/LateConnectionTest.java
@@ -1,12 +1,12 @@
 package lupinvalve.net;
 
-import static lupinvalve.net.HeldCore.answer;
-import static lupinvalve.net.HeldCore.ask;
-import static lupinvalve.net.HeldCore.booking;
+import static lupinvalve.net.HeldCore.departed;
 import static lupinvalve.net.HeldCore.draining;
 import static lupinvalve.net.HeldCore.entry;
-import static lupinvalve.net.HeldCore.gone;
-import static lupinvalve.net.HeldCore.read;
+import static lupinvalve.net.HeldCore.insertQuery;
+import static lupinvalve.net.HeldCore.readAnswer;
+import static lupinvalve.net.HeldCore.selectQuery;
+import static lupinvalve.net.HeldCore.sendQuery;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -18,12 +18,12 @@
 import lupinvalve.integration.World;
 import org.junit.jupiter.api.Test;
 
-/** What was decided when a connection was asked for may no longer hold once it is up, nor may it lead where it did. */
+/** A decision made when a connection was requested may be outdated once it is established, and so may its address. */
 class LateConnectionTest {
-    private static final UnaryOperator<String> AS_IT_IS = text -> text;
+    private static final UnaryOperator<String> UNCHANGED = text -> text;
 
     @Test
-    void aRepeatGoesOutWithinItsWindowOrNotAtAll() throws Exception {
+    void retryIsSentWithinItsWindowOrNotAtAll() throws Exception {
         try (DbNode primary = new DbNode("p", true);
                 HeldCore pooler = new HeldCore(
                         text -> text.replace("\"unsafe\"", "\"keyed\"")
@@ -31,25 +31,27 @@
                                 .replace("\"group\": \"all\"", "\"group\": \"cell\""),
                         entry(primary, "p", 0));
                 Socket client = pooler.client()) {
-            // The first attempt may have run; the repeat's connection comes up when the window is over.
+            // The first attempt may have run; the retry's connection is established after its window.
             primary.script.add(DbNode.Makes.DROP);
             primary.hold = new CountDownLatch(1);
-            ask(client, booking("a", 1900));
-            World.await("out", () -> primary.seen.size() == 1);
+            sendQuery(client, insertQuery("a", 1900));
+            World.await("request sent", () -> primary.seen.size() == 1);
             primary.greets = new CountDownLatch(1);
-            long dropped = System.nanoTime();
+            long droppedNanos = System.nanoTime();
             primary.hold.countDown();
-            World.await("repeat on its way", () -> primary.met.get() == 2);
-            assertTrue(System.nanoTime() - dropped < 250_000_000L, "too late on this machine to tell");
-            World.await("window over", () -> System.nanoTime() - dropped > 400_000_000L);
+            World.await("retry waits for its connection", () -> primary.met.get() == 2);
+            assertTrue(
+                    System.nanoTime() - droppedNanos < 250_000_000L,
+                    "this machine was too slow to test the retry window");
+            World.await("retry window passed", () -> System.nanoTime() - droppedNanos > 400_000_000L);
             primary.greets.countDown();
-            assertEquals(List.of("58000"), answer(client));
+            assertEquals(List.of("58000"), readAnswer(client));
             assertEquals(1, primary.seen.size(), primary.seen.toString());
         }
     }
 
     @Test
-    void aReadGoesOutWhileItsDbNodeIsFreshEnoughOrNotThere() throws Exception {
+    void readIsNotSentToADbNodeThatHasBecomeStale() throws Exception {
         try (DbNode primary = new DbNode("p", true);
                 DbNode replica = new DbNode("r", false);
                 HeldCore pooler = new HeldCore(
@@ -58,17 +60,17 @@
                         entry(primary, "p", 0),
                         entry(replica, "r", 0));
                 Socket client = pooler.client()) {
-            // Read until both have told what they have, then the replica stands still.
+            // Read until both positions are known; then the replica's position stops advancing.
             World.await("the replica serves", () -> {
                 try {
-                    ask(client, read("a" + System.nanoTime(), "bag-status", 1900));
-                    return answer(client).contains("D") && !replica.seen.isEmpty();
+                    sendQuery(client, selectQuery("a" + System.nanoTime(), "bag-status", 1900));
+                    return readAnswer(client).contains("D") && !replica.seen.isEmpty();
                 } catch (java.io.IOException e) {
                     throw new IllegalStateException(e);
                 }
             });
-            long stands = System.currentTimeMillis();
-            replica.asOf = () -> stands;
+            long positionMillis = System.currentTimeMillis();
+            replica.asOf = () -> positionMillis;
             int seen = replica.seen.size();
             pooler.onCore(() -> {
                 pooler.pool.closeIdleConnections("r");
@@ -76,33 +78,33 @@
             });
             int met = replica.met.get();
             replica.greets = new CountDownLatch(1);
-            ask(client, read("b", "bag-status", 1900));
-            World.await("on its way", () -> replica.met.get() > met);
-            World.await("too old", () -> System.currentTimeMillis() > stands + 700);
+            sendQuery(client, selectQuery("b", "bag-status", 1900));
+            World.await("connection attempted", () -> replica.met.get() > met);
+            World.await("replica stale", () -> System.currentTimeMillis() > positionMillis + 700);
             replica.greets.countDown();
-            assertEquals(List.of("T", "D", "C"), answer(client));
+            assertEquals(List.of("T", "D", "C"), readAnswer(client));
             assertEquals(seen, replica.seen.size(), "sent to a db node that was too far behind by then");
             assertTrue(primary.seen.get(primary.seen.size() - 1).contains("id=b"));
         }
     }
 
     @Test
-    void whatWaitsForItsConnectionDoesNotGoToOneThatMayHaveBeenDrainedLongAgo() throws Exception {
+    void requestWaitingForAConnectionIsNotSentAfterADrainOfUnknownAge() throws Exception {
         try (DbNode primary = new DbNode("p", true);
-                HeldCore pooler = new HeldCore(AS_IT_IS, entry(primary, "p", 0));
+                HeldCore pooler = new HeldCore(UNCHANGED, entry(primary, "p", 0));
                 Socket client = pooler.client()) {
             primary.greets = new CountDownLatch(1);
-            ask(client, booking("a", 1900));
-            World.await("on its way", () -> primary.met.get() == 1);
-            pooler.listedWhole(draining(primary, "p"));
+            sendQuery(client, insertQuery("a", 1900));
+            World.await("connection attempted", () -> primary.met.get() == 1);
+            pooler.applyFullList(draining(primary, "p"));
             primary.greets.countDown();
-            assertEquals(List.of("53300"), answer(client));
+            assertEquals(List.of("53300"), readAnswer(client));
             assertEquals(List.of(), primary.seen);
         }
     }
 
     @Test
-    void whatWaitsForItsConnectionGoesToAPrimaryWhoseDrainIsNew() throws Exception {
+    void requestWaitingForAConnectionIsSentIfTheDrainIsRecent() throws Exception {
         try (DbNode primary = new DbNode("p", true);
                 HeldCore pooler = new HeldCore(
                         text -> text.replace(
@@ -110,80 +112,80 @@
                         entry(primary, "p", 0));
                 Socket client = pooler.client()) {
             primary.greets = new CountDownLatch(1);
-            ask(client, booking("a", 1900));
-            World.await("on its way", () -> primary.met.get() == 1);
-            pooler.listed(draining(primary, "p"));
+            sendQuery(client, insertQuery("a", 1900));
+            World.await("connection attempted", () -> primary.met.get() == 1);
+            pooler.applyUpdate(draining(primary, "p"));
             primary.greets.countDown();
-            assertEquals(List.of("T", "D", "C"), answer(client));
+            assertEquals(List.of("T", "D", "C"), readAnswer(client));
             assertEquals(1, primary.seen.size());
         }
     }
 
     @Test
-    void aRestingConnectionIsNotUsedOnceItsDbNodeIsElsewhere() throws Exception {
+    void idleConnectionIsNotUsedOnceItsDbNodeHasMoved() throws Exception {
         try (DbNode first = new DbNode("p", true);
                 DbNode second = new DbNode("p", true);
-                HeldCore pooler = new HeldCore(AS_IT_IS, entry(first, "p", 0));
+                HeldCore pooler = new HeldCore(UNCHANGED, entry(first, "p", 0));
                 Socket client = pooler.client()) {
-            ask(client, booking("a", 1000));
-            assertEquals(List.of("T", "D", "C"), answer(client));
-            pooler.listed(entry(second, "p", 0));
+            sendQuery(client, insertQuery("a", 1000));
+            assertEquals(List.of("T", "D", "C"), readAnswer(client));
+            pooler.applyUpdate(entry(second, "p", 0));
             World.await("closed", () -> first.open.get() == 0);
-            ask(client, booking("b", 1000));
-            assertEquals(List.of("T", "D", "C"), answer(client));
+            sendQuery(client, insertQuery("b", 1000));
+            assertEquals(List.of("T", "D", "C"), readAnswer(client));
             assertEquals(1, first.seen.size());
             assertEquals(1, second.seen.size());
         }
     }
 
     @Test
-    void aBusyConnectionIsNotUsedAgainOnceItsDbNodeHasLeftAndCameBackElsewhere() throws Exception {
+    void busyConnectionIsNotReusedOnceItsDbNodeHasLeftAndReturnedElsewhere() throws Exception {
         try (DbNode first = new DbNode("p", true);
                 DbNode second = new DbNode("p", true);
-                HeldCore pooler = new HeldCore(AS_IT_IS, entry(first, "p", 0));
+                HeldCore pooler = new HeldCore(UNCHANGED, entry(first, "p", 0));
                 Socket client = pooler.client()) {
             first.hold = new CountDownLatch(1);
-            ask(client, booking("a", 1900));
-            World.await("out", () -> first.seen.size() == 1);
-            pooler.listed(gone("p"));
-            pooler.listed(entry(second, "p", 0));
+            sendQuery(client, insertQuery("a", 1900));
+            World.await("request sent", () -> first.seen.size() == 1);
+            pooler.applyUpdate(departed("p"));
+            pooler.applyUpdate(entry(second, "p", 0));
             first.hold.countDown();
-            assertEquals(List.of("T", "D", "C"), answer(client));
+            assertEquals(List.of("T", "D", "C"), readAnswer(client));
             World.await("closed", () -> first.open.get() == 0);
-            ask(client, booking("b", 1900));
-            assertEquals(List.of("T", "D", "C"), answer(client));
+            sendQuery(client, insertQuery("b", 1900));
+            assertEquals(List.of("T", "D", "C"), readAnswer(client));
             assertEquals(1, first.seen.size());
             assertEquals(1, second.seen.size());
         }
     }
 
     @Test
-    void aRestartedDbNodeGetsNothingOnConnectionsFromBefore() throws Exception {
+    void connectionsFromBeforeARestartAreNotUsed() throws Exception {
         try (DbNode node = new DbNode("p", true);
-                HeldCore pooler = new HeldCore(AS_IT_IS, entry(node, "p", 0));
+                HeldCore pooler = new HeldCore(UNCHANGED, entry(node, "p", 0));
                 Socket client = pooler.client()) {
-            ask(client, booking("a", 1900));
-            assertEquals(List.of("T", "D", "C"), answer(client));
-            pooler.listed(entry(node, "p", System.currentTimeMillis() * 1000));
+            sendQuery(client, insertQuery("a", 1900));
+            assertEquals(List.of("T", "D", "C"), readAnswer(client));
+            pooler.applyUpdate(entry(node, "p", System.currentTimeMillis() * 1000));
             World.await("closed", () -> node.open.get() == 0);
-            ask(client, booking("b", 1900));
-            assertEquals(List.of("T", "D", "C"), answer(client));
+            sendQuery(client, insertQuery("b", 1900));
+            assertEquals(List.of("T", "D", "C"), readAnswer(client));
             assertEquals(2, node.met.get());
         }
     }
 
     @Test
-    void whatWaitsForAConnectionToAFormerAddressGoesToTheNewOne() throws Exception {
+    void requestWaitingForAConnectionToAnOldAddressIsSentToTheNewOne() throws Exception {
         try (DbNode first = new DbNode("p", true);
                 DbNode second = new DbNode("p", true);
-                HeldCore pooler = new HeldCore(AS_IT_IS, entry(first, "p", 0));
+                HeldCore pooler = new HeldCore(UNCHANGED, entry(first, "p", 0));
                 Socket client = pooler.client()) {
             first.greets = new CountDownLatch(1);
-            ask(client, booking("a", 1900));
-            World.await("on its way", () -> first.met.get() == 1);
-            pooler.listed(entry(second, "p", 0));
+            sendQuery(client, insertQuery("a", 1900));
+            World.await("connection attempted", () -> first.met.get() == 1);
+            pooler.applyUpdate(entry(second, "p", 0));
             first.greets.countDown();
-            assertEquals(List.of("T", "D", "C"), answer(client));
+            assertEquals(List.of("T", "D", "C"), readAnswer(client));
             assertEquals(List.of(), first.seen);
             assertEquals(1, second.seen.size());
             World.await("closed", () -> first.open.get() == 0);
--- a/daemon/src/test/java/lupinvalve/net/LinkFaultTest.java
+++ b/daemon/src/test/java/lupinvalve/net/LinkFaultTest.java
@@ -16,36 +16,36 @@
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
 
-/** Where the program can't give what is due, its peer hears so by a reset, never by an end in order. */
+/** If the program cannot send an answer that is owed, the peer sees a reset, never an orderly end. */
 class LinkFaultTest {
-    private static final Framer BYTES = (bytes, from, to, out) -> {
+    private static final Framer EVERY_READ = (bytes, from, to, out) -> {
         out.add(Arrays.copyOfRange(bytes, from, to));
         return to;
     };
-    private static final int MORE_THAN_BUFFERS_HOLD = 12 << 20;
+    private static final int MORE_THAN_BUFFERS_HOLD_BYTES = 12 << 20;
 
-    /** A front that does one thing with what it reads, and keeps why its connection ended. */
+    /** A front that does one thing with its input, and records why its connection ended. */
     private static final class Front implements Link.Events {
-        private final java.util.function.Consumer<Link> work;
+        private final java.util.function.Consumer<Link> onInput;
         private final CompletableFuture<EndReason> ended = new CompletableFuture<>();
 
-        Front(java.util.function.Consumer<Link> work) {
-            this.work = work;
+        Front(java.util.function.Consumer<Link> onInput) {
+            this.onInput = onInput;
         }
 
         @Override
         public void opened(Link link) {
-            // It waits to be spoken to.
+            // The client sends first.
         }
 
         @Override
         public void messages(Link link, List<byte[]> messages, long atMicros) {
-            work.accept(link);
+            onInput.accept(link);
         }
 
         @Override
         public void malformed(Link link, String why) {
-            work.accept(link);
+            onInput.accept(link);
         }
 
         @Override
@@ -55,16 +55,16 @@
     }
 
     @BeforeAll
-    static void quiet() {
+    static void silenceLog() {
         Log.setLevel(Log.Level.ERROR);
     }
 
     @AfterAll
-    static void loud() {
+    static void restoreLog() {
         Log.setLevel(Log.Level.INFO);
     }
 
-    private static void isReset(Framer framer, Front front, EndReason reason, boolean reads, int withinSeconds)
+    private static void assertReset(Framer framer, Front front, EndReason reason, boolean reads, int withinSeconds)
             throws Exception {
         EventLoop loop = new EventLoop();
         loop.start();
@@ -86,9 +86,9 @@
     }
 
     @Test
-    void aFaultInAFrontIsAReset() throws Exception {
-        isReset(
-                BYTES,
+    void faultInTheFrontResetsTheConnection() throws Exception {
+        assertReset(
+                EVERY_READ,
                 new Front(link -> {
                     throw new IllegalStateException("planted");
                 }),
@@ -98,8 +98,8 @@
     }
 
     @Test
-    void aFaultOnTheThreadOfTheSocketsIsAReset() throws Exception {
-        isReset(
+    void faultOnTheIoThreadResetsTheConnection() throws Exception {
+        assertReset(
                 (bytes, from, to, out) -> {
                     throw new IllegalStateException("planted");
                 },
@@ -111,10 +111,10 @@
 
     /** It is given 15 s, as one that reads slowly must get its answers. */
     @Test
-    void whoTakesNothingIsResetAfterAWhile() throws Exception {
-        isReset(
-                BYTES,
-                new Front(link -> link.write(new byte[MORE_THAN_BUFFERS_HOLD])),
+    void clientThatReadsNothingIsResetAfterAWhile() throws Exception {
+        assertReset(
+                EVERY_READ,
+                new Front(link -> link.write(new byte[MORE_THAN_BUFFERS_HOLD_BYTES])),
                 EndReason.READS_TOO_SLOWLY,
                 false,
                 30);
--- a/daemon/src/test/java/lupinvalve/net/SmallFront.java
+++ b/daemon/src/test/java/lupinvalve/net/SmallFront.java
@@ -27,12 +27,12 @@
 import lupinvalve.pg.PgFront;
 import org.apache.mina.core.session.IoSession;
 
-/** A front with a small table, and its core, which can be held up. */
+/** A front with a small table of clients, and a core that can be paused. */
 final class SmallFront implements Closeable {
     /** Clients that the table holds. */
-    static final int MOST = 4;
+    static final int MAX_CLIENTS = 4;
 
-    /** What the front speaks. */
+    /** The protocol of the front. */
     enum Protocol {
         PG,
         MYSQL
@@ -45,7 +45,7 @@
     private final List<Integer> ports = new CopyOnWriteArrayList<>();
     final Runnable closeFront;
     final Net.Listener listener;
-    private CountDownLatch held;
+    private CountDownLatch resumed;
 
     SmallFront(Protocol protocol) throws IOException {
         this.protocol = protocol;
@@ -55,24 +55,24 @@
         pooler.discovery(new EndpointDiscovery() {
             @Override
             public void subscribe(boolean active) {
-                // No news here.
+                // There are no endpoints.
             }
 
             @Override
             public void fetch() {
-                // No news here.
+                // There are no endpoints.
             }
         });
         InetSocketAddress any = new InetSocketAddress("127.0.0.1", 0);
         if (protocol == Protocol.PG) {
-            PgFront front = new PgFront(pooler, MOST);
+            PgFront front = new PgFront(pooler, MAX_CLIENTS);
             closeFront = () -> {
                 pooler.clientDrain().shutDown();
                 front.close();
             };
             listener = net.listen(any, session -> link(session, front.framer(), front));
         } else {
-            MysqlFront front = new MysqlFront(pooler, MOST, "portal", "towel");
+            MysqlFront front = new MysqlFront(pooler, MAX_CLIENTS, "portal", "towel");
             closeFront = () -> {
                 pooler.clientDrain().shutDown();
                 front.close();
@@ -90,15 +90,18 @@
         return link;
     }
 
-    /** Bytes of a client that this machine has taken and nobody has read, as the system's own table has them. */
+    /**
+     * Bytes of a client that are in this machine's receive buffer and unread, according to the system's table of
+     * sockets.
+     */
     long bytesWaiting(int client) {
-        String ends = String.format(":%04X .*:%04X ", listener.address().getPort(), ports.get(client));
-        Pattern row = Pattern.compile(ends + "\\S+ [0-9A-F]+:([0-9A-F]+)");
+        String addresses = String.format(":%04X .*:%04X ", listener.address().getPort(), ports.get(client));
+        Pattern rowPattern = Pattern.compile(addresses + "\\S+ [0-9A-F]+:([0-9A-F]+)");
         for (String table : List.of("/proc/net/tcp", "/proc/net/tcp6")) {
             try {
-                Matcher found = row.matcher(Files.readString(Path.of(table)));
-                if (found.find()) {
-                    return Long.parseLong(found.group(1), 16);
+                Matcher matcher = rowPattern.matcher(Files.readString(Path.of(table)));
+                if (matcher.find()) {
+                    return Long.parseLong(matcher.group(1), 16);
                 }
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
@@ -121,30 +124,30 @@
                         "towel");
     }
 
-    /** Fills the table with clients that have each sent the half of a statement: nobody makes room of them. */
+    /** Fills the table with clients that have each sent a part of a statement, so that none of them is evicted. */
     List<Socket> fillWithBusyClients() throws IOException, InterruptedException {
         List<Socket> busy = new ArrayList<>();
-        for (int i = 0; i < MOST; i++) {
+        for (int i = 0; i < MAX_CLIENTS; i++) {
             Socket socket = new Socket("127.0.0.1", listener.address().getPort());
             busy.add(socket);
             int number = i;
-            World.await("taken", () -> links.size() == number + 1);
-            byte[] half = "\0\0\0\20\0\3\0\0user\0\0\0\0Q\0\0".getBytes(ISO_8859_1);
-            socket.getOutputStream().write(half);
-            World.await("read", () -> links.get(number).read() == half.length);
+            World.await("accepted", () -> links.size() == number + 1);
+            byte[] incomplete = "\0\0\0\20\0\3\0\0user\0\0\0\0Q\0\0".getBytes(ISO_8859_1);
+            socket.getOutputStream().write(incomplete);
+            World.await("read", () -> links.get(number).bytesRead() == incomplete.length);
         }
         return busy;
     }
 
-    /** The core does nothing from now on until it is let go. */
-    void hold() throws InterruptedException {
-        held = new CountDownLatch(1);
+    /** Pauses the core until it is resumed. */
+    void pauseCore() throws InterruptedException {
+        resumed = new CountDownLatch(1);
         CountDownLatch reached = new CountDownLatch(1);
-        CountDownLatch mine = held;
+        CountDownLatch current = resumed;
         loop.post(() -> {
             reached.countDown();
             try {
-                mine.await();
+                current.await();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
@@ -152,15 +155,15 @@
         reached.await();
     }
 
-    /** So much that deadlines come between what was posted before and what is posted behind it. */
-    void fill() {
+    /** Posts so much that deadlines expire between what was posted before and what is posted afterwards. */
+    void fillQueue() {
         for (int i = 0; i < 130; i++) {
             loop.post(() -> {});
         }
     }
 
-    void letGo() {
-        held.countDown();
+    void resumeCore() {
+        resumed.countDown();
     }
 
     @Override
--- a/daemon/src/test/java/lupinvalve/net/SurplusTest.java
+++ b/daemon/src/test/java/lupinvalve/net/SurplusTest.java
@@ -25,32 +25,39 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** All poolers fill a db node's table together, so what one keeps there for its peaks must be little. */
+/** All poolers share a db node's connection table, so each may keep only few idle connections there for its peaks. */
 class SurplusTest {
-    private static final long IDLE = 20_000_000;
+    private static final long IDLE_MICROS = 20_000_000;
     private final EventLoop loop = new EventLoop();
     private PgBackend pool;
 
-    private void open(int routers) throws Exception {
-        RouterSettings s =
+    private void open(int poolers) throws Exception {
+        RouterSettings settings =
                 NodeConfig.read(Path.of("example/config.json"), null).site().settings();
         Pooler pooler = new Pooler(
                 loop,
                 new RouterSettings(
-                        0, routers, 0, s.mustSubscribe(), s.classes(), s.limits(), s.rules(), s.replication()));
+                        0,
+                        poolers,
+                        0,
+                        settings.mustSubscribe(),
+                        settings.classes(),
+                        settings.limits(),
+                        settings.rules(),
+                        settings.replication()));
         pooler.discovery(new EndpointDiscovery() {
             @Override
             public void subscribe(boolean active) {
-                // The list is given below.
+                // The list is set below.
             }
 
             @Override
             public void fetch() {
-                // Likewise.
+                // The list is set below.
             }
         });
-        InMemoryDialer net = new InMemoryDialer(loop, address -> new NodeScript(true));
-        pool = new PgBackend(net, pooler, new Pool.Bounds(50, 250_000, IDLE, 250_000), "api", "ledger");
+        InMemoryDialer dialer = new InMemoryDialer(loop, address -> new NodeScript(true));
+        pool = new PgBackend(dialer, pooler, new Pool.Bounds(50, 250_000, IDLE_MICROS, 250_000), "api", "ledger");
         pooler.addBackend(PgFront.PROTOCOL, pool);
         loop.start();
         loop.post(() -> {
@@ -71,9 +78,9 @@
         });
     }
 
-    private <T> T onCore(Supplier<T> asked) throws Exception {
+    private <T> T onCore(Supplier<T> query) throws Exception {
         CompletableFuture<T> answer = new CompletableFuture<>();
-        loop.post(() -> answer.complete(asked.get()));
+        loop.post(() -> answer.complete(query.get()));
         return answer.get(10, TimeUnit.SECONDS);
     }
 
@@ -83,11 +90,11 @@
     }
 
     @Test
-    void oneOfManyPoolersKeepsOneRestingConnection() throws Exception {
+    void oneOfManyPoolersKeepsOneIdleConnection() throws Exception {
         open(14);
         assertEquals(4, onCore(pool::open));
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
-        while (onCore(pool::open) > 1 && System.nanoTime() < end) {
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
+        while (onCore(pool::open) > 1 && System.nanoTime() < deadlineNanos) {
             Thread.sleep(20);
         }
         assertEquals(1, onCore(pool::open));
@@ -96,10 +103,10 @@
     }
 
     @Test
-    void whileAnotherProcessRunsEachKeepsHalf() throws Exception {
+    void limitIsHalvedWhileAnotherProcessRuns() throws Exception {
         open(1);
         assertEquals(4, onCore(pool::open));
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
         loop.post(() -> {
             for (int i = 0; i < 40; i++) {
                 pool.send(
@@ -112,7 +119,7 @@
             }
             pool.setOtherProcessRunning(true);
         });
-        while (onCore(pool::open) > 25 && System.nanoTime() < end) {
+        while (onCore(pool::open) > 25 && System.nanoTime() < deadlineNanos) {
             loop.post(() -> pool.setOtherProcessRunning(true));
             Thread.sleep(20);
         }
@@ -133,7 +140,7 @@
     }
 
     @Test
-    void aPoolerThatIsAloneKeepsThemAll() throws Exception {
+    void singlePoolerKeepsAllIdleConnections() throws Exception {
         open(1);
         Thread.sleep(2_500);
         assertTrue(onCore(pool::open) == 4, "twenty seconds have not passed");
--- a/net/src/main/java/lupinvalve/net/Addresses.java
+++ b/net/src/main/java/lupinvalve/net/Addresses.java
@@ -4,11 +4,15 @@
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
 
-/** Reads {@code host:port}; the host is a literal address, as there is no DNS on the platform. */
+/** Parses {@code host:port}; the host is a literal address, as there is no DNS on the platform. */
 public final class Addresses {
     private Addresses() {}
 
-    /** @throws IllegalArgumentException where it is no such thing */
+    /**
+     * Parses an address; a host name other than localhost stays unresolved, so that connecting to it fails.
+     *
+     * @throws IllegalArgumentException if it is not of this form
+     */
     public static InetSocketAddress parse(String text) {
         int colon = text.lastIndexOf(':');
         if (colon < 1) {
--- a/net/src/main/java/lupinvalve/net/ClientEndLog.java
+++ b/net/src/main/java/lupinvalve/net/ClientEndLog.java
@@ -7,88 +7,91 @@
 import lupinvalve.log.Log;
 
 /**
- * Tells the log why clients' connections have ended, how old they were and what was due on them: the first of each
- * reason at once, those that follow by count, in a line every few seconds. Core thread only; holds a count for each
- * reason.
+ * Logs why client connections have ended, how old they were and how many requests were unanswered on them: the first
+ * connection of each reason at once, those that follow by number, in a line every few seconds. Core thread only; holds
+ * one count per reason.
  */
 public final class ClientEndLog {
-    private static final long PERIOD_MICROS = 5_000_000;
+    private static final long SUMMARY_MICROS = 5_000_000;
 
     private static final class Count {
-        private int connections, due;
-        private long youngest = Long.MAX_VALUE, oldest;
+        private int connections;
+        private int unanswered;
+        private long youngestMillis = Long.MAX_VALUE;
+        private long oldestMillis;
 
         private void add(long ageMillis, int requests) {
             connections++;
-            due += requests;
-            youngest = Math.min(youngest, ageMillis);
-            oldest = Math.max(oldest, ageMillis);
+            unanswered += requests;
+            youngestMillis = Math.min(youngestMillis, ageMillis);
+            oldestMillis = Math.max(oldestMillis, ageMillis);
         }
     }
 
     private final EventLoop loop;
-    /** Reasons that have been told of in this period, with what came since. */
-    private final Map<EndReason, Count> repeats = new EnumMap<>(EndReason.class);
+    /** Reasons that have been logged in this period, with the number of connections since. */
+    private final Map<EndReason, Count> countsByReason = new EnumMap<>(EndReason.class);
 
     private boolean isSummaryDue;
 
+    /** Logs on the thread of {@code loop}, the core thread. */
     public ClientEndLog(EventLoop loop) {
         this.loop = loop;
     }
 
     /**
-     * Notes the end of a client's connection.
+     * Records the end of a client's connection.
      *
-     * @param due requests that had been taken on it and not been answered
+     * @param unanswered requests accepted on it that have not been answered
      */
-    public void ended(EndReason reason, Link link, int due) {
+    public void ended(EndReason reason, Link link, int unanswered) {
         long ageMillis = link.ageMicros() / 1_000;
-        Count count = repeats.get(reason);
+        Count count = countsByReason.get(reason);
         if (count != null) {
-            count.add(ageMillis, due);
+            count.add(ageMillis, unanswered);
             return;
         }
-        repeats.put(reason, new Count());
-        if (reason.isClients() && due == 0) {
-            // Nothing to look into; counted with others.
-            repeats.get(reason).add(ageMillis, due);
-        } else if (due > 0) {
-            Log.warn("client %s ended: %s; open %d ms, %d requests due", link.peer(), reason, ageMillis, due);
+        countsByReason.put(reason, new Count());
+        if (reason.isByClient() && unanswered == 0) {
+            // No sign of a fault; only counted, for the summary line.
+            countsByReason.get(reason).add(ageMillis, unanswered);
+        } else if (unanswered > 0) {
+            Log.warn("client %s ended: %s; open %d ms, %d requests due", link.peer(), reason, ageMillis, unanswered);
         } else {
             Log.info("client %s ended: %s; open %d ms, nothing due", link.peer(), reason, ageMillis);
         }
         if (!isSummaryDue) {
             isSummaryDue = true;
-            loop.after(PERIOD_MICROS, this::summary);
+            loop.after(SUMMARY_MICROS, this::logSummary);
         }
     }
 
-    private void summary() {
+    private void logSummary() {
         isSummaryDue = false;
-        String text = take();
+        String text = takeSummary();
         if (!text.isEmpty()) {
             Log.info("clients ended: %s", text);
         }
     }
 
     /**
-     * What has come since the last call beside the first of each reason; empty where that is nothing but clients' own
-     * ends.
+     * Returns the summary of what came since the last call beyond the first connection of each reason, and resets it;
+     * empty if clients closed all of these connections themselves with nothing unanswered.
      */
-    String take() {
-        boolean isWorthALine = repeats.entrySet().stream()
-                .anyMatch(each ->
-                        each.getValue().due > 0 || !each.getKey().isClients() && each.getValue().connections > 0);
-        String text = repeats.entrySet().stream()
-                .filter(each -> each.getValue().connections > 0)
-                .map(each -> text(each.getKey(), each.getValue()))
+    String takeSummary() {
+        boolean isWorthLogging = countsByReason.entrySet().stream()
+                .anyMatch(entry -> entry.getValue().unanswered > 0
+                        || !entry.getKey().isByClient() && entry.getValue().connections > 0);
+        String text = countsByReason.entrySet().stream()
+                .filter(entry -> entry.getValue().connections > 0)
+                .map(entry -> text(entry.getKey(), entry.getValue()))
                 .collect(Collectors.joining("; "));
-        repeats.clear();
-        return isWorthALine ? text : "";
+        countsByReason.clear();
+        return isWorthLogging ? text : "";
     }
 
     private static String text(EndReason reason, Count count) {
-        return count.connections + " " + reason + " (open " + count.youngest + " to " + count.oldest + " ms, "
-                + count.due + " requests due)";
+        return count.connections + " " + reason + " (open " + count.youngestMillis + " to " + count.oldestMillis
+                + " ms, " + count.unanswered + " requests due)";
     }
 }
--- a/net/src/main/java/lupinvalve/net/ClientEviction.java
+++ b/net/src/main/java/lupinvalve/net/ClientEviction.java
@@ -11,188 +11,202 @@
 import lupinvalve.core.TimerQueue;
 
 /**
- * Which clients' connections may be closed to make room, and which must be. Guards against clients that keep a
- * connection for good after one request, and against those that open them by the hundred and say nothing. Core thread
- * only.
+ * Decides which client connections may be closed to make room, and which must be. Guards against clients that keep a
+ * connection open for good after one request, and against those that open hundreds and send nothing. Core thread only.
  */
 public final class ClientEviction<C> {
-    /** Asks for the end of a connection; {@link #closed} follows, or {@link #busy} where its client uses it first. */
+    /** Requests the close of a connection; {@link #closed} follows, or {@link #busy} if its client uses it first. */
     public interface Closer<C> {
         /**
-         * @param patience as for {@link Link#retire}
+         * Requests the close of one client's connection.
+         *
+         * @param patienceMicros as for {@link Link#retire}
          * @param reason for the log
-         * @return whether its end has been asked for
+         * @return whether the close has been requested
          */
-        boolean end(C client, long patience, EndReason reason);
+        boolean requestClose(C client, long patienceMicros, EndReason reason);
     }
 
-    /** From this rest on a connection may be closed so that room does not run out, and from this one if it has. */
-    private static final long REST = 2_000_000, REST_LEAST = 100_000;
-    /** A connection must bring its first whole command in this time: strangers are owed an end within 3 s. */
-    private static final long FIRST_COMMAND = 2_600_000;
-    /** A client has so long to send a message that it has begun, or to read an answer. */
-    private static final long PATIENCE = 3_000_000;
-    /** After this a connection that could not be ended is tried again. */
-    private static final long AGAIN = 20_000;
+    /** A connection that has been idle this long may be closed before room runs out. */
+    private static final long IDLE_MICROS = 2_000_000;
+    /** A connection that has been idle this long may be closed if there is no room, or clients have few left. */
+    private static final long IDLE_MIN_MICROS = 100_000;
+    /**
+     * A connection must send its first complete command in this time: one that sends none must be closed within 3 s.
+     */
+    private static final long FIRST_COMMAND_MICROS = 2_600_000;
+    /** How long a client may take to complete a message that it has begun, or to read an answer. */
+    private static final long PATIENCE_MICROS = 3_000_000;
+    /** A close that is not possible yet is retried after this time. */
+    private static final long RECHECK_MICROS = 20_000;
 
     private final EventLoop loop;
     private final HandleTable<C> clients;
-    private final int most;
-    private final long allowed;
-    private final Closer<C> close;
-    private final Map<C, TimerQueue.Timer> silent = new LinkedHashMap<>();
-    private final Map<C, Long> resting = new LinkedHashMap<>();
-    /** Those whose end has been asked for: they count as gone unless their clients use them. */
-    private final Set<C> ending = new HashSet<>();
+    private final int maxClients;
+    private final long maxRequestClients;
+    private final Closer<C> closer;
+    private final Map<C, TimerQueue.Timer> awaitingFirstCommand = new LinkedHashMap<>();
+    private final Map<C, Long> idleSince = new LinkedHashMap<>();
+    /** Clients whose close has been requested: they count as closed unless they use their connections. */
+    private final Set<C> closing = new HashSet<>();
 
-    private TimerQueue.Timer again;
+    private TimerQueue.Timer recheckTimer;
 
     /**
-     * @param most connections that may be open at once; the table holds {@link #tableCapacity} so that newcomers need not wait
-     *     for those that end
-     * @param allowed connections that clients can have for requests, whatever the table holds
-     * @param close ends a connection
+     * @param maxClients connections that may be open at once; the table holds {@link #tableCapacity} so that new
+     *     clients need not wait for those that are closing
+     * @param maxRequestClients connections that clients can have for requests, whatever the table holds
+     * @param closer closes a connection
      */
-    public ClientEviction(EventLoop loop, HandleTable<C> clients, int most, long allowed, Closer<C> close) {
+    public ClientEviction(
+            EventLoop loop, HandleTable<C> clients, int maxClients, long maxRequestClients, Closer<C> closer) {
         this.loop = loop;
-        this.most = most;
+        this.maxClients = maxClients;
         this.clients = clients;
-        this.allowed = allowed;
-        this.close = close;
+        this.maxRequestClients = maxRequestClients;
+        this.closer = closer;
     }
 
     /**
-     * How large a table must be that holds so many connections and those that are ending: many may be, where newcomers
-     * come faster than the sockets' thread closes.
+     * The size of a table that holds {@code maxClients} connections and those that are closing: there may be many, as
+     * new clients can come faster than the sockets' thread closes old connections.
      */
-    public static int tableCapacity(int most) {
-        return most * 4;
+    public static int tableCapacity(int maxClients) {
+        return maxClients * 4;
     }
 
-    /** A connection has come up and has said nothing. */
+    /** A connection has been opened and has sent nothing yet. */
     public void opened(C client) {
-        silent.put(client, loop.after(FIRST_COMMAND, () -> hush(client)));
+        awaitingFirstCommand.put(client, loop.after(FIRST_COMMAND_MICROS, () -> closeSilent(client)));
     }
 
-    /** Ends a connection that has said nothing whole in its time; what has been read of it is told first. */
-    private void hush(C client) {
-        if (silent.containsKey(client) && !ends(client, 0, EndReason.SILENT)) {
-            silent.put(client, loop.after(AGAIN, () -> hush(client)));
+    /** Closes a connection that has sent no complete command in time; input read from it so far is delivered first. */
+    private void closeSilent(C client) {
+        if (awaitingFirstCommand.containsKey(client) && !requestClose(client, 0, EndReason.SILENT)) {
+            awaitingFirstCommand.put(client, loop.after(RECHECK_MICROS, () -> closeSilent(client)));
         }
     }
 
-    /** Asks for an end, and looks after a moment whether it has come. */
-    private boolean ends(C client, long patience, EndReason reason) {
-        boolean asked = close.end(client, patience, reason);
-        if (asked) {
-            ending.add(client);
-            loop.after(AGAIN, () -> look(client, patience, reason));
+    /** Requests a close, and checks after a moment whether it has happened. */
+    private boolean requestClose(C client, long patienceMicros, EndReason reason) {
+        boolean requested = closer.requestClose(client, patienceMicros, reason);
+        if (requested) {
+            closing.add(client);
+            loop.after(RECHECK_MICROS, () -> recheckClose(client, patienceMicros, reason));
         } else {
-            ending.remove(client);
+            closing.remove(client);
         }
-        return asked;
+        return requested;
     }
 
-    /** Its client may have begun to use it, without a whole command so far. */
-    private void look(C client, long patience, EndReason reason) {
-        if (!ending.contains(client) || ends(client, patience, reason)) {
+    /**
+     * Repeats the request, as the client may have begun a command since. If the close is not possible now, it is
+     * retried for a silent client, and the idle time of any other starts anew.
+     */
+    private void recheckClose(C client, long patienceMicros, EndReason reason) {
+        if (!closing.contains(client) || requestClose(client, patienceMicros, reason)) {
             return;
         }
-        if (silent.containsKey(client)) {
-            silent.put(client, loop.after(AGAIN, () -> hush(client)));
+        if (awaitingFirstCommand.containsKey(client)) {
+            awaitingFirstCommand.put(client, loop.after(RECHECK_MICROS, () -> closeSilent(client)));
         } else {
-            resting.put(client, loop.now());
+            idleSince.put(client, loop.now());
         }
     }
 
-    /** A whole command has come, so the connection is in use. */
+    /** A complete command has been received, so the connection is in use. */
     public void busy(C client) {
-        loop.cancel(silent.remove(client));
-        resting.remove(client);
-        ending.remove(client);
+        loop.cancel(awaitingFirstCommand.remove(client));
+        idleSince.remove(client);
+        closing.remove(client);
     }
 
-    /** Connections that count: those that are to end will leave their places at once. */
-    private int size() {
-        return clients.size() - ending.size();
+    /** Open connections without those that are closing, which will free their places soon. */
+    private int openCount() {
+        return clients.size() - closing.size();
     }
 
-    /** Whether there is no place for a newcomer. */
+    /** Whether there is no place for a new client. */
     public boolean isFull() {
-        return size() >= most || clients.isFull();
+        return openCount() >= maxClients || clients.isFull();
     }
 
-    /** Nothing is due on the connection. */
+    /** No answer is owed on the connection any more. */
     public void idle(C client) {
-        if (!silent.containsKey(client)) {
-            resting.remove(client);
-            resting.put(client, loop.now());
-            ease();
+        if (!awaitingFirstCommand.containsKey(client)) {
+            idleSince.remove(client);
+            idleSince.put(client, loop.now());
+            evictIdle();
         }
     }
 
+    /** The connection has ended. */
     public void closed(C client) {
         busy(client);
     }
 
     /**
-     * Closes what may be closed, the oldest first, until a quarter of the table is free, and a quarter of what clients
-     * are allowed: one that has none left can't ask, though this table has room.
+     * Closes idle connections, the one idle longest first, until a quarter of the table is free, and a quarter of the
+     * connections that clients are allowed: a client that has none left cannot send a request, though this table has
+     * room.
      */
-    private void ease() {
-        while (size() > most * 3 / 4 && rested(REST)) {
-            endFirst();
+    private void evictIdle() {
+        while (openCount() > maxClients * 3 / 4 && isLongestIdleFor(IDLE_MICROS)) {
+            evictLongestIdle();
         }
-        while (scarce() && rested(REST_LEAST)) {
-            endFirst();
+        while (isRequestLimitNear() && isLongestIdleFor(IDLE_MIN_MICROS)) {
+            evictLongestIdle();
         }
-        if (scarce() && !resting.isEmpty() && again == null) {
-            // Nothing may happen from now on: clients that have no connection left can't ask.
-            again = loop.after(REST_LEAST, () -> {
-                again = null;
-                ease();
+        if (isRequestLimitNear() && !idleSince.isEmpty() && recheckTimer == null) {
+            // No further event may come to trigger this: clients that have no connection left cannot send requests.
+            recheckTimer = loop.after(IDLE_MIN_MICROS, () -> {
+                recheckTimer = null;
+                evictIdle();
             });
         }
     }
 
     /**
-     * Makes room for a newcomer. If the table is full one silent connection goes, or else the one that rests longest:
-     * its client opens another when it asks again, while a newcomer turned away has asked already.
+     * Makes room for a new client. If the table is full, closes one connection without a command so far, or else the
+     * one idle longest: its client reconnects for its next request, while a new client that is rejected already has one
+     * to send.
      */
     public void makeRoom() {
-        ease();
-        for (C client : isFull() ? List.copyOf(silent.keySet()) : List.<C>of()) {
-            if (!ending.contains(client) && ends(client, PATIENCE, EndReason.MADE_ROOM)) {
+        evictIdle();
+        for (C client : isFull() ? List.copyOf(awaitingFirstCommand.keySet()) : List.<C>of()) {
+            if (!closing.contains(client) && requestClose(client, PATIENCE_MICROS, EndReason.MADE_ROOM)) {
                 return;
             }
         }
-        while (isFull() && rested(REST_LEAST)) {
-            endFirst();
+        while (isFull() && isLongestIdleFor(IDLE_MIN_MICROS)) {
+            evictLongestIdle();
         }
     }
 
-    /** Ends the one that rests longest; if its client has just begun to use it, its rest starts anew. */
-    private void endFirst() {
-        C client = first(resting);
-        resting.remove(client);
-        if (!ends(client, PATIENCE, EndReason.MADE_ROOM)) {
-            resting.put(client, loop.now());
+    /** Closes the connection idle longest; if its client has just begun to use it, its idle time starts anew. */
+    private void evictLongestIdle() {
+        C client = first(idleSince);
+        idleSince.remove(client);
+        if (!requestClose(client, PATIENCE_MICROS, EndReason.MADE_ROOM)) {
+            idleSince.put(client, loop.now());
         }
     }
 
-    private boolean scarce() {
-        long used = clients.size()
-                - silent.size()
-                - ending.stream().filter(client -> !silent.containsKey(client)).count();
-        return used * 4 > allowed * 3;
+    private boolean isRequestLimitNear() {
+        long inUse = clients.size()
+                - awaitingFirstCommand.size()
+                - closing.stream()
+                        .filter(client -> !awaitingFirstCommand.containsKey(client))
+                        .count();
+        return inUse * 4 > maxRequestClients * 3;
     }
 
-    private boolean rested(long micros) {
-        return !resting.isEmpty() && resting.get(first(resting)) <= loop.now() - micros;
+    private boolean isLongestIdleFor(long micros) {
+        return !idleSince.isEmpty() && idleSince.get(first(idleSince)) <= loop.now() - micros;
     }
 
-    private static <C> C first(Map<C, ?> from) {
-        Iterator<C> all = from.keySet().iterator();
-        return all.hasNext() ? all.next() : null;
+    private static <C> C first(Map<C, ?> clients) {
+        Iterator<C> iterator = clients.keySet().iterator();
+        return iterator.hasNext() ? iterator.next() : null;
     }
 }
--- a/net/src/main/java/lupinvalve/net/Dialer.java
+++ b/net/src/main/java/lupinvalve/net/Dialer.java
@@ -2,8 +2,11 @@
 
 import java.net.InetSocketAddress;
 
-/** What connects to db nodes: sockets, or their stand-ins in memory. */
+/** Connects to db nodes, over sockets or in memory. */
 public interface Dialer {
-    /** Starts to connect; {@link Link.Events#opened} or {@link Link.Events#closed} tells how that went. */
+    /**
+     * Starts to connect and returns at once; {@link Link.Events#opened} or {@link Link.Events#closed} follows on the
+     * core thread.
+     */
     Link dial(InetSocketAddress address, Framer framer, Link.Events events);
 }
--- a/net/src/main/java/lupinvalve/net/EndReason.java
+++ b/net/src/main/java/lupinvalve/net/EndReason.java
@@ -1,32 +1,32 @@
 package lupinvalve.net;
 
-/** Why a client's connection has ended. */
+/** Why a client's connection has ended. The texts stand in log lines that operators and tools match. */
 public enum EndReason {
-    /** It rested while room was short. */
+    /** The connection was idle while the pooler was short of connections. */
     MADE_ROOM("to make room"),
-    /** It brought no whole command in its time. */
+    /** The client sent no complete command in time. */
     SILENT("it said nothing"),
-    /** It came when as many clients were connected as may be. */
+    /** The client connected while the limit on client connections was reached. */
     PAST_BOUND("too many clients"),
-    /** Clients are sent away, or the program ends. */
+    /** The pooler is closing client connections for a drain, or is shutting down. */
     SENT_AWAY("clients are sent away"),
-    /** What it sent can't be read, or is not spoken here. */
+    /** The client's input is malformed or not supported. */
     UNREADABLE("what it sent can't be read"),
-    /** It was not let in. */
+    /** The client's login failed. */
     NOT_LET_IN("its login failed"),
-    /** It asked to end. */
+    /** The client sent its protocol's message for the end of a connection. */
     GOODBYE("it said goodbye"),
-    /** It came to call off another connection's request. */
+    /** The connection was opened to cancel a request of another one, which has been handled. */
     CANCEL_REQUEST("its cancel request is taken"),
-    /** An answer that had begun could not be finished. */
+    /** An answer that had been partly sent could not be completed. */
     CUT("a long answer broke off"),
-    /** It did not read its answers. */
+    /** The client did not read its answers. */
     READS_TOO_SLOWLY("it does not read"),
-    /** The program failed on its connection. */
+    /** The program failed while it handled the connection. */
     FAULT("a fault of the program"),
-    /** It ended the connection itself. */
+    /** The client closed the connection. */
     CLIENT_LEFT("by the client"),
-    /** The connection broke, or the client reset it. */
+    /** The connection was reset by the client or ended by an I/O error. */
     BROKE("it broke");
 
     private final String text;
@@ -35,12 +35,12 @@
         this.text = text;
     }
 
-    /** Whether it was the client's own choice, or its machine's. */
-    boolean isClients() {
+    /** Whether the client or its machine ended the connection. */
+    boolean isByClient() {
         return this == CLIENT_LEFT || this == BROKE || this == GOODBYE || this == CANCEL_REQUEST;
     }
 
-    /** As the log names it. */
+    /** The text used in log lines. */
     @Override
     public String toString() {
         return text;
--- a/net/src/main/java/lupinvalve/net/Framer.java
+++ b/net/src/main/java/lupinvalve/net/Framer.java
@@ -2,17 +2,21 @@
 
 import java.util.List;
 
-/** Cuts one connection's bytes into whole messages. Used by one MINA thread at a time. */
+/** Splits the input of one connection into complete messages. Used by one MINA thread at a time. */
 public interface Framer {
-    /** Input that the protocol does not allow; the connection is of no further use. */
+    /** Input that violates the protocol; nothing after it can be interpreted. */
     final class Malformed extends Exception {
         private static final long serialVersionUID = 1L;
 
+        /** @param message what is wrong; sent to clients in error responses */
         public Malformed(String message) {
             super(message);
         }
     }
 
-    /** Cuts whole messages off the front of {@code bytes[from..to)} into {@code out}; gives where the rest starts. */
+    /**
+     * Moves complete messages from the front of {@code bytes[from..to)} to {@code out}; returns where the remainder
+     * starts.
+     */
     int cut(byte[] bytes, int from, int to, List<byte[]> out) throws Malformed;
 }
--- a/net/src/main/java/lupinvalve/net/InMemoryDialer.java
+++ b/net/src/main/java/lupinvalve/net/InMemoryDialer.java
@@ -10,20 +10,20 @@
 import org.apache.mina.core.write.WriteRequest;
 
 /**
- * Connections without sockets, for a rehearsal: what a link writes is handed to a scripted peer, and what that answers
- * comes in as if it had been read.
+ * Connections without sockets, for the warm-up: what a link writes is passed to a scripted peer, and the peer's answer
+ * is delivered as if it had been read from a socket. Calls the link on the thread that writes to it.
  */
 public final class InMemoryDialer implements Dialer {
     /** The other end of a connection. */
     public interface Peer {
-        /** Takes what was written and gives what comes back, which may be nothing. */
+        /** Handles what was written and returns the answer, which may be empty. */
         byte[] answer(byte[] written) throws Exception;
     }
 
     private final EventLoop loop;
     private final Function<InetSocketAddress, Peer> peers;
 
-    /** @param peers gives the peer at an address, a new one for each connection */
+    /** @param peers returns the peer at an address, a new one for each connection */
     public InMemoryDialer(EventLoop loop, Function<InetSocketAddress, Peer> peers) {
         this.loop = loop;
         this.peers = peers;
@@ -34,29 +34,33 @@
         return connect(framer, events, peers.apply(address), new byte[0]);
     }
 
-    /** @param first what the peer says before it is spoken to */
-    public Link connect(Framer framer, Link.Events events, Peer peer, byte[] first) {
+    /**
+     * Connects a link to a peer; {@link Link.Events#opened} follows.
+     *
+     * @param greeting what the peer sends before it receives anything
+     */
+    public Link connect(Framer framer, Link.Events events, Peer peer, byte[] greeting) {
         Link link = new Link(loop, framer, events);
         DummySession session = new DummySession();
         session.getFilterChain().addLast("peer", new IoFilterAdapter() {
             @Override
-            public void filterWrite(NextFilter next, IoSession from, WriteRequest request) throws Exception {
+            public void filterWrite(NextFilter nextFilter, IoSession target, WriteRequest request) throws Exception {
                 IoBuffer buffer = (IoBuffer) request.getMessage();
                 byte[] written = new byte[buffer.remaining()];
                 buffer.get(written);
                 session.increaseWrittenBytes(written.length, System.currentTimeMillis());
-                arrive(link, session, peer.answer(written));
+                deliver(link, session, peer.answer(written));
             }
         });
-        link.opened(session);
-        arrive(link, session, first);
+        link.onOpened(session);
+        deliver(link, session, greeting);
         return link;
     }
 
-    private static void arrive(Link link, IoSession session, byte[] bytes) {
+    private static void deliver(Link link, IoSession session, byte[] bytes) {
         if (bytes.length > 0) {
-            link.arrived(bytes.length);
-            link.received(session, IoBuffer.wrap(bytes));
+            link.countRead(bytes.length);
+            link.onReceived(session, IoBuffer.wrap(bytes));
         }
     }
 }
--- a/net/src/main/java/lupinvalve/net/Link.java
+++ b/net/src/main/java/lupinvalve/net/Link.java
@@ -15,107 +15,140 @@
 import org.apache.mina.transport.socket.SocketSessionConfig;
 
 /**
- * One connection. MINA's threads only frame what comes in and post it; all calls to the outside are made by the core
+ * One TCP connection. MINA's threads only frame the input and post it; all calls of {@link Events} are made by the core
  * thread, and none after {@link Events#closed}.
  *
- * <p>There are four ways to end one. {@link #finish} is for when the last word has been said; {@link #drop} for when
- * there is nobody to say it to; {@link #abort} for when what is due can't be said any more: a reset tells the peer so.
- * {@link #retire} is for an end that the pooler chooses by itself: the thread of the sockets takes a last look, and
- * what it finds is told like all else, while the connection goes on. What comes behind that look stays in the socket
- * and makes the system reset the connection, so that its client knows that it was not read:
- * {@link Net.Processor#destroy} sees to it that the system decides between an end in order and a reset in the moment of
- * the close.
+ * <p>There are four ways to end a connection from this side:
+ *
+ * <ul>
+ *   <li>{@link #finish} after the final answer: what was written is flushed, then the connection is closed.
+ *   <li>{@link #drop} where no answer is owed: the connection is closed at once, and bytes that are not handed to the
+ *       socket yet are discarded.
+ *   <li>{@link #abort} where an answer that is owed cannot be given: the peer sees a reset (RST).
+ *   <li>{@link #retire} for a close that the pooler decides on without the client's request: the processor's thread
+ *       reads once more, and if it finds input that is delivered as usual and the connection stays open. Input that
+ *       arrives after this read stays in the socket and makes the system reset the connection, so that the client knows
+ *       that its request was not read.
+ * </ul>
+ *
+ * <p>With all but {@link #abort}, the peer sees an orderly end (FIN) if nothing is unread in the socket at the moment
+ * of the close, and a reset otherwise: {@link Net.Processor#destroy} leaves that decision to the system.
+ *
+ * <p>A connection on which the peer sends FIN (also a half-close) or that has an I/O error is closed at once: what was
+ * read before is still delivered, bytes that are not handed to the socket yet are discarded, and {@link Events#closed}
+ * follows.
  */
 public final class Link {
-    /** What happens on a connection, told on the core thread. */
+    /** Receives the events of a connection, on the core thread. */
     public interface Events {
+        /** The connection is established; the first event. */
         void opened(Link link);
 
-        /** Whole messages, in order, and when the last byte of them came. */
+        /**
+         * Complete messages, in order, and the time at which their last byte was read, in microseconds of the event
+         * loop.
+         */
         void messages(Link link, List<byte[]> messages, long atMicros);
 
-        /** The peer broke the protocol; the connection is still open for a last word. */
+        /**
+         * The peer violated the protocol, and nothing more is read; the connection is still open for a final answer.
+         */
         void malformed(Link link, String why);
 
-        /** The connection is over, or never came up. */
+        /** The connection has ended, or could not be established; the last event. */
         void closed(Link link);
     }
 
-    /** What a peer may leave unread before its connection is reset; answers wait long before that. */
-    private static final long UNREAD_MOST = 16 << 20;
-    /** From this size on bytes are handed to MINA as they are, not copied together with what stands beside them. */
-    private static final int LARGE = 16 << 10;
-
-    /** Bytes of one connection that may wait for the core. */
-    private static final int AHEAD_MOST = 256 << 10;
-    /** In this time a peer must take some of the last words, and in the other all of them. */
-    private static final long FLUSH = 1_000_000, FLUSH_MOST = 15_000_000;
-    /** A peer that has something to read is given so long to take some of it, before its connection is ended. */
-    private static final long READ_PATIENCE = 1_000_000;
-    /** More than this may still be on its way through the system's buffers, where nobody sees it. */
-    private static final long LONG_ANSWER = 64 << 10;
+    /**
+     * A peer that leaves more than this unread has its connection reset; frontends hold back answers long before that.
+     */
+    private static final long PENDING_WRITE_MAX_BYTES = 16 << 20;
+    /**
+     * Parts from this size on are handed to MINA as they are; smaller ones are copied into one buffer with their
+     * neighbours.
+     */
+    private static final int JOIN_BELOW_BYTES = 16 << 10;
+
+    /** Input of one connection that may wait in the core's queue; reading pauses above it. */
+    private static final int QUEUED_MAX_BYTES = 256 << 10;
+    /** {@link #finish} resets a connection whose peer reads none of what is left to flush in this time. */
+    private static final long FLUSH_STALL_MICROS = 1_000_000;
+    /** {@link #finish} resets a connection whose peer has not read all that was left to flush in this time. */
+    private static final long FLUSH_MAX_MICROS = 15_000_000;
+    /**
+     * The shortest time without progress after which a peer that has pending bytes no longer holds back
+     * {@link #retire}.
+     */
+    private static final long UNREAD_STALL_MICROS = 1_000_000;
+    /** An answer longer than this may still be in the system's send buffers, where its progress cannot be observed. */
+    private static final long LONG_ANSWER_BYTES = 64 << 10;
 
     private static final RepeatedWarnings WARNINGS = new RepeatedWarnings();
 
     private final EventLoop loop;
-    private final Room memory;
+    private final ByteBudget inputBudget;
     private final boolean urgent;
     private final Framer framer;
     private final Events events;
-    // MINA's side.
-    private byte[] kept = new byte[0];
-    private int length;
-    private boolean deaf;
-    private boolean tookAll = true;
-    private ReadProgress progress;
-    /** When what is written past so many bytes may begin to go out at the latest. */
-    private volatile long beginBy = Long.MAX_VALUE, beginsAfter;
-
-    private volatile boolean tooLate;
-    // Both sides, under the gate: a read and the decision to end the connection exclude each other.
-    private final Object gate = new Object();
+    // Used by MINA's thread.
+    private byte[] inputBuffer = new byte[0];
+    private int inputLength;
+    private boolean inputIgnored;
+    private boolean socketEmptied = true;
+    private ReadProgress readProgress;
+    /** The latest time at which the byte at offset {@code sendDeadlineFromByte} may be handed to the socket. */
+    private volatile long sendDeadlineMicros = Long.MAX_VALUE;
+
+    private volatile long sendDeadlineFromByte;
+    /** Whether a write was refused because of the deadline. */
+    private volatile boolean sendDeadlineMissed;
+    // Used by both threads, under the lock: a read and the decision to close the connection exclude each other.
+    private final Object readLock = new Object();
     private long bytesRead;
-    private boolean barred;
-    private int barredReads;
-    /** Bytes read when the core last asked for the end: where more have come since, the connection goes on. */
-    private long retiredAt = -1;
+    private boolean readingStopped;
+    private int readsAfterStop;
+    /** Bytes read when the core last requested the close: if more have been read since, the connection stays open. */
+    private long bytesReadAtRetire = -1;
 
-    private final AtomicInteger ahead = new AtomicInteger();
-    /**
-     * The core wants no more to be read for now; and it wants to know once the peer has read most of what was written.
-     */
-    private volatile boolean held;
+    private final AtomicInteger queuedBytes = new AtomicInteger();
+    /** Whether the core has paused reading. */
+    private volatile boolean readingPaused;
 
     private volatile BooleanSupplier fence;
-    /** How the connection ended, as MINA's side saw it. */
-    private volatile boolean left, broke;
-    /** Why this side ended it by itself; null where it did not. */
-    private volatile EndReason endedBy;
+    /** Whether the connection has ended, as seen by MINA's thread. */
+    private volatile boolean disconnected;
+    /** Whether it ended by an I/O error, such as a reset, or by a fault of the program on MINA's thread. */
+    private volatile boolean ioFailed;
+    /** Why this side ended the connection; null if it did not. */
+    private volatile EndReason endReason;
 
     private final long createdAt;
-    // The core's side.
+    // Used by the core thread.
     private IoSession session;
     private final Outbound outbound;
-    private long bytesTold, unfinishedSince;
-    private boolean rest;
-    private long writtenAtRead, unreadSince;
-    /** How much had been handed over when the last messages were told: what has been since answers them. */
-    private long handedAtTold;
-
-    private ConnectFuture dialling;
-    private boolean over;
-    /** Whether the end has been asked for, and nothing has come since. */
+    private long bytesProcessed;
+    private long partialSinceMicros;
+    private boolean hasPartialMessage;
+    private long bytesSentAtRead;
+    private long earliestArrivalMicros;
+    /** Bytes submitted when the last messages were delivered: those submitted since belong to the answer to them. */
+    private long bytesSubmittedAtMessages;
+
+    private ConnectFuture connectFuture;
+    /** Whether no further event may be delivered. */
+    private boolean closed;
+    /** Whether the close has been requested and no input has come since. */
     private volatile boolean retiring;
-    /** Whether the peer has so much to read that nothing is read from it. */
-    private volatile boolean full;
+    /** Whether reading is paused because the peer leaves more than {@link Outbound#FULL_BYTES} unread. */
+    private volatile boolean backlogged;
 
     Link(EventLoop loop, Framer framer, Events events) {
-        this(loop, framer, events, new Room(Long.MAX_VALUE), false);
+        this(loop, framer, events, new ByteBudget(Long.MAX_VALUE), false);
     }
 
-    /** @param urgent whether what happens goes before all that waits for the core */
-    Link(EventLoop loop, Framer framer, Events events, Room memory, boolean urgent) {
-        this.memory = memory;
+    /** @param urgent whether events of this connection go before everything else that waits for the core */
+    Link(EventLoop loop, Framer framer, Events events, ByteBudget inputBudget, boolean urgent) {
+        this.inputBudget = inputBudget;
         this.urgent = urgent;
         this.loop = loop;
         this.framer = framer;
@@ -126,13 +159,13 @@
 
     // ---- MINA's threads ----
 
-    /** One read from the socket, as MINA's processor does it. */
+    /** One read from the socket by MINA's processor; returns the number of bytes, as a channel does. */
     interface Read {
         int run() throws Exception;
     }
 
-    /** Whether what it was dialled for may no longer go out. */
-    boolean isShut() {
+    /** Whether writing is forbidden by the fence set when the connection was dialled; processor's thread. */
+    boolean isFenced() {
         return fence != null && !fence.getAsBoolean();
     }
 
@@ -140,75 +173,82 @@
         fence = open;
     }
 
-    void progress(ReadProgress of) {
-        progress = of;
+    void setReadProgress(ReadProgress tracker) {
+        readProgress = tracker;
     }
 
-    /** Whether the first byte of what is to begin in time would be late by now; processor's thread. */
-    boolean isTooLate(long written) {
-        if (written == beginsAfter && loop.now() > beginBy) {
-            tooLate = true;
+    /**
+     * Whether the deadline of {@link #setSendDeadline} has passed before its first byte was handed to the socket;
+     * processor's thread.
+     *
+     * @param written bytes handed to the socket so far
+     */
+    boolean checkSendDeadline(long written) {
+        if (written == sendDeadlineFromByte && loop.now() > sendDeadlineMicros) {
+            sendDeadlineMissed = true;
         }
-        return tooLate;
+        return sendDeadlineMissed;
     }
 
-    /** Whether the reads since the last call have left nothing behind; processor's thread. */
-    boolean tookAll() {
-        boolean all = tookAll;
-        tookAll = true;
-        return all;
+    /** Whether the last read since the previous call emptied the socket; true if there was none. Processor's thread. */
+    boolean takeSocketEmptied() {
+        boolean emptied = socketEmptied;
+        socketEmptied = true;
+        return emptied;
     }
 
-    /** Reads, unless the core has decided to end the connection. */
+    /** Reads from the socket, unless the core has decided to close the connection; processor's thread. */
     int read(Read read) throws Exception {
-        synchronized (gate) {
-            if (barred) {
-                barredReads++;
+        synchronized (readLock) {
+            if (readingStopped) {
+                readsAfterStop++;
                 return 0;
             }
             int count = read.run();
             bytesRead += Math.max(0, count);
-            // MINA reads on until nothing is left or its buffer is full.
-            tookAll = count <= 0;
+            // MINA repeats the read until nothing is left or its buffer is full.
+            socketEmptied = count <= 0;
             return count;
         }
     }
 
     /**
-     * Takes the last look before an end that the core has asked for; processor's thread.
+     * Reads once more before a close that the core has requested; processor's thread.
      *
-     * @return whether nothing has come since, so that the connection may be closed; nothing more is read then
+     * @return whether nothing has been read since the request, so that the connection may be closed; it is not read
+     *     again
      */
-    boolean lastLook(Read read) throws Exception {
+    boolean readBeforeClose(Read read) throws Exception {
         if (read(read) != 0) {
             return false;
         }
-        synchronized (gate) {
-            if (barred || bytesRead != retiredAt) {
-                // It has been used since; where that ended it, its last words may still be on their way.
+        synchronized (readLock) {
+            if (readingStopped || bytesRead != bytesReadAtRetire) {
+                // The connection has been used since. If finish() has ended it, its final answer may still be waiting
+                // to be flushed.
                 return false;
             }
-            barred = true;
+            readingStopped = true;
             return true;
         }
     }
 
-    /** Whether the core has decided to end the connection, and nothing more is read from it. */
-    boolean isBarred() {
-        synchronized (gate) {
-            return barred;
+    /** Whether the core has decided to close the connection, after which nothing is read from it; any thread. */
+    boolean isReadingStopped() {
+        synchronized (readLock) {
+            return readingStopped;
         }
     }
 
-    /** How often the processor came to read all the same. */
-    int barredReads() {
-        synchronized (gate) {
-            return barredReads;
+    /** Number of reads that the processor has tried since reading was stopped; any thread. */
+    int readsAfterStop() {
+        synchronized (readLock) {
+            return readsAfterStop;
         }
     }
 
-    void dialling(ConnectFuture future) {
-        dialling = future;
+    void setConnectFuture(ConnectFuture future) {
+        connectFuture = future;
     }
 
     private void post(Runnable work) {
@@ -219,9 +259,10 @@
         }
     }
 
-    void opened(IoSession opened) {
+    /** The session is established; processor's thread. */
+    void onOpened(IoSession opened) {
         post(() -> {
-            if (over) {
+            if (closed) {
                 opened.closeNow();
                 return;
             }
@@ -231,71 +272,73 @@
         });
     }
 
-    void received(IoSession from, IoBuffer in) {
-        if (deaf) {
+    /** Frames input and posts it to the core; processor's thread. */
+    void onReceived(IoSession from, IoBuffer in) {
+        if (inputIgnored) {
             return;
         }
-        int more = in.remaining();
+        int count = in.remaining();
         long written = from.getWrittenBytes();
         List<byte[]> messages = new ArrayList<>(2);
-        String fault = null;
+        String malformedReason = null;
         try {
-            if (length + more > kept.length) {
-                grow(Math.max(length + more, Math.min(kept.length * 2, kept.length + 65536)));
+            if (inputLength + count > inputBuffer.length) {
+                growInputBuffer(
+                        Math.max(inputLength + count, Math.min(inputBuffer.length * 2, inputBuffer.length + 65536)));
             }
-            in.get(kept, length, more);
-            length += more;
-            int rest = framer.cut(kept, 0, length, messages);
-            System.arraycopy(kept, rest, kept, 0, length - rest);
-            length -= rest;
-            if (length == 0 && kept.length > 4096) {
-                // Guards against many connections each keeping the room of their largest message.
-                clear();
+            in.get(inputBuffer, inputLength, count);
+            inputLength += count;
+            int remainder = framer.cut(inputBuffer, 0, inputLength, messages);
+            System.arraycopy(inputBuffer, remainder, inputBuffer, 0, inputLength - remainder);
+            inputLength -= remainder;
+            if (inputLength == 0 && inputBuffer.length > 4096) {
+                // Guards against many idle connections that each keep a buffer of the size of their largest message.
+                releaseInputBuffer();
             }
         } catch (Framer.Malformed e) {
-            fault = e.getMessage();
-            deaf = true;
-            clear();
-        }
-        long at = loop.now();
-        long since = progress == null ? Long.MIN_VALUE : at - progress.ageMicros();
-        String why = fault;
-        boolean behind = why != null || length > 0;
-        if (ahead.addAndGet(more) > AHEAD_MOST) {
-            // Guards the core's queue against a peer that sends faster than its messages can be worked off.
+            malformedReason = e.getMessage();
+            inputIgnored = true;
+            releaseInputBuffer();
+        }
+        long receivedAtMicros = loop.now();
+        long earliestArrival = readProgress == null ? Long.MIN_VALUE : receivedAtMicros - readProgress.ageMicros();
+        String violation = malformedReason;
+        boolean endsMidMessage = violation != null || inputLength > 0;
+        if (queuedBytes.addAndGet(count) > QUEUED_MAX_BYTES) {
+            // Guards the core's queue against a peer that sends faster than its messages are processed.
             from.suspendRead();
-            if (ahead.get() <= AHEAD_MOST && !held && !full) {
+            if (queuedBytes.get() <= QUEUED_MAX_BYTES && !readingPaused && !backlogged) {
                 from.resumeRead();
             }
         }
         post(() -> {
-            ahead.addAndGet(-more);
-            readOn();
-            bytesTold += more;
+            queuedBytes.addAndGet(-count);
+            resumeReading();
+            bytesProcessed += count;
             if (retiring) {
-                // Its client uses it: the last look has found this, or will.
+                // The client uses the connection: the read before the close has found this input, or will.
                 retiring = false;
-                endedBy = null;
+                endReason = null;
             }
-            loop.recordQueueDelay(loop.now() - at);
-            if (behind && (!rest || !messages.isEmpty())) {
-                unfinishedSince = at;
+            loop.recordQueueDelay(loop.now() - receivedAtMicros);
+            if (endsMidMessage && (!hasPartialMessage || !messages.isEmpty())) {
+                partialSinceMicros = receivedAtMicros;
             }
-            rest = behind;
-            writtenAtRead = written;
-            unreadSince = since;
-            tell(messages, at, why);
+            hasPartialMessage = endsMidMessage;
+            bytesSentAtRead = written;
+            earliestArrivalMicros = earliestArrival;
+            deliver(messages, receivedAtMicros, violation);
         });
     }
 
-    /** Has the front take what was read; where it fails, no answer will come, and the peer is told so by a reset. */
-    private void tell(List<byte[]> messages, long at, String why) {
+    /** Delivers what was read. If the handler fails no answer will follow, so the connection is reset. */
+    private void deliver(List<byte[]> messages, long receivedAtMicros, String why) {
         try {
-            handedAtTold = messages.isEmpty() ? handedAtTold : outbound.handed();
-            if (!over && !messages.isEmpty()) {
-                events.messages(this, messages, at);
+            bytesSubmittedAtMessages = messages.isEmpty() ? bytesSubmittedAtMessages : outbound.bytesSubmitted();
+            if (!closed && !messages.isEmpty()) {
+                events.messages(this, messages, receivedAtMicros);
             }
-            if (!over && why != null) {
+            if (!closed && why != null) {
                 events.malformed(this, why);
             }
         } catch (RuntimeException | Error e) {
@@ -304,102 +347,105 @@
         }
     }
 
-    /** Reads again where nothing stands against it any more. */
-    private void readOn() {
-        if (!over
-                && !held
-                && !full
-                && ahead.get() <= AHEAD_MOST
+    /** Resumes reading if no reason to pause it is left; core thread. */
+    private void resumeReading() {
+        if (!closed
+                && !readingPaused
+                && !backlogged
+                && queuedBytes.get() <= QUEUED_MAX_BYTES
                 && session != null
                 && session.isReadSuspended()
-                && !isBarred()) {
+                && !isReadingStopped()) {
             session.resumeRead();
         }
     }
 
-    private void grow(int size) throws Framer.Malformed {
-        if (!memory.take(size - kept.length)) {
+    private void growInputBuffer(int size) throws Framer.Malformed {
+        if (!inputBudget.reserve(size - inputBuffer.length)) {
             throw new Framer.Malformed("no room for so many long messages at once");
         }
-        kept = Arrays.copyOf(kept, size);
+        inputBuffer = Arrays.copyOf(inputBuffer, size);
     }
 
-    private void clear() {
-        memory.take(-kept.length);
-        kept = new byte[0];
-        length = 0;
+    private void releaseInputBuffer() {
+        inputBudget.reserve(-inputBuffer.length);
+        inputBuffer = new byte[0];
+        inputLength = 0;
     }
 
-    /** Something has been written whole to the socket. */
-    void sent(IoSession to) {
-        outbound.sent(to);
-        if (full && to.getScheduledWriteBytes() <= Outbound.FULL_BYTES / 2) {
-            full = false;
-            loop.post(this::readOn);
+    /** A write request has been handed to the socket completely; MINA's thread, and the core thread for a recheck. */
+    void onSent(IoSession to) {
+        outbound.onSent(to);
+        if (backlogged && to.getScheduledWriteBytes() <= Outbound.FULL_BYTES / 2) {
+            backlogged = false;
+            loop.post(this::resumeReading);
         }
     }
 
-    /** Counts bytes that came otherwise than by {@link #read(Read)}. */
-    void arrived(int count) {
-        synchronized (gate) {
+    /** Counts input that did not come through {@link #read(Read)}. */
+    void countRead(int count) {
+        synchronized (readLock) {
             bytesRead += count;
         }
     }
 
-    void leaves() {
-        left = true;
+    /** The peer has sent FIN; the processor closes the connection. Processor's thread. */
+    void onPeerClosed() {
+        disconnected = true;
     }
 
-    void broken() {
-        left = true;
-        broke = true;
+    /** Reading or writing has failed; the processor closes the connection. Processor's thread. */
+    void onIoError() {
+        disconnected = true;
+        ioFailed = true;
     }
 
-    /** The program failed while it worked for this connection; MINA's thread. */
-    void failed(IoSession on) {
-        endedBy = EndReason.FAULT;
-        broken();
-        reset(on);
+    /** The program failed while it handled this connection, which is reset; MINA's thread. */
+    void onProgramFault(IoSession faulty) {
+        endReason = EndReason.FAULT;
+        onIoError();
+        reset(faulty);
     }
 
-    void ended() {
-        left = true;
-        clear();
-        deaf = true;
+    /** The session is closed, or could not be established. MINA's threads; the core thread if a dial fails at once. */
+    void onClosed() {
+        disconnected = true;
+        releaseInputBuffer();
+        inputIgnored = true;
         post(this::end);
     }
 
     private void end() {
-        if (!over) {
-            over = true;
+        if (!closed) {
+            closed = true;
             events.closed(this);
         }
     }
 
-    /** Whether the connection has ended, told or not: the core may be behind. */
+    /** Whether the connection has ended; {@link Events#closed} may still wait in the core's queue. Any thread. */
     public boolean hasEnded() {
-        return left;
+        return disconnected;
     }
 
-    /** Whether it ended in a reset or another fault, not by the peer's word. */
+    /** Whether it ended by a reset or another error, not by the peer's orderly end (FIN). Any thread. */
     public boolean endedByError() {
-        return broke;
+        return ioFailed;
     }
 
-    /** Why it ended, where its {@link Events#closed} tells that it did. */
+    /** Why the connection ended; valid once {@link Events#closed} is called. Core thread. */
     public EndReason reason() {
-        if (endedBy != null) {
-            return endedBy;
+        if (endReason != null) {
+            return endReason;
         }
-        return broke ? EndReason.BROKE : EndReason.CLIENT_LEFT;
+        return ioFailed ? EndReason.BROKE : EndReason.CLIENT_LEFT;
     }
 
-    /** For how long it has been open, in microseconds. */
+    /** Time since this object was created, in microseconds. */
     public long ageMicros() {
         return loop.now() - createdAt;
     }
 
-    /** The other end's address, for the log. */
+    /** The peer's address for the log, or "?" before the connection is open; core thread. */
     public String peer() {
         return session == null
                 ? "?"
@@ -408,70 +454,81 @@
 
     // ---- the core thread ----
 
+    /**
+     * Writes the parts in order; core thread. They must not be changed afterwards. Ignored before the connection is
+     * open and after it has ended; bytes that are pending when it ends are discarded. A peer that has left too much
+     * unread has its connection reset instead.
+     */
     public void write(byte[]... parts) {
-        if (over || session == null) {
+        if (closed || session == null) {
             return;
         }
         int size = 0;
         for (byte[] part : parts) {
             size += part.length;
         }
-        if (outbound.unread() > UNREAD_MOST) {
+        if (outbound.pendingBytes() > PENDING_WRITE_MAX_BYTES) {
             abort(EndReason.READS_TOO_SLOWLY);
             return;
         }
-        outbound.writes(size);
-        // Small parts go out together: each write is a call to the system.
+        outbound.onSubmit(size);
+        // Small parts are joined, as each write is a system call.
         int from = 0;
         for (int i = 0; i <= parts.length; i++) {
-            if (i == parts.length || parts[i].length >= LARGE) {
-                together(parts, from, i);
+            if (i == parts.length || parts[i].length >= JOIN_BELOW_BYTES) {
+                writeJoined(parts, from, i);
                 if (i < parts.length) {
                     session.write(IoBuffer.wrap(parts[i]));
                 }
                 from = i + 1;
             }
         }
-        if (outbound.isFull() && !full) {
-            // A peer that asks on and does not read would fill this machine's memory.
-            full = true;
+        if (outbound.isFull() && !backlogged) {
+            // A peer that keeps sending requests without reading the answers would fill this process's memory.
+            backlogged = true;
             session.suspendRead();
             outbound.watch();
-            sent(session);
+            onSent(session);
         }
     }
 
-    /** Whether nothing more is read for now, so that what the peer sends waits in its own machine. */
-    public void pauseReading(boolean wait) {
-        if (held == wait) {
+    /**
+     * Pauses or resumes reading. While it is paused, what the peer sends fills the socket's buffers and then waits on
+     * the peer's machine. Core thread.
+     */
+    public void pauseReading(boolean pause) {
+        if (readingPaused == pause) {
             return;
         }
-        held = wait;
-        if (!over && session != null) {
-            if (wait) {
+        readingPaused = pause;
+        if (!closed && session != null) {
+            if (pause) {
                 session.suspendRead();
             } else {
-                readOn();
+                resumeReading();
             }
         }
     }
 
-    /** Bytes written that the peer's machine has not taken yet. */
+    /** Bytes written that have not been handed to the socket yet, as the peer does not read; core thread. */
     public long pendingWriteBytes() {
-        return over ? 0 : outbound.unread();
+        return closed ? 0 : outbound.pendingBytes();
     }
 
-    /** Whether the peer has so much to read that answers wait. */
+    /** Whether so many bytes are pending that answers must wait; core thread. */
     public boolean isWriteBacklogged() {
-        return !over && outbound.isFull();
+        return !closed && outbound.isFull();
     }
 
-    /** Runs {@code then} once, on the core thread, when no more than so many bytes are unread. */
+    /**
+     * Runs {@code then} once, on the core thread, as soon as no more than the given number of bytes is pending; it
+     * replaces an earlier one that has not run. Core thread.
+     */
     public void whenPendingAtMost(long bytes, Runnable then) {
-        outbound.whenRoom(bytes, then);
+        outbound.whenPendingAtMost(bytes, then);
     }
 
-    private void together(byte[][] parts, int from, int to) {
+    private void writeJoined(byte[][] parts, int from, int to) {
         int size = 0;
         for (int i = from; i < to; i++) {
             size += parts[i].length;
@@ -485,160 +542,179 @@
         }
     }
 
-    /** Whether bytes have come behind the messages that are being told. */
-    public boolean more() {
-        return rest || untold();
+    /** Whether bytes have been read beyond the messages that are being delivered; core thread. */
+    public boolean hasMoreInput() {
+        return hasPartialMessage || hasUnprocessedBytes();
     }
 
-    private boolean untold() {
-        return read() != bytesTold;
+    private boolean hasUnprocessedBytes() {
+        return bytesRead() != bytesProcessed;
     }
 
-    /** Bytes read from the socket so far. */
-    long read() {
-        synchronized (gate) {
+    /** Bytes read from the socket so far; any thread. */
+    long bytesRead() {
+        synchronized (readLock) {
             return bytesRead;
         }
     }
 
-    /** How many bytes had gone out when the messages that are being told came in. */
-    public long writtenAtRead() {
-        return writtenAtRead;
+    /** Bytes that had been handed to the socket when the messages being delivered were read; core thread. */
+    public long bytesSentAtRead() {
+        return bytesSentAtRead;
     }
 
-    /** What MINA's filters know of the connection. */
+    /** An attribute of the MINA session, set by its filters; null before the connection is open. Core thread. */
     public Object attribute(Object key) {
         return session == null ? null : session.getAttribute(key);
     }
 
-    /** The earliest time at which the messages that are being told may have come; long ago where nobody knows. */
+    /**
+     * The earliest time at which the messages being delivered can have reached this machine, in microseconds of the
+     * event loop; {@link Long#MIN_VALUE} where that is not tracked. Core thread.
+     */
     public long earliestArrivalMicros() {
-        return unreadSince;
+        return earliestArrivalMicros;
     }
 
     /**
-     * What is written from now on may begin to go out until then. Guards decisions that hold for a time against a
-     * processor that is kept from running: if it is late the connection ends as by a fault, with none of it sent.
+     * Sets the latest time, in microseconds of the event loop, at which the first byte written from now on may be
+     * handed to the socket. Guards decisions of limited validity against a processor thread that gets no time to run:
+     * if it is late the write fails, none of these bytes is sent, and the connection is closed as after an I/O error.
+     * Core thread.
      */
-    public void beginBy(long micros) {
-        beginBy = Long.MAX_VALUE;
-        beginsAfter = outbound.handed();
-        beginBy = micros;
+    public void setSendDeadline(long micros) {
+        sendDeadlineMicros = Long.MAX_VALUE;
+        sendDeadlineFromByte = outbound.bytesSubmitted();
+        sendDeadlineMicros = micros;
     }
 
-    /** Whether the connection has ended because something would have begun to go out too late. */
-    public boolean tooLate() {
-        return tooLate;
+    /** Whether the connection was closed because the deadline of {@link #setSendDeadline} had passed. */
+    public boolean missedSendDeadline() {
+        return sendDeadlineMissed;
     }
 
-    /** Bytes given to {@link #write} so far. */
-    public long handed() {
-        return outbound.handed();
+    /** Bytes passed to {@link #write} so far; core thread. */
+    public long bytesSubmitted() {
+        return outbound.bytesSubmitted();
     }
 
-    /** Whether any byte past the given count may have reached the socket. */
-    public boolean mayHaveLeft(long count) {
+    /** Whether any byte after the first {@code count} may have reached the socket; core thread. */
+    public boolean mayHaveSentBeyond(long count) {
         return session != null && session.getWrittenBytes() > count;
     }
 
     /**
-     * Asks for the end of a connection that its client may be about to use. {@link Events#closed} follows, unless
-     * something has come by the time of the last look: that is told, and the connection goes on. If there is something
-     * read that has not been told yet, or an answer is still on its way out, the end is not asked for.
+     * Requests the close of a connection that its client may be about to use; core thread. The processor's thread reads
+     * once more: if that finds input, it is delivered and the connection stays open; otherwise the connection is closed
+     * and {@link Events#closed} follows. The close is not requested while input waits to be delivered or an answer is
+     * still being sent. A peer that has stopped reading its answer has its connection reset instead.
      *
-     * @param patience for how long the beginning of a message, or a long answer that may not have arrived, holds back
-     *     the end
-     * @param reason what {@link #reason} gives once it has ended
-     * @return whether the end has been asked for
+     * @param patienceMicros for how long an incomplete message, or a long answer that may not have arrived yet, holds
+     *     back the close
+     * @param reason what {@link #reason} returns once the connection has ended
+     * @return whether the connection has ended, is reset, or its close has been requested
      */
-    public boolean retire(long patience, EndReason reason) {
+    public boolean retire(long patienceMicros, EndReason reason) {
         long now = loop.now();
-        if (over || session == null || retiring) {
-            return over || retiring;
-        }
-        boolean half = rest && now - unfinishedSince < patience;
-        boolean arrives = outbound.handed() - handedAtTold > LONG_ANSWER && now - outbound.writtenAt() < patience;
-        if (half || arrives || outbound.awaitsPeer(Math.max(patience, READ_PATIENCE)) || untold()) {
+        if (closed || session == null || retiring) {
+            return closed || retiring;
+        }
+        boolean isMidMessage = hasPartialMessage && now - partialSinceMicros < patienceMicros;
+        boolean answerInTransit = outbound.bytesSubmitted() - bytesSubmittedAtMessages > LONG_ANSWER_BYTES
+                && now - outbound.lastSubmittedAtMicros() < patienceMicros;
+        if (isMidMessage
+                || answerInTransit
+                || outbound.isDrainingWithin(Math.max(patienceMicros, UNREAD_STALL_MICROS))
+                || hasUnprocessedBytes()) {
             return false;
         }
-        if (outbound.unread() > 0) {
+        if (outbound.pendingBytes() > 0) {
             abort(EndReason.READS_TOO_SLOWLY);
             return true;
         }
         retiring = true;
-        endedBy = reason;
-        synchronized (gate) {
-            retiredAt = bytesTold;
+        endReason = reason;
+        synchronized (readLock) {
+            bytesReadAtRetire = bytesProcessed;
         }
         Net.retire(session);
         return true;
     }
 
-    /** Whether the end has been asked for, and its client has not used the connection since. */
+    /** Whether the close has been requested and the client has not used the connection since; any thread. */
     boolean isRetiring() {
         return retiring;
     }
 
     /**
-     * Closes once all that was written has been handed to the socket; no further events come, and nothing more is read.
-     * For when the last word has been said: what lies unread then makes a reset.
+     * Closes the connection once all that was written has been handed to the socket; no further events follow, and
+     * nothing more is read. For use after the final answer. The peer sees FIN, or a reset if it has sent something that
+     * stayed unread, or if it does not read the rest in time. Core thread.
      */
     public void finish() {
-        over = true;
+        closed = true;
         if (session != null) {
-            // First: a processor that may not read what it is told of would come round without a pause.
+            // First pause reading: a selector that still watches a socket that may not be read would return without a
+            // pause.
             session.suspendRead();
         }
-        synchronized (gate) {
-            barred = true;
+        synchronized (readLock) {
+            readingStopped = true;
         }
         if (session != null) {
             session.closeOnFlush();
-            flushes(loop.now());
+            watchFlush(loop.now());
         }
     }
 
-    /** The same, unless something has been read that has not been told yet; whether it is done. */
+    /**
+     * Like {@link #finish}, unless input has been read that has not been delivered yet. Core thread.
+     *
+     * @return whether the connection is being closed; if not, it stays open and is read on
+     */
     public boolean finishIfAllProcessed() {
         if (session != null) {
             session.suspendRead();
         }
         boolean done;
-        synchronized (gate) {
-            barred |= bytesRead == bytesTold;
-            done = barred;
+        synchronized (readLock) {
+            readingStopped |= bytesRead == bytesProcessed;
+            done = readingStopped;
         }
         if (done) {
             finish();
         } else {
-            readOn();
+            resumeReading();
         }
         return done;
     }
 
-    /** A peer that does not read the last words would hold its descriptor for good. */
-    private void flushes(long since) {
-        loop.after(FLUSH, () -> {
+    /** Resets a connection whose peer does not read what is left to flush, which would hold its descriptor for good. */
+    private void watchFlush(long since) {
+        loop.after(FLUSH_STALL_MICROS, () -> {
             if (!session.isConnected()) {
                 return;
             }
-            boolean late = loop.now() - since >= FLUSH_MOST;
-            if (outbound.unread() > 0 && (late || !outbound.awaitsPeer(FLUSH))) {
-                WARNINGS.warn("a connection is reset: its peer has not read the last words");
+            boolean late = loop.now() - since >= FLUSH_MAX_MICROS;
+            if (outbound.pendingBytes() > 0 && (late || !outbound.isDrainingWithin(FLUSH_STALL_MICROS))) {
+                WARNINGS.warn(
+                        "connection reset: its peer stopped reading before all that was left to send had been sent");
                 reset(session);
             } else if (!late) {
-                flushes(since);
+                watchFlush(since);
             }
         });
     }
 
     /**
-     * Ends the connection at once by a reset, so that its peer knows that not all was answered; {@link Events#closed}
-     * follows.
+     * Resets the connection at once, so that the peer knows that not everything was answered. Bytes that have not
+     * reached the peer are discarded, also those in the system's buffers. {@link Events#closed} follows. Core thread.
+     *
+     * @param why what {@link #reason} returns from then on
      */
     public void abort(EndReason why) {
-        if (session != null && !over) {
-            endedBy = why;
+        if (session != null && !closed) {
+            endReason = why;
             reset(session);
         }
     }
@@ -650,18 +726,22 @@
             }
         } catch (RuntimeIoException e) {
             // It is closed already.
-            Log.debug("no reset: %s", e.getMessage());
+            Log.debug("cannot set up the reset of a connection that is closed already: %s", e.getMessage());
         }
         session.closeNow();
     }
 
-    /** Closes at once; no further events come. */
+    /**
+     * Closes at once; no further events follow. Bytes that have not been handed to the socket are discarded. The peer
+     * sees FIN, or a reset if something is unread in the socket. A connection that is being established is abandoned.
+     * Core thread.
+     */
     public void drop() {
-        over = true;
+        closed = true;
         if (session != null) {
             session.closeNow();
-        } else if (dialling != null) {
-            Net.abandon(dialling);
+        } else if (connectFuture != null) {
+            Net.abandon(connectFuture);
         }
     }
 }
--- a/net/src/main/java/lupinvalve/net/Net.java
+++ b/net/src/main/java/lupinvalve/net/Net.java
@@ -38,38 +38,42 @@
 import org.apache.mina.transport.socket.nio.NioSocketAcceptor;
 import org.apache.mina.transport.socket.nio.NioSocketConnector;
 
-/** MINA as the program uses it: one processor thread for all connections, one acceptor a listener, one connector. */
+/** Sockets over MINA: one processor thread for all connections, one acceptor per listener, and one connector. */
 public final class Net implements Dialer {
     private static final AttributeKey LINK = new AttributeKey(Net.class, "link");
-    private static final int BACKLOG = 512;
-    private static final int READ_LEAST = 4096;
-    /** How often a port is tried to be opened, and the rest between two tries. */
+    private static final int ACCEPT_BACKLOG = 512;
+    private static final int READ_BUFFER_MIN_BYTES = 4096;
+    /** Attempts to open a port. */
     private static final int BIND_TRIES = 20;
-
+    /** The pause between two of them. */
     private static final long BIND_PAUSE_MILLIS = 50;
-    /** Of messages that are not whole: a third of the least heap that a pooler is given. */
-    private static final long UNFINISHED_MOST = 14 << 20;
+    /** Limit for incomplete messages over all connections: a third of the smallest heap that a pooler is given. */
+    private static final long PARTIAL_MESSAGES_MAX_BYTES = 14 << 20;
 
     private final EventLoop loop;
     private final boolean urgent;
     private volatile BooleanSupplier fence;
-    private volatile int sessionsMost = Integer.MAX_VALUE;
+    private volatile int maxConnections = Integer.MAX_VALUE;
     private final AtomicBoolean closing = new AtomicBoolean();
     private final AtomicInteger accepted = new AtomicInteger();
-    private final Room memory = new Room(UNFINISHED_MOST);
+    private final ByteBudget inputBudget = new ByteBudget(PARTIAL_MESSAGES_MAX_BYTES);
     private final ExecutorService threads = Executors.newCachedThreadPool(work -> {
         Thread thread = new Thread(null, work, "net", 256 << 10);
         thread.setDaemon(true);
         return thread;
     });
-    /** Where it matters how long bytes may have waited in the system; null elsewhere. */
-    private final ReadProgress progress;
+    /** Tracks how long input may have waited in the socket buffers; null where that is not needed. */
+    private final ReadProgress readProgress;
 
     private final Processor processor;
     private final NioSocketConnector connector;
 
-    /** What keeps strangers out of connections; it may give other filters later than it did at first. */
+    /**
+     * Provides the filters that secure connections, such as TLS; later calls may return other filters, for new
+     * certificates.
+     */
     public interface Security {
+        /** Returns the filter of new connections, dialled ones if {@code client}, else accepted ones. */
         IoFilter filter(boolean client);
     }
 
@@ -77,11 +81,12 @@
     private final Security security;
     private final List<NioSocketAcceptor> acceptors = new CopyOnWriteArrayList<>();
 
+    /** A network without security whose events wait their turn. */
     public Net(EventLoop loop) {
         this(loop, false);
     }
 
-    /** @param urgent whether what happens on its connections goes before all that waits for the core */
+    /** @param urgent whether events of its connections go before everything else that waits for the core */
     public Net(EventLoop loop, boolean urgent) {
         this(loop, urgent, null);
     }
@@ -91,10 +96,10 @@
         this.loop = loop;
         this.urgent = urgent;
         this.security = security;
-        progress = urgent ? new ReadProgress(threads) : null;
-        processor = urgent ? progress : new Processor(threads);
+        readProgress = urgent ? new ReadProgress(threads) : null;
+        processor = urgent ? readProgress : new Processor(threads);
         connector = new NioSocketConnector(threads, processor);
-        setUp(connector.getSessionConfig());
+        configure(connector.getSessionConfig());
         if (security != null) {
             connector.getFilterChain().addLast(SECURITY, security.filter(true));
         }
@@ -102,15 +107,15 @@
     }
 
     /**
-     * Connections are let in only while fewer than so many are open, dialled ones counted. Guards the process's
-     * descriptors: a burst is taken in faster than what is past the fronts' bounds can be told so, and with none left
-     * nothing can be dialled.
+     * Limits the number of connections that may be open when another is accepted, dialled ones included. Guards the
+     * process's file descriptors: a burst is accepted faster than the frontends can reject what exceeds their limits,
+     * and with no descriptor left nothing can be dialled. Any thread.
      */
-    public void setMaxConnections(int sessions) {
-        sessionsMost = sessions;
+    public void setMaxConnections(int connections) {
+        maxConnections = connections;
     }
 
-    /** Connections from now on are secured as it is said now; those that are up stay. */
+    /** Secures new connections by fresh filters of the {@link Security}; open ones keep theirs. Any thread. */
     public void reloadSecurity() {
         if (security != null) {
             connector.getFilterChain().replace(SECURITY, security.filter(true));
@@ -118,19 +123,22 @@
         }
     }
 
-    /** Has a connection ended after a last look by the thread of its processor. */
+    /** Has the processor's thread read once more and then close the connection if that finds nothing; any thread. */
     static void retire(IoSession session) {
         if (session instanceof NioSession nio && nio.getProcessor() instanceof Processor processor) {
-            processor.lookOnceMore(nio);
+            processor.scheduleClose(nio);
         } else {
             session.closeNow();
         }
     }
 
-    /** MINA's processor, whose reads each connection may bar. */
+    /**
+     * MINA's processor, extended so that a link can refuse reads and writes. Its methods run on the processor's thread.
+     */
     public static class Processor extends NioProcessor {
-        private final Queue<NioSession> retired = new ConcurrentLinkedQueue<>();
+        private final Queue<NioSession> pendingCloses = new ConcurrentLinkedQueue<>();
 
+        /** Runs on one of {@code threads}. */
         public Processor(Executor threads) {
             super(threads);
         }
@@ -143,28 +151,25 @@
 
         @Override
         protected int select(long timeout) throws Exception {
-            for (NioSession session = retired.poll(); session != null; session = retired.poll()) {
-                lastLook(session);
+            for (NioSession session = pendingCloses.poll(); session != null; session = pendingCloses.poll()) {
+                readBeforeClose(session);
             }
             return super.select(timeout);
         }
 
-        private void lookOnceMore(NioSession session) {
-            retired.add(session);
+        private void scheduleClose(NioSession session) {
+            pendingCloses.add(session);
             wakeup();
         }
 
-        /**
-         * Closes a connection whose end was asked for, unless something has come by now; that is passed on like all
-         * that is read.
-         */
-        private void lastLook(NioSession session) {
-            IoBuffer in = IoBuffer.allocate(READ_LEAST);
+        /** Closes a connection whose close was requested, unless input has arrived; that is passed on as usual. */
+        private void readBeforeClose(NioSession session) {
+            IoBuffer in = IoBuffer.allocate(READ_BUFFER_MIN_BYTES);
             try {
                 if (!session.isConnected() || session.isClosing()) {
                     return;
                 }
-                if (link(session).lastLook(() -> super.read(session, in))) {
+                if (link(session).readBeforeClose(() -> super.read(session, in))) {
                     session.closeNow();
                 } else if (in.position() > 0) {
                     session.getFilterChain().fireMessageReceived(in.flip());
@@ -177,27 +182,27 @@
         @Override
         protected int write(NioSession session, IoBuffer out, int length) throws IOException {
             Link link = (Link) session.getAttribute(LINK);
-            if (link != null && (link.isShut() || link.isTooLate(session.getWrittenBytes()))) {
-                throw new IOException("what was decided may no longer go out");
+            if (link != null && (link.isFenced() || link.checkSendDeadline(session.getWrittenBytes()))) {
+                throw new IOException("write refused: it is fenced, or its send deadline has passed");
             }
             return super.write(session, out, length);
         }
 
         /**
-         * Closes the channel in one step. As long as it is registered the JDK only shuts it for writing, and closes it
-         * at the selector's next turn: its peer reads an end in order, whatever lies unread. So it is taken from the
-         * selector first; the system then resets the connection where anything is unread, and ends it in order where
-         * nothing is.
+         * Closes the channel in one step. While a channel is registered, the JDK only shuts down its output and closes
+         * it at the selector's next turn: the peer would see an orderly end (FIN) although input is unread. So the
+         * channel is deregistered first; the system then resets the connection if anything is unread, and sends FIN if
+         * not.
          */
         @Override
         protected void destroy(NioSession session) throws Exception {
             SelectionKey key = keyOf(session);
             if (key != null) {
                 key.cancel();
-                // What is found ready now is found again by the next select.
+                // What is ready now is found again by the next select.
                 selector.selectNow(ready -> {});
                 if (wakeupCalled.get()) {
-                    // That call took it.
+                    // selectNow() has consumed the wakeup.
                     selector.wakeup();
                 }
             }
@@ -214,9 +219,9 @@
         }
     }
 
-    private static void setUp(SocketSessionConfig config) {
+    private static void configure(SocketSessionConfig config) {
         config.setTcpNoDelay(true);
-        config.setReadBufferSize(READ_LEAST);
+        config.setReadBufferSize(READ_BUFFER_MIN_BYTES);
         config.setMaxReadBufferSize(65536);
     }
 
@@ -230,21 +235,25 @@
             address = acceptor.getLocalAddress();
         }
 
+        /** The address that is listened on, with the port that the system has chosen if none was given. */
         public InetSocketAddress address() {
             return address;
         }
 
-        /** Connections taken here that are not closed yet, or on which something is still to be written. */
+        /** Connections accepted here that are not closed yet, or that still have bytes to flush; any thread. */
         public int open() {
             return acceptor.getManagedSessionCount();
         }
 
-        /** Takes no new connections; those open stay, and those that wait to be taken are. */
+        /**
+         * Stops accepting connections; those that are open stay, and those that wait in the backlog are accepted first.
+         * Returns at once. Any thread.
+         */
         public void stop() {
             stop(() -> {});
         }
 
-        /** The same; {@code then} runs on the core thread once it is done. */
+        /** As {@link #stop()}; {@code then} runs on the core thread once the port is closed. */
         public void stop(Runnable then) {
             threads.execute(() -> {
                 acceptor.unbind();
@@ -253,7 +262,7 @@
         }
     }
 
-    /** Hands each connection's link to {@code accept}, which gives its events; it runs on MINA's thread. */
+    /** Listens on an address. {@code accept} runs on MINA's thread for each connection and returns its link. */
     public Listener listen(InetSocketAddress address, Function<IoSession, Link> accept) throws IOException {
         return listen(address, false, accept);
     }
@@ -265,11 +274,11 @@
                 processor,
                 shared,
                 accepted,
-                () -> accepted.get() + connector.getManagedSessionCount() < sessionsMost);
+                () -> accepted.get() + connector.getManagedSessionCount() < maxConnections);
         acceptor.setReuseAddress(true);
-        acceptor.setBacklog(BACKLOG);
+        acceptor.setBacklog(ACCEPT_BACKLOG);
         acceptor.setCloseOnDeactivation(false);
-        setUp(acceptor.getSessionConfig());
+        configure(acceptor.getSessionConfig());
         if (security != null) {
             acceptor.getFilterChain().addLast(SECURITY, security.filter(false));
         }
@@ -285,8 +294,8 @@
     }
 
     /**
-     * Opens a port. What the system lacks for a moment is asked for again: a start must not fail by it. An address that
-     * can't be had is told at once.
+     * Opens a port. A temporary shortage of system resources is retried, so that it does not fail a start; an address
+     * that is not available fails at once. Blocks its caller meanwhile.
      */
     static void bind(NioSocketAcceptor acceptor, InetSocketAddress address) throws IOException {
         for (int tries = 1; ; tries++) {
@@ -299,7 +308,7 @@
                 if (tries == BIND_TRIES) {
                     throw e;
                 }
-                Log.warn("listening on %s failed: %s; tried again", address, e.getMessage());
+                Log.warn("listening on %s failed: %s; retrying", address, e.getMessage());
                 pause(e);
             }
         }
@@ -314,47 +323,51 @@
         }
     }
 
-    /** Listens with the same events for all connections. */
+    /** Listens with the same events handler for all connections. */
     public Listener listen(InetSocketAddress address, java.util.function.Supplier<Framer> framers, Link.Events events)
             throws IOException {
         return listen(address, false, framers, events);
     }
 
     /**
-     * Listens with the same events for all connections.
+     * Listens with the same events handler for all connections.
      *
      * @param shared whether another process may listen on the address at the same time
      */
     public Listener listen(
             InetSocketAddress address, boolean shared, java.util.function.Supplier<Framer> framers, Link.Events events)
             throws IOException {
-        return listen(address, shared, session -> new Link(loop, framers.get(), events, memory, urgent));
+        return listen(address, shared, session -> new Link(loop, framers.get(), events, inputBudget, urgent));
     }
 
     /**
-     * MINA's acceptor with three more duties: the address may be shared between the two processes of an upgrade, the
-     * connections that wait to be taken when it closes are taken first, since the system would reset them, and no more
-     * are open than there is room for.
+     * MINA's acceptor with three additions: the address may be shared between the two processes of an upgrade;
+     * connections that wait in the backlog when it closes are accepted first, since the system would reset them; and no
+     * more connections are open than the limit allows. Its methods run on the acceptor's thread.
      */
     static class Acceptor extends NioSocketAcceptor {
-        private static final int TURNS = 40, TURN = 5;
-        private static final long LACK_MILLIS = 10;
+        private static final int ROOM_CHECKS = 40;
+        private static final int ROOM_CHECK_MILLIS = 5;
+        private static final long SHORTAGE_PAUSE_MILLIS = 10;
         private final RepeatedWarnings warnings = new RepeatedWarnings();
         private final boolean shared;
         private final AtomicInteger accepted;
-        private final BooleanSupplier room;
-        private boolean took, crowded;
+        private final BooleanSupplier hasRoom;
+        /** Whether the last attempt to accept found a connection. */
+        private boolean acceptedLast;
+        /** Whether the last connection was refused because the limit was reached. */
+        private boolean refusedLast;
 
         Acceptor(
                 Executor threads,
                 IoProcessor<NioSession> processor,
                 boolean shared,
                 AtomicInteger accepted,
-                BooleanSupplier room) {
+                BooleanSupplier hasRoom) {
             super(threads, processor);
             this.shared = shared;
             this.accepted = accepted;
-            this.room = room;
+            this.hasRoom = hasRoom;
         }
 
         @Override
@@ -377,25 +390,26 @@
         }
 
         @Override
-        protected NioSession accept(IoProcessor<NioSession> by, ServerSocketChannel handle) throws Exception {
-            if (!roomSoon()) {
-                SocketChannel turnedAway = handle.accept();
-                took = turnedAway != null;
-                if (took) {
-                    turnedAway.close();
-                    warnings.warn("client turned away unread: no descriptor is left for it");
+        protected NioSession accept(IoProcessor<NioSession> processor, ServerSocketChannel handle) throws Exception {
+            if (!awaitRoom()) {
+                SocketChannel refused = handle.accept();
+                acceptedLast = refused != null;
+                if (acceptedLast) {
+                    // The peer sees FIN, or a reset if it has sent something already.
+                    refused.close();
+                    warnings.warn("client connection closed unread: the limit on open connections is reached");
                 }
                 return null;
             }
             NioSession session;
             try {
-                session = takeNext(by, handle);
+                session = acceptNext(processor, handle);
             } catch (IOException e) {
-                failed(e);
+                onAcceptFailed(e);
                 return null;
             }
-            took = session != null;
-            if (took) {
+            acceptedLast = session != null;
+            if (acceptedLast) {
                 accepted.incrementAndGet();
                 session.getCloseFuture().addListener(closed -> accepted.decrementAndGet());
             }
@@ -403,15 +417,15 @@
         }
 
         /**
-         * One connection could not be taken; those behind it can. MINA would stop taking any for a second. Only what
-         * this machine lacks is given a moment: the connection stays readable meanwhile, and asking again at once would
-         * keep a thread busy.
+         * Handles a connection that could not be accepted: those behind it can be, but MINA would stop accepting for a
+         * second. Only a shortage of resources on this machine is given a pause: the port stays readable meanwhile, and
+         * an immediate retry would keep a thread busy.
          */
-        private void failed(IOException why) throws InterruptedException {
-            took = true;
+        private void onAcceptFailed(IOException why) throws InterruptedException {
+            acceptedLast = true;
             warnings.warn("accept failed: " + why.getMessage());
             if (lacksResources(why)) {
-                Thread.sleep(LACK_MILLIS);
+                Thread.sleep(SHORTAGE_PAUSE_MILLIS);
             }
         }
 
@@ -422,27 +436,28 @@
                     || text.startsWith("Cannot allocate");
         }
 
-        /** Takes the connection that has waited longest, or gives null where none waits. */
-        NioSession takeNext(IoProcessor<NioSession> by, ServerSocketChannel handle) throws Exception {
-            return super.accept(by, handle);
+        /** Accepts the connection that has waited longest, or returns null if none waits. */
+        NioSession acceptNext(IoProcessor<NioSession> processor, ServerSocketChannel handle) throws Exception {
+            return super.accept(processor, handle);
         }
 
         /**
-         * Waits a little for connections that are being ended; those that come behind one that waited in vain don't.
+         * Waits for connections that are about to close, up to {@link #ROOM_CHECKS} times {@link #ROOM_CHECK_MILLIS}
+         * ms. If one connection has waited in vain, those behind it are refused without a wait.
          */
-        private boolean roomSoon() throws InterruptedException {
-            for (int i = 0; i < TURNS && !crowded && !room.getAsBoolean(); i++) {
-                Thread.sleep(TURN);
+        private boolean awaitRoom() throws InterruptedException {
+            for (int i = 0; i < ROOM_CHECKS && !refusedLast && !hasRoom.getAsBoolean(); i++) {
+                Thread.sleep(ROOM_CHECK_MILLIS);
             }
-            crowded = !room.getAsBoolean();
-            return !crowded;
+            refusedLast = !hasRoom.getAsBoolean();
+            return !refusedLast;
         }
 
         @Override
         protected void close(ServerSocketChannel handle) throws Exception {
-            took = true;
-            for (int i = 0; i < BACKLOG && took; i++) {
-                // MINA takes a connection only where its selector has just seen one.
+            acceptedLast = true;
+            for (int i = 0; i < ACCEPT_BACKLOG && acceptedLast; i++) {
+                // MINA accepts a connection only if its selector has just reported one.
                 selector.selectNow();
                 processHandles(new ArrayList<>(List.of(handle)).iterator());
             }
@@ -450,34 +465,37 @@
         }
     }
 
-    /** Nothing more goes out on connections that were dialled while this says no; before the first is. */
+    /**
+     * Forbids writing on dialled connections while {@code open} returns false: a write then fails and the connection is
+     * closed. To be called before the first {@link #dial}; {@code open} runs on the processor's thread.
+     */
     public void fence(BooleanSupplier open) {
         fence = open;
     }
 
     @Override
     public Link dial(InetSocketAddress address, Framer framer, Link.Events events) {
-        Link link = new Link(loop, framer, events, memory, urgent);
+        Link link = new Link(loop, framer, events, inputBudget, urgent);
         link.fence(fence);
-        link.progress(progress);
+        link.setReadProgress(readProgress);
         if (address.isUnresolved() || connector.isDisposing()) {
-            link.ended();
+            link.onClosed();
             return link;
         }
         ConnectFuture future = connector.connect(address, (session, connecting) -> session.setAttribute(LINK, link));
-        link.dialling(future);
+        link.setConnectFuture(future);
         future.addListener(done -> {
             if (future.getException() != null || future.isCanceled()) {
-                link.ended();
+                link.onClosed();
             }
         });
         return link;
     }
 
-    /** What has gone over all connections since the start, those that are closed included. */
+    /** Totals over all connections since the start, including those that are closed. */
     public record Traffic(long bytesOut, long bytesIn, long messagesOut) {}
 
-    /** Sums of all connections; from any thread. */
+    /** Sums the traffic of all connections; any thread. */
     public Traffic traffic() {
         long out = connector.getStatistics().getWrittenBytes();
         long in = connector.getStatistics().getReadBytes();
@@ -491,39 +509,44 @@
     }
 
     /**
-     * Closes the socket under a dial that is given up. MINA's own cancel counts a dial twice that has just come up and
-     * has no session yet: its connector's thread may then end while other dials wait for it, and these never come up.
+     * Closes the socket of a connection attempt that is given up. MINA's own cancel counts an attempt twice if it has
+     * just been established and has no session yet: the connector's thread may then end while other attempts wait for
+     * it, and these never complete.
      */
-    static void abandon(ConnectFuture dialling) {
-        if (dialling instanceof AbstractPollingIoConnector<?, ?>.ConnectionRequest request
+    static void abandon(ConnectFuture future) {
+        if (future instanceof AbstractPollingIoConnector<?, ?>.ConnectionRequest request
                 && request.getHandle() instanceof SocketChannel socket) {
             try {
                 socket.close();
             } catch (IOException e) {
-                Log.warn("a dial that was given up could not be closed: %s", e);
+                Log.warn("cannot close the socket of a connection attempt that was given up: %s", e);
             }
         }
     }
 
     /**
-     * Waits, no longer than so, until all that had come before the given age has been handed to the core; for one whose
-     * events go first. Core thread only.
+     * Waits until all input that is older than the given age has been posted to the core. Only for a network whose
+     * events are urgent. Core thread only, which it blocks.
      *
-     * @return the time up to which that holds, which is older than the age where the wait was in vain
+     * @param maxWaitMicros how long to wait at most
+     * @return the time up to which all input has been posted, in microseconds of the event loop; older than the
+     *     requested age if the wait timed out
      */
-    public long awaitReadUpTo(long ageMicros, long most) {
-        if (progress == null || connector.getManagedSessionCount() == 0) {
-            // Nothing comes where no connection is up.
+    public long awaitReadUpTo(long ageMicros, long maxWaitMicros) {
+        if (readProgress == null || connector.getManagedSessionCount() == 0) {
+            // No input can come while no connection is open.
             return loop.now();
         }
-        if (!progress.await(ageMicros, most)) {
-            Log.warn("nothing has been read for %d us", progress.ageMicros());
+        if (!readProgress.await(ageMicros, maxWaitMicros)) {
+            Log.warn(
+                    "the thread of the sockets has not completed a read for %d us; continuing with older input",
+                    readProgress.ageMicros());
         }
         long now = loop.now();
-        return now - progress.ageMicros();
+        return now - readProgress.ageMicros();
     }
 
-    /** Closes every connection and listener; once done it does nothing more. */
+    /** Closes every connection and listener, without flushing pending writes; further calls do nothing. Any thread. */
     public void close() {
         if (closing.getAndSet(true)) {
             return;
@@ -536,45 +559,51 @@
         });
     }
 
-    /** Waits until the threads of all connections and listeners have ended, so long at most; after {@link #close}. */
+    /**
+     * Waits until the threads of all connections and listeners have ended, after {@link #close}.
+     *
+     * @param millis how long to wait at most
+     * @return whether they have ended
+     */
     public boolean awaitEnd(long millis) throws InterruptedException {
         return threads.awaitTermination(millis, TimeUnit.MILLISECONDS);
     }
 
+    /** Passes the events of a session to its link; runs on MINA's threads. */
     private static class Handler extends IoHandlerAdapter {
         @Override
         public void sessionOpened(IoSession session) {
-            link(session).opened(session);
+            link(session).onOpened(session);
         }
 
         @Override
         public void messageReceived(IoSession session, Object message) {
-            link(session).received(session, (IoBuffer) message);
+            link(session).onReceived(session, (IoBuffer) message);
         }
 
         @Override
         public void messageSent(IoSession session, Object message) {
-            link(session).sent(session);
+            link(session).onSent(session);
         }
 
         @Override
         public void inputClosed(IoSession session) {
-            link(session).leaves();
+            link(session).onPeerClosed();
             session.closeNow();
         }
 
         @Override
         public void sessionClosed(IoSession session) {
-            link(session).ended();
+            link(session).onClosed();
         }
 
         @Override
         public void exceptionCaught(IoSession session, Throwable cause) {
             if (cause instanceof IOException) {
-                link(session).broken();
+                link(session).onIoError();
             } else {
                 Log.failure("connection", cause);
-                link(session).failed(session);
+                link(session).onProgramFault(session);
             }
             session.closeNow();
         }
