--- a/net/src/main/java/lupinvalve/net/Outbound.java
+++ b/net/src/main/java/lupinvalve/net/Outbound.java
@@ -4,124 +4,129 @@
 import org.apache.mina.core.session.IoSession;
 
 /**
- * What has been written on one connection and its peer has not taken yet. Tells when there is room again, and finds
- * peers that take nothing: what they leave unread must not be held for good. Core thread only, but for {@link #sent}.
+ * Tracks what has been written on one connection and not been handed to the socket yet, since the peer does not read.
+ * Notifies when enough of it has drained, and finds peers that read nothing, whose pending bytes would be kept for
+ * good. Core thread only, except {@link #onSent}.
  */
 final class Outbound {
-    /** With so much unread a connection is full: nothing more is read from its peer, and answers wait. */
+    /** With more pending bytes than this, nothing more is read from the peer, and answers wait. */
     static final long FULL_BYTES = 1 << 20;
-    /** A peer for whom something waits must take a byte in this time. */
+    /** A peer with pending bytes must take at least one byte in this time. */
     private static final long STALLED_MICROS = 15_000_000;
-    /** How often that is looked at. */
-    private static final long LOOK_MICROS = 3_000_000;
+    /** Interval of the checks for that. */
+    private static final long CHECK_MICROS = 3_000_000;
 
     private final EventLoop loop;
-    private final Runnable stalled;
+    private final Runnable onStalled;
     private IoSession session;
-    private volatile Runnable room;
-    private volatile long roomFrom;
-    private long handed, writtenAt;
-    /**
-     * What the peer had taken at the last look, when that had changed, and since when each look has found something
-     * unread.
-     */
-    private long taken, takenAt, unreadSince = Long.MAX_VALUE;
-
+    /** Runs on the core thread once no more than {@code drainThresholdBytes} are pending; null if nothing waits. */
+    private volatile Runnable onDrained;
+
+    private volatile long drainThresholdBytes;
+    private long bytesSubmitted;
+    private long lastSubmittedAtMicros;
+    /** Bytes handed to the socket at the last sample. */
+    private long bytesTaken;
+    /** When a sample last found that number changed. */
+    private long bytesTakenAtMicros;
+    /** The first of the latest samples that have all found pending bytes. */
+    private long pendingSinceMicros = Long.MAX_VALUE;
+
+    /** Whether a check of the peer's progress is scheduled. */
     private boolean isWatched;
 
-    /** @param stalled ends the connection, as its peer takes nothing */
-    Outbound(EventLoop loop, Runnable stalled) {
+    /** @param onStalled ends the connection of a peer that reads nothing */
+    Outbound(EventLoop loop, Runnable onStalled) {
         this.loop = loop;
-        this.stalled = stalled;
+        this.onStalled = onStalled;
     }
 
     void opened(IoSession opened) {
         session = opened;
     }
 
-    /** So much is about to be written. */
-    void writes(int bytes) {
-        handed += bytes;
-        writtenAt = loop.now();
+    /** Counts bytes that are about to be written. */
+    void onSubmit(int bytes) {
+        bytesSubmitted += bytes;
+        lastSubmittedAtMicros = loop.now();
     }
 
-    /** Bytes given to the connection so far. */
-    long handed() {
-        return handed;
+    /** Bytes submitted to the connection so far. */
+    long bytesSubmitted() {
+        return bytesSubmitted;
     }
 
-    /** When the last bytes were given to it. */
-    long writtenAt() {
-        return writtenAt;
+    /** When bytes were last submitted. */
+    long lastSubmittedAtMicros() {
+        return lastSubmittedAtMicros;
     }
 
-    /** Bytes that the peer's machine has not taken yet, as far as this side knows. */
-    long unread() {
+    /** Bytes that have not been handed to the socket yet; those in the system's buffers are not counted. */
+    long pendingBytes() {
         return session == null || !session.isConnected() ? 0 : session.getScheduledWriteBytes();
     }
 
     boolean isFull() {
-        return unread() > FULL_BYTES;
+        return pendingBytes() > FULL_BYTES;
     }
 
-    /** Runs {@code then} once, on the core thread, when no more than so many bytes are unread. */
-    void whenRoom(long bytes, Runnable then) {
-        roomFrom = bytes;
-        room = then;
+    /** Runs {@code then} once, on the core thread, as soon as no more than {@code bytes} are pending. */
+    void whenPendingAtMost(long bytes, Runnable then) {
+        drainThresholdBytes = bytes;
+        onDrained = then;
         if (session != null) {
-            // It may have been read between the look and the wish.
-            sent(session);
+            // The bytes may have drained between the caller's check and this call.
+            onSent(session);
             watch();
         }
     }
 
-    /** Something has been written whole to the socket; MINA's thread. */
-    void sent(IoSession to) {
-        Runnable then = room;
-        if (then != null && to.getScheduledWriteBytes() <= roomFrom) {
-            room = null;
+    /** A write request has been handed to the socket completely; MINA's thread, or the core thread for a recheck. */
+    void onSent(IoSession to) {
+        Runnable then = onDrained;
+        if (then != null && to.getScheduledWriteBytes() <= drainThresholdBytes) {
+            onDrained = null;
             loop.post(then);
         }
     }
 
     /**
-     * Whether something is unread, and the peer has taken some of it less than so long ago. The time counts from the
-     * first look that finds something unread: if it was this process that stood still, nothing is held against the
-     * peer.
+     * Whether bytes are pending and the socket has accepted some of them within {@code stallMicros}. The time counts
+     * from the first sample that finds pending bytes, so that a stall of this process is not held against the peer.
      */
-    boolean awaitsPeer(long patienceMicros) {
-        look();
-        return unread() > 0 && loop.now() - Math.max(unreadSince, takenAt) < patienceMicros;
+    boolean isDrainingWithin(long stallMicros) {
+        sample();
+        return pendingBytes() > 0 && loop.now() - Math.max(pendingSinceMicros, bytesTakenAtMicros) < stallMicros;
     }
 
-    private void look() {
+    private void sample() {
         long now = loop.now();
         long written = session == null ? 0 : session.getWrittenBytes();
-        if (written != taken) {
-            taken = written;
-            takenAt = now;
+        if (written != bytesTaken) {
+            bytesTaken = written;
+            bytesTakenAtMicros = now;
         }
-        unreadSince = unread() == 0 ? Long.MAX_VALUE : Math.min(unreadSince, now);
+        pendingSinceMicros = pendingBytes() == 0 ? Long.MAX_VALUE : Math.min(pendingSinceMicros, now);
     }
 
-    /** From now on, for as long as anything is unread, the peer must take some of it now and then. */
+    /** From now on, while bytes are pending, the peer must take some of them every {@link #STALLED_MICROS}. */
     void watch() {
         if (!isWatched) {
             isWatched = true;
-            look();
-            loop.after(LOOK_MICROS, this::watched);
+            sample();
+            loop.after(CHECK_MICROS, this::checkStalled);
         }
     }
 
-    private void watched() {
+    private void checkStalled() {
         isWatched = false;
-        if (unread() == 0) {
+        if (pendingBytes() == 0) {
             return;
         }
-        if (awaitsPeer(STALLED_MICROS)) {
+        if (isDrainingWithin(STALLED_MICROS)) {
             watch();
         } else {
-            stalled.run();
+            onStalled.run();
         }
     }
 }
--- a/net/src/main/java/lupinvalve/net/Pool.java
+++ b/net/src/main/java/lupinvalve/net/Pool.java
@@ -19,296 +19,334 @@
 import lupinvalve.routing.ServerRole;
 
 /**
- * Connections to db nodes, one request on each at a time. A protocol extends it with what it says and hears. Core
- * thread only.
+ * Connections to db nodes over one protocol, with one request on each at a time. Subclasses implement the protocol.
+ * Core thread only.
  */
 public abstract class Pool implements Backend {
-    /** What goes out on a connection: an attempt, or a probe without an attempt. */
+    /** What a connection is used for: an attempt, or a health check. */
     public static final class Job {
         public final long attempt;
         public final String node;
         public final Object statement;
-        public final long timeoutMicros, startWithinMicros;
-        final long startedAt;
-
-        Job(long attempt, String node, Object statement, long timeoutMicros, long startWithinMicros, long startedAt) {
+        public final long timeoutMicros;
+        public final long startWithinMicros;
+        final long startedAtMicros;
+
+        Job(
+                long attempt,
+                String node,
+                Object statement,
+                long timeoutMicros,
+                long startWithinMicros,
+                long startedAtMicros) {
             this.attempt = attempt;
             this.node = node;
             this.statement = statement;
             this.timeoutMicros = timeoutMicros;
             this.startWithinMicros = startWithinMicros;
-            this.startedAt = startedAt;
+            this.startedAtMicros = startedAtMicros;
         }
 
+        /** Whether this is a health check, which has no attempt. */
         public boolean isProbe() {
             return attempt < 0;
         }
 
-        /** What is left of the wait. */
-        public long remainingMicros(long now) {
-            return startedAt + timeoutMicros - now;
+        /** Time left until the pooler stops waiting, in microseconds. */
+        public long remainingMicros(long nowMicros) {
+            return startedAtMicros + timeoutMicros - nowMicros;
         }
 
-        /** For how long the db node may begin it. */
-        public long remainingStartMicros(long now) {
-            return startedAt + startWithinMicros - now;
+        /** Time left for the db node to start the request, in microseconds. */
+        public long remainingStartMicros(long nowMicros) {
+            return startedAtMicros + startWithinMicros - nowMicros;
         }
     }
 
-    /** A connection to a db node; protocols add what they must remember of it. */
+    /** A connection to a db node; protocols extend it with their state. */
     public static class PooledConnection {
         private final String node;
-        /** The db node's process that it was opened to. */
+        /** The db node's process that the connection was opened to. */
         private EndpointInstance instance;
 
-        private long openedAt, slot;
+        private long openedAtMicros;
+        private long slot;
         private Link link;
-        private boolean greeted, started, more;
+        /** Whether the handshake is complete. */
+        private boolean ready;
+        /** Whether the job's request has been written. */
+        private boolean sent;
+        /** Whether input follows the message that is being handled. */
+        private boolean hasMoreInput;
+
         private Job job;
-        private long before, through;
-        /** When it began to rest, and how long it had rested before its job; 0 where it is new. */
-        private long restAt, rested;
+        /** Bytes submitted to the link before the request itself. */
+        private long bytesBeforeRequest;
+        /** Bytes submitted to the link up to the end of the request. */
+        private long bytesThroughRequest;
+        /** When the connection became idle. */
+        private long idleSinceMicros;
+        /** How long the connection was idle before its current job; 0 if it is new. */
+        private long idledMicros;
 
-        private TimerQueue.Timer limit;
+        private TimerQueue.Timer timer;
 
         protected PooledConnection(String node) {
             this.node = node;
         }
 
+        /** The job that the connection is used for, or null if it is idle. */
         public final Job job() {
             return job;
         }
 
+        /** Writes as {@link Link#write} does. */
         public final void write(byte[]... parts) {
             link.write(parts);
         }
     }
 
     /**
-     * How long a connection may have rested to be trusted with a request. Guards against db nodes that drop resting
-     * connections sooner than they say, and without a word: the next request on one ends as a reset. One lost after a
-     * rest cuts it, one that serves after a rest like it raises it, so that it settles where about one in six is lost.
+     * How long a connection may have been idle to be used for a request. Guards against db nodes that silently drop
+     * idle connections sooner than they announce: the next request on such a connection ends as a reset. A connection
+     * lost after an idle time lowers the limit, one that serves after a similar idle time raises it, so that it settles
+     * where about one in six is lost.
      */
-    private static final class Trust {
-        private static final long LEAST = 40_000;
-        private static final double CUT = 0.7, RAISE = 1.08;
-        private final long most;
-        private long micros;
+    private static final class IdleTrust {
+        private static final long MIN_MICROS = 40_000;
+        private static final double SHRINK_RATIO = 0.7;
+        private static final double GROW_RATIO = 1.08;
+        private final long maxMicros;
+        private long limitMicros;
 
-        Trust(long most) {
-            this.most = most;
-            micros = most;
+        IdleTrust(long maxMicros) {
+            this.maxMicros = maxMicros;
+            limitMicros = maxMicros;
         }
 
-        void lost(long rested) {
-            if (rested >= LEAST) {
-                micros = Math.max(LEAST, Math.min(micros, (long) (rested * CUT)));
+        void onLost(long idledMicros) {
+            if (idledMicros >= MIN_MICROS) {
+                limitMicros = Math.max(MIN_MICROS, Math.min(limitMicros, (long) (idledMicros * SHRINK_RATIO)));
             }
         }
 
-        void kept(long rested) {
-            if (rested > micros / 2) {
-                micros = Math.min(most, (long) (micros * RAISE));
+        void onServed(long idledMicros) {
+            if (idledMicros > limitMicros / 2) {
+                limitMicros = Math.min(maxMicros, (long) (limitMicros * GROW_RATIO));
             }
         }
     }
 
-    /** Bounds of a pool. */
+    /** Limits of a pool; times in microseconds. */
     public record Bounds(int connections, long connectMicros, long idleMicros, long probeMicros) {}
 
+    /** The least value of {@link #surplusIdleMicros} unless the idle limit is shorter. */
     private static final long SURPLUS_IDLE_MIN_MICROS = 500_000;
-    private final Dialer net;
+
+    private final Dialer dialer;
     private final Bounds bounds;
     protected final Pooler pooler;
     protected final EventLoop loop;
-    private final HandleTable<PooledConnection> conns;
-    private final Map<String, ArrayDeque<PooledConnection>> idle = new HashMap<>();
+    private final HandleTable<PooledConnection> connections;
+    private final Map<String, ArrayDeque<PooledConnection>> idleByNode = new HashMap<>();
     private final Map<Long, PooledConnection> byAttempt = new HashMap<>();
-    private final Trust trust;
-    private int most;
-    /** For how long a connection may rest while another to its db node has been used since. */
-    private final long surplus;
+    private final IdleTrust idleTrust;
+    private int maxConnections;
+    /** How long a connection may be idle while another one to its db node has been used since. */
+    private final long surplusIdleMicros;
 
-    protected Pool(Dialer net, Pooler pooler, Bounds bounds) {
-        this.net = net;
+    protected Pool(Dialer dialer, Pooler pooler, Bounds bounds) {
+        this.dialer = dialer;
         this.pooler = pooler;
         this.bounds = bounds;
         loop = pooler.loop();
-        conns = new HandleTable<>(bounds.connections());
-        most = bounds.connections();
-        trust = new Trust(bounds.idleMicros());
-        surplus = Math.max(
+        connections = new HandleTable<>(bounds.connections());
+        maxConnections = bounds.connections();
+        idleTrust = new IdleTrust(bounds.idleMicros());
+        surplusIdleMicros = Math.max(
                 Math.min(SURPLUS_IDLE_MIN_MICROS, bounds.idleMicros()),
                 bounds.idleMicros() / pooler.settings().instanceCount());
     }
 
-    /** Connections that are open, or on their way up. */
+    /** Connections that are open or being established. */
     public final int open() {
-        return conns.size();
+        return connections.size();
     }
 
-    // ---- what a protocol adds ----
+    // ---- implemented by a protocol ----
 
     protected abstract Framer framer();
 
     protected abstract PooledConnection connect(String node);
 
-    /** The connection is up; says the first word where that is the client's. */
-    protected abstract void opened(PooledConnection conn);
+    /** The connection is established; sends the first message if the protocol has the client send it. */
+    protected abstract void opened(PooledConnection connection);
 
-    /** Writes the job's request, with {@link #markSent} before that; what prepares it may go first. */
-    protected abstract void start(PooledConnection conn);
+    /**
+     * Writes the job's request, calling {@link #markSent} right before; messages that prepare the request may go first.
+     */
+    protected abstract void start(PooledConnection connection);
 
-    /** Takes a message; calls {@link #connectionReady} and {@link #completeJob}. */
-    protected abstract void message(PooledConnection conn, byte[] message);
+    /** Handles a message; calls {@link #connectionReady} and {@link #completeJob}. */
+    protected abstract void message(PooledConnection connection, byte[] message);
 
-    /** The connection ended or is given up: what is already known of the job's end, or null. */
-    protected abstract AttemptOutcome knownOutcome(PooledConnection conn);
+    /** Returns the job's outcome as far as it is known when the connection has ended or is given up, or null. */
+    protected abstract AttemptOutcome knownOutcome(PooledConnection connection);
 
-    /** The connection's job is over, however it ended. */
-    protected void released(PooledConnection conn) {
-        // Nothing to put away.
+    /** The connection's job is over, whatever its outcome. */
+    protected void released(PooledConnection connection) {
+        // A protocol without state of its own has nothing to release.
     }
 
-    // ---- what a protocol calls ----
+    // ---- called by a protocol ----
 
-    /** The db node takes requests on this connection from now on. */
-    protected final void connectionReady(PooledConnection conn) {
-        if (conn.greeted) {
+    /** The db node accepts requests on this connection from now on: starts its job or makes the connection idle. */
+    protected final void connectionReady(PooledConnection connection) {
+        if (connection.ready) {
             return;
         }
-        if (conn.more) {
-            Log.warn("db node %s says more than its greeting", conn.node);
-            closeBroken(conn);
+        if (connection.hasMoreInput) {
+            Log.warn("db node %s sent data after its greeting; closing the connection", connection.node);
+            closeBroken(connection);
             return;
         }
-        conn.greeted = true;
-        loop.cancel(conn.limit);
-        if (conn.job == null) {
-            rest(conn);
-        } else if (!pooler.maySend(conn.node, conn.instance, conn.openedAt, conn.job.attempt)) {
-            // The request has not gone anywhere.
-            Job job = conn.job;
-            release(conn);
-            forget(conn);
-            conn.link.drop();
-            tell(job, AttemptOutcome.NOT_SENT, null, LogPosition.UNKNOWN, ServerRole.UNKNOWN);
+        connection.ready = true;
+        loop.cancel(connection.timer);
+        if (connection.job == null) {
+            makeIdle(connection);
+        } else if (!pooler.maySend(
+                connection.node, connection.instance, connection.openedAtMicros, connection.job.attempt)) {
+            // Nothing of the request has been written.
+            Job job = connection.job;
+            release(connection);
+            remove(connection);
+            connection.link.drop();
+            reportEnd(job, AttemptOutcome.NOT_SENT, null, LogPosition.UNKNOWN, ServerRole.UNKNOWN);
         } else {
-            begin(conn);
+            startJob(connection);
         }
     }
 
     /**
-     * The job has its whole answer; the connection is free, or is closed where it can't be used again. Guards against
-     * bytes behind the answer, which would be read as the next request's: they spoil the connection, not the answer.
+     * The job's answer is complete. Makes the connection idle, or closes it if it cannot be used again. Guards against
+     * bytes after the answer, which would be taken for the next request's answer: they make the connection unusable,
+     * but the answer is valid.
      */
     protected final void completeJob(
-            PooledConnection conn, boolean reusable, AttemptOutcome ending, Object answer, long position, ServerRole role) {
-        Job job = conn.job;
-        trust.kept(conn.rested);
-        conn.link.pauseReading(false);
-        release(conn);
-        if (reusable && !conn.more) {
-            rest(conn);
+            PooledConnection connection,
+            boolean reusable,
+            AttemptOutcome outcome,
+            Object answer,
+            long position,
+            ServerRole role) {
+        Job job = connection.job;
+        idleTrust.onServed(connection.idledMicros);
+        connection.link.pauseReading(false);
+        release(connection);
+        if (reusable && !connection.hasMoreInput) {
+            makeIdle(connection);
         } else {
-            forget(conn);
-            conn.link.drop();
+            remove(connection);
+            connection.link.drop();
         }
-        tell(job, ending, answer, position, role);
+        reportEnd(job, outcome, answer, position, role);
     }
 
-    /** Whether reading from the connection waits until its answer has room where it goes. */
-    protected final void pauseReading(PooledConnection conn, boolean wait) {
-        if (conns.get(conn.slot) == conn) {
-            conn.link.pauseReading(wait);
+    /** Pauses or resumes reading from the connection while the client that its answer is streamed to is behind. */
+    protected final void pauseReading(PooledConnection connection, boolean paused) {
+        if (connections.get(connection.slot) == connection) {
+            connection.link.pauseReading(paused);
         }
     }
 
-    /** Nothing more can be read from the connection: it is closed, and its job ends as if it had broken. */
-    protected final void closeBroken(PooledConnection conn) {
-        conn.link.drop();
-        loop.cancel(conn.limit);
-        forget(conn);
-        // MINA may be writing the request right now, so it counts as out.
-        lost(conn, conn.started);
+    /**
+     * Closes a connection whose input cannot be interpreted any further; its job ends as if the connection had been
+     * lost.
+     */
+    protected final void closeBroken(PooledConnection connection) {
+        connection.link.drop();
+        loop.cancel(connection.timer);
+        remove(connection);
+        // MINA may be writing the request at this moment, so it counts as sent.
+        onConnectionLost(connection, connection.sent);
     }
 
-    // ---- the core's calls ----
+    // ---- called by the core ----
 
     @Override
     public final void send(
             long attempt, String node, String address, Object statement, long timeoutMicros, long startWithinMicros) {
-        take(new Job(attempt, node, statement, timeoutMicros, startWithinMicros, loop.now()), address);
+        dispatch(new Job(attempt, node, statement, timeoutMicros, startWithinMicros, loop.now()), address);
     }
 
     @Override
     public final void checkHealth(String node, String address) {
-        take(
+        dispatch(
                 new Job(HandleTable.NO_HANDLE, node, null, bounds.probeMicros(), bounds.probeMicros(), loop.now()),
                 address);
     }
 
-    private void take(Job job, String address) {
-        ArrayDeque<PooledConnection> resting = idle.get(job.node);
-        // The one used last: the others may reach their idle time and be closed.
-        PooledConnection conn = resting == null ? null : resting.peekLast();
-        if (conn != null && loop.now() - conn.restAt > trust.micros) {
-            // The others have rested longer still.
+    private void dispatch(Job job, String address) {
+        ArrayDeque<PooledConnection> idleOnes = idleByNode.get(job.node);
+        // The most recently used one: the others may reach their idle limit and be closed.
+        PooledConnection connection = idleOnes == null ? null : idleOnes.peekLast();
+        if (connection != null && loop.now() - connection.idleSinceMicros > idleTrust.limitMicros) {
+            // The others have been idle even longer.
             closeIdleConnections(job.node);
-            conn = null;
-        } else if (conn != null) {
-            resting.pollLast();
-            conn.rested = loop.now() - conn.restAt;
+            connection = null;
+        } else if (connection != null) {
+            idleOnes.pollLast();
+            connection.idledMicros = loop.now() - connection.idleSinceMicros;
         }
-        if (conn == null) {
-            conn = open(job, address);
+        if (connection == null) {
+            connection = open(job, address);
         }
-        if (conn == null) {
-            tell(job, AttemptOutcome.NOT_SENT, null, LogPosition.UNKNOWN, ServerRole.UNKNOWN);
+        if (connection == null) {
+            reportEnd(job, AttemptOutcome.NOT_SENT, null, LogPosition.UNKNOWN, ServerRole.UNKNOWN);
             return;
         }
-        loop.cancel(conn.greeted ? conn.limit : null);
-        conn.job = job;
+        loop.cancel(connection.ready ? connection.timer : null);
+        connection.job = job;
         if (!job.isProbe()) {
-            byAttempt.put(job.attempt, conn);
+            byAttempt.put(job.attempt, connection);
         }
-        if (conn.greeted) {
-            begin(conn);
+        if (connection.ready) {
+            startJob(connection);
         }
     }
 
     private PooledConnection open(Job job, String address) {
-        if (conns.size() >= most && !evict()) {
-            Log.warn("no connection free for %s", job.node);
+        if (connections.size() >= maxConnections && !evict()) {
+            Log.warn("no connection free for db node %s; not sending the request", job.node);
             return null;
         }
         InetSocketAddress target;
         try {
             target = Addresses.parse(address);
         } catch (IllegalArgumentException e) {
-            Log.warn("db node %s: %s", job.node, e.getMessage());
+            Log.warn("db node %s: invalid address: %s; not sending the request", job.node, e.getMessage());
             return null;
         }
-        PooledConnection conn = connect(job.node);
-        conn.instance = pooler.instance(job.node);
-        conn.openedAt = loop.now();
-        conn.slot = conns.put(conn);
-        conn.limit = loop.after(bounds.connectMicros(), () -> {
-            // Nothing of the request was handed over: the greeting never came.
-            forget(conn);
-            conn.link.drop();
-            lost(conn, false);
+        PooledConnection connection = connect(job.node);
+        connection.instance = pooler.instance(job.node);
+        connection.openedAtMicros = loop.now();
+        connection.slot = connections.put(connection);
+        connection.timer = loop.after(bounds.connectMicros(), () -> {
+            // The handshake has not finished in time, so nothing of the request was written.
+            remove(connection);
+            connection.link.drop();
+            onConnectionLost(connection, false);
         });
-        conn.link = net.dial(target, framer(), new Events(conn));
-        return conn;
+        connection.link = dialer.dial(target, framer(), new Events(connection));
+        return connection;
     }
 
-    /** Closes the connection that has rested longest at some db node, to make room. */
+    /** Closes the connection of some db node that has been idle longest, to make room; false if none is idle. */
     private boolean evict() {
-        for (ArrayDeque<PooledConnection> resting : idle.values()) {
-            PooledConnection conn = resting.pollFirst();
-            if (conn != null) {
-                end(conn);
+        for (ArrayDeque<PooledConnection> idleOnes : idleByNode.values()) {
+            PooledConnection connection = idleOnes.pollFirst();
+            if (connection != null) {
+                closeIdle(connection);
                 return true;
             }
         }
@@ -317,111 +355,112 @@
 
     @Override
     public final boolean abandon(long attempt) {
-        PooledConnection conn = byAttempt.remove(attempt);
-        if (conn == null) {
+        PooledConnection connection = byAttempt.remove(attempt);
+        if (connection == null) {
             return true;
         }
-        boolean left = conn.started;
-        release(conn);
-        if (!conn.greeted) {
-            // The handshake is paid for: the connection may serve the next request.
+        boolean requestSent = connection.sent;
+        release(connection);
+        if (!connection.ready) {
+            // The handshake is under way: the connection can serve the next request.
             return false;
         }
-        forget(conn);
-        conn.link.drop();
-        return left;
+        remove(connection);
+        connection.link.drop();
+        return requestSent;
     }
 
     @Override
     public final boolean isAwaitingConnection(long attempt) {
-        PooledConnection conn = byAttempt.get(attempt);
-        return conn != null && !conn.started;
+        PooledConnection connection = byAttempt.get(attempt);
+        return connection != null && !connection.sent;
     }
 
     @Override
     public final void closeIdleConnections(String node) {
-        ArrayDeque<PooledConnection> resting = idle.remove(node);
-        if (resting != null) {
-            resting.forEach(this::end);
+        ArrayDeque<PooledConnection> idleOnes = idleByNode.remove(node);
+        if (idleOnes != null) {
+            idleOnes.forEach(this::closeIdle);
         }
     }
 
     // ---- one connection ----
 
-    private void begin(PooledConnection conn) {
-        if (conn.job.isProbe()) {
-            conn.limit = loop.after(conn.job.remainingMicros(loop.now()), () -> {
-                Job job = conn.job;
-                release(conn);
-                forget(conn);
-                conn.link.drop();
-                tell(job, AttemptOutcome.TIMED_OUT, null, LogPosition.UNKNOWN, ServerRole.UNKNOWN);
+    private void startJob(PooledConnection connection) {
+        if (connection.job.isProbe()) {
+            connection.timer = loop.after(connection.job.remainingMicros(loop.now()), () -> {
+                Job job = connection.job;
+                release(connection);
+                remove(connection);
+                connection.link.drop();
+                reportEnd(job, AttemptOutcome.TIMED_OUT, null, LogPosition.UNKNOWN, ServerRole.UNKNOWN);
             });
         }
-        start(conn);
-        conn.through = conn.link.handed();
+        start(connection);
+        connection.bytesThroughRequest = connection.link.bytesSubmitted();
     }
 
-    private void release(PooledConnection conn) {
-        if (conn.job != null) {
-            byAttempt.remove(conn.job.attempt);
-            if (conn.job.isProbe() && conn.greeted) {
-                loop.cancel(conn.limit);
+    private void release(PooledConnection connection) {
+        if (connection.job != null) {
+            byAttempt.remove(connection.job.attempt);
+            if (connection.job.isProbe() && connection.ready) {
+                loop.cancel(connection.timer);
             }
         }
-        conn.job = null;
-        conn.started = false;
-        released(conn);
+        connection.job = null;
+        connection.sent = false;
+        released(connection);
     }
 
-    /** Another process of this pooler runs, or no longer: both keep within one limit on descriptors. */
-    public final void setOtherProcessRunning(boolean another) {
-        most = ResourceBudgets.maxConnections(bounds.connections(), another);
-        while (conns.size() > most && evict()) {
-            // What rests goes first; what is busy is not ended for room.
+    /** Adapts the limit to whether another process of this pooler runs, as both share one limit on file descriptors. */
+    public final void setOtherProcessRunning(boolean running) {
+        maxConnections = ResourceBudgets.maxConnections(bounds.connections(), running);
+        while (connections.size() > maxConnections && evict()) {
+            // Only idle connections are closed; busy ones are kept although they exceed the limit.
         }
     }
 
-    private void rest(PooledConnection conn) {
-        if (!pooler.isCurrentInstance(conn.node, conn.instance, conn.openedAt)) {
-            // It left, or another process took its id, while this connection was busy or on its way up.
-            forget(conn);
-            conn.link.drop();
+    private void makeIdle(PooledConnection connection) {
+        if (!pooler.isCurrentInstance(connection.node, connection.instance, connection.openedAtMicros)) {
+            // The db node left, or another process took its id, while this connection was busy or being established.
+            remove(connection);
+            connection.link.drop();
             return;
         }
-        ArrayDeque<PooledConnection> resting = idle.computeIfAbsent(conn.node, n -> new ArrayDeque<>());
-        resting.addLast(conn);
-        conn.restAt = loop.now();
-        conn.limit = loop.after(surplus, () -> settle(conn));
+        ArrayDeque<PooledConnection> idleOnes = idleByNode.computeIfAbsent(connection.node, n -> new ArrayDeque<>());
+        idleOnes.addLast(connection);
+        connection.idleSinceMicros = loop.now();
+        connection.timer = loop.after(surplusIdleMicros, () -> closeIfSurplus(connection));
     }
 
     /**
-     * A connection has rested for a while: the one used last stays, the others go. Guards the db nodes' tables, which
-     * all poolers fill together: what one keeps for its rare peaks takes room and capacity there from all.
+     * After its first idle period, keeps the most recently used connection and closes the others. Guards the db nodes'
+     * connection tables, which all poolers share: what one pooler keeps for its rare peaks takes room and capacity from
+     * all.
      */
-    private void settle(PooledConnection conn) {
-        if (idle.get(conn.node).peekLast() == conn && surplus < bounds.idleMicros()) {
-            conn.limit = loop.after(bounds.idleMicros() - surplus, () -> end(conn));
+    private void closeIfSurplus(PooledConnection connection) {
+        if (idleByNode.get(connection.node).peekLast() == connection && surplusIdleMicros < bounds.idleMicros()) {
+            connection.timer = loop.after(bounds.idleMicros() - surplusIdleMicros, () -> closeIdle(connection));
         } else {
-            end(conn);
+            closeIdle(connection);
         }
     }
 
-    private void end(PooledConnection conn) {
-        loop.cancel(conn.limit);
-        forget(conn);
-        conn.link.drop();
+    private void closeIdle(PooledConnection connection) {
+        loop.cancel(connection.timer);
+        remove(connection);
+        connection.link.drop();
     }
 
-    private void forget(PooledConnection conn) {
-        conns.remove(conn.slot);
-        ArrayDeque<PooledConnection> resting = idle.get(conn.node);
-        if (resting != null && resting.isEmpty()) {
-            // Db nodes that have left leave nothing behind.
-            idle.remove(conn.node);
-        } else if (resting != null) {
-            for (Iterator<PooledConnection> it = resting.iterator(); it.hasNext(); ) {
-                if (it.next() == conn) {
+    private void remove(PooledConnection connection) {
+        connections.remove(connection.slot);
+        ArrayDeque<PooledConnection> idleOnes = idleByNode.get(connection.node);
+        if (idleOnes != null && idleOnes.isEmpty()) {
+            // Keeps no entries for db nodes that have left.
+            idleByNode.remove(connection.node);
+        } else if (idleOnes != null) {
+            for (Iterator<PooledConnection> it = idleOnes.iterator(); it.hasNext(); ) {
+                if (it.next() == connection) {
                     it.remove();
                     break;
                 }
@@ -429,88 +468,93 @@
         }
     }
 
-    /** The connection is gone with its job: whether the request may have run depends on what was written. */
-    private void lost(PooledConnection conn, boolean left) {
-        Job job = conn.job;
+    /** Ends the job of a connection that is gone: whether the request may have run depends on what was written. */
+    private void onConnectionLost(PooledConnection connection, boolean requestSent) {
+        Job job = connection.job;
         if (job == null) {
             return;
         }
-        AttemptOutcome known = knownOutcome(conn);
-        if (left) {
-            trust.lost(conn.rested);
-        }
-        // An error in the greeting is no word on the request: that has not left.
-        AttemptOutcome unsent =
-                conn.link != null && conn.link.tooLate() ? AttemptOutcome.NOT_SENT : AttemptOutcome.NOT_CONNECTED;
-        AttemptOutcome ending =
-                known != null && (left || known.neverRan) ? known : left ? AttemptOutcome.BROKEN : unsent;
-        release(conn);
-        tell(job, ending, null, LogPosition.UNKNOWN, ServerRole.UNKNOWN);
+        AttemptOutcome known = knownOutcome(connection);
+        if (requestSent) {
+            idleTrust.onLost(connection.idledMicros);
+        }
+        // An error during the handshake is no answer to the request, which has not been sent.
+        AttemptOutcome notSent = connection.link != null && connection.link.missedSendDeadline()
+                ? AttemptOutcome.NOT_SENT
+                : AttemptOutcome.NOT_CONNECTED;
+        AttemptOutcome outcome = known != null && (requestSent || known.neverRan)
+                ? known
+                : requestSent ? AttemptOutcome.BROKEN : notSent;
+        release(connection);
+        reportEnd(job, outcome, null, LogPosition.UNKNOWN, ServerRole.UNKNOWN);
     }
 
-    private void tell(Job job, AttemptOutcome ending, Object answer, long position, ServerRole role) {
+    private void reportEnd(Job job, AttemptOutcome outcome, Object answer, long position, ServerRole role) {
         if (job.isProbe()) {
-            pooler.healthCheckEnded(job.node, ending, loop.now() - job.startedAt, position, role);
+            pooler.healthCheckEnded(job.node, outcome, loop.now() - job.startedAtMicros, position, role);
         } else {
-            pooler.attemptEnded(job.attempt, ending, answer, position, role);
+            pooler.attemptEnded(job.attempt, outcome, answer, position, role);
         }
     }
 
     private final class Events implements Link.Events {
-        private final PooledConnection conn;
+        private final PooledConnection connection;
 
-        Events(PooledConnection conn) {
-            this.conn = conn;
+        Events(PooledConnection connection) {
+            this.connection = connection;
         }
 
         @Override
         public void opened(Link link) {
-            Pool.this.opened(conn);
+            Pool.this.opened(connection);
         }
 
         @Override
         public void messages(Link link, List<byte[]> messages, long atMicros) {
-            for (int i = 0; i < messages.size() && conns.get(conn.slot) == conn; i++) {
-                conn.more = i + 1 < messages.size() || link.more();
-                if (conn.greeted && conn.job == null) {
-                    Log.warn("db node %s speaks unasked", conn.node);
-                    closeBroken(conn);
-                } else if (conn.started && link.writtenAtRead() < conn.through) {
-                    // It came before the request was out: a copy or the rest of an earlier answer.
-                    Log.warn("db node %s answers what it was not asked", conn.node);
-                    closeBroken(conn);
+            for (int i = 0; i < messages.size() && connections.get(connection.slot) == connection; i++) {
+                connection.hasMoreInput = i + 1 < messages.size() || link.hasMoreInput();
+                if (connection.ready && connection.job == null) {
+                    Log.warn("db node %s sent data without a request; closing the connection", connection.node);
+                    closeBroken(connection);
+                } else if (connection.sent && link.bytesSentAtRead() < connection.bytesThroughRequest) {
+                    // It was received before the request was written: a duplicate, or the rest of an earlier answer.
+                    Log.warn(
+                            "db node %s sent an answer before its request was written; closing the connection",
+                            connection.node);
+                    closeBroken(connection);
                 } else {
-                    message(conn, messages.get(i));
+                    message(connection, messages.get(i));
                 }
             }
         }
 
         @Override
         public void malformed(Link link, String why) {
-            Log.warn("db node %s: %s", conn.node, why);
-            closeBroken(conn);
+            Log.warn("db node %s: malformed input: %s; closing the connection", connection.node, why);
+            closeBroken(connection);
         }
 
         @Override
         public void closed(Link link) {
-            loop.cancel(conn.limit);
-            forget(conn);
-            lost(conn, conn.started && conn.link.mayHaveLeft(conn.before));
+            loop.cancel(connection.timer);
+            remove(connection);
+            onConnectionLost(
+                    connection, connection.sent && connection.link.mayHaveSentBeyond(connection.bytesBeforeRequest));
         }
     }
 
-    /** Called right before the request itself is written: from here on it may have run. */
-    protected final void markSent(PooledConnection conn) {
-        conn.started = true;
-        conn.before = conn.link.handed();
-        if (!conn.job.isProbe()) {
+    /** To be called right before the request itself is written: from then on it may have run. */
+    protected final void markSent(PooledConnection connection) {
+        connection.sent = true;
+        connection.bytesBeforeRequest = connection.link.bytesSubmitted();
+        if (!connection.job.isProbe()) {
             pooler.metrics().attemptSent();
-            conn.link.beginBy(pooler.latestStartMicros(conn.node));
+            connection.link.setSendDeadline(pooler.latestStartMicros(connection.node));
         }
     }
 
-    /** Whether the job's request has been written, so that what comes now answers it. */
-    protected final boolean isSent(PooledConnection conn) {
-        return conn.started;
+    /** Whether the job's request has been written, so that messages from now on answer it. */
+    protected final boolean isSent(PooledConnection connection) {
+        return connection.sent;
     }
 }
--- a/net/src/main/java/lupinvalve/net/ReadProgress.java
+++ b/net/src/main/java/lupinvalve/net/ReadProgress.java
@@ -7,29 +7,32 @@
 import org.apache.mina.transport.socket.nio.NioSession;
 
 /**
- * A processor that knows up to when all that had come to its sockets has been read and told. A thread that is kept from
- * running reads late, and nothing in the bytes tells how long they waited in the system.
+ * A processor that tracks up to which time all input of its sockets has been read and posted. A thread that gets no
+ * time to run reads late, and the input does not show how long it waited in the system's buffers.
  */
 final class ReadProgress extends Net.Processor {
-    /** How long it looks at most between two passes: so old may news be although it is read at once. */
-    private static final long PASS_MILLIS = 50;
+    /** The longest wait of one pass; input that is read at once can still be considered this old. */
+    private static final long PASS_MAX_MILLIS = 50;
 
-    private volatile long readUpTo = System.nanoTime();
-    /** Where the last wait was in vain; the core's. */
-    private long givenUpAt = readUpTo - 1;
+    /** The time up to which all input has been read; written by the processor's thread. */
+    private volatile long readUpToNanos = System.nanoTime();
+    /** The value of {@code readUpToNanos} at which the last wait timed out; core thread. */
+    private long gaveUpAtNanos = readUpToNanos - 1;
 
+    /** Whether {@link #wakeup} has been called, so that the select must return to MINA. */
     private volatile boolean woken;
-    private volatile Thread waiting;
-    /** What {@link #readUpTo} becomes once this pass has read what it found. */
-    private long emptyAt = readUpTo;
+    /** The core thread while it waits in {@link #await}. */
+    private volatile Thread waitingThread;
+    /** What {@link #readUpToNanos} becomes once this pass has read what it found; processor's thread. */
+    private long socketsEmptyAtNanos = readUpToNanos;
 
     ReadProgress(Executor threads) {
         super(threads);
     }
 
-    /** For how long something may have come that has not been told, in microseconds. */
+    /** How long input may have been waiting without being posted, in microseconds; any thread. */
     long ageMicros() {
-        return Math.max(0, (System.nanoTime() - readUpTo) / 1000);
+        return Math.max(0, (System.nanoTime() - readUpToNanos) / 1000);
     }
 
     @Override
@@ -39,25 +42,26 @@
     }
 
     /**
-     * MINA takes a wait that ends early and finds nothing for a fault of its selector, so short ones are strung
-     * together.
+     * MINA takes a select that returns early with nothing for a fault of its selector, so several short selects make up
+     * one of the requested length.
      */
     @Override
     protected int select(long timeout) throws Exception {
-        long end = System.nanoTime() + timeout * 1_000_000;
+        long deadlineNanos = System.nanoTime() + timeout * 1_000_000;
         while (true) {
             publish();
-            long from = System.nanoTime();
-            emptyAt = from;
-            int found = super.select(Math.min(timeout, PASS_MILLIS));
-            boolean early = System.nanoTime() - from < PASS_MILLIS * 1_000_000;
+            long startNanos = System.nanoTime();
+            socketsEmptyAtNanos = startNanos;
+            int found = super.select(Math.min(timeout, PASS_MAX_MILLIS));
+            boolean endedEarly = System.nanoTime() - startNanos < PASS_MAX_MILLIS * 1_000_000;
             if (found == 0) {
-                // It has waited: what has not come by now is looked for from now on.
-                long now = System.nanoTime();
+                // The select has waited and found nothing. If the look that follows finds nothing either, all that had
+                // arrived by this time has been read.
+                long nowNanos = System.nanoTime();
                 found = selector.selectNow();
-                emptyAt = found == 0 ? now : emptyAt;
+                socketsEmptyAtNanos = found == 0 ? nowNanos : socketsEmptyAtNanos;
             }
-            if (found > 0 || woken || early || System.nanoTime() >= end) {
+            if (found > 0 || woken || endedEarly || System.nanoTime() >= deadlineNanos) {
                 woken = false;
                 return found;
             }
@@ -66,46 +70,48 @@
 
     private void publish() {
         if (allRead()) {
-            readUpTo = emptyAt;
-            Thread waits = waiting;
-            if (waits != null) {
-                LockSupport.unpark(waits);
+            readUpToNanos = socketsEmptyAtNanos;
+            Thread awaiting = waitingThread;
+            if (awaiting != null) {
+                LockSupport.unpark(awaiting);
             }
         }
     }
 
-    /** Whether the pass before has left nothing in the sockets that it found readable. */
+    /** Whether the previous pass has emptied all sockets that it found readable. */
     private boolean allRead() {
         boolean all = true;
         for (Iterator<NioSession> sessions = allSessions(); sessions.hasNext(); ) {
             IoSession session = sessions.next();
             Link link = Net.link(session);
-            // One that had more than fits is found again by the next look, or has been emptied just so.
-            all &= link == null || link.tookAll() && !session.isReadSuspended();
+            // A socket with more input than fits into one read is found again by the next select, or has been emptied
+            // exactly.
+            all &= link == null || link.takeSocketEmptied() && !session.isReadSuspended();
         }
         return all;
     }
 
     /**
-     * Waits until the age is no more than so much; once in vain, not again before there is progress. Core thread only.
+     * Waits until {@link #ageMicros} is at most the given age. After a wait that timed out it does not wait again
+     * before there is progress. Blocks the core thread, which alone may call it.
      *
-     * @param most how long to wait, in microseconds
-     * @return whether it did not wait in vain
+     * @param maxWaitMicros how long to wait at most
+     * @return false if this call has waited and timed out
      */
-    boolean await(long ageMicros, long most) {
-        if (ageMicros() <= ageMicros || readUpTo == givenUpAt) {
+    boolean await(long ageMicros, long maxWaitMicros) {
+        if (ageMicros() <= ageMicros || readUpToNanos == gaveUpAtNanos) {
             return true;
         }
-        long from = System.nanoTime();
-        waiting = Thread.currentThread();
+        long startNanos = System.nanoTime();
+        waitingThread = Thread.currentThread();
         wakeup();
-        for (long left = most * 1000;
-                ageMicros() > ageMicros && left > 0;
-                left = from + most * 1000 - System.nanoTime()) {
-            LockSupport.parkNanos(this, left);
+        for (long remainingNanos = maxWaitMicros * 1000;
+                ageMicros() > ageMicros && remainingNanos > 0;
+                remainingNanos = startNanos + maxWaitMicros * 1000 - System.nanoTime()) {
+            LockSupport.parkNanos(this, remainingNanos);
         }
-        waiting = null;
-        givenUpAt = ageMicros() > ageMicros ? readUpTo : givenUpAt;
-        return readUpTo != givenUpAt;
+        waitingThread = null;
+        gaveUpAtNanos = ageMicros() > ageMicros ? readUpToNanos : gaveUpAtNanos;
+        return readUpToNanos != gaveUpAtNanos;
     }
 }
