--- a/mysql/src/main/java/lupinvalve/mysql/MysqlBackend.java
+++ b/mysql/src/main/java/lupinvalve/mysql/MysqlBackend.java
@@ -80,7 +80,7 @@
         ROWS
     }
 
-    private static final class MysqlConn extends Conn {
+    private static final class MysqlConn extends PooledConnection {
         private State state = State.HANDSHAKE;
         private long capabilities;
         private byte[] nonce = new byte[0];
@@ -113,22 +113,22 @@
     }
 
     @Override
-    protected Conn connect(String node) {
+    protected PooledConnection connect(String node) {
         return new MysqlConn(node);
     }
 
     @Override
-    protected void opened(Conn conn) {
+    protected void opened(PooledConnection conn) {
         // The server sends the first packet, its handshake.
     }
 
     @Override
-    protected AttemptOutcome known(Conn conn) {
+    protected AttemptOutcome knownOutcome(PooledConnection conn) {
         return ((MysqlConn) conn).errorOutcome;
     }
 
     @Override
-    protected void message(Conn conn, byte[] packet) {
+    protected void message(PooledConnection conn, byte[] packet) {
         MysqlConn mysqlConn = (MysqlConn) conn;
         try {
             mysqlConn.answerBytes += packet.length;
@@ -159,7 +159,7 @@
     private void protocolError(MysqlConn conn, String why) {
         Log.warn("db node violated MySQL's protocol: %s; its connection is closed", why);
         conn.errorOutcome = null;
-        broken(conn);
+        closeBroken(conn);
     }
 
     /** Writes a packet; the next packet from the db node must have the following sequence number. */
@@ -176,7 +176,7 @@
         int version = in.int1();
         if (version == 0xFF) {
             conn.errorOutcome = outcomeOf(packet);
-            broken(conn);
+            closeBroken(conn);
             return;
         }
         in.nulTerminated();
@@ -219,7 +219,7 @@
         switch (in.int1()) {
             case 0 -> {
                 conn.state = State.IDLE;
-                greeted(conn);
+                connectionReady(conn);
             }
             case 0xFE -> {
                 conn.authPlugin = in.nulTerminated();
@@ -233,7 +233,7 @@
             case 1 -> takeAuthMoreData(conn, in, packet[3] + 1);
             case 0xFF -> {
                 conn.errorOutcome = outcomeOf(packet);
-                broken(conn);
+                closeBroken(conn);
             }
             default -> throw new Framer.Malformed("unexpected packet during the login");
         }
@@ -269,20 +269,20 @@
     // ---- requests ----
 
     @Override
-    protected void start(Conn conn) {
+    protected void start(PooledConnection conn) {
         MysqlConn mysqlConn = (MysqlConn) conn;
         mysqlConn.errorOutcome = null;
         mysqlConn.answerBytes = 0;
         mysqlConn.answerPackets = new ArrayList<>();
-        if (mysqlConn.job().probe()) {
-            leaving(mysqlConn);
+        if (mysqlConn.job().isProbe()) {
+            markSent(mysqlConn);
             mysqlConn.state = State.ANSWER;
             write(mysqlConn, new PacketWriter().int1(Protocol.COM_PING), 0);
             return;
         }
         MysqlRequest request = (MysqlRequest) mysqlConn.job().statement;
         if (!request.prepared()) {
-            leaving(mysqlConn);
+            markSent(mysqlConn);
             mysqlConn.state = State.ANSWER;
             PacketWriter out = new PacketWriter().int1(Protocol.COM_QUERY);
             if (mysqlConn.hasCapability(Protocol.QUERY_ATTRIBUTES)) {
@@ -291,7 +291,7 @@
                     Params.write(out, withTimeLeft(mysqlConn, request.params()), true);
                 }
             }
-            write(mysqlConn, out.raw(request.statement().bytes(mysqlConn.job().wanted(loop.now()))), 0);
+            write(mysqlConn, out.raw(request.statement().bytes(mysqlConn.job().remainingStartMicros(loop.now()))), 0);
         } else if (mysqlConn.preparedIds.containsKey(statementKey(request))) {
             executePrepared(mysqlConn);
         } else {
@@ -308,7 +308,7 @@
     private List<Params.Param> withTimeLeft(MysqlConn conn, List<Params.Param> params) {
         List<Params.Param> out = new ArrayList<>(params);
         out.replaceAll(param -> param.name().equals("d")
-                ? Params.text("d", Long.toString(Math.max(1, conn.job().wanted(loop.now()) / 1000)))
+                ? Params.text("d", Long.toString(Math.max(1, conn.job().remainingStartMicros(loop.now()) / 1000)))
                 : param);
         return out;
     }
@@ -320,7 +320,7 @@
             // The request has not run, but any other db node would reject the statement as well.
             AttemptOutcome outcome = outcomeOf(packet);
             conn.state = State.IDLE;
-            done(conn, true, outcome, null, LogPosition.UNKNOWN, roleOf(packet));
+            completeJob(conn, true, outcome, null, LogPosition.UNKNOWN, roleOf(packet));
             return;
         }
         MysqlRequest request = (MysqlRequest) conn.job().statement;
@@ -332,7 +332,7 @@
             Log.warn(
                     "db node found %d placeholders in a statement where the pooler found %d; the attempt fails",
                     params, request.valueCount());
-            done(conn, false, AttemptOutcome.ERROR, null, LogPosition.UNKNOWN, ServerRole.UNKNOWN);
+            completeJob(conn, false, AttemptOutcome.ERROR, null, LogPosition.UNKNOWN, ServerRole.UNKNOWN);
             return;
         }
         conn.definitionsLeft = columns + params;
@@ -369,7 +369,7 @@
         if (!params.isEmpty()) {
             Params.write(out, params, hasNames);
         }
-        leaving(conn);
+        markSent(conn);
         conn.state = State.ANSWER;
         write(conn, out, 0);
     }
@@ -396,7 +396,7 @@
                 throw new Framer.Malformed("malformed ERR packet");
             }
             conn.state = State.IDLE;
-            done(conn, true, outcomeOf(packet), null, LogPosition.UNKNOWN, roleOf(packet));
+            completeJob(conn, true, outcomeOf(packet), null, LogPosition.UNKNOWN, roleOf(packet));
         } else if (conn.state == State.ANSWER && first == 0 || conn.state == State.ROWS && first == 0xFE) {
             endAnswer(conn, Protocol.Ok.read(new PacketReader(packet)));
         } else if (conn.state == State.ANSWER) {
@@ -472,10 +472,10 @@
         }
         boolean hasMoreResults = (ok.status() & Protocol.STATUS_MORE_RESULTS_EXIST) != 0;
         if (hasMoreResults) {
-            done(conn, false, AttemptOutcome.ERROR, null, position, role);
+            completeJob(conn, false, AttemptOutcome.ERROR, null, position, role);
         } else {
             MysqlRequest.Answer answer = new MysqlRequest.Answer(conn.answerPackets, conn.columnCount, ok);
-            done(conn, true, AttemptOutcome.SERVED, answer, position, role);
+            completeJob(conn, true, AttemptOutcome.SERVED, answer, position, role);
         }
     }
 
--- a/mysql/src/main/java/lupinvalve/mysql/MysqlFront.java
+++ b/mysql/src/main/java/lupinvalve/mysql/MysqlFront.java
@@ -12,11 +12,11 @@
 import lupinvalve.core.InvalidStatementException;
 import lupinvalve.core.Pooler;
 import lupinvalve.core.Statement;
-import lupinvalve.net.ClientEnds;
+import lupinvalve.net.ClientEndLog;
+import lupinvalve.net.ClientEviction;
 import lupinvalve.net.EndReason;
 import lupinvalve.net.Framer;
 import lupinvalve.net.Link;
-import lupinvalve.net.Spare;
 import lupinvalve.routing.ServerRole;
 
 /**
@@ -51,8 +51,8 @@
     private final MysqlLogin login;
     private final HandleTable<MysqlClient> clients;
     private final Map<Link, MysqlClient> byLink = new IdentityHashMap<>();
-    private final Spare<MysqlClient> spare;
-    private final ClientEnds ends;
+    private final ClientEviction<MysqlClient> clientEviction;
+    private final ClientEndLog clientEndLog;
     /** Bytes of the waiting commands of all clients. */
     private long waitingBytes;
 
@@ -65,10 +65,10 @@
     public MysqlFront(Pooler pooler, int maxClients, String user, String password) {
         this.pooler = pooler;
         login = new MysqlLogin(user, password);
-        clients = new HandleTable<>(Spare.places(maxClients));
-        spare = new Spare<>(
+        clients = new HandleTable<>(ClientEviction.tableCapacity(maxClients));
+        clientEviction = new ClientEviction<>(
                 pooler.loop(), clients, maxClients, pooler.settings().limits().maxOpenRequests(), this::retire);
-        ends = new ClientEnds(pooler.loop());
+        clientEndLog = new ClientEndLog(pooler.loop());
     }
 
     /** Changes the account; clients that are logged in stay connected. */
@@ -85,21 +85,21 @@
 
     @Override
     public void opened(Link link) {
-        spare.makeRoom();
-        if (spare.isFull()) {
+        clientEviction.makeRoom();
+        if (clientEviction.isFull()) {
             link.write(new PacketWriter()
                     .int1(0xFF)
                     .fixedInt(TOO_MANY_CONNECTIONS, 2)
                     .text("Too many connections")
                     .packet(0));
             link.finish();
-            ends.ended(EndReason.PAST_BOUND, link, 0);
+            clientEndLog.ended(EndReason.PAST_BOUND, link, 0);
             return;
         }
         MysqlClient client = new MysqlClient(link);
         client.handle = clients.put(client);
         byLink.put(link, client);
-        spare.opened(client);
+        clientEviction.opened(client);
         if (closesIdleConnections()) {
             pooler.loop().after(CLOSE_GRACE_MICROS, () -> closeWhenIdle(client));
         }
@@ -116,10 +116,10 @@
 
     /** Removes a client that has disconnected or is being closed, and cancels its request. */
     private void forget(MysqlClient client, EndReason reason) {
-        ends.ended(reason, client.link, client.waitingCommands.size() + (client.hasOpenRequest ? 1 : 0));
+        clientEndLog.ended(reason, client.link, client.waitingCommands.size() + (client.hasOpenRequest ? 1 : 0));
         byLink.remove(client.link);
         clients.remove(client.handle);
-        spare.gone(client);
+        clientEviction.closed(client);
         client.waitingCommands.forEach(command -> waitingBytes -= command.size());
         client.waitingCommands.clear();
         if (client.hasOpenRequest) {
@@ -219,7 +219,7 @@
     // ---- commands ----
 
     private void takeCommand(MysqlClient client, byte[] packet, long atMicros) throws Framer.Malformed {
-        spare.busy(client);
+        clientEviction.busy(client);
         PacketReader in = new PacketReader(packet);
         switch (in.int1()) {
             case Protocol.COM_QUIT -> end(client, EndReason.GOODBYE);
@@ -336,7 +336,7 @@
     @Override
     public boolean isClientDisconnected(long ticket) {
         MysqlClient client = clients.get(ticket);
-        return client == null || client.link.left();
+        return client == null || client.link.hasEnded();
     }
 
     /** The open request has been answered: continues with the commands that wait. */
@@ -352,8 +352,8 @@
             while (!client.hasOpenRequest
                     && !client.waitingCommands.isEmpty()
                     && clients.get(client.handle) == client) {
-                if (client.link.isFull()) {
-                    client.link.whenRoom(RESUME_UNREAD_BYTES, () -> takeWaitingCommands(client));
+                if (client.link.isWriteBacklogged()) {
+                    client.link.whenPendingAtMost(RESUME_UNREAD_BYTES, () -> takeWaitingCommands(client));
                     return;
                 }
                 MysqlClient.Command command = client.waitingCommands.poll();
@@ -379,7 +379,7 @@
         if (closesIdleConnections()) {
             closeWhenIdle(client);
         } else {
-            spare.rests(client);
+            clientEviction.idle(client);
         }
     }
 
--- a/pg/src/main/java/lupinvalve/pg/PgBackend.java
+++ b/pg/src/main/java/lupinvalve/pg/PgBackend.java
@@ -50,7 +50,7 @@
         ERROR_RESPONSE
     }
 
-    private static final class PgConn extends Conn {
+    private static final class PgConn extends PooledConnection {
         private List<byte[]> answerMessages = new ArrayList<>(3);
         private AnswerState state = AnswerState.NONE;
         private int answerBytes;
@@ -79,17 +79,17 @@
     }
 
     @Override
-    protected Conn connect(String node) {
+    protected PooledConnection connect(String node) {
         return new PgConn(node);
     }
 
     @Override
-    protected void opened(Conn conn) {
+    protected void opened(PooledConnection conn) {
         conn.write(startupMessage);
     }
 
     @Override
-    protected void start(Conn conn) {
+    protected void start(PooledConnection conn) {
         PgConn pgConn = (PgConn) conn;
         pgConn.answerMessages = new ArrayList<>(3);
         pgConn.state = AnswerState.NONE;
@@ -100,17 +100,17 @@
         pgConn.isStreaming = false;
         pgConn.position = LogPosition.UNKNOWN;
         pgConn.role = ServerRole.UNKNOWN;
-        leaving(pgConn);
-        if (pgConn.job().probe()) {
+        markSent(pgConn);
+        if (pgConn.job().isProbe()) {
             pgConn.write(HEALTH_CHECK_QUERY);
             return;
         }
-        byte[] query = ((Statement) pgConn.job().statement).bytes(pgConn.job().wanted(loop.now()));
+        byte[] query = ((Statement) pgConn.job().statement).bytes(pgConn.job().remainingStartMicros(loop.now()));
         pgConn.write(PgMessages.message('Q', Arrays.copyOf(query, query.length + 1)));
     }
 
     @Override
-    protected void message(Conn conn, byte[] message) {
+    protected void message(PooledConnection conn, byte[] message) {
         PgConn pgConn = (PgConn) conn;
         pgConn.answerBytes += message.length;
         boolean isValid;
@@ -119,10 +119,10 @@
         } else if (message[0] == 'D'
                 && message.length > 1
                 && PgFramer.int32(message, 1) > PgFramer.MAX_WHOLE_ROW_BYTES) {
-            isValid = begun(pgConn) && startLongRow(pgConn, message);
+            isValid = isSent(pgConn) && startLongRow(pgConn, message);
         } else {
             isValid = PgMessages.isWellFormed(message)
-                    && (begun(pgConn) ? takeAnswerMessage(pgConn, message) : takeStartupAnswer(pgConn, message));
+                    && (isSent(pgConn) ? takeAnswerMessage(pgConn, message) : takeStartupAnswer(pgConn, message));
         }
         if (pgConn.answerBytes > MAX_ANSWER_BYTES || !isValid) {
             // The request may have run, and where the next answer would start in the stream is unknown.
@@ -130,7 +130,7 @@
                     "db node sent an invalid, unexpected or oversized message of type %s; its connection is closed",
                     (char) message[0]);
             pgConn.errorOutcome = null;
-            broken(pgConn);
+            closeBroken(pgConn);
         }
     }
 
@@ -142,7 +142,7 @@
     private boolean startLongRow(PgConn conn, byte[] message) {
         int length = PgFramer.int32(message, 1) + 1;
         if (conn.state != AnswerState.ROW_DESCRIPTION
-                || conn.job().probe()
+                || conn.job().isProbe()
                 || !PgMessages.isSingleColumnRow(message, length)) {
             return false;
         }
@@ -151,7 +151,7 @@
         conn.rowBytesLeft = length - message.length;
         conn.answerMessages.add(message);
         switch (pooler.answerStarted(
-                conn.job().attempt, conn.answerMessages.toArray(new byte[0][]), wait -> held(conn, wait))) {
+                conn.job().attempt, conn.answerMessages.toArray(new byte[0][]), wait -> pauseReading(conn, wait))) {
             case PASS_ON -> {
                 conn.isStreaming = true;
                 conn.answerMessages.clear();
@@ -174,7 +174,7 @@
     }
 
     @Override
-    protected void released(Conn conn) {
+    protected void released(PooledConnection conn) {
         PgConn pgConn = (PgConn) conn;
         bufferedBytes -= pgConn.bufferedBytes;
         pgConn.bufferedBytes = 0;
@@ -197,7 +197,7 @@
         switch (message[0]) {
             case 'R', 'S', 'K', 'N' -> {}
             case 'E' -> conn.errorOutcome = outcomeOf(message);
-            case 'Z' -> greeted(conn);
+            case 'Z' -> connectionReady(conn);
             default -> {
                 return false;
             }
@@ -288,7 +288,7 @@
     }
 
     private void takeReadyForQuery(PgConn conn) {
-        if (conn.job().probe()) {
+        if (conn.job().isProbe()) {
             takeLoadReport(conn);
             return;
         }
@@ -296,7 +296,7 @@
                 ? conn.errorOutcome
                 : conn.row != null ? AttemptOutcome.SERVED : AttemptOutcome.ERROR;
         byte[][] answer = outcome == AttemptOutcome.SERVED ? conn.answerMessages.toArray(new byte[0][]) : null;
-        done(conn, true, outcome, answer, conn.position, conn.role);
+        completeJob(conn, true, outcome, answer, conn.position, conn.role);
     }
 
     /**
@@ -319,11 +319,11 @@
                 }
             }
         }
-        done(conn, true, outcome, null, position, role);
+        completeJob(conn, true, outcome, null, position, role);
     }
 
     @Override
-    protected AttemptOutcome known(Conn conn) {
+    protected AttemptOutcome knownOutcome(PooledConnection conn) {
         return ((PgConn) conn).errorOutcome;
     }
 }
--- a/pg/src/main/java/lupinvalve/pg/PgFront.java
+++ b/pg/src/main/java/lupinvalve/pg/PgFront.java
@@ -17,11 +17,11 @@
 import lupinvalve.log.Log;
 import lupinvalve.maintenance.Metrics;
 import lupinvalve.maintenance.ResourceBudgets;
-import lupinvalve.net.ClientEnds;
+import lupinvalve.net.ClientEndLog;
+import lupinvalve.net.ClientEviction;
 import lupinvalve.net.EndReason;
 import lupinvalve.net.Framer;
 import lupinvalve.net.Link;
-import lupinvalve.net.Spare;
 import lupinvalve.routing.ServerRole;
 
 /**
@@ -63,14 +63,14 @@
     private final HandleTable<Client> clients;
     private final HandleTable<Reply> replies;
     private final IdentityHashMap<Link, Client> byLink = new IdentityHashMap<>();
-    private final Spare<Client> spare;
+    private final ClientEviction<Client> clientEviction;
     /** Connections beyond the limit, and whether an error has been sent on them. */
     private final Map<Link, Boolean> excessLinks = new IdentityHashMap<>();
     /** Clients by the process number and secret key of their BackendKeyData, which a CancelRequest carries. */
     private final Map<Long, Client> byCancelKey = new HashMap<>();
 
     private final SecureRandom random = new SecureRandom();
-    private final ClientEnds ends;
+    private final ClientEndLog clientEndLog;
     /** Bytes of statements that are not answered yet. */
     private long pendingStatementBytes;
     /** Bytes of long answers that wait for the answers before them. */
@@ -141,11 +141,11 @@
      */
     public PgFront(Pooler pooler, int maxClients) {
         this.pooler = pooler;
-        clients = new HandleTable<>(Spare.places(maxClients));
-        spare = new Spare<>(
+        clients = new HandleTable<>(ClientEviction.tableCapacity(maxClients));
+        clientEviction = new ClientEviction<>(
                 pooler.loop(), clients, maxClients, pooler.settings().limits().maxOpenRequests(), this::retire);
         replies = new HandleTable<>(maxClients * 8);
-        ends = new ClientEnds(pooler.loop());
+        clientEndLog = new ClientEndLog(pooler.loop());
     }
 
     /** A framer for one client's connection. */
@@ -157,8 +157,8 @@
 
     @Override
     public void opened(Link link) {
-        spare.makeRoom();
-        if (spare.isFull()) {
+        clientEviction.makeRoom();
+        if (clientEviction.isFull()) {
             // Answered once it has sent a message: closing with unread bytes would reset the connection, and the
             // client might never read the error.
             excessLinks.put(link, false);
@@ -168,7 +168,7 @@
         Client client = new Client(link, pooler.loop().now());
         client.handle = clients.put(client);
         byLink.put(link, client);
-        spare.opened(client);
+        clientEviction.opened(client);
         closeWhenIdle(client);
     }
 
@@ -195,7 +195,7 @@
     @Override
     public void closed(Link link) {
         if (excessLinks.remove(link) != null) {
-            ends.ended(link.reason(), link, 0);
+            clientEndLog.ended(link.reason(), link, 0);
         }
         Client client = byLink.remove(link);
         if (client != null) {
@@ -222,10 +222,10 @@
 
     /** Removes a client that has disconnected or is being closed, and cancels its requests. */
     private void forget(Client client, EndReason reason) {
-        ends.ended(reason, client.link, client.pendingReplies.size());
+        clientEndLog.ended(reason, client.link, client.pendingReplies.size());
         byLink.remove(client.link);
         byCancelKey.remove(client.cancelKey);
-        spare.gone(client);
+        clientEviction.closed(client);
         clients.remove(client.handle);
         for (Reply reply : client.pendingReplies) {
             unsentBytes -= reply.unsentBytes;
@@ -249,7 +249,7 @@
         } else if (excessLinks.remove(link) != null) {
             link.write(PgMessages.error("FATAL", "08P01", why, null));
             link.finish();
-            ends.ended(EndReason.UNREADABLE, link, 0);
+            clientEndLog.ended(EndReason.UNREADABLE, link, 0);
         }
     }
 
@@ -289,9 +289,9 @@
                     retryAdvice(pooler.settings().limits().maxRetryAfterMicros())));
         }
         // Where more has been read from the socket, it comes in the next call and is rejected as well.
-        if (link.finishIfAllTold()) {
+        if (link.finishIfAllProcessed()) {
             excessLinks.remove(link);
-            ends.ended(EndReason.PAST_BOUND, link, 0);
+            clientEndLog.ended(EndReason.PAST_BOUND, link, 0);
         }
     }
 
@@ -346,7 +346,7 @@
     }
 
     private void takeCommand(Client client, byte[] message, long atMicros) {
-        spare.busy(client);
+        clientEviction.busy(client);
         client.hasSentCommand = true;
         switch (message[0]) {
             case 'Q' -> takeQuery(client, message, atMicros);
@@ -461,7 +461,7 @@
     @Override
     public boolean isClientDisconnected(long ticket) {
         Reply reply = replies.get(ticket);
-        return reply == null || reply.client.link.left();
+        return reply == null || reply.client.link.hasEnded();
     }
 
     @Override
@@ -514,13 +514,13 @@
         Link link = reply.client.link;
         while (reply.isPartlyWritten
                 && reply.rowBytesLeft > 0
-                && link.unread() <= ResourceBudgets.streamBufferBytes(streamCount)) {
+                && link.pendingWriteBytes() <= ResourceBudgets.streamBufferBytes(streamCount)) {
             byte[] padding = new byte[(int) Math.min(PADDING_BYTES, reply.rowBytesLeft)];
             link.write(padding);
             reply.rowBytesLeft -= padding.length;
         }
         if (reply.isPartlyWritten && reply.rowBytesLeft > 0) {
-            link.whenRoom(ResourceBudgets.streamBufferBytes(streamCount) / 2, () -> {
+            link.whenPendingAtMost(ResourceBudgets.streamBufferBytes(streamCount) / 2, () -> {
                 if (replies.get(reply.ticket) == reply) {
                     padRow(reply, error);
                 }
@@ -545,10 +545,10 @@
         reply.isPartlyWritten |= chunks.length > 0;
         client.link.write(chunks);
         long bufferBytes = ResourceBudgets.streamBufferBytes(streamCount);
-        boolean isFull = client.link.unread() > bufferBytes;
+        boolean isFull = client.link.pendingWriteBytes() > bufferBytes;
         reply.source.pauseReading(isFull);
         if (isFull) {
-            client.link.whenRoom(bufferBytes / 2, () -> {
+            client.link.whenPendingAtMost(bufferBytes / 2, () -> {
                 if (replies.get(reply.ticket) == reply) {
                     writeChunks(reply);
                 }
@@ -598,8 +598,8 @@
      */
     private void flush(Client client) {
         while (!client.pendingReplies.isEmpty() && client.pendingReplies.peek().messages != null) {
-            if (client.link.isFull()) {
-                client.link.whenRoom(RESUME_UNREAD_BYTES, () -> flush(client));
+            if (client.link.isWriteBacklogged()) {
+                client.link.whenPendingAtMost(RESUME_UNREAD_BYTES, () -> flush(client));
                 return;
             }
             Reply reply = client.pendingReplies.poll();
@@ -620,7 +620,7 @@
         } else if (closesIdleConnections()) {
             closeWhenIdle(client);
         } else {
-            spare.rests(client);
+            clientEviction.idle(client);
         }
     }
 
