--- a/admin/src/main/java/lupinvalve/admin/AdminCommands.java
+++ b/admin/src/main/java/lupinvalve/admin/AdminCommands.java
@@ -3,29 +3,29 @@
 import java.util.function.Consumer;
 
 /**
- * The commands of the admin interface: reads a line, has its command carried out by a {@link Target}, and words the
- * answer. Decides nothing. Stateless; for any thread.
+ * The commands of the admin interface: parses a command line, has a {@link Target} execute it, and formats the answer.
+ * Stateless; safe for any thread.
  */
 public final class AdminCommands {
-    /** What commands act on. Called on the admin interface's threads; callbacks may come on any thread, once. */
+    /** Executes the commands. Called on the admin interface's threads; each callback is called once, on any thread. */
     public interface Target {
-        /** Why this process is not ready to serve, or null. */
+        /** Why this process is not ready to serve, or null if it is. */
         String notReadyReason();
 
-        /** One counter a line, each ended. */
+        /** The counters, one a line; each line ends with a line feed. */
         String counters();
 
         /**
          * Starts or ends the drain of a db node.
          *
-         * @param objection is given why it can't be done, or null once it is done
+         * @param objection receives why the command is rejected, or null once it is executed
          */
         void setNodeDrain(boolean drain, String id, Consumer<String> objection);
 
         /**
-         * Starts or ends the drain of this process: whether its clients are sent away.
+         * Starts or ends the drain of this process's client connections.
          *
-         * @param objection is given why it can't be done, or null once it is done
+         * @param objection receives why the command is rejected, or null once it is executed
          */
         void setPoolerDrain(boolean drain, Consumer<String> objection);
     }
@@ -42,16 +42,16 @@
 
     private final Target target;
 
-    /** @param target what commands act on */
+    /** @param target executes the commands */
     public AdminCommands(Target target) {
         this.target = target;
     }
 
     /**
-     * Carries out a line.
+     * Executes one command line.
      *
-     * @param line without its line feed
-     * @param answer is given the whole answer, once, on any thread
+     * @param line the command without its line feed
+     * @param answer receives the complete answer, once, on any thread
      */
     void execute(String line, Consumer<String> answer) {
         String text = line.endsWith("\r") ? line.substring(0, line.length() - 1) : line;
--- a/admin/src/main/java/lupinvalve/admin/AdminServer.java
+++ b/admin/src/main/java/lupinvalve/admin/AdminServer.java
@@ -21,29 +21,29 @@
 import org.apache.mina.transport.socket.nio.NioSocketAcceptor;
 
 /**
- * The admin interface's TCP server: one line a connection, and one answer. It has threads of its own, so that a command
- * does not queue behind clients' requests. Guards the pooler against its callers: they are bounded in number, bytes and
- * time. Thread-safe.
+ * The admin interface's TCP server: one command line and one answer per connection. It has its own threads, so that a
+ * command does not queue behind clients' requests. Connections are limited in number, bytes and time, so that a faulty
+ * caller does not exhaust the pooler. Thread-safe.
  */
 public final class AdminServer {
-    /** Connections without a whole line at most; one more ends the oldest of them. */
+    /** Maximum number of connections that have not sent a complete line; one more closes the oldest of them. */
     static final int MAX_PENDING_CONNECTIONS = 32;
 
     private static final int MAX_LINE_BYTES = 256;
     private static final int ACCEPT_BACKLOG = 64;
     private static final int THREAD_STACK_BYTES = 256 << 10;
-    /** How long a caller may take to send its line. */
+    /** Time from the connection's opening within which a caller must send its line. */
     private static final long LINE_TIMEOUT_MILLIS = 3_000;
-    /** How long a caller may take to read the answer. */
+    /** Time within which a caller must read the answer. */
     private static final long ANSWER_TIMEOUT_MILLIS = 1_000;
 
-    private final ExecutorService threads = Executors.newCachedThreadPool(AdminServer::thread);
-    private final ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor(AdminServer::thread);
+    private final ExecutorService executor = Executors.newCachedThreadPool(AdminServer::newThread);
+    private final ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor(AdminServer::newThread);
     private final SimpleIoProcessorPool<NioSession> processor =
-            new SimpleIoProcessorPool<>(NioProcessor.class, threads, 1, null);
-    private final NioSocketAcceptor acceptor = new NioSocketAcceptor(threads, processor);
+            new SimpleIoProcessorPool<>(NioProcessor.class, executor, 1, null);
+    private final NioSocketAcceptor acceptor = new NioSocketAcceptor(executor, processor);
     private final AdminCommands commands;
-    /** Connections without a whole line, the oldest first. Guarded by this. */
+    /** Connections that have not sent a complete line, the oldest first. Guarded by this. */
     private final Map<IoSession, PendingLine> pendingLines = new LinkedHashMap<>();
 
     private static final class PendingLine {
@@ -55,18 +55,18 @@
         }
     }
 
-    /** @param commands what lines mean */
+    /** @param commands executes the command lines */
     public AdminServer(AdminCommands commands) {
         this.commands = commands;
     }
 
-    private static Thread thread(Runnable work) {
+    private static Thread newThread(Runnable work) {
         Thread thread = new Thread(null, work, "admin", THREAD_STACK_BYTES);
         thread.setDaemon(true);
         return thread;
     }
 
-    /** Opens the address; port 0 takes a free one. */
+    /** Listens on the address; port 0 selects a free port. */
     public void bind(InetSocketAddress address) throws IOException {
         acceptor.setReuseAddress(true);
         acceptor.setBacklog(ACCEPT_BACKLOG);
@@ -76,14 +76,14 @@
         acceptor.bind(address);
     }
 
-    /** The address that is open. */
+    /** The address that the server listens on. */
     public InetSocketAddress address() {
         return acceptor.getLocalAddress();
     }
 
-    /** Closes the address and all connections; does not wait for it. */
+    /** Closes the listener and all connections asynchronously. */
     public void close() {
-        threads.execute(() -> {
+        executor.execute(() -> {
             acceptor.dispose(false);
             processor.dispose();
         });
@@ -99,7 +99,7 @@
         }
     }
 
-    /** Carries out a line once it is whole; bytes behind it are ignored. */
+    /** Executes the line once it is complete; bytes after the line feed are ignored. */
     private synchronized void onBytes(IoSession session, IoBuffer bytes) {
         PendingLine line = pendingLines.get(session);
         if (line == null) {
@@ -108,7 +108,7 @@
         while (bytes.hasRemaining()) {
             char next = (char) (bytes.get() & 255);
             if (next == '\n') {
-                forget(session);
+                removePending(session);
                 commands.execute(line.text.toString(), answer -> send(session, answer));
                 return;
             }
@@ -120,8 +120,8 @@
         }
     }
 
-    /** Whether the connection had no whole line yet. */
-    private synchronized boolean forget(IoSession session) {
+    /** Removes a connection from the pending ones; true if it was pending. */
+    private synchronized boolean removePending(IoSession session) {
         PendingLine line = pendingLines.remove(session);
         if (line != null) {
             line.timeout.cancel(false);
@@ -129,9 +129,9 @@
         return line != null;
     }
 
-    /** Answers a connection without a whole line, once. */
+    /** Answers a connection that has not sent a complete line with an error and closes it. */
     private void reject(IoSession session, String reason) {
-        if (forget(session)) {
+        if (removePending(session)) {
             send(session, AdminCommands.failed(reason));
         }
     }
@@ -140,7 +140,7 @@
         session.write(IoBuffer.wrap(answer.getBytes(US_ASCII)));
         session.closeOnFlush();
         if (!timer.isShutdown()) {
-            // A caller that reads nothing would hold its descriptor for good.
+            // A caller that does not read would hold its file descriptor indefinitely.
             timer.schedule(session::closeNow, ANSWER_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
@@ -158,15 +158,16 @@
 
         @Override
         public void inputClosed(IoSession session) {
-            // A caller may end its side once it has sent its line, and still wants the answer.
-            if (forget(session)) {
+            // A caller may half-close after its line and still expects the answer; only a connection without a complete
+            // line is closed.
+            if (removePending(session)) {
                 session.closeNow();
             }
         }
 
         @Override
         public void sessionClosed(IoSession session) {
-            forget(session);
+            removePending(session);
         }
 
         @Override
@@ -174,7 +175,7 @@
             if (!(cause instanceof IOException)) {
                 Log.failure("admin interface", cause);
             }
-            forget(session);
+            removePending(session);
             session.closeNow();
         }
     }
--- a/config/src/main/java/lupinvalve/config/ConfigException.java
+++ b/config/src/main/java/lupinvalve/config/ConfigException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** A configuration that can be read lacks a field, or has a value that is not possible; the message names it. */
+/** A configuration is valid JSON, but lacks a field or has a value out of range; the message names the field. */
 public final class ConfigException extends IOException {
     private static final long serialVersionUID = 1L;
 
--- a/config/src/main/java/lupinvalve/config/Database.java
+++ b/config/src/main/java/lupinvalve/config/Database.java
@@ -9,15 +9,15 @@
 import java.util.Set;
 
 /**
- * One database that a group's configuration names. Immutable.
+ * One database in the configuration that a Raft group stores. Immutable.
  *
- * @param name unlike that of any other
- * @param group of db nodes that hold it
- * @param zone where its primary is
+ * @param name unique within the configuration
+ * @param group group of db nodes that host it
+ * @param zone zone of its primary
  * @param primary address of the primary
  * @param replicas addresses of the replicas
- * @param connectionLimit how many connections one pooler may hold to it
- * @param statementTimeoutMillis after which a statement is given up; 0 for never
+ * @param connectionLimit maximum number of connections from one pooler
+ * @param statementTimeoutMillis time limit of a statement; 0 for no limit
  */
 public record Database(
         String name,
@@ -27,7 +27,7 @@
         List<String> replicas,
         int connectionLimit,
         long statementTimeoutMillis) {
-    /** Databases that a configuration names at most. */
+    /** Maximum number of databases in a configuration. */
     public static final int MAX_COUNT = 4096;
 
     private static final int MAX_REPLICAS_COUNT = 15;
@@ -37,18 +37,21 @@
     private static final int MAX_PORT_CHARS = 5;
     private static final String NAME_RULE = "1 to 63 letters, digits, ., - and _ are possible";
 
-    /** Reads the section, the parser being at its start; throws with file, field and value of what is wrong. */
+    /**
+     * Reads the section; the parser stands at its start. The message of an exception names the file, the field and the
+     * invalid value.
+     */
     static List<Database> readAll(JsonParser in) throws IOException {
         List<Database> all = new ArrayList<>();
         Set<String> names = new HashSet<>();
         while (in.nextToken() != JsonToken.END_ARRAY) {
-            String at = "databases[" + all.size() + "]";
+            String path = "databases[" + all.size() + "]";
             if (!in.hasToken(JsonToken.START_OBJECT)) {
-                throw invalid(at, in.getText(), "not an object");
+                throw invalid(path, in.getText(), "not an object");
             }
-            Database next = read(in, at);
+            Database next = read(in, path);
             if (!names.add(next.name())) {
-                throw invalid(at + ".name", next.name(), "named twice");
+                throw invalid(path + ".name", next.name(), "named twice");
             }
             all.add(next);
             if (all.size() > MAX_COUNT) {
@@ -58,7 +61,7 @@
         return List.copyOf(all);
     }
 
-    private static Database read(JsonParser in, String at) throws IOException {
+    private static Database read(JsonParser in, String entryPath) throws IOException {
         String name = null;
         String group = null;
         String zone = "";
@@ -68,7 +71,7 @@
         long timeoutMillis = 0;
         while (in.nextToken() == JsonToken.FIELD_NAME) {
             String field = in.currentName();
-            String path = at + "." + field;
+            String path = entryPath + "." + field;
             in.nextToken();
             switch (field) {
                 case "name" -> name = name(path, text(path, in));
@@ -81,9 +84,9 @@
                 default -> throw new ConfigException("operator's file: " + path + " is unknown");
             }
         }
-        requirePresent(at + ".name", name);
-        requirePresent(at + ".group", group);
-        requirePresent(at + ".primary", primary);
+        requirePresent(entryPath + ".name", name);
+        requirePresent(entryPath + ".group", group);
+        requirePresent(entryPath + ".primary", primary);
         return new Database(name, group, zone, primary, replicas, (int) connectionLimit, timeoutMillis);
     }
 
@@ -93,8 +96,8 @@
         }
         List<String> all = new ArrayList<>();
         while (in.nextToken() != JsonToken.END_ARRAY) {
-            String one = path + "[" + all.size() + "]";
-            all.add(address(one, text(one, in)));
+            String elementPath = path + "[" + all.size() + "]";
+            all.add(address(elementPath, text(elementPath, in)));
             if (all.size() > MAX_REPLICAS_COUNT) {
                 throw new ConfigException(
                         "operator's file: " + path + " has more than " + MAX_REPLICAS_COUNT + " entries");
@@ -110,16 +113,17 @@
         return in.getText();
     }
 
-    private static long number(String path, JsonParser in, long most) throws IOException {
-        boolean whole = in.hasToken(JsonToken.VALUE_NUMBER_INT);
+    private static long number(String path, JsonParser in, long max) throws IOException {
+        boolean isInteger = in.hasToken(JsonToken.VALUE_NUMBER_INT);
         String value = in.getText();
-        if (!whole || value.length() > 18 || in.getLongValue() < 0 || in.getLongValue() > most) {
-            throw invalid(path, value, "0 to " + most + " are possible");
+        if (!isInteger || value.length() > 18 || in.getLongValue() < 0 || in.getLongValue() > max) {
+            throw invalid(path, value, "0 to " + max + " are possible");
         }
         return in.getLongValue();
     }
 
-    // By characters: patterns are slower, and each pooler reads up to thousands of entries for each change.
+    // Checked character by character: regular expressions are slower, and each pooler validates up to thousands of
+    // entries on each change.
 
     private static String name(String path, String value) throws IOException {
         boolean valid = !value.isEmpty() && value.length() <= MAX_NAME_CHARS;
@@ -178,7 +182,7 @@
         }
     }
 
-    private static ConfigException invalid(String path, String value, String why) {
-        return new ConfigException("operator's file: " + path + " is " + value + "; " + why);
+    private static ConfigException invalid(String path, String value, String reason) {
+        return new ConfigException("operator's file: " + path + " is " + value + "; " + reason);
     }
 }
--- a/config/src/main/java/lupinvalve/config/NodeConfig.java
+++ b/config/src/main/java/lupinvalve/config/NodeConfig.java
@@ -8,17 +8,17 @@
 import lupinvalve.simulator.SettingsReader;
 
 /**
- * The platform's configuration of a pooler. Immutable.
+ * The configuration file that the hosting platform gives to a pooler. Immutable.
  *
- * @param name of the pooler, in its log
+ * @param name name of the pooler in its log
  * @param listen address of the PostgreSQL frontend
  * @param discovery address of discovery, or null
- * @param seed of the router's random choices
- * @param cores part of the machine's processors that it is given
- * @param memoryMb memory that it is given
- * @param sockets descriptors that it is given
- * @param known the endpoint list as this pooler had it last
- * @param site settings of the router and of connections
+ * @param seed seed of the router's random choices
+ * @param cores CPU limit in cores; may be a fraction
+ * @param memoryMb memory limit in megabytes
+ * @param sockets limit on file descriptors
+ * @param known the endpoint list that this pooler received last, for the time before discovery answers
+ * @param site settings of the router and the connections
  * @param operator address of the admin interface, or null
  */
 public record NodeConfig(
@@ -33,25 +33,30 @@
         SettingsReader.Site site,
         InetSocketAddress operator) {
     /**
-     * Reads a file in the platform's form.
+     * Reads a configuration file in the platform's format.
      *
-     * @param mysqlPort port at which db nodes speak MySQL's protocol, or null
-     * @throws ConfigException where a field is missing or has an impossible value
-     * @throws IOException where the file can't be read or is no JSON
+     * @param mysqlPort port on which db nodes serve the MySQL protocol, or null
+     * @throws ConfigException if a field is missing or has an invalid value
+     * @throws IOException if the file can't be read or is not JSON
      */
     public static NodeConfig read(Path file, Integer mysqlPort) throws IOException {
         return NodeConfigParser.parse(file, mysqlPort);
     }
 
-    /** The same with the admin address that a variable gives to this one process, which goes before the file's. */
+    /**
+     * A copy with the admin address from an environment variable, which takes precedence over the file's: the variable
+     * applies to this process alone.
+     */
     public NodeConfig withOperator(String variable, String value) throws IOException {
         if (value == null || value.isEmpty()) {
             return this;
         }
-        InetSocketAddress own = NodeConfigParser.address(variable, value);
-        if (operator != null && !operator.equals(own)) {
-            Log.warn("operator: %s says %s, the configuration %s; the variable holds", variable, value, operator);
+        InetSocketAddress fromVariable = NodeConfigParser.address(variable, value);
+        if (operator != null && !operator.equals(fromVariable)) {
+            Log.warn(
+                    "operator: %s is %s, the configuration file has %s; the variable takes precedence",
+                    variable, value, operator);
         }
-        return new NodeConfig(name, listen, discovery, seed, cores, memoryMb, sockets, known, site, own);
+        return new NodeConfig(name, listen, discovery, seed, cores, memoryMb, sockets, known, site, fromVariable);
     }
 }
--- a/config/src/main/java/lupinvalve/config/NodeConfigParser.java
+++ b/config/src/main/java/lupinvalve/config/NodeConfigParser.java
@@ -12,12 +12,12 @@
 import lupinvalve.simulator.SettingsReader;
 import lupinvalve.simulator.WireException;
 
-/** Parses one file in the platform's form; for one use. */
+/** Parses one configuration file in the platform's format. An instance parses a single file. */
 final class NodeConfigParser {
     private static final JsonFactory JSON = new JsonFactory();
     private static final int DEFAULT_MEMORY_MB = 192;
     private static final int DEFAULT_SOCKETS_COUNT = 1024;
-    /** Clients may have one descriptor in so many for open requests. */
+    /** File descriptors per open request: open requests are limited to this fraction of the descriptors. */
     private static final int SOCKETS_PER_OPEN_REQUEST = 3;
 
     private final Path file;
@@ -35,7 +35,7 @@
         this.file = file;
     }
 
-    /** Parses a file; the port is that at which db nodes speak MySQL's protocol, or null. */
+    /** Parses a file; {@code mysqlPort} is the port on which db nodes serve the MySQL protocol, or null. */
     static NodeConfig parse(Path file, Integer mysqlPort) throws IOException {
         NodeConfigParser parser = new NodeConfigParser(file);
         parser.readFields();
@@ -118,7 +118,7 @@
         throw new ConfigException(field + ": " + value + " is no literal address and port");
     }
 
-    /** Names the file in what is wrong with the settings. */
+    /** Reads the settings; adds the file's name to the message of an error. */
     private static SettingsReader.Site site(Path file, JsonParser in) throws IOException {
         try {
             return SettingsReader.read(in);
@@ -127,7 +127,10 @@
         }
     }
 
-    /** Reads the endpoint list in a second pass: it stands before the settings, which name its zones. */
+    /**
+     * Reads the endpoint list in a second pass over the file: it precedes the settings, which define the zones that it
+     * refers to.
+     */
     private static EndpointListReader.EndpointList known(Path file, EndpointListReader reader) throws IOException {
         try (JsonParser in = JSON.createParser(file.toFile())) {
             in.nextToken();
--- a/config/src/main/java/lupinvalve/config/OperatorConfig.java
+++ b/config/src/main/java/lupinvalve/config/OperatorConfig.java
@@ -7,18 +7,19 @@
 import java.util.Optional;
 
 /**
- * The operator's file: what is off on the platform. Each part may be absent (null). Immutable.
+ * The operator's configuration file, with the features that are off on the hosting platform. Each section may be absent
+ * (null). Immutable.
  *
- * @param revision of two versions of the shared parts, the one with the higher revision holds everywhere
- * @param databases that the installation serves; empty where they are not named
+ * @param revision version of the sections that a group shares; the higher of two revisions is in force
+ * @param databases databases that the installation serves; empty if the file lists none
  */
 public record OperatorConfig(long revision, Mysql mysql, Store store, DnsSd dnsSd, List<Database> databases) {
-    /** Without databases. */
+    /** A configuration without databases. */
     public OperatorConfig(long revision, Mysql mysql, Store store, DnsSd dnsSd) {
         this(revision, mysql, store, dnsSd, List.of());
     }
 
-    /** The MySQL frontend and how db nodes are reached over that protocol. */
+    /** The MySQL frontend, and the port and account for connecting to db nodes over MySQL. */
     public record Mysql(
             String listen,
             String user,
@@ -29,13 +30,15 @@
             String database) {}
 
     /**
-     * This pooler's part in the group that keeps the configuration.
+     * This pooler's membership of, or subscription to, the Raft group that stores the configuration.
      *
-     * @param cluster whom members may talk to at all
-     * @param listen where this member listens; others hear of it by that address; null at a subscriber
-     * @param members addresses of the members by name, as reached from here; they found the group, or are followed
-     * @param waitMicros how long a booking's answer waits for a majority to hold its session's token; 0 for not at all
-     * @param role whether it is a member or follows the members
+     * @param cluster name of the cluster; peers of another cluster are rejected
+     * @param listen address on which this member listens, which it also advertises to the others; null for a subscriber
+     * @param members addresses of the members by name, as reachable from this pooler: a member founds the group with
+     *     them, a subscriber watches one of them
+     * @param waitMicros how long the answer to a write waits until a majority has stored its session token; 0 for no
+     *     wait
+     * @param role whether this pooler is a member or a subscriber
      */
     public record Store(
             String cluster,
@@ -47,7 +50,7 @@
             long waitMicros,
             Audit audit,
             Role role) {
-        /** A member without audit. */
+        /** A member without an audit trail. */
         public Store(
                 String cluster,
                 String name,
@@ -72,51 +75,57 @@
             this(cluster, name, folder, listen, members, tls, waitMicros, audit, Role.MEMBER);
         }
 
-        /** One that follows the members. */
+        /** A subscriber. */
         public static Store subscriber(
                 String cluster, String name, Path folder, Map<String, String> members, Tls tls, Audit audit) {
             return new Store(cluster, name, folder, null, members, tls, 0, audit, Role.SUBSCRIBER);
         }
     }
 
-    /** How a pooler takes part in the group. */
+    /** How a pooler takes part in the group; the configuration file names it in lower case. */
     public enum Role {
-        /** Keeps the log and may vote. */
+        /** Replicates the Raft log and may vote. */
         MEMBER,
-        /** Follows what members have accepted. */
+        /** Receives committed changes from a member; keeps no log and has no vote. */
         SUBSCRIBER
     }
 
-    /** Whether a member keeps audit entries of what it acts on under a lease, and what it does without one. */
+    /**
+     * Whether a pooler writes audit entries of the configuration that it applies under a lease, and what it does
+     * without a lease.
+     */
     public enum Audit {
-        /** Neither entries nor a lease. */
+        /** Writes no audit entries and needs no lease. */
         OFF,
-        /** Serves on without a lease. */
+        /** Writes audit entries; continues to serve without a lease. */
         SERVE,
-        /** Rejects requests without a lease. */
+        /** Writes audit entries; rejects requests while it has no lease. */
         FENCE
     }
 
-    /** PEM files: who signs members' certificates, this member's own and its key. */
+    /** PEM files: the certificate authority of the members, this pooler's certificate, and its private key. */
     public record Tls(Path authority, Path certificate, Path key) {}
 
-    /** Db nodes from DNS-SD instead of the platform's list. */
+    /** Discovery of db nodes by DNS-SD instead of the platform's discovery service. */
     public record DnsSd(String resolver, String service, long pollMicros) {}
 
-    /** Nothing turned on, as on the platform. */
+    /** All optional features off, as on the hosting platform. */
     public static final OperatorConfig NONE = new OperatorConfig(0, null, null, null);
 
     /**
-     * Parses a file or a document.
+     * Parses an operator's file, or a document that a group stores.
      *
-     * @throws ConfigException where a section or field is unknown, missing or has an impossible value
-     * @throws IOException where it is no JSON
+     * @throws ConfigException if a section or field is unknown, missing or has an invalid value
+     * @throws IOException if the input is not JSON
      */
     public static OperatorConfig read(byte[] json) throws IOException {
         return OperatorConfigParser.parse(json);
     }
 
-    /** Why a document can't be the configuration that a group keeps; empty where it can. It has no store of its own. */
+    /**
+     * Why a document can't be the configuration that a group stores; empty if it can. Such a document has no
+     * {@code store} section: each member's own file has that.
+     */
     public static Optional<String> validationError(byte[] document) {
         try {
             OperatorConfig config = read(document);
@@ -135,10 +144,10 @@
     }
 
     /**
-     * Why a document can't follow the one in force; empty where it can. A change that running members could not act on
-     * before their next start is rejected as it is proposed, with what to do.
+     * Why a document can't replace the one in force; empty if it can. A change that running members could apply only at
+     * their next start is rejected when it is proposed; the message says what to do instead.
      *
-     * @param current null where none is in force
+     * @param current the document in force, or null if there is none
      */
     public static Optional<String> changeRejection(byte[] current, byte[] next) {
         if (current == null) {
@@ -169,10 +178,10 @@
     }
 
     /**
-     * This file with what a group keeps in the place of its own parts: only what a majority has accepted is acted on.
-     * The MySQL frontend is on only where this file says where it listens.
+     * This configuration with its shared sections replaced by the document that the group has accepted: only what a
+     * majority has accepted takes effect. The MySQL frontend is on only if this file gives its listen address.
      *
-     * @param document null where none was accepted yet
+     * @param document the accepted document, or null if none was accepted yet
      */
     public OperatorConfig accepted(byte[] document) throws IOException {
         OperatorConfig accepted = document == null ? NONE : read(document);
--- a/config/src/main/java/lupinvalve/config/OperatorConfigParser.java
+++ b/config/src/main/java/lupinvalve/config/OperatorConfigParser.java
@@ -9,10 +9,10 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Parses the operator's file, and documents that a group keeps, which have the same form. */
+/** Parses the operator's file, and the documents that a group stores, which have the same format. */
 final class OperatorConfigParser {
     private static final JsonFactory JSON = new JsonFactory();
-    private static final String NAME = "[A-Za-z0-9_-]{1,63}";
+    private static final String NAME_PATTERN = "[A-Za-z0-9_-]{1,63}";
     private static final int MAX_MEMBERS_COUNT = 15;
     private static final long MAX_WAIT_MICROS = 1_000_000;
     private static final long DEFAULT_POLL_MICROS = 1_000_000;
@@ -22,7 +22,7 @@
 
     private OperatorConfigParser() {}
 
-    /** Parses a file or a document. */
+    /** Parses an operator's file, or a document that a group stores. */
     static OperatorConfig parse(byte[] json) throws IOException {
         long revision = 0;
         OperatorConfig.Mysql mysql = null;
@@ -36,19 +36,19 @@
             while (in.nextToken() == JsonToken.FIELD_NAME) {
                 String name = in.currentName();
                 JsonToken token = in.nextToken();
-                boolean section = token == JsonToken.START_OBJECT;
+                boolean isObject = token == JsonToken.START_OBJECT;
                 if (name.equals("revision") && token == JsonToken.VALUE_NUMBER_INT) {
                     revision = in.getLongValue();
-                } else if (name.equals("mysql") && section) {
+                } else if (name.equals("mysql") && isObject) {
                     mysql = mysql(in);
-                } else if (name.equals("store") && section) {
+                } else if (name.equals("store") && isObject) {
                     store = store(in);
-                } else if (name.equals("dns_sd") && section) {
+                } else if (name.equals("dns_sd") && isObject) {
                     dnsSd = dnsSd(in);
                 } else if (name.equals("databases") && token == JsonToken.START_ARRAY) {
                     databases = Database.readAll(in);
                 } else {
-                    // A section misspelt would stay off without a word.
+                    // Rejected: a misspelt section would otherwise stay off without an error.
                     throw new ConfigException("operator's file: " + name + " is unknown or of a wrong kind");
                 }
             }
@@ -125,7 +125,7 @@
     }
 
     private static void checkNames(String cluster, String member, Map<String, String> members) throws ConfigException {
-        if (!member.matches(NAME) || !cluster.matches(NAME)) {
+        if (!member.matches(NAME_PATTERN) || !cluster.matches(NAME_PATTERN)) {
             throw new ConfigException("operator's file: store.name and store.cluster are letters, digits, - and _: "
                     + member + ", " + cluster);
         }
@@ -142,7 +142,7 @@
         }
     }
 
-    /** A subscriber takes no connections, and its sessions' commits reach no majority. */
+    /** A subscriber accepts no connections from peers, and does not replicate its sessions' commits to a majority. */
     private static void checkSubscriber(String listen, long waitMicros) throws ConfigException {
         if (listen != null) {
             throw new ConfigException("operator's file: store.listen is " + listen + "; a subscriber listens nowhere");
@@ -180,7 +180,7 @@
             String name = in.currentName();
             in.nextToken();
             String address = in.getValueAsString("");
-            if (!name.matches(NAME) || !address.matches(".+:[0-9]{1,5}")) {
+            if (!name.matches(NAME_PATTERN) || !address.matches(".+:[0-9]{1,5}")) {
                 throw new ConfigException("operator's file: store.members." + name + " is " + address + ", no address");
             }
             members.put(name, address);
--- a/config/src/test/java/lupinvalve/config/NodeConfigTest.java
+++ b/config/src/test/java/lupinvalve/config/NodeConfigTest.java
@@ -10,40 +10,43 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What divides a fleet's shares must be right, or every pooler takes too much: nothing is guessed for it. */
+/**
+ * Guards against defaults for the values that divide the load among a fleet's poolers: with a wrong one, every pooler
+ * sends more than its share. A missing or invalid value is an error that names it.
+ */
 class NodeConfigTest {
     @TempDir
     private Path folder;
 
-    private Path changed(String from, String to) throws IOException {
+    private Path exampleWith(String from, String to) throws IOException {
         String text = Files.readString(Path.of("example/config.json"));
-        String other = text.replaceFirst(from, to);
-        assertTrue(!text.equals(other), from);
-        return Files.writeString(folder.resolve("config.json"), other);
+        String modified = text.replaceFirst(from, to);
+        assertTrue(!text.equals(modified), from);
+        return Files.writeString(folder.resolve("config.json"), modified);
     }
 
-    private void wrong(String from, String to, String... told) throws IOException {
-        Path file = changed(from, to);
+    private void assertRejected(String from, String to, String... expectedParts) throws IOException {
+        Path file = exampleWith(from, to);
         String message = assertThrows(IOException.class, () -> NodeConfig.read(file, null))
                 .getMessage();
         assertTrue(message.startsWith(file.toString()), message);
-        for (String part : told) {
+        for (String part : expectedParts) {
             assertTrue(message.contains(part), message);
         }
     }
 
     @Test
-    void numberAndCountOfPoolersAreChecked() throws IOException {
-        wrong("\"n_instances\": *[0-9]+", "\"n_instances\": 0", "n_instances", "0");
-        wrong("\"n_instances\": *[0-9]+", "\"n_instances\": \"many\"", "n_instances");
-        wrong("\"n_instances\": *[0-9]+,", "", "n_instances", "missing");
-        wrong("\"me\": *[0-9]+", "\"me\": 7", "me 7");
-        wrong("\"me\": *[0-9]+,", "", "me", "missing");
-        wrong("\"cores\": *[0-9.]+", "\"cores\": 0", "limits.cores", "0");
+    void indexAndCountOfPoolersAreChecked() throws IOException {
+        assertRejected("\"n_instances\": *[0-9]+", "\"n_instances\": 0", "n_instances", "0");
+        assertRejected("\"n_instances\": *[0-9]+", "\"n_instances\": \"many\"", "n_instances");
+        assertRejected("\"n_instances\": *[0-9]+,", "", "n_instances", "missing");
+        assertRejected("\"me\": *[0-9]+", "\"me\": 7", "me 7");
+        assertRejected("\"me\": *[0-9]+,", "", "me", "missing");
+        assertRejected("\"cores\": *[0-9.]+", "\"cores\": 0", "limits.cores", "0");
     }
 
     @Test
-    void theListItHadIsReadWithTheZonesThatTheSettingsNameBehindIt() throws IOException {
+    void knownListIsReadWithZonesOfTheSettingsThatFollowIt() throws IOException {
         String text = Files.readString(Path.of("example/config.json"))
                 .replace("\"almaty-main\"", "\"north\", \"south\"")
                 .replace(
@@ -55,39 +58,40 @@
     }
 
     @Test
-    void whatIsMissingOfTheWrongTypeOrOutOfRangeIsNamedWithItsValue() throws IOException {
-        wrong("\"sockets\": *[0-9]+", "\"sockets\": \"many\"", "limits.sockets", "many");
-        wrong("\"sockets\": *[0-9]+", "\"sockets\": 0", "limits.sockets", "0");
-        wrong("\"memory_mb\": *[0-9]+", "\"memory_mb\": -3", "limits.memory_mb", "-3");
-        wrong("\"memory_mb\": *[0-9]+", "\"memory_mb\": 99999999999", "limits.memory_mb", "99999999999");
-        wrong("\"listen\": \"[^\"]*\"", "\"listen\": \"here\"", "listen", "here");
-        wrong("\"discovery\": \"[^\"]*\"", "\"discovery\": \"there:x\"", "discovery", "there:x");
-        wrong("\"connect_timeout_us\": *[0-9]+", "\"connect_timeout_us\": 0", "ceilings", "connect_timeout_us", "0");
-        wrong("\"keepalive_us\": *[0-9]+", "\"keepalive_us\": \"long\"", "ceilings", "keepalive_us", "long");
-        wrong("\"attempts_cap\": *[0-9]+", "\"attempts_cap\": 0", "ceilings.attempts_cap", "0");
-        wrong("\"attempts_cap\": *[0-9]+", "\"attempts_cap\": 2.5", "attempts_cap", "2.5");
-        wrong("\"may_cancel\": *true", "\"may_cancel\": \"yes\"", "may_cancel", "yes");
-        wrong("\"aim_us\": *600000", "\"aim_us\": -1", "classes.aim_us", "bag-status", "-1");
-        wrong("\"deadline_us\": *1200000", "\"deadline_us\": 0", "classes.deadline_us", "own-order-view", "0");
-        wrong("\"key_ttl_us\": *5000000", "\"key_ttl_us\": -5", "classes.key_ttl_us", "-5");
-        wrong("\"effect\": *\"unsafe\"", "\"effect\": \"harmless\"", "effect", "harmless");
-        wrong("\"group\": *\"all\"", "\"group\": \"street\"", "group", "street");
-        wrong("\"own-order-view\"", "\"bag-status\"", "classes.name", "bag-status");
-        wrong("\"causal\"", "\"casual\"", "class_read", "casual");
-        wrong("\"cold_from\": *[0-9.]+", "\"cold_from\": 1.5", "guarantees.cold_from", "1.5");
-        wrong("\"fall_multiple\": *[0-9.]+", "\"fall_multiple\": 0", "guarantees.fall_multiple", "0");
-        wrong(
+    void errorNamesFieldThatIsMissingOrInvalidAndItsValue() throws IOException {
+        assertRejected("\"sockets\": *[0-9]+", "\"sockets\": \"many\"", "limits.sockets", "many");
+        assertRejected("\"sockets\": *[0-9]+", "\"sockets\": 0", "limits.sockets", "0");
+        assertRejected("\"memory_mb\": *[0-9]+", "\"memory_mb\": -3", "limits.memory_mb", "-3");
+        assertRejected("\"memory_mb\": *[0-9]+", "\"memory_mb\": 99999999999", "limits.memory_mb", "99999999999");
+        assertRejected("\"listen\": \"[^\"]*\"", "\"listen\": \"here\"", "listen", "here");
+        assertRejected("\"discovery\": \"[^\"]*\"", "\"discovery\": \"there:x\"", "discovery", "there:x");
+        assertRejected(
+                "\"connect_timeout_us\": *[0-9]+", "\"connect_timeout_us\": 0", "ceilings", "connect_timeout_us", "0");
+        assertRejected("\"keepalive_us\": *[0-9]+", "\"keepalive_us\": \"long\"", "ceilings", "keepalive_us", "long");
+        assertRejected("\"attempts_cap\": *[0-9]+", "\"attempts_cap\": 0", "ceilings.attempts_cap", "0");
+        assertRejected("\"attempts_cap\": *[0-9]+", "\"attempts_cap\": 2.5", "attempts_cap", "2.5");
+        assertRejected("\"may_cancel\": *true", "\"may_cancel\": \"yes\"", "may_cancel", "yes");
+        assertRejected("\"aim_us\": *600000", "\"aim_us\": -1", "classes.aim_us", "bag-status", "-1");
+        assertRejected("\"deadline_us\": *1200000", "\"deadline_us\": 0", "classes.deadline_us", "own-order-view", "0");
+        assertRejected("\"key_ttl_us\": *5000000", "\"key_ttl_us\": -5", "classes.key_ttl_us", "-5");
+        assertRejected("\"effect\": *\"unsafe\"", "\"effect\": \"harmless\"", "effect", "harmless");
+        assertRejected("\"group\": *\"all\"", "\"group\": \"street\"", "group", "street");
+        assertRejected("\"own-order-view\"", "\"bag-status\"", "classes.name", "bag-status");
+        assertRejected("\"causal\"", "\"casual\"", "class_read", "casual");
+        assertRejected("\"cold_from\": *[0-9.]+", "\"cold_from\": 1.5", "guarantees.cold_from", "1.5");
+        assertRejected("\"fall_multiple\": *[0-9.]+", "\"fall_multiple\": 0", "guarantees.fall_multiple", "0");
+        assertRejected(
                 "\"stop_sending_within_us\": *[0-9]+,?",
                 "\"stop_sending_within_us\": null",
                 "stop_sending_within_us",
                 "missing");
-        wrong("\"cross_zone\": *[0-9.]+", "\"cross_zone\": -0.1", "prices.cross_zone", "-0.1");
-        wrong("\"server_checks\": *\"bounce\"", "\"server_checks\": \"ask\"", "server_checks", "ask");
-        wrong("\"zone\": *0", "\"zone\": -1", "zone", "-1");
+        assertRejected("\"cross_zone\": *[0-9.]+", "\"cross_zone\": -0.1", "prices.cross_zone", "-0.1");
+        assertRejected("\"server_checks\": *\"bounce\"", "\"server_checks\": \"ask\"", "server_checks", "ask");
+        assertRejected("\"zone\": *0", "\"zone\": -1", "zone", "-1");
     }
 
     @Test
-    void anotherCustomersSettingsAreTakenAsTheyAre() throws IOException {
+    void settingsOfOtherInstallationsAreAccepted() throws IOException {
         String text = Files.readString(Path.of("example/config.json"));
         for (String[] change : new String[][] {
             {"\"bag-status\"", "\"stock by site; no. 1/2 \u00fc\""},
@@ -115,7 +119,7 @@
     }
 
     @Test
-    void operatorsAddressIsCheckedAndTheVariableGoesBeforeTheFile() throws IOException {
+    void adminAddressIsCheckedAndVariableTakesPrecedenceOverFile() throws IOException {
         for (String value : new String[] {
             "\"nowhere\"",
             "\"127.0.0.1\"",
@@ -126,16 +130,16 @@
             "9600",
             "{}"
         }) {
-            wrong(
+            assertRejected(
                     "\\{",
                     "{\"operator\": " + value + ",",
                     "operator",
                     value.replace("\"", "").replace("{}", ""));
         }
-        NodeConfig plain = NodeConfig.read(changed("\"n0\"", "\"n9\""), null);
+        NodeConfig plain = NodeConfig.read(exampleWith("\"n0\"", "\"n9\""), null);
         assertEquals(null, plain.operator());
         assertEquals(null, plain.withOperator("NODE_OPERATOR", "").operator());
-        NodeConfig file = NodeConfig.read(changed("\\{", "{\"operator\": \"127.0.0.1:9600\","), null);
+        NodeConfig file = NodeConfig.read(exampleWith("\\{", "{\"operator\": \"127.0.0.1:9600\","), null);
         assertEquals(9600, file.operator().getPort());
         assertEquals(9600, file.withOperator("NODE_OPERATOR", null).operator().getPort());
         assertEquals(
@@ -147,8 +151,8 @@
     }
 
     @Test
-    void expectedRateIsTheTenantsSharesOverThePoolers() throws IOException {
-        Path file = changed("\"n_instances\": *[0-9]+", "\"n_instances\": 4");
+    void expectedRateIsSumOfTenantSharesDividedByPoolers() throws IOException {
+        Path file = exampleWith("\"n_instances\": *[0-9]+", "\"n_instances\": 4");
         assertEquals(292 / 4.0, NodeConfig.read(file, null).site().ratePerSecond());
     }
 }
--- a/config/src/test/java/lupinvalve/config/StoreRoleTest.java
+++ b/config/src/test/java/lupinvalve/config/StoreRoleTest.java
@@ -8,23 +8,23 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** A member listens, a subscriber does not; what does not fit is told with its field and value. */
+/** A member has a listen address, a subscriber has none; the error for a conflicting field names field and value. */
 class StoreRoleTest {
-    private static OperatorConfig.Store store(String more) throws IOException {
+    private static OperatorConfig.Store store(String moreFields) throws IOException {
         return OperatorConfig.read(("{\"store\":{\"name\":\"s\",\"folder\":\"f\",\"members\":{\"a\":\"127.0.0.1:1\"}"
-                                + more + "}}")
+                                + moreFields + "}}")
                         .getBytes(StandardCharsets.UTF_8))
                 .store();
     }
 
-    private static void wrong(String more, String told) {
+    private static void assertRejected(String moreFields, String expected) {
         assertEquals(
-                "operator's file: " + told,
-                assertThrows(IOException.class, () -> store(more)).getMessage());
+                "operator's file: " + expected,
+                assertThrows(IOException.class, () -> store(moreFields)).getMessage());
     }
 
     @Test
-    void aSubscriberListensNowhereAndWaitsForNoMajority() throws IOException {
+    void subscriberRejectsListenAddressAndMajorityWait() throws IOException {
         OperatorConfig.Store subscriber = store(",\"role\":\"subscriber\",\"audit\":\"fence\"");
         assertEquals(OperatorConfig.Role.SUBSCRIBER, subscriber.role());
         assertNull(subscriber.listen());
@@ -33,12 +33,12 @@
         assertEquals(
                 OperatorConfig.Role.MEMBER,
                 store(",\"listen\":\"127.0.0.1:1\",\"role\":\"member\"").role());
-        wrong("", "store.listen is missing");
-        wrong(",\"role\":\"learner\"", "store.role is learner; member and subscriber are possible");
-        wrong(
+        assertRejected("", "store.listen is missing");
+        assertRejected(",\"role\":\"learner\"", "store.role is learner; member and subscriber are possible");
+        assertRejected(
                 ",\"role\":\"subscriber\",\"listen\":\"127.0.0.1:1\"",
                 "store.listen is 127.0.0.1:1; a subscriber listens nowhere");
-        wrong(
+        assertRejected(
                 ",\"role\":\"subscriber\",\"wait_for_majority_ms\":5",
                 "store.wait_for_majority_ms is 5; a subscriber tells the group of no commits");
     }
--- a/hotrestart/src/main/java/lupinvalve/hotrestart/DrainCommandsFile.java
+++ b/hotrestart/src/main/java/lupinvalve/hotrestart/DrainCommandsFile.java
@@ -19,18 +19,19 @@
 import lupinvalve.maintenance.DrainCommands;
 
 /**
- * The operators' drain commands in a file that the two processes of a hot restart share. It is written whole to a
- * temporary file and moved, under a lock, so a reader sees one version or the other. For one thread; touches the disk.
+ * Stores the operators' drain commands in a file that the two processes of a hot restart share. Each version is written
+ * to a temporary file and moved into place under a lock, so a reader sees one complete version. Confined to one thread;
+ * blocks on disk I/O.
  */
 public final class DrainCommandsFile {
     private static final JsonFactory JSON = new JsonFactory();
-    /** The stored name of {@link DrainCommands#drained()}. */
+    /** Field name of {@link DrainCommands#drained()} in the file. */
     private static final String DRAINED_FIELD = "out";
-    /** The stored name of {@link DrainCommands#restoredAtMicros()}. */
+    /** Field name of {@link DrainCommands#restoredAtMicros()} in the file. */
     private static final String RESTORED_FIELD = "back";
-    /** More than a pooler ever writes. */
+    /** Size limit for reading; larger than any file that a pooler writes. */
     private static final long MAX_FILE_BYTES = 1 << 20;
-    /** Stands for the content of a file that is too long to be read; no JSON. */
+    /** Substitute for the content of a file over the size limit; not valid JSON, so it is handled as corrupt. */
     private static final byte[] TOO_LONG = {'!'};
 
     private final SharedDirectory directory;
@@ -42,14 +43,14 @@
 
     private boolean errorReported;
 
-    /** @param stem path of the files, without their endings */
+    /** @param stem path of the files without their suffixes */
     public DrainCommandsFile(Path stem) {
         this(
                 SharedDirectory.atPath(stem.toAbsolutePath().getParent()),
                 stem.getFileName().toString());
     }
 
-    /** @param name of the files in the directory, without their endings */
+    /** @param name name of the files in the directory without their suffixes */
     public DrainCommandsFile(SharedDirectory directory, String name) {
         this.directory = directory;
         fileName = name + ".orders.json";
@@ -58,17 +59,17 @@
     }
 
     /**
-     * The commands of the file where it has changed since it was last read or written, else null. Of a corrupt file,
-     * what could be read is merged with the current commands: a db node may stay drained without need, but none is used
-     * that operators have drained.
+     * Returns the commands in the file if it has changed since it was last read or written, else null. The readable
+     * part of a corrupt file is merged with the current commands: a db node may stay drained unnecessarily, but none is
+     * used that operators have drained.
      *
-     * @param current the commands that this process knows
+     * @param current the commands that this process applies
      */
     public DrainCommands readIfChanged(DrainCommands current) {
         try {
             return readNewVersion(current);
         } catch (IOException e) {
-            report("can't be read: " + e);
+            report("can't be read, the current drain commands stay in force: " + e);
             return null;
         }
     }
@@ -78,7 +79,7 @@
         try {
             content = directory.size(fileName) > MAX_FILE_BYTES ? TOO_LONG : directory.read(fileName);
         } catch (NoSuchFileException e) {
-            // No command yet, or somebody cleared the directory: the current commands stay.
+            // No command was stored yet, or the directory was cleared: the current commands remain in force.
             return null;
         }
         if (Arrays.equals(content, lastContent)) {
@@ -89,10 +90,10 @@
     }
 
     /**
-     * Changes the commands; the file has them when this returns. Throws, and changes nothing, where the file can't be
-     * read: a change of the current commands would undo what the other process has written since.
+     * Changes the commands and stores them in the file before it returns. Throws without a change if the file can't be
+     * read: a change based on the current commands would undo what the other process has written since.
      *
-     * @param current the commands that this process knows
+     * @param current the commands that this process applies
      */
     public DrainCommands update(DrainCommands current, UnaryOperator<DrainCommands> change) throws IOException {
         Closeable lock = directory.lock(lockName);
@@ -134,7 +135,7 @@
 
     private static void readDrained(JsonParser in, Set<String> drained) throws IOException {
         expect(in, in.nextToken() == JsonToken.START_ARRAY);
-        while (hasNext(in)) {
+        while (nextIsValue(in)) {
             expect(in, in.currentToken() == JsonToken.VALUE_STRING);
             drained.add(in.getText());
         }
@@ -142,14 +143,14 @@
 
     private static void readRestored(JsonParser in, Map<String, Long> restored) throws IOException {
         expect(in, in.nextToken() == JsonToken.START_OBJECT);
-        while (hasNext(in)) {
+        while (nextIsValue(in)) {
             String id = in.currentName();
             expect(in, in.nextToken() == JsonToken.VALUE_NUMBER_INT);
             restored.put(id, in.getLongValue());
         }
     }
 
-    private static boolean hasNext(JsonParser in) throws IOException {
+    private static boolean nextIsValue(JsonParser in) throws IOException {
         JsonToken token = in.nextToken();
         return token != null && !token.isStructEnd();
     }
@@ -180,7 +181,7 @@
         return content.toByteArray();
     }
 
-    /** Reports an error once, until the file can be read again. */
+    /** Logs an error, and suppresses further ones until the file is read or written successfully. */
     private void report(String problem) {
         if (!errorReported) {
             Log.error("%s %s", fileName, problem);
--- a/hotrestart/src/main/java/lupinvalve/hotrestart/ProcessMarkers.java
+++ b/hotrestart/src/main/java/lupinvalve/hotrestart/ProcessMarkers.java
@@ -8,9 +8,9 @@
 import lupinvalve.log.Log;
 
 /**
- * Marker files that name the processes of one pooler: which one started last, and which one took up service last. In a
- * hot restart the old process reads from them that its successor takes the clients, the new one that a predecessor
- * serves meanwhile, and both that they share the limits. Thread-safe; touches the disk.
+ * Marker files that hold the process ids of one pooler's processes: the one that started last, and the one that began
+ * to serve last. In a hot restart the old process reads from them that its successor accepts clients, the new one that
+ * its predecessor still serves, and both that they share the limits on resources. Thread-safe; blocks on disk I/O.
  */
 public final class ProcessMarkers {
     private static final String STARTING = ".starting";
@@ -19,51 +19,54 @@
     private static final long NO_PID = 0;
 
     private final Path stem;
-    private final Path temporary;
+    private final Path temporaryFile;
     private final long ownPid = ProcessHandle.current().pid();
-    /** The process that served when this one started, or {@link #NO_PID}. */
+    /** Id of the process that served when this one started, or {@link #NO_PID}. */
     private volatile long predecessorPid = NO_PID;
 
     private volatile boolean readErrorReported;
 
-    /** @param stem path of the markers, without their endings */
+    /** @param stem path of the marker files without their suffixes */
     public ProcessMarkers(Path stem) {
         this.stem = stem;
-        temporary = file(".note." + ownPid);
+        temporaryFile = file(".note." + ownPid);
     }
 
-    private Path file(String ending) {
-        return stem.resolveSibling(stem.getFileName() + ending);
+    private Path file(String suffix) {
+        return stem.resolveSibling(stem.getFileName() + suffix);
     }
 
-    /** Marks this process as the one that started last. */
+    /** Records this process as the one that started last. */
     public void markStarting() {
         predecessorPid = read(SERVING);
         write(STARTING);
     }
 
-    /** Marks this process as the one that took up service last. */
+    /** Records this process as the one that began to serve last. */
     public void markServing() {
         write(SERVING);
     }
 
-    /** Whether another process that runs took up service last. */
+    /** Whether another process, which is still running, began to serve last. */
     public boolean isSuperseded() {
         return isOtherAlive(read(SERVING));
     }
 
-    /** Whether another process of this pooler runs, be it starting or draining. */
+    /** Whether another process of this pooler is running, starting and draining ones included. */
     public boolean isAnotherRunning() {
         return isOtherAlive(read(STARTING)) || isOtherAlive(predecessorPid);
     }
 
-    private void write(String ending) {
+    private void write(String suffix) {
         try {
-            Files.writeString(temporary, Long.toString(ownPid));
-            Files.move(temporary, file(ending), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+            Files.writeString(temporaryFile, Long.toString(ownPid));
+            Files.move(
+                    temporaryFile, file(suffix), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
         } catch (IOException e) {
-            // The other process then takes this one for absent, and serves on until it is killed.
-            Log.error("%s can't be written: %s", file(ending), e);
+            // The other process then assumes that this one is absent, and serves until it is killed.
+            Log.error(
+                    "%s can't be written, so the other process of a hot restart does not detect this one: %s",
+                    file(suffix), e);
         }
     }
 
@@ -73,9 +76,9 @@
                 && ProcessHandle.of(pid).map(ProcessHandle::isAlive).orElse(false);
     }
 
-    /** The process that a marker names, or {@link #NO_PID}; an unreadable marker is reported once. */
-    private long read(String ending) {
-        Path file = file(ending);
+    /** The process id in a marker file, or {@link #NO_PID} if there is none; an unreadable file is logged once. */
+    private long read(String suffix) {
+        Path file = file(suffix);
         try {
             if (Files.size(file) > MAX_MARKER_BYTES) {
                 throw new IOException("too long");
@@ -85,7 +88,7 @@
             return NO_PID;
         } catch (IOException | NumberFormatException e) {
             if (!readErrorReported) {
-                Log.error("%s can't be read: %s", file, e);
+                Log.error("%s can't be read, so this process assumes that no other one serves: %s", file, e);
                 readErrorReported = true;
             }
             return NO_PID;
--- a/hotrestart/src/main/java/lupinvalve/hotrestart/SharedDirectory.java
+++ b/hotrestart/src/main/java/lupinvalve/hotrestart/SharedDirectory.java
@@ -9,29 +9,29 @@
 import java.nio.file.StandardCopyOption;
 import java.nio.file.StandardOpenOption;
 
-/** The directory that the two processes of a hot restart share, or a stand-in that injects faults. Blocking. */
+/** The directory that the two processes of a hot restart share, or a substitute that injects faults. Methods block. */
 public interface SharedDirectory {
-    /** Size of a file in bytes; throws {@link NoSuchFileException} where there is none. */
+    /** Size of a file in bytes; throws {@link NoSuchFileException} if it does not exist. */
     long size(String name) throws IOException;
 
-    /** Content of a file; throws {@link NoSuchFileException} where there is none. */
+    /** Content of a file; throws {@link NoSuchFileException} if it does not exist. */
     byte[] read(String name) throws IOException;
 
-    /** Writes a file; a process that is killed meanwhile leaves a part of it. */
+    /** Writes a file, not atomically: a process that is killed during the write leaves a truncated file. */
     void write(String name, byte[] content) throws IOException;
 
     /** Replaces {@code target}, or creates it, atomically: readers see the old file or the new one. */
     void move(String name, String target) throws IOException;
 
-    /** Waits for the lock; it ends as it is closed, or with its process. */
+    /** Waits for the lock; closing the result, or the end of the process, releases it. */
     Closeable lock(String name) throws IOException;
 
-    /** A directory of the file system. */
+    /** A shared directory in the file system. */
     static SharedDirectory atPath(Path directory) {
         return new FileSystemDirectory(directory);
     }
 
-    /** A directory of the file system. */
+    /** A shared directory in the file system. */
     record FileSystemDirectory(Path directory) implements SharedDirectory {
         @Override
         public long size(String name) throws IOException {
--- a/hotrestart/src/main/java/lupinvalve/hotrestart/package-info.java
+++ b/hotrestart/src/main/java/lupinvalve/hotrestart/package-info.java
@@ -1,2 +1,2 @@
-/** Files that the two processes of a hot restart share: which of them serves, and the operators' drain commands. */
+/** Files that the two processes of a hot restart share: process markers and the operators' drain commands. */
 package lupinvalve.hotrestart;
--- a/hotrestart/src/test/java/lupinvalve/hotrestart/DrainCommandsFileTest.java
+++ b/hotrestart/src/test/java/lupinvalve/hotrestart/DrainCommandsFileTest.java
@@ -27,7 +27,7 @@
 
     private final ByteArrayOutputStream log = new ByteArrayOutputStream();
 
-    private DrainCommandsFile process() {
+    private DrainCommandsFile newFile() {
         return new DrainCommandsFile(folder.resolve("p"));
     }
 
@@ -41,48 +41,49 @@
     }
 
     @Test
-    void eachProcessReadsAndKeepsWhatTheOtherWrote() throws IOException {
-        DrainCommandsFile one = process();
-        DrainCommandsFile two = process();
-        assertNull(one.readIfChanged(DrainCommands.NONE));
-        DrainCommands first = one.update(DrainCommands.NONE, commands -> commands.with(true, "s-1", 5));
-        assertNull(one.readIfChanged(first), "its own change is not read again");
-        // The second has not looked since: its change must not undo the first.
-        DrainCommands both = two.update(DrainCommands.NONE, commands -> commands.with(true, "s-2", 6));
+    void eachProcessReadsAndKeepsCommandsOfTheOther() throws IOException {
+        DrainCommandsFile firstFile = newFile();
+        DrainCommandsFile secondFile = newFile();
+        assertNull(firstFile.readIfChanged(DrainCommands.NONE));
+        DrainCommands first = firstFile.update(DrainCommands.NONE, commands -> commands.with(true, "s-1", 5));
+        assertNull(firstFile.readIfChanged(first), "a process does not read its own change again");
+        // The second process has not read the file since: its change must not undo the first.
+        DrainCommands both = secondFile.update(DrainCommands.NONE, commands -> commands.with(true, "s-2", 6));
         assertEquals(Set.of("s-1", "s-2"), both.drained());
-        assertEquals(both, one.readIfChanged(first));
-        DrainCommands back = two.update(both, commands -> commands.with(false, "s-1", 7));
+        assertEquals(both, firstFile.readIfChanged(first));
+        DrainCommands back = secondFile.update(both, commands -> commands.with(false, "s-1", 7));
         assertEquals(new DrainCommands(Set.of("s-2"), Map.of("s-1", 7L)), back);
-        assertEquals(back, one.readIfChanged(both));
-        assertEquals(back, process().readIfChanged(DrainCommands.NONE), "one that starts reads it all");
+        assertEquals(back, firstFile.readIfChanged(both));
+        assertEquals(back, newFile().readIfChanged(DrainCommands.NONE), "a new process reads all commands");
     }
 
     @Test
-    void aTruncatedFileIsReportedAndReturnsNoDrainedNode() throws IOException {
-        DrainCommands whole = process().update(DrainCommands.NONE, commands -> CURRENT.with(true, "s-1", 5));
+    void truncatedFileIsReportedAndRestoresNoDrainedNode() throws IOException {
+        DrainCommands whole = newFile().update(DrainCommands.NONE, commands -> CURRENT.with(true, "s-1", 5));
         byte[] bytes = Files.readAllBytes(file());
         Log.setOutput(new PrintStream(log, true));
         for (int length = 0; length < bytes.length; length++) {
             Files.write(file(), Arrays.copyOf(bytes, length));
             log.reset();
-            DrainCommands read = process().readIfChanged(CURRENT);
-            // An empty file is all that a process knows before it looks, so that one is no change.
+            DrainCommands read = newFile().readIfChanged(CURRENT);
+            // An empty file equals the initial content, so the process sees no change.
             DrainCommands known = read == null ? CURRENT : read;
             assertTrue(known.drained().contains("s-9"), "cut at " + length);
             assertTrue(length == 0 || log.toString().contains("corrupt"), "cut at " + length);
             assertTrue(whole.drained().containsAll(known.drained()) || length < bytes.length, "cut at " + length);
         }
         Files.writeString(file(), "{\"out\":[\"s-1\"],\"back\":{}} more");
-        assertEquals(Set.of("s-1", "s-9"), process().readIfChanged(CURRENT).drained());
+        assertEquals(Set.of("s-1", "s-9"), newFile().readIfChanged(CURRENT).drained());
         Files.write(file(), new byte[2 << 20]);
-        assertEquals(CURRENT.drained(), process().readIfChanged(CURRENT).drained());
+        assertEquals(CURRENT.drained(), newFile().readIfChanged(CURRENT).drained());
     }
 
     @Test
-    void aCommandThatCantBeWrittenIsRejected() throws IOException {
-        DrainCommandsFile lost =
+    void commandThatCantBeWrittenIsRejected() throws IOException {
+        DrainCommandsFile fileInMissingDirectory =
                 new DrainCommandsFile(folder.resolve("no such folder").resolve("p"));
         assertThrows(
-                IOException.class, () -> lost.update(DrainCommands.NONE, commands -> commands.with(true, "s-1", 5)));
+                IOException.class,
+                () -> fileInMissingDirectory.update(DrainCommands.NONE, commands -> commands.with(true, "s-1", 5)));
     }
 }
--- a/hotrestart/src/test/java/lupinvalve/hotrestart/ProcessMarkersTest.java
+++ b/hotrestart/src/test/java/lupinvalve/hotrestart/ProcessMarkersTest.java
@@ -25,13 +25,13 @@
     }
 
     @Test
-    void aMarkerOfAProcessThatHasEndedOrCantBeReadNamesNobody() throws Exception {
+    void markerIsIgnoredIfUnreadableOrItsProcessHasEnded() throws Exception {
         Path marker = folder.resolve("p.serving");
         ProcessMarkers markers = new ProcessMarkers(folder.resolve("p"));
         assertFalse(markers.isSuperseded());
         markers.markServing();
         assertEquals(Long.toString(ProcessHandle.current().pid()), Files.readString(marker));
-        assertFalse(markers.isSuperseded(), "it is this process");
+        assertFalse(markers.isSuperseded(), "the marker names this process");
         Process other = new ProcessBuilder("sleep", "60").start();
         Files.writeString(marker, Long.toString(other.pid()));
         assertTrue(markers.isSuperseded());
@@ -44,19 +44,20 @@
     }
 
     @Test
-    void bothProcessesKnowOfEachOtherUntilOneHasEnded() throws Exception {
+    void processesDetectEachOtherUntilOneEnds() throws Exception {
         Process old = new ProcessBuilder("sleep", "60").start();
         Files.writeString(folder.resolve("p.serving"), Long.toString(old.pid()));
         ProcessMarkers next = new ProcessMarkers(folder.resolve("p"));
         assertTrue(next.isSuperseded());
         next.markStarting();
         next.markServing();
-        assertTrue(!next.isSuperseded() && next.isAnotherRunning(), "the old one is draining");
+        assertTrue(!next.isSuperseded() && next.isAnotherRunning(), "the old process is draining");
         old.destroyForcibly().waitFor();
         assertFalse(next.isAnotherRunning());
         Process third = new ProcessBuilder("sleep", "60").start();
         Files.writeString(folder.resolve("p.starting"), Long.toString(third.pid()));
-        assertTrue(next.isAnotherRunning() && !next.isSuperseded(), "one that does not serve yet supersedes nobody");
+        assertTrue(
+                next.isAnotherRunning() && !next.isSuperseded(), "a process that does not serve yet supersedes none");
         third.destroyForcibly().waitFor();
         assertFalse(next.isAnotherRunning());
     }
