--- a/daemon/src/main/java/lupinvalve/cli/Call.java
+++ b/daemon/src/main/java/lupinvalve/cli/Call.java
@@ -12,29 +12,34 @@
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
 
-/** Calls a running pooler's operators' address and prints the answer; the exit code is 0 where that is ok. */
+/**
+ * Sends a command to a running pooler's admin interface and prints the answer; the exit code is 0 if the answer is ok.
+ */
 public final class Call implements Main.Command {
-    /** An answer is due within a second. */
-    private static final int WAIT_MILLIS = 3_000;
+    /** Timeout of the connection and of the answer; the admin interface answers within one second. */
+    private static final int TIMEOUT_MILLIS = 3_000;
 
-    @Option(name = "--to", metaVar = "ADDRESS", usage = "the operators' address; else NODE_OPERATOR names it")
-    private String to = System.getenv("NODE_OPERATOR");
+    @Option(
+            name = "--to",
+            metaVar = "ADDRESS",
+            usage = "address of the admin interface; default: the environment variable NODE_OPERATOR")
+    private String address = System.getenv("NODE_OPERATOR");
 
     @Argument(required = true, multiValued = true, metaVar = "CALL", usage = "health, counters, cordon ID, ...")
-    private List<String> words = new ArrayList<>();
+    private List<String> commandWords = new ArrayList<>();
 
     @Override
     public int run() throws IOException {
-        if (to == null || to.isEmpty()) {
+        if (address == null || address.isEmpty()) {
             throw new IllegalArgumentException("no --to and no NODE_OPERATOR");
         }
-        return call(Addresses.parse(to), String.join(" ", words), System.out);
+        return call(Addresses.parse(address), String.join(" ", commandWords), System.out);
     }
 
-    static int call(InetSocketAddress address, String line, PrintStream out) throws IOException {
+    static int call(InetSocketAddress adminAddress, String line, PrintStream out) throws IOException {
         try (Socket socket = new Socket()) {
-            socket.setSoTimeout(WAIT_MILLIS);
-            socket.connect(address, WAIT_MILLIS);
+            socket.setSoTimeout(TIMEOUT_MILLIS);
+            socket.connect(adminAddress, TIMEOUT_MILLIS);
             socket.getOutputStream().write((line + "\n").getBytes(US_ASCII));
             String answer = new String(socket.getInputStream().readAllBytes(), US_ASCII);
             out.print(answer);
--- a/daemon/src/main/java/lupinvalve/cli/Daemon.java
+++ b/daemon/src/main/java/lupinvalve/cli/Daemon.java
@@ -32,162 +32,186 @@
 import lupinvalve.replication.RaftMember;
 import lupinvalve.routing.RequestClass;
 
-/** One pooler with all its parts. */
+/** One pooler: creates its components, and starts, reconfigures, drains and stops them. */
 public final class Daemon {
-    /** The platform kills a pooler so long after SIGTERM and the longest deadline, which counts as 3 s at most. */
-    private static final long KILL = 700_000, LONGEST = 3_000_000;
-    /** Before that all is answered; and before that again nothing new is taken. */
-    private static final long ANSWERED = 250_000, LAST_CALL = 400_000;
+    /** The platform sends SIGKILL this long after SIGTERM plus the longest request deadline. */
+    private static final long KILL_GRACE_MICROS = 700_000;
+    /** The longest request deadline that the platform takes into account for SIGKILL. */
+    private static final long MAX_DEADLINE_MICROS = 3_000_000;
+    /** All requests are answered this long before SIGKILL. */
+    private static final long ANSWER_MARGIN_MICROS = 250_000;
+    /** New requests are accepted until this long before all must be answered. */
+    private static final long LAST_REQUEST_MARGIN_MICROS = 400_000;
+    /** File descriptors reserved for files, listeners, discovery and the JVM. */
+    private static final int RESERVED_SOCKETS_COUNT = 64;
+    /** The part of the reserved descriptors that connections in the process of closing may use. */
+    private static final int CLOSING_SOCKETS_COUNT = 16;
+
+    private static final long HEALTH_CHECK_TIMEOUT_MICROS = 250_000;
+    /** Time limit for the end of the I/O threads; shorter than the wait for them in a halt of the JVM. */
+    private static final long IO_THREADS_END_MILLIS = 60;
+    /** Interval of the checks whether all connections have ended after a drain. */
+    private static final long IDLE_CHECK_INTERVAL_MICROS = 10_000;
+    /** Number of successive checks that must find no connection and no request. */
+    private static final int IDLE_CHECKS_COUNT = 5;
     /**
-     * Descriptors kept for files, listeners, discovery and the JVM; of these, connections on their way out may take
-     * some.
+     * Time limit for the first response of discovery after the call. A change must be in force 6 s after discovery has
+     * received it, so the list in the file may contain db nodes that must not be used any more; nine in ten starts must
+     * be complete within 10 s.
      */
-    private static final int SPARE = 64, PARTING = 16;
+    private static final long FIRST_LIST_TIMEOUT_MILLIS = 4_000;
 
-    private static final long PROBE = 250_000;
-    /** How long threads of sockets may take to end: less than a halt would wait for them. */
-    private static final long THREADS_MILLIS = 60;
-    /** How often it is looked whether all has ended, and how often that must be so in turn. */
-    private static final long SETTLE = 10_000;
+    private static final int MYSQL_DEFAULT_PORT = 3306;
+    /** A smaller limit on descriptors is treated as this many. */
+    private static final int MIN_SOCKETS_COUNT = 64;
 
-    private static final int QUIET = 5;
-    /**
-     * How long a start waits for discovery's first word, from when it was asked. Changes bind 6 s after discovery had
-     * them, so the list in the file may name db nodes that must not be used any more; nine in ten starts have to be
-     * over within 10 s.
-     */
-    private static final long FIRST_WORD_MILLIS = 4_000;
+    private static final int MAX_CLIENTS_COUNT = 600;
+    private static final int MAX_NODE_CONNECTIONS_COUNT = 480;
 
     private final NodeConfig config;
     private final EventLoop loop = new EventLoop();
     private final Net net = new Net(loop);
     /**
-     * For discovery alone, with a thread of its own: a departure binds 250 ms after it was told, and the moment after a
-     * start, when clients come at once and code is cold, had lists wait longer than that behind requests.
+     * For discovery alone, with its own I/O thread: a db node's departure must be in force 250 ms after it was
+     * notified. On a shared thread, endpoint lists waited longer than that behind requests right after a start, when
+     * clients connect at once and the code is not compiled yet.
      */
-    private final Net listing = new Net(loop, true);
+    private final Net discoveryNet = new Net(loop, true);
 
     private final Pooler pooler;
     private final PgFront front;
-    // One of them is the directory.
-    private HttpEndpointDiscovery http;
-    private DnsEndpointDiscovery dns;
+    // At most one of these two is set, by the configured kind of discovery.
+    private HttpEndpointDiscovery httpDiscovery;
+    private DnsEndpointDiscovery dnsDiscovery;
     private volatile Net.Listener listener;
-    // What an operator may turn on.
+    /** The operator's configuration in force; the group's accepted document replaces the shared sections. */
     private OperatorConfig operator;
-    private final OperatorConfig local;
-    private MysqlFront mysql;
-    private MysqlBackend mysqlNodes;
+    /** The operator's file as it was read at the start. */
+    private final OperatorConfig localConfig;
+    // Optional features; null where they are off.
+    private MysqlFront mysqlFront;
+    private MysqlBackend mysqlBackend;
     private volatile Net.Listener mysqlListener;
-    private Operations operations;
-    private AdminServer door;
+    private AdminCommandTarget adminTarget;
+    private AdminServer adminServer;
     private final List<Pool> pools = new ArrayList<>();
     private Shared shared;
-    private Late late;
+    private DeferredDiscovery deferredDiscovery;
     private boolean started;
 
-    public Daemon(NodeConfig config, OperatorConfig file) throws IOException {
-        this(config, file, null);
+    /** A pooler that shares no directory with another process. */
+    public Daemon(NodeConfig config, OperatorConfig operatorFile) throws IOException {
+        this(config, operatorFile, null);
     }
 
-    /** @param folder that two processes of this pooler share during an upgrade, or null */
-    public Daemon(NodeConfig config, OperatorConfig file, Path folder) throws IOException {
-        this(config, file, folder, null);
+    /** @param sharedDirectory directory that two processes of this pooler share during a hot restart, or null */
+    public Daemon(NodeConfig config, OperatorConfig operatorFile, Path sharedDirectory) throws IOException {
+        this(config, operatorFile, sharedDirectory, null);
     }
 
-    /** Opens a member's or a subscriber's folder and takes part in its group. */
-    interface Opening {
+    /** Creates the control plane of a member or a subscriber from its configuration. */
+    interface ControlPlaneFactory {
         ControlPlane open(OperatorConfig.Store config) throws IOException;
     }
 
-    /** @param opening null for the program's own; no class of a group is touched where there is no store */
-    Daemon(NodeConfig config, OperatorConfig file, Path folder, Opening opening) throws IOException {
+    /**
+     * @param factory creates the control plane; null for the program's own member or subscriber. Without a store in the
+     *     configuration, no class of the control plane is loaded
+     */
+    Daemon(NodeConfig config, OperatorConfig operatorFile, Path sharedDirectory, ControlPlaneFactory factory)
+            throws IOException {
         this.config = config;
-        operator = file;
-        local = file;
+        operator = operatorFile;
+        localConfig = operatorFile;
         pooler = new Pooler(loop, config.site().settings());
         if (operator.store() != null) {
-            shared = new Shared(pooler, operator.store(), opening, this::adopted, this::held);
-            operator = local.accepted(shared.document());
+            shared = new Shared(pooler, operator.store(), factory, this::applyAccepted, this::applySelfDrain);
+            operator = localConfig.accepted(shared.document());
             if (shared.plane().fencingEnabled()) {
                 pooler.fence(shared.plane()::mayServe);
                 net.fence(shared.plane()::mayServe);
             }
         }
-        // Two fronts and two pools share the sockets that one of each would have.
-        int parts = file.mysql() == null ? 1 : 2;
-        int sockets = Math.max(64, config.sockets() - SPARE);
-        net.bound(sockets + PARTING);
-        int clients = Math.min(600, sockets * 5 / 9) / parts;
+        // With MySQL on, two frontends and two pools share the descriptors that one of each would have.
+        int protocols = operatorFile.mysql() == null ? 1 : 2;
+        int sockets = Math.max(MIN_SOCKETS_COUNT, config.sockets() - RESERVED_SOCKETS_COUNT);
+        net.bound(sockets + CLOSING_SOCKETS_COUNT);
+        int clients = Math.min(MAX_CLIENTS_COUNT, sockets * 5 / 9) / protocols;
         front = new PgFront(pooler, clients);
         Pool.Bounds bounds = new Pool.Bounds(
-                Math.min(480, sockets * 4 / 9) / parts,
+                Math.min(MAX_NODE_CONNECTIONS_COUNT, sockets * 4 / 9) / protocols,
                 config.site().connectMicros(),
                 config.site().keepaliveMicros() * 7 / 10,
-                PROBE);
-        backend(PgFront.PROTOCOL, new PgBackend(net, pooler, bounds, "api", "ledger"));
-        if (file.mysql() != null) {
-            // Where a group keeps the configuration, the one accepted has the accounts, and there may be none yet.
-            OperatorConfig.Mysql m = operator.mysql() == null ? file.mysql() : operator.mysql();
-            mysql = new MysqlFront(pooler, clients, m.user(), m.password());
-            mysqlNodes = new MysqlBackend(net, pooler, bounds, m.nodeUser(), m.nodePassword(), m.database());
-            backend(MysqlFront.PROTOCOL, mysqlNodes);
+                HEALTH_CHECK_TIMEOUT_MICROS);
+        addPool(PgFront.PROTOCOL, new PgBackend(net, pooler, bounds, "api", "ledger"));
+        if (operatorFile.mysql() != null) {
+            // If a group stores the configuration, the accounts come from the accepted document, which may not exist
+            // yet.
+            OperatorConfig.Mysql account = operator.mysql() == null ? operatorFile.mysql() : operator.mysql();
+            mysqlFront = new MysqlFront(pooler, clients, account.user(), account.password());
+            mysqlBackend = new MysqlBackend(
+                    net, pooler, bounds, account.nodeUser(), account.nodePassword(), account.database());
+            addPool(MysqlFront.PROTOCOL, mysqlBackend);
         }
-        pooler.discovery(directory());
+        pooler.discovery(createDiscovery());
         if (config.operator() != null) {
-            // Poolers of other names may share the folder where it is no pooler's own.
-            Path stem = folder == null
+            // The pooler's name is part of the path: the directory may be shared with other poolers.
+            Path stem = sharedDirectory == null
                     ? null
-                    : folder.resolve("lupinvalve-" + config.name().replaceAll("[^A-Za-z0-9_.-]", "_"));
-            operations = new Operations(
-                    pooler, stem, this::endConnections, another -> pools.forEach(pool -> pool.beside(another)));
-            door = new AdminServer(new AdminCommands(operations));
+                    : sharedDirectory.resolve("lupinvalve-" + config.name().replaceAll("[^A-Za-z0-9_.-]", "_"));
+            adminTarget = new AdminCommandTarget(
+                    pooler,
+                    stem,
+                    this::endConnections,
+                    otherRunning -> pools.forEach(pool -> pool.beside(otherRunning)));
+            adminServer = new AdminServer(new AdminCommands(adminTarget));
         }
     }
 
-    private void backend(String protocol, Pool pool) {
+    private void addPool(String protocol, Pool pool) {
         pools.add(pool);
         pooler.addBackend(protocol, pool);
     }
 
     private void endConnections() {
         front.close();
-        if (mysql != null) {
-            mysql.close();
+        if (mysqlFront != null) {
+            mysqlFront.close();
         }
     }
 
     /**
-     * A configuration that a majority has accepted: accounts and resolver hold at once, the rest from the next start.
+     * Applies a document that a majority has accepted: accounts and DNS resolver take effect at once, the rest at the
+     * next start. Core thread.
      */
-    private void adopted(byte[] document) {
+    private void applyAccepted(byte[] document) {
         try {
             OperatorConfig before = operator;
-            operator = local.accepted(document);
-            OperatorConfig.Mysql m = operator.mysql();
-            if (m != null) {
-                mysql.account(m.user(), m.password());
-                mysqlNodes.account(m.nodeUser(), m.nodePassword(), m.database());
+            operator = localConfig.accepted(document);
+            OperatorConfig.Mysql account = operator.mysql();
+            if (account != null) {
+                mysqlFront.account(account.user(), account.password());
+                mysqlBackend.account(account.nodeUser(), account.nodePassword(), account.database());
                 if (started) {
                     listenMysql();
                 }
             }
-            OperatorConfig.DnsSd place = operator.dnsSd();
-            if (place != null && dns != null) {
-                dns.move(Addresses.parse(place.resolver()), place.service(), place.pollMicros());
-            } else if (place != null && late != null) {
-                late.is(dnsDirectory(place));
-            } else if (place == null != (before.dnsSd() == null)) {
-                Log.warn("configuration: where db nodes are learnt from holds from the next start");
+            OperatorConfig.DnsSd dnsSd = operator.dnsSd();
+            if (dnsSd != null && dnsDiscovery != null) {
+                dnsDiscovery.move(Addresses.parse(dnsSd.resolver()), dnsSd.service(), dnsSd.pollMicros());
+            } else if (dnsSd != null && deferredDiscovery != null) {
+                deferredDiscovery.setDelegate(createDnsDiscovery(dnsSd));
+            } else if (dnsSd == null != (before.dnsSd() == null)) {
+                Log.warn("configuration: the change of the discovery source takes effect at the next start");
             }
         } catch (IOException | RuntimeException e) {
-            Log.error("configuration: %s", e.getMessage());
+            Log.error("configuration: the accepted document was not applied in full: %s", e.getMessage());
         }
     }
 
-    private void held(boolean byGroup) {
-        if (operations != null) {
-            operations.held(byGroup);
+    private void applySelfDrain(boolean byGroup) {
+        if (adminTarget != null) {
+            adminTarget.setDrainedByGroup(byGroup);
         }
         pooler.clientDrain().setDrainedByGroup(byGroup, loop.now());
         if (byGroup) {
@@ -195,134 +219,139 @@
         }
     }
 
-    /** Asks nobody, until it is known whom. */
-    private static final class Late implements EndpointDiscovery {
-        private EndpointDiscovery is;
-        private boolean active, wanted;
-
-        void is(EndpointDiscovery known) {
-            is = known;
-            if (active) {
-                is.subscribe(true);
-            } else if (wanted) {
-                is.fetch();
+    /** Discovery whose source is not known yet; passes calls on once it is set. Core thread. */
+    private static final class DeferredDiscovery implements EndpointDiscovery {
+        private EndpointDiscovery delegate;
+        private boolean subscribed;
+        private boolean fetchRequested;
+
+        void setDelegate(EndpointDiscovery discovery) {
+            delegate = discovery;
+            if (subscribed) {
+                delegate.subscribe(true);
+            } else if (fetchRequested) {
+                delegate.fetch();
             }
         }
 
         @Override
-        public void subscribe(boolean on) {
-            active = on;
-            if (is != null) {
-                is.subscribe(on);
+        public void subscribe(boolean active) {
+            subscribed = active;
+            if (delegate != null) {
+                delegate.subscribe(active);
             }
         }
 
         @Override
         public void fetch() {
-            wanted = true;
-            if (is != null) {
-                is.fetch();
+            fetchRequested = true;
+            if (delegate != null) {
+                delegate.fetch();
             }
         }
     }
 
-    private EndpointDiscovery directory() {
+    private EndpointDiscovery createDiscovery() {
         Integer port = operator.mysql() == null ? null : operator.mysql().nodePort();
         if (operator.dnsSd() != null) {
-            return dnsDirectory(operator.dnsSd());
+            return createDnsDiscovery(operator.dnsSd());
         }
         if (config.discovery() == null && shared != null) {
-            late = new Late();
-            return late;
+            deferredDiscovery = new DeferredDiscovery();
+            return deferredDiscovery;
         }
         if (config.discovery() == null) {
             throw new IllegalArgumentException("no discovery in the configuration and no dns_sd");
         }
-        http = new HttpEndpointDiscovery(
-                listing,
+        httpDiscovery = new HttpEndpointDiscovery(
+                discoveryNet,
                 pooler,
                 Addresses.parse(config.discovery()),
                 new EndpointListReader(config.site().zones(), port),
                 config.known().revision());
-        return http;
+        return httpDiscovery;
     }
 
-    private DnsEndpointDiscovery dnsDirectory(OperatorConfig.DnsSd place) {
-        dns = new DnsEndpointDiscovery(
+    private DnsEndpointDiscovery createDnsDiscovery(OperatorConfig.DnsSd dnsSd) {
+        dnsDiscovery = new DnsEndpointDiscovery(
                 pooler,
-                Addresses.parse(place.resolver()),
-                place.service(),
-                place.pollMicros(),
-                operator.mysql() == null ? 3306 : operator.mysql().nodePort(),
+                Addresses.parse(dnsSd.resolver()),
+                dnsSd.service(),
+                dnsSd.pollMicros(),
+                operator.mysql() == null ? MYSQL_DEFAULT_PORT : operator.mysql().nodePort(),
                 config.site().zones());
-        return dns;
+        return dnsDiscovery;
     }
 
     /**
-     * Takes over a file read anew while requests go on: where discovery is. What the tables and the module were built
-     * from holds from the next start. Both files have been checked by then; from any thread.
+     * Applies reloaded configuration files while requests go on: the addresses of discovery and the MySQL account take
+     * effect at once, settings and limits at the next start. Both files must have been validated. Safe for any thread.
      *
-     * @throws IllegalArgumentException where an address in them is none, and nothing is taken over
+     * @throws IllegalArgumentException if an address in the files is invalid; nothing is applied then
      */
     public void reconfigure(NodeConfig next, OperatorConfig nextOperator) {
-        OperatorConfig.DnsSd place = nextOperator.dnsSd();
-        InetSocketAddress at = http != null && next.discovery() != null ? Addresses.parse(next.discovery()) : null;
-        // What a group keeps is not changed by one member's file.
+        OperatorConfig.DnsSd dnsSd = nextOperator.dnsSd();
+        InetSocketAddress discoveryAddress =
+                httpDiscovery != null && next.discovery() != null ? Addresses.parse(next.discovery()) : null;
+        // A member's file does not change what the group stores.
         InetSocketAddress resolver =
-                dns != null && place != null && shared == null ? Addresses.parse(place.resolver()) : null;
-        if (at != null && at.isUnresolved() || resolver != null && resolver.isUnresolved()) {
-            throw new IllegalArgumentException("not a literal address: " + (at != null ? at : resolver));
+                dnsDiscovery != null && dnsSd != null && shared == null ? Addresses.parse(dnsSd.resolver()) : null;
+        if (discoveryAddress != null && discoveryAddress.isUnresolved()
+                || resolver != null && resolver.isUnresolved()) {
+            throw new IllegalArgumentException(
+                    "not a literal address: " + (discoveryAddress != null ? discoveryAddress : resolver));
         }
         if (!next.site().equals(config.site())
                 || !next.listen().equals(config.listen())
                 || next.sockets() != config.sockets()
                 || next.memoryMb() != config.memoryMb()) {
-            Log.warn("configuration: settings, limits and listen hold from the next start");
+            Log.warn("configuration: changes of settings, limits and listen take effect at the next start");
         }
         loop.post(() -> {
-            if (at != null) {
+            if (discoveryAddress != null) {
                 Log.info("configuration: discovery is at %s", next.discovery());
-                http.move(at);
+                httpDiscovery.move(discoveryAddress);
             }
             if (resolver != null) {
-                dns.move(resolver, place.service(), place.pollMicros());
+                dnsDiscovery.move(resolver, dnsSd.service(), dnsSd.pollMicros());
             }
-            if (mysql != null && nextOperator.mysql() != null && shared == null) {
-                mysql.account(nextOperator.mysql().user(), nextOperator.mysql().password());
+            if (mysqlFront != null && nextOperator.mysql() != null && shared == null) {
+                mysqlFront.account(
+                        nextOperator.mysql().user(), nextOperator.mysql().password());
             }
         });
     }
 
-    /** Starts serving; returns once the port is open. */
+    /** Starts to serve; returns once the listener is open. */
     public void start() throws IOException, InterruptedException {
-        if (door != null) {
+        if (adminServer != null) {
             try {
-                door.bind(config.operator());
+                adminServer.bind(config.operator());
             } catch (IOException e) {
-                throw new IOException("operator: " + config.operator() + " can't be listened on: " + e.getMessage(), e);
+                throw new IOException("operator: can't listen on " + config.operator() + ": " + e.getMessage(), e);
             }
         }
-        if (operations != null) {
-            // Operators may call from now on, and each call must be answered within a second.
-            operations.start();
+        if (adminTarget != null) {
+            // The admin interface is open from now on, and each command must be answered within a second.
+            adminTarget.start();
         }
-        // Discovery is asked first: its answer comes while the code warms up.
+        // Discovery is called first, so that its response arrives during the warm-up.
         startCore();
-        long asked = System.nanoTime();
+        long calledAtNanos = System.nanoTime();
         WarmUp.run(config);
         if (shared != null) {
             shared.start();
         }
-        awaitFirstWord(asked);
+        awaitFirstList(calledAtNanos);
         if (shared == null) {
             listenMysql();
         } else {
-            listenOnceAccepted();
+            listenMysqlIfAccepted();
         }
-        listener = net.listen(Addresses.parse(config.listen()), operations != null, front::framer, front);
-        if (operations != null) {
-            operations.serves(true);
-            Log.info("%s answers operators on %s", config.name(), door.address());
+        listener = net.listen(Addresses.parse(config.listen()), adminTarget != null, front::framer, front);
+        if (adminTarget != null) {
+            adminTarget.setServing(true);
+            Log.info("%s serves the admin interface on %s", config.name(), adminServer.address());
         }
         Log.info(
                 "%s listens on %s:%d",
@@ -330,131 +359,139 @@
     }
 
     /**
-     * Guards against requests routed by the list in the file, which is as old as this process's start and what came
-     * before it took together. Where discovery turns calls down the list serves at once, as it has told nobody anything
-     * newer.
+     * Waits for the first response of discovery, so that requests are not routed by the outdated list in the
+     * configuration file: it dates from before this process's start. If discovery rejects calls, that list is used at
+     * once, since discovery has not notified anyone of a newer one.
      */
-    private void awaitFirstWord(long askedNanos) throws InterruptedException {
-        if (http == null && dns == null) {
+    private void awaitFirstList(long calledAtNanos) throws InterruptedException {
+        if (httpDiscovery == null && dnsDiscovery == null) {
             return;
         }
-        long passed = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - askedNanos);
-        DiscoveryReadiness.Outcome outcome = pooler.discoveryReadiness().await(FIRST_WORD_MILLIS - passed);
+        long elapsedMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - calledAtNanos);
+        DiscoveryReadiness.Outcome outcome =
+                pooler.discoveryReadiness().await(FIRST_LIST_TIMEOUT_MILLIS - elapsedMillis);
         if (outcome != DiscoveryReadiness.Outcome.LIST_RECEIVED) {
             Log.warn(
-                    "discovery: %s after %d ms: %s serves from the list of its file, revision %d",
+                    "discovery: %s after %d ms; %s serves from the list in its file, revision %d",
                     outcome,
-                    TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - askedNanos),
+                    TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - calledAtNanos),
                     config.name(),
                     config.known().revision());
         }
     }
 
-    /** Opens the MySQL front, unless it is open. */
+    /** Opens the MySQL listener if it is configured and not open yet. */
     private void listenMysql() throws IOException {
-        if (mysql != null
+        if (mysqlFront != null
                 && mysqlListener == null
                 && operator.mysql() != null
                 && operator.mysql().listen() != null) {
-            mysqlListener =
-                    net.listen(Addresses.parse(operator.mysql().listen()), operations != null, mysql::framer, mysql);
-            Log.info("%s speaks MySQL on %s", config.name(), mysqlListener.address());
+            mysqlListener = net.listen(
+                    Addresses.parse(operator.mysql().listen()), adminTarget != null, mysqlFront::framer, mysqlFront);
+            Log.info("%s accepts MySQL clients on %s", config.name(), mysqlListener.address());
         }
     }
 
-    /** Without an accepted configuration there are no accounts that the front could let in. */
-    private void listenOnceAccepted() throws InterruptedException {
-        CountDownLatch looked = new CountDownLatch(1);
+    /**
+     * Opens the MySQL listener if the group has accepted a document: without one there are no accounts to authenticate
+     * clients with.
+     */
+    private void listenMysqlIfAccepted() throws InterruptedException {
+        CountDownLatch checked = new CountDownLatch(1);
         loop.post(() -> {
             started = true;
             try {
                 listenMysql();
             } catch (IOException e) {
-                Log.error("mysql.listen: %s", e.getMessage());
+                Log.error("mysql.listen: MySQL is not served, its listener can't be opened: %s", e.getMessage());
             }
-            if (mysql != null && mysqlListener == null) {
+            if (mysqlFront != null && mysqlListener == null) {
                 Log.warn("MySQL is not served yet: no configuration was accepted by a majority");
             }
-            looked.countDown();
+            checked.countDown();
         });
-        looked.await();
+        checked.await();
     }
 
     private void startCore() {
         loop.start();
         loop.post(() -> {
             List<DiscoveredEndpoint> known = config.known().entries();
-            pooler.start(config.seed(), known.isEmpty() && shared != null ? shared.entries() : known);
+            pooler.start(config.seed(), known.isEmpty() && shared != null ? shared.initialEndpoints() : known);
             if (shared != null) {
-                shared.follow();
+                shared.startPublishing();
             }
-            if (operations != null) {
+            if (adminTarget != null) {
                 pooler.publishMetrics();
             }
         });
     }
 
-    public InetSocketAddress doorAddress() {
-        return door.address();
+    /** Address of the admin interface. */
+    public InetSocketAddress adminAddress() {
+        return adminServer.address();
     }
 
+    /** Address of the PostgreSQL listener. */
     public InetSocketAddress address() {
         return listener.address();
     }
 
+    /** Address of the MySQL listener, or null while it is not open. */
     public InetSocketAddress mysqlAddress() {
         return mysqlListener == null ? null : mysqlListener.address();
     }
 
-    /** Where a member listens; null at a subscriber. */
+    /** Address on which a member listens for its peers; null for a subscriber. */
     public InetSocketAddress storeAddress() {
         return shared.plane() instanceof RaftMember group ? group.address() : null;
     }
 
-    /** Reads keys and certificates anew; from any thread. Throws, and changes nothing, where they can't be used. */
-    public void rekey() throws IOException {
+    /** Reloads keys and certificates; safe for any thread. Throws without a change if they are not usable. */
+    public void reloadCertificates() throws IOException {
         if (shared != null) {
             shared.plane().reloadCertificates();
         }
     }
 
     /**
-     * Ends without losing what was taken; {@code then} runs when all is answered. Where another process of this pooler
-     * serves, the port closes at once. Else clients use the connections they have for as long as these stay open, and
-     * find nobody once they are closed: so requests are taken for as long as they can be answered before the platform
-     * kills the program, and the wait of those that come late is cut to that.
+     * Drains: accepted requests are answered, then {@code then} runs. If another process of this pooler serves, the
+     * listener closes at once. Otherwise clients keep using their open connections and can't reach any pooler once
+     * these are closed; so requests are accepted for as long as they can be answered before the platform's SIGKILL, and
+     * the deadlines of late ones are shortened to that.
      */
     public void drain(Runnable then) {
-        boolean succeeded = operations != null && operations.succeeded();
+        boolean superseded = adminTarget != null && adminTarget.isSuperseded();
         loop.post(() -> {
             Log.info(
-                    "ending%s: %d requests, %d clients",
-                    succeeded ? " after a successor's start" : "", pooler.openRequests(), front.open());
-            long longest = 0;
-            for (RequestClass kind : config.site().settings().classes()) {
-                longest = Math.max(longest, kind.deadlineMicros());
+                    "shutting down%s: %d open requests, %d client connections",
+                    superseded ? " after a successor's start" : "", pooler.openRequests(), front.open());
+            long longestMicros = 0;
+            for (RequestClass requestClass : config.site().settings().classes()) {
+                longestMicros = Math.max(longestMicros, requestClass.deadlineMicros());
             }
-            long left = Math.min(longest, LONGEST) + KILL - ANSWERED;
-            pooler.answerBy(loop.now() + left);
-            if (operations != null) {
-                operations.serves(false);
+            long remainingMicros =
+                    Math.min(longestMicros, MAX_DEADLINE_MICROS) + KILL_GRACE_MICROS - ANSWER_MARGIN_MICROS;
+            pooler.answerBy(loop.now() + remainingMicros);
+            if (adminTarget != null) {
+                adminTarget.setServing(false);
             }
             if (listener == null) {
-                // The start failed, or was not over: nobody was let in, and nobody waits for an answer.
+                // The start failed or is not complete: no client was accepted, so no request is open.
                 then.run();
-            } else if (succeeded) {
-                leave(then);
+            } else if (superseded) {
+                stopAccepting(then);
             } else {
-                loop.after(left - LAST_CALL, () -> leave(then));
+                loop.after(remainingMicros - LAST_REQUEST_MARGIN_MICROS, () -> stopAccepting(then));
             }
         });
     }
 
-    private void leave(Runnable then) {
+    private void stopAccepting(Runnable then) {
         pooler.clientDrain().shutDown();
         listener.stop(() -> {
             endConnections();
-            settle(then, 0);
+            awaitIdle(then, 0);
         });
         if (mysqlListener != null) {
             mysqlListener.stop();
@@ -462,54 +499,57 @@
     }
 
     /**
-     * Ends once nothing is due any more. There is no bound: what the program leaves unanswered by its own end is lost,
-     * while what SIGKILL finds unanswered is not, if it came early enough.
+     * Runs {@code then} once no request or connection is left. There is no time limit: a request that is unanswered
+     * when the program exits by itself counts as lost, while one that is unanswered at SIGKILL does not, if it arrived
+     * early enough.
      */
-    private void settle(Runnable then, int quiet) {
-        // A connection that its front has ended may still have its last answer with MINA's thread, for as long as that
-        // thread gets no time or the client does not read.
-        boolean over = pooler.openRequests() == 0
+    private void awaitIdle(Runnable then, int idleChecks) {
+        // The last answer of a connection that its frontend has closed may still be queued in MINA, until its thread is
+        // scheduled and the client reads.
+        boolean idle = pooler.openRequests() == 0
                 && front.open() == 0
-                && (mysql == null || mysql.open() == 0)
+                && (mysqlFront == null || mysqlFront.open() == 0)
                 && listener.open() == 0
                 && (mysqlListener == null || mysqlListener.open() == 0);
-        if (over && quiet >= QUIET) {
-            // The last connections taken have been heard of by now.
+        if (idle && idleChecks >= IDLE_CHECKS_COUNT) {
+            // The frontends have received the last accepted connections by now.
             then.run();
         } else {
-            loop.after(SETTLE, () -> settle(then, over ? quiet + 1 : 0));
+            loop.after(IDLE_CHECK_INTERVAL_MICROS, () -> awaitIdle(then, idle ? idleChecks + 1 : 0));
         }
     }
 
-    /** Ends the part in the group; from any thread but the core's. */
-    public void leaveGroup() {
+    /** Stops the control plane; on any thread except the core thread. */
+    public void stopControlPlane() {
         if (shared != null) {
             shared.plane().stop();
         }
     }
 
     /**
-     * Drops everything and waits a moment for the threads of all sockets. A JVM that is halted waits 0.3 s for those
-     * that wait in the system, and SIGKILL may come sooner.
+     * Closes everything and waits briefly for the I/O threads. A JVM that halts waits 0.3 s for threads in a system
+     * call, and SIGKILL may come sooner.
      */
-    public void stopWithThreads() throws InterruptedException {
+    public void stopAndAwaitThreads() throws InterruptedException {
         stop();
-        for (Net each : List.of(net, listing)) {
-            if (!each.awaitEnd(THREADS_MILLIS)) {
-                Log.info("threads of sockets have not ended in %d ms", THREADS_MILLIS);
+        for (Net socketLayer : List.of(net, discoveryNet)) {
+            if (!socketLayer.awaitEnd(IO_THREADS_END_MILLIS)) {
+                Log.info(
+                        "I/O threads have not ended within %d ms; the process exits without waiting for them",
+                        IO_THREADS_END_MILLIS);
             }
         }
     }
 
-    /** Drops everything at once, as if killed. */
+    /** Closes everything at once without a drain. */
     public void stop() {
-        leaveGroup();
-        if (door != null) {
-            door.close();
-            operations.stop();
+        stopControlPlane();
+        if (adminServer != null) {
+            adminServer.close();
+            adminTarget.stop();
         }
         net.close();
-        listing.close();
+        discoveryNet.close();
         loop.stop();
     }
 }
--- a/daemon/src/main/java/lupinvalve/cli/FileWatch.java
+++ b/daemon/src/main/java/lupinvalve/cli/FileWatch.java
@@ -1,21 +1,25 @@
 package lupinvalve.cli;
 
 import java.io.IOException;
+import java.nio.file.Files;
 import java.nio.file.Path;
 import java.nio.file.attribute.BasicFileAttributes;
 import java.util.List;
 
-/** Looks at files every second, on a thread of its own, and tells once they have changed and stand still. */
+/**
+ * Polls the attributes of files every second on its own thread, and calls back once they have changed and are stable
+ * again.
+ */
 final class FileWatch {
-    private static final long EVERY_MILLIS = 1_000;
+    private static final long POLL_INTERVAL_MILLIS = 1_000;
     private final List<Path> files;
-    private final Runnable changed;
-    private final SettledChange change;
+    private final Runnable onChange;
+    private final SettledChange settledChange;
 
-    FileWatch(List<Path> files, Runnable changed) {
+    FileWatch(List<Path> files, Runnable onChange) {
         this.files = files;
-        this.changed = changed;
-        change = new SettledChange(look());
+        this.onChange = onChange;
+        settledChange = new SettledChange(readStamps());
     }
 
     void start() {
@@ -27,27 +31,27 @@
     private void watch() {
         try {
             while (true) {
-                Thread.sleep(EVERY_MILLIS);
-                if (change.settled(look(), System.nanoTime() / 1_000)) {
-                    changed.run();
+                Thread.sleep(POLL_INTERVAL_MILLIS);
+                if (settledChange.settled(readStamps(), System.nanoTime() / 1_000)) {
+                    onChange.run();
                 }
             }
         } catch (InterruptedException e) {
-            // Nobody interrupts it but to end it.
+            // The thread is interrupted only to end it.
             Thread.currentThread().interrupt();
         }
     }
 
-    private List<SettledChange.Look> look() {
-        return files.stream().map(FileWatch::look).toList();
+    private List<SettledChange.FileStamp> readStamps() {
+        return files.stream().map(FileWatch::readStamp).toList();
     }
 
-    private static SettledChange.Look look(Path file) {
+    private static SettledChange.FileStamp readStamp(Path file) {
         try {
-            BasicFileAttributes seen = java.nio.file.Files.readAttributes(file, BasicFileAttributes.class);
-            return new SettledChange.Look(seen.lastModifiedTime(), seen.size(), seen.fileKey());
+            BasicFileAttributes attributes = Files.readAttributes(file, BasicFileAttributes.class);
+            return new SettledChange.FileStamp(attributes.lastModifiedTime(), attributes.size(), attributes.fileKey());
         } catch (IOException e) {
-            return SettledChange.Look.ABSENT;
+            return SettledChange.FileStamp.ABSENT;
         }
     }
 }
--- a/daemon/src/main/java/lupinvalve/cli/Keys.java
+++ b/daemon/src/main/java/lupinvalve/cli/Keys.java
@@ -19,37 +19,41 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A private authority with keys and certificates for the members of a first try, made by the JDK's own keytool: no
- * library of this program writes certificates. Files are for their owner alone.
+ * Generates a private certificate authority, and keys and certificates for the members of a trial cluster, with the
+ * JDK's keytool: none of the program's libraries can issue certificates. The files are readable by their owner only.
  */
 final class Keys {
-    private static final String AUTHORITY = "authority", OPERATOR = "operator";
+    private static final String AUTHORITY = "authority";
+    private static final String OPERATOR = "operator";
+    private static final int PASSWORD_BYTES = 16;
+    private static final int KEYTOOL_TIMEOUT_SECONDS = 60;
+    private static final int PEM_LINE_CHARS = 64;
 
     private Keys() {}
 
-    static void make(Path folder, List<String> members) throws IOException, GeneralSecurityException {
-        make(folder, members, List.of("-validity", "825"));
+    static void generate(Path folder, List<String> members) throws IOException, GeneralSecurityException {
+        generate(folder, members, List.of("-validity", "825"));
     }
 
-    /** @param valid keytool's words for since when and how long members' certificates are good */
-    static void make(Path folder, List<String> members, List<String> valid)
+    /** @param validity keytool's options for the validity period of the members' certificates */
+    static void generate(Path folder, List<String> members, List<String> validity)
             throws IOException, GeneralSecurityException {
         if (members.isEmpty()) {
             throw new IllegalArgumentException("store keys needs a folder and the members' names");
         }
         Files.createDirectories(
                 folder, PosixFilePermissions.asFileAttribute(PosixFilePermissions.fromString("rwx------")));
-        byte[] random = new byte[16];
+        byte[] random = new byte[PASSWORD_BYTES];
         new SecureRandom().nextBytes(random);
-        String word = HexFormat.of().formatHex(random);
+        String storePassword = HexFormat.of().formatHex(random);
         Path store = Files.createTempFile(folder, "keys", ".p12");
         Files.delete(store);
         try {
-            List<String> key = List.of("-genkeypair", "-keyalg", "EC", "-groupname", "secp256r1");
-            tool(
+            List<String> keyOptions = List.of("-genkeypair", "-keyalg", "EC", "-groupname", "secp256r1");
+            runKeytool(
                     store,
-                    word,
-                    key,
+                    storePassword,
+                    keyOptions,
                     "-alias",
                     AUTHORITY,
                     "-dname",
@@ -60,18 +64,18 @@
                     "bc:c",
                     "-ext",
                     "ku:c=keyCertSign");
-            key = new ArrayList<>(key);
-            key.addAll(valid);
+            keyOptions = new ArrayList<>(keyOptions);
+            keyOptions.addAll(validity);
             List<String> names = new ArrayList<>(members);
             names.add(OPERATOR);
             for (String name : names) {
                 if (!name.matches("[A-Za-z0-9_-]{1,63}") || name.equals(AUTHORITY)) {
                     throw new IllegalArgumentException("no name for a member: " + name);
                 }
-                tool(
+                runKeytool(
                         store,
-                        word,
-                        key,
+                        storePassword,
+                        keyOptions,
                         "-alias",
                         name,
                         "-dname",
@@ -79,35 +83,38 @@
                         "-signer",
                         AUTHORITY,
                         "-signerkeypass",
-                        word,
+                        storePassword,
                         "-ext",
                         "san=dns:" + name);
             }
-            write(folder, store, word, names);
+            writeFiles(folder, store, storePassword, names);
         } finally {
             Files.deleteIfExists(store);
         }
     }
 
-    private static void tool(Path store, String word, List<String> what, String... more) throws IOException {
-        List<String> line = new ArrayList<>(List.of(
+    private static void runKeytool(Path store, String storePassword, List<String> command, String... options)
+            throws IOException {
+        List<String> commandLine = new ArrayList<>(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "keytool").toString()));
-        line.addAll(what);
-        line.addAll(Arrays.asList(more));
-        // The word guards the file for the moment that it is there; on a command line others could read it.
-        line.addAll(List.of("-keystore", store.toString(), "-storetype", "PKCS12", "-storepass:env", "STORE_WORD"));
-        line.replaceAll(part -> part.equals(word) ? "STORE_WORD" : part);
-        int signer = line.indexOf("-signerkeypass");
-        if (signer >= 0) {
-            line.set(signer, "-signerkeypass:env");
+        commandLine.addAll(command);
+        commandLine.addAll(Arrays.asList(options));
+        // The password protects the temporary key store. It is passed by the environment: other users can read a
+        // command line.
+        commandLine.addAll(
+                List.of("-keystore", store.toString(), "-storetype", "PKCS12", "-storepass:env", "STORE_WORD"));
+        commandLine.replaceAll(argument -> argument.equals(storePassword) ? "STORE_WORD" : argument);
+        int signerIndex = commandLine.indexOf("-signerkeypass");
+        if (signerIndex >= 0) {
+            commandLine.set(signerIndex, "-signerkeypass:env");
         }
-        ProcessBuilder tool = new ProcessBuilder(line).redirectErrorStream(true);
-        tool.environment().put("STORE_WORD", word);
-        Process process = tool.start();
+        ProcessBuilder keytool = new ProcessBuilder(commandLine).redirectErrorStream(true);
+        keytool.environment().put("STORE_WORD", storePassword);
+        Process process = keytool.start();
         try {
-            String said = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-            if (!process.waitFor(60, TimeUnit.SECONDS) || process.exitValue() != 0) {
-                throw new IOException("keytool: " + said.replace('\n', ' '));
+            String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+            if (!process.waitFor(KEYTOOL_TIMEOUT_SECONDS, TimeUnit.SECONDS) || process.exitValue() != 0) {
+                throw new IOException("keytool: " + output.replace('\n', ' '));
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -115,30 +122,30 @@
         }
     }
 
-    private static void write(Path folder, Path store, String word, List<String> names)
+    private static void writeFiles(Path folder, Path store, String storePassword, List<String> names)
             throws IOException, GeneralSecurityException {
         KeyStore keys = KeyStore.getInstance("PKCS12");
-        keys.load(new ByteArrayInputStream(Files.readAllBytes(store)), word.toCharArray());
-        pem(
+        keys.load(new ByteArrayInputStream(Files.readAllBytes(store)), storePassword.toCharArray());
+        writePem(
                 folder.resolve(AUTHORITY + ".pem"),
                 "CERTIFICATE",
                 keys.getCertificate(AUTHORITY).getEncoded());
-        pem(
+        writePem(
                 folder.resolve(AUTHORITY + ".key"),
                 "PRIVATE KEY",
-                keys.getKey(AUTHORITY, word.toCharArray()).getEncoded());
+                keys.getKey(AUTHORITY, storePassword.toCharArray()).getEncoded());
         for (String name : names) {
-            Key key = keys.getKey(name, word.toCharArray());
+            Key key = keys.getKey(name, storePassword.toCharArray());
             Certificate certificate = keys.getCertificate(name);
-            pem(folder.resolve(name + ".pem"), "CERTIFICATE", certificate.getEncoded());
-            pem(folder.resolve(name + ".key"), "PRIVATE KEY", key.getEncoded());
+            writePem(folder.resolve(name + ".pem"), "CERTIFICATE", certificate.getEncoded());
+            writePem(folder.resolve(name + ".key"), "PRIVATE KEY", key.getEncoded());
         }
     }
 
-    private static void pem(Path file, String kind, byte[] content) throws IOException {
+    private static void writePem(Path file, String kind, byte[] content) throws IOException {
         Files.deleteIfExists(file);
         Files.createFile(file, PosixFilePermissions.asFileAttribute(PosixFilePermissions.fromString("rw-------")));
-        String lines = Base64.getMimeEncoder(64, "\n".getBytes(StandardCharsets.US_ASCII))
+        String lines = Base64.getMimeEncoder(PEM_LINE_CHARS, "\n".getBytes(StandardCharsets.US_ASCII))
                 .encodeToString(content);
         Files.writeString(file, "-----BEGIN " + kind + "-----\n" + lines + "\n-----END " + kind + "-----\n");
     }
--- a/daemon/src/main/java/lupinvalve/cli/Main.java
+++ b/daemon/src/main/java/lupinvalve/cli/Main.java
@@ -9,11 +9,11 @@
 import org.kohsuke.args4j.spi.SubCommandHandler;
 import org.kohsuke.args4j.spi.SubCommands;
 
-/** The command line. */
+/** Entry point of the program: parses the command line and runs the subcommand. */
 public final class Main {
-    /** One of the program's commands. */
+    /** A subcommand of the program. */
     public interface Command {
-        /** Runs it and gives the exit code. */
+        /** Runs the subcommand and returns the exit code. */
         int run() throws Exception;
     }
 
@@ -35,6 +35,7 @@
 
     private Main() {}
 
+    /** Runs the subcommand and exits with its code. */
     public static void main(String[] args) {
         System.exit(run(args, System.err));
     }
--- a/daemon/src/main/java/lupinvalve/cli/Rehearse.java
+++ b/daemon/src/main/java/lupinvalve/cli/Rehearse.java
@@ -13,16 +13,16 @@
 import lupinvalve.warmup.StubServers;
 
 /**
- * Plays a moment of service on loopback, from start to drain, so that the JVM that runs it has met every class of the
- * request path. The build runs it with {@code -XX:ArchiveClassesAtExit}: what the JVM then writes down spares each
- * start reading and checking those classes again.
+ * Serves some requests on loopback, from start to drain, so that the JVM loads every class of the request path. The
+ * build runs it with {@code -XX:ArchiveClassesAtExit}: with the resulting archive for class data sharing, a start need
+ * not read and verify those classes again.
  */
-public final class Rehearse extends Files implements Main.Command {
-    private static final int REQUESTS = 200;
+public final class Rehearse extends ConfigFileOptions implements Main.Command {
+    private static final int REQUESTS_COUNT = 200;
 
     @Override
     public int run() throws Exception {
-        NodeConfig config = node(OperatorConfig.NONE);
+        NodeConfig config = nodeConfig(OperatorConfig.NONE);
         int served = 0;
         try (StubServers stubServers = new StubServers()) {
             Daemon daemon = new Daemon(
@@ -41,31 +41,32 @@
             daemon.start();
             try (Socket client =
                     new Socket(daemon.address().getAddress(), daemon.address().getPort())) {
-                served = ask(client, config.site().settings().classes());
+                served = sendRequests(client, config.site().settings().classes());
             }
             CountDownLatch drained = new CountDownLatch(1);
             daemon.drain(drained::countDown);
             drained.await();
             daemon.stop();
         }
-        Log.info("rehearsed: %d of %d requests served", served, REQUESTS);
-        // A refusal on a busy machine is no reason to do without the archive: most of the path has been met.
-        return served >= REQUESTS * 9 / 10 ? 0 : 1;
+        Log.info("rehearsed: %d of %d requests served", served, REQUESTS_COUNT);
+        // On a busy machine some requests may be rejected; the archive is useful all the same, as most of the request
+        // path was executed.
+        return served >= REQUESTS_COUNT * 9 / 10 ? 0 : 1;
     }
 
-    private static int ask(Socket client, List<RequestClass> classes) throws IOException {
-        CountDownLatch left = new CountDownLatch(REQUESTS);
-        ClientScript script = new ClientScript(classes, "r", REQUESTS, left);
+    private static int sendRequests(Socket client, List<RequestClass> classes) throws IOException {
+        CountDownLatch remaining = new CountDownLatch(REQUESTS_COUNT);
+        ClientScript script = new ClientScript(classes, "r", REQUESTS_COUNT, remaining);
         client.setSoTimeout(10_000);
         client.getOutputStream().write(ClientScript.startupMessage());
         ByteArrayOutputStream answer = new ByteArrayOutputStream();
-        byte[] read = new byte[8192];
-        while (left.getCount() > 0) {
-            int count = client.getInputStream().read(read);
-            if (count < 0) {
+        byte[] buffer = new byte[8192];
+        while (remaining.getCount() > 0) {
+            int readBytes = client.getInputStream().read(buffer);
+            if (readBytes < 0) {
                 throw new IOException("the pooler closed the connection");
             }
-            answer.write(read, 0, count);
+            answer.write(buffer, 0, readBytes);
             byte[] next = script.answer(answer.toByteArray());
             if (next.length > 0) {
                 answer.reset();
--- a/daemon/src/main/java/lupinvalve/cli/Reload.java
+++ b/daemon/src/main/java/lupinvalve/cli/Reload.java
@@ -8,66 +8,67 @@
 import lupinvalve.log.Log;
 
 /**
- * Reads the configuration anew on SIGHUP. Guards against what a JVM does with that signal by itself: it ends. The files
- * are read and checked on the signal's own thread; ones that can't be used change nothing, and are read again for a few
- * seconds, since a signal may come while one is being written. Where the signal can't be heard, the files are watched.
+ * Reloads the configuration on SIGHUP; without a handler, the JVM exits on that signal. The files are read and
+ * validated on the signal handler's thread. Unusable files change nothing and are read again for a few seconds, since a
+ * signal may arrive while a file is being written. If the signal can't be handled, the files are polled.
  */
 final class Reload {
-    private final Files files;
-    /** Null where the signal is heard. */
+    private final ConfigFileOptions files;
+    /** Polls the files; null if SIGHUP is handled. */
     private final FileWatch watch;
 
     private Daemon daemon;
-    private long signals;
+    private long signalsCount;
 
-    Reload(Files files) {
+    Reload(ConfigFileOptions files) {
         this.files = files;
-        String deaf = listen();
-        if (deaf == null) {
+        String unavailableReason = registerHandler();
+        if (unavailableReason == null) {
             watch = null;
         } else {
-            Log.warn("%s: configuration files are looked at every second", deaf);
-            // Looks at them before they are read for the start, so that no change between the two is missed.
-            watch = new FileWatch(files.paths(), this::changed);
+            Log.warn("%s: configuration files are polled every second", unavailableReason);
+            // Created before the files are read for the start, so that no change in between is missed.
+            watch = new FileWatch(files.paths(), this::onFilesChanged);
         }
     }
 
-    /** Registers for the signal; says why it can't be heard, or null where it can. */
-    private String listen() {
+    /** Registers the signal handler; returns why SIGHUP can't be handled, or null if it is. */
+    private String registerHandler() {
         try {
-            // sun.misc.Signal is the JDK's only way to a signal; javac warns of it by name and can't be told not to.
+            // By reflection: sun.misc.Signal is the JDK's only API for signals, and javac's warning about a direct use
+            // can't be suppressed.
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
-            Object onSignal = Proxy.newProxyInstance(
+            Object signalHandler = Proxy.newProxyInstance(
                     Reload.class.getClassLoader(),
                     new Class<?>[] {handler},
                     (proxy, method, values) -> switch (method.getName()) {
                         case "handle" -> {
-                            hangUp();
+                            onSignal();
                             yield null;
                         }
                         case "equals" -> proxy == values[0];
                         case "hashCode" -> System.identityHashCode(proxy);
                         default -> "reload";
                     });
-            Object before = signal.getMethod("handle", signal, handler)
-                    .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), onSignal);
-            // A JVM that starts with the signal ignored leaves it so, whatever is registered.
-            return before == handler.getField("SIG_IGN").get(null)
-                    ? "SIGHUP is ignored by whoever started this process"
+            Object previousHandler = signal.getMethod("handle", signal, handler)
+                    .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), signalHandler);
+            // A JVM that starts with the signal ignored keeps ignoring it, whatever handler is registered.
+            return previousHandler == handler.getField("SIG_IGN").get(null)
+                    ? "SIGHUP was set to be ignored before this process started"
                     : null;
         } catch (InvocationTargetException e) {
-            return "SIGHUP can't be heard (" + e.getCause() + ")";
+            return "SIGHUP can't be handled (" + e.getCause() + ")";
         } catch (ReflectiveOperationException e) {
-            return "SIGHUP can't be heard (" + e + ")";
+            return "SIGHUP can't be handled (" + e + ")";
         }
     }
 
-    /** From now on a signal reaches this daemon; one that came earlier is made up for. */
-    synchronized void serves(Daemon started) {
+    /** Applies reloads to this daemon from now on; a signal that arrived earlier triggers one now. */
+    synchronized void daemonStarted(Daemon started) {
         daemon = started;
-        if (signals > 0) {
-            hangUp();
+        if (signalsCount > 0) {
+            onSignal();
         }
         if (watch != null) {
             watch.start();
@@ -75,57 +76,58 @@
     }
 
     /**
-     * Signals come on threads of their own; one after another, so that the files read last hold. While one waits to
-     * read again, the next goes on in its place.
+     * Handles one signal. Each signal is delivered on its own thread; the lock serializes them, so that the files read
+     * last are in force. If a newer signal arrives while an earlier one waits to retry, the newer one retries in its
+     * place.
      */
-    private synchronized void hangUp() {
-        signals++;
+    private synchronized void onSignal() {
+        signalsCount++;
         notifyAll();
         if (daemon == null) {
             return;
         }
-        String fault = takeOver();
-        if (fault != null) {
-            Log.error("configuration: the old one stays unless this is mended in 3 s: %s", fault);
-            readAgain();
+        String error = reload();
+        if (error != null) {
+            Log.error("configuration: the old one stays unless the files are usable within 3 s: %s", error);
+            retry();
         }
     }
 
-    /**
-     * Reads again with pauses until the files can be used, a newer signal has come, or it has been tried for long
-     * enough.
-     */
-    private void readAgain() {
-        long mine = signals;
+    /** Reads the files again with pauses until they are usable, a newer signal arrives, or the attempts are used up. */
+    private void retry() {
+        long ownSignal = signalsCount;
         RereadPauses pauses = new RereadPauses();
         boolean usable = false;
-        while (!usable && mine == signals && pauses.more()) {
+        while (!usable && ownSignal == signalsCount && pauses.hasNext()) {
             try {
                 wait(pauses.nextMillis());
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
                 return;
             }
-            usable = mine == signals && takeOver() == null;
+            usable = ownSignal == signalsCount && reload() == null;
         }
     }
 
     /**
-     * The watched files have changed and stand still. Once they can be used they have changed again, so one try does.
+     * Called once the polled files have changed and are stable. No retry: a correction of unusable files is another
+     * change.
      */
-    private synchronized void changed() {
-        String fault = takeOver();
-        if (fault != null) {
-            Log.error("configuration: the old one stays: %s", fault);
+    private synchronized void onFilesChanged() {
+        String error = reload();
+        if (error != null) {
+            Log.error("configuration: the old one stays: %s", error);
         }
     }
 
-    /** Reads both files and hands them to the daemon; says why they can't be used, or null where they are. */
-    private String takeOver() {
+    /**
+     * Reads both files and applies them to the daemon; returns why they are not usable, or null if they were applied.
+     */
+    private String reload() {
         try {
-            OperatorConfig operator = files.operator();
-            NodeConfig config = files.node(operator);
-            daemon.rekey();
+            OperatorConfig operator = files.operatorConfig();
+            NodeConfig config = files.nodeConfig(operator);
+            daemon.reloadCertificates();
             daemon.reconfigure(config, operator);
             return null;
         } catch (IOException | RuntimeException e) {
--- a/daemon/src/main/java/lupinvalve/cli/RereadPauses.java
+++ b/daemon/src/main/java/lupinvalve/cli/RereadPauses.java
@@ -1,27 +1,27 @@
 package lupinvalve.cli;
 
 /**
- * How long to wait before a file that could not be used is read again: short at first, since most are whole within
- * moments, then longer, and 3 s in all. Counted by pauses and not by the clock, so that a process that was stopped
- * meanwhile still gets its tries.
+ * Backoff for reading a configuration file again that was not usable: short at first, since most files are complete
+ * within moments, then longer, and 3 s in total. The total is the sum of the pauses and not elapsed time, so that a
+ * process that was suspended meanwhile still gets all its attempts.
  */
 final class RereadPauses {
-    private static final long FIRST_MILLIS = 50;
-    private static final long LONGEST_MILLIS = 400;
-    private static final long TOTAL_MILLIS = 3_000;
-    private long next = FIRST_MILLIS;
-    private long spent;
+    private static final long FIRST_PAUSE_MILLIS = 50;
+    private static final long MAX_PAUSE_MILLIS = 400;
+    private static final long MAX_TOTAL_MILLIS = 3_000;
+    private long nextMillis = FIRST_PAUSE_MILLIS;
+    private long totalMillis;
 
-    /** Whether there is another try. */
-    boolean more() {
-        return spent < TOTAL_MILLIS;
+    /** Whether another attempt is due. */
+    boolean hasNext() {
+        return totalMillis < MAX_TOTAL_MILLIS;
     }
 
-    /** The pause before it, over 0 as long as there is {@link #more}. */
+    /** The pause before the next attempt; positive as long as {@link #hasNext} is true. */
     long nextMillis() {
-        long pause = Math.min(next, TOTAL_MILLIS - spent);
-        spent += pause;
-        next = Math.min(2 * next, LONGEST_MILLIS);
-        return pause;
+        long pauseMillis = Math.min(nextMillis, MAX_TOTAL_MILLIS - totalMillis);
+        totalMillis += pauseMillis;
+        nextMillis = Math.min(2 * nextMillis, MAX_PAUSE_MILLIS);
+        return pauseMillis;
     }
 }
--- a/daemon/src/main/java/lupinvalve/cli/Serve.java
+++ b/daemon/src/main/java/lupinvalve/cli/Serve.java
@@ -8,34 +8,32 @@
 import lupinvalve.log.Log;
 import org.kohsuke.args4j.Option;
 
-/** Runs one pooler until it is told to stop. */
-public class Serve extends Files implements Main.Command {
+/** Runs one pooler until the process receives SIGTERM. */
+public class Serve extends ConfigFileOptions implements Main.Command {
     @Option(name = "--debug", usage = "log each attempt")
     private boolean debug;
-    /**
-     * What the program ends with where one of its threads has ended by an error: an internal fault, as sysexits.h has
-     * it.
-     */
-    private static final int EXIT_DEAD_THREAD = 70;
+    /** Exit code after a thread has ended with an error: EX_SOFTWARE, an internal error, in sysexits.h. */
+    private static final int EXIT_INTERNAL_ERROR = 70;
 
     private volatile int exitCode;
 
     /**
-     * A thread that ends by an error serves nobody any more: the process answers what it has and ends, so that whoever
-     * watches over it starts another.
+     * A thread that has ended with an error no longer serves its clients: the process drains its open requests and
+     * exits, so that its supervisor starts another.
      */
-    private void endOnDeadThread() {
+    private void exitOnThreadFailure() {
         Thread.setDefaultUncaughtExceptionHandler((thread, failure) -> {
-            Log.failure("thread " + thread.getName() + " has ended, and so does the program", failure);
-            exitCode = EXIT_DEAD_THREAD;
-            // System.exit waits for the drain, which may need what the dying thread holds.
-            new Thread(() -> System.exit(EXIT_DEAD_THREAD), "exit").start();
+            Log.failure("thread " + thread.getName() + " ended with an error; the process drains and exits", failure);
+            exitCode = EXIT_INTERNAL_ERROR;
+            // On a thread of its own: System.exit waits for the drain, which may need a lock that the failing thread
+            // holds.
+            new Thread(() -> System.exit(EXIT_INTERNAL_ERROR), "exit").start();
         });
     }
 
-    /** The daemon that is run; a laboratory may have another way to its group. */
-    Daemon daemon(NodeConfig node, OperatorConfig operator, Path shared) throws IOException {
-        return new Daemon(node, operator, shared);
+    /** Creates the daemon; a fault-injection launcher overrides this to open its control plane in another way. */
+    Daemon daemon(NodeConfig node, OperatorConfig operator, Path sharedDirectory) throws IOException {
+        return new Daemon(node, operator, sharedDirectory);
     }
 
     @Override
@@ -44,9 +42,9 @@
             Log.setLevel(Log.Level.DEBUG);
         }
         Reload reload = new Reload(this);
-        OperatorConfig operator = operator();
-        String shared = System.getenv("TMPDIR");
-        NodeConfig node = node(operator);
+        OperatorConfig operator = operatorConfig();
+        String sharedDirectory = System.getenv("TMPDIR");
+        NodeConfig node = nodeConfig(operator);
         Log.info(
                 "%s starts: list of the file at revision %d with %d db nodes, discovery at %s, memory %d MB, sockets %d",
                 node.name(),
@@ -55,26 +53,27 @@
                 node.discovery(),
                 node.memoryMb(),
                 node.sockets());
-        Daemon daemon = daemon(node, operator, shared == null || shared.isEmpty() ? null : Path.of(shared));
-        endOnDeadThread();
+        Daemon daemon = daemon(
+                node, operator, sharedDirectory == null || sharedDirectory.isEmpty() ? null : Path.of(sharedDirectory));
+        exitOnThreadFailure();
         CountDownLatch stopped = new CountDownLatch(1);
         Runtime.getRuntime()
                 .addShutdownHook(new Thread(
                         () -> {
-                            // SIGTERM: what was taken is answered first, and that is no failure.
+                            // On SIGTERM, accepted requests are answered first; the exit code is then 0.
                             daemon.drain(stopped::countDown);
                             try {
                                 stopped.await();
-                                daemon.stopWithThreads();
+                                daemon.stopAndAwaitThreads();
                             } catch (InterruptedException e) {
-                                Log.warn("interrupted while draining");
+                                Log.warn("interrupted while draining; the process exits with requests unanswered");
                             }
                             Log.info("stopped");
                             Runtime.getRuntime().halt(exitCode);
                         },
                         "drain"));
         daemon.start();
-        reload.serves(daemon);
+        reload.daemonStarted(daemon);
         stopped.await();
         return 0;
     }
--- a/daemon/src/main/java/lupinvalve/cli/SettledChange.java
+++ b/daemon/src/main/java/lupinvalve/cli/SettledChange.java
@@ -3,44 +3,50 @@
 import java.nio.file.attribute.FileTime;
 import java.util.List;
 
-/** Decides from looks at some files when a change to them is over: they look the same for a second. */
+/**
+ * Decides from successive attributes of some files when a change to them is complete: the attributes have been the same
+ * for one second. No I/O.
+ */
 final class SettledChange {
     /**
-     * What a look at one file shows.
+     * The attributes of one file at one time.
      *
-     * @param modified when it was written last; null where there is no file
-     * @param key tells it from another put in its place, as far as the file system does; may be null
+     * @param modified time of the last write; null if the file does not exist
+     * @param key identity of the file, which changes if another file is moved into its place, where the file system
+     *     supports that; may be null
      */
-    record Look(FileTime modified, long size, Object key) {
-        static final Look ABSENT = new Look(null, 0, null);
+    record FileStamp(FileTime modified, long size, Object key) {
+        static final FileStamp ABSENT = new FileStamp(null, 0, null);
     }
 
-    private static final long STANDS_MICROS = 1_000_000;
-    private List<Look> taken;
-    private List<Look> last;
-    private long since;
+    private static final long STABLE_MICROS = 1_000_000;
+    private List<FileStamp> reported;
+    private List<FileStamp> last;
+    private long stableSinceMicros;
 
-    /** @param now as the files look before they are read for the first time */
-    SettledChange(List<Look> now) {
-        taken = now;
-        last = now;
+    /** @param current attributes of the files before they are read for the first time */
+    SettledChange(List<FileStamp> current) {
+        reported = current;
+        last = current;
     }
 
     /**
-     * Takes a look in.
+     * Evaluates the current attributes.
      *
-     * @return whether the files are other ones than those taken last, and stand still; they count as taken from now on
+     * @param nowMicros monotonic time
+     * @return whether the files differ from those of the last reported change and are stable; the change then counts as
+     *     reported
      */
-    boolean settled(List<Look> now, long micros) {
-        if (!now.equals(last)) {
-            last = now;
-            since = micros;
+    boolean settled(List<FileStamp> current, long nowMicros) {
+        if (!current.equals(last)) {
+            last = current;
+            stableSinceMicros = nowMicros;
             return false;
         }
-        if (now.equals(taken) || micros - since < STANDS_MICROS) {
+        if (current.equals(reported) || nowMicros - stableSinceMicros < STABLE_MICROS) {
             return false;
         }
-        taken = now;
+        reported = current;
         return true;
     }
 }
--- a/daemon/src/main/java/lupinvalve/cli/Shared.java
+++ b/daemon/src/main/java/lupinvalve/cli/Shared.java
@@ -24,100 +24,119 @@
 import lupinvalve.statemachine.Command;
 import lupinvalve.statemachine.ReplicatedState;
 
-/** What the group has accepted, brought to the core thread, and what the core knows brought to the group. */
+/**
+ * Connects the pooler to its Raft group: passes the group's committed changes to the core thread, and publishes the
+ * endpoint list that the core knows to the group.
+ */
 final class Shared implements ControlPlane.Listener {
-    private static final long LOOK = 1_000_000, REFRESH = 10_000_000;
-    private static final String BY = "group";
+    /** Interval in microseconds at which the endpoint list is compared with the published one. */
+    private static final long PUBLISH_CHECK_INTERVAL_MICROS = 1_000_000;
+    /**
+     * Time in microseconds after which an unchanged endpoint list is published again with the current log positions.
+     */
+    private static final long REFRESH = 10_000_000;
+
+    /** Source of the drain commands for {@link Pooler#applyDrainCommands}. */
+    private static final String DRAIN_SOURCE = "group";
+
     private final Pooler pooler;
     private final ControlPlane plane;
-    private final ControlPlane.InitialState known;
-    private final SessionTokens tokens;
+    private final ControlPlane.InitialState initialState;
+    private final SessionTokens sessionTokens;
     private final String name;
-    private final Consumer<byte[]> adopted;
-    private final Consumer<Boolean> held;
-    private DrainCommands orders = DrainCommands.NONE;
-    private List<Endpoint> told = List.of();
-    private long toldAt;
+    private final Consumer<byte[]> onConfiguration;
+    private final Consumer<Boolean> onSelfDrain;
+    private DrainCommands drainCommands = DrainCommands.NONE;
+    private List<Endpoint> published = List.of();
+    private long publishedAtMicros;
 
     /**
-     * @param opening null for the program's own
-     * @param adopted acts on a configuration; on the core thread
-     * @param held is told whether this pooler itself is held; on the core thread
+     * @param factory opens the control plane; null for the program's own member or subscriber
+     * @param onConfiguration applies an accepted document; called on the core thread
+     * @param onSelfDrain receives whether the group drains this pooler itself; called on the core thread
      */
     Shared(
             Pooler pooler,
             OperatorConfig.Store config,
-            Daemon.Opening opening,
-            Consumer<byte[]> adopted,
-            Consumer<Boolean> held)
+            Daemon.ControlPlaneFactory factory,
+            Consumer<byte[]> onConfiguration,
+            Consumer<Boolean> onSelfDrain)
             throws IOException {
         this.pooler = pooler;
-        this.adopted = adopted;
-        this.held = held;
+        this.onConfiguration = onConfiguration;
+        this.onSelfDrain = onSelfDrain;
         name = config.name();
-        plane = opening != null
-                ? opening.open(config)
+        plane = factory != null
+                ? factory.open(config)
                 : config.role() == OperatorConfig.Role.SUBSCRIBER ? new Subscriber(config) : new RaftMember(config);
-        known = plane.initialState();
-        tokens = new SessionTokens(pooler.loop(), plane, config.waitMicros(), known.commits());
-        pooler.sessionTokens(tokens);
+        initialState = plane.initialState();
+        sessionTokens = new SessionTokens(pooler.loop(), plane, config.waitMicros(), initialState.commits());
+        pooler.sessionTokens(sessionTokens);
     }
 
     ControlPlane plane() {
         return plane;
     }
 
-    /** The configuration accepted before this start, or null. */
+    /** The document that was accepted before this start, or null. */
     byte[] document() {
-        return known.document() == null ? null : known.document().content();
+        return initialState.document() == null ? null : initialState.document().content();
     }
 
-    /** The db nodes that were known last, for a start before discovery answers. */
-    List<DiscoveredEndpoint> entries() {
-        List<DiscoveredEndpoint> entries = new ArrayList<>();
-        for (Command.KnownEndpoint listed : known.nodes()) {
-            entries.add(new DiscoveredEndpoint(listed.endpoint(), listed.addresses()));
+    /** The last known endpoint list of the group, for a start before discovery answers. */
+    List<DiscoveredEndpoint> initialEndpoints() {
+        List<DiscoveredEndpoint> endpoints = new ArrayList<>();
+        for (Command.KnownEndpoint knownEndpoint : initialState.nodes()) {
+            endpoints.add(new DiscoveredEndpoint(knownEndpoint.endpoint(), knownEndpoint.addresses()));
         }
-        return entries;
+        return endpoints;
     }
 
     void start() throws IOException {
         plane.start(this);
     }
 
-    /** Begins to tell the group of the list; core thread, once the pooler has started. */
-    void follow() {
-        for (Command.KnownEndpoint listed : known.nodes()) {
-            if (listed.logPosition() != LogPosition.UNKNOWN) {
+    /**
+     * Restores the known log positions and starts publishing the endpoint list to the group. On the core thread, after
+     * the pooler has started.
+     */
+    void startPublishing() {
+        for (Command.KnownEndpoint knownEndpoint : initialState.nodes()) {
+            if (knownEndpoint.logPosition() != LogPosition.UNKNOWN) {
                 pooler.healthCheckEnded(
-                        listed.endpoint().node(),
+                        knownEndpoint.endpoint().node(),
                         AttemptOutcome.SERVED,
                         0,
-                        listed.logPosition(),
-                        listed.endpoint().listedPrimary() ? ServerRole.PRIMARY : ServerRole.REPLICA);
+                        knownEndpoint.logPosition(),
+                        knownEndpoint.endpoint().listedPrimary() ? ServerRole.PRIMARY : ServerRole.REPLICA);
             }
         }
-        look();
+        publishIfChanged();
     }
 
-    /** The leader's pooler tells: one list for all is enough, and all poolers see the same db nodes. */
-    private void look() {
-        List<EndpointStatus> nodes = pooler.endpointStatuses();
-        List<Endpoint> members =
-                nodes.stream().map(one -> one.discovered().endpoint()).toList();
+    /**
+     * Publishes the endpoint list on a change and periodically. Only the leader's pooler does: one list is enough for
+     * the group, since all poolers see the same db nodes.
+     */
+    private void publishIfChanged() {
+        List<EndpointStatus> statuses = pooler.endpointStatuses();
+        List<Endpoint> endpoints =
+                statuses.stream().map(status -> status.discovered().endpoint()).toList();
         long now = pooler.loop().now();
-        if (plane.isLeader() && !nodes.isEmpty() && (!members.equals(told) || now - toldAt > REFRESH)) {
-            told = members;
-            toldAt = now;
-            plane.publishEndpoints(nodes.stream()
-                    .map(one -> new Command.KnownEndpoint(
-                            one.discovered().endpoint(), one.discovered().addresses(), one.position()))
+        if (plane.isLeader()
+                && !statuses.isEmpty()
+                && (!endpoints.equals(published) || now - publishedAtMicros > REFRESH)) {
+            published = endpoints;
+            publishedAtMicros = now;
+            plane.publishEndpoints(statuses.stream()
+                    .map(status -> new Command.KnownEndpoint(
+                            status.discovered().endpoint(), status.discovered().addresses(), status.position()))
                     .toList());
         }
-        pooler.loop().after(LOOK, this::look);
+        pooler.loop().after(PUBLISH_CHECK_INTERVAL_MICROS, this::publishIfChanged);
     }
 
-    // ---- the group's thread ----
+    // ---- called on the control plane's thread ----
     @Override
     public String validationError(byte[] document) {
         return OperatorConfig.validationError(document).orElse(null);
@@ -135,30 +154,30 @@
 
     @Override
     public void configurationAccepted(ReplicatedState.Document document) {
-        pooler.loop().post(() -> adopted.accept(document.content()));
+        pooler.loop().post(() -> onConfiguration.accept(document.content()));
     }
 
     @Override
-    public void drainsChanged(Map<Command.DrainTarget, ReplicatedState.Drain> holds) {
-        Set<String> out = new TreeSet<>();
-        holds.keySet().stream()
-                .filter(one -> one.kind() == Command.TargetKind.NODE)
-                .forEach(one -> out.add(one.name()));
-        boolean self = holds.containsKey(new Command.DrainTarget(Command.TargetKind.POOLER, name));
+    public void drainsChanged(Map<Command.DrainTarget, ReplicatedState.Drain> drains) {
+        Set<String> drained = new TreeSet<>();
+        drains.keySet().stream()
+                .filter(target -> target.kind() == Command.TargetKind.NODE)
+                .forEach(target -> drained.add(target.name()));
+        boolean drainsThisPooler = drains.containsKey(new Command.DrainTarget(Command.TargetKind.POOLER, name));
         pooler.loop().postUrgent(() -> {
-            Map<String, Long> back = new HashMap<>(orders.restoredAtMicros());
-            back.keySet().removeAll(out);
-            orders.drained().stream()
-                    .filter(id -> !out.contains(id))
-                    .forEach(id -> back.put(id, pooler.loop().now()));
-            orders = new DrainCommands(out, back);
-            pooler.applyDrainCommands(BY, orders);
-            held.accept(self);
+            Map<String, Long> restoredAtMicros = new HashMap<>(drainCommands.restoredAtMicros());
+            restoredAtMicros.keySet().removeAll(drained);
+            drainCommands.drained().stream()
+                    .filter(id -> !drained.contains(id))
+                    .forEach(id -> restoredAtMicros.put(id, pooler.loop().now()));
+            drainCommands = new DrainCommands(drained, restoredAtMicros);
+            pooler.applyDrainCommands(DRAIN_SOURCE, drainCommands);
+            onSelfDrain.accept(drainsThisPooler);
         });
     }
 
     @Override
     public void commitsAccepted(Command.SessionCommits commits) {
-        pooler.loop().post(() -> tokens.accepted(commits));
+        pooler.loop().post(() -> sessionTokens.accepted(commits));
     }
 }
--- a/daemon/src/main/java/lupinvalve/cli/StoreCommand.java
+++ b/daemon/src/main/java/lupinvalve/cli/StoreCommand.java
@@ -23,11 +23,15 @@
 import org.kohsuke.args4j.Option;
 
 /**
- * What operators ask of the group that keeps the configuration. Exit codes: 0 done, 1 refused, 2 a wrong command line,
- * 3 another revision holds, 4 it may have happened, 5 nobody could answer in time and nothing has happened.
+ * Operators' commands to the group that stores the configuration. Exit codes: 0 success, 1 rejected, 2 invalid command
+ * line, 3 another revision is in force, 4 indeterminate: the change may have been committed, 5 no member could answer
+ * in time and nothing was changed.
  */
 public final class StoreCommand implements Main.Command {
-    static final int CONFLICT = 3, MAY_HAVE = 4, NOBODY = 5;
+    static final int EXIT_CONFLICT = 3;
+    static final int EXIT_INDETERMINATE = 4;
+    static final int EXIT_UNAVAILABLE = 5;
+    private static final long MILLIS_PER_SECOND = 1000L;
 
     @Argument(
             index = 0,
@@ -37,44 +41,49 @@
     private String call;
 
     @Argument(index = 1, multiValued = true, metaVar = "WHAT")
-    private List<String> what = new ArrayList<>();
+    private List<String> operands = new ArrayList<>();
 
-    @Option(name = "--operator", metaVar = "FILE", usage = "a member's operator's file: whom to ask, and how")
+    @Option(
+            name = "--operator",
+            metaVar = "FILE",
+            usage = "a member's operator file: addresses of the members, and TLS")
     private Path operator;
 
-    @Option(name = "--revision", metaVar = "N", usage = "put: the revision that is to be replaced; 0 for the first")
+    @Option(name = "--revision", metaVar = "N", usage = "put: the revision to replace; 0 for the first document")
     private Long revision;
 
-    @Option(name = "--why", metaVar = "TEXT", usage = "hold: for those who look later")
-    private String why = "";
+    @Option(name = "--why", metaVar = "TEXT", usage = "hold: the reason, which is stored with it")
+    private String reason = "";
 
-    @Option(name = "--strict", usage = "put, hold, release: done only once nobody acts on what held before")
+    @Option(name = "--strict", usage = "put, hold, release: wait until no pooler acts on the previous state")
     private boolean strict;
 
-    @Option(name = "--show-secrets", usage = "get, verify: passwords and keys as they are")
-    private boolean secrets;
+    @Option(name = "--show-secrets", usage = "get, verify: print passwords and keys in clear text")
+    private boolean showSecrets;
 
-    @Option(name = "--json", usage = "one JSON object")
+    @Option(name = "--json", usage = "print one JSON object")
     private boolean json;
 
-    @Option(name = "--seconds", metaVar = "N", usage = "how long to try")
+    @Option(name = "--seconds", metaVar = "N", usage = "timeout in seconds")
     private int seconds = 10;
 
-    /** For tests; the system's else. */
-    PrintStream out = System.out, err = System.err;
+    /** Replaced by tests. */
+    PrintStream out = System.out;
+
+    PrintStream err = System.err;
 
     @Override
     public int run() throws Exception {
         Log.setLevel(Log.Level.ERROR);
         if (call.equals("keys")) {
-            Keys.make(Path.of(argument(0, "a folder")), what.subList(1, what.size()));
-            out.println("keys are in " + what.get(0) + "; keep authority.key somewhere else");
+            Keys.generate(Path.of(argument(0, "a folder")), operands.subList(1, operands.size()));
+            out.println("keys are in " + operands.get(0) + "; keep authority.key somewhere else");
             return 0;
         }
         if (call.equals("verify")) {
-            return print(FolderVerification.verify(Path.of(argument(0, "a folder")), secrets));
+            return print(FolderVerification.verify(Path.of(argument(0, "a folder")), showSecrets));
         }
-        if (call.equals("audit") && !what.isEmpty() && what.get(0).equals("verify")) {
+        if (call.equals("audit") && !operands.isEmpty() && operands.get(0).equals("verify")) {
             return print(FolderVerification.verifyAudit(Path.of(argument(1, "a folder"))));
         }
         if (operator == null) {
@@ -101,31 +110,31 @@
         List<byte[]> arguments = new ArrayList<>();
         switch (call) {
             case "status", "members", "holds", "snapshot" -> {
-                // Nothing more to say.
+                // No arguments.
             }
-            case "audit" -> what.forEach(word -> arguments.add(bytes(word)));
-            case "get" -> arguments.add(bytes(secrets ? "bare" : ""));
+            case "audit" -> operands.forEach(operand -> arguments.add(utf8(operand)));
+            case "get" -> arguments.add(utf8(showSecrets ? "bare" : ""));
             case "put" -> put(arguments);
-            case "add", "remove" -> arguments.add(bytes(argument(0, "a member's name")));
-            case "hold" -> holding(arguments).add(bytes(why));
-            case "release" -> holding(arguments);
+            case "add", "remove" -> arguments.add(utf8(argument(0, "a member's name")));
+            case "hold" -> addDrainTarget(arguments).add(utf8(reason));
+            case "release" -> addDrainTarget(arguments);
             default -> {
                 err.println("lupinvalve: no such call: " + call);
                 return 2;
             }
         }
         if (strict) {
-            arguments.add(bytes("strict"));
+            arguments.add(utf8("strict"));
         }
-        GroupClient.Result said = client.call(call, arguments, !call.equals("put"), 1000L * seconds);
-        if (said.status() == WireMessages.Status.OK) {
-            return print(said.text());
+        GroupClient.Result result = client.call(call, arguments, !call.equals("put"), MILLIS_PER_SECOND * seconds);
+        if (result.status() == WireMessages.Status.OK) {
+            return print(result.text());
         }
-        err.println("lupinvalve: " + said.text());
-        return switch (said.status()) {
-            case CONFLICT -> CONFLICT;
-            case INDETERMINATE -> MAY_HAVE;
-            case RETRY -> NOBODY;
+        err.println("lupinvalve: " + result.text());
+        return switch (result.status()) {
+            case CONFLICT -> EXIT_CONFLICT;
+            case INDETERMINATE -> EXIT_INDETERMINATE;
+            case RETRY -> EXIT_UNAVAILABLE;
             default -> 1;
         };
     }
@@ -135,66 +144,66 @@
             throw new IllegalArgumentException("store put needs --revision N: the one that is to be replaced");
         }
         byte[] document = Files.readAllBytes(Path.of(argument(0, "a file")));
-        String objection = OperatorConfig.validationError(document).orElse(null);
-        if (objection != null) {
-            throw new IllegalArgumentException(what.get(0) + ": " + objection);
+        String validationError = OperatorConfig.validationError(document).orElse(null);
+        if (validationError != null) {
+            throw new IllegalArgumentException(operands.get(0) + ": " + validationError);
         }
-        arguments.add(bytes(Long.toString(revision)));
+        arguments.add(utf8(Long.toString(revision)));
         arguments.add(document);
     }
 
-    private List<byte[]> holding(List<byte[]> arguments) {
-        arguments.add(bytes(argument(0, "node or pooler")));
-        arguments.add(bytes(argument(1, "a name")));
+    private List<byte[]> addDrainTarget(List<byte[]> arguments) {
+        arguments.add(utf8(argument(0, "node or pooler")));
+        arguments.add(utf8(argument(1, "a name")));
         return arguments;
     }
 
-    private static byte[] bytes(String text) {
+    private static byte[] utf8(String text) {
         return text.getBytes(StandardCharsets.UTF_8);
     }
 
-    private String argument(int at, String kind) {
-        if (what.size() <= at) {
+    private String argument(int index, String kind) {
+        if (operands.size() <= index) {
             throw new IllegalArgumentException("store " + call + " needs " + kind);
         }
-        return what.get(at);
+        return operands.get(index);
     }
 
     private int print(String text) throws IOException {
-        out.println(json ? text : lines(text));
+        out.println(json ? text : toLines(text));
         return 0;
     }
 
-    /** One fact a line: the path to it, and the value. */
-    static String lines(String text) throws IOException {
+    /** Formats JSON as one line for each value: its path and the value. */
+    static String toLines(String text) throws IOException {
         StringBuilder lines = new StringBuilder();
-        Deque<Integer> positions = new ArrayDeque<>();
+        Deque<Integer> arrayIndexes = new ArrayDeque<>();
         Deque<String> path = new ArrayDeque<>();
         try (JsonParser in = new JsonFactory().createParser(text)) {
             for (JsonToken token = in.nextToken(); token != null; token = in.nextToken()) {
-                boolean listed = in.getParsingContext().inArray() && !positions.isEmpty();
+                boolean valueInArray = in.getParsingContext().inArray() && !arrayIndexes.isEmpty();
                 switch (token) {
                     case START_OBJECT, START_ARRAY -> {
-                        boolean inList = in.getParsingContext().getParent() != null
+                        boolean containerInArray = in.getParsingContext().getParent() != null
                                 && in.getParsingContext().getParent().inArray();
                         path.addLast(
-                                inList
-                                        ? Integer.toString(next(positions))
+                                containerInArray
+                                        ? Integer.toString(nextIndex(arrayIndexes))
                                         : in.currentName() == null ? "" : in.currentName());
-                        positions.addLast(0);
+                        arrayIndexes.addLast(0);
                     }
                     case END_OBJECT, END_ARRAY -> {
                         path.removeLast();
-                        positions.removeLast();
+                        arrayIndexes.removeLast();
                     }
                     case FIELD_NAME -> {
-                        // It comes again with its value.
+                        // The name is read together with its value.
                     }
                     default -> {
-                        String at = String.join(".", path) + "."
-                                + (listed ? Integer.toString(next(positions)) : in.currentName());
+                        String valuePath = String.join(".", path) + "."
+                                + (valueInArray ? Integer.toString(nextIndex(arrayIndexes)) : in.currentName());
                         lines.append(lines.isEmpty() ? "" : "\n")
-                                .append(at.replaceAll("^\\.+", ""))
+                                .append(valuePath.replaceAll("^\\.+", ""))
                                 .append(": ")
                                 .append(in.getText());
                     }
@@ -204,9 +213,9 @@
         return lines.toString();
     }
 
-    private static int next(Deque<Integer> positions) {
-        int at = positions.removeLast();
-        positions.addLast(at + 1);
-        return at;
+    private static int nextIndex(Deque<Integer> arrayIndexes) {
+        int index = arrayIndexes.removeLast();
+        arrayIndexes.addLast(index + 1);
+        return index;
     }
 }
--- a/daemon/src/main/java/lupinvalve/cli/Version.java
+++ b/daemon/src/main/java/lupinvalve/cli/Version.java
@@ -1,6 +1,6 @@
 package lupinvalve.cli;
 
-/** Prints the version. */
+/** Prints the version from the jar's manifest; {@code unpacked} if the classes do not come from the jar. */
 public final class Version implements Main.Command {
     @Override
     public int run() {
--- a/daemon/src/main/java/lupinvalve/cli/WarmUp.java
+++ b/daemon/src/main/java/lupinvalve/cli/WarmUp.java
@@ -23,31 +23,41 @@
 import lupinvalve.warmup.NodeScript;
 
 /**
- * Runs requests through a pooler that is thrown away, all of it but the sockets, so that the first clients don't meet
- * code that is not compiled yet: it takes several times the part of a core that a pooler has, and the core falls
- * behind.
+ * Runs requests through a temporary pooler, complete except for the sockets, so that the first clients do not run into
+ * code that is not compiled yet: such code takes several times the share of a core that a pooler has, and the core
+ * thread falls behind.
  */
 final class WarmUp {
-    static final int MANY = 600, FEW = 60;
+    static final int FULL_REQUESTS_COUNT = 600;
+    static final int REDUCED_REQUESTS_COUNT = 60;
     /**
-     * Seconds of a core that a request costs while the code is cold, and the part of a pooler's core that may go into
-     * it. Where clients bring more than that, a pooler that has not warmed up falls behind; where they bring less, what
-     * the warm-up takes is time in which nobody is served at all, and after a release most of a fleet starts at once.
+     * CPU time of a request while the code is cold, and the share of a pooler's CPU limit that cold requests may take.
+     * At a higher request rate, a pooler that is not warmed up falls behind; at a lower one, a full warm-up only delays
+     * the start, and after a release most of a fleet starts at once.
      */
-    private static final double COLD = 0.004, COLD_PART = 0.9;
+    private static final double COLD_REQUEST_SECONDS = 0.004;
 
-    private static final int CLIENTS = 4, GROUP = 1, PRIMARY = 1, REPLICA = 2;
-    /** A machine so slow that this is not enough does better to serve. */
-    private static final long MOST_MILLIS = 2_000;
+    private static final double COLD_REQUESTS_CPU_RATIO = 0.9;
+
+    private static final int CLIENTS_COUNT = 4;
+    private static final int GROUP_ID = 1;
+    private static final int PRIMARY_PORT = 1;
+    private static final int REPLICA_PORT = 2;
+    /** Limit of client connections, and of connections to db nodes. */
+    private static final int MAX_CONNECTIONS_COUNT = 16;
+    /** Time limit of the warm-up: on a machine so slow that this is not enough, it is better to start serving. */
+    private static final long MAX_DURATION_MILLIS = 2_000;
 
     private WarmUp() {}
 
-    /** How many requests to warm up with. */
+    /** Number of requests for the warm-up. */
     static int requests(double ratePerSecond, double cores) {
-        return ratePerSecond > 0 && ratePerSecond * COLD < cores * COLD_PART ? FEW : MANY;
+        return ratePerSecond > 0 && ratePerSecond * COLD_REQUEST_SECONDS < cores * COLD_REQUESTS_CPU_RATIO
+                ? REDUCED_REQUESTS_COUNT
+                : FULL_REQUESTS_COUNT;
     }
 
-    /** Gives how many requests were served. */
+    /** Runs the warm-up; returns the number of requests that were served. */
     static int run(NodeConfig config) {
         return run(config, requests(config.site().ratePerSecond(), config.cores()));
     }
@@ -55,37 +65,37 @@
     static int run(NodeConfig config, int requests) {
         EventLoop loop = new EventLoop();
         Pooler pooler = new Pooler(loop, config.site().settings());
-        pooler.discovery(new Silent());
-        PgFront front = new PgFront(pooler, 16);
-        Memory net = new Memory(loop, address -> new NodeScript(address.getPort() == PRIMARY));
+        pooler.discovery(new StaticDiscovery());
+        PgFront front = new PgFront(pooler, MAX_CONNECTIONS_COUNT);
+        Memory net = new Memory(loop, address -> new NodeScript(address.getPort() == PRIMARY_PORT));
         pooler.addBackend(
                 PgFront.PROTOCOL,
                 new PgBackend(
                         net,
                         pooler,
                         new Pool.Bounds(
-                                16,
+                                MAX_CONNECTIONS_COUNT,
                                 config.site().connectMicros(),
                                 config.site().keepaliveMicros(),
                                 config.site().connectMicros()),
                         "api",
                         "ledger"));
         List<DiscoveredEndpoint> entries = new ArrayList<>();
-        for (int port : List.of(PRIMARY, REPLICA)) {
+        for (int port : List.of(PRIMARY_PORT, REPLICA_PORT)) {
             entries.add(new DiscoveredEndpoint(
-                    new Endpoint("n" + port, GROUP, 0, EndpointState.LIVE, port == PRIMARY, 0),
+                    new Endpoint("n" + port, GROUP_ID, 0, EndpointState.LIVE, port == PRIMARY_PORT, 0),
                     Map.of(PgFront.PROTOCOL, "127.0.0.1:" + port)));
         }
-        CountDownLatch left = new CountDownLatch(requests);
-        // Whole before the core thread sees it: it is read here even if the time runs out first.
+        CountDownLatch remaining = new CountDownLatch(requests);
+        // Complete before the core thread uses it, since this thread reads it even if the time limit expires first.
         List<ClientScript> clients = new ArrayList<>();
-        for (int i = 0; i < CLIENTS; i++) {
-            clients.add(new ClientScript(config.site().settings().classes(), "w" + i, requests / CLIENTS, left));
+        for (int i = 0; i < CLIENTS_COUNT; i++) {
+            clients.add(
+                    new ClientScript(config.site().settings().classes(), "w" + i, requests / CLIENTS_COUNT, remaining));
         }
         try {
             loop.start();
-            // What this pooler says would be taken for the word of the one that serves, which has begun to ask
-            // discovery.
+            // Log lines of this pooler could be mistaken for those of the serving one, which already calls discovery.
             loop.post(() -> Log.setThreadLevel(Log.Level.ERROR));
             loop.post(() -> {
                 pooler.start(1, List.of());
@@ -94,7 +104,7 @@
                     net.connect(front.framer(), front, client, ClientScript.startupMessage());
                 }
             });
-            left.await(MOST_MILLIS, TimeUnit.MILLISECONDS);
+            remaining.await(MAX_DURATION_MILLIS, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } finally {
@@ -103,16 +113,16 @@
         return clients.stream().mapToInt(ClientScript::served).sum();
     }
 
-    /** No news: the list is given once. */
-    private static final class Silent implements EndpointDiscovery {
+    /** Discovery without updates: the list is passed to the pooler directly. */
+    private static final class StaticDiscovery implements EndpointDiscovery {
         @Override
         public void subscribe(boolean active) {
-            // Nothing to ask.
+            // No discovery service to call.
         }
 
         @Override
         public void fetch() {
-            // Nothing to ask.
+            // No discovery service to call.
         }
     }
 }
--- a/daemon/src/main/java/lupinvalve/cli/WireHost.java
+++ b/daemon/src/main/java/lupinvalve/cli/WireHost.java
@@ -8,14 +8,16 @@
 import java.io.IOException;
 import lupinvalve.simulator.SimulatorHost;
 
-/** Hosts routers on the simulator's wire, on standard input and output. */
+/** Runs routers for the simulator; its protocol runs over standard input and output. */
 public final class WireHost implements Main.Command {
+    private static final int BUFFER_BYTES = 1 << 16;
+
     @Override
     public int run() throws IOException {
         new SimulatorHost()
                 .run(
-                        new BufferedInputStream(new FileInputStream(FileDescriptor.in), 1 << 16),
-                        new BufferedOutputStream(new FileOutputStream(FileDescriptor.out), 1 << 16));
+                        new BufferedInputStream(new FileInputStream(FileDescriptor.in), BUFFER_BYTES),
+                        new BufferedOutputStream(new FileOutputStream(FileDescriptor.out), BUFFER_BYTES));
         return 0;
     }
 }
--- a/daemon/src/test/java/lupinvalve/cli/CallTest.java
+++ b/daemon/src/test/java/lupinvalve/cli/CallTest.java
@@ -14,8 +14,8 @@
 
 class CallTest {
     @Test
-    void itPrintsTheAnswerAndExitsWithIt() throws Exception {
-        AdminServer door = new AdminServer(new AdminCommands(new AdminCommands.Target() {
+    void answerIsPrintedAndDeterminesExitCode() throws Exception {
+        AdminServer adminServer = new AdminServer(new AdminCommands(new AdminCommands.Target() {
             @Override
             public String notReadyReason() {
                 return "not serving";
@@ -27,43 +27,43 @@
             }
 
             @Override
-            public void setNodeDrain(boolean takeOut, String id, Consumer<String> objection) {
-                objection.accept(takeOut && id.equals("s-1") ? null : "nobody has the id " + id);
+            public void setNodeDrain(boolean drain, String id, Consumer<String> objection) {
+                objection.accept(drain && id.equals("s-1") ? null : "nobody has the id " + id);
             }
 
             @Override
-            public void setPoolerDrain(boolean quiesce, Consumer<String> objection) {
+            public void setPoolerDrain(boolean drain, Consumer<String> objection) {
                 objection.accept(null);
             }
         }));
-        door.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+        adminServer.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
         try {
-            String to = "127.0.0.1:" + door.address().getPort();
-            said(1, "fail not serving\n", to, "health");
-            said(0, "ok\nedge_node.in_flight=3\neof\n", to, "counters");
-            said(0, "ok\n", to, "cordon", "s-1");
-            said(1, "fail nobody has the id s-1\n", to, "uncordon", "s-1");
+            String address = "127.0.0.1:" + adminServer.address().getPort();
+            assertAnswer(1, "fail not serving\n", address, "health");
+            assertAnswer(0, "ok\nedge_node.in_flight=3\neof\n", address, "counters");
+            assertAnswer(0, "ok\n", address, "cordon", "s-1");
+            assertAnswer(1, "fail nobody has the id s-1\n", address, "uncordon", "s-1");
         } finally {
-            door.close();
+            adminServer.close();
         }
         ByteArrayOutputStream err = new ByteArrayOutputStream();
         assertEquals(1, Main.run(new String[] {"call", "--to", "nowhere", "health"}, new PrintStream(err)));
         assertTrue(err.toString().contains("not host:port: nowhere"), err.toString());
     }
 
-    private static void said(int code, String answer, String to, String... words) throws Exception {
-        PrintStream before = System.out;
+    private static void assertAnswer(int code, String answer, String address, String... commandWords) throws Exception {
+        PrintStream originalOut = System.out;
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        String[] args = new String[words.length + 3];
+        String[] args = new String[commandWords.length + 3];
         args[0] = "call";
         args[1] = "--to";
-        args[2] = to;
-        System.arraycopy(words, 0, args, 3, words.length);
+        args[2] = address;
+        System.arraycopy(commandWords, 0, args, 3, commandWords.length);
         try {
             System.setOut(new PrintStream(out));
             assertEquals(code, Main.run(args, System.err));
         } finally {
-            System.setOut(before);
+            System.setOut(originalOut);
         }
         assertEquals(answer, out.toString());
     }
--- a/daemon/src/test/java/lupinvalve/cli/GroupTest.java
+++ b/daemon/src/test/java/lupinvalve/cli/GroupTest.java
@@ -36,7 +36,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Three members over real sockets with certificates, and what operators ask of them on the command line. */
+/** Three members over real sockets with certificates, and the store subcommand against them. */
 class GroupTest {
     private static final List<String> NAMES = List.of("a", "b", "c");
 
@@ -47,20 +47,21 @@
     private Path folder;
 
     private final Map<String, String> addresses = new TreeMap<>();
-    private final Map<String, RaftMember> groups = new HashMap<>();
-    private final Map<String, ReplicatedState.Document> acting = new ConcurrentHashMap<>();
+    private final Map<String, RaftMember> members = new HashMap<>();
+    private final Map<String, ReplicatedState.Document> appliedDocuments = new ConcurrentHashMap<>();
     private final Map<String, Map<Command.DrainTarget, ReplicatedState.Drain>> holds = new ConcurrentHashMap<>();
     private final Map<String, Map<String, Long>> tokens = new ConcurrentHashMap<>();
 
     private OperatorConfig.Audit audit = OperatorConfig.Audit.OFF;
 
     @BeforeAll
-    static void authorities() throws Exception {
+    static void generateKeys() throws Exception {
         Log.setOutput(new PrintStream(new ByteArrayOutputStream()));
-        Keys.make(keys.resolve("own"), NAMES);
-        Keys.make(keys.resolve("foreign"), List.of("c"));
-        Keys.make(keys.resolve("old"), List.of("c"), List.of("-startdate", "-10d", "-validity", "5"));
-        // Signed by the right authority's name, but out of time: only the authority's file is shared.
+        Keys.generate(keys.resolve("own"), NAMES);
+        Keys.generate(keys.resolve("foreign"), List.of("c"));
+        Keys.generate(keys.resolve("old"), List.of("c"), List.of("-startdate", "-10d", "-validity", "5"));
+        // Certificates that have expired: members trust their authority, which is in both.pem, as well as the current
+        // one.
         Files.copy(keys.resolve("old/authority.pem"), keys.resolve("both.pem"));
         Files.write(
                 keys.resolve("both.pem"),
@@ -69,23 +70,23 @@
     }
 
     @AfterAll
-    static void loud() {
+    static void restoreLog() {
         Log.setOutput(System.err);
     }
 
     @AfterEach
-    void end() {
-        groups.values().forEach(RaftMember::stop);
+    void stopMembers() {
+        members.values().forEach(RaftMember::stop);
     }
 
-    private void places() throws IOException {
-        List<ServerSocket> held = new ArrayList<>();
+    private void reserveAddresses() throws IOException {
+        List<ServerSocket> reserved = new ArrayList<>();
         for (String name : NAMES) {
             ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-            held.add(socket);
+            reserved.add(socket);
             addresses.put(name, "127.0.0.1:" + socket.getLocalPort());
         }
-        for (ServerSocket socket : held) {
+        for (ServerSocket socket : reserved) {
             socket.close();
         }
     }
@@ -103,9 +104,9 @@
     }
 
     private RaftMember start(String name, OperatorConfig.Tls tls) throws IOException {
-        RaftMember group = new RaftMember(config(name, tls));
-        groups.put(name, group);
-        group.start(new ControlPlane.Listener() {
+        RaftMember member = new RaftMember(config(name, tls));
+        members.put(name, member);
+        member.start(new ControlPlane.Listener() {
             @Override
             public String validationError(byte[] document) {
                 return OperatorConfig.validationError(document).orElse(null);
@@ -118,7 +119,7 @@
 
             @Override
             public void configurationAccepted(ReplicatedState.Document document) {
-                acting.put(name, document);
+                appliedDocuments.put(name, document);
             }
 
             @Override
@@ -128,16 +129,17 @@
 
             @Override
             public void commitsAccepted(Command.SessionCommits commits) {
-                tokens.computeIfAbsent(name, n -> new ConcurrentHashMap<>()).putAll(commits.positions());
+                tokens.computeIfAbsent(name, memberName -> new ConcurrentHashMap<>())
+                        .putAll(commits.positions());
             }
         });
-        return group;
+        return member;
     }
 
-    private Path file(String name, OperatorConfig.Tls tls) throws IOException {
+    private Path operatorFile(String name, OperatorConfig.Tls tls) throws IOException {
         StringBuilder members = new StringBuilder();
-        addresses.forEach(
-                (n, at) -> members.append(members.isEmpty() ? "" : ",").append("\"" + n + "\":\"" + at + "\""));
+        addresses.forEach((memberName, at) ->
+                members.append(members.isEmpty() ? "" : ",").append("\"" + memberName + "\":\"" + at + "\""));
         return Files.writeString(
                 folder.resolve(name + ".json"),
                 "{\"store\":{\"cluster\":\"plant\",\"name\":\"" + name + "\",\"folder\":\"" + folder.resolve(name)
@@ -149,12 +151,12 @@
                         + "}}");
     }
 
-    private record Said(int code, String out, String err) {}
+    private record CommandResult(int code, String out, String err) {}
 
-    /** The command line, as operators have it. */
-    private static Said store(Path operator, String... words) throws Exception {
+    /** Runs the store subcommand with these arguments. */
+    private static CommandResult store(Path operator, String... arguments) throws Exception {
         StoreCommand command = new StoreCommand();
-        List<String> line = new ArrayList<>(List.of(words));
+        List<String> line = new ArrayList<>(List.of(arguments));
         if (operator != null) {
             line.addAll(List.of("--operator", operator.toString()));
         }
@@ -166,12 +168,12 @@
         Log.Level before = Log.level();
         try {
             int code = command.run();
-            return new Said(
+            return new CommandResult(
                     code,
                     out.toString(StandardCharsets.UTF_8).strip(),
                     err.toString(StandardCharsets.UTF_8).strip());
         } catch (IOException | IllegalArgumentException e) {
-            return new Said(1, "", e.getMessage());
+            return new CommandResult(1, "", e.getMessage());
         } finally {
             Log.setLevel(before);
         }
@@ -181,118 +183,129 @@
         return Files.writeString(Files.createTempFile(folder, "document", ".json"), text);
     }
 
-    private void all() throws IOException {
-        places();
+    private void startAll() throws IOException {
+        reserveAddresses();
         for (String name : NAMES) {
             start(name, tls("own/authority.pem", "own", name));
         }
     }
 
     @Test
-    void operatorsPutHoldAndReplaceAMemberThatLostItsDisk() throws Exception {
-        all();
-        Path a = file("a", tls("own/authority.pem", "own", "operator"));
-        Path c = file("c", tls("own/authority.pem", "own", "c"));
+    void operatorsPutDrainAndReplaceAMemberWithoutItsFolder() throws Exception {
+        startAll();
+        Path memberA = operatorFile("a", tls("own/authority.pem", "own", "operator"));
+        Path memberC = operatorFile("c", tls("own/authority.pem", "own", "c"));
         String document = document("{\"mysql\":{\"user\":\"portal\",\"password\":\"towel\"}}")
                 .toString();
-        assertEquals(new Said(0, "changed: true\nrevision: 1", ""), store(c, "put", document, "--revision", "0"));
         assertEquals(
-                new Said(StoreCommand.CONFLICT, "", "lupinvalve: revision 1 holds by now"),
-                store(a, "put", document, "--revision", "0"));
-        Said bad = store(a, "put", document("{\"mysql\":{\"usr\":1}}").toString(), "--revision", "1");
-        assertTrue(bad.code() == 1 && bad.err().endsWith("mysql.usr is unknown"), bad.err());
-        World.await("adopted by all", () -> acting.size() == 3);
+                new CommandResult(0, "changed: true\nrevision: 1", ""),
+                store(memberC, "put", document, "--revision", "0"));
+        assertEquals(
+                new CommandResult(StoreCommand.EXIT_CONFLICT, "", "lupinvalve: revision 1 holds by now"),
+                store(memberA, "put", document, "--revision", "0"));
+        CommandResult invalid =
+                store(memberA, "put", document("{\"mysql\":{\"usr\":1}}").toString(), "--revision", "1");
+        assertTrue(invalid.code() == 1 && invalid.err().endsWith("mysql.usr is unknown"), invalid.err());
+        World.await("all members apply the revision", () -> appliedDocuments.size() == 3);
         assertEquals(
                 1,
-                acting.values().stream()
+                appliedDocuments.values().stream()
                         .map(ReplicatedState.Document::digest)
                         .distinct()
                         .count());
-        assertTrue(store(a, "get").out().contains("document.mysql.password: ***"));
-        assertTrue(store(a, "get", "--show-secrets").out().contains("document.mysql.password: towel"));
-        assertEquals(0, store(a, "hold", "node", "db-7", "--why", "new disk").code());
+        assertTrue(store(memberA, "get").out().contains("document.mysql.password: ***"));
+        assertTrue(store(memberA, "get", "--show-secrets").out().contains("document.mysql.password: towel"));
+        assertEquals(
+                0, store(memberA, "hold", "node", "db-7", "--why", "new disk").code());
         World.await(
-                "held everywhere",
-                () -> holds.values().stream().filter(h -> h.size() == 1).count() == 3);
-        assertTrue(store(c, "holds").out().contains("holds.0.why: new disk"));
-        assertEquals(0, store(a, "release", "node", "db-7").code());
+                "all members apply the drain",
+                () -> holds.values().stream()
+                                .filter(drains -> drains.size() == 1)
+                                .count()
+                        == 3);
+        assertTrue(store(memberC, "holds").out().contains("holds.0.why: new disk"));
+        assertEquals(0, store(memberA, "release", "node", "db-7").code());
 
-        groups.remove("b").stop();
+        members.remove("b").stop();
         assertTrue(store(null, "verify", folder.resolve("b").toString()).out().contains("revision: 1"));
         Files.move(folder.resolve("b"), folder.resolve("b-lost"));
         start("b", tls("own/authority.pem", "own", "b"));
-        Said added = store(a, "add", "b", "--json");
+        CommandResult added = store(memberA, "add", "b", "--json");
         assertEquals(0, added.code(), added.err());
         assertEquals(3, added.out().split("\"votes\"").length - 1);
-        groups.remove("a").stop();
-        // A put that is under way as a leader goes may have happened; a read waits for the next one.
-        Said next = store(c, "get", "--seconds", "30");
-        assertTrue(next.out().contains("revision: 1"), "the new one counts: " + next);
-        assertEquals(0, store(c, "put", document, "--revision", "1").code());
-        Said again = store(c, "remove", "c");
-        assertTrue(again.code() == 1 && again.err().contains("no majority"), again.err());
-        assertTrue(store(c, "status").out().contains("phase: founded"));
+        members.remove("a").stop();
+        // A read instead of a put: a put that is in flight when the leader stops is indeterminate, while a read is
+        // retried until the next leader answers.
+        CommandResult next = store(memberC, "get", "--seconds", "30");
+        assertTrue(next.out().contains("revision: 1"), "the replaced member counts towards the majority: " + next);
+        assertEquals(0, store(memberC, "put", document, "--revision", "1").code());
+        CommandResult removal = store(memberC, "remove", "c");
+        assertTrue(removal.code() == 1 && removal.err().contains("no majority"), removal.err());
+        assertTrue(store(memberC, "status").out().contains("phase: founded"));
     }
 
     @Test
-    void aStrictChangeWaitsForThoseWhoMayStillActAndTheAuditTellsWhoDid() throws Exception {
+    void strictChangeWaitsForLeasesAndAuditListsWhoApplied() throws Exception {
         audit = OperatorConfig.Audit.FENCE;
-        places();
+        reserveAddresses();
         for (String name : NAMES) {
             start(name, null);
         }
-        Path a = file("a", null);
-        World.await("all may act", () -> groups.values().stream().allMatch(RaftMember::mayServe));
+        Path memberA = operatorFile("a", null);
+        World.await("all members have a lease", () -> members.values().stream().allMatch(RaftMember::mayServe));
         String first = document("{\"mysql\":{\"user\":\"one\"}}").toString();
-        Said put = store(a, "put", first, "--revision", "0", "--strict");
+        CommandResult put = store(memberA, "put", first, "--revision", "0", "--strict");
         assertEquals(0, put.code(), put.err());
-        assertEquals(3, acting.size(), "all act on it by the time of the answer");
-        Said turned = store(
-                a,
+        assertEquals(3, appliedDocuments.size(), "all members have applied it when the answer arrives");
+        CommandResult rejected = store(
+                memberA,
                 "put",
                 document("{\"dns_sd\":{\"resolver\":\"127.0.0.1:53\",\"service\":\"_x._tcp.example.org\"}}")
                         .toString(),
                 "--revision",
                 "1");
         assertTrue(
-                turned.code() == 1 && turned.err().contains("dns_sd: members that run can't turn to DNS-SD"),
-                turned.err());
+                rejected.code() == 1 && rejected.err().contains("dns_sd: members that run can't turn to DNS-SD"),
+                rejected.err());
 
-        RaftMember gone = groups.remove("c");
-        gone.stop();
+        RaftMember stoppedMember = members.remove("c");
+        stoppedMember.stop();
         long start = System.nanoTime();
-        Said held = store(a, "hold", "node", "db-7", "--strict", "--seconds", "20");
-        assertEquals(0, held.code(), held.err());
+        CommandResult drain = store(memberA, "hold", "node", "db-7", "--strict", "--seconds", "20");
+        assertEquals(0, drain.code(), drain.err());
         long tookMillis = (System.nanoTime() - start) / 1_000_000;
-        assertTrue(held.out().contains("waited_for: c") && tookMillis > 500, held.out() + " in " + tookMillis + " ms");
-        assertTrue(!gone.mayServe(), "it may act no more by the time of the answer");
-        World.await("its end is known as one", () -> {
+        assertTrue(
+                drain.out().contains("waited_for: c") && tookMillis > 500, drain.out() + " in " + tookMillis + " ms");
+        assertTrue(!stoppedMember.mayServe(), "its lease has expired when the answer arrives");
+        World.await("its expired lease is audited", () -> {
             try {
-                return store(a, "audit", "stragglers").out().contains("stragglers.0.pooler: c");
+                return store(memberA, "audit", "stragglers").out().contains("stragglers.0.pooler: c");
             } catch (Exception e) {
                 return false;
             }
         });
-        String acted = store(a, "audit", "version", "1").out();
+        String appliedBy = store(memberA, "audit", "version", "1").out();
         for (String name : List.of("a", "b")) {
-            assertTrue(acted.contains("pooler: " + name), acted);
+            assertTrue(appliedBy.contains("pooler: " + name), appliedBy);
         }
-        assertTrue(store(a, "audit", "at", Long.toString(System.currentTimeMillis() * 1000))
+        assertTrue(store(memberA, "audit", "at", Long.toString(System.currentTimeMillis() * 1000))
                 .out()
                 .contains("acted_on: 1-"));
-        assertEquals(1, store(a, "audit", "who").code());
-        // What it noted of its own end comes once it is back; without the others it may not act.
-        groups.remove("b").stop();
-        World.await("one alone is fenced", () -> !groups.get("a").mayServe());
-        String kept =
+        assertEquals(1, store(memberA, "audit", "who").code());
+        // The stopped member's own audit entries arrive after its restart; a member without a majority loses its lease.
+        members.remove("b").stop();
+        World.await(
+                "a member without a majority is fenced", () -> !members.get("a").mayServe());
+        String verification =
                 store(null, "audit", "verify", folder.resolve("b").toString()).out();
-        assertTrue(kept.contains("lives: 1") && kept.contains("acted.0: 1-"), kept);
+        assertTrue(verification.contains("lives: 1") && verification.contains("acted.0: 1-"), verification);
         start("b", null);
         start("c", null);
-        World.await("all may act again", () -> groups.values().stream().allMatch(RaftMember::mayServe));
-        World.await("late entries fit in", () -> {
+        World.await("all members have a lease again", () -> members.values().stream()
+                .allMatch(RaftMember::mayServe));
+        World.await("late audit entries complete the chain", () -> {
             try {
-                String of = store(a, "audit", "pooler", "c").out();
+                String of = store(memberA, "audit", "pooler", "c").out();
                 return of.contains("why: ended") && !of.contains("chain_breaks.0");
             } catch (Exception e) {
                 return false;
@@ -301,12 +314,12 @@
     }
 
     @Test
-    void nobodyIsLetInByAForeignAnOldOrAnotherOnesCertificate() throws Exception {
-        places();
+    void foreignExpiredAndMismatchedCertificatesAreRejected() throws Exception {
+        reserveAddresses();
         start("a", tls("both.pem", "own", "a"));
         start("b", tls("both.pem", "own", "b"));
         start("c", tls("both.pem", "old", "c"));
-        Path foreign = file(
+        Path foreign = operatorFile(
                 "c",
                 new OperatorConfig.Tls(
                         keys.resolve("both.pem"), keys.resolve("foreign/c.pem"), keys.resolve("foreign/c.key")));
@@ -314,19 +327,19 @@
         Thread.sleep(500);
         assertEquals(
                 0,
-                groups.values().stream().filter(RaftMember::isLeader).count(),
-                "without the third nothing is founded");
-        // With a certificate that is good by now, read anew, it is let in.
-        groups.remove("c").stop();
+                members.values().stream().filter(RaftMember::isLeader).count(),
+                "no group is founded without the third member");
+        // With a valid certificate, the member is accepted.
+        members.remove("c").stop();
         start("c", tls("both.pem", "own", "c"));
-        World.await("founded", () -> groups.values().stream().anyMatch(RaftMember::isLeader));
-        for (RaftMember group : groups.values()) {
-            group.reloadCertificates();
+        World.await("the group is founded", () -> members.values().stream().anyMatch(RaftMember::isLeader));
+        for (RaftMember member : members.values()) {
+            member.reloadCertificates();
         }
         assertEquals(
                 0,
                 store(
-                                file("b", tls("both.pem", "own", "b")),
+                                operatorFile("b", tls("both.pem", "own", "b")),
                                 "put",
                                 document("{}").toString(),
                                 "--revision",
@@ -335,69 +348,72 @@
     }
 
     @Test
-    void aRestartGoesOnWithWhatWasAcceptedThoughItIsAlone() throws Exception {
-        all();
-        Path a = file("a", tls("own/authority.pem", "own", "a"));
+    void restartedMemberServesLastDocumentWithoutMajority() throws Exception {
+        startAll();
+        Path memberA = operatorFile("a", tls("own/authority.pem", "own", "a"));
         assertEquals(
                 0,
-                store(a, "put", document("{\"mysql\":{\"user\":\"x\"}}").toString(), "--revision", "0")
+                store(memberA, "put", document("{\"mysql\":{\"user\":\"x\"}}").toString(), "--revision", "0")
                         .code());
-        AtomicInteger held = new AtomicInteger();
-        groups.get("b").publishCommit("session-1", 4_000_000_000_000_000L, held::incrementAndGet);
-        World.await("a majority holds the token", () -> held.get() == 1);
-        World.await("adopted by all", () -> acting.size() == 3);
+        AtomicInteger acknowledged = new AtomicInteger();
+        members.get("b").publishCommit("session-1", 4_000_000_000_000_000L, acknowledged::incrementAndGet);
+        World.await("a majority has stored the token", () -> acknowledged.get() == 1);
+        World.await("all members apply the revision", () -> appliedDocuments.size() == 3);
         for (String name : NAMES) {
-            groups.remove(name).stop();
+            members.remove(name).stop();
         }
-        acting.clear();
-        RaftMember alone = start("a", tls("own/authority.pem", "own", "a"));
-        World.await("acted on", () -> acting.containsKey("a"));
-        assertEquals(1, acting.get("a").revision());
-        assertEquals(1, alone.initialReplicatedState().revision());
-        assertFalse(alone.isLeader());
-        Said put = store(a, "put", document("{}").toString(), "--revision", "1", "--seconds", "1");
-        assertEquals(StoreCommand.NOBODY, put.code(), put.err());
-        World.await("says so", () -> {
+        appliedDocuments.clear();
+        RaftMember restarted = start("a", tls("own/authority.pem", "own", "a"));
+        World.await("applied", () -> appliedDocuments.containsKey("a"));
+        assertEquals(1, appliedDocuments.get("a").revision());
+        assertEquals(1, restarted.initialReplicatedState().revision());
+        assertFalse(restarted.isLeader());
+        CommandResult put = store(memberA, "put", document("{}").toString(), "--revision", "1", "--seconds", "1");
+        assertEquals(StoreCommand.EXIT_UNAVAILABLE, put.code(), put.err());
+        World.await("reported in the status", () -> {
             try {
-                return store(a, "status").out().contains("cut_off: true");
+                return store(memberA, "status").out().contains("cut_off: true");
             } catch (Exception e) {
                 throw new IllegalStateException(e);
             }
         });
-        assertTrue(store(a, "status").out().contains("acting: serving with revision 1"));
+        assertTrue(store(memberA, "status").out().contains("acting: serving with revision 1"));
     }
 
     @Test
-    void whatTheEarlierStoreLeftIsTakenOverOnce() throws Exception {
-        places();
+    void earlierStoreFormatIsImportedOnce() throws Exception {
+        reserveAddresses();
         addresses.keySet().retainAll(List.of("a"));
-        Path left = folder.resolve("a");
-        Files.createDirectories(left);
+        Path earlierFolder = folder.resolve("a");
+        Files.createDirectories(earlierFolder);
         String content = java.util.Base64.getEncoder().encodeToString("{\"mysql\":{\"user\":\"old\"}}".getBytes());
         String text = "{\"key\":\"document/operator\",\"revision\":7,\"by\":\"p\",\"content\":\"" + content + "\"}\n"
                 + "{\"key\":\"session/s1\",\"commit\":4000000000000000}\n";
         java.util.zip.CRC32 crc = new java.util.zip.CRC32();
         crc.update(text.getBytes());
-        Files.writeString(left.resolve("store.jsonl"), text + "{\"crc\":" + crc.getValue() + "}\n");
+        Files.writeString(earlierFolder.resolve("store.jsonl"), text + "{\"crc\":" + crc.getValue() + "}\n");
         start("a", null);
-        World.await("taken over", () -> Files.exists(left.resolve("store.jsonl.imported")) && acting.containsKey("a"));
+        World.await(
+                "imported",
+                () -> Files.exists(earlierFolder.resolve("store.jsonl.imported")) && appliedDocuments.containsKey("a"));
         assertEquals(
-                "{\"mysql\":{\"user\":\"old\"}}", new String(acting.get("a").content()));
-        World.await("tokens", () -> tokens.getOrDefault("a", Map.of()).containsKey("s1"));
-        groups.remove("a").stop();
+                "{\"mysql\":{\"user\":\"old\"}}",
+                new String(appliedDocuments.get("a").content()));
+        World.await("session tokens", () -> tokens.getOrDefault("a", Map.of()).containsKey("s1"));
+        members.remove("a").stop();
         start("a", null);
-        World.await("led", () -> groups.get("a").isLeader());
-        assertTrue(store(file("a", null), "status").out().contains("revision: 1"));
+        World.await("elected", () -> members.get("a").isLeader());
+        assertTrue(store(operatorFile("a", null), "status").out().contains("revision: 1"));
     }
 
     @Test
-    void filesAreForTheirOwnerAloneAndAFolderIsForOneProcess() throws Exception {
-        places();
+    void filesAreOwnerOnlyAndFolderIsExclusive() throws Exception {
+        reserveAddresses();
         start("a", tls("own/authority.pem", "own", "a"));
         assertThrows(IOException.class, () -> new RaftMember(config("a", tls("own/authority.pem", "own", "a"))));
         try (Stream<Path> files = Stream.of(Files.list(keys.resolve("own")), Files.list(folder.resolve("a")))
-                .flatMap(s -> s)) {
-            for (Path file : files.filter(f -> !f.endsWith("lock")).toList()) {
+                .flatMap(stream -> stream)) {
+            for (Path file : files.filter(path -> !path.endsWith("lock")).toList()) {
                 assertEquals(
                         "rw-------",
                         PosixFilePermissions.toString(Files.getPosixFilePermissions(file)),
@@ -409,6 +425,6 @@
         assertTrue(assertThrows(IOException.class, () -> new RaftMember(open))
                 .getMessage()
                 .startsWith("store.tls is missing"));
-        assertNull(acting.get("a"));
+        assertNull(appliedDocuments.get("a"));
     }
 }
--- a/daemon/src/test/java/lupinvalve/cli/OffOnThePlatformTest.java
+++ b/daemon/src/test/java/lupinvalve/cli/OffOnThePlatformTest.java
@@ -10,19 +10,19 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What an operator must turn on costs the platform nothing: a pooler without it loads no class of it. */
+/** Optional features have no cost where they are off: a pooler without a store loads no class of the control plane. */
 class OffOnThePlatformTest {
     @TempDir
     private Path folder;
 
     @Test
-    void noClassOfTheGroupIsLoadedWhereNoneIsConfigured() throws Exception {
-        Path loaded = folder.resolve("loaded");
-        Process program = new ProcessBuilder(
+    void noControlPlaneClassIsLoadedWithoutAStore() throws Exception {
+        Path loadedClasses = folder.resolve("loaded");
+        Process process = new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                         "-cp",
                         System.getProperty("surefire.test.class.path", System.getProperty("java.class.path")),
-                        "-Xlog:class+load=info:file=" + loaded,
+                        "-Xlog:class+load=info:file=" + loadedClasses,
                         "lupinvalve.cli.Main",
                         "rehearse",
                         "--config",
@@ -30,9 +30,9 @@
                 .redirectErrorStream(true)
                 .redirectOutput(folder.resolve("out").toFile())
                 .start();
-        assertTrue(program.waitFor(60, TimeUnit.SECONDS));
-        assertEquals(0, program.exitValue(), Files.readString(folder.resolve("out")));
-        List<String> lines = Files.readAllLines(loaded);
+        assertTrue(process.waitFor(60, TimeUnit.SECONDS));
+        assertEquals(0, process.exitValue(), Files.readString(folder.resolve("out")));
+        List<String> lines = Files.readAllLines(loadedClasses);
         assertTrue(lines.stream().anyMatch(line -> line.contains("lupinvalve.core.Pooler ")));
         assertEquals(
                 List.of(),
--- a/daemon/src/test/java/lupinvalve/cli/RereadPausesTest.java
+++ b/daemon/src/test/java/lupinvalve/cli/RereadPausesTest.java
@@ -6,13 +6,13 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A change counts as told 4 s after the signal, so the tries must be close to each other and over by then. */
+/** A change must be in force 4 s after the signal, so the attempts must follow closely and end before that. */
 class RereadPausesTest {
     @Test
-    void triesComeQuicklyAtFirstThenSlowerAndEndAfterThreeSeconds() {
+    void pausesGrowToTheMaximumAndEndAfterThreeSeconds() {
         RereadPauses pauses = new RereadPauses();
         List<Long> taken = new ArrayList<>();
-        while (pauses.more() && taken.size() < 100) {
+        while (pauses.hasNext() && taken.size() < 100) {
             taken.add(pauses.nextMillis());
         }
         assertEquals(List.of(50L, 100L, 200L, 400L, 400L, 400L, 400L, 400L, 400L, 250L), taken);
--- a/daemon/src/test/java/lupinvalve/cli/SettledChangeTest.java
+++ b/daemon/src/test/java/lupinvalve/cli/SettledChangeTest.java
@@ -5,33 +5,33 @@
 
 import java.nio.file.attribute.FileTime;
 import java.util.List;
-import lupinvalve.cli.SettledChange.Look;
+import lupinvalve.cli.SettledChange.FileStamp;
 import org.junit.jupiter.api.Test;
 
-/** Looks one second apart, by numbers alone. */
+/** Simulates polls at intervals of one second; reads no files. */
 class SettledChangeTest {
-    private static final long SECOND = 1_000_000;
-    private static final List<Look> FIRST = List.of(look(1, 100, "a"), look(1, 20, "b"));
+    private static final long SECOND_MICROS = 1_000_000;
+    private static final List<FileStamp> FIRST = List.of(stamp(1, 100, "a"), stamp(1, 20, "b"));
     private final SettledChange change = new SettledChange(FIRST);
 
-    private static Look look(long modified, long size, String key) {
-        return new Look(FileTime.fromMillis(modified), size, key);
+    private static FileStamp stamp(long modified, long size, String key) {
+        return new FileStamp(FileTime.fromMillis(modified), size, key);
     }
 
-    private boolean settled(List<Look> now, double seconds) {
-        return change.settled(now, Math.round(seconds * SECOND));
+    private boolean settled(List<FileStamp> current, double seconds) {
+        return change.settled(current, Math.round(seconds * SECOND_MICROS));
     }
 
     @Test
-    void filesThatStayAsTheyWereAreNoChange() {
+    void unchangedFilesAreNotReported() {
         for (int second = 1; second < 10; second++) {
             assertFalse(settled(FIRST, second));
         }
     }
 
     @Test
-    void aChangeIsTakenOnceItHasStoodForASecondAndOnlyOnce() {
-        List<Look> next = List.of(look(2, 100, "a"), look(1, 20, "b"));
+    void changeIsReportedOnceAfterOneStableSecond() {
+        List<FileStamp> next = List.of(stamp(2, 100, "a"), stamp(1, 20, "b"));
         assertFalse(settled(next, 1));
         assertFalse(settled(next, 1.999_999));
         assertTrue(settled(next, 2));
@@ -40,39 +40,39 @@
     }
 
     @Test
-    void aFileThatIsStillBeingWrittenIsNotTaken() {
+    void fileThatIsStillBeingWrittenIsNotReported() {
         for (int second = 1; second < 10; second++) {
-            assertFalse(settled(List.of(look(second, 100 + second, "a"), look(1, 20, "b")), second));
+            assertFalse(settled(List.of(stamp(second, 100 + second, "a"), stamp(1, 20, "b")), second));
         }
-        assertTrue(settled(List.of(look(9, 109, "a"), look(1, 20, "b")), 10));
+        assertTrue(settled(List.of(stamp(9, 109, "a"), stamp(1, 20, "b")), 10));
     }
 
     @Test
-    void timeSizeAndAFilePutInPlaceOfAnotherCountEachInBothFiles() {
-        List<List<Look>> others = List.of(
-                List.of(look(2, 100, "a"), look(1, 20, "b")),
-                List.of(look(1, 101, "a"), look(1, 20, "b")),
-                List.of(look(1, 100, "c"), look(1, 20, "b")),
-                List.of(look(1, 100, "a"), look(2, 20, "b")),
-                List.of(look(1, 100, "a"), look(1, 21, "b")),
-                List.of(look(1, 100, "a"), look(1, 20, "c")));
+    void timeSizeAndIdentityOfEitherFileAreCompared() {
+        List<List<FileStamp>> others = List.of(
+                List.of(stamp(2, 100, "a"), stamp(1, 20, "b")),
+                List.of(stamp(1, 101, "a"), stamp(1, 20, "b")),
+                List.of(stamp(1, 100, "c"), stamp(1, 20, "b")),
+                List.of(stamp(1, 100, "a"), stamp(2, 20, "b")),
+                List.of(stamp(1, 100, "a"), stamp(1, 21, "b")),
+                List.of(stamp(1, 100, "a"), stamp(1, 20, "c")));
         double second = 0;
-        for (List<Look> other : others) {
+        for (List<FileStamp> other : others) {
             assertFalse(settled(other, ++second));
             assertTrue(settled(other, ++second), other.toString());
         }
     }
 
     @Test
-    void aChangeThatIsUndoneBeforeItStoodIsNone() {
-        assertFalse(settled(List.of(look(2, 50, "a"), look(1, 20, "b")), 1));
+    void changeRevertedBeforeItIsStableIsNotReported() {
+        assertFalse(settled(List.of(stamp(2, 50, "a"), stamp(1, 20, "b")), 1));
         assertFalse(settled(FIRST, 2));
         assertFalse(settled(FIRST, 3));
     }
 
     @Test
-    void aFileThatGoesAndComesBackIsTakenBothTimes() {
-        List<Look> gone = List.of(Look.ABSENT, look(1, 20, "b"));
+    void removalAndReturnOfAFileAreBothReported() {
+        List<FileStamp> gone = List.of(FileStamp.ABSENT, stamp(1, 20, "b"));
         assertFalse(settled(gone, 1));
         assertTrue(settled(gone, 2));
         assertFalse(settled(FIRST, 3));
--- a/daemon/src/test/java/lupinvalve/cli/SubscriberTest.java
+++ b/daemon/src/test/java/lupinvalve/cli/SubscriberTest.java
@@ -32,31 +32,31 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Poolers that follow three members over real sockets, many on one loop as the laboratory has them. */
+/** Subscribers of three members over real sockets; many subscribers share one event loop. */
 class SubscriberTest {
     private static final List<String> NAMES = List.of("a", "b", "c");
-    private static final int MANY = 40;
+    private static final int SUBSCRIBERS_COUNT = 40;
 
     @TempDir
     private Path folder;
 
     private final Map<String, String> addresses = new TreeMap<>();
-    private final Map<String, RaftMember> groups = new HashMap<>();
+    private final Map<String, RaftMember> members = new HashMap<>();
     private final List<ControlPlane> subscribers = new ArrayList<>();
-    private final Map<String, ReplicatedState.Document> acting = new ConcurrentHashMap<>();
+    private final Map<String, ReplicatedState.Document> appliedDocuments = new ConcurrentHashMap<>();
     private final Map<String, Map<Command.DrainTarget, ReplicatedState.Drain>> holds = new ConcurrentHashMap<>();
     private final EventLoop loop = new EventLoop("subscribers");
     private final Net net = new Net(loop);
 
     @AfterEach
-    void end() {
+    void stopAll() {
         subscribers.forEach(ControlPlane::stop);
-        groups.values().forEach(RaftMember::stop);
+        members.values().forEach(RaftMember::stop);
         net.close();
         loop.stop();
     }
 
-    private ControlPlane.Listener pooler(String name) {
+    private ControlPlane.Listener listener(String name) {
         return new ControlPlane.Listener() {
             @Override
             public String validationError(byte[] document) {
@@ -65,7 +65,7 @@
 
             @Override
             public void configurationAccepted(ReplicatedState.Document document) {
-                acting.put(name, document);
+                appliedDocuments.put(name, document);
             }
 
             @Override
@@ -75,32 +75,32 @@
 
             @Override
             public void commitsAccepted(Command.SessionCommits commits) {
-                // Positions are of no matter here.
+                // Not used by these tests.
             }
         };
     }
 
-    private void members(OperatorConfig.Audit audit) throws IOException {
-        List<ServerSocket> held = new ArrayList<>();
+    private void startMembers(OperatorConfig.Audit audit) throws IOException {
+        List<ServerSocket> reserved = new ArrayList<>();
         for (String name : NAMES) {
             ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-            held.add(socket);
+            reserved.add(socket);
             addresses.put(name, "127.0.0.1:" + socket.getLocalPort());
         }
-        for (ServerSocket socket : held) {
+        for (ServerSocket socket : reserved) {
             socket.close();
         }
         for (String name : NAMES) {
-            member(name, audit);
+            startMember(name, audit);
         }
         loop.start();
     }
 
-    private void member(String name, OperatorConfig.Audit audit) throws IOException {
-        RaftMember group = new RaftMember(new OperatorConfig.Store(
+    private void startMember(String name, OperatorConfig.Audit audit) throws IOException {
+        RaftMember member = new RaftMember(new OperatorConfig.Store(
                 "plant", name, folder.resolve(name), addresses.get(name), addresses, null, 0, audit));
-        groups.put(name, group);
-        group.start(pooler(name));
+        members.put(name, member);
+        member.start(listener(name));
     }
 
     private Subscriber subscriber(String name, OperatorConfig.Audit audit) throws IOException {
@@ -111,36 +111,36 @@
                 new lupinvalve.replication.FolderDisk(folder.resolve(name), true),
                 name.hashCode());
         subscribers.add(subscriber);
-        subscriber.start(pooler(name));
+        subscriber.start(listener(name));
         return subscriber;
     }
 
-    private GroupClient.Result ask(String call, String... words) {
+    private GroupClient.Result call(String command, String... words) {
         List<byte[]> arguments = new ArrayList<>();
         for (String word : words) {
             arguments.add(word.getBytes(StandardCharsets.UTF_8));
         }
         try {
-            return new GroupClient("plant", addresses, null).call(call, arguments, false, 20_000);
+            return new GroupClient("plant", addresses, null).call(command, arguments, false, 20_000);
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    private void put(int revision, String user, String... more) {
-        List<String> words =
+    private void put(int revision, String user, String... moreArguments) {
+        List<String> arguments =
                 new ArrayList<>(List.of(Integer.toString(revision), "{\"mysql\":{\"user\":\"" + user + "\"}}"));
-        words.addAll(List.of(more));
-        GroupClient.Result said = ask("put", words.toArray(new String[0]));
-        assertEquals(WireMessages.Status.OK, said.status(), said.text());
+        arguments.addAll(List.of(moreArguments));
+        GroupClient.Result result = call("put", arguments.toArray(new String[0]));
+        assertEquals(WireMessages.Status.OK, result.status(), result.text());
     }
 
     private boolean allAt(List<Subscriber> all, long revision) {
-        return all.stream().allMatch(one -> one.appliedRevision() == revision && one.mayServe());
+        return all.stream().allMatch(subscriber -> subscriber.appliedRevision() == revision && subscriber.mayServe());
     }
 
-    private List<Subscriber> many(OperatorConfig.Audit audit) {
-        return IntStream.range(0, MANY)
+    private List<Subscriber> startSubscribers(OperatorConfig.Audit audit) {
+        return IntStream.range(0, SUBSCRIBERS_COUNT)
                 .mapToObj(i -> {
                     try {
                         return subscriber("s" + i, audit);
@@ -152,94 +152,101 @@
     }
 
     @Test
-    void manyFollowEachChangeByDifferencesAndAStrictOneWaitsForThem() throws Exception {
-        members(OperatorConfig.Audit.FENCE);
-        World.await("led", () -> groups.values().stream().anyMatch(RaftMember::isLeader));
+    void subscribersReceiveDeltasAndStrictChangeWaitsForThem() throws Exception {
+        startMembers(OperatorConfig.Audit.FENCE);
+        World.await("elected", () -> members.values().stream().anyMatch(RaftMember::isLeader));
         put(0, "one-of-a-name-that-is-as-long-as-a-difference");
-        List<Subscriber> all = many(OperatorConfig.Audit.FENCE);
-        World.await("all follow with a lease", () -> allAt(all, 1));
+        List<Subscriber> all = startSubscribers(OperatorConfig.Audit.FENCE);
+        World.await("all are at the revision with a lease", () -> allAt(all, 1));
         put(1, "two-of-a-name-that-is-as-long-as-a-difference", "strict");
         assertTrue(
-                all.stream().allMatch(one -> one.appliedRevision() == 2 || !one.mayServe()),
-                "by the time of a strict answer");
-        World.await("all act on it", () -> allAt(all, 2));
-        assertEquals(0, all.stream().filter(one -> one.traffic().deltas() == 0).count());
-        GroupClient.Result held = ask("hold", "node", "db-7", "disk", "strict");
-        assertEquals(WireMessages.Status.OK, held.status(), held.text());
+                all.stream().allMatch(subscriber -> subscriber.appliedRevision() == 2 || !subscriber.mayServe()),
+                "no lease on the previous revision when a strict change is acknowledged");
+        World.await("all apply the revision", () -> allAt(all, 2));
+        assertEquals(
+                0,
+                all.stream()
+                        .filter(subscriber -> subscriber.traffic().deltas() == 0)
+                        .count());
+        GroupClient.Result result = call("hold", "node", "db-7", "disk", "strict");
+        assertEquals(WireMessages.Status.OK, result.status(), result.text());
         World.await(
-                "held",
-                () -> all.stream().allMatch(one -> one.mayServe())
+                "drain applied",
+                () -> all.stream().allMatch(subscriber -> subscriber.mayServe())
                         && holds.get("s7").size() == 1);
 
-        // The member that leads goes: those that followed it come to others before their leases end, or soon after.
-        String leader = groups.entrySet().stream()
-                .filter(one -> one.getValue().isLeader())
+        // Stops the leader: its subscribers fail over to other members before their leases expire, or soon after.
+        String leader = members.entrySet().stream()
+                .filter(entry -> entry.getValue().isLeader())
                 .findFirst()
                 .orElseThrow()
                 .getKey();
-        groups.remove(leader).stop();
-        World.await("led anew", () -> groups.values().stream().anyMatch(RaftMember::isLeader));
+        members.remove(leader).stop();
+        World.await("elected again", () -> members.values().stream().anyMatch(RaftMember::isLeader));
         put(2, "three");
-        World.await("all act on the next", () -> allAt(all, 3));
+        World.await("all apply the next revision", () -> allAt(all, 3));
 
-        // Nobody of a group without a majority grants anything.
-        groups.remove(groups.keySet().iterator().next()).stop();
+        // Members without a majority grant no leases.
+        members.remove(members.keySet().iterator().next()).stop();
         World.await("fenced", () -> all.stream().noneMatch(Subscriber::mayServe));
-        assertTrue(all.stream().allMatch(one -> one.appliedRevision() == 3));
+        assertTrue(all.stream().allMatch(subscriber -> subscriber.appliedRevision() == 3));
     }
 
     @Test
-    void aMemberWithoutLeasesIsLeftForOneThatGrantsThem() throws Exception {
-        members(OperatorConfig.Audit.FENCE);
-        World.await("led", () -> groups.values().stream().anyMatch(RaftMember::isLeader));
+    void subscriberLeavesMemberThatGrantsNoLeases() throws Exception {
+        startMembers(OperatorConfig.Audit.FENCE);
+        World.await("elected", () -> members.values().stream().anyMatch(RaftMember::isLeader));
         put(0, "one");
-        String without = groups.keySet().stream()
-                .filter(name -> !groups.get(name).isLeader())
+        String memberWithoutLeases = members.keySet().stream()
+                .filter(name -> !members.get(name).isLeader())
                 .findFirst()
                 .orElseThrow();
-        groups.remove(without).stop();
-        member(without, OperatorConfig.Audit.OFF);
+        members.remove(memberWithoutLeases).stop();
+        startMember(memberWithoutLeases, OperatorConfig.Audit.OFF);
         String name = IntStream.range(0, 100)
                 .mapToObj(i -> "s" + i)
-                .filter(one ->
-                        new MemberSelector(one, NAMES, 1).preferredMember().equals(without))
+                .filter(candidate -> new MemberSelector(candidate, NAMES, 1)
+                        .preferredMember()
+                        .equals(memberWithoutLeases))
                 .findFirst()
                 .orElseThrow();
         World.await(
-                "it takes part",
-                () -> acting.containsKey(without) && groups.values().stream().anyMatch(RaftMember::isLeader));
+                "the restarted member has the document",
+                () -> appliedDocuments.containsKey(memberWithoutLeases)
+                        && members.values().stream().anyMatch(RaftMember::isLeader));
         Subscriber subscriber = subscriber(name, OperatorConfig.Audit.FENCE);
-        World.await("adopted", () -> subscriber.appliedRevision() == 1);
-        World.await("let act by another", subscriber::mayServe);
+        World.await("document applied", () -> subscriber.appliedRevision() == 1);
+        World.await("lease from another member", subscriber::mayServe);
         assertTrue(subscriber.traffic().failovers() > 0);
     }
 
     @Test
-    void aRestartActsOnWhatItKeptAndOneThatServesGoesOnWithoutMembers() throws Exception {
-        members(OperatorConfig.Audit.OFF);
-        World.await("led", () -> groups.values().stream().anyMatch(RaftMember::isLeader));
+    void restartedSubscriberAppliesCacheWithoutMembers() throws Exception {
+        startMembers(OperatorConfig.Audit.OFF);
+        World.await("elected", () -> members.values().stream().anyMatch(RaftMember::isLeader));
         put(0, "one");
         Subscriber serves = subscriber("serves", OperatorConfig.Audit.OFF);
         Subscriber fences = subscriber("fences", OperatorConfig.Audit.FENCE);
-        World.await("adopted", () -> serves.appliedRevision() == 1 && fences.appliedRevision() == 1);
-        assertTrue(serves.mayServe() && !fences.mayServe(), "members without audit grant no lease");
-        ask("hold", "node", "db-7", "disk");
-        World.await("held", () -> holds.getOrDefault("serves", Map.of()).size() == 1);
+        World.await("document applied", () -> serves.appliedRevision() == 1 && fences.appliedRevision() == 1);
+        assertTrue(serves.mayServe() && !fences.mayServe(), "members without audit must grant no lease");
+        call("hold", "node", "db-7", "disk");
+        World.await(
+                "drain applied", () -> holds.getOrDefault("serves", Map.of()).size() == 1);
         serves.stop();
-        groups.values().forEach(RaftMember::stop);
-        groups.clear();
-        acting.clear();
+        members.values().forEach(RaftMember::stop);
+        members.clear();
+        appliedDocuments.clear();
         holds.clear();
-        Subscriber again = subscriber("serves", OperatorConfig.Audit.OFF);
+        Subscriber restarted = subscriber("serves", OperatorConfig.Audit.OFF);
         World.await(
-                "acts on what it kept",
-                () -> again.appliedRevision() == 1
+                "applies its cached state",
+                () -> restarted.appliedRevision() == 1
                         && holds.getOrDefault("serves", Map.of()).size() == 1);
-        again.stop();
-        byte[] kept = Files.readAllBytes(folder.resolve("serves/followed"));
-        kept[kept.length / 2] ^= 4;
-        Files.write(folder.resolve("serves/followed"), kept);
+        restarted.stop();
+        byte[] cached = Files.readAllBytes(folder.resolve("serves/followed"));
+        cached[cached.length / 2] ^= 4;
+        Files.write(folder.resolve("serves/followed"), cached);
         Subscriber damaged = subscriber("serves", OperatorConfig.Audit.OFF);
-        assertEquals(null, damaged.initialState().document(), "what is damaged is not believed");
+        assertEquals(null, damaged.initialState().document(), "a corrupt cache is discarded");
     }
 }
--- a/daemon/src/test/java/lupinvalve/integration/DbNode.java
+++ b/daemon/src/test/java/lupinvalve/integration/DbNode.java
@@ -17,9 +17,12 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.LongSupplier;
 
-/** A scripted db node: one behaviour, spoken over PostgreSQL's protocol here and over MySQL's by a second port. */
+/**
+ * A scripted db node. It serves the PostgreSQL protocol; a second port may serve the same script over the MySQL
+ * protocol.
+ */
 public final class DbNode implements Closeable {
-    /** What a node makes of a request. */
+    /** The outcome of a request at a node. */
     public enum Makes {
         SERVED,
         MISS,
@@ -37,24 +40,27 @@
     public volatile LongSupplier asOf = System::currentTimeMillis;
     public final ConcurrentLinkedQueue<Makes> script = new ConcurrentLinkedQueue<>();
     public volatile String value = "value";
-    /** Answers wait for it. */
+    /** Answers are sent once it is open. */
     public volatile java.util.concurrent.CountDownLatch hold = new java.util.concurrent.CountDownLatch(0);
-    /** Connections are greeted once it is open. */
+    /** The greeting of a connection is sent once it is open. */
     public volatile java.util.concurrent.CountDownLatch greets = new java.util.concurrent.CountDownLatch(0);
-    /** Connections that have rested longer are dropped without a word, as the next request on them finds out. */
+    /** Idle time after which a connection is dropped without notice, which the next request on it detects. */
     public volatile long dropsAfterNanos = Long.MAX_VALUE;
 
+    /** Time since which the connection served last has been idle. */
     public volatile long restsSince = System.nanoTime();
-    /** What comes in place of an answer that is SPOILT, or behind one with MORE. */
+    /** The bytes sent instead of the answer for SPOILT, or after the answer for MORE. */
     public volatile byte[] strange = {};
-    /** Statements as they came, and how often each request has run. */
+    /** Statements in the order of their arrival. */
     public final List<String> seen = new CopyOnWriteArrayList<>();
 
+    /** Number of executions by request id. */
     public final Map<String, Integer> runs = new ConcurrentHashMap<>();
+    /** Number of open connections. */
     public final AtomicInteger open = new AtomicInteger();
-    /** Connections met so far. */
+    /** Number of connections accepted so far. */
     public final AtomicInteger met = new AtomicInteger();
-    /** Address of its MySQL port, where it has one. */
+    /** Address of its MySQL port, or null if it has none. */
     public volatile String mysql;
 
     volatile String phase = "in_service";
@@ -67,7 +73,7 @@
         serve(server, this::speak);
     }
 
-    /** What is done with a connection. */
+    /** Serves one connection. */
     public interface Speaker {
         void speak(Socket socket) throws IOException;
     }
@@ -76,7 +82,8 @@
         World.thread(() -> {
             while (true) {
                 Socket socket = from.accept();
-                // Else an answer's second packet waits 40 ms for the first to be acknowledged.
+                // Without this, Nagle's algorithm delays an answer's second packet by 40 ms, until the first is
+                // acknowledged.
                 socket.setTcpNoDelay(true);
                 sockets.add(socket);
                 World.thread(() -> {
@@ -107,7 +114,10 @@
         return primary ? "source" : "copy";
     }
 
-    /** Decides; counts what runs. */
+    /**
+     * Records a statement and returns its outcome, from the script or else from the node's role and log position;
+     * counts executions.
+     */
     public Makes decide(String statement, Map<String, String> fields) {
         seen.add(statement);
         Makes makes = script.poll();
--- a/daemon/src/test/java/lupinvalve/integration/ExampleFolderTest.java
+++ b/daemon/src/test/java/lupinvalve/integration/ExampleFolderTest.java
@@ -20,20 +20,20 @@
 import lupinvalve.config.OperatorConfig;
 import org.junit.jupiter.api.Test;
 
-/** What the README tells a newcomer to do works. */
+/** The steps of the README work with the files in the example folder. */
 class ExampleFolderTest {
     @Test
-    void the_toy_server_is_served_through_the_pooler() throws Exception {
-        Process toy = new ProcessBuilder(
+    void toyServerIsReachableThroughThePooler() throws Exception {
+        Process toyServer = new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                         "example/ToyServer.java",
                         "0")
                 .redirectErrorStream(true)
                 .start();
-        try (BufferedReader said = new BufferedReader(new InputStreamReader(toy.getInputStream()))) {
-            String line = said.readLine();
+        try (BufferedReader log = new BufferedReader(new InputStreamReader(toyServer.getInputStream()))) {
+            String line = log.readLine();
             while (line != null && !line.startsWith("discovery on")) {
-                line = said.readLine();
+                line = log.readLine();
             }
             assertNotNull(line);
             Matcher address = Pattern.compile("127\\.0\\.0\\.1:\\d+").matcher(line);
@@ -52,32 +52,33 @@
                     + "&assumeMinServerVersion=9.0")) {
                 String written = "INSERT INTO rows (handle, blob) VALUES ('k1', 'washed') RETURNING blob "
                         + "/* id=1,c=pickup-booking,t=acme,d=2000,cluster=1 */";
-                World.await("the list is told", () -> {
+                World.await("endpoint list received", () -> {
                     try {
-                        return "washed".equals(PlatformTest.end(client, written));
+                        return "washed".equals(PlatformTest.queryOutcome(client, written));
                     } catch (SQLException e) {
                         throw new IllegalStateException(e);
                     }
                 });
-                long after = System.currentTimeMillis();
+                long writtenAtMillis = System.currentTimeMillis();
                 assertEquals(
                         "washed",
-                        PlatformTest.end(
+                        PlatformTest.queryOutcome(
                                 client,
                                 "SELECT blob FROM rows WHERE handle = 'k1' "
-                                        + "/* id=2,c=own-order-view,t=acme,d=900,cluster=1,after=" + after + " */"));
+                                        + "/* id=2,c=own-order-view,t=acme,d=900,cluster=1,after=" + writtenAtMillis
+                                        + " */"));
             } finally {
                 daemon.stop();
             }
         } finally {
-            toy.destroy();
+            toyServer.destroy();
         }
     }
 
     @Test
-    void told_to_stop_the_program_ends_with_0() throws Exception {
+    void sigtermEndsTheProgramWithExitCode0() throws Exception {
         Path file = Files.createTempFile("example", ".json");
-        // Nothing answers at port 1: a pooler starts without its discovery, and stops without it.
+        // Nothing listens on port 1: the pooler must start and stop without discovery.
         Files.writeString(
                 file,
                 Files.readString(Path.of("example/config.json"))
@@ -93,10 +94,10 @@
                         file.toString())
                 .redirectErrorStream(true)
                 .start();
-        try (BufferedReader said = new BufferedReader(new InputStreamReader(program.getInputStream()))) {
-            String line = said.readLine();
+        try (BufferedReader log = new BufferedReader(new InputStreamReader(program.getInputStream()))) {
+            String line = log.readLine();
             while (line != null && !line.contains("listens on")) {
-                line = said.readLine();
+                line = log.readLine();
             }
             assertNotNull(line);
             program.destroy();
@@ -109,7 +110,7 @@
     }
 
     @Test
-    void the_operators_files_can_be_read() throws Exception {
+    void operatorFilesAreValid() throws Exception {
         OperatorConfig deployed = OperatorConfig.read(Files.readAllBytes(Path.of("deploy/operator.json")));
         assertNotNull(deployed.dnsSd());
         OperatorConfig follows = OperatorConfig.read(Files.readAllBytes(Path.of("deploy/operator-subscriber.json")));
@@ -121,7 +122,7 @@
         assertEquals("portal", accepted.mysql().user());
         assertEquals(example.mysql().listen(), accepted.mysql().listen());
         assertEquals(example.store(), accepted.store());
-        // What only one member's file says is not acted on.
+        // Shared sections in one member's file have no effect.
         assertNull(example.accepted(null).mysql());
     }
 }
--- a/daemon/src/test/java/lupinvalve/integration/Program.java
+++ b/daemon/src/test/java/lupinvalve/integration/Program.java
@@ -12,9 +12,9 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 
-/** The program as it ships, in a process of its own that ends with the test. */
+/** Runs the program's serve subcommand in a separate process, which is killed on close. */
 final class Program implements Closeable {
-    private static final long SAYS_SECONDS = 20;
+    private static final long LOG_TIMEOUT_SECONDS = 20;
     private final Path config;
     private final Process process;
     private final BufferedReader log;
@@ -30,7 +30,7 @@
         return serve(configuration, Map.of());
     }
 
-    /** @param environment is added to the test's own */
+    /** @param environment variables in addition to the test's environment */
     static Program serve(String configuration, Map<String, String> environment) throws IOException {
         Path config = Files.createTempFile("lupinvalve", ".json");
         Files.writeString(config, configuration);
@@ -49,39 +49,39 @@
         return new Program(config, command.start());
     }
 
-    /** The next line of the log that has these words; a program that does not say them in time is ended. */
-    String until(String words) throws IOException {
-        CompletableFuture<?> late = CompletableFuture.runAsync(
-                process::destroyForcibly, CompletableFuture.delayedExecutor(SAYS_SECONDS, TimeUnit.SECONDS));
+    /** Returns the next line of the log that contains the text; kills the process if it does not appear in time. */
+    String until(String text) throws IOException {
+        CompletableFuture<?> timeout = CompletableFuture.runAsync(
+                process::destroyForcibly, CompletableFuture.delayedExecutor(LOG_TIMEOUT_SECONDS, TimeUnit.SECONDS));
         try {
-            return next(words);
+            return next(text);
         } finally {
-            late.cancel(false);
+            timeout.cancel(false);
         }
     }
 
-    private String next(String words) throws IOException {
+    private String next(String text) throws IOException {
         for (String line = log.readLine(); line != null; line = log.readLine()) {
             lines.add(line);
-            if (line.contains(words)) {
+            if (line.contains(text)) {
                 return line;
             }
         }
-        throw new AssertionError("ended without: " + words + " in " + lines);
+        throw new AssertionError("log ended without: " + text + " in " + lines);
     }
 
-    /** The lines of the log that were read so far. */
+    /** The lines of the log that have been read so far. */
     List<String> lines() {
         return List.copyOf(lines);
     }
 
-    void signal(String which) throws IOException, InterruptedException {
-        new ProcessBuilder("kill", "-" + which, Long.toString(process.pid()))
+    void signal(String name) throws IOException, InterruptedException {
+        new ProcessBuilder("kill", "-" + name, Long.toString(process.pid()))
                 .start()
                 .waitFor();
     }
 
-    /** Its exit value, once it has ended. */
+    /** Waits for the end of the process and returns its exit code. */
     int exit(long seconds) throws InterruptedException, TimeoutException {
         if (!process.waitFor(seconds, TimeUnit.SECONDS)) {
             throw new TimeoutException("did not end in " + seconds + " s");
--- a/daemon/src/test/java/lupinvalve/integration/ReloadTest.java
+++ b/daemon/src/test/java/lupinvalve/integration/ReloadTest.java
@@ -1,6 +1,6 @@
 package lupinvalve.integration;
 
-import static lupinvalve.integration.PlatformTest.calm;
+import static lupinvalve.integration.PlatformTest.newWorld;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -17,34 +17,32 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/**
- * The program as it ships, its files changed while it runs: with SIGHUP heard, and with SIGHUP ignored from the start.
- */
+/** Changes the configuration files of a running program, with SIGHUP handled and with SIGHUP ignored from the start. */
 class ReloadTest {
     private static final String MOVED = "discovery is at";
     private static final String STAYS = "the old one stays";
     private static final List<String> WATCHING = List.of("lupinvalve.cli.FileWatch", "lupinvalve.cli.SettledChange");
     private static final List<String> REREADING = List.of("lupinvalve.cli.RereadPauses");
-    /** Whatever the build itself was started with: the signal is heard. */
-    private static final List<String> HEARD = List.of("env", "--default-signal=HUP");
-    /** As nohup leaves it. */
-    private static final List<String> IGNORED = List.of("sh", "-c", "trap '' HUP; exec \"$@\"", "sh");
+    /** Resets SIGHUP to its default, whatever the build itself was started with, so that the program handles it. */
+    private static final List<String> SIGHUP_HANDLED = List.of("env", "--default-signal=HUP");
+    /** Ignores SIGHUP, as nohup does. */
+    private static final List<String> SIGHUP_IGNORED = List.of("sh", "-c", "trap '' HUP; exec \"$@\"", "sh");
 
     @TempDir
     private Path folder;
 
-    /** Two discoveries that take calls and say nothing, and the program, which starts with the first. */
-    private final class Running implements Closeable {
-        final ServerSocket first = mute();
-        final ServerSocket second = mute();
+    /** Two discovery servers that accept calls and do not answer, and the program, which starts with the first. */
+    private final class RunningProgram implements Closeable {
+        final ServerSocket first = silentServer();
+        final ServerSocket second = silentServer();
         final Path config = folder.resolve("config.json");
         final Path operator = folder.resolve("operator.json");
-        private final World world = calm(new DbNode("s-1", true));
+        private final World world = newWorld(new DbNode("s-1", true));
         private final Path log = folder.resolve("log");
         private final Path loaded = folder.resolve("loaded");
         private final Process process;
 
-        Running(List<String> starter) throws Exception {
+        RunningProgram(List<String> starter) throws Exception {
             Files.writeString(config, world.config(first, 1024));
             Files.writeString(operator, "{}");
             List<String> command = new ArrayList<>(starter);
@@ -64,7 +62,7 @@
                     .redirectOutput(log.toFile())
                     .start();
             try {
-                says("listens on", 1);
+                awaitLines("listens on", 1);
                 first.accept().close();
             } catch (IOException | InterruptedException | AssertionError e) {
                 close();
@@ -72,35 +70,36 @@
             }
         }
 
-        private static ServerSocket mute() throws IOException {
+        private static ServerSocket silentServer() throws IOException {
             ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
             server.setSoTimeout(10_000);
             return server;
         }
 
-        String moved() throws IOException {
+        String configWithSecondDiscovery() throws IOException {
             return world.config(second, 1024);
         }
 
-        String half() throws IOException {
-            return moved().substring(0, moved().length() / 2);
+        String truncatedConfig() throws IOException {
+            return configWithSecondDiscovery()
+                    .substring(0, configWithSecondDiscovery().length() / 2);
         }
 
-        void signal(String which) throws Exception {
+        void signal(String name) throws Exception {
             assertEquals(
                     0,
-                    new ProcessBuilder("kill", "-" + which, Long.toString(process.pid()))
+                    new ProcessBuilder("kill", "-" + name, Long.toString(process.pid()))
                             .start()
                             .waitFor());
         }
 
-        /** How many lines of the log have these words. */
-        long said(String words) {
-            return lines(log).stream().filter(line -> line.contains(words)).count();
+        /** Number of log lines that contain the text. */
+        long countLines(String text) {
+            return lines(log).stream().filter(line -> line.contains(text)).count();
         }
 
-        void says(String words, int times) throws InterruptedException {
-            World.await(words + " in " + lines(log), () -> said(words) >= times);
+        void awaitLines(String text, int times) throws InterruptedException {
+            World.await(text + " in " + lines(log), () -> countLines(text) >= times);
         }
 
         List<String> loaded(List<String> names) {
@@ -109,8 +108,8 @@
                     .toList();
         }
 
-        /** Lets it serve to its end, which takes seconds, in which everything that is still due comes. */
-        void ends() throws Exception {
+        /** Shuts the program down and waits for its end; during these seconds all pending work completes. */
+        void shutDown() throws Exception {
             signal("TERM");
             assertTrue(process.waitFor(10, TimeUnit.SECONDS));
             assertEquals(0, process.exitValue());
@@ -134,56 +133,56 @@
     }
 
     @Test
-    void whereTheSignalIsIgnoredChangedFilesAreTakenOverOnceTheyStandStill() throws Exception {
-        try (Running running = new Running(IGNORED)) {
+    void ignoredSignalMakesTheProgramPollForStableChanges() throws Exception {
+        try (RunningProgram program = new RunningProgram(SIGHUP_IGNORED)) {
             assertEquals(
                     1,
-                    running.said("SIGHUP is ignored by whoever started this process: "
-                            + "configuration files are looked at every second"));
-            Files.writeString(running.operator, "{\"nothing\": 1}");
-            running.says(STAYS, 1);
-            Files.writeString(running.operator, "{}");
-            running.says(MOVED, 1);
-            Files.writeString(running.config, running.moved());
-            running.second.accept().close();
-            running.says(MOVED, 2);
-            assertEquals(1, running.said(STAYS));
-            assertEquals(WATCHING, running.loaded(WATCHING));
+                    program.countLines("SIGHUP was set to be ignored before this process started: "
+                            + "configuration files are polled every second"));
+            Files.writeString(program.operator, "{\"nothing\": 1}");
+            program.awaitLines(STAYS, 1);
+            Files.writeString(program.operator, "{}");
+            program.awaitLines(MOVED, 1);
+            Files.writeString(program.config, program.configWithSecondDiscovery());
+            program.second.accept().close();
+            program.awaitLines(MOVED, 2);
+            assertEquals(1, program.countLines(STAYS));
+            assertEquals(WATCHING, program.loaded(WATCHING));
         }
     }
 
     @Test
-    void whereTheSignalIsHeardNothingWatchesAndAFileThatStaysUnusableIsReportedOnce() throws Exception {
-        try (Running running = new Running(HEARD)) {
-            Files.writeString(running.config, running.moved());
-            running.signal("HUP");
-            running.second.accept().close();
-            assertEquals(List.of(), running.loaded(REREADING));
-            Files.writeString(running.config, running.half());
-            running.signal("HUP");
-            running.says(STAYS, 1);
-            running.ends();
-            assertEquals(REREADING, running.loaded(REREADING));
-            assertEquals(1, running.said(STAYS));
-            assertEquals(0, running.said("SIGHUP"));
-            assertEquals(List.of(), running.loaded(WATCHING));
+    void handledSignalDisablesPollingAndUnusableFileIsReportedOnce() throws Exception {
+        try (RunningProgram program = new RunningProgram(SIGHUP_HANDLED)) {
+            Files.writeString(program.config, program.configWithSecondDiscovery());
+            program.signal("HUP");
+            program.second.accept().close();
+            assertEquals(List.of(), program.loaded(REREADING));
+            Files.writeString(program.config, program.truncatedConfig());
+            program.signal("HUP");
+            program.awaitLines(STAYS, 1);
+            program.shutDown();
+            assertEquals(REREADING, program.loaded(REREADING));
+            assertEquals(1, program.countLines(STAYS));
+            assertEquals(0, program.countLines("SIGHUP"));
+            assertEquals(List.of(), program.loaded(WATCHING));
         }
     }
 
     @Test
-    void aFileThatWasHalfWrittenAsTheSignalCameIsTakenOverOnceItIsWhole() throws Exception {
-        try (Running running = new Running(HEARD)) {
-            Files.writeString(running.config, running.half());
-            running.signal("HUP");
-            running.says(STAYS, 1);
-            // The second signal goes on in place of the first, so the file is taken over once.
-            running.signal("HUP");
-            running.says(STAYS, 2);
-            Files.writeString(running.config, running.moved());
-            running.second.accept().close();
-            running.ends();
-            assertEquals(1, running.said(MOVED));
-            assertEquals(2, running.said(STAYS));
+    void fileThatWasTruncatedAtTheSignalIsAppliedOnceItIsComplete() throws Exception {
+        try (RunningProgram program = new RunningProgram(SIGHUP_HANDLED)) {
+            Files.writeString(program.config, program.truncatedConfig());
+            program.signal("HUP");
+            program.awaitLines(STAYS, 1);
+            // The second signal retries in place of the first, so the file is applied once.
+            program.signal("HUP");
+            program.awaitLines(STAYS, 2);
+            Files.writeString(program.config, program.configWithSecondDiscovery());
+            program.second.accept().close();
+            program.shutDown();
+            assertEquals(1, program.countLines(MOVED));
+            assertEquals(2, program.countLines(STAYS));
         }
     }
 }
--- a/daemon/src/test/java/lupinvalve/integration/StartTest.java
+++ b/daemon/src/test/java/lupinvalve/integration/StartTest.java
@@ -20,23 +20,23 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A process that starts with the list in its file, which may be old: a server listed there may have been drained long
- * ago.
+ * Guards against routing by an outdated endpoint list after a start: the list in the configuration file may contain a
+ * db node that was drained long ago, so a start waits for discovery.
  */
 class StartTest {
-    /** Longer than the rest of a start takes; a port that opens meanwhile opened on the old list. */
-    private static final long PENDING_MILLIS = 2_500;
+    /** Longer than the rest of a start; if the listener opens within this time, it opened with the outdated list. */
+    private static final long WAIT_MILLIS = 2_500;
 
-    private static final long WITHIN_SECONDS = 10;
-    /** How long a call waits before it fails. */
-    private static final long WAITED_MILLIS = 500;
+    private static final long TIMEOUT_SECONDS = 10;
+    /** Time for which a call is left unanswered before it fails. */
+    private static final long UNANSWERED_MILLIS = 500;
 
-    /** Discovery that takes calls and leaves it to the test when, and whether, they are answered. */
+    /** Discovery that accepts calls; the test decides when and whether they are answered. */
     private static final class Discovery implements Closeable {
         final ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
 
         Discovery() throws IOException {
-            server.setSoTimeout((int) TimeUnit.SECONDS.toMillis(WITHIN_SECONDS));
+            server.setSoTimeout((int) TimeUnit.SECONDS.toMillis(TIMEOUT_SECONDS));
         }
 
         static void answer(Socket call, String json) throws IOException {
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void noClientIsTakenBeforeDiscoveryHasAnsweredThisProcess() throws Exception {
+    void noClientIsAcceptedBeforeDiscoveryHasAnswered() throws Exception {
         DbNode primary = new DbNode("s-1", true);
         DbNode replica = new DbNode("s-2", false);
         AtomicBoolean failed = new AtomicBoolean();
@@ -78,15 +78,14 @@
             try {
                 CountDownLatch started = start(restarted, failed);
                 try (Socket call = discovery.server.accept()) {
-                    assertFalse(
-                            started.await(PENDING_MILLIS, TimeUnit.MILLISECONDS), "serves from a list that may be old");
-                    // The replica was drained while nobody told this process.
+                    assertFalse(started.await(WAIT_MILLIS, TimeUnit.MILLISECONDS), "serves with an outdated list");
+                    // The replica was drained without a notification to this process.
                     replica.phase = "terminating";
                     Discovery.answer(
                             call,
                             "{\"revision\":9,\"complete\":true,\"members\":[" + primary.entry() + "," + replica.entry()
                                     + "]}");
-                    assertTrue(started.await(WITHIN_SECONDS, TimeUnit.SECONDS), "serves once it is told");
+                    assertTrue(started.await(TIMEOUT_SECONDS, TimeUnit.SECONDS), "serves once discovery has answered");
                 }
                 assertFalse(failed.get());
             } finally {
@@ -96,13 +95,13 @@
     }
 
     @Test
-    void whereDiscoverySaysNothingItServesFromTheListInItsFileWithinSeconds() throws Exception {
+    void silentDiscoveryDelaysTheStartBySecondsOnly() throws Exception {
         AtomicBoolean failed = new AtomicBoolean();
         try (Discovery discovery = new Discovery();
                 World world = new World(OperatorConfig.NONE, new DbNode("s-1", true))) {
             Daemon restarted = World.daemon(world.config(discovery.server, 1024), OperatorConfig.NONE, null);
             try {
-                assertTrue(start(restarted, failed).await(WITHIN_SECONDS, TimeUnit.SECONDS));
+                assertTrue(start(restarted, failed).await(TIMEOUT_SECONDS, TimeUnit.SECONDS));
                 assertFalse(failed.get());
                 assertTrue(restarted.address().getPort() > 0);
             } finally {
@@ -112,7 +111,7 @@
     }
 
     @Test
-    void whereDiscoveryTurnsCallsDownItServesFromTheListInItsFileAtOnce() throws Exception {
+    void rejectingDiscoveryDoesNotDelayTheStart() throws Exception {
         AtomicBoolean failed = new AtomicBoolean();
         try (Discovery discovery = new Discovery();
                 World world = new World(OperatorConfig.NONE, new DbNode("s-1", true))) {
@@ -120,14 +119,13 @@
             try {
                 CountDownLatch started = start(restarted, failed);
                 for (int call = 0; call < 2; call++) {
-                    try (Socket turnedDown = discovery.server.accept()) {
-                        turnedDown
-                                .getOutputStream()
+                    try (Socket rejected = discovery.server.accept()) {
+                        rejected.getOutputStream()
                                 .write("HTTP/1.1 503 Service Unavailable\r\n\r\n".getBytes(StandardCharsets.UTF_8));
                     }
                 }
-                // The third call is not answered, and holds nothing up.
-                assertTrue(started.await(PENDING_MILLIS, TimeUnit.MILLISECONDS));
+                // The third call is not answered and must not delay the start.
+                assertTrue(started.await(WAIT_MILLIS, TimeUnit.MILLISECONDS));
                 assertFalse(failed.get());
             } finally {
                 restarted.stop();
@@ -135,9 +133,12 @@
         }
     }
 
-    /** An overloaded discovery has calls wait, fails some and answers others: what it has told others may bind here. */
+    /**
+     * An overloaded discovery delays calls, fails some and answers others: changes that it has notified to other
+     * poolers may have to be in force here.
+     */
     @Test
-    void callsThatFailAfterTheyHaveWaitedDoNotEndTheWait() throws Exception {
+    void callsThatFailAfterADelayDoNotEndTheWait() throws Exception {
         AtomicBoolean failed = new AtomicBoolean();
         try (Discovery discovery = new Discovery();
                 World world = new World(OperatorConfig.NONE, new DbNode("s-1", true))) {
@@ -146,18 +147,18 @@
                 CountDownLatch started = start(restarted, failed);
                 for (int call = 0; call < 2; call++) {
                     try (Socket reset = discovery.server.accept()) {
-                        assertFalse(started.await(WAITED_MILLIS, TimeUnit.MILLISECONDS));
+                        assertFalse(started.await(UNANSWERED_MILLIS, TimeUnit.MILLISECONDS));
                         reset.setSoLinger(true, 0);
                     }
                 }
                 try (Socket call = discovery.server.accept()) {
                     assertFalse(
-                            started.await(WAITED_MILLIS, TimeUnit.MILLISECONDS), "serves from a list that may be old");
+                            started.await(UNANSWERED_MILLIS, TimeUnit.MILLISECONDS), "serves with an outdated list");
                     Discovery.answer(
                             call,
                             "{\"revision\":9,\"complete\":true,\"members\":["
                                     + world.nodes.get(0).entry() + "]}");
-                    assertTrue(started.await(WITHIN_SECONDS, TimeUnit.SECONDS));
+                    assertTrue(started.await(TIMEOUT_SECONDS, TimeUnit.SECONDS));
                 }
                 assertFalse(failed.get());
             } finally {
@@ -167,7 +168,7 @@
     }
 
     @Test
-    void theProgramSaysWhatItStartsFrom() throws Exception {
+    void startLogsTheListOfTheFile() throws Exception {
         Pattern start = Pattern.compile(
                 "INFO \\S+ starts: list of the file at revision \\d+ with 2 db nodes, discovery at 127.0.0.1:\\d+.*");
         try (Discovery discovery = new Discovery();
@@ -185,7 +186,7 @@
                 Discovery.answer(call, "");
             }
             program.signal("TERM");
-            assertEquals(0, program.exit(WITHIN_SECONDS));
+            assertEquals(0, program.exit(TIMEOUT_SECONDS));
         }
     }
 }
