--- a/daemon/src/test/java/lupinvalve/integration/World.java
+++ b/daemon/src/test/java/lupinvalve/integration/World.java
@@ -25,7 +25,7 @@
 import lupinvalve.config.OperatorConfig;
 import lupinvalve.log.Log;
 
-/** One pooler before scripted db nodes and a scripted discovery, all on loopback. */
+/** Test fixture: one pooler with scripted db nodes and a scripted discovery service, all on loopback. */
 public final class World implements Closeable {
     static {
         Log.setLevel(Log.Level.ERROR);
@@ -33,10 +33,10 @@
 
     public final List<DbNode> nodes;
     public final Daemon daemon;
-    final AtomicInteger watches = new AtomicInteger();
-    volatile boolean beats = true;
+    final AtomicInteger watchesCount = new AtomicInteger();
+    volatile boolean heartbeats = true;
     final ServerSocket discovery = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-    private final List<OutputStream> watching = new CopyOnWriteArrayList<>();
+    private final List<OutputStream> watchStreams = new CopyOnWriteArrayList<>();
     private final AtomicInteger revision = new AtomicInteger(1);
 
     public World(OperatorConfig operator, DbNode... nodes) throws Exception {
@@ -47,49 +47,53 @@
         this(sockets, operator, null, nodes);
     }
 
-    /** @param shared folder for operators' orders, with an address for their calls; null for neither */
-    public World(int sockets, OperatorConfig operator, Path shared, DbNode... nodes) throws Exception {
+    /**
+     * @param sharedDirectory directory that the processes of a hot restart share; turns on the admin interface. Null
+     *     for neither
+     */
+    public World(int sockets, OperatorConfig operator, Path sharedDirectory, DbNode... nodes) throws Exception {
         this.nodes = List.of(nodes);
         thread(() -> {
             while (true) {
                 Socket socket = discovery.accept();
-                thread(() -> answer(socket, watches));
+                thread(() -> answer(socket, watchesCount));
             }
         });
         thread(() -> {
             while (true) {
                 Thread.sleep(500);
-                if (beats) {
-                    line("");
+                if (heartbeats) {
+                    sendToWatches("");
                 }
             }
         });
-        daemon = daemon(config(discovery, sockets), operator, shared);
+        daemon = daemon(config(discovery, sockets), operator, sharedDirectory);
         daemon.start();
     }
 
-    /** The same pooler once more: with the same address and folder, and a door of its own. */
-    Daemon successor(Path shared) throws Exception {
+    /** A second daemon of the same pooler: the same listen address and shared directory, and its own admin address. */
+    Daemon successor(Path sharedDirectory) throws Exception {
         return daemon(
                 config(discovery, 1024)
                         .replace("127.0.0.1:0", "127.0.0.1:" + daemon.address().getPort()),
                 OperatorConfig.NONE,
-                shared);
+                sharedDirectory);
     }
 
-    static Daemon daemon(String config, OperatorConfig operator, Path shared) throws IOException {
+    static Daemon daemon(String config, OperatorConfig operator, Path sharedDirectory) throws IOException {
         Path file = Files.createTempFile("lupinvalve", ".json");
         Files.writeString(
-                file, shared == null ? config : config.replaceFirst("\\{", "{\"operator\": \"127.0.0.1:00\","));
-        Daemon daemon = new Daemon(NodeConfig.read(file, null), operator, shared);
+                file,
+                sharedDirectory == null ? config : config.replaceFirst("\\{", "{\"operator\": \"127.0.0.1:00\","));
+        Daemon daemon = new Daemon(NodeConfig.read(file, null), operator, sharedDirectory);
         Files.delete(file);
         return daemon;
     }
 
-    /** What a call to the operators' address is answered. */
+    /** Sends a command to the admin interface and returns the answer. */
     static String call(Daemon daemon, String line) throws IOException {
         try (Socket socket = new Socket(
-                daemon.doorAddress().getAddress(), daemon.doorAddress().getPort())) {
+                daemon.adminAddress().getAddress(), daemon.adminAddress().getPort())) {
             socket.setSoTimeout(10_000);
             socket.getOutputStream().write((line + "\n").getBytes(UTF_8));
             return new String(socket.getInputStream().readAllBytes(), UTF_8);
@@ -100,16 +104,16 @@
         return call(daemon, line);
     }
 
-    /** The platform's file, with discovery at a port. */
-    String config(ServerSocket at, int sockets) throws IOException {
+    /** The platform's configuration file with this discovery server and limit on sockets. */
+    String config(ServerSocket discoveryServer, int sockets) throws IOException {
         return Files.readString(Path.of("example/config.json"))
                 .replace("127.0.0.1:5432", "127.0.0.1:0")
-                .replace("127.0.0.1:8500", "127.0.0.1:" + at.getLocalPort())
+                .replace("127.0.0.1:8500", "127.0.0.1:" + discoveryServer.getLocalPort())
                 .replace("\"sockets\": 1024", "\"sockets\": " + sockets)
                 .replace("\"members\": []", "\"members\": [" + entries() + "]");
     }
 
-    /** Code that may fail when its socket closes under it. */
+    /** Work of a background thread, whose exceptions are ignored: its sockets are closed while it uses them. */
     public interface Work {
         void run() throws Exception;
     }
@@ -119,7 +123,7 @@
             try {
                 work.run();
             } catch (Exception e) {
-                // The peer has gone, or the test is over.
+                // The peer has closed the connection, or the test has ended.
                 Thread.currentThread().interrupt();
             }
         });
@@ -135,12 +139,12 @@
         }
     }
 
-    /** Waits until something holds. */
-    public static void await(String what, BooleanSupplier holds) throws InterruptedException {
-        long end = System.nanoTime() + 10_000_000_000L;
-        while (!holds.getAsBoolean()) {
-            if (System.nanoTime() > end) {
-                throw new AssertionError("not in 10 s: " + what);
+    /** Waits up to 10 s until a condition holds. */
+    public static void await(String what, BooleanSupplier condition) throws InterruptedException {
+        long deadlineNanos = System.nanoTime() + 10_000_000_000L;
+        while (!condition.getAsBoolean()) {
+            if (System.nanoTime() > deadlineNanos) {
+                throw new AssertionError("condition not met within 10 s: " + what);
             }
             Thread.sleep(2);
         }
@@ -150,21 +154,21 @@
         return nodes.stream().map(DbNode::entry).collect(Collectors.joining(","));
     }
 
-    /** Answers as discovery; counts the watch. */
+    /** Serves one connection as discovery: counts the watch and sends the complete list. */
     void answer(Socket socket, AtomicInteger count) throws IOException {
         InputStream in = socket.getInputStream();
-        StringBuilder head = new StringBuilder();
-        while (head.indexOf("\r\n\r\n") < 0) {
-            head.append((char) in.read());
+        StringBuilder requestHead = new StringBuilder();
+        while (requestHead.indexOf("\r\n\r\n") < 0) {
+            requestHead.append((char) in.read());
         }
         OutputStream out = socket.getOutputStream();
         out.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".getBytes(UTF_8));
         count.incrementAndGet();
-        watching.add(out);
-        push(out, "{\"revision\":" + revision.get() + ",\"complete\":true,\"members\":[" + entries() + "]}");
+        watchStreams.add(out);
+        sendLine(out, "{\"revision\":" + revision.get() + ",\"complete\":true,\"members\":[" + entries() + "]}");
     }
 
-    private static void push(OutputStream out, String text) throws IOException {
+    private static void sendLine(OutputStream out, String text) throws IOException {
         byte[] line = (text + "\n").getBytes(UTF_8);
         synchronized (out) {
             out.write((Integer.toHexString(line.length) + "\r\n").getBytes(UTF_8));
@@ -173,37 +177,38 @@
         }
     }
 
-    private void line(String text) {
-        for (OutputStream out : watching) {
+    private void sendToWatches(String text) {
+        for (OutputStream out : watchStreams) {
             try {
-                push(out, text);
+                sendLine(out, text);
             } catch (IOException e) {
-                watching.remove(out);
+                watchStreams.remove(out);
             }
         }
     }
 
-    /** Tells of a node's new phase. */
+    /** Changes a node's phase and notifies all watches. */
     public void phase(DbNode node, String phase) {
         node.phase = phase;
-        line("{\"revision\":" + revision.incrementAndGet() + ",\"complete\":false,\"members\":[" + node.entry() + "]}");
+        sendToWatches("{\"revision\":" + revision.incrementAndGet() + ",\"complete\":false,\"members\":[" + node.entry()
+                + "]}");
     }
 
-    /** A client of PostgreSQL's own driver. */
+    /** Connects with PostgreSQL's JDBC driver. */
     public Connection pg() throws SQLException {
         return pg(daemon.address().getPort());
     }
 
     static Connection pg(int port) throws SQLException {
-        Properties p = new Properties();
-        p.setProperty("user", "api");
-        p.setProperty("preferQueryMode", "simple");
-        p.setProperty("sslmode", "disable");
-        p.setProperty("assumeMinServerVersion", "9.0");
-        return DriverManager.getConnection("jdbc:postgresql://127.0.0.1:" + port + "/ledger", p);
+        Properties properties = new Properties();
+        properties.setProperty("user", "api");
+        properties.setProperty("preferQueryMode", "simple");
+        properties.setProperty("sslmode", "disable");
+        properties.setProperty("assumeMinServerVersion", "9.0");
+        return DriverManager.getConnection("jdbc:postgresql://127.0.0.1:" + port + "/ledger", properties);
     }
 
-    /** A client of MySQL's own driver. */
+    /** Connects with MySQL's JDBC driver. */
     public Connection mysql(String user, String password) throws SQLException {
         return DriverManager.getConnection(
                 "jdbc:mysql://127.0.0.1:" + daemon.mysqlAddress().getPort()
@@ -212,7 +217,7 @@
                 password);
     }
 
-    /** A bare socket to the platform's front, which has sent its startup message. */
+    /** A plain socket to the PostgreSQL frontend that has sent its startup message and these queries. */
     Socket raw(String... queries) throws IOException {
         Socket socket = new Socket("127.0.0.1", daemon.address().getPort());
         socket.setSoTimeout(10_000);
@@ -229,7 +234,7 @@
         return socket;
     }
 
-    /** A simple query as it is sent. */
+    /** Encodes a simple query message. */
     static byte[] query(String text) {
         byte[] bytes = (text + "\0").getBytes(UTF_8);
         return java.nio.ByteBuffer.allocate(1 + Integer.BYTES + bytes.length)
--- a/deploy/build.sh
+++ b/deploy/build.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Builds the jar, then lets a JVM of the kind that deploy/run.sh starts rehearse service on loopback and write down the
-# classes it met (an archive for class data sharing): a start then takes less of the platform's part of a core.
+# Builds the jar, then runs the rehearse subcommand on loopback with the JVM options of deploy/run.sh, to create an archive
+# of the loaded classes for class data sharing: a start then takes less of the platform's share of a core.
 set -e
 mvn -q -B -DskipTests -pl daemon -am package
 rm -f daemon/target/lupinvalve.jsa
--- a/deploy/run.sh
+++ b/deploy/run.sh
@@ -1,14 +1,15 @@
 #!/bin/sh
-# Starts a pooler with a heap that fits the platform's limit on memory, which differs by day. It is not touched at
-# the start: that takes a tenth of what a start costs, and the bound holds all the same. 72 MB are left for the rest.
+# Starts a pooler with a heap that fits the platform's memory limit, which differs from day to day. The heap is not
+# pre-touched: that takes a tenth of the cost of a start, and the maximum size applies without it. 72 MB of the limit are
+# left for the JVM's other memory.
 #
-# The platform refuses to start other programs: the shell reads the file by itself, up to the key, then becomes the JVM.
-# The file may be large (a list of thousands of db nodes) and may be one line, so each byte is looked at once: a line is
-# split at its quotation marks, and the key is a part that is followed by a colon. Patterns that cut off a prefix
-# (${text#*key}) try every prefix anew, which took minutes for 960 db nodes.
+# The platform prevents the start of other programs: the shell itself reads the configuration file up to the key, then execs
+# the JVM. The file may be large (an endpoint list of thousands of db nodes) and may be one line, so each byte is read once:
+# a line is split at its quotation marks, and the key is a part that is followed by a colon. Patterns that remove a prefix
+# (${text#*key}) try every prefix, which took minutes for 960 db nodes.
 #
-# A signal may come before there is a program to hear it. What SIGHUP announces is in the file that the program has yet to
-# read, and SIGTERM ends nothing that was taken.
+# A signal may arrive before the program handles it. SIGHUP is ignored, since the program has yet to read the file that it
+# announces; SIGTERM exits with 0, since no request was accepted yet.
 trap '' HUP
 trap 'exit 0' TERM
 memory=
@@ -26,7 +27,7 @@
                 [ "$part" != memory_mb ] || after_key=key
                 continue
             fi
-            # What follows the key's name: white space and, where it is the key, a colon; its value may stand on a later line.
+            # After the key's name: white space and, if it is the key, a colon; the value may be on a later line.
             between=${part%%[!\ :"	"]*}
             value=${part#"$between"}
             case $between in
@@ -45,23 +46,23 @@
         unset IFS
     done < "$NODE_CONFIG"
     set +f
-    # Where the value is no number the default holds.
+    # If the value is not a number, the default applies.
     [ "$memory" != none ] || memory=
 fi
 heap=$((${memory:-128} - 72))
 [ "$heap" -ge 40 ] || heap=40
 [ "$heap" -le 112 ] || heap=112
 export MALLOC_ARENA_MAX=2
-# Where operators have an address, two of these run beside each other during an upgrade, within the same limit: the heap then
-# starts small and grows where it must, and its part for new objects stays small.
+# With an admin interface, two processes run concurrently during a hot restart, within the same memory limit: the heap then
+# starts small and grows on demand, and its young generation stays small.
 start="-Xms${heap}m"
 [ -z "$NODE_OPERATOR" ] || start="-Xms24m -Xmn10m"
-# What the build's rehearsal wrote down of the classes; a JVM that can't use it reads them from the jar as ever.
+# The archive for class data sharing from the build; a JVM that can't use it loads the classes from the jar.
 archive=daemon/target/lupinvalve.jsa
 [ -r "$archive" ] && set -- "-XX:SharedArchiveFile=$archive" -Xlog:cds=off || set --
-# A method is compiled after 50 calls in place of 200: clients come at full rate from the first second on, and code that
-# is still interpreted takes several times the part of a core that a pooler has.
-# The platform's sockets are IPv4 alone; a JVM left to itself opens IPv6 sockets that carry both.
+# A method is compiled after 50 calls instead of 200: clients send at full rate from the first second on, and interpreted
+# code takes several times the share of a core that a pooler has.
+# The platform's sockets are IPv4 only; by default the JVM opens IPv6 sockets that carry both.
 trap - HUP
 # shellcheck disable=SC2086
 exec java "$@" -XX:+UseSerialGC $start "-Xmx${heap}m" -XX:MaxDirectMemorySize=12m \
--- a/drills/src/test/java/lupinvalve/drills/DaemonLogTest.java
+++ b/drills/src/test/java/lupinvalve/drills/DaemonLogTest.java
@@ -28,6 +28,6 @@
         assertNull(
                 DaemonLog.fault(
                         "INFO clients ended: 5 to make room (open 1 to 2 ms, 0 requests due); 7 it broke (open 1 to 2 ms, 9 requests due)"));
-        assertNull(DaemonLog.fault("ERROR configuration: the old one stays unless this is mended in 3 s"));
+        assertNull(DaemonLog.fault("ERROR configuration: the old one stays unless the files are usable within 3 s"));
     }
 }
--- a/example/ToyServer.java
+++ b/example/ToyServer.java
@@ -13,8 +13,8 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * A toy plant to try lupinvalve with: a discovery service and one db set of a primary and two replicas, which apply
- * writes 50 ms and 400 ms late. Run it with {@code java example/ToyServer.java [discovery port]}.
+ * A toy installation for trying out lupinvalve: a discovery service, and one group of a primary and two replicas, which
+ * apply writes with a lag of 50 ms and 400 ms. Run it with {@code java example/ToyServer.java [discovery port]}.
  */
 public final class ToyServer {
     private record Row(String blob, long committedMillis) {}
@@ -71,13 +71,13 @@
                 .start();
     }
 
-    // ---- discovery: the list, and a beat every 2 s ----
+    // ---- discovery: the endpoint list, and a heartbeat every 2 s ----
 
     private static void watch(Socket socket, String list) throws IOException {
         BufferedReader in =
                 new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
         while (!in.readLine().isEmpty()) {
-            // The request's head says nothing that this toy needs.
+            // The request's headers are not needed.
             continue;
         }
         OutputStream out = socket.getOutputStream();
--- a/example/cluster/start.sh
+++ b/example/cluster/start.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Three poolers on loopback that keep one configuration between them; needs the built jar. All files go to the folder
-# given, or to a new one. Ends with this script.
+# Starts three poolers on loopback that replicate one configuration; needs the built jar. All files are written to the folder
+# given as the argument, or to a new one. The poolers stop when this script ends.
 set -e
 cd "$(dirname "$0")/../.."
 jar=daemon/target/lupinvalve.jar
