--- a/routing/src/main/java/lupinvalve/routing/RetryAfter.java
+++ b/routing/src/main/java/lupinvalve/routing/RetryAfter.java
@@ -21,7 +21,7 @@
 
     /** Returns the Retry-After in microseconds; 0, which means none is stated, where the deployment allows none. */
     long micros(RequestClass requestClass) {
-        RouterSettings.SiteLimits limits = context.settings().limits();
+        RouterSettings.DeploymentLimits limits = context.settings().limits();
         long maxMicros = limits.retryAfter() ? limits.maxRetryAfterMicros() : 0;
         double readMicros = READ_OBJECTIVE_RATIO
                 * (MIN_JITTER_RATIO + context.random().nextDouble())
--- a/routing/src/main/java/lupinvalve/routing/RouterSettings.java
+++ b/routing/src/main/java/lupinvalve/routing/RouterSettings.java
@@ -19,7 +19,7 @@
         int zone,
         boolean mustSubscribe,
         List<RequestClass> classes,
-        SiteLimits limits,
+        DeploymentLimits limits,
         Rules rules,
         Replication replication,
         double crossZonePrice) {
@@ -52,7 +52,7 @@
      * @param maxRetryAfterMicros longest Retry-After that may be stated
      * @param maxOpenRequests number of requests that clients can have open at this router at once
      */
-    public record SiteLimits(
+    public record DeploymentLimits(
             int maxAttempts,
             boolean parallelAttempts,
             boolean cancel,
@@ -61,7 +61,7 @@
             long maxRetryAfterMicros,
             long maxOpenRequests) {
         /** Checks the ranges. */
-        public SiteLimits {
+        public DeploymentLimits {
             require(maxOpenRequests > 0, "ceilings.max_open", maxOpenRequests);
             require(maxAttempts > 0, "ceilings.attempts_cap", maxAttempts);
             require(maxRetryAfterMicros >= 0, "ceilings.max_retry_after_us", maxRetryAfterMicros);
@@ -125,7 +125,7 @@
             int zone,
             boolean mustSubscribe,
             List<RequestClass> classes,
-            SiteLimits limits,
+            DeploymentLimits limits,
             Rules rules,
             Replication replication) {
         this(instanceIndex, instanceCount, zone, mustSubscribe, classes, limits, rules, replication, 0);
--- a/routing/src/test/java/lupinvalve/routing/ExampleTest.java
+++ b/routing/src/test/java/lupinvalve/routing/ExampleTest.java
@@ -30,7 +30,7 @@
                 0,
                 false,
                 List.of(read),
-                new RouterSettings.SiteLimits(5, false, true, true, true, 1_000_000, 10_000),
+                new RouterSettings.DeploymentLimits(5, false, true, true, true, 1_000_000, 10_000),
                 new RouterSettings.Rules(5_000, 1_000_000, 10_000_000, 0.2, 10_000_000, 2, 1_500_000),
                 new RouterSettings.Replication(
                         RouterSettings.FreshnessCheck.BOUNCE, 0, RouterSettings.TokenSource.REMEMBERED));
--- a/routing/src/test/java/lupinvalve/routing/FleetTest.java
+++ b/routing/src/test/java/lupinvalve/routing/FleetTest.java
@@ -78,7 +78,7 @@
                     0,
                     false,
                     List.of(read),
-                    new RouterSettings.SiteLimits(6, false, true, true, true, SECOND, 1000),
+                    new RouterSettings.DeploymentLimits(6, false, true, true, true, SECOND, 1000),
                     new RouterSettings.Rules(
                             20 * MS,
                             250 * MS,
--- a/routing/src/test/java/lupinvalve/routing/RequestQueueTest.java
+++ b/routing/src/test/java/lupinvalve/routing/RequestQueueTest.java
@@ -20,7 +20,7 @@
                         0,
                         true,
                         base.classes(),
-                        new RouterSettings.SiteLimits(8, false, true, true, true, 1_000_000, 20),
+                        new RouterSettings.DeploymentLimits(8, false, true, true, true, 1_000_000, 20),
                         base.rules(),
                         base.replication()),
                 now,
--- a/routing/src/test/java/lupinvalve/routing/RetryAfterTest.java
+++ b/routing/src/test/java/lupinvalve/routing/RetryAfterTest.java
@@ -33,7 +33,7 @@
                 0,
                 false,
                 List.of(READ, WRITE),
-                new RouterSettings.SiteLimits(5, false, true, true, allowed, maxMicros, 1000),
+                new RouterSettings.DeploymentLimits(5, false, true, true, allowed, maxMicros, 1000),
                 new RouterSettings.Rules(0, 0, 0, 0.2, 0, 2, 0),
                 new RouterSettings.Replication(
                         RouterSettings.FreshnessCheck.SILENT, 0, RouterSettings.TokenSource.CARRIED));
--- a/routing/src/test/java/lupinvalve/routing/RouterFixture.java
+++ b/routing/src/test/java/lupinvalve/routing/RouterFixture.java
@@ -53,7 +53,7 @@
                         requestClass("strong-read", RequestClass.Access.STRONG, RequestClass.Effect.SAFE, 200 * MS),
                         requestClass("write", RequestClass.Access.WRITE, writeEffect, 500 * MS),
                         requestClass("long-read", RequestClass.Access.ANY, RequestClass.Effect.SAFE, 2000 * MS)),
-                new RouterSettings.SiteLimits(8, false, true, true, true, 1_000_000, 10_000),
+                new RouterSettings.DeploymentLimits(8, false, true, true, true, 1_000_000, 10_000),
                 new RouterSettings.Rules(8 * MS, 1000 * MS, 10_000 * MS, 0.2, 10_000 * MS, 2, 1500 * MS),
                 new RouterSettings.Replication(check, 50 * MS, tokens));
     }
--- a/routing/src/test/java/lupinvalve/routing/RouterSettingsTest.java
+++ b/routing/src/test/java/lupinvalve/routing/RouterSettingsTest.java
@@ -10,7 +10,8 @@
     @Test
     void settingsOutOfRangeAreRejectedByName() {
         IllegalArgumentException thrown = assertThrows(
-                IllegalArgumentException.class, () -> new RouterSettings.SiteLimits(0, false, true, true, true, 0, 1));
+                IllegalArgumentException.class,
+                () -> new RouterSettings.DeploymentLimits(0, false, true, true, true, 0, 1));
         assertTrue(thrown.getMessage().contains("attempts_cap"));
         assertThrows(
                 IllegalArgumentException.class,
--- a/routing/src/test/java/lupinvalve/routing/RulesWorldSettings.java
+++ b/routing/src/test/java/lupinvalve/routing/RulesWorldSettings.java
@@ -17,7 +17,7 @@
     final double work;
 
     final RouterSettings.Rules rules;
-    final RouterSettings.SiteLimits limits;
+    final RouterSettings.DeploymentLimits limits;
     final RouterSettings.Replication replication;
     private final SplittableRandom random;
 
@@ -39,7 +39,7 @@
                 (2 + random.nextInt(17)) * SECOND,
                 2 + 3 * random.nextDouble(),
                 (1000 + random.nextInt(2500)) * MILLI);
-        limits = new RouterSettings.SiteLimits(
+        limits = new RouterSettings.DeploymentLimits(
                 1 + random.nextInt(8),
                 random.nextBoolean(),
                 true,
--- a/routing/src/test/java/lupinvalve/routing/ServerEligibilityTest.java
+++ b/routing/src/test/java/lupinvalve/routing/ServerEligibilityTest.java
@@ -33,7 +33,7 @@
                             2000 * MS,
                             1,
                             0.2)),
-                    new RouterSettings.SiteLimits(8, false, true, true, true, 1_000_000, 10_000),
+                    new RouterSettings.DeploymentLimits(8, false, true, true, true, 1_000_000, 10_000),
                     new RouterSettings.Rules(20 * MS, GRACE_MICROS, 10_000 * MS, 0.2, 10_000 * MS, 2, 1500 * MS),
                     new RouterSettings.Replication(
                             RouterSettings.FreshnessCheck.SILENT, 50 * MS, RouterSettings.TokenSource.REMEMBERED)),
--- a/simulator/src/main/java/lupinvalve/simulator/SettingsReader.java
+++ b/simulator/src/main/java/lupinvalve/simulator/SettingsReader.java
@@ -29,7 +29,7 @@
             double ratePerSecond) {
         /** A copy whose limit of open requests is at most {@code maxOpenRequests}. */
         public Site withMaxOpenRequests(long maxOpenRequests) {
-            RouterSettings.SiteLimits limits = settings.limits();
+            RouterSettings.DeploymentLimits limits = settings.limits();
             return new Site(
                     new RouterSettings(
                             settings.instanceIndex(),
@@ -37,7 +37,7 @@
                             settings.zone(),
                             settings.mustSubscribe(),
                             settings.classes(),
-                            new RouterSettings.SiteLimits(
+                            new RouterSettings.DeploymentLimits(
                                     limits.maxAttempts(),
                                     limits.parallelAttempts(),
                                     limits.cancel(),
@@ -104,7 +104,7 @@
                     count(env.integerOr("zone", 0)),
                     env.text("registry_mode").equals("subscribe"),
                     classes(env, family),
-                    new RouterSettings.SiteLimits(
+                    new RouterSettings.DeploymentLimits(
                             count(limits.integer("attempts_cap")),
                             limits.flagOr("parallel_tries", false),
                             limits.flagOr("may_cancel", false),
