--- a/capacity/src/main/java/lupinvalve/capacity/CodeFacts.java
+++ b/capacity/src/main/java/lupinvalve/capacity/CodeFacts.java
@@ -60,14 +60,15 @@
     /** {@code InFlightLimit.INITIAL_ATTEMPTS}: attempts out at a db node, of all poolers together. */
     static final double LIMIT_START = 16;
     /**
-     * {@code DecayingMean.MEMORY_MICROS} and {@code MAX_SAMPLES}: how long an answer counts, and how many make a
+     * {@code DecayingMean.DECAY_TIME_MICROS} and {@code MAX_SAMPLES}: how long an answer counts, and how many make a
      * picture of its own.
      */
     static final double MEMORY_SECONDS = 3;
 
     static final double ANSWERS_FOR_A_PICTURE = 12;
     /**
-     * {@code SlowStart.NO_WARM_SERVER_ATTEMPTS}: tries at a cold db node where none is warm, of all poolers together.
+     * {@code SlowStart.NO_WARM_SERVER_ADMITTING_ROUTERS}: tries at a cold db node where none is warm, of all poolers
+     * together.
      */
     static final double COLD_ALONE = 10;
     /** {@code HealthChecker.SPARSE_BUDGET_PER_REQUEST_CHECKS}: probes a request where poolers are many. */
--- a/capacity/src/test/java/lupinvalve/capacity/CodeFactsTest.java
+++ b/capacity/src/test/java/lupinvalve/capacity/CodeFactsTest.java
@@ -48,9 +48,11 @@
     @Test
     void theDecisionsBoundsAreTheProgramsOwn() throws ReflectiveOperationException {
         assertEquals(CodeFacts.LIMIT_START, constant("lupinvalve.routing.InFlightLimit", "INITIAL_ATTEMPTS"));
-        assertEquals(CodeFacts.MEMORY_SECONDS, constant("lupinvalve.routing.DecayingMean", "MEMORY_MICROS") / MICROS);
+        assertEquals(
+                CodeFacts.MEMORY_SECONDS, constant("lupinvalve.routing.DecayingMean", "DECAY_TIME_MICROS") / MICROS);
         assertEquals(CodeFacts.ANSWERS_FOR_A_PICTURE, constant("lupinvalve.routing.DecayingMean", "MAX_SAMPLES"));
-        assertEquals(CodeFacts.COLD_ALONE, constant("lupinvalve.routing.SlowStart", "NO_WARM_SERVER_ATTEMPTS"));
+        assertEquals(
+                CodeFacts.COLD_ALONE, constant("lupinvalve.routing.SlowStart", "NO_WARM_SERVER_ADMITTING_ROUTERS"));
         assertEquals(
                 CodeFacts.PROBES_PER_REQUEST,
                 constant("lupinvalve.routing.HealthChecker", "SPARSE_BUDGET_PER_REQUEST_CHECKS"));
--- a/core/src/main/java/lupinvalve/core/AttemptTable.java
+++ b/core/src/main/java/lupinvalve/core/AttemptTable.java
@@ -80,7 +80,10 @@
         onAbandoned.accept(attempt, maybeSent ? outcome : AttemptOutcome.NOT_SENT);
     }
 
-    /** Abandons an attempt without reporting an outcome. */
+    /**
+     * Abandons an attempt whose answer is being forwarded, without reporting an outcome: the router is notified when
+     * the forwarding starts that the request was served.
+     */
     void discard(Attempt attempt) {
         byHandle.remove(attempt.handle);
         backend(attempt).abandon(attempt.handle);
--- a/core/src/main/java/lupinvalve/core/EndpointDiscovery.java
+++ b/core/src/main/java/lupinvalve/core/EndpointDiscovery.java
@@ -2,7 +2,11 @@
 
 /** A source of the endpoint list. Reports to {@link Pooler#onEndpointListEvent}. Called on the core thread. */
 public interface EndpointDiscovery {
-    /** Starts or stops watching the list; changes and the failure of a watch are reported as events. */
+    /**
+     * Starts or stops watching the list. The first answer to a new watch, even if nothing has changed, each later
+     * change and the failure of the watch are reported as events; the router requests the watch again until it is
+     * answered.
+     */
     void subscribe(boolean active);
 
     /** Requests the complete list once. */
--- a/core/src/main/java/lupinvalve/core/EndpointDraining.java
+++ b/core/src/main/java/lupinvalve/core/EndpointDraining.java
@@ -66,15 +66,15 @@
      * The time from which the grace period of an event's drains counts, in Unix microseconds: the earliest at which the
      * event may have been sent. An event that may have been sent longer ago than the grace period leaves none of it.
      */
-    long notifiedSinceMicros(EndpointListEvent event, long nowMicros) {
+    long graceCountsFromMicros(EndpointListEvent event, long nowMicros) {
         // The router's endpoint list applies the same limits.
         return Math.min(nowMicros, Math.max(nowMicros - graceMicros, event.notifiedSinceMicros()));
     }
 
     /** Records whether a db node is draining, by the endpoint that the router is given for it. */
-    void update(Endpoint effective, long notifiedSinceMicros) {
+    void update(Endpoint effective, long graceCountsFromMicros) {
         if (effective.state() == EndpointState.DRAINING) {
-            drainingSinceMicros.putIfAbsent(effective.node(), notifiedSinceMicros);
+            drainingSinceMicros.putIfAbsent(effective.node(), graceCountsFromMicros);
         } else {
             drainingSinceMicros.remove(effective.node());
         }
--- a/core/src/main/java/lupinvalve/core/EndpointListEvent.java
+++ b/core/src/main/java/lupinvalve/core/EndpointListEvent.java
@@ -12,7 +12,10 @@
  *     period of db nodes that it drains or removes counts from then
  */
 public record EndpointListEvent(ListForm form, List<DiscoveredEndpoint> endpoints, long notifiedSinceMicros) {
-    /** An event of unknown age: an update counts as sent when it is applied, any other event as sent long ago. */
+    /**
+     * An event of unknown age: an update counts as sent when it is applied; any other event as sent long ago, since a
+     * complete list may repeat a drain that was notified long ago.
+     */
     public EndpointListEvent(ListForm form, List<DiscoveredEndpoint> endpoints) {
         this(form, endpoints, form == ListForm.UPDATE ? Long.MAX_VALUE : Long.MIN_VALUE);
     }
--- a/core/src/main/java/lupinvalve/core/EndpointRegistry.java
+++ b/core/src/main/java/lupinvalve/core/EndpointRegistry.java
@@ -89,7 +89,8 @@
      * Updates the usable instance of an id.
      *
      * @param effective the endpoint that the router is given for the entry
-     * @return whether the previous instance is no longer usable, so that its idle connections are to be closed
+     * @return whether the usable instance of the id may have changed, so that idle connections to a previous one are to
+     *     be closed
      */
     boolean updateInstance(DiscoveredEndpoint discovered, Endpoint effective) {
         String node = effective.node();
--- a/core/src/main/java/lupinvalve/core/EndpointUpdates.java
+++ b/core/src/main/java/lupinvalve/core/EndpointUpdates.java
@@ -53,7 +53,7 @@
      */
     private void notifyRouter(EndpointListEvent event) {
         long now = loop.now();
-        long notifiedSinceMicros = draining.notifiedSinceMicros(event, now);
+        long graceCountsFromMicros = draining.graceCountsFromMicros(event, now);
         List<Endpoint> effective = new ArrayList<>();
         List<String> replaced = new ArrayList<>();
         for (DiscoveredEndpoint discovered : event.endpoints()) {
@@ -62,10 +62,10 @@
             if (endpoints.updateInstance(discovered, endpoint)) {
                 replaced.add(endpoint.node());
             }
-            draining.update(endpoint, notifiedSinceMicros);
+            draining.update(endpoint, graceCountsFromMicros);
         }
         draining.retainAll(endpoints.instanceIds());
-        router.feed(now, new RouterEvent.EndpointUpdate(event.form(), effective, notifiedSinceMicros));
+        router.feed(now, new RouterEvent.EndpointUpdate(event.form(), effective, graceCountsFromMicros));
         replaced.forEach(attempts::closeIdleConnections);
     }
 
--- a/core/src/main/java/lupinvalve/core/EventLoop.java
+++ b/core/src/main/java/lupinvalve/core/EventLoop.java
@@ -67,7 +67,10 @@
         posted.add(() -> {});
     }
 
-    /** Sets a task to run before each other task; urgent tasks that it posts run ahead of that one too. Any thread. */
+    /**
+     * Sets a task that runs before each other task; urgent tasks that it posts run before that other task as well. Any
+     * thread.
+     */
     public void runBeforeEachTask(Runnable task) {
         beforeEachTask = task;
     }
@@ -141,8 +144,8 @@
 
     /**
      * Logs what a task throws, so that a fault in one connection does not end the thread that serves all of them.
-     * Errors are caught too: without the thread, a class that cannot be loaded or a stack overflow in one request would
-     * leave a process that accepts connections but never answers.
+     * Errors are caught too: if a class that cannot be loaded or a stack overflow in one request ended the thread, the
+     * process would still accept connections but never answer.
      */
     private void runGuarded(Runnable task) {
         try {
--- a/core/src/main/java/lupinvalve/core/OpenRequest.java
+++ b/core/src/main/java/lupinvalve/core/OpenRequest.java
@@ -18,7 +18,7 @@
 
     /** The id by which the router identifies it; set by {@link RequestTable}. */
     String routerId;
-    /** Whether it has been removed from {@link RequestTable}, right before its final answer. */
+    /** Whether it has been removed from {@link RequestTable}; its final answer, if it gets one, follows at once. */
     boolean closed;
 
     /** Whether a db node has served it and the answer is held back until the session token is durable. */
--- a/core/src/main/java/lupinvalve/core/Pooler.java
+++ b/core/src/main/java/lupinvalve/core/Pooler.java
@@ -324,7 +324,8 @@
             open.firstAttemptAtMicros = now;
         }
         if (open.isClientDisconnected()) {
-            // The core has not processed the client's disconnect yet, which may be long past when it does.
+            // The client has disconnected, but the core has not processed that yet and may do so much later, so the
+            // request is closed now.
             lifecycle.closeDisconnected(open);
             reportNotSent(start, number, true);
             return;
--- a/core/src/test/java/lupinvalve/core/EndpointDrainingTest.java
+++ b/core/src/test/java/lupinvalve/core/EndpointDrainingTest.java
@@ -25,14 +25,15 @@
         return new Endpoint("a", 1, 0, state, false, 0);
     }
 
+    /** A complete list may repeat a drain that was notified long ago, so no grace is left for its drains. */
     @Test
-    void theGraceOfACompleteListIsOverAndThatOfAnUpdateCountsFromItsSending() {
+    void theGraceOfADrainIsOverInACompleteListAndCountsFromTheSendingOfAnUpdate() {
         EndpointListEvent full = new EndpointListEvent(ListForm.FULL, List.of());
-        assertEquals(NOW - GRACE_MICROS, draining.notifiedSinceMicros(full, NOW));
+        assertEquals(NOW - GRACE_MICROS, draining.graceCountsFromMicros(full, NOW));
         EndpointListEvent update = new EndpointListEvent(ListForm.UPDATE, List.of());
-        assertEquals(NOW, draining.notifiedSinceMicros(update, NOW));
+        assertEquals(NOW, draining.graceCountsFromMicros(update, NOW));
         EndpointListEvent queued = new EndpointListEvent(ListForm.UPDATE, List.of(), NOW - 50_000);
-        assertEquals(NOW - 50_000, draining.notifiedSinceMicros(queued, NOW));
+        assertEquals(NOW - 50_000, draining.graceCountsFromMicros(queued, NOW));
     }
 
     @Test
--- a/core/src/test/java/lupinvalve/core/LogTextsTest.java
+++ b/core/src/test/java/lupinvalve/core/LogTextsTest.java
@@ -11,7 +11,7 @@
 import lupinvalve.routing.EndpointState;
 import org.junit.jupiter.api.Test;
 
-/** Log lines about requests and endpoint lists at the default level. */
+/** The log lines about requests and endpoint lists that an on-call engineer reads at the default level. */
 class LogTextsTest {
     private static DiscoveredEndpoint endpoint(String id, EndpointState state, long startedAtMicros) {
         return new DiscoveredEndpoint(
--- a/routing/src/main/java/lupinvalve/routing/Admission.java
+++ b/routing/src/main/java/lupinvalve/routing/Admission.java
@@ -2,7 +2,8 @@
 
 /**
  * Decides whether an attempt of a request may be started at a server now. Applies the in-flight limit, load shedding
- * and slow start, in this order; the first of them that rejects determines the result.
+ * and slow start, in this order. If load shedding rejects a request at a server in slow start, the result is
+ * {@link AdmissionResult#IN_SLOW_START}, so that the request is not given up because of that server.
  */
 final class Admission {
     private final InFlightLimit limit;
--- a/routing/src/main/java/lupinvalve/routing/AttemptOutcome.java
+++ b/routing/src/main/java/lupinvalve/routing/AttemptOutcome.java
@@ -19,12 +19,16 @@
     /** The attempt ended before any byte of the request was written to a socket. */
     NOT_SENT(true),
     /**
-     * The server can't answer the request: its data is too old for the read, or it isn't the primary that the write
-     * needs.
+     * The request went to a server that is not fit for it: its data is too old for the read, or it isn't the primary
+     * that the write needs. A read that the server did answer counts as this too if the answer's position is older than
+     * the session's token.
      */
     MISDIRECTED(true);
 
-    /** Whether this outcome proves that the server did not run the request. */
+    /**
+     * Whether the server counts as not having run the request: the outcome proves it, except for a read that was
+     * answered but counts as {@link #MISDIRECTED}.
+     */
     public final boolean neverRan;
 
     AttemptOutcome(boolean neverRan) {
--- a/routing/src/main/java/lupinvalve/routing/AttemptTimeout.java
+++ b/routing/src/main/java/lupinvalve/routing/AttemptTimeout.java
@@ -4,7 +4,7 @@
  * Computes the time limits of an attempt from its expected latency. The expected latency is the service time of the
  * request's class (see {@link LoadStatistics#serviceTimeMicros}) times the server's current slowdown (see
  * {@link LoadStatistics#slowdown}). An attempt that takes several times its expected latency is overdue, which counts
- * against the server's health; after several times longer it is cancelled.
+ * against the server's health; after several times that, it is abandoned.
  */
 final class AttemptTimeout {
     /** An attempt is overdue after this multiple of its expected latency. */
@@ -12,10 +12,10 @@
 
     /** An attempt is never overdue sooner than this. */
     private static final long MIN_OVERDUE_MICROS = 100_000;
-    /** An attempt is cancelled after this multiple of the time after which it is overdue. */
+    /** An attempt is abandoned after this multiple of the time after which it is overdue. */
     private static final double TIMEOUT_OVERDUE_MULTIPLE = 4;
 
-    /** The server always gets at least this time to begin. */
+    /** The server gets at least this time to begin, unless the attempt's timeout is shorter. */
     private static final long MIN_START_WITHIN_MICROS = 10_000;
 
     private final RouterContext context;
@@ -45,11 +45,11 @@
     }
 
     /**
-     * Returns the time in microseconds after its start at which an attempt is cancelled. A request that may run more
-     * than once is cancelled early enough for another attempt: after {@link #TIMEOUT_OVERDUE_MULTIPLE} times the
-     * overdue time, or already after the overdue time if its idle connection may have been dropped unnoticed. A request
-     * that must not run twice, or for which no time for another attempt would be left, gets all the time until its
-     * client's deadline.
+     * Returns the time in microseconds after its start at which an attempt is abandoned. An attempt of a request that
+     * may run more than once is abandoned early enough for another attempt: after {@link #TIMEOUT_OVERDUE_MULTIPLE}
+     * times the overdue time, or already after the overdue time if its idle connection may have been dropped unnoticed.
+     * A request that must not run twice, or for which no time for another attempt would be left, gets all the time
+     * until its client's deadline.
      *
      * @param overdueAfterMicros the result of {@link #overdueAfterMicros} for the attempt
      * @param connectionIdleMicros how long the connection that the attempt will use has been idle
--- a/routing/src/main/java/lupinvalve/routing/EndpointList.java
+++ b/routing/src/main/java/lupinvalve/routing/EndpointList.java
@@ -100,8 +100,10 @@
     private void setState(Server server, EndpointState state, long notifiedSinceMicros) {
         Listing listing = server.listing;
         if (state != EndpointState.LIVE && listing.state == EndpointState.LIVE) {
-            long graceStart = context.nowMicros() - context.settings().rules().drainGraceMicros();
-            listing.drainNotifiedMicros = Math.min(context.nowMicros(), Math.max(graceStart, notifiedSinceMicros));
+            long earliestNotifiedMicros =
+                    context.nowMicros() - context.settings().rules().drainGraceMicros();
+            listing.drainNotifiedMicros =
+                    Math.min(context.nowMicros(), Math.max(earliestNotifiedMicros, notifiedSinceMicros));
         }
         listing.state = state;
         if (state == EndpointState.DEPARTED) {
--- a/routing/src/main/java/lupinvalve/routing/EndpointState.java
+++ b/routing/src/main/java/lupinvalve/routing/EndpointState.java
@@ -4,7 +4,10 @@
 public enum EndpointState {
     /** In service. */
     LIVE,
-    /** Shuts down gracefully and accepts no new requests. */
+    /**
+     * Shuts down gracefully and gets no new requests, except that a primary gets writes for a while, see
+     * {@link ServerEligibility}.
+     */
     DRAINING,
     /** Removed from service. */
     DEPARTED
--- a/routing/src/main/java/lupinvalve/routing/EndpointWatch.java
+++ b/routing/src/main/java/lupinvalve/routing/EndpointWatch.java
@@ -28,7 +28,9 @@
         }
     }
 
-    /** Requests the watch; unless answered, it is requested again after half the longest poll interval, or 1 s. */
+    /**
+     * Requests the watch; unless answered, it is requested again after half the longest poll interval, at least 1 s.
+     */
     private void subscribe() {
         context.perform(new RouterAction.WatchEndpoints(true));
         nextRequestMicros = context.nowMicros()
--- a/routing/src/main/java/lupinvalve/routing/HealthChecker.java
+++ b/routing/src/main/java/lupinvalve/routing/HealthChecker.java
@@ -62,7 +62,7 @@
     HealthChecker(RouterContext context, ReplicationLag lag, InFlightLimit limit) {
         this.context = context;
         this.lag = lag;
-        budgetPerRequestChecks = limit.isTrafficSparse() && lag.isCheckedByServers()
+        budgetPerRequestChecks = limit.hasManyRouters() && lag.isCheckedByServers()
                 ? SPARSE_BUDGET_PER_REQUEST_CHECKS
                 : BUDGET_PER_REQUEST_CHECKS;
     }
--- a/routing/src/main/java/lupinvalve/routing/InFlightLimit.java
+++ b/routing/src/main/java/lupinvalve/routing/InFlightLimit.java
@@ -51,14 +51,14 @@
     private final LoadStatistics load;
     private final double minAttempts;
     private final double initialAttempts;
-    private final boolean trafficSparse;
+    private final boolean manyRouters;
 
     InFlightLimit(RouterContext context, LoadStatistics load) {
         this.context = context;
         this.load = load;
         initialAttempts = Math.max(1, INITIAL_ATTEMPTS / context.settings().instanceCount());
         minAttempts = Math.max(1, MIN_ATTEMPTS / context.settings().instanceCount());
-        trafficSparse = minAttempts < MIN_MEASURABLE_ATTEMPTS;
+        manyRouters = minAttempts < MIN_MEASURABLE_ATTEMPTS;
     }
 
     /** Returns the state of a server that is new to the router. */
@@ -67,11 +67,12 @@
     }
 
     /**
-     * Whether there are so many routers that each has too few attempts in flight to measure a server's load by them.
-     * The limit alone then can't protect the servers, and {@link LoadShedding} adds to it.
+     * Whether there are so many routers, four or more, that each has too few attempts in flight to measure a server's
+     * load by them. It depends on the number of routers only, not on the present traffic. The limit alone then can't
+     * protect the servers, and {@link LoadShedding} adds to it.
      */
-    boolean isTrafficSparse() {
-        return trafficSparse;
+    boolean hasManyRouters() {
+        return manyRouters;
     }
 
     /**
--- a/routing/src/main/java/lupinvalve/routing/LoadShedding.java
+++ b/routing/src/main/java/lupinvalve/routing/LoadShedding.java
@@ -4,7 +4,7 @@
  * Load shedding: rejects a part of the requests at once while latencies exceed their target; the further they exceed
  * it, the larger the part. Clients' retries are rejected first. It applies only where there are so many routers that
  * each sends too little to one server for an {@link InFlightLimit} of its own, see
- * {@link InFlightLimit#isTrafficSparse}.
+ * {@link InFlightLimit#hasManyRouters}.
  */
 final class LoadShedding {
     /** The latency ratio (mean latency over latency objective) above which load is shed. */
@@ -46,6 +46,6 @@
     boolean sheds(Server server, PendingRequest request, double limitRatio) {
         double targetRatio = TARGET_LATENCY_RATIO * (request.isWrite() ? WRITE_TARGET_MULTIPLE : limitRatio);
         double targetPart = Math.min(1, targetRatio / load.latencyRatio(server));
-        return limit.isTrafficSparse() && request.sheddingDraw >= Math.pow(targetPart, STEEPNESS_EXPONENT);
+        return limit.hasManyRouters() && request.sheddingDraw >= Math.pow(targetPart, STEEPNESS_EXPONENT);
     }
 }
--- a/routing/src/main/java/lupinvalve/routing/OutlierDetection.java
+++ b/routing/src/main/java/lupinvalve/routing/OutlierDetection.java
@@ -58,7 +58,10 @@
         this.healthChecker = healthChecker;
     }
 
-    /** Whether a server may get an attempt: it is not overdue with an answer, and not ejected or on trial and idle. */
+    /**
+     * Whether a server may get an attempt: it is not overdue with an answer, and it is either not ejected or on trial
+     * without an attempt in flight, as a server on trial gets one attempt at a time.
+     */
     boolean isHealthy(Server server) {
         State state = server.outlier;
         return !isOverdue(server)
--- a/routing/src/main/java/lupinvalve/routing/PrimaryFallback.java
+++ b/routing/src/main/java/lupinvalve/routing/PrimaryFallback.java
@@ -9,7 +9,10 @@
     private static final long MAX_WAIT_MICROS = 2_000_000;
     /** A read also waits for a replica no longer than this part of its latency objective. */
     private static final double WAIT_OBJECTIVE_RATIO = 0.2;
-    /** The part of the primary's in-flight limit that reads may fill; the rest is reserved for writes. */
+    /**
+     * The part of the primary's in-flight limit that reads other than strong ones may fill; the rest is reserved for
+     * strong reads and writes.
+     */
     private static final double READ_LIMIT_RATIO = 0.6;
     /** A read spills over to the primary only if the replica's latency ratio (latency over objective) is above this. */
     private static final double SPILL_MIN_LATENCY_RATIO = 0.25;
--- a/routing/src/main/java/lupinvalve/routing/PrimaryTracker.java
+++ b/routing/src/main/java/lupinvalve/routing/PrimaryTracker.java
@@ -63,7 +63,10 @@
         }
     }
 
-    /** Takes a live server listed as primary for it, unless one is known or the server has stated to be a replica. */
+    /**
+     * Makes a live server that the endpoint list gives as primary the group's primary, unless one is known or the
+     * server is known to have been a replica.
+     */
     void listedAsPrimary(Server server) {
         if (server.group.primary() == null && server.role.knownReplicaMicros == NEVER_MICROS) {
             server.group.primaryState.primary = server;
--- a/routing/src/main/java/lupinvalve/routing/QueueDeadline.java
+++ b/routing/src/main/java/lupinvalve/routing/QueueDeadline.java
@@ -31,8 +31,9 @@
 
     /**
      * Returns the time on the router's clock at which a queued request is given up, the earliest of three: the longest
-     * wait for its kind has passed; no answer would reach the client before its deadline any more; or the answer could
-     * only come when it has lost its value, that is, the time until then is shorter than the expected latency.
+     * wait for its kind has passed; the latest useful time to start an attempt, see {@link #lastStartMicros}, has
+     * passed; or the answer could only come when it has lost its value, that is, the time until then is shorter than
+     * the expected latency.
      */
     long micros(PendingRequest request) {
         long objectiveMicros = request.requestClass.latencyObjectiveMicros();
--- a/routing/src/main/java/lupinvalve/routing/ReplicaCost.java
+++ b/routing/src/main/java/lupinvalve/routing/ReplicaCost.java
@@ -31,10 +31,10 @@
      */
     private static final double DRAWN_COST_MULTIPLE = 0.01;
     /**
-     * Where traffic is sparse (see {@link InFlightLimit#isTrafficSparse}), a cost counts as less only below this part
-     * of the other: costs then rest on few answers, which differ by chance.
+     * Where there are many routers (see {@link InFlightLimit#hasManyRouters}), a cost counts as less only below this
+     * part of the other: costs then rest on few answers, which differ by chance.
      */
-    private static final double SPARSE_LESS_COST_RATIO = 0.85;
+    private static final double MANY_ROUTERS_LESS_COST_RATIO = 0.85;
 
     private final RouterContext context;
     private final LoadStatistics load;
@@ -49,7 +49,7 @@
         double crossingCost =
                 1 + CROSSING_PRICE_COST_MULTIPLE * context.settings().crossZonePrice();
         otherZoneCost = Math.max(OTHER_ZONE_COST_MULTIPLE, crossingCost);
-        lessCostRatio = limit.isTrafficSparse() ? SPARSE_LESS_COST_RATIO : 1;
+        lessCostRatio = limit.hasManyRouters() ? MANY_ROUTERS_LESS_COST_RATIO : 1;
     }
 
     /** Whether a cost counts as less than the least cost so far. */
--- a/routing/src/main/java/lupinvalve/routing/ReplicationLag.java
+++ b/routing/src/main/java/lupinvalve/routing/ReplicationLag.java
@@ -57,10 +57,11 @@
 
     /**
      * Whether a replica may be sent a read that requires a log position. It may if the replica has stated that position
-     * or a later one. Where servers check the position themselves, it also may if the estimated position, which is now
-     * minus the last known lag, plus an allowance reaches it. The allowance is half the time that a server waits to
-     * catch up, less {@link #ALLOWANCE_STEP_MICROS} for each earlier attempt: a replica that is too far behind rejects
-     * the read at once, and without the reduction all attempts would be used up within a moment.
+     * or a later one. Where servers check the position themselves, it also may if no lag is known yet, or if the
+     * estimated position, which is now minus the last known lag, plus an allowance reaches it. The allowance is half
+     * the time that a server waits to catch up, less {@link #ALLOWANCE_STEP_MICROS} for each earlier attempt: a replica
+     * that is too far behind rejects the read at once, and without the reduction all attempts would be used up within a
+     * moment.
      */
     boolean isFresh(Server server, long requiredPosition, int earlierAttempts) {
         State state = server.lag;
--- a/routing/src/main/java/lupinvalve/routing/SessionTokens.java
+++ b/routing/src/main/java/lupinvalve/routing/SessionTokens.java
@@ -46,7 +46,7 @@
 
     /**
      * Stores the position of a session's write, unless requests carry their tokens. The present time stands for an
-     * unknown position, as no commit lies after it.
+     * unknown position, as the write was committed before its answer arrived.
      */
     void recordWrite(RouterEvent.RequestArrived request, long position) {
         if (source == RouterSettings.TokenSource.REMEMBERED && request.session() != null) {
--- a/routing/src/main/java/lupinvalve/routing/SlowStart.java
+++ b/routing/src/main/java/lupinvalve/routing/SlowStart.java
@@ -7,29 +7,35 @@
  * unevenly they are loaded. Budget is earned by served requests rather than by started attempts, since attempts that
  * are rejected and retried show no capacity, and rather than by latencies, since waiting in queues increases them.
  *
- * <p>Where traffic is sparse (see {@link InFlightLimit#isTrafficSparse}), a router earns less than one request at a
- * time. Then each request considered for the server uses up a part of the budget, and one is admitted whenever these
- * parts add up to a whole request, see {@link SlowStartBudget#spendPart}.
+ * <p>Where there are many routers (see {@link InFlightLimit#hasManyRouters}), the budgets that all of them have saved
+ * must not be spent at once. So each request considered for the server uses up a part of the budget, and one is
+ * admitted whenever these parts add up to a whole request, see {@link SlowStartBudget#spendPart}.
  */
 final class SlowStart {
     /** The part of the load that a server in slow start can bear which the routers send to it; the rest is a margin. */
     private static final double USED_CAPACITY_RATIO = 0.75;
 
     /**
-     * The greatest budget that a router saves for a server, in requests. Where traffic is sparse it is this number
+     * The greatest budget that a router saves for a server, in requests. Where there are many routers it is this number
      * times the part of the budget that one request uses up, since the savings of many routers must not be spent at
      * once.
      */
     private static final double MAX_SAVED_REQUESTS = 3;
     /**
      * While no server is warm, a router admits a request at a server with a probability of this divided by the number
-     * of routers, so that of one request at each router about this many are admitted.
+     * of routers, so that, if each router has one request, about this many of all these are admitted at the server.
      */
     private static final double NO_WARM_SERVER_ADMITTING_ROUTERS = 10;
-    /** While no server is warm, a write is admitted only with fewer attempts of this router in flight to the server. */
-    private static final int NO_WARM_SERVER_MAX_WRITES = 3;
-    /** While no server is warm, a read is admitted only with fewer attempts of this router in flight to the server. */
-    private static final int NO_WARM_SERVER_MAX_READS = 1;
+    /**
+     * While no server is warm, a write is admitted only if fewer than this many attempts of this router, of any kind,
+     * are in flight to the server.
+     */
+    private static final int NO_WARM_SERVER_MAX_IN_FLIGHT_FOR_WRITE = 3;
+    /**
+     * While no server is warm, a read is admitted only if fewer than this many attempts of this router, of any kind,
+     * are in flight to the server.
+     */
+    private static final int NO_WARM_SERVER_MAX_IN_FLIGHT_FOR_READ = 1;
     /**
      * Multiplies a request's draw for load shedding, so that the fractional part, a draw for slow start, depends on
      * digits that hardly affect load shedding.
@@ -79,7 +85,7 @@
         server.slowStart.startedMicros = Math.max(server.slowStart.startedMicros, startedMicros);
         double initialPart = context.random().nextDouble();
         server.slowStart.budget.restart(
-                load.servedByWarmServers(), limit.isTrafficSparse() ? 0 : initialPart, initialPart);
+                load.servedByWarmServers(), limit.hasManyRouters() ? 0 : initialPart, initialPart);
         limit.serverRestarted(server);
     }
 
@@ -96,11 +102,11 @@
      * others, because the admission was for this request at this server alone: by budget used up or by a random draw.
      */
     boolean isDrawnForServer(Server server) {
-        return limit.isTrafficSparse() && inSlowStart(server);
+        return limit.hasManyRouters() && inSlowStart(server);
     }
 
     /**
-     * Whether slow start admits a request at a server. Where traffic is sparse, a call uses up budget, see
+     * Whether slow start admits a request at a server. Where there are many routers, a call uses up budget, see
      * {@link SlowStartBudget#spendPart}; otherwise {@link #attemptStarted} does. Long-running reads are never admitted
      * during slow start.
      */
@@ -124,7 +130,10 @@
     private boolean admitsWithoutWarmServers(Server server, PendingRequest request) {
         double draw = request.sheddingDraw * DRAW_SCALE + server.id.hashCode() * SERVER_DRAW_STEP;
         draw -= Math.floor(draw);
-        return server.inFlight.count() < (request.isWrite() ? NO_WARM_SERVER_MAX_WRITES : NO_WARM_SERVER_MAX_READS)
+        return server.inFlight.count()
+                        < (request.isWrite()
+                                ? NO_WARM_SERVER_MAX_IN_FLIGHT_FOR_WRITE
+                                : NO_WARM_SERVER_MAX_IN_FLIGHT_FOR_READ)
                 && draw < NO_WARM_SERVER_ADMITTING_ROUTERS / context.settings().instanceCount();
     }
 
@@ -136,29 +145,29 @@
      * ratio, times the multiple of its capacity that overloads it, times {@link #USED_CAPACITY_RATIO}. A request that
      * any of the warm servers has served earns this number divided by the number of warm servers.
      *
-     * <p>Where traffic is sparse, each request considered for the server uses up part of the budget: a write the same
-     * number, but at most one request; a read that divided by the number of the group's replicas, as it is considered
-     * for each of them. The capacity ratio is then that of one overload period earlier, the time over which the load at
-     * a server in slow start is counted.
+     * <p>Where there are many routers, each request considered for the server uses up part of the budget: a write uses
+     * up the number of requests per warm request above, but at most 1; a read uses up that divided by the number of the
+     * group's replicas, as it is considered for each of them. The capacity ratio is then that of one overload period
+     * earlier, the time over which the load at a server in slow start is counted.
      */
     private boolean admitsByBudget(Server server, PendingRequest request, int warmServers) {
         RouterSettings.Rules rules = context.settings().rules();
-        boolean trafficSparse = limit.isTrafficSparse();
+        boolean manyRouters = limit.hasManyRouters();
         long ageMicros =
-                context.nowMicros() - server.slowStart.startedMicros - (trafficSparse ? rules.overloadMicros() : 0);
+                context.nowMicros() - server.slowStart.startedMicros - (manyRouters ? rules.overloadMicros() : 0);
         double requestsPerWarmRequest =
                 capacityRatio(rules, ageMicros) * rules.overloadMultiple() * USED_CAPACITY_RATIO;
         int candidateServers = request.isWrite() ? 1 : Math.max(1, server.group.members.size() - 1);
         double requestPart = Math.min(1, requestsPerWarmRequest) / candidateServers;
         SlowStartBudget budget = server.slowStart.budget;
-        double maxSaved = trafficSparse ? MAX_SAVED_REQUESTS * requestPart : MAX_SAVED_REQUESTS;
+        double maxSaved = manyRouters ? MAX_SAVED_REQUESTS * requestPart : MAX_SAVED_REQUESTS;
         budget.earn(load.servedByWarmServers(), requestsPerWarmRequest / warmServers, maxSaved);
-        return trafficSparse ? budget.spendPart(requestPart) : budget.hasWholeRequest();
+        return manyRouters ? budget.spendPart(requestPart) : budget.hasWholeRequest();
     }
 
     /** Uses up the budget of one request for an attempt that was started, unless {@link #admits} has done so. */
     void attemptStarted(Server server) {
-        server.slowStart.budget.spend(limit.isTrafficSparse() ? 0 : 1);
+        server.slowStart.budget.spend(limit.hasManyRouters() ? 0 : 1);
     }
 
     private int countWarmServers() {
--- a/routing/src/test/java/lupinvalve/routing/FleetTest.java
+++ b/routing/src/test/java/lupinvalve/routing/FleetTest.java
@@ -256,11 +256,15 @@
                     sent + " attempts in 3 s, warm replicas get " + warmPerSecond + "/s, from " + (from - started) / MS
                             + " ms after its start on");
         }
-        assertTrue(attemptTimes.size() > 30, "attempts at the server in slow start: " + attemptTimes.size());
+        assertTrue(
+                attemptTimes.size() > 30,
+                "the server in slow start must not be starved, attempts at it: " + attemptTimes.size());
     }
 
     /**
-     * Half of all requests arrive at a tenth of the routers, and a third of the routers restart 1 s after the server.
+     * Half of all requests arrive at a tenth of the routers, and a third of the routers restart 1 s after the server. A
+     * warm replica can bear at least the attempts that it got, so the least busy of them is the measure of the
+     * capacity.
      */
     @ParameterizedTest
     @ValueSource(ints = {14, 30, 100})
@@ -300,8 +304,8 @@
         }
         assertTrue(
                 attemptTimes.size() > 0.3 * 8 * attemptsPerSecondAtWarmReplica(started),
-                "attempts at the server in slow start: " + attemptTimes.size() + ", at a warm one "
-                        + 8 * attemptsPerSecondAtWarmReplica(started));
+                "the server in slow start must not be starved, attempts at it: " + attemptTimes.size()
+                        + ", at a warm one " + 8 * attemptsPerSecondAtWarmReplica(started));
     }
 
     /** Slow answers make the routers reject most reads; a rejected read must leave its budget to others. */
@@ -324,8 +328,8 @@
                 .count();
         assertTrue(
                 attemptsInSlowStart > 0.3 * 10 * attemptsPerSecondAtWarmReplica(started),
-                "attempts at the server in slow start: " + attemptsInSlowStart + ", at a warm one "
-                        + 10 * attemptsPerSecondAtWarmReplica(started));
+                "the server in slow start must not be starved, attempts at it: " + attemptsInSlowStart
+                        + ", at a warm one " + 10 * attemptsPerSecondAtWarmReplica(started));
     }
 
     /**
@@ -363,8 +367,8 @@
                 .count();
         assertTrue(
                 attemptsInSlowStart > 0.2 * 10 * attemptsPerSecondAtWarmReplica(started),
-                "attempts at the server in slow start: " + attemptsInSlowStart + ", at a warm one "
-                        + 10 * attemptsPerSecondAtWarmReplica(started));
+                "the server in slow start must not be starved, attempts at it: " + attemptsInSlowStart
+                        + ", at a warm one " + 10 * attemptsPerSecondAtWarmReplica(started));
     }
 
     @ParameterizedTest
--- a/routing/src/test/java/lupinvalve/routing/LoadSheddingTest.java
+++ b/routing/src/test/java/lupinvalve/routing/LoadSheddingTest.java
@@ -46,7 +46,7 @@
                         ServerRole.REPLICA));
             }
         }
-        assertEquals(0, rejectedAtFirst, "the first read, before any slow answer");
+        assertEquals(0, rejectedAtFirst, "no read may be rejected before any answer was slow");
         assertTrue(rejected > 15 && rejected < 55, "rejected of 60 reads: " + rejected);
         int clientRetriesRejected = 0;
         for (int i = 0; i < 20; i++) {
@@ -57,7 +57,9 @@
                 attemptEnded(id, 0, lastServer(id), AttemptOutcome.MISDIRECTED, now - MS, ServerRole.REPLICA);
             }
         }
-        assertTrue(clientRetriesRejected >= 18, "rejected of 20 client retries: " + clientRetriesRejected);
+        assertTrue(
+                clientRetriesRejected >= 18,
+                "client retries must be rejected first; rejected of 20: " + clientRetriesRejected);
     }
 
     @Test
--- a/routing/src/test/java/lupinvalve/routing/PrimaryFallbackTest.java
+++ b/routing/src/test/java/lupinvalve/routing/PrimaryFallbackTest.java
@@ -64,6 +64,6 @@
         assertEquals(
                 "a",
                 lastServer("r"),
-                "without health checks no replica can prove that it is fresh, so waiting is useless");
+                "while health checks fail no replica can prove that it is fresh, so waiting is useless");
     }
 }
--- a/routing/src/test/java/lupinvalve/routing/ReplicationLagTest.java
+++ b/routing/src/test/java/lupinvalve/routing/ReplicationLagTest.java
@@ -10,14 +10,15 @@
 /** Which replicas count as fresh enough for a read. */
 class ReplicationLagTest extends RouterFixture {
     @Test
-    void readThatMissedDoesNotUseUpItsAttemptsBeforeTheReplicasHaveCaughtUp() {
+    void misdirectedReadDoesNotUseUpItsAttemptsBeforeTheReplicasHaveCaughtUp() {
         start(RouterSettings.FreshnessCheck.BOUNCE, RouterSettings.TokenSource.CARRIED, RequestClass.Effect.UNSAFE);
         handle(new RouterEvent.RequestArrived("r", SESSION_READ, false, "s", MS, 1, 800 * MS));
         for (int i = 0; i < 2; i++) {
             attemptEnded("r", i, lastServer("r"), AttemptOutcome.MISDIRECTED, now - 28 * MS, ServerRole.REPLICA);
         }
         assertEquals(2, attempts("r"));
-        // Over sockets, events arrive within a fraction of a millisecond; not each of them may start another attempt.
+        // Over sockets, events arrive within fractions of a millisecond; if each of them started another attempt, all
+        // attempts would be used up at once.
         now += 2 * MS;
         updateEndpoints(ListForm.UPDATE);
         assertEquals(2, attempts("r"));
--- a/routing/src/test/java/lupinvalve/routing/RuleChecker.java
+++ b/routing/src/test/java/lupinvalve/routing/RuleChecker.java
@@ -7,10 +7,7 @@
 import java.util.List;
 import java.util.Map;
 
-/**
- * Checks the actions of the simulated routers against the rules that the user documentation states, and records each
- * violation.
- */
+/** Checks the actions of the simulated routers against the platform's rules for routers, and records each violation. */
 final class RuleChecker {
     /** The violations found; each text begins with the name of the rule. */
     final List<String> violations = new ArrayList<>();
@@ -34,7 +31,10 @@
         statedReplica.put(router + server.id, role == ServerRole.REPLICA);
     }
 
-    /** Checks the rejection of a request: unless the request is idempotent, it must not have run. */
+    /**
+     * Checks the rejection of a request: it must have no attempt in flight and, unless its effect is {@code SAFE}, must
+     * not have run, as the client may then retry it.
+     */
     void rejected(SimulatedRequest request) {
         boolean mayHaveRun = request.mayHaveRunSince != Long.MAX_VALUE;
         if (request.inFlight != null || mayHaveRun && request.requestClass.effect() != RequestClass.Effect.SAFE) {
--- a/routing/src/test/java/lupinvalve/routing/RulesTest.java
+++ b/routing/src/test/java/lupinvalve/routing/RulesTest.java
@@ -10,9 +10,8 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Property test of the rules that the user documentation states. Each seed draws a deployment from ranges that cover
- * those of known deployments and exceed them, runs real routers against simulated servers and clients, and checks every
- * action.
+ * Property test of the platform's rules for routers. Each seed draws a deployment from ranges that cover those of known
+ * deployments and exceed them, runs real routers against simulated servers and clients, and checks every action.
  */
 class RulesTest {
     static LongStream seeds() {
