--- a/daemon/src/test/java/lupinvalve/discovery/DnsEndpointDiscoveryTest.java
+++ b/daemon/src/test/java/lupinvalve/discovery/DnsEndpointDiscoveryTest.java
@@ -34,15 +34,15 @@
 import org.xbill.DNS.Section;
 import org.xbill.DNS.TXTRecord;
 
-/** Db nodes from DNS-SD records, told by a stand-in for a name server. */
+/** Polls DNS-SD records of a stub name server on loopback. Guards against a failed look-up that empties the list. */
 class DnsEndpointDiscoveryTest {
     private static final String SERVICE = "_ledger._tcp.plant.example.";
 
-    /** Answers with the records of a zone, or with one error code for all. */
+    /** A stub name server: answers queries with the records of its zone, or all of them with one error code. */
     private static final class NameServer {
         final DatagramSocket socket = new DatagramSocket(0, InetAddress.getLoopbackAddress());
         final List<Record> zone = new CopyOnWriteArrayList<>();
-        volatile int code = Rcode.NOERROR;
+        volatile int responseCode = Rcode.NOERROR;
 
         NameServer() throws Exception {
             World.thread(() -> {
@@ -56,41 +56,44 @@
             });
         }
 
-        private Message answer(Message question) {
-            Message answer = new Message(question.getHeader().getID());
+        private Message answer(Message query) {
+            Message answer = new Message(query.getHeader().getID());
             answer.getHeader().setFlag(Flags.QR);
-            answer.getHeader().setRcode(code);
-            answer.addRecord(question.getQuestion(), Section.QUESTION);
-            if (code == Rcode.NOERROR) {
+            answer.getHeader().setRcode(responseCode);
+            answer.addRecord(query.getQuestion(), Section.QUESTION);
+            if (responseCode == Rcode.NOERROR) {
                 zone.stream()
-                        .filter(r -> r.getName().equals(question.getQuestion().getName())
-                                && r.getType() == question.getQuestion().getType())
-                        .forEach(r -> answer.addRecord(r, Section.ANSWER));
+                        .filter(record -> record.getName()
+                                        .equals(query.getQuestion().getName())
+                                && record.getType() == query.getQuestion().getType())
+                        .forEach(record -> answer.addRecord(record, Section.ANSWER));
             }
             return answer;
         }
 
-        void instance(String label, int port, String... text) throws Exception {
+        /** Replaces the records of an instance. */
+        void publish(String label, int port, String... attributes) throws Exception {
             Name service = Name.fromString(SERVICE);
             Name instance = new Name(label, service);
             Name host = Name.fromString(label + ".plant.example.");
-            zone.removeIf(r -> r.getName().equals(instance)
-                    || r.getName().equals(host)
-                    || r instanceof PTRRecord p && p.getTarget().equals(instance));
+            zone.removeIf(record -> record.getName().equals(instance)
+                    || record.getName().equals(host)
+                    || record instanceof PTRRecord pointer
+                            && pointer.getTarget().equals(instance));
             zone.add(new SRVRecord(instance, DClass.IN, 1, 0, 0, port, host));
-            zone.add(new TXTRecord(instance, DClass.IN, 1, List.of(text)));
+            zone.add(new TXTRecord(instance, DClass.IN, 1, List.of(attributes)));
             zone.add(new ARecord(host, DClass.IN, 1, InetAddress.getByName("127.0.0.9")));
             zone.add(new PTRRecord(service, DClass.IN, 1, instance));
         }
     }
 
     @Test
-    void records_become_the_list_and_a_failed_look_up_is_no_empty_list() throws Exception {
+    void recordsBecomeEndpointsAndFailedLookUpIsReportedAsUnavailable() throws Exception {
         Log.setLevel(Log.Level.ERROR);
         NameServer server = new NameServer();
-        server.instance("s-1", 5432, "cell=3", "rank=source", "up_since_ms=7", "mysql=3307");
-        server.instance("s-2", 5433, "Cell=3", "cell=4", "id=other", "phase=terminating");
-        List<EndpointListEvent> told = new CopyOnWriteArrayList<>();
+        server.publish("s-1", 5432, "cell=3", "rank=source", "up_since_ms=7", "mysql=3307");
+        server.publish("s-2", 5433, "Cell=3", "cell=4", "id=other", "phase=terminating");
+        List<EndpointListEvent> events = new CopyOnWriteArrayList<>();
         EventLoop loop = new EventLoop();
         loop.start();
         Pooler pooler =
@@ -100,14 +103,14 @@
                                 .site()
                                 .settings()) {
                     @Override
-                    public void onEndpointListEvent(EndpointListEvent news) {
-                        told.add(news);
+                    public void onEndpointListEvent(EndpointListEvent event) {
+                        events.add(event);
                     }
                 };
-        DnsEndpointDiscovery directory = new DnsEndpointDiscovery(
+        DnsEndpointDiscovery discovery = new DnsEndpointDiscovery(
                 pooler, (InetSocketAddress) server.socket.getLocalSocketAddress(), SERVICE, 20_000, 3306, List.of());
-        loop.post(() -> directory.subscribe(true));
-        World.await("first list", () -> told.size() == 1);
+        loop.post(() -> discovery.subscribe(true));
+        World.await("first list received", () -> events.size() == 1);
         assertEquals(
                 new EndpointListEvent(
                         ListForm.FULL,
@@ -118,19 +121,19 @@
                                 new DiscoveredEndpoint(
                                         new Endpoint("other", 3, 0, EndpointState.DRAINING, false, 0),
                                         Map.of("pg", "127.0.0.9:5433", "mysql", "127.0.0.9:3306")))),
-                told.get(0));
-        server.instance("s-3", 5434, "cell=3");
-        World.await("a change", () -> told.size() == 2);
-        assertEquals(3, told.get(1).endpoints().size());
+                events.get(0));
+        server.publish("s-3", 5434, "cell=3");
+        World.await("changed list received", () -> events.size() == 2);
+        assertEquals(3, events.get(1).endpoints().size());
         for (int code : new int[] {Rcode.SERVFAIL, Rcode.NXDOMAIN}) {
-            List<EndpointListEvent> before = new ArrayList<>(told);
-            server.code = code;
-            World.await("unavailable", () -> told.size() == before.size() + 1);
-            assertEquals(new EndpointListEvent(ListForm.UNAVAILABLE, List.of()), told.get(before.size()));
-            server.code = Rcode.NOERROR;
-            loop.post(() -> directory.subscribe(true));
-            World.await("back", () -> told.size() == before.size() + 2);
-            assertEquals(ListForm.FULL, told.get(before.size() + 1).form());
+            List<EndpointListEvent> before = new ArrayList<>(events);
+            server.responseCode = code;
+            World.await("look-up reported as unavailable", () -> events.size() == before.size() + 1);
+            assertEquals(new EndpointListEvent(ListForm.UNAVAILABLE, List.of()), events.get(before.size()));
+            server.responseCode = Rcode.NOERROR;
+            loop.post(() -> discovery.subscribe(true));
+            World.await("list received after the failure", () -> events.size() == before.size() + 2);
+            assertEquals(ListForm.FULL, events.get(before.size() + 1).form());
         }
         loop.stop();
     }
--- a/daemon/src/test/java/lupinvalve/discovery/HttpEndpointDiscoveryTest.java
+++ b/daemon/src/test/java/lupinvalve/discovery/HttpEndpointDiscoveryTest.java
@@ -33,19 +33,20 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What a pooler makes of a discovery that breaks off, falls silent, overlaps or is late: a scripted one on loopback.
+ * Runs endpoint discovery against a scripted discovery server on loopback whose answers are truncated, stop, overlap or
+ * come late.
  */
 class HttpEndpointDiscoveryTest {
-    private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-    private static final String PLAIN = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n";
-    private static final long SECOND = 1_000_000_000L;
+    private static final String CHUNKED_HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+    private static final String HEAD_WITHOUT_LENGTH = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n";
+    private static final long NANOS_PER_SECOND = 1_000_000_000L;
     private final ServerSocket server;
     private final BlockingQueue<Socket> calls = new LinkedBlockingQueue<>();
-    private final List<EndpointListEvent> told = new CopyOnWriteArrayList<>();
+    private final List<EndpointListEvent> events = new CopyOnWriteArrayList<>();
     private final EventLoop loop = new EventLoop();
     private final Net net = new Net(loop, true);
     private final Pooler pooler;
-    private final HttpEndpointDiscovery directory;
+    private final HttpEndpointDiscovery discovery;
 
     HttpEndpointDiscoveryTest() throws IOException {
         server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
@@ -53,18 +54,18 @@
                 loop,
                 NodeConfig.read(Path.of("example/config.json"), null).site().settings()) {
             @Override
-            public void onEndpointListEvent(EndpointListEvent news) {
-                told.add(news);
-                super.onEndpointListEvent(news);
+            public void onEndpointListEvent(EndpointListEvent event) {
+                events.add(event);
+                super.onEndpointListEvent(event);
             }
         };
-        directory = new HttpEndpointDiscovery(
+        discovery = new HttpEndpointDiscovery(
                 net,
                 pooler,
                 new InetSocketAddress("127.0.0.1", server.getLocalPort()),
                 new EndpointListReader(List.of(), null),
                 5);
-        pooler.discovery(directory);
+        pooler.discovery(discovery);
     }
 
     @BeforeEach
@@ -88,8 +89,8 @@
         }
     }
 
-    /** The next call, its request read. */
-    private Socket call() throws Exception {
+    /** Accepts the next call and reads its request. */
+    private Socket nextCall() throws Exception {
         Socket call = calls.poll(10, TimeUnit.SECONDS);
         assertTrue(call != null, "no call in 10 s");
         call.setTcpNoDelay(true);
@@ -101,7 +102,7 @@
         return call;
     }
 
-    private static void say(Socket call, String text) throws IOException {
+    private static void send(Socket call, String text) throws IOException {
         call.getOutputStream().write(text.getBytes(ISO_8859_1));
     }
 
@@ -128,10 +129,10 @@
         call.close();
     }
 
-    private <T> T onCore(Supplier<T> asked) throws Exception {
-        CompletableFuture<T> answer = new CompletableFuture<>();
-        loop.post(() -> answer.complete(asked.get()));
-        return answer.get(10, TimeUnit.SECONDS);
+    private <T> T onCore(Supplier<T> query) throws Exception {
+        CompletableFuture<T> result = new CompletableFuture<>();
+        loop.post(() -> result.complete(query.get()));
+        return result.get(10, TimeUnit.SECONDS);
     }
 
     private boolean lists(String id) {
@@ -143,171 +144,175 @@
     }
 
     @Test
-    void anObjectMayBeIndentedAndSpreadOverManyChunks() throws Exception {
-        Socket watch = call();
-        say(watch, HEAD);
+    void objectMayBeIndentedAndSpanManyChunks() throws Exception {
+        Socket watch = nextCall();
+        send(watch, CHUNKED_HEAD);
         String indented = list(6, true, "a", "b")
                         .replace("{", "{\n  ")
                         .replace(",", ",\n\t")
                         .replace("]", "\r\n ]")
                         .replace("\"b\"", "\"b \\\" } ] \\\\\"")
                 + "\n";
-        for (char c : indented.toCharArray()) {
-            say(watch, chunk(String.valueOf(c)));
+        for (char character : indented.toCharArray()) {
+            send(watch, chunk(String.valueOf(character)));
         }
         World.await("listed", () -> lists("a") && lists("b \" } ] \\"));
-        // Two in one chunk, and a beat between them.
-        say(watch, chunk(list(7, false, "c") + "\n\n" + list(8, false, "-a") + "\n"));
-        World.await("both taken", () -> lists("c") && !lists("a"));
-        assertTrue(calls.isEmpty(), "the watch was given up");
+        // Two objects in one chunk, with a heartbeat between them.
+        send(watch, chunk(list(7, false, "c") + "\n\n" + list(8, false, "-a") + "\n"));
+        World.await("both changes applied", () -> lists("c") && !lists("a"));
+        assertTrue(calls.isEmpty(), "the watch was closed and reopened");
     }
 
     @Test
-    void halfAnObjectAndThenBeatsIsABrokenWatch() throws Exception {
-        Socket watch = call();
-        String whole = list(6, true, "a", "b");
-        say(watch, HEAD + chunk(whole.substring(0, whole.length() - 20)));
-        long broken = System.nanoTime();
-        say(watch, chunk("\n") + chunk("\n"));
-        Socket next = call();
-        assertTrue(System.nanoTime() - broken < 2 * SECOND);
+    void truncatedObjectFollowedByHeartbeatsFailsTheWatch() throws Exception {
+        Socket watch = nextCall();
+        String completeList = list(6, true, "a", "b");
+        send(watch, CHUNKED_HEAD + chunk(completeList.substring(0, completeList.length() - 20)));
+        long truncatedAtNanos = System.nanoTime();
+        send(watch, chunk("\n") + chunk("\n"));
+        Socket next = nextCall();
+        assertTrue(System.nanoTime() - truncatedAtNanos < 2 * NANOS_PER_SECOND);
         assertEquals(false, lists("a"));
-        say(next, HEAD + chunk(whole + "\n"));
+        send(next, CHUNKED_HEAD + chunk(completeList + "\n"));
         World.await("listed", () -> lists("a") && lists("b"));
     }
 
     @Test
-    void halfAnObjectAndThenNothingIsFollowedByTheWholeInSixSeconds() throws Exception {
-        Socket watch = call();
-        String whole = list(6, true, "a");
-        say(watch, HEAD + chunk("\n") + chunk(whole.substring(0, 30)));
-        long silent = System.nanoTime();
-        Socket next = call();
-        say(next, HEAD + chunk(whole + "\n"));
+    void listIsKnownWithinSixSecondsAfterAWatchStopsWithinAnObject() throws Exception {
+        Socket watch = nextCall();
+        String completeList = list(6, true, "a");
+        send(watch, CHUNKED_HEAD + chunk("\n") + chunk(completeList.substring(0, 30)));
+        long silentSinceNanos = System.nanoTime();
+        Socket next = nextCall();
+        send(next, CHUNKED_HEAD + chunk(completeList + "\n"));
         World.await("listed", () -> lists("a"));
-        assertTrue(System.nanoTime() - silent < 6 * SECOND);
+        assertTrue(System.nanoTime() - silentSinceNanos < 6 * NANOS_PER_SECOND);
     }
 
     @Test
-    void twoCallsMayFailAndAChangeIsStillKnownSixSecondsAfterItsWatchFellSilent() throws Exception {
-        Socket watch = call();
-        say(watch, HEAD + chunk(list(6, true, "a") + "\n"));
+    void changeIsKnownWithinSixSecondsAfterTheWatchBecameSilentThoughTwoCallsFail() throws Exception {
+        Socket watch = nextCall();
+        send(watch, CHUNKED_HEAD + chunk(list(6, true, "a") + "\n"));
         World.await("listed", () -> lists("a"));
-        long silent = System.nanoTime();
-        // One is never answered, one is refused.
-        call();
-        Socket refused = call();
-        say(refused, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
-        Socket third = call();
-        say(third, HEAD + chunk(list(7, false, "-a") + "\n"));
-        World.await("gone", () -> !lists("a"));
-        assertTrue(System.nanoTime() - silent < 6 * SECOND, "took ms " + (System.nanoTime() - silent) / 1_000_000);
+        long silentSinceNanos = System.nanoTime();
+        // The first successor is never answered, the second is rejected.
+        nextCall();
+        Socket rejected = nextCall();
+        send(rejected, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
+        Socket third = nextCall();
+        send(third, CHUNKED_HEAD + chunk(list(7, false, "-a") + "\n"));
+        World.await("departure applied", () -> !lists("a"));
+        assertTrue(
+                System.nanoTime() - silentSinceNanos < 6 * NANOS_PER_SECOND,
+                "milliseconds taken: " + (System.nanoTime() - silentSinceNanos) / 1_000_000);
     }
 
     @Test
-    void afterALongOutageTwoCallsMayFailAndTheListIsKnownSixSecondsAfterItsEnd() throws Exception {
-        // Calls are refused for long enough that its pauses have grown to their most.
+    void listIsKnownWithinSixSecondsAfterALongOutageThoughTwoCallsFail() throws Exception {
+        // Enough calls are reset for the backoff to reach its maximum.
         for (int i = 0; i < 8; i++) {
-            reset(call());
+            reset(nextCall());
         }
-        long back = System.nanoTime();
-        call();
-        say(call(), "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
-        say(call(), HEAD + chunk(list(7, true, "b") + "\n"));
+        long outageEndNanos = System.nanoTime();
+        nextCall();
+        send(nextCall(), "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
+        send(nextCall(), CHUNKED_HEAD + chunk(list(7, true, "b") + "\n"));
         World.await("listed", () -> lists("b"));
-        assertTrue(System.nanoTime() - back < 6 * SECOND, "took ms " + (System.nanoTime() - back) / 1_000_000);
+        assertTrue(
+                System.nanoTime() - outageEndNanos < 6 * NANOS_PER_SECOND,
+                "milliseconds taken: " + (System.nanoTime() - outageEndNanos) / 1_000_000);
     }
 
     @Test
-    void aWatchThatIsOnlySlowStaysUntilItsSuccessorSpeaks() throws Exception {
-        Socket watch = call();
-        say(watch, HEAD + chunk(list(6, true, "a", "b") + "\n"));
+    void slowWatchIsReadUntilItsSuccessorSendsAMessage() throws Exception {
+        Socket watch = nextCall();
+        send(watch, CHUNKED_HEAD + chunk(list(6, true, "a", "b") + "\n"));
         World.await("listed", () -> lists("a"));
-        Socket next = call();
-        // The successor has a head, but has not said anything: what the first says still counts.
-        say(next, HEAD);
-        say(watch, chunk(list(7, false, "-a") + "\n"));
-        World.await("told by the first", () -> !lists("a"));
-        say(next, chunk(list(8, false, "-b") + "\n"));
-        World.await("told by the next", () -> !lists("b"));
+        Socket next = nextCall();
+        // The successor has received a head but no message: the first watch is still read.
+        send(next, CHUNKED_HEAD);
+        send(watch, chunk(list(7, false, "-a") + "\n"));
+        World.await("change of the first watch applied", () -> !lists("a"));
+        send(next, chunk(list(8, false, "-b") + "\n"));
+        World.await("change of the successor applied", () -> !lists("b"));
         watch.setSoTimeout(10_000);
         assertEquals(-1, watch.getInputStream().read());
     }
 
     @Test
-    void whatIsOlderThanWhatIsKnownBringsNothingBack() throws Exception {
-        Socket watch = call();
-        say(watch, HEAD + chunk(list(6, true, "a", "b") + "\n"));
+    void outdatedListsAndChangesAreIgnored() throws Exception {
+        Socket watch = nextCall();
+        send(watch, CHUNKED_HEAD + chunk(list(6, true, "a", "b") + "\n"));
         World.await("listed", () -> lists("a"));
         onCore(() -> {
-            directory.fetch();
+            discovery.fetch();
             return null;
         });
-        Socket asked = call();
-        say(watch, chunk(list(7, false, "-a") + "\n"));
-        World.await("gone", () -> !lists("a"));
-        // The list was made before that, and arrives behind it; so does an older change.
+        Socket fetch = nextCall();
+        send(watch, chunk(list(7, false, "-a") + "\n"));
+        World.await("departure applied", () -> !lists("a"));
+        // The complete list and a change, both older than the applied change, arrive after it.
         String late = list(6, true, "a", "b");
-        say(asked, "HTTP/1.1 200 OK\r\nContent-Length: " + late.length() + "\r\n\r\n" + late);
-        assertEquals(-1, asked.getInputStream().read());
-        say(watch, chunk(list(5, false, "a") + "\n" + list(8, false, "c") + "\n"));
-        World.await("what came behind them", () -> lists("c"));
+        send(fetch, "HTTP/1.1 200 OK\r\nContent-Length: " + late.length() + "\r\n\r\n" + late);
+        assertEquals(-1, fetch.getInputStream().read());
+        send(watch, chunk(list(5, false, "a") + "\n" + list(8, false, "c") + "\n"));
+        World.await("change behind the outdated ones applied", () -> lists("c"));
         assertEquals(false, lists("a"));
     }
 
     @Test
-    void aDiscoveryThatCountsAnewIsBelieved() throws Exception {
-        Socket watch = call();
-        say(watch, HEAD + chunk(list(60, true, "a") + "\n"));
+    void listIsAppliedAfterDiscoveryRestartsItsRevisionNumbers() throws Exception {
+        Socket watch = nextCall();
+        send(watch, CHUNKED_HEAD + chunk(list(60, true, "a") + "\n"));
         World.await("listed", () -> lists("a"));
         reset(watch);
-        Socket next = call();
-        say(next, HEAD + chunk(list(2, true, "b") + "\n") + chunk(list(3, false, "c") + "\n"));
-        World.await("listed anew", () -> lists("b") && lists("c") && !lists("a"));
+        Socket next = nextCall();
+        send(next, CHUNKED_HEAD + chunk(list(2, true, "b") + "\n") + chunk(list(3, false, "c") + "\n"));
+        World.await("list with restarted revisions applied", () -> lists("b") && lists("c") && !lists("a"));
     }
 
     @Test
-    void anAnswerWithNoLengthEndsWithItsConnectionAndAResetIsNoEnd() throws Exception {
-        Socket watch = call();
-        say(watch, HEAD + chunk(list(6, true, "a") + "\n"));
+    void answerWithoutLengthIsCompletedByEndOfConnectionButNotByReset() throws Exception {
+        Socket watch = nextCall();
+        send(watch, CHUNKED_HEAD + chunk(list(6, true, "a") + "\n"));
         World.await("listed", () -> lists("a"));
         onCore(() -> {
-            directory.fetch();
+            discovery.fetch();
             return null;
         });
-        Socket ended = call();
-        say(ended, PLAIN + list(7, true, "b"));
-        ended.shutdownOutput();
-        World.await("taken", () -> lists("b") && !lists("a"));
+        Socket endedCall = nextCall();
+        send(endedCall, HEAD_WITHOUT_LENGTH + list(7, true, "b"));
+        endedCall.shutdownOutput();
+        World.await("list applied at the end of the connection", () -> lists("b") && !lists("a"));
         onCore(() -> {
-            directory.fetch();
+            discovery.fetch();
             return null;
         });
-        Socket broken = call();
-        say(broken, PLAIN + list(8, true, "c"));
-        // Read before the reset comes, so that only the way in which it ended can tell.
+        Socket resetCall = nextCall();
+        send(resetCall, HEAD_WITHOUT_LENGTH + list(8, true, "c"));
+        // The pooler reads all of the body before the reset: only the reset marks the answer as incomplete.
         Thread.sleep(100);
-        reset(broken);
-        // It has failed, so the watch is opened anew.
-        say(call(), HEAD + chunk(list(8, false, "d") + "\n"));
-        World.await("what came behind it", () -> lists("d"));
+        reset(resetCall);
+        // The failure of the call makes the pooler open a new watch.
+        send(nextCall(), CHUNKED_HEAD + chunk(list(8, false, "d") + "\n"));
+        World.await("change on the new watch applied", () -> lists("d"));
         assertEquals(false, lists("c"));
         assertEquals(true, lists("b"));
     }
 
     @Test
-    void aCallThatIsAnsweredAfterItWasGivenUpChangesNothing() throws Exception {
-        Socket first = call();
-        Socket second = call();
-        // It is kept beside the second for a while.
+    void answerOnAClosedWatchIsIgnored() throws Exception {
+        Socket first = nextCall();
+        Socket second = nextCall();
+        // The first watch stays open beside the second until its answer times out.
         first.setSoTimeout(10_000);
         assertEquals(-1, first.getInputStream().read());
         try {
-            say(first, HEAD + chunk(list(9, true, "x") + "\n"));
+            send(first, CHUNKED_HEAD + chunk(list(9, true, "x") + "\n"));
         } catch (IOException e) {
-            // Its connection is closed by now, as it should be.
+            // Expected: the pooler has closed the connection.
         }
-        say(second, HEAD + chunk(list(6, true, "a") + "\n"));
+        send(second, CHUNKED_HEAD + chunk(list(6, true, "a") + "\n"));
         World.await("listed", () -> lists("a"));
         assertEquals(false, lists("x"));
         assertEquals(
@@ -317,118 +322,123 @@
     }
 
     @Test
-    void aCallThatWaitsKeepsItsPlaceBesideTheNext() throws Exception {
-        Socket first = call();
-        Socket second = call();
-        say(first, HEAD + chunk(list(6, true, "a") + "\n"));
+    void watchAnsweredLateReplacesItsUnansweredSuccessor() throws Exception {
+        Socket first = nextCall();
+        Socket second = nextCall();
+        send(first, CHUNKED_HEAD + chunk(list(6, true, "a") + "\n"));
         World.await("listed", () -> lists("a"));
-        // The second is needed no more.
+        // The second watch is redundant and is closed.
         second.setSoTimeout(10_000);
         assertEquals(-1, second.getInputStream().read());
-        say(first, chunk(list(7, false, "b") + "\n"));
-        World.await("the first goes on", () -> lists("b"));
+        send(first, chunk(list(7, false, "b") + "\n"));
+        World.await("the first watch continues", () -> lists("b"));
     }
 
     @Test
-    void whatIsWrittenToTwoCallsAtOnceIsReadFromBoth() throws Exception {
-        Socket first = call();
-        Socket second = call();
-        // A whole round of callers lies between an answer and what the same connection is told next.
-        say(first, HEAD + chunk(list(6, true, "a") + "\n"));
+    void twoWatchesAnsweredAtTheSameTimeAreBothRead() throws Exception {
+        Socket first = nextCall();
+        Socket second = nextCall();
+        // Discovery serves all other callers between two messages on the same connection.
+        send(first, CHUNKED_HEAD + chunk(list(6, true, "a") + "\n"));
         World.await("listed", () -> lists("a"));
-        say(second, HEAD + chunk(list(7, true, "b") + "\n"));
-        World.await("known from the second", () -> lists("b") && !lists("a"));
-        say(first, chunk(list(8, false, "c") + "\n"));
-        World.await("known from the first", () -> lists("c"));
+        send(second, CHUNKED_HEAD + chunk(list(7, true, "b") + "\n"));
+        World.await("list of the second watch applied", () -> lists("b") && !lists("a"));
+        send(first, chunk(list(8, false, "c") + "\n"));
+        World.await("change on the first watch applied", () -> lists("c"));
     }
 
     @Test
-    void aWatchIsReadOnForAWhileOnceItsSuccessorHasSpoken() throws Exception {
-        Socket watch = call();
-        say(watch, HEAD + chunk(list(6, true, "a") + "\n"));
+    void supersededWatchIsStillReadForAWhile() throws Exception {
+        Socket watch = nextCall();
+        send(watch, CHUNKED_HEAD + chunk(list(6, true, "a") + "\n"));
         World.await("listed", () -> lists("a"));
-        Socket next = call();
-        say(next, HEAD + chunk("\n"));
+        Socket next = nextCall();
+        send(next, CHUNKED_HEAD + chunk("\n"));
         onCore(() -> null);
-        say(watch, chunk(list(7, false, "-a") + "\n"));
-        World.await("what it was told is known", () -> !lists("a"));
+        send(watch, chunk(list(7, false, "-a") + "\n"));
+        World.await("change on the superseded watch applied", () -> !lists("a"));
         watch.setSoTimeout(10_000);
         assertEquals(-1, watch.getInputStream().read());
-        say(next, chunk(list(8, false, "b") + "\n"));
-        World.await("the next goes on", () -> lists("b"));
+        send(next, chunk(list(8, false, "b") + "\n"));
+        World.await("the successor continues", () -> lists("b"));
     }
 
     @Test
-    void anAnswerThatComesWhileTheCoreIsBehindItsDeadlineIsTaken() throws Exception {
-        Socket first = call();
-        CountDownLatch held = new CountDownLatch(1), go = new CountDownLatch(1);
+    void answerReceivedWhileTheCoreThreadIsLateForTheDeadlineIsApplied() throws Exception {
+        Socket first = nextCall();
+        CountDownLatch blocked = new CountDownLatch(1);
+        CountDownLatch release = new CountDownLatch(1);
         loop.post(() -> {
-            held.countDown();
+            blocked.countDown();
             try {
-                go.await();
+                release.await();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         });
-        held.await();
-        long from = System.nanoTime();
-        World.await("overdue", () -> System.nanoTime() - from > SECOND * 13 / 10);
-        say(first, HEAD + chunk(list(6, true, "a") + "\n"));
-        go.countDown();
+        blocked.await();
+        long blockedSinceNanos = System.nanoTime();
+        World.await(
+                "deadline of the watch passed",
+                () -> System.nanoTime() - blockedSinceNanos > NANOS_PER_SECOND * 13 / 10);
+        send(first, CHUNKED_HEAD + chunk(list(6, true, "a") + "\n"));
+        release.countDown();
         World.await("listed", () -> lists("a"));
-        assertTrue(System.nanoTime() - from < SECOND * 23 / 10, "another call was needed");
-        say(first, chunk(list(7, false, "b") + "\n"));
-        World.await("it goes on", () -> lists("b"));
+        assertTrue(System.nanoTime() - blockedSinceNanos < NANOS_PER_SECOND * 23 / 10, "a second call was needed");
+        send(first, chunk(list(7, false, "b") + "\n"));
+        World.await("the watch continues", () -> lists("b"));
     }
 
     @Test
-    void whatWasNumberedBeforeAChangeOfNumbersIsNotTakenBehindIt() throws Exception {
-        Socket watch = call();
-        say(watch, HEAD + chunk(list(60, true, "a") + "\n"));
+    void listRequestedBeforeARevisionRestartIsIgnoredAfterIt() throws Exception {
+        Socket watch = nextCall();
+        send(watch, CHUNKED_HEAD + chunk(list(60, true, "a") + "\n"));
         World.await("listed", () -> lists("a"));
         onCore(() -> {
-            directory.fetch();
+            discovery.fetch();
             return null;
         });
-        Socket asked = call();
+        Socket fetch = nextCall();
         reset(watch);
-        Socket next = call();
-        say(next, HEAD + chunk(list(2, true, "b") + "\n"));
-        World.await("listed anew", () -> lists("b"));
+        Socket next = nextCall();
+        send(next, CHUNKED_HEAD + chunk(list(2, true, "b") + "\n"));
+        World.await("list with restarted revisions applied", () -> lists("b"));
         String late = list(61, true, "a", "b");
-        say(asked, "HTTP/1.1 200 OK\r\nContent-Length: " + late.length() + "\r\n\r\n" + late);
-        assertEquals(-1, asked.getInputStream().read());
-        say(next, chunk(list(3, false, "-b") + "\n"));
-        World.await("what the new one tells", () -> !lists("b"));
+        send(fetch, "HTTP/1.1 200 OK\r\nContent-Length: " + late.length() + "\r\n\r\n" + late);
+        assertEquals(-1, fetch.getInputStream().read());
+        send(next, chunk(list(3, false, "-b") + "\n"));
+        World.await("change on the new watch applied", () -> !lists("b"));
         assertEquals(false, lists("a"));
     }
 
     @Test
-    void beatsWithNoListAreNoWordWhereNothingIsKnown() throws Exception {
-        // The first call comes from a start that remembers a list; this one from a start that knows nothing.
-        call();
-        ServerSocket other = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        BlockingQueue<Socket> came = new LinkedBlockingQueue<>();
+    void heartbeatsDoNotCountAsMessagesWhileNoListIsKnown() throws Exception {
+        // This call is of a pooler that started with a list of revision 5; the pooler under test starts with none.
+        nextCall();
+        ServerSocket otherServer = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+        BlockingQueue<Socket> otherCalls = new LinkedBlockingQueue<>();
         World.thread(() -> {
             while (true) {
-                came.add(other.accept());
+                otherCalls.add(otherServer.accept());
             }
         });
         Pooler empty = new Pooler(loop, pooler.settings());
-        HttpEndpointDiscovery asks = new HttpEndpointDiscovery(
+        HttpEndpointDiscovery emptyDiscovery = new HttpEndpointDiscovery(
                 net,
                 empty,
-                new InetSocketAddress("127.0.0.1", other.getLocalPort()),
+                new InetSocketAddress("127.0.0.1", otherServer.getLocalPort()),
                 new EndpointListReader(List.of(), null),
                 0);
-        empty.discovery(asks);
+        empty.discovery(emptyDiscovery);
         loop.post(() -> empty.start(2, List.of()));
-        Socket first = came.poll(10, TimeUnit.SECONDS);
-        say(first, HEAD + chunk("\n"));
-        long beats = System.nanoTime();
-        Socket second = came.poll(10, TimeUnit.SECONDS);
-        assertTrue(second != null && System.nanoTime() - beats < 2 * SECOND, "took the beat for a word");
-        say(second, HEAD + chunk(list(6, true, "a") + "\n"));
+        Socket first = otherCalls.poll(10, TimeUnit.SECONDS);
+        send(first, CHUNKED_HEAD + chunk("\n"));
+        long heartbeatNanos = System.nanoTime();
+        Socket second = otherCalls.poll(10, TimeUnit.SECONDS);
+        assertTrue(
+                second != null && System.nanoTime() - heartbeatNanos < 2 * NANOS_PER_SECOND,
+                "the heartbeat counted as a message, so no second call came in time");
+        send(second, CHUNKED_HEAD + chunk(list(6, true, "a") + "\n"));
         World.await("listed", () -> {
             try {
                 return onCore(() -> empty.isListed("a"));
@@ -436,119 +446,129 @@
                 throw new IllegalStateException(e);
             }
         });
-        other.close();
+        otherServer.close();
     }
 
     @Test
-    void askingAgainDoesNotReplaceAWatchThatIsUp() throws Exception {
-        Socket watch = call();
-        say(watch, HEAD + chunk("\n"));
+    void repeatedSubscribeDoesNotReplaceAnOpenWatch() throws Exception {
+        Socket watch = nextCall();
+        send(watch, CHUNKED_HEAD + chunk("\n"));
         onCore(() -> {
-            directory.subscribe(true);
+            discovery.subscribe(true);
             return null;
         });
-        // It knows of no change, so it has only beaten; what it tells next is still heard.
-        say(watch, chunk(list(6, false, "a") + "\n"));
+        // The watch has only received a heartbeat, as nothing changed; the next change on it is still applied.
+        send(watch, chunk(list(6, false, "a") + "\n"));
         World.await("listed", () -> lists("a"));
-        assertTrue(calls.isEmpty(), "another was opened");
+        assertTrue(calls.isEmpty(), "another watch was opened");
     }
 
-    /** One watch beats until the other has been closed. */
-    private static void beatUntilClosed(Socket beats, Socket closes) throws Exception {
-        closes.setSoTimeout(300);
+    /** Sends heartbeats on one watch until the pooler has closed the other. */
+    private static void sendHeartbeatsUntilClosed(Socket alive, Socket closing) throws Exception {
+        closing.setSoTimeout(300);
         for (int i = 0; i < 30; i++) {
             try {
-                assertEquals(-1, closes.getInputStream().read());
+                assertEquals(-1, closing.getInputStream().read());
                 return;
             } catch (SocketTimeoutException e) {
-                say(beats, chunk("\n"));
+                send(alive, chunk("\n"));
             }
         }
-        throw new AssertionError("not closed");
+        throw new AssertionError("the other watch was not closed");
     }
 
-    /** The last news, once so much has been told. */
-    private EndpointListEvent news(int count) throws Exception {
-        World.await("told", () -> told.size() >= count);
-        assertEquals(count, told.size(), told.toString());
-        return told.get(count - 1);
+    /** Waits until exactly {@code count} events have been reported and returns the last. */
+    private EndpointListEvent awaitEvent(int count) throws Exception {
+        World.await("event reported", () -> events.size() >= count);
+        assertEquals(count, events.size(), events.toString());
+        return events.get(count - 1);
     }
 
     @Test
-    void onlyAChangeOnAWatchThatBeatsIsAsNewAsItsBytes() throws Exception {
-        Socket watch = call();
-        int before = told.size();
-        say(watch, HEAD + chunk(list(6, false, "a") + "\n"));
+    void onlyAChangeOnAnUninterruptedSingleWatchHasANotificationTime() throws Exception {
+        Socket watch = nextCall();
+        int before = events.size();
+        send(watch, CHUNKED_HEAD + chunk(list(6, false, "a") + "\n"));
         assertEquals(
                 Long.MIN_VALUE,
-                news(before + 1).notifiedSinceMicros(),
-                "the first word tells what changed since long ago");
-        long from = loop.now();
-        say(watch, chunk(list(7, false, "b") + "\n"));
-        long since = news(before + 2).notifiedSinceMicros();
-        assertTrue(since >= from - 1_000_000 && since <= loop.now(), "since " + (since - from));
-        // In two parts: it was written when the first part came.
-        String half = chunk(list(8, false, "c") + "\n");
-        say(watch, half.substring(0, 20));
-        long parted = loop.now();
-        World.await("some time later", () -> loop.now() > parted + 300_000);
-        say(watch, half.substring(20));
-        assertTrue(news(before + 3).notifiedSinceMicros() <= parted);
-        say(watch, chunk(list(9, true, "c") + "\n"));
-        assertEquals(Long.MIN_VALUE, news(before + 4).notifiedSinceMicros(), "a whole list");
-        // It misses a beat, and its successor is opened.
-        Socket next = call();
-        say(watch, chunk(list(10, false, "d") + "\n"));
-        assertEquals(Long.MIN_VALUE, news(before + 5).notifiedSinceMicros(), "it may have been told long ago");
-        say(next, HEAD + chunk(list(10, false, "d") + "\n"));
-        assertEquals(Long.MIN_VALUE, news(before + 6).notifiedSinceMicros());
-        say(next, chunk(list(11, false, "e") + "\n"));
-        assertEquals(Long.MIN_VALUE, news(before + 7).notifiedSinceMicros(), "the first may have been told it before");
-        beatUntilClosed(next, watch);
-        long alone = loop.now();
-        say(next, chunk(list(12, false, "f") + "\n"));
-        assertTrue(news(before + 8).notifiedSinceMicros() > alone - 1_000_000);
+                awaitEvent(before + 1).notifiedSinceMicros(),
+                "the first message may contain changes of any age");
+        long sentAfterMicros = loop.now();
+        send(watch, chunk(list(7, false, "b") + "\n"));
+        long since = awaitEvent(before + 2).notifiedSinceMicros();
+        assertTrue(since >= sentAfterMicros - 1_000_000 && since <= loop.now(), "since " + (since - sentAfterMicros));
+        // A message in two parts was sent no later than the first part arrived.
+        String message = chunk(list(8, false, "c") + "\n");
+        send(watch, message.substring(0, 20));
+        long firstPartMicros = loop.now();
+        World.await("300 ms passed", () -> loop.now() > firstPartMicros + 300_000);
+        send(watch, message.substring(20));
+        assertTrue(awaitEvent(before + 3).notifiedSinceMicros() <= firstPartMicros);
+        send(watch, chunk(list(9, true, "c") + "\n"));
+        assertEquals(Long.MIN_VALUE, awaitEvent(before + 4).notifiedSinceMicros(), "a complete list may be old");
+        // The watch misses a heartbeat, and its successor is opened.
+        Socket next = nextCall();
+        send(watch, chunk(list(10, false, "d") + "\n"));
+        assertEquals(
+                Long.MIN_VALUE,
+                awaitEvent(before + 5).notifiedSinceMicros(),
+                "a change on an interrupted watch may be old");
+        send(next, CHUNKED_HEAD + chunk(list(10, false, "d") + "\n"));
+        assertEquals(Long.MIN_VALUE, awaitEvent(before + 6).notifiedSinceMicros());
+        send(next, chunk(list(11, false, "e") + "\n"));
+        assertEquals(
+                Long.MIN_VALUE,
+                awaitEvent(before + 7).notifiedSinceMicros(),
+                "the first watch may have been notified of it before");
+        sendHeartbeatsUntilClosed(next, watch);
+        long onlyOpenSinceMicros = loop.now();
+        send(next, chunk(list(12, false, "f") + "\n"));
+        assertTrue(awaitEvent(before + 8).notifiedSinceMicros() > onlyOpenSinceMicros - 1_000_000);
     }
 
     @Test
-    void whatCameWhileTheProcessStoodStillIsKnownBeforeAnythingIsDecided() throws Exception {
-        Socket watch = call();
-        say(watch, HEAD + chunk(list(6, true, "a") + "\n"));
+    void changesReceivedDuringASuspensionAreAppliedBeforeTheNextTask() throws Exception {
+        Socket watch = nextCall();
+        send(watch, CHUNKED_HEAD + chunk(list(6, true, "a") + "\n"));
         World.await("listed", () -> lists("a"));
         try (HeldSockets sockets = new HeldSockets(net)) {
             sockets.hold();
-            long stands = System.nanoTime();
-            say(watch, chunk(list(7, false, "-a") + "\n"));
-            World.await("stood still", () -> System.nanoTime() - stands > SECOND / 5);
+            long suspendedSinceNanos = System.nanoTime();
+            send(watch, chunk(list(7, false, "-a") + "\n"));
+            World.await("suspended for 200 ms", () -> System.nanoTime() - suspendedSinceNanos > NANOS_PER_SECOND / 5);
             CompletableFuture<Boolean> lists = new CompletableFuture<>();
             loop.post(() -> lists.complete(pooler.isListed("a")));
-            World.await("decides, or waits for the news", () -> lists.isDone() || HeldSockets.isAwaited());
+            World.await(
+                    "the task has run, or the core thread waits for unread events",
+                    () -> lists.isDone() || HeldSockets.isAwaited());
             sockets.letGo();
             assertEquals(false, lists.get(10, TimeUnit.SECONDS));
         }
     }
 
     @Test
-    void aThreadThatStandsStillForGoodHoldsUpTheCoreOnce() throws Exception {
-        Socket watch = call();
-        say(watch, HEAD + chunk(list(6, true, "a") + "\n"));
+    void permanentlySuspendedNetworkThreadDelaysTheCoreThreadOnlyOnce() throws Exception {
+        Socket watch = nextCall();
+        send(watch, CHUNKED_HEAD + chunk(list(6, true, "a") + "\n"));
         World.await("listed", () -> lists("a"));
         try (HeldSockets sockets = new HeldSockets(net)) {
             sockets.hold();
-            long stands = System.nanoTime();
-            World.await("stood still", () -> System.nanoTime() - stands > SECOND / 5);
+            long suspendedSinceNanos = System.nanoTime();
+            World.await("suspended for 200 ms", () -> System.nanoTime() - suspendedSinceNanos > NANOS_PER_SECOND / 5);
             for (int i = 0; i < 20; i++) {
                 assertTrue(lists("a"));
             }
-            assertTrue(System.nanoTime() - stands < 3 * SECOND, "each piece of work waits");
+            assertTrue(
+                    System.nanoTime() - suspendedSinceNanos < 3 * NANOS_PER_SECOND,
+                    "each task waits for the network thread");
         }
     }
 
     @Test
-    void nothingIsLeftOpenOfCallsThatFailed() throws Exception {
+    void connectionsOfFailedCallsAreClosed() throws Exception {
         for (int i = 0; i < 4; i++) {
-            Socket call = call();
-            say(call, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
+            Socket call = nextCall();
+            send(call, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
             call.setSoTimeout(10_000);
             assertEquals(-1, call.getInputStream().read());
         }
--- a/daemon/src/test/java/lupinvalve/discovery/WatchScheduleTest.java
+++ b/daemon/src/test/java/lupinvalve/discovery/WatchScheduleTest.java
@@ -18,173 +18,202 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The worst time from when discovery has a change and can be reached until the change is known, over all orders of what
- * may become of the calls; in virtual time, with the router's own pauses.
+ * Measures, in virtual time and with the router's own backoff, how long it takes at worst from when discovery has a
+ * change and can be reached until the pooler knows the change, over all sequences of outcomes of the pooler's calls.
  */
 class WatchScheduleTest {
-    private static final long MS = 1000, BOUND = 6000 * MS, MARGIN = 900 * MS;
-    private static final long START = 1_000_000 * MS, LATE = 1000 * MS, LATER = 1900 * MS;
+    private static final long MICROS_PER_MILLI = 1000;
+    private static final long LATENCY_BOUND_MICROS = 6000 * MICROS_PER_MILLI;
+    private static final long LATENCY_MARGIN_MICROS = 900 * MICROS_PER_MILLI;
+    private static final long START_MICROS = 1_000_000 * MICROS_PER_MILLI;
+    private static final long LATE_MICROS = 1000 * MICROS_PER_MILLI;
+    private static final long LATER_MICROS = 1900 * MICROS_PER_MILLI;
     private static RouterSettings settings;
 
-    /** What becomes of a call. */
-    private enum Fate {
+    /** How a call ends, or how its answer stops. */
+    private enum CallOutcome {
         ANSWERED,
         REFUSED,
         REFUSED_LATE,
         REFUSED_LATER,
         RESET,
-        NEVER_UP,
+        NEVER_CONNECTED,
         HEAD_THEN_SILENCE,
         HEAD_LATE_THEN_SILENCE;
 
-        static final List<Fate> FAILURES = List.of(
-                REFUSED, REFUSED_LATE, REFUSED_LATER, RESET, NEVER_UP, HEAD_THEN_SILENCE, HEAD_LATE_THEN_SILENCE);
-        /** Of an overloaded discovery, and of one that a part of the callers can't reach. */
-        static final List<Fate> CROWDED = List.of(REFUSED, REFUSED_LATE, REFUSED_LATER, RESET, NEVER_UP);
+        static final List<CallOutcome> FAILURES = List.of(
+                REFUSED,
+                REFUSED_LATE,
+                REFUSED_LATER,
+                RESET,
+                NEVER_CONNECTED,
+                HEAD_THEN_SILENCE,
+                HEAD_LATE_THEN_SILENCE);
+        /** Failures of a discovery that is overloaded or that some of its callers can't reach. */
+        static final List<CallOutcome> OVERLOAD_FAILURES =
+                List.of(REFUSED, REFUSED_LATE, REFUSED_LATER, RESET, NEVER_CONNECTED);
     }
 
     @BeforeAll
-    static void read() throws Exception {
+    static void readSettings() throws Exception {
         settings = NodeConfig.read(Path.of("example/config.json"), null).site().settings();
     }
 
-    /** One pooler's watches in virtual time, their calls' fates given. */
-    private static final class Play implements WatchSchedule.Calls {
-        private record Due(long at, long order, Runnable then) {}
+    /** Simulates the watches of one pooler in virtual time, with given outcomes of its calls. */
+    private static final class Simulation implements WatchSchedule.Calls {
+        private record ScheduledTask(long atMicros, long sequence, Runnable task) {}
 
-        private final PriorityQueue<Due> ahead =
-                new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
+        private final PriorityQueue<ScheduledTask> scheduledTasks = new PriorityQueue<>((a, b) ->
+                a.atMicros != b.atMicros ? Long.compare(a.atMicros, b.atMicros) : Long.compare(a.sequence, b.sequence));
         private final WatchSchedule schedule = new WatchSchedule(this);
-        private final Consumer<RouterAction> acts = this::act;
-        private final List<Fate> fates;
+        private final Consumer<RouterAction> actionHandler = this::perform;
+        private final List<CallOutcome> outcomes;
         private final Router router;
-        /** From when on discovery has the change and can be reached; calls begun before meet what is there before. */
-        private final long reachableAt;
-
-        private final Fate before;
-        private final List<RouterAction> pending = new ArrayList<>();
-        private long now = START, order, knownAt = -1, dueAt = Long.MAX_VALUE;
-        private int calls, silent;
-        /** Whether calls go to an address at which nothing answers. */
-        private boolean elsewhere;
-
-        Play(long seed, Fate before, long reachableAt, List<Fate> fates) {
-            this.before = before;
-            this.reachableAt = reachableAt;
-            this.fates = fates;
-            router = new Router(seed, settings, now, pending::add);
+        /**
+         * From this time on discovery has the change and can be reached; each earlier call has the outcome
+         * {@link #outcomeBefore}.
+         */
+        private final long reachableAtMicros;
+
+        private final CallOutcome outcomeBefore;
+        private final List<RouterAction> pendingActions = new ArrayList<>();
+        private long nowMicros = START_MICROS;
+        private long taskCount;
+        private long knownAtMicros = -1;
+        private long deadlineMicros = Long.MAX_VALUE;
+        private int callCount;
+        private int unansweredCount;
+        /** Whether new calls go to an address at which nothing answers. */
+        private boolean addressUnreachable;
+
+        Simulation(long seed, CallOutcome outcomeBefore, long reachableAtMicros, List<CallOutcome> outcomes) {
+            this.outcomeBefore = outcomeBefore;
+            this.reachableAtMicros = reachableAtMicros;
+            this.outcomes = outcomes;
+            router = new Router(seed, settings, nowMicros, pendingActions::add);
             drainActions();
         }
 
         private void drainActions() {
-            List<RouterAction> todo = List.copyOf(pending);
-            pending.clear();
-            todo.forEach(acts);
-            arm();
+            List<RouterAction> actions = List.copyOf(pendingActions);
+            pendingActions.clear();
+            actions.forEach(actionHandler);
+            scheduleDeadline();
         }
 
-        private void at(long when, Runnable then) {
-            ahead.add(new Due(when, order++, then));
+        private void at(long atMicros, Runnable task) {
+            scheduledTasks.add(new ScheduledTask(atMicros, taskCount++, task));
         }
 
-        private void act(RouterAction action) {
+        private void perform(RouterAction action) {
             if (action instanceof RouterAction.WatchEndpoints subscribe) {
-                schedule.subscribe(subscribe.active(), now);
+                schedule.subscribe(subscribe.active(), nowMicros);
             } else if (action instanceof RouterAction.SetTimer timer) {
-                at(now + timer.delayMicros(), () -> give(new RouterEvent.TimerFired(timer.handle())));
+                at(nowMicros + timer.delayMicros(), () -> deliver(new RouterEvent.TimerFired(timer.handle())));
             }
         }
 
-        private void give(RouterEvent event) {
-            router.handle(now, event, pending::add);
+        private void deliver(RouterEvent event) {
+            router.handle(nowMicros, event, pendingActions::add);
             drainActions();
         }
 
-        private void arm() {
+        private void scheduleDeadline() {
             long next = schedule.nextDeadlineMicros();
-            if (next != dueAt && next != Long.MAX_VALUE) {
-                at(next, () -> schedule.onDeadline(now));
+            if (next != deadlineMicros && next != Long.MAX_VALUE) {
+                at(next, () -> schedule.onDeadline(nowMicros));
             }
-            dueAt = next;
+            deadlineMicros = next;
         }
 
         @Override
         public void open(long number) {
-            if (elsewhere) {
-                silent++;
+            if (addressUnreachable) {
+                unansweredCount++;
                 return;
             }
-            Fate fate = now < reachableAt ? before : calls < fates.size() ? fates.get(calls++) : Fate.ANSWERED;
-            switch (fate) {
-                case ANSWERED -> at(now + 1, () -> word(number));
-                case REFUSED, RESET -> at(now + (fate == Fate.RESET ? 10 * MS : 1), () -> schedule.onFailure(number));
-                case REFUSED_LATE -> at(now + LATE, () -> schedule.onFailure(number));
-                case REFUSED_LATER -> at(now + LATER, () -> schedule.onFailure(number));
-                case HEAD_THEN_SILENCE -> at(now + 1, () -> schedule.onAnswerHead(number, now));
-                case HEAD_LATE_THEN_SILENCE -> at(now + LATE, () -> schedule.onAnswerHead(number, now));
+            CallOutcome outcome = nowMicros < reachableAtMicros
+                    ? outcomeBefore
+                    : callCount < outcomes.size() ? outcomes.get(callCount++) : CallOutcome.ANSWERED;
+            switch (outcome) {
+                case ANSWERED -> at(nowMicros + 1, () -> receiveMessage(number));
+                case REFUSED, RESET -> at(
+                        nowMicros + (outcome == CallOutcome.RESET ? 10 * MICROS_PER_MILLI : 1),
+                        () -> schedule.onFailure(number));
+                case REFUSED_LATE -> at(nowMicros + LATE_MICROS, () -> schedule.onFailure(number));
+                case REFUSED_LATER -> at(nowMicros + LATER_MICROS, () -> schedule.onFailure(number));
+                case HEAD_THEN_SILENCE -> at(nowMicros + 1, () -> schedule.onAnswerHead(number, nowMicros));
+                case HEAD_LATE_THEN_SILENCE -> at(
+                        nowMicros + LATE_MICROS, () -> schedule.onAnswerHead(number, nowMicros));
                 default -> {}
             }
         }
 
         @Override
         public void drop(long number) {
-            // What it would have said is not heard.
-            dropped.add(number);
+            // Messages of a closed watch are not received.
+            closedWatches.add(number);
         }
 
-        private final List<Long> dropped = new ArrayList<>();
+        private final List<Long> closedWatches = new ArrayList<>();
 
-        private void word(long number) {
-            if (!dropped.contains(number)) {
-                schedule.onMessage(number, now);
-                knownAt = now;
+        private void receiveMessage(long number) {
+            if (!closedWatches.contains(number)) {
+                schedule.onMessage(number, nowMicros);
+                knownAtMicros = nowMicros;
             }
         }
 
         @Override
         public void unavailable() {
-            give(new RouterEvent.EndpointUpdate(ListForm.UNAVAILABLE, List.of()));
+            deliver(new RouterEvent.EndpointUpdate(ListForm.UNAVAILABLE, List.of()));
         }
 
-        /** Runs until so long, or until the change is known where that is after it could be. */
-        private void run(long until) {
-            while (!ahead.isEmpty() && ahead.peek().at <= until && knownAt < reachableAt) {
-                Due due = ahead.poll();
-                now = due.at;
-                due.then.run();
-                arm();
+        /** Runs until the given time, or until the change is known if that is earlier. */
+        private void run(long untilMicros) {
+            while (!scheduledTasks.isEmpty()
+                    && scheduledTasks.peek().atMicros <= untilMicros
+                    && knownAtMicros < reachableAtMicros) {
+                ScheduledTask next = scheduledTasks.poll();
+                nowMicros = next.atMicros;
+                next.task.run();
+                scheduleDeadline();
             }
-            now = Math.max(now, Math.min(until, knownAt < reachableAt ? until : now));
+            nowMicros = Math.max(
+                    nowMicros, Math.min(untilMicros, knownAtMicros < reachableAtMicros ? untilMicros : nowMicros));
         }
 
-        /** How long it took. */
-        long took() {
-            run(reachableAt + 20_000 * MS);
-            assertTrue(knownAt >= reachableAt, "never known after " + fates);
-            return knownAt - reachableAt;
+        /** Runs until the change is known and returns the time that this took since discovery could be reached. */
+        long latencyMicros() {
+            run(reachableAtMicros + 20_000 * MICROS_PER_MILLI);
+            assertTrue(
+                    knownAtMicros >= reachableAtMicros,
+                    "change not known within 20 s, outcomes of the calls: " + outcomes);
+            return knownAtMicros - reachableAtMicros;
         }
 
-        void beatEvery(long micros, long number) {
-            at(now + micros, () -> {
-                schedule.onMessage(number, now);
-                beatEvery(micros, number);
+        void sendHeartbeatsEvery(long intervalMicros, long number) {
+            at(nowMicros + intervalMicros, () -> {
+                schedule.onMessage(number, nowMicros);
+                sendHeartbeatsEvery(intervalMicros, number);
             });
         }
 
-        void moveAt(long when) {
-            at(when, () -> schedule.onAddressChange(now));
+        void changeAddressAt(long atMicros) {
+            at(atMicros, () -> schedule.onAddressChange(nowMicros));
         }
     }
 
-    private static List<List<Fate>> orders(List<Fate> of, int most) {
-        List<List<Fate>> all = new ArrayList<>();
+    /** Returns all sequences of the given outcomes of up to {@code maxLength} elements. */
+    private static List<List<CallOutcome>> sequences(List<CallOutcome> outcomes, int maxLength) {
+        List<List<CallOutcome>> all = new ArrayList<>();
         all.add(List.of());
-        List<List<Fate>> longest = List.of(List.of());
-        for (int i = 0; i < most; i++) {
-            List<List<Fate>> longer = new ArrayList<>();
-            for (List<Fate> order : longest) {
-                for (Fate next : of) {
-                    List<Fate> extended = new ArrayList<>(order);
+        List<List<CallOutcome>> longest = List.of(List.of());
+        for (int i = 0; i < maxLength; i++) {
+            List<List<CallOutcome>> longer = new ArrayList<>();
+            for (List<CallOutcome> sequence : longest) {
+                for (CallOutcome next : outcomes) {
+                    List<CallOutcome> extended = new ArrayList<>(sequence);
                     extended.add(next);
                     longer.add(extended);
                 }
@@ -195,120 +224,162 @@
         return all;
     }
 
-    private interface Case {
-        Play begin(long seed, List<Fate> fates);
+    private interface Scenario {
+        Simulation start(long seed, List<CallOutcome> outcomes);
     }
 
-    /** The worst over all orders, seeds and, where told, moments of a SIGHUP that moves discovery. */
-    private static long worst(String name, List<Fate> of, int most, boolean moves, Case begins) {
-        long worst = 0;
-        List<Fate> worstOf = List.of();
-        for (List<Fate> fates : orders(of, most)) {
+    /**
+     * Checks the worst latency over all sequences of outcomes, three seeds and, if {@code changeAddress} is set, all
+     * times of a SIGHUP that changes discovery's address.
+     */
+    private static long checkWorstLatency(
+            String name, List<CallOutcome> outcomes, int maxLength, boolean changeAddress, Scenario scenario) {
+        long worstMicros = 0;
+        List<CallOutcome> worstSequence = List.of();
+        for (List<CallOutcome> sequence : sequences(outcomes, maxLength)) {
             for (long seed = 0; seed < 3; seed++) {
-                for (long move = moves ? 0 : 6000; move <= 6000; move += 250) {
-                    Play play = begins.begin(seed, fates);
-                    if (moves && move < 6000) {
-                        play.moveAt(play.reachableAt + move * MS);
+                for (long changeAfterMillis = changeAddress ? 0 : 6000;
+                        changeAfterMillis <= 6000;
+                        changeAfterMillis += 250) {
+                    Simulation simulation = scenario.start(seed, sequence);
+                    if (changeAddress && changeAfterMillis < 6000) {
+                        simulation.changeAddressAt(simulation.reachableAtMicros + changeAfterMillis * MICROS_PER_MILLI);
                     }
-                    long took = play.took();
-                    if (took > worst) {
-                        worst = took;
-                        worstOf = fates;
+                    long latencyMicros = simulation.latencyMicros();
+                    if (latencyMicros > worstMicros) {
+                        worstMicros = latencyMicros;
+                        worstSequence = sequence;
                     }
                 }
             }
         }
-        System.out.printf("%s%s: %d ms after %s%n", name, moves ? ", moved in the midst" : "", worst / MS, worstOf);
-        assertTrue(worst <= BOUND - MARGIN, name + ": " + worst / MS + " ms after " + worstOf);
-        return worst;
+        System.out.printf(
+                "%s%s: %d ms after %s%n",
+                name,
+                changeAddress ? ", address changed meanwhile" : "",
+                worstMicros / MICROS_PER_MILLI,
+                worstSequence);
+        assertTrue(
+                worstMicros <= LATENCY_BOUND_MICROS - LATENCY_MARGIN_MICROS,
+                name + ": " + worstMicros / MICROS_PER_MILLI + " ms after " + worstSequence);
+        return worstMicros;
     }
 
-    private static Play start(long seed, List<Fate> fates) {
-        return new Play(seed, Fate.NEVER_UP, START, fates);
+    private static Simulation start(long seed, List<CallOutcome> outcomes) {
+        return new Simulation(seed, CallOutcome.NEVER_CONNECTED, START_MICROS, outcomes);
     }
 
-    /** A watch is up and has spoken when it falls silent or breaks. */
-    private static Play watching(long seed, List<Fate> fates, boolean breaks) {
-        Play play = new Play(seed, Fate.ANSWERED, START + 1 + MS, fates);
-        play.run(START + MS);
-        assertEquals(START + 1, play.knownAt);
-        if (breaks) {
-            play.at(START + 1 + MS, () -> play.schedule.onFailure(1));
+    /** Starts with a watch that has sent a message and then becomes silent, or fails if {@code fails} is set. */
+    private static Simulation watching(long seed, List<CallOutcome> outcomes, boolean fails) {
+        Simulation simulation =
+                new Simulation(seed, CallOutcome.ANSWERED, START_MICROS + 1 + MICROS_PER_MILLI, outcomes);
+        simulation.run(START_MICROS + MICROS_PER_MILLI);
+        assertEquals(START_MICROS + 1, simulation.knownAtMicros);
+        if (fails) {
+            simulation.at(START_MICROS + 1 + MICROS_PER_MILLI, () -> simulation.schedule.onFailure(1));
         }
-        return play;
+        return simulation;
     }
 
-    /** Discovery is away for half a minute, and returns at any moment of a caller's pause. */
-    private static Play outage(long seed, List<Fate> fates, Fate meanwhile, long phase) {
-        return new Play(seed, meanwhile, START + 30_000 * MS + phase, fates);
+    /** Discovery is unavailable for 30 s plus {@code phaseMicros}, so that it returns at any point of the backoff. */
+    private static Simulation outage(
+            long seed, List<CallOutcome> outcomes, CallOutcome duringOutage, long phaseMicros) {
+        return new Simulation(seed, duringOutage, START_MICROS + 30_000 * MICROS_PER_MILLI + phaseMicros, outcomes);
     }
 
     @Test
-    void aStart() {
-        for (boolean moves : new boolean[] {false, true}) {
-            worst("start, three of a crowd fail", Fate.CROWDED, 3, moves, WatchScheduleTest::start);
-            worst("start, any two fail", Fate.FAILURES, 2, moves, WatchScheduleTest::start);
+    void changeIsKnownInTimeAfterAStart() {
+        for (boolean changeAddress : new boolean[] {false, true}) {
+            checkWorstLatency(
+                    "start, three overload failures",
+                    CallOutcome.OVERLOAD_FAILURES,
+                    3,
+                    changeAddress,
+                    WatchScheduleTest::start);
+            checkWorstLatency(
+                    "start, any two failures", CallOutcome.FAILURES, 2, changeAddress, WatchScheduleTest::start);
         }
     }
 
     @Test
-    void aWatchFallsSilent() {
-        for (boolean moves : new boolean[] {false, true}) {
-            worst("silent watch", Fate.FAILURES, 2, moves, (seed, fates) -> watching(seed, fates, false));
+    void changeIsKnownInTimeAfterAWatchBecomesSilent() {
+        for (boolean changeAddress : new boolean[] {false, true}) {
+            checkWorstLatency(
+                    "silent watch",
+                    CallOutcome.FAILURES,
+                    2,
+                    changeAddress,
+                    (seed, outcomes) -> watching(seed, outcomes, false));
         }
     }
 
     @Test
-    void aWatchBreaks() {
-        for (boolean moves : new boolean[] {false, true}) {
-            worst("broken watch", Fate.FAILURES, 2, moves, (seed, fates) -> watching(seed, fates, true));
+    void changeIsKnownInTimeAfterAWatchFails() {
+        for (boolean changeAddress : new boolean[] {false, true}) {
+            checkWorstLatency(
+                    "failed watch",
+                    CallOutcome.FAILURES,
+                    2,
+                    changeAddress,
+                    (seed, outcomes) -> watching(seed, outcomes, true));
         }
     }
 
     @Test
-    void discoveryReturns() {
-        List<Fate> outages = List.of(
-                Fate.REFUSED, Fate.REFUSED_LATE, Fate.REFUSED_LATER, Fate.RESET, Fate.NEVER_UP, Fate.HEAD_THEN_SILENCE);
-        for (Fate meanwhile : outages) {
-            for (long phase = 0; phase < 2000; phase += 125) {
-                long at = phase * MS;
-                worst(
-                        "return after " + meanwhile,
-                        Fate.FAILURES,
+    void changeIsKnownInTimeAfterAnOutage() {
+        List<CallOutcome> outages = List.of(
+                CallOutcome.REFUSED,
+                CallOutcome.REFUSED_LATE,
+                CallOutcome.REFUSED_LATER,
+                CallOutcome.RESET,
+                CallOutcome.NEVER_CONNECTED,
+                CallOutcome.HEAD_THEN_SILENCE);
+        for (CallOutcome duringOutage : outages) {
+            for (long phaseMillis = 0; phaseMillis < 2000; phaseMillis += 125) {
+                long phaseMicros = phaseMillis * MICROS_PER_MILLI;
+                checkWorstLatency(
+                        "outage with " + duringOutage,
+                        CallOutcome.FAILURES,
                         2,
                         false,
-                        (seed, fates) -> outage(seed, fates, meanwhile, at));
+                        (seed, outcomes) -> outage(seed, outcomes, duringOutage, phaseMicros));
             }
-            worst(
-                    "return after " + meanwhile,
-                    Fate.FAILURES,
+            checkWorstLatency(
+                    "outage with " + duringOutage,
+                    CallOutcome.FAILURES,
                     2,
                     true,
-                    (seed, fates) -> outage(seed, fates, meanwhile, 700 * MS));
+                    (seed, outcomes) -> outage(seed, outcomes, duringOutage, 700 * MICROS_PER_MILLI));
         }
     }
 
     @Test
-    void aWatchThatBeatsOutlastsAnyNumberOfCallsToAnAddressThatNeverAnswers() {
-        Play play = new Play(1, Fate.ANSWERED, START + 60_000 * MS, List.of());
-        play.run(START + MS);
-        assertEquals(START + 1, play.knownAt);
-        play.beatEvery(2000 * MS, 1);
-        play.elsewhere = true;
-        play.moveAt(START + 1300 * MS);
-        play.run(START + 59_000 * MS);
-        assertTrue(play.calls + play.silent > 20, "calls to the new address: " + play.silent);
-        assertTrue(!play.dropped.contains(1L), "the watch that beats was let go");
+    void watchWithHeartbeatsStaysOpenWhileCallsToANewAddressAreNeverAnswered() {
+        Simulation simulation =
+                new Simulation(1, CallOutcome.ANSWERED, START_MICROS + 60_000 * MICROS_PER_MILLI, List.of());
+        simulation.run(START_MICROS + MICROS_PER_MILLI);
+        assertEquals(START_MICROS + 1, simulation.knownAtMicros);
+        simulation.sendHeartbeatsEvery(2000 * MICROS_PER_MILLI, 1);
+        simulation.addressUnreachable = true;
+        simulation.changeAddressAt(START_MICROS + 1300 * MICROS_PER_MILLI);
+        simulation.run(START_MICROS + 59_000 * MICROS_PER_MILLI);
+        assertTrue(
+                simulation.callCount + simulation.unansweredCount > 20,
+                "calls to the new address: " + simulation.unansweredCount);
+        assertTrue(!simulation.closedWatches.contains(1L), "the watch with heartbeats was closed");
     }
 
     @Test
-    void noMoreThanFourAreOpenHoweverManyHang() {
-        Play play = new Play(1, Fate.NEVER_UP, START + 60_000 * MS, List.of());
-        int[] most = {0};
-        for (long at = START; at < START + 60_000 * MS; at += 100 * MS) {
-            play.run(at);
-            most[0] = Math.max(most[0], play.schedule.openCount());
+    void noMoreThanFourWatchesAreOpenWhileNoCallConnects() {
+        Simulation simulation =
+                new Simulation(1, CallOutcome.NEVER_CONNECTED, START_MICROS + 60_000 * MICROS_PER_MILLI, List.of());
+        int[] maxOpenCount = {0};
+        for (long atMicros = START_MICROS;
+                atMicros < START_MICROS + 60_000 * MICROS_PER_MILLI;
+                atMicros += 100 * MICROS_PER_MILLI) {
+            simulation.run(atMicros);
+            maxOpenCount[0] = Math.max(maxOpenCount[0], simulation.schedule.openCount());
         }
-        assertTrue(most[0] <= 4, "open at once: " + most[0]);
+        assertTrue(maxOpenCount[0] <= 4, "watches open at the same time: " + maxOpenCount[0]);
     }
 }
--- a/discovery/src/main/java/lupinvalve/discovery/ChunkedDecoder.java
+++ b/discovery/src/main/java/lupinvalve/discovery/ChunkedDecoder.java
@@ -3,7 +3,7 @@
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 
-/** Decodes HTTP's chunked transfer coding, however the bytes are spread over reads. Not thread-safe. */
+/** Decodes HTTP's chunked transfer coding incrementally: a read may end at any byte. Not thread-safe. */
 final class ChunkedDecoder {
     private enum State {
         SIZE,
@@ -17,7 +17,7 @@
 
     private static final int HEX_RADIX = 16;
 
-    /** A size whose leading digits exceed this is rejected. */
+    /** A chunk size is rejected if its value without the last hexadecimal digit exceeds this. */
     private static final int MAX_SIZE_PREFIX = 1 << 26;
 
     private State state = State.SIZE;
@@ -25,7 +25,7 @@
     private int trailerLineBytes;
 
     /**
-     * Decodes the next bytes of the stream.
+     * Decodes the next bytes of the stream and returns the data that they contain.
      *
      * @throws IOException if a chunk's size is malformed or too large
      */
@@ -43,7 +43,7 @@
                     } else if (state == State.SIZE) {
                         int digit = Character.digit(next, HEX_RADIX);
                         if (digit < 0 || remainingBytes > MAX_SIZE_PREFIX) {
-                            throw new IOException("chunk size");
+                            throw new IOException("malformed or too large chunk size");
                         }
                         remainingBytes = remainingBytes * HEX_RADIX + digit;
                     }
@@ -78,7 +78,7 @@
         return out.toByteArray();
     }
 
-    /** Whether the bytes so far end with a complete chunk, except perhaps for its line end. */
+    /** Whether the bytes decoded so far end with a complete chunk; the line end behind its data may be missing. */
     boolean isBetweenChunks() {
         return state == State.SIZE && remainingBytes == 0 || state == State.DATA_END;
     }
--- a/discovery/src/main/java/lupinvalve/discovery/DnsEndpointDiscovery.java
+++ b/discovery/src/main/java/lupinvalve/discovery/DnsEndpointDiscovery.java
@@ -38,9 +38,9 @@
 import org.xbill.DNS.Type;
 
 /**
- * Polls the endpoint list from DNS-SD records (RFC 6763): PTR names the instances, SRV the address of each, TXT its
- * attributes. A failed look-up is no empty list: the endpoints known before stay. Core thread only; look-ups run on a
- * thread of their own.
+ * Polls the endpoint list from DNS-SD records (RFC 6763): PTR records name the instances, SRV records give the address
+ * of each, TXT records its attributes. A failed look-up is reported as unavailable, not as an empty list, so that the
+ * endpoints known before are kept. Core thread only; look-ups run on a separate thread.
  */
 public final class DnsEndpointDiscovery implements EndpointDiscovery {
     private static final int LOOK_UP_STACK_BYTES = 256 << 10;
@@ -64,10 +64,10 @@
     private TimerQueue.Timer nextPoll;
 
     /**
-     * Starts nothing: polls begin with {@link #subscribe}.
+     * Sends no query: polls begin with {@link #subscribe}.
      *
-     * @param pollMicros pause from an answer to the next look-up
-     * @param mysqlPort port for MySQL where an instance's TXT record names none
+     * @param pollMicros pause from the end of a look-up to the start of the next
+     * @param mysqlPort MySQL port of an instance whose TXT record has none
      * @param zones the names of zones, in the settings' order
      */
     public DnsEndpointDiscovery(
@@ -109,22 +109,22 @@
         poll(SINGLE_FETCH);
     }
 
-    /** Looks up once; {@code ofSubscription} is the subscription to poll for, or {@link #SINGLE_FETCH}. */
-    private void poll(long ofSubscription) {
+    /** Starts one look-up for the given subscription, or for {@link #SINGLE_FETCH}. */
+    private void poll(long requestedSubscription) {
         lookUpExecutor.execute(() -> {
             List<DiscoveredEndpoint> found = null;
             try {
                 found = lookUp();
             } catch (IOException | RuntimeException e) {
-                Log.warn("dns-sd: %s", e.getMessage());
+                Log.warn("dns-sd: look-up of %s failed, keeping the current list: %s", service, e.getMessage());
             }
             List<DiscoveredEndpoint> entries = found;
-            loop.post(() -> onLookUpEnded(ofSubscription, entries));
+            loop.post(() -> onLookUpEnded(requestedSubscription, entries));
         });
     }
 
-    private void onLookUpEnded(long ofSubscription, List<DiscoveredEndpoint> entries) {
-        if (ofSubscription >= 0 && ofSubscription != subscription) {
+    private void onLookUpEnded(long requestedSubscription, List<DiscoveredEndpoint> entries) {
+        if (requestedSubscription >= 0 && requestedSubscription != subscription) {
             return;
         }
         if (entries == null) {
@@ -136,38 +136,42 @@
             lastEntries = entries;
             pooler.onEndpointListEvent(new EndpointListEvent(ListForm.FULL, entries));
         }
-        if (ofSubscription >= 0) {
-            nextPoll = loop.after(pollMicros, () -> poll(ofSubscription));
+        if (requestedSubscription >= 0) {
+            nextPoll = loop.after(pollMicros, () -> poll(requestedSubscription));
         }
     }
 
     private List<DiscoveredEndpoint> lookUp() throws IOException {
-        Map<String, List<Record>> known = new HashMap<>();
+        Map<String, List<Record>> cachedRecords = new HashMap<>();
         Name name = Name.fromString(service, Name.root);
         List<DiscoveredEndpoint> entries = new ArrayList<>();
         TreeSet<Name> instances = new TreeSet<>();
-        for (Record record : records(name, Type.PTR, known)) {
+        for (Record record : records(name, Type.PTR, cachedRecords)) {
             instances.add(((PTRRecord) record).getTarget());
         }
         if (instances.isEmpty()) {
-            // A zone that lost its records looks the same as one whose db nodes have all departed; the former is
-            // likelier.
-            throw new IOException("no instances of " + service);
+            // A zone that has lost its records can't be distinguished from one whose db nodes have all departed; the
+            // former is more likely.
+            throw new IOException("the answer has no PTR records");
         }
         for (Name instance : instances) {
-            List<Record> services = records(instance, Type.SRV, known);
+            List<Record> services = records(instance, Type.SRV, cachedRecords);
             if (!services.isEmpty()) {
                 SRVRecord server = (SRVRecord) services.get(0);
-                entries.add(entry(instance, server, address(server.getTarget(), known), attributes(instance, known)));
+                entries.add(entry(
+                        instance,
+                        server,
+                        address(server.getTarget(), cachedRecords),
+                        attributes(instance, cachedRecords)));
             }
         }
         return entries;
     }
 
-    /** The records of a name; sends a query unless an earlier answer held them. */
-    private List<Record> records(Name name, int type, Map<String, List<Record>> known) throws IOException {
+    /** Returns the records of a name; sends a query unless an earlier answer of this look-up contained them. */
+    private List<Record> records(Name name, int type, Map<String, List<Record>> cachedRecords) throws IOException {
         String key = key(name, type);
-        if (!known.containsKey(key)) {
+        if (!cachedRecords.containsKey(key)) {
             SimpleResolver client = new SimpleResolver(resolver);
             client.setTimeout(Duration.ofSeconds(1));
             Message answer = client.send(Message.newQuery(Record.newRecord(name, type, DClass.IN)));
@@ -177,35 +181,36 @@
             }
             for (int section : new int[] {Section.ANSWER, Section.ADDITIONAL}) {
                 for (Record record : answer.getSection(section)) {
-                    known.computeIfAbsent(key(record.getName(), record.getType()), absent -> new ArrayList<>())
+                    cachedRecords
+                            .computeIfAbsent(key(record.getName(), record.getType()), absent -> new ArrayList<>())
                             .add(record);
                 }
             }
         }
-        return known.getOrDefault(key, List.of());
+        return cachedRecords.getOrDefault(key, List.of());
     }
 
     private static String key(Name name, int type) {
         return name.toString().toLowerCase(Locale.ROOT) + " " + type;
     }
 
-    private String address(Name host, Map<String, List<Record>> known) throws IOException {
-        for (Record record : records(host, Type.A, known)) {
+    private String address(Name host, Map<String, List<Record>> cachedRecords) throws IOException {
+        for (Record record : records(host, Type.A, cachedRecords)) {
             return ((ARecord) record).getAddress().getHostAddress();
         }
-        for (Record record : records(host, Type.AAAA, known)) {
+        for (Record record : records(host, Type.AAAA, cachedRecords)) {
             return "[" + ((AAAARecord) record).getAddress().getHostAddress() + "]";
         }
-        throw new IOException(host + " has no address");
+        throw new IOException(host + " has neither an A nor an AAAA record");
     }
 
-    private Map<String, String> attributes(Name instance, Map<String, List<Record>> known) throws IOException {
+    private Map<String, String> attributes(Name instance, Map<String, List<Record>> cachedRecords) throws IOException {
         Map<String, String> attributes = new HashMap<>();
-        for (Record record : records(instance, Type.TXT, known)) {
+        for (Record record : records(instance, Type.TXT, cachedRecords)) {
             for (String pair : ((TXTRecord) record).getStrings()) {
                 int equals = pair.indexOf('=');
                 if (equals > 0) {
-                    // Keys ignore case, and the first of several equal keys holds (RFC 6763, 6.4).
+                    // Keys are case-insensitive, and the first of several equal keys counts (RFC 6763, 6.4).
                     attributes.putIfAbsent(
                             pair.substring(0, equals).toLowerCase(Locale.ROOT), pair.substring(equals + 1));
                 }
@@ -232,7 +237,7 @@
                                     * DiscoveryFormat.MICROS_PER_MILLI),
                     Map.of("pg", host + ":" + server.getPort(), "mysql", host + ":" + mysql));
         } catch (NumberFormatException e) {
-            throw new IOException(instance + ": " + e.getMessage(), e);
+            throw new IOException(instance + ": malformed number in its TXT record: " + e.getMessage(), e);
         }
     }
 }
--- a/discovery/src/main/java/lupinvalve/discovery/EndpointListReader.java
+++ b/discovery/src/main/java/lupinvalve/discovery/EndpointListReader.java
@@ -12,13 +12,13 @@
 import lupinvalve.routing.Endpoint;
 import lupinvalve.routing.EndpointState;
 
-/** Maps endpoint lists in discovery's JSON form to {@link DiscoveredEndpoint}s. Immutable; any thread may read. */
+/** Parses discovery's JSON endpoint lists into {@link DiscoveredEndpoint}s. Immutable and thread-safe. */
 public final class EndpointListReader {
     /**
-     * An endpoint list or a change of it.
+     * A complete endpoint list, or the changed entries of one.
      *
-     * @param revision discovery's number of the list
-     * @param complete whether all endpoints are listed, not only changed ones
+     * @param revision discovery's revision number of the list
+     * @param complete whether it contains all endpoints, not only the changed ones
      */
     public record EndpointList(long revision, boolean complete, List<DiscoveredEndpoint> entries) {}
 
@@ -28,7 +28,7 @@
 
     /**
      * @param zones the names of zones, in the settings' order
-     * @param mysqlPort port at which db nodes speak MySQL's protocol, or null
+     * @param mysqlPort MySQL port of entries that have no MySQL address; null if they have none
      */
     public EndpointListReader(List<String> zones, Integer mysqlPort) {
         this.mysqlPort = mysqlPort;
@@ -38,7 +38,7 @@
     /**
      * Reads a list from a range of bytes.
      *
-     * @throws IOException if it is no endpoint list
+     * @throws IOException if the text is not an endpoint list
      */
     public EndpointList read(byte[] bytes, int from, int length) throws IOException {
         try (JsonParser in = JSON.createParser(bytes, from, length)) {
@@ -50,11 +50,11 @@
     /**
      * Reads the list whose start the parser has just read.
      *
-     * @throws IOException if it is no endpoint list
+     * @throws IOException if the text is not an endpoint list
      */
     public EndpointList read(JsonParser in) throws IOException {
         if (in.currentToken() != JsonToken.START_OBJECT) {
-            throw new IOException("list: not an object");
+            throw new IOException("endpoint list: not a JSON object");
         }
         long revision = 0;
         boolean complete = false;
@@ -101,15 +101,15 @@
             }
         }
         if (id == null) {
-            throw new IOException("list: an entry without id");
+            throw new IOException("endpoint list: an entry has no id");
         }
-        EndpointState state = DiscoveryFormat.state(phase, "list");
+        EndpointState state = DiscoveryFormat.state(phase, "endpoint list");
         return new DiscoveredEndpoint(
                 new Endpoint(id, cell, zones.getOrDefault(zone, 0), state, primary, upSinceMicros),
                 addresses(address, mysql));
     }
 
-    /** An entry without an address for MySQL has the port that is configured for all db nodes. */
+    /** Addresses by protocol. An entry without a MySQL address gets its own host and the configured MySQL port. */
     private Map<String, String> addresses(String address, String mysql) {
         Map<String, String> addresses = new HashMap<>();
         if (address != null) {
--- a/discovery/src/main/java/lupinvalve/discovery/HttpEndpointDiscovery.java
+++ b/discovery/src/main/java/lupinvalve/discovery/HttpEndpointDiscovery.java
@@ -21,9 +21,12 @@
 import lupinvalve.net.Net;
 import lupinvalve.routing.ListForm;
 
-/** Reads the endpoint list over HTTP/1.1: complete on demand, and as a watch of changes. Core thread only. */
+/**
+ * Reads the endpoint list from discovery over HTTP/1.1: complete on request, and as a watch that streams its changes.
+ * Core thread only.
+ */
 public final class HttpEndpointDiscovery implements EndpointDiscovery {
-    /** Timeout of a call for the complete list; discovery itself gives one up after a second. */
+    /** Timeout of a call for the complete list; discovery itself abandons such a call after 1 s. */
     private static final long CALL_TIMEOUT_MICROS = 1_200_000;
 
     private static final int MAX_ANSWER_BYTES = 4 << 20;
@@ -31,13 +34,16 @@
     private static final String HEAD_END = "\r\n\r\n";
     private static final int MICROS_PER_MILLI = 1000;
 
-    /** A departure binds 250 ms after its notification: a watch event that waits longer for the core is logged. */
+    /**
+     * Received bytes that wait longer than this for the core thread are logged: 250 ms after the departure of a db node
+     * was notified, no attempt may begin there.
+     */
     private static final long LATE_EVENT_MICROS = 50_000;
 
-    /** Lower bound of the age that unread events may have when a request is decided. */
+    /** Lower bound of the tolerated age of unread watch events when the core thread starts a task. */
     private static final long MIN_UNREAD_AGE_MICROS = 100_000;
 
-    /** How long the core waits for unread events to be read. */
+    /** The most time that the core thread waits, before a task, for unread watch events to be read. */
     private static final long READ_TIMEOUT_MICROS = 500_000;
 
     private final Net net;
@@ -52,19 +58,19 @@
     private long revision;
     private long callCount;
 
-    /** The newest call that has delivered a list; 0 where none has. */
-    private long newestDelivery;
+    /** The number of the newest call that has delivered a list; 0 if none has. */
+    private long newestDeliveringCall;
 
-    /** The call with which discovery last restarted its revision numbers. */
-    private long lastRenumbering;
+    /** The number of the call that showed the last restart of discovery's revision numbers; 0 if none has. */
+    private long lastRenumberingCall;
 
     private final long createdAtMicros;
     private long knownUpToMicros;
 
     /**
-     * Starts nothing: watches begin with {@link #subscribe}.
+     * Opens no connection: watches begin with {@link #subscribe}.
      *
-     * @param revision the revision of the list that the pooler starts with; 0 where it has none
+     * @param revision the revision of the list that the pooler starts with; 0 if it has none
      */
     public HttpEndpointDiscovery(
             Net net, Pooler pooler, InetSocketAddress address, EndpointListReader reader, long revision) {
@@ -80,7 +86,7 @@
         loop.runBeforeEachTask(this::readPendingEvents);
     }
 
-    /** Carries out what the schedule decides. */
+    /** Opens and closes watches as the schedule decides. */
     private final class Watches implements WatchSchedule.Calls {
         @Override
         public void open(long number) {
@@ -99,14 +105,15 @@
     }
 
     /**
-     * Runs before each task of the core. Guards decisions made right after this process, or only its reading thread,
-     * was suspended: watch events that arrived meanwhile are read first.
+     * Runs before each task of the core thread: waits until the watch events that have arrived are read. Without it, a
+     * task that runs right after this process, or only the thread that reads its sockets, was suspended would decide on
+     * an outdated list.
      */
     private void readPendingEvents() {
         long maxAge = Math.max(MIN_UNREAD_AGE_MICROS, pooler.settings().rules().drainGraceMicros() / 2);
         long upTo = net.readUpTo(maxAge, READ_TIMEOUT_MICROS);
         long now = loop.now();
-        // After a timeout, which has been logged, service goes on.
+        // After a timeout, which the call above has logged, requests are served with the list as it is.
         knownUpToMicros = now - upTo > maxAge ? now : upTo;
     }
 
@@ -133,14 +140,16 @@
 
     private void onDeadline() {
         deadlineAtMicros = Long.MAX_VALUE;
-        Log.info("discovery: a watch is silent");
+        Log.info(
+                "discovery: a watch has passed its deadline, %d open: closing it or opening a successor",
+                schedule.openCount());
         schedule.onDeadline(loop.now());
         updateTimer();
     }
 
     /**
-     * Sets discovery's address. Guards against missed watch events: the watch at the old address stays open until one
-     * at the new address has answered, or until it ends by itself.
+     * Sets discovery's address. So that no watch event is missed, the watch at the old address stays open until one at
+     * the new address has sent a message, or until it ends by itself.
      */
     public void move(InetSocketAddress to) {
         if (to.equals(address)) {
@@ -157,33 +166,37 @@
     }
 
     /**
-     * Applies the list of a call unless a newer one is known: calls overlap, and a late one would bring back db nodes
-     * drained since. A complete list older than the revision that its watch requested counts all the same: that is how
-     * discovery answers once it restarts its revision numbers.
+     * Applies the list of a call unless a newer one is known: calls overlap, and a late list would restore db nodes
+     * that have been drained since. A complete list on a watch, with a lower revision than the watch requested, is
+     * applied nevertheless: discovery sends one after it has restarted its revision numbers.
      */
     private void applyList(Call call, byte[] json) throws IOException {
         EndpointListReader.EndpointList listed = reader.read(json, 0, json.length);
-        boolean renumbered =
-                call.watching && listed.complete() && call.number > newestDelivery && listed.revision() < call.since;
-        if (call.number < lastRenumbering || listed.revision() < revision && !renumbered) {
-            Log.info("discovery: endpoint list rejected: revision %d after %d", listed.revision(), revision);
+        boolean renumbered = call.watching
+                && listed.complete()
+                && call.number > newestDeliveringCall
+                && listed.revision() < call.since;
+        if (call.number < lastRenumberingCall || listed.revision() < revision && !renumbered) {
+            Log.info(
+                    "discovery: endpoint list of call %d ignored, revision %d: older than the known list, revision %d",
+                    call.number, listed.revision(), revision);
             return;
         }
-        if (newestDelivery == 0) {
+        if (newestDeliveringCall == 0) {
             Log.info(
                     "discovery: first endpoint list: revision %d, %d db nodes, after %d ms",
                     listed.revision(), listed.entries().size(), (loop.now() - createdAtMicros) / MICROS_PER_MILLI);
         }
-        lastRenumbering = renumbered ? call.number : lastRenumbering;
+        lastRenumberingCall = renumbered ? call.number : lastRenumberingCall;
         revision = listed.revision();
-        newestDelivery = Math.max(newestDelivery, call.number);
+        newestDeliveringCall = Math.max(newestDeliveringCall, call.number);
         pooler.onEndpointListEvent(new EndpointListEvent(
                 listed.complete() ? ListForm.FULL : ListForm.UPDATE,
                 listed.entries(),
                 call.notifiedSinceMicros(listed.complete())));
     }
 
-    /** Passes bytes on as they come: the answer is split on the core thread. */
+    /** Forwards bytes as they are read: the answer is parsed on the core thread. */
     private static final class UnsplitFramer implements Framer {
         @Override
         public int cut(byte[] bytes, int from, int to, List<byte[]> out) {
@@ -192,11 +205,11 @@
         }
     }
 
-    /** One HTTP call: of the complete list, or a watch. */
+    /** One HTTP call: a request for the complete list, or a watch. */
     private final class Call implements Link.Events {
         private final boolean watching;
 
-        /** Its number in the schedule; 0 where it is no watch. */
+        /** The number of the watch in the schedule; 0 for a call of the complete list. */
         private final long watch;
 
         private final String path;
@@ -214,26 +227,26 @@
         private boolean ended;
         private boolean listReceived;
 
-        /** The answer's content length; negative where its head states none. */
+        /** The answer's content length; negative if its head has none. */
         private long contentBytes = -1;
 
         private long bodyBytes;
 
-        /** When the bytes being processed were read. */
+        /** When the bytes being processed were read, in Unix microseconds. */
         private long readAtMicros;
 
-        /** When the previous complete message was read; 0 where there is none. */
+        /** When the previous complete message was read, in Unix microseconds; 0 if there is none. */
         private long previousMessageAtMicros;
 
-        /** Since when an incomplete message may have been in flight; 0 where there is none. */
+        /** The earliest time at which an incomplete message may have been in flight; 0 if there is none. */
         private long inFlightSinceMicros;
 
         Call(String path, long watch) {
             this.path = path;
             this.watch = watch;
             watching = watch > 0;
-            // A watch has the deadlines of the schedule.
-            timeout = watching ? null : loop.after(CALL_TIMEOUT_MICROS, () -> fail("not answered in time"));
+            // The deadlines of a watch are kept by the schedule.
+            timeout = watching ? null : loop.after(CALL_TIMEOUT_MICROS, () -> fail("no complete answer in time"));
             link = net.dial(address, new UnsplitFramer(), this);
         }
 
@@ -244,9 +257,9 @@
         }
 
         /**
-         * The earliest time at which discovery may have sent what is being processed. Only a change on a watch that has
-         * not missed a heartbeat, with no other open that may have been notified before, is as new as its bytes;
-         * anything else may be old.
+         * The earliest time at which discovery may have sent what is being processed, in Unix microseconds. It is known
+         * only for a change on a watch that has not missed a heartbeat and is the only one open: another watch may have
+         * been notified of the same change before. Anything else may be old.
          */
         long notifiedSinceMicros(boolean complete) {
             boolean alive = previousMessageAtMicros > 0
@@ -260,15 +273,15 @@
                 return;
             }
             Log.info(
-                    "discovery: %s %d at %s:%d ended after %d ms, %s, list at revision %d: %s",
+                    "discovery: %s %d to %s:%d ended after %d ms, %s: %s; the list stays at revision %d",
                     watching ? "watch" : "call",
                     number,
                     address.getHostString(),
                     address.getPort(),
                     (loop.now() - startedAtMicros) / MICROS_PER_MILLI,
                     listReceived ? "list received" : "no list received",
-                    revision,
-                    why);
+                    why,
+                    revision);
             pooler.discoveryReadiness().callFailed(loop.now() - startedAtMicros);
             end();
             if (watching) {
@@ -293,11 +306,11 @@
 
         @Override
         public void closed(Link closed) {
-            // An answer without a length ends with its connection, but not with a reset.
+            // The end of the connection completes an answer without a content length; a reset does not.
             if (!ended && !watching && headRead && !chunked && contentBytes < 0 && body.size() > 0 && !closed.broke()) {
                 completeList();
             } else {
-                fail(closed.broke() ? "reset" : "closed");
+                fail(closed.broke() ? "connection reset or failed" : "connection closed or never established");
             }
         }
 
@@ -305,7 +318,9 @@
         public void messages(Link from, List<byte[]> messages, long atMicros) {
             long waitedMicros = loop.now() - atMicros;
             if (waitedMicros > LATE_EVENT_MICROS) {
-                Log.info("discovery: a watch event waited %d us for the core", waitedMicros);
+                Log.info(
+                        "discovery: bytes of %s %d waited %d us for the core thread, processing them now",
+                        watching ? "watch" : "call", number, waitedMicros);
             }
             readAtMicros = atMicros;
             try {
@@ -328,7 +343,7 @@
                 int end = new String(all, ISO_8859_1).indexOf(HEAD_END);
                 if (end < 0) {
                     if (all.length > MAX_HEAD_BYTES) {
-                        throw new IOException("answer without end of its head");
+                        throw new IOException("the answer's head exceeds " + MAX_HEAD_BYTES + " bytes");
                     }
                     return;
                 }
@@ -341,12 +356,12 @@
                 }
             }
             processBody(chunked ? chunks.decode(rest) : rest);
-            if (!objects.unfinished() && (!chunked || chunks.isBetweenChunks())) {
+            if (!objects.isIncomplete() && (!chunked || chunks.isBetweenChunks())) {
                 inFlightSinceMicros = 0;
             }
         }
 
-        /** The watch has sent a complete heartbeat or object. */
+        /** Records that the watch has sent a complete heartbeat or object. */
         private void onMessage() {
             previousMessageAtMicros = readAtMicros;
             schedule.onMessage(watch, loop.now());
@@ -356,7 +371,7 @@
         private void parseHead(String text) throws IOException {
             String[] lines = text.split("\r\n");
             if (!lines[0].matches("HTTP/1\\.[01] 200( .*)?")) {
-                throw new IOException("answer " + lines[0]);
+                throw new IOException("unexpected answer: " + lines[0]);
             }
             for (String header : lines) {
                 int colon = header.indexOf(':');
@@ -369,7 +384,7 @@
                     try {
                         contentBytes = Long.parseLong(value);
                     } catch (NumberFormatException e) {
-                        throw new IOException("content-length " + value, e);
+                        throw new IOException("malformed content-length: " + value, e);
                     }
                 }
             }
@@ -378,7 +393,7 @@
         private void processBody(byte[] bytes) throws IOException {
             if (!watching) {
                 if (body.size() + bytes.length > MAX_ANSWER_BYTES) {
-                    throw new IOException("answer too long");
+                    throw new IOException("the answer's body exceeds " + MAX_ANSWER_BYTES + " bytes");
                 }
                 body.writeBytes(bytes);
                 if (chunked ? chunks.hasEnded() : contentBytes >= 0 && body.size() >= contentBytes) {
@@ -386,20 +401,20 @@
                 }
                 return;
             }
-            for (byte[] json : objects.take(bytes)) {
+            for (byte[] json : objects.append(bytes)) {
                 applyList(this, json);
                 listReceived = true;
             }
-            // Where no list is known a heartbeat does not count: the list has to come first.
+            // While no list is known a heartbeat does not count as a message: discovery has to send the list first.
             if (bytes.length > 0
-                    && !objects.unfinished()
+                    && !objects.isIncomplete()
                     && !ended
                     && (listReceived || since > 0 || pooler.hasEndpoints())) {
                 onMessage();
             }
             bodyBytes += bytes.length;
             if (!ended && (chunks.hasEnded() || contentBytes >= 0 && bodyBytes >= contentBytes)) {
-                fail("its answer is complete");
+                fail("discovery ended the answer");
             }
         }
 
@@ -408,7 +423,9 @@
             try {
                 applyList(this, body.toByteArray());
             } catch (IOException e) {
-                Log.warn("discovery: %s", e.getMessage());
+                Log.warn(
+                        "discovery: answer of call %d is not an endpoint list, keeping revision %d: %s",
+                        number, revision, e.getMessage());
                 pooler.onEndpointListEvent(new EndpointListEvent(ListForm.UNAVAILABLE, List.of()));
             }
         }
--- a/discovery/src/main/java/lupinvalve/discovery/JsonObjectSplitter.java
+++ b/discovery/src/main/java/lupinvalve/discovery/JsonObjectSplitter.java
@@ -6,8 +6,8 @@
 import java.util.List;
 
 /**
- * Splits a stream into complete JSON objects, however they are spread over reads and lines. Empty lines between them
- * are heartbeats; one within an object means that its rest is missing and something else has begun. Not thread-safe.
+ * Splits a stream into complete JSON objects; a read or a line may end anywhere in an object. Empty lines between
+ * objects are heartbeats. An empty line within an object means that the object was truncated. Not thread-safe.
  */
 final class JsonObjectSplitter {
     private final ByteArrayOutputStream partial = new ByteArrayOutputStream();
@@ -15,19 +15,19 @@
     private int depth;
     private boolean inString;
     private boolean escaped;
-    private boolean lineStarts;
+    private boolean atLineStart;
 
-    /** @param maxObjectBytes length at which an object is an error */
+    /** @param maxObjectBytes maximum length of an object */
     JsonObjectSplitter(int maxObjectBytes) {
         this.maxObjectBytes = maxObjectBytes;
     }
 
     /**
-     * Adds bytes and returns the objects that they complete.
+     * Appends bytes of the stream and returns the objects that they complete.
      *
-     * @throws IOException if the stream is no sequence of objects or one is too long
+     * @throws IOException if the stream is not a sequence of objects or an object is too long
      */
-    List<byte[]> take(byte[] bytes) throws IOException {
+    List<byte[]> append(byte[] bytes) throws IOException {
         List<byte[]> complete = new ArrayList<>(1);
         for (byte next : bytes) {
             boolean blank = next == ' ' || next == '\t' || next == '\r';
@@ -35,19 +35,19 @@
                 continue;
             }
             if (depth == 0 && next != '{') {
-                throw new IOException("an object starts with byte " + next);
+                throw new IOException("expected the start of a JSON object, got byte " + next);
             }
-            if (next == '\n' && (inString || lineStarts)) {
-                throw new IOException("an object that breaks off");
+            if (next == '\n' && (inString || atLineStart)) {
+                throw new IOException("JSON object truncated after " + partial.size() + " bytes");
             }
-            lineStarts = next == '\n' || lineStarts && blank;
+            atLineStart = next == '\n' || atLineStart && blank;
             updateDepth(next);
             partial.write(next);
             if (depth == 0) {
                 complete.add(partial.toByteArray());
                 partial.reset();
             } else if (partial.size() > maxObjectBytes) {
-                throw new IOException("answer too long");
+                throw new IOException("JSON object exceeds " + maxObjectBytes + " bytes");
             }
         }
         return complete;
@@ -66,8 +66,8 @@
         }
     }
 
-    /** Whether an object has begun and is not complete. */
-    boolean unfinished() {
+    /** Whether the stream so far ends within an object. */
+    boolean isIncomplete() {
         return depth > 0;
     }
 }
--- a/discovery/src/main/java/lupinvalve/discovery/WatchSchedule.java
+++ b/discovery/src/main/java/lupinvalve/discovery/WatchSchedule.java
@@ -6,42 +6,45 @@
 import java.util.TreeMap;
 
 /**
- * Decides when watches of the endpoint list are opened, suspected and closed. A change binds 6 s after discovery had it
- * and could be reached, and 6 s after the watch that misses it fell silent, so a suspected watch gets a successor
- * beside it. What discovery has written to a call counts as notified, read or not: a watch is therefore not dropped
- * while it may still be answered, nor as soon as another has sent a message, which would also give up its place among
- * the callers that discovery works through. No I/O, no clock: callers pass the time. Not thread-safe.
+ * Decides when watches of the endpoint list are opened, suspected and closed.
+ *
+ * <p>A pooler has to apply a change within 6 s after discovery has it and can be reached, and within 6 s after the last
+ * message of a watch that missed it. A suspected watch therefore gets a successor while it stays open itself.
+ *
+ * <p>Discovery counts a change as notified once it has written it to a connection, whether or not it has been read. A
+ * watch is therefore not closed while it may still be answered, nor as soon as another has sent a message. Closing it
+ * would also give up its place in the queue of callers that discovery serves.
+ *
+ * <p>No I/O and no clock: callers pass the time in microseconds. Not thread-safe.
  */
 final class WatchSchedule {
-    /** The interval of a watch's messages: a heartbeat where nothing has changed. */
+    /** The longest interval between messages of a watch: discovery sends a heartbeat if nothing has changed. */
     static final long HEARTBEAT_MICROS = 2_000_000;
 
-    /** What the network may add to the interval. */
+    /** The delay that the network may add to the heartbeat interval. */
     static final long HEARTBEAT_DELAY_MICROS = 200_000;
 
-    /** A watch that has sent a message is suspected after so much silence. */
+    /** A watch that has sent a message is suspected this long after its last one. */
     private static final long SUSPECT_AFTER_SILENCE_MICROS = HEARTBEAT_MICROS + 250_000;
 
-    /** A watch that has sent none is suspected so long after it was opened. */
+    /** A watch that has sent no message is suspected this long after it was opened. */
     private static final long SUSPECT_UNANSWERED_MICROS = 1_200_000;
 
-    /** A watch that has sent none is closed after this: an overloaded discovery may answer until then. */
+    /** A watch that has sent no message is closed after this time: an overloaded discovery may answer until then. */
     private static final long ANSWER_TIMEOUT_MICROS = 5_000_000;
 
-    /** An answer that has begun may be silent until its first heartbeat. */
+    /** A watch is kept open this long after the head of its answer, in which its first heartbeat is due. */
     private static final long FIRST_MESSAGE_TIMEOUT_MICROS = 2_600_000;
 
-    /** A watch that has sent a message is closed after so much silence. */
+    /** A watch that has sent a message is closed this long after its last one. */
     private static final long SILENCE_TIMEOUT_MICROS = 4_200_000;
 
-    /**
-     * A superseded watch is read for so long: discovery may have written to it what its successor is yet to receive.
-     */
+    /** A superseded watch is read this long: discovery may have written changes to it that its successor lacks. */
     private static final long SUPERSEDED_READ_MICROS = 3_000_000;
 
     private static final int MAX_OPEN_WATCHES = 4;
 
-    /** Carries out the decisions, within the call that led to them. */
+    /** Carries out the decisions, synchronously within the call that led to them. */
     interface Calls {
         /** Opens a watch at the current address. */
         void open(long number);
@@ -49,7 +52,7 @@
         /** Closes a watch. */
         void drop(long number);
 
-        /** The newest has failed, and none is opened until {@link WatchSchedule#subscribe} is called. */
+        /** Reports that the newest watch has failed; none is opened until {@link WatchSchedule#subscribe} is called. */
         void unavailable();
     }
 
@@ -60,7 +63,7 @@
         private long endAtMicros;
         private boolean hasSentMessage;
 
-        /** Another watch has taken over; this one is only read until its end. */
+        /** Whether another watch has replaced this one, which is only read until {@link #endAtMicros}. */
         private boolean superseded;
 
         Watch(long number, long address, long nowMicros) {
@@ -74,7 +77,7 @@
     private final Calls calls;
     private final TreeMap<Long, Watch> open = new TreeMap<>();
 
-    /** The watch relied on: the newest, until one opened before it is answered after all. */
+    /** The watch whose failure is reported: the newest, unless an older one was answered first; null if none. */
     private Watch newest;
 
     private boolean active;
@@ -85,10 +88,10 @@
         this.calls = calls;
     }
 
-    /** Starts or ends watching. A watch that is open or connecting has its own deadlines and is not replaced. */
-    void subscribe(boolean wanted, long nowMicros) {
-        active = wanted;
-        if (!wanted) {
+    /** Starts or ends watching. A watch that is open or connecting is not replaced: its own deadlines apply. */
+    void subscribe(boolean enable, long nowMicros) {
+        active = enable;
+        if (!enable) {
             List.copyOf(open.keySet()).forEach(this::drop);
             newest = null;
         } else if (newest == null) {
@@ -96,9 +99,7 @@
         }
     }
 
-    /**
-     * Discovery has another address: watches of the former one stay until one of the new address has sent a message.
-     */
+    /** Opens a watch at discovery's new address; those at the old one stay until the new one has sent a message. */
     void onAddressChange(long nowMicros) {
         addressCount++;
         if (active) {
@@ -108,7 +109,7 @@
 
     private void openNext(long nowMicros) {
         if (open.size() >= MAX_OPEN_WATCHES) {
-            // The one that would end first is the least likely to send anything more.
+            // The watch with the earliest end is the least likely to send another message.
             Watch earliest = null;
             for (Watch watch : open.values()) {
                 earliest = earliest == null || watch.endAtMicros < earliest.endAtMicros ? watch : earliest;
@@ -125,7 +126,7 @@
         calls.drop(number);
     }
 
-    /** The head of a watch's answer has arrived. */
+    /** Records that the head of a watch's answer has arrived. */
     void onAnswerHead(long number, long nowMicros) {
         Watch watch = open.get(number);
         if (watch != null && !watch.superseded) {
@@ -133,7 +134,7 @@
         }
     }
 
-    /** A watch has sent a complete heartbeat or object; half of one may never be completed. */
+    /** Records a complete heartbeat or object of a watch. A partial one does not count: its rest may never come. */
     void onMessage(long number, long nowMicros) {
         Watch watch = open.get(number);
         if (watch == null || watch.superseded) {
@@ -144,11 +145,11 @@
         boolean first = !watch.hasSentMessage;
         watch.hasSentMessage = true;
         for (Watch other : open.values()) {
-            boolean older = other.number < number;
-            // Opened beside this one as it was slow to answer.
-            boolean redundant =
+            boolean isOlder = other.number < number;
+            // Opened as a successor because this watch was slow to answer.
+            boolean isRedundant =
                     first && other.number > number && !other.hasSentMessage && other.address == watch.address;
-            if (!other.superseded && (older || redundant)) {
+            if (!other.superseded && (isOlder || isRedundant)) {
                 other.superseded = true;
                 other.endAtMicros = nowMicros + SUPERSEDED_READ_MICROS;
                 newest = other == newest ? watch : newest;
@@ -156,7 +157,7 @@
         }
     }
 
-    /** A watch has ended, or its answer is malformed. */
+    /** Closes a watch whose connection has ended, whose answer is malformed or whose time is over. */
     void onFailure(long number) {
         Watch watch = open.get(number);
         if (watch == null) {
@@ -169,7 +170,7 @@
         }
     }
 
-    /** Whether only this watch is open, so that no other can have been notified of a change. */
+    /** Whether no other watch is open that discovery could have notified of a change before. */
     boolean isOnlyOpen(long number) {
         return open.size() == 1 && open.containsKey(number);
     }
@@ -178,7 +179,7 @@
         return open.size();
     }
 
-    /** When {@link #onDeadline} is to be called, or {@link Long#MAX_VALUE}. */
+    /** The time at which {@link #onDeadline} has to be called; {@link Long#MAX_VALUE} if there is none. */
     long nextDeadlineMicros() {
         long next = newest == null ? Long.MAX_VALUE : newest.suspectAtMicros;
         for (Watch watch : open.values()) {
@@ -187,7 +188,7 @@
         return next;
     }
 
-    /** Closes watches whose time is over and opens a successor of a suspected one. */
+    /** Closes the watches whose end has passed and opens a successor of the newest one if it is suspected. */
     void onDeadline(long nowMicros) {
         for (Map.Entry<Long, Watch> entry : new ArrayList<>(open.entrySet())) {
             if (nowMicros >= entry.getValue().endAtMicros) {
--- a/simulator/src/main/java/lupinvalve/simulator/ActionWriter.java
+++ b/simulator/src/main/java/lupinvalve/simulator/ActionWriter.java
@@ -27,8 +27,8 @@
         }
     }
 
-    /** Sets the router that the next actions come from. */
-    void source(int routerId) {
+    /** Sets the router whose actions are written next. */
+    void setRouter(int routerId) {
         router = routerId;
     }
 
@@ -42,11 +42,11 @@
     }
 
     private void write(RouterAction action) throws IOException {
-        if (action instanceof RouterAction.StartAttempt send) {
+        if (action instanceof RouterAction.StartAttempt start) {
             begin("CALL_OUT");
-            out.writeStringField("rid", send.id());
-            out.writeNumberField("allow_for_us", send.timeoutMicros());
-            out.writeStringField("node", send.node());
+            out.writeStringField("rid", start.id());
+            out.writeNumberField("allow_for_us", start.timeoutMicros());
+            out.writeStringField("node", start.node());
         } else if (action instanceof RouterAction.Reject reject) {
             begin("TURN_AWAY");
             out.writeStringField("rid", reject.id());
@@ -64,10 +64,10 @@
         } else if (action instanceof RouterAction.CloseIdleConnections close) {
             begin("RELEASE");
             out.writeStringField("node", close.node());
-        } else if (action instanceof RouterAction.SendPeerMessage gossip) {
+        } else if (action instanceof RouterAction.SendPeerMessage peerMessage) {
             begin("SAY");
-            out.writeNumberField("addressee", gossip.to());
-            out.writeStringField("data", gossip.text());
+            out.writeNumberField("addressee", peerMessage.to());
+            out.writeStringField("data", peerMessage.text());
         } else if (action instanceof RouterAction.WatchEndpoints watch) {
             begin("TAIL");
             out.writeBooleanField("active", watch.active());
@@ -90,7 +90,7 @@
         out.writeNumberField("who", router);
     }
 
-    /** Reports an unexpected failure of a router to the simulator. */
+    /** Writes a message that reports an unexpected exception of a router. */
     void internalError(RuntimeException failure) {
         try {
             begin("INTERNAL_ERROR");
@@ -102,7 +102,7 @@
         }
     }
 
-    /** Closes the reply and returns it, without a line end. */
+    /** Completes the reply and returns it, without a line end. */
     byte[] finish() {
         try {
             out.writeEndArray();
--- a/simulator/src/main/java/lupinvalve/simulator/BatchReader.java
+++ b/simulator/src/main/java/lupinvalve/simulator/BatchReader.java
@@ -8,9 +8,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Reads the batches of the wire: their clock and the messages, which {@link EventMapper} maps. Not thread-safe. */
+/** Parses batches of wire messages; {@link EventMapper} maps each message to a command. Not thread-safe. */
 final class BatchReader {
-    /** One batch: its clock and its commands in order. */
+    /** One batch: the time at which its events happen, and its commands in order. */
     record Batch(long timeMicros, List<RouterCommand> commands) {}
 
     private static final JsonFactory JSON = new JsonFactory();
--- a/simulator/src/main/java/lupinvalve/simulator/EventMapper.java
+++ b/simulator/src/main/java/lupinvalve/simulator/EventMapper.java
@@ -14,26 +14,26 @@
 import lupinvalve.routing.ServerRole;
 
 /**
- * Maps the wire's messages, fields and words to {@link RouterCommand}s and {@link RouterEvent}s. Keeps only what later
- * messages refer to: the endpoint lists and the origin of each router's log positions. Not thread-safe.
+ * Maps wire messages to {@link RouterCommand}s and {@link RouterEvent}s. Stores only what later messages refer to: the
+ * endpoint lists by number, and the origin of each router's log positions. Not thread-safe.
  */
 final class EventMapper {
     private static final long MICROS_PER_MILLI = 1_000;
     private static final long MICROS_PER_SECOND = 1_000_000;
 
-    /** The low bits of a stamp state the server's role, the others its log position in milliseconds. */
+    /** Number of low bits of a stamp that encode the server's role; the others are its log position in milliseconds. */
     private static final int ROLE_BITS = 2;
 
     private static final int ROLE_MASK = (1 << ROLE_BITS) - 1;
 
     private final Map<Long, List<Endpoint>> endpointLists = new HashMap<>();
-    private final Map<Integer, Long> originMicros = new HashMap<>();
+    private final Map<Integer, Long> originMicrosByRouter = new HashMap<>();
 
-    /** Maps a message to its command; null where it only defines an endpoint list. */
+    /** Maps a message to a command; returns null if the message only defines an endpoint list. */
     RouterCommand map(Map<String, Object> fields) {
         Object tag = fields.get("msg");
         if (!(tag instanceof String kind)) {
-            throw new WireException("message: field msg is missing or not a text");
+            throw new WireException("message: field msg is missing or not a string");
         }
         MessageFields message = new MessageFields(kind, fields);
         if (kind.equals("DEFINE_LIST")) {
@@ -46,18 +46,19 @@
                 MessageFields env = message.object("env");
                 long seed = message.integer("entropy");
                 RouterSettings settings = SettingsReader.read(env);
-                originMicros.put(router, env.object("specifics").integerOr("origin_time_us", 0));
+                originMicrosByRouter.put(router, env.object("specifics").integerOr("origin_time_us", 0));
                 yield new RouterCommand.Start(router, seed, settings);
             }
             case "DOWN" -> {
-                originMicros.remove(router);
+                originMicrosByRouter.remove(router);
                 yield new RouterCommand.Stop(router);
             }
-            default -> new RouterCommand.Deliver(router, event(kind, message, originMicros.getOrDefault(router, 0L)));
+            default -> new RouterCommand.Deliver(
+                    router, event(kind, message, originMicrosByRouter.getOrDefault(router, 0L)));
         };
     }
 
-    private RouterEvent event(String kind, MessageFields message, long origin) {
+    private RouterEvent event(String kind, MessageFields message, long originMicros) {
         return switch (kind) {
             case "ROSTER_CHANGE" -> endpointUpdate(message);
             case "CALL" -> new RouterEvent.RequestArrived(
@@ -69,12 +70,12 @@
                     (int) message.number("group_no"),
                     message.integer("expires_in_us"));
             case "CANCELLED_BY_CLIENT" -> new RouterEvent.ClientDisconnected(message.text("rid"));
-            case "OUTCOME" -> attemptEnded(message, origin);
-            case "PROBED" -> healthCheckEnded(message, origin);
+            case "OUTCOME" -> attemptEnded(message, originMicros);
+            case "PROBED" -> healthCheckEnded(message, originMicros);
             case "WAKEUP" -> new RouterEvent.TimerFired(message.integer("handle"));
             case "HEARD" -> new RouterEvent.PeerMessage((int) message.integer("author"), message.text("data"));
             case "UNDER_WAY" -> new RouterEvent.AnswerStarted(message.text("rid"), (int) message.integer("seq_no"));
-            default -> throw new WireException("message " + kind + ": field msg names no known message");
+            default -> throw new WireException("message " + kind + ": field msg is not a known message");
         };
     }
 
@@ -92,15 +93,15 @@
         }
         List<Endpoint> endpoints = endpointLists.get(message.integer("list"));
         if (endpoints == null) {
-            throw message.invalid("list", "names no list defined before");
+            throw message.invalid("list", "refers to a list that has not been defined");
         }
         return new RouterEvent.EndpointUpdate(form, endpoints);
     }
 
     private static List<Endpoint> endpoints(MessageFields message) {
         List<Endpoint> endpoints = new ArrayList<>();
-        for (Object line : message.array("lines")) {
-            MessageFields entry = message.nested("lines", line);
+        for (Object listedEntry : message.array("lines")) {
+            MessageFields entry = message.nested("lines", listedEntry);
             EndpointState state =
                     switch (entry.text("health")) {
                         case "live" -> EndpointState.LIVE;
@@ -121,7 +122,7 @@
 
     private static RouterEvent.AttemptEnded attemptEnded(MessageFields message, long originMicros) {
         long stamp = message.integerOr("stamp", 0);
-        long tick = stamp >> ROLE_BITS;
+        long positionMillis = stamp >> ROLE_BITS;
         ServerRole role =
                 switch ((int) (stamp & ROLE_MASK)) {
                     case 1 -> ServerRole.PRIMARY;
@@ -135,7 +136,7 @@
                 attemptOutcome(message),
                 message.integer("elapsed_us"),
                 message.flagOr("closed", false),
-                tick == 0 ? LogPosition.UNKNOWN : originMicros + tick * MICROS_PER_MILLI,
+                positionMillis == 0 ? LogPosition.UNKNOWN : originMicros + positionMillis * MICROS_PER_MILLI,
                 role);
     }
 
@@ -164,7 +165,7 @@
             case "ecanceled" -> AttemptOutcome.CANCELLED;
             case "skipped" -> AttemptOutcome.NOT_SENT;
             case "enoent" -> AttemptOutcome.MISSED;
-            default -> throw message.invalid("ending", "is no known ending");
+            default -> throw message.invalid("ending", "is not a known ending");
         };
     }
 }
--- a/simulator/src/main/java/lupinvalve/simulator/JsonValues.java
+++ b/simulator/src/main/java/lupinvalve/simulator/JsonValues.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads JSON values into maps, lists, texts, numbers and booleans. Stateless. */
+/** Reads JSON values into maps, lists, strings, numbers and booleans. Stateless. */
 final class JsonValues {
     private static final int INITIAL_FIELD_COUNT = 32;
 
--- a/simulator/src/main/java/lupinvalve/simulator/MessageFields.java
+++ b/simulator/src/main/java/lupinvalve/simulator/MessageFields.java
@@ -4,9 +4,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** Typed access to the fields of one wire message; each error names the message and the field. */
+/** Typed access to the fields of one wire message; each exception names the message and the field. */
 final class MessageFields {
-    private static final int MAX_SHOWN_CHARS = 60;
+    private static final int MAX_EXCERPT_CHARS = 60;
 
     private final String path;
     private final Map<String, Object> values;
@@ -16,17 +16,17 @@
         this.values = values;
     }
 
-    /** The error for a field whose value is not allowed. */
+    /** Returns the exception for a field whose value is missing or invalid. */
     WireException invalid(String name, String problem) {
         Object value = values.get(name);
         return new WireException(
                 "message " + path + ": field " + name + " " + problem + (value == null ? "" : ": " + excerpt(value)));
     }
 
-    /** The value as an error shows it: on one line and bounded in length. */
+    /** Returns the value for an error message: on one line, and truncated if it is long. */
     private static String excerpt(Object value) {
         String text = String.valueOf(value).replaceAll("\\s+", " ");
-        return text.length() > MAX_SHOWN_CHARS ? text.substring(0, MAX_SHOWN_CHARS) + "..." : text;
+        return text.length() > MAX_EXCERPT_CHARS ? text.substring(0, MAX_EXCERPT_CHARS) + "..." : text;
     }
 
     private Object required(String name) {
@@ -41,7 +41,7 @@
         if (required(name) instanceof String text) {
             return text;
         }
-        throw invalid(name, "is not a text");
+        throw invalid(name, "is not a string");
     }
 
     String textOrNull(String name) {
@@ -59,8 +59,8 @@
         throw invalid(name, "is not a whole number");
     }
 
-    long integerOr(String name, long fallback) {
-        return values.get(name) == null ? fallback : integer(name);
+    long integerOr(String name, long defaultValue) {
+        return values.get(name) == null ? defaultValue : integer(name);
     }
 
     double number(String name) {
@@ -70,8 +70,8 @@
         throw invalid(name, "is not a number");
     }
 
-    double numberOr(String name, double fallback) {
-        return values.get(name) == null ? fallback : number(name);
+    double numberOr(String name, double defaultValue) {
+        return values.get(name) == null ? defaultValue : number(name);
     }
 
     boolean flag(String name) {
@@ -81,8 +81,8 @@
         throw invalid(name, "is not true or false");
     }
 
-    boolean flagOr(String name, boolean fallback) {
-        return values.get(name) == null ? fallback : flag(name);
+    boolean flagOr(String name, boolean defaultValue) {
+        return values.get(name) == null ? defaultValue : flag(name);
     }
 
     List<Object> array(String name) {
--- a/simulator/src/main/java/lupinvalve/simulator/SettingsReader.java
+++ b/simulator/src/main/java/lupinvalve/simulator/SettingsReader.java
@@ -7,7 +7,7 @@
 import lupinvalve.routing.RequestClass;
 import lupinvalve.routing.RouterSettings;
 
-/** Maps the keys and words of the settings object to {@link RouterSettings}; unknown keys are skipped. Stateless. */
+/** Maps the JSON settings object to {@link RouterSettings}; unknown keys are skipped. Stateless. */
 public final class SettingsReader {
     private static final long DEFAULT_CONNECT_TIMEOUT_MICROS = 250_000;
     private static final long DEFAULT_KEEPALIVE_MICROS = 15_000_000;
@@ -15,11 +15,13 @@
     private SettingsReader() {}
 
     /**
-     * The settings as the daemon needs them: the router's and those of its connections.
+     * The settings of a daemon: those of its router and of its connections to db nodes.
      *
-     * @param connectMicros timeout of connecting to a db node
-     * @param keepaliveMicros an idle connection is closed by the db node after this time
-     * @param ratePerSecond the sum of the tenants' quotas divided by the number of poolers; 0 where none is set
+     * @param connectMicros timeout of connecting to a db node, in microseconds
+     * @param keepaliveMicros microseconds after which a db node closes an idle connection
+     * @param zones the names of zones, in the settings' order
+     * @param ratePerSecond the sum of the tenants' quotas in requests per second, divided by the number of poolers; 0
+     *     if no quota is set
      */
     public record Site(
             RouterSettings settings,
@@ -82,28 +84,28 @@
     private static long positiveMicros(MessageFields limits, String name, long defaultMicros) {
         long micros = limits.integerOr(name, defaultMicros);
         if (micros <= 0) {
-            throw limits.invalid(name, "is no time");
+            throw limits.invalid(name, "is not a positive number of microseconds");
         }
         return micros;
     }
 
-    /** Clamps a count: the wire writes unbounded ones beyond the range of an int. */
+    /** Clamps a count to the range of an int: the wire encodes an unbounded count as a larger number. */
     private static int count(long value) {
         return (int) Math.max(Integer.MIN_VALUE, Math.min(Integer.MAX_VALUE, value));
     }
 
-    /** Reads the settings of a router from the {@code env} of its start. */
+    /** Reads the settings of a router from the {@code env} field of the message that starts it. */
     static RouterSettings read(MessageFields env) {
         MessageFields limits = env.object("ceilings");
         MessageFields rules = env.object("guarantees");
-        MessageFields family = env.object("specifics");
+        MessageFields specifics = env.object("specifics");
         try {
             return new RouterSettings(
                     count(env.integer("me")),
                     count(env.integer("n_instances")),
                     count(env.integerOr("zone", 0)),
                     env.text("registry_mode").equals("subscribe"),
-                    classes(env, family),
+                    classes(env, specifics),
                     new RouterSettings.SiteLimits(
                             count(limits.integer("attempts_cap")),
                             limits.flagOr("parallel_tries", false),
@@ -121,30 +123,30 @@
                             rules.number("fall_multiple"),
                             rules.integer("fall_us")),
                     new RouterSettings.Replication(
-                            freshnessCheck(family), family.integerOr("wait_us", 0), tokenSource(family)),
+                            freshnessCheck(specifics), specifics.integerOr("wait_us", 0), tokenSource(specifics)),
                     env.has("prices") ? env.object("prices").numberOr("cross_zone", 0) : 0);
         } catch (IllegalArgumentException e) {
             throw new WireException("message UP env: " + e.getMessage());
         }
     }
 
-    private static List<RequestClass> classes(MessageFields env, MessageFields family) {
+    private static List<RequestClass> classes(MessageFields env, MessageFields specifics) {
         List<RequestClass> classes = new ArrayList<>();
-        List<Object> reads = family.array("class_read");
-        List<Object> bounds = family.arrayOrEmpty("oldest_data_us");
+        List<Object> accesses = specifics.array("class_read");
+        List<Object> maxAges = specifics.arrayOrEmpty("oldest_data_us");
         List<Object> entries = env.array("classes");
-        if (reads.size() != entries.size()) {
-            throw family.invalid("class_read", "has not one entry for each class");
+        if (accesses.size() != entries.size()) {
+            throw specifics.invalid("class_read", "does not have one entry per class");
         }
         for (int i = 0; i < entries.size(); i++) {
             MessageFields entry = env.nested("classes", entries.get(i));
-            Object bound = i < bounds.size() ? bounds.get(i) : Long.valueOf(0);
-            if (!(bound instanceof Number number)) {
-                throw family.invalid("oldest_data_us", "holds an entry that is not a number");
+            Object maxAge = i < maxAges.size() ? maxAges.get(i) : Long.valueOf(0);
+            if (!(maxAge instanceof Number number)) {
+                throw specifics.invalid("oldest_data_us", "contains an entry that is not a number");
             }
             classes.add(new RequestClass(
                     entry.text("name"),
-                    access(family, reads.get(i)),
+                    access(specifics, accesses.get(i)),
                     number.longValue(),
                     effect(entry),
                     keyScope(entry),
@@ -157,14 +159,14 @@
         return classes;
     }
 
-    private static RequestClass.Access access(MessageFields family, Object read) {
+    private static RequestClass.Access access(MessageFields specifics, Object read) {
         return switch (String.valueOf(read)) {
             case "mutate" -> RequestClass.Access.WRITE;
             case "strong" -> RequestClass.Access.STRONG;
             case "causal" -> RequestClass.Access.SESSION;
             case "lag_bound" -> RequestClass.Access.BOUNDED;
             case "eventual" -> RequestClass.Access.ANY;
-            default -> throw family.invalid("class_read", "holds an unknown kind of read");
+            default -> throw specifics.invalid("class_read", "contains an unknown kind of read");
         };
     }
 
@@ -187,20 +189,20 @@
         };
     }
 
-    private static RouterSettings.FreshnessCheck freshnessCheck(MessageFields family) {
-        return switch (family.text("server_checks")) {
+    private static RouterSettings.FreshnessCheck freshnessCheck(MessageFields specifics) {
+        return switch (specifics.text("server_checks")) {
             case "silent" -> RouterSettings.FreshnessCheck.SILENT;
             case "bounce" -> RouterSettings.FreshnessCheck.BOUNCE;
             case "await" -> RouterSettings.FreshnessCheck.AWAIT;
-            default -> throw family.invalid("server_checks", "is none of silent, bounce, await");
+            default -> throw specifics.invalid("server_checks", "is none of silent, bounce, await");
         };
     }
 
-    private static RouterSettings.TokenSource tokenSource(MessageFields family) {
-        return switch (family.text("session_marks")) {
+    private static RouterSettings.TokenSource tokenSource(MessageFields specifics) {
+        return switch (specifics.text("session_marks")) {
             case "brought" -> RouterSettings.TokenSource.CARRIED;
             case "kept" -> RouterSettings.TokenSource.REMEMBERED;
-            default -> throw family.invalid("session_marks", "is neither brought nor kept");
+            default -> throw specifics.invalid("session_marks", "is neither brought nor kept");
         };
     }
 }
--- a/simulator/src/main/java/lupinvalve/simulator/SimulatorHost.java
+++ b/simulator/src/main/java/lupinvalve/simulator/SimulatorHost.java
@@ -9,8 +9,8 @@
 import lupinvalve.routing.Router;
 
 /**
- * Runs routers for the simulator: reads one batch of events a line and writes one line of actions for each. Routers
- * share no state. One thread may call {@link #run}.
+ * Runs routers for the simulator: reads one batch of events per line and writes one line of actions in reply to each.
+ * Routers share no state. Not thread-safe.
  */
 public final class SimulatorHost {
     private static final int BUFFER_BYTES = 1 << 16;
@@ -21,17 +21,17 @@
     /**
      * Runs until the input ends.
      *
-     * @throws WireException if a batch is not allowed on the wire
+     * @throws WireException if a batch violates the wire protocol
      * @throws IOException if reading or writing fails
      */
     public void run(InputStream in, OutputStream out) throws IOException {
         byte[] line = new byte[BUFFER_BYTES];
         int length = 0;
         byte[] chunk = new byte[BUFFER_BYTES];
-        int read;
-        while ((read = in.read(chunk)) >= 0) {
+        int readBytes;
+        while ((readBytes = in.read(chunk)) >= 0) {
             int from = 0;
-            for (int i = 0; i < read; i++) {
+            for (int i = 0; i < readBytes; i++) {
                 if (chunk[i] != '\n') {
                     continue;
                 }
@@ -41,8 +41,8 @@
                 processBatch(line, length, out);
                 length = 0;
             }
-            line = append(line, length, chunk, from, read);
-            length += read - from;
+            line = append(line, length, chunk, from, readBytes);
+            length += readBytes - from;
         }
         processBatch(line, length, out);
     }
@@ -67,7 +67,7 @@
         BatchReader.Batch batch = reader.read(line, length);
         ActionWriter actions = new ActionWriter();
         for (RouterCommand command : batch.commands()) {
-            actions.source(command.router());
+            actions.setRouter(command.router());
             try {
                 execute(command, batch.timeMicros(), actions);
             } catch (WireException e) {
--- a/simulator/src/test/java/lupinvalve/simulator/SimulatorHostTest.java
+++ b/simulator/src/test/java/lupinvalve/simulator/SimulatorHostTest.java
@@ -10,7 +10,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** Runs of a host over batches of the wire. */
+/** Passes batches of wire messages through a host and checks its replies and its errors. */
 class SimulatorHostTest {
     private static final String ENV = "{\"me\":0,\"n_instances\":2,\"zone\":0,\"registry_mode\":\"subscribe\","
             + "\"unknown\":[1],\"classes\":[{\"name\":\"r\",\"aim_us\":200000,\"deadline_us\":800000,"
@@ -21,15 +21,16 @@
             + "\"ramp_time_us\":9000000,\"stop_sending_within_us\":2000000},\"specifics\":{\"class_read\":"
             + "[\"eventual\"],\"oldest_data_us\":[0],\"server_checks\":\"await\",\"session_marks\":\"kept\","
             + "\"wait_us\":50000,\"origin_time_us\":0}}";
-    private static final String UP = "{\"msg\":\"UP\",\"who\":3,\"entropy\":1,\"env\":" + ENV + "}";
-    private static final String LIST = "{\"msg\":\"DEFINE_LIST\",\"list\":0,\"lines\":[{\"primary\":0,\"db\":1,"
-            + "\"born_us\":null,\"node\":\"n:1\",\"dc\":0,\"health\":\"live\"}]},"
-            + "{\"msg\":\"ROSTER_CHANGE\",\"who\":3,\"form\":\"restored\",\"seq_no\":1,\"list\":0}";
-    private static final String CALL = "{\"who\":3,\"msg\":\"CALL\",\"rid\":\"00000000000000aa\",\"cls\":0,"
+    private static final String START_ROUTER = "{\"msg\":\"UP\",\"who\":3,\"entropy\":1,\"env\":" + ENV + "}";
+    private static final String DEFINE_AND_SEND_LIST =
+            "{\"msg\":\"DEFINE_LIST\",\"list\":0,\"lines\":[{\"primary\":0,\"db\":1,"
+                    + "\"born_us\":null,\"node\":\"n:1\",\"dc\":0,\"health\":\"live\"}]},"
+                    + "{\"msg\":\"ROSTER_CHANGE\",\"who\":3,\"form\":\"restored\",\"seq_no\":1,\"list\":0}";
+    private static final String REQUEST = "{\"who\":3,\"msg\":\"CALL\",\"rid\":\"00000000000000aa\",\"cls\":0,"
             + "\"group_no\":1,\"expires_in_us\":800000}";
 
-    private static String batch(long time, String... messages) {
-        return "{\"time_us\":" + time + ",\"news\":[" + String.join(",", messages) + "]}\n";
+    private static String batch(long timeMicros, String... messages) {
+        return "{\"time_us\":" + timeMicros + ",\"news\":[" + String.join(",", messages) + "]}\n";
     }
 
     private static String run(String input) throws IOException {
@@ -39,14 +40,14 @@
     }
 
     @Test
-    void emptyBatchGetsAnEmptyReply() throws IOException {
+    void emptyBatchGetsEmptyReply() throws IOException {
         assertEquals("{\"do\":[]}\n", run(batch(5)));
     }
 
     @Test
-    void aRequestIsSentToTheListedMember() throws IOException {
-        String[] replies =
-                run(batch(1_000_000, UP, LIST) + batch(1_002_000, CALL)).split("\n");
+    void requestIsSentToListedNode() throws IOException {
+        String[] replies = run(batch(1_000_000, START_ROUTER, DEFINE_AND_SEND_LIST) + batch(1_002_000, REQUEST))
+                .split("\n");
         assertEquals(2, replies.length);
         assertTrue(replies[0].contains("\"msg\":\"TAIL\""));
         assertTrue(replies[1].contains("{\"msg\":\"CALL_OUT\",\"who\":3,\"rid\":\"00000000000000aa\""), replies[1]);
@@ -54,29 +55,39 @@
     }
 
     @Test
-    void aListNumberUsedAgainInABatchIsReadInOrder() throws IOException {
-        String second = LIST.replace("n:1", "n:2").replace("restored", "replace");
-        String[] replies = run(batch(1, UP, LIST, second) + batch(2, CALL)).split("\n");
+    void reusedListNumberRefersToLatestDefinitionBeforeIt() throws IOException {
+        String secondList = DEFINE_AND_SEND_LIST.replace("n:1", "n:2").replace("restored", "replace");
+        String[] replies = run(batch(1, START_ROUTER, DEFINE_AND_SEND_LIST, secondList) + batch(2, REQUEST))
+                .split("\n");
         assertTrue(replies[1].contains("n:2"));
     }
 
     @Test
-    void routersAreRemovedWhenDown() {
+    void eventForStoppedRouterIsRejected() {
         WireException error = assertThrows(
                 WireException.class,
-                () -> run(batch(1, UP, LIST) + batch(2, "{\"msg\":\"DOWN\",\"who\":3}") + batch(3, CALL)));
+                () -> run(batch(1, START_ROUTER, DEFINE_AND_SEND_LIST)
+                        + batch(2, "{\"msg\":\"DOWN\",\"who\":3}")
+                        + batch(3, REQUEST)));
         assertTrue(error.getMessage().contains("who"));
     }
 
     @Test
-    void errorsNameTheMessageAndTheField() {
+    void errorsNameMessageAndField() {
         assertError("batch", "JSON", "not json\n");
         assertError("batch", "time_us", "{\"news\":[]}\n");
-        assertError("CALL", "rid", batch(1, UP, LIST, "{\"msg\":\"CALL\",\"who\":3,\"cls\":0}"));
-        assertError("CALL", "cls", batch(1, UP, LIST, CALL.replace("\"cls\":0", "\"cls\":\"x\"")));
-        assertError("ROSTER_CHANGE", "list", batch(1, UP, LIST.replace("\"seq_no\":1,\"list\":0", "\"list\":9")));
-        assertError("UP", "cold_from", batch(1, UP.replace("\"cold_from\":0.2,", "")));
-        assertError("UP", "aim_us", batch(1, UP.replace("\"aim_us\":200000", "\"aim_us\":-1")));
+        assertError(
+                "CALL", "rid", batch(1, START_ROUTER, DEFINE_AND_SEND_LIST, "{\"msg\":\"CALL\",\"who\":3,\"cls\":0}"));
+        assertError(
+                "CALL",
+                "cls",
+                batch(1, START_ROUTER, DEFINE_AND_SEND_LIST, REQUEST.replace("\"cls\":0", "\"cls\":\"x\"")));
+        assertError(
+                "ROSTER_CHANGE",
+                "list",
+                batch(1, START_ROUTER, DEFINE_AND_SEND_LIST.replace("\"seq_no\":1,\"list\":0", "\"list\":9")));
+        assertError("UP", "cold_from", batch(1, START_ROUTER.replace("\"cold_from\":0.2,", "")));
+        assertError("UP", "aim_us", batch(1, START_ROUTER.replace("\"aim_us\":200000", "\"aim_us\":-1")));
     }
 
     private static void assertError(String message, String field, String input) {
--- a/warmup/src/main/java/lupinvalve/warmup/ClientScript.java
+++ b/warmup/src/main/java/lupinvalve/warmup/ClientScript.java
@@ -12,7 +12,7 @@
 import lupinvalve.net.Memory;
 import lupinvalve.routing.RequestClass;
 
-/** A scripted client: one request after another, reads and writes of all classes in turn. Not thread-safe. */
+/** A scripted client: sends reads and writes of all request classes in rotation, one by one. Not thread-safe. */
 public final class ClientScript implements Memory.Peer {
     private static final int STARTUP_HEADER_BYTES = 8;
     private static final int PROTOCOL_VERSION = 3 << 16;
@@ -24,13 +24,13 @@
     private final String name;
     private final int requestCount;
     private final CountDownLatch unanswered;
-    private int requested;
-    private int served;
+    private int requestedCount;
+    private int servedCount;
 
     /**
-     * @param name distinguishes its requests from those of other clients
-     * @param requestCount number of requests that it makes
-     * @param unanswered counted down with each answer
+     * @param name prefix of its request ids, different from that of each other client
+     * @param requestCount number of requests that it sends
+     * @param unanswered counted down by one with each answer
      */
     public ClientScript(List<RequestClass> classes, String name, int requestCount, CountDownLatch unanswered) {
         this.classes = classes;
@@ -39,7 +39,7 @@
         this.unanswered = unanswered;
     }
 
-    /** The startup message, which the client sends first. */
+    /** Returns the startup message, which the client has to send first. */
     public static byte[] startupMessage() {
         byte[] names = "user\0api\0database\0ledger\0\0".getBytes(UTF_8);
         return ByteBuffer.allocate(STARTUP_HEADER_BYTES + names.length)
@@ -49,36 +49,42 @@
                 .array();
     }
 
-    /** Number of requests answered with a row. */
+    /** Returns the number of requests that were answered with a row. */
     public int served() {
-        return served;
+        return servedCount;
     }
 
-    /** Takes one or several complete messages; the last of an answer is ReadyForQuery. */
+    /**
+     * Takes complete messages of the pooler. Once ReadyForQuery completes an answer, returns the next request; returns
+     * no bytes before that, and after the last answer.
+     */
     @Override
     public byte[] answer(byte[] written) throws IOException {
         int end = written.length;
         if (end < READY_FOR_QUERY_BYTES || written[end - READY_FOR_QUERY_BYTES] != 'Z' || written[end - 1] != 'I') {
             return new byte[0];
         }
-        if (requested > 0) {
+        if (requestedCount > 0) {
             String text = new String(written, UTF_8);
             if (text.contains("row")) {
-                served++;
+                servedCount++;
             } else {
-                Log.warn("%s-%d was not served: %s", name, requested - 1, text);
+                Log.warn(
+                        "scripted client: request %s-%d was answered without a row: %s",
+                        name, requestedCount - 1, text);
             }
             unanswered.countDown();
         }
-        return requested < requestCount ? query() : new byte[0];
+        return requestedCount < requestCount ? query() : new byte[0];
     }
 
     private byte[] query() throws IOException {
-        RequestClass requestClass = classes.get(requested % classes.size());
+        RequestClass requestClass = classes.get(requestedCount % classes.size());
         String statement = requestClass.access() == RequestClass.Access.WRITE
-                ? "INSERT INTO rows (handle, blob) VALUES ('k" + requested % KEY_COUNT + "', '\\x9f') RETURNING blob"
-                : "SELECT blob FROM rows WHERE handle = 'k" + requested % KEY_COUNT + "'";
-        byte[] text = (statement + " /* id=" + name + "-" + requested++ + ",c=" + requestClass.name() + ",t=a,d="
+                ? "INSERT INTO rows (handle, blob) VALUES ('k" + requestedCount % KEY_COUNT
+                        + "', '\\x9f') RETURNING blob"
+                : "SELECT blob FROM rows WHERE handle = 'k" + requestedCount % KEY_COUNT + "'";
+        byte[] text = (statement + " /* id=" + name + "-" + requestedCount++ + ",c=" + requestClass.name() + ",t=a,d="
                         + requestClass.deadlineMicros() / MICROS_PER_MILLI + ",cluster=1 */\0")
                 .getBytes(UTF_8);
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(text.length + 5);
--- a/warmup/src/main/java/lupinvalve/warmup/NodeScript.java
+++ b/warmup/src/main/java/lupinvalve/warmup/NodeScript.java
@@ -10,8 +10,8 @@
 import lupinvalve.net.Memory;
 
 /**
- * A scripted db node on one connection: accepts any user and answers each read, and each write if it is a primary. Not
- * thread-safe.
+ * One connection of a scripted db node: accepts any user and answers each read with a row, and each write too if it is
+ * a primary; a replica rejects writes. Not thread-safe.
  */
 public final class NodeScript implements Memory.Peer {
     private static final int BUFFER_BYTES = 16 << 10;
@@ -45,7 +45,7 @@
         return bytes.toByteArray();
     }
 
-    /** Whether a complete message has arrived; only the startup message has no type byte. */
+    /** Whether the buffer contains a complete message; {@code typeBytes} is 0 for the startup message, else 1. */
     private boolean hasMessage(int typeBytes) {
         return in.remaining() >= typeBytes + LENGTH_BYTES
                 && in.remaining() >= typeBytes + in.getInt(in.position() + typeBytes);
--- a/warmup/src/main/java/lupinvalve/warmup/StubServers.java
+++ b/warmup/src/main/java/lupinvalve/warmup/StubServers.java
@@ -15,8 +15,8 @@
 import lupinvalve.log.Log;
 
 /**
- * Stub servers of a warm-up on loopback: discovery, a primary and a replica. Each connection has a thread of its own;
- * {@link #close} stops accepting connections.
+ * Stub servers on loopback for a warm-up: discovery, a primary and a replica. Each connection is handled by a separate
+ * thread; {@link #close} stops accepting connections.
  */
 public final class StubServers implements Closeable {
     private interface ConnectionHandler {
@@ -29,7 +29,7 @@
     private final List<ServerSocket> servers = new ArrayList<>();
     private final String endpointList;
 
-    /** Starts the db nodes; {@link #discovery} lists them. */
+    /** Starts the db nodes that the server of {@link #discovery} lists. */
     public StubServers() throws IOException {
         StringBuilder members = new StringBuilder();
         for (String rank : List.of("source", "copy")) {
@@ -44,14 +44,14 @@
         endpointList = "{\"revision\":1,\"complete\":true,\"members\":[" + members + "]}\n";
     }
 
-    /** Starts discovery and returns its address as host:port. */
+    /** Starts a discovery server and returns its address as host:port. */
     public String discovery() throws IOException {
         return "127.0.0.1:"
                 + serve((in, out) -> {
                     out.write(("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                                     + Integer.toHexString(endpointList.length()) + "\r\n" + endpointList + "\r\n")
                             .getBytes(UTF_8));
-                    // Keeps the watch open until the client closes it.
+                    // Waits for the end of the connection: the watch stays open until the client closes it.
                     in.readAllBytes();
                 });
     }
@@ -82,7 +82,7 @@
                     try {
                         task.run();
                     } catch (IOException e) {
-                        Log.debug("stub server: %s", e.getMessage());
+                        Log.debug("stub server: closing a connection or listener: %s", e.getMessage());
                     }
                 },
                 "stub-server");
--- a/warmup/src/main/java/lupinvalve/warmup/package-info.java
+++ b/warmup/src/main/java/lupinvalve/warmup/package-info.java
@@ -1,2 +1,5 @@
-/** Warm-up: scripted db nodes and clients, for the start of the daemon and for the class archive of the build. */
+/**
+ * Scripted db nodes and clients that warm up the daemon's code when it starts, and that run it when the build creates
+ * its class data sharing archive.
+ */
 package lupinvalve.warmup;
