--- a/drills/src/main/java/lupinvalve/drills/Await.java
+++ b/drills/src/main/java/lupinvalve/drills/Await.java
@@ -3,26 +3,26 @@
 import java.io.IOException;
 import java.util.concurrent.TimeUnit;
 
-/** Waits for what other processes bring about, within bounds. */
+/** Waits, with a time limit, for conditions that other processes bring about. */
 final class Await {
-    private static final long LOOK_EVERY = 20;
+    private static final long POLL_MILLIS = 20;
 
-    /** What is waited for. */
-    interface Holds {
-        /** Whether it holds now. */
-        boolean now() throws IOException;
+    /** A condition that is polled. */
+    interface Condition {
+        /** Whether the condition holds now. */
+        boolean holds() throws IOException;
     }
 
     private Await() {}
 
-    /** Waits until something holds; what does not in time is an IOException. */
-    static void until(String what, int withinSeconds, Holds holds) throws IOException, InterruptedException {
+    /** Waits until the condition holds; throws IOException where it does not within the limit. */
+    static void until(String what, int withinSeconds, Condition condition) throws IOException, InterruptedException {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(withinSeconds);
-        while (!holds.now()) {
+        while (!condition.holds()) {
             if (System.nanoTime() > end) {
-                throw new IOException("not in " + withinSeconds + " s: " + what);
+                throw new IOException("timed out after " + withinSeconds + " s waiting until " + what);
             }
-            Thread.sleep(LOOK_EVERY);
+            Thread.sleep(POLL_MILLIS);
         }
     }
 }
--- a/drills/src/main/java/lupinvalve/drills/ClientHabits.java
+++ b/drills/src/main/java/lupinvalve/drills/ClientHabits.java
@@ -3,25 +3,33 @@
 import java.util.Random;
 
 /**
- * How a client of a drill uses its connection: how much it asks at once, how long it rests, how fast it reads. Drawn;
- * without I/O.
+ * Draws how a client of a drill uses its connection: how many statements it pipelines, how long it rests, how fast it
+ * reads. Does no I/O.
  */
 final class ClientHabits {
-    /** Of how many kinds of clients one is drawn. */
+    /** The kind of a client. */
     enum Kind {
-        /** One statement after another, with short rests. */
+        /** Sends one statement at a time, with short rests. */
         STEADY,
-        /** Several at once, rests for as long as connections may be made room of, long answers, some read slowly. */
+        /**
+         * Pipelines statements, rests long enough for its connection to be ended to make room for others, requests long
+         * values, and partly reads them slowly.
+         */
         VARIED
     }
 
-    private static final int STEADY_REST = 30;
-    private static final int AT_ONCE_MOST = 8;
-    private static final int[] RESTS = {0, 0, 10, 90, 110, 130, 300, 1_000, 2_100};
-    private static final int LONG_ONE_IN = 12, LONG_LEAST = 70_000, LONG_MOST = 700_000;
-    private static final int SLOW_ONE_IN = 6, SLOW_PAUSE_MOST = 12;
-    /** One turn in so many is left by its client, within so many ms. */
-    private static final int LEAVES_ONE_IN = 20, LEAVES_WITHIN = 60;
+    private static final int MAX_STEADY_REST_MILLIS = 30;
+    private static final int MAX_STATEMENTS_AT_ONCE = 8;
+    private static final int[] REST_CHOICES_MILLIS = {0, 0, 10, 90, 110, 130, 300, 1_000, 2_100};
+    private static final int LONG_VALUE_ONE_IN = 12;
+    private static final int MIN_LONG_VALUE_BYTES = 70_000;
+    private static final int MAX_LONG_VALUE_BYTES = 700_000;
+    private static final int SLOW_READER_ONE_IN = 6;
+    private static final int MAX_READING_PAUSE_MILLIS = 12;
+    /** The client leaves without its answers after one batch of statements in this many. */
+    private static final int LEAVES_ONE_IN = 20;
+
+    private static final int MAX_LEAVE_AFTER_MILLIS = 60;
 
     private final Kind kind;
     private final Random random;
@@ -35,29 +43,33 @@
         return random;
     }
 
-    /** How many statements it sends at once. */
-    int atOnce() {
-        return kind == Kind.STEADY || random.nextBoolean() ? 1 : 1 + random.nextInt(AT_ONCE_MOST);
+    /** How many statements it sends before it reads answers. */
+    int statementsAtOnce() {
+        return kind == Kind.STEADY || random.nextBoolean() ? 1 : 1 + random.nextInt(MAX_STATEMENTS_AT_ONCE);
     }
 
-    /** How long it rests before the next ones, in milliseconds. */
-    long rest() {
-        return kind == Kind.STEADY ? 1 + random.nextInt(STEADY_REST) : RESTS[random.nextInt(RESTS.length)];
+    /** How long it rests before it sends again, in milliseconds. */
+    long restMillis() {
+        return kind == Kind.STEADY
+                ? 1 + random.nextInt(MAX_STEADY_REST_MILLIS)
+                : REST_CHOICES_MILLIS[random.nextInt(REST_CHOICES_MILLIS.length)];
     }
 
-    /** How many bytes the next read's value has beyond the usual; 0 for none. */
-    int longValue() {
-        boolean isLong = kind == Kind.VARIED && random.nextInt(LONG_ONE_IN) == 0;
-        return isLong ? LONG_LEAST + random.nextInt(LONG_MOST - LONG_LEAST) : 0;
+    /** By how many bytes the value of the next read is to be longer than usual; 0 for the usual length. */
+    int longValueBytes() {
+        boolean isLong = kind == Kind.VARIED && random.nextInt(LONG_VALUE_ONE_IN) == 0;
+        return isLong ? MIN_LONG_VALUE_BYTES + random.nextInt(MAX_LONG_VALUE_BYTES - MIN_LONG_VALUE_BYTES) : 0;
     }
 
-    /** How long a connection rests before each piece that it reads, in milliseconds; 0 where it reads at once. */
-    long readingPause() {
-        return kind == Kind.VARIED && random.nextInt(SLOW_ONE_IN) == 0 ? 1 + random.nextInt(SLOW_PAUSE_MOST) : 0;
+    /** How long the client rests before each read from the socket, in milliseconds; 0 for not at all. */
+    long readingPauseMillis() {
+        return kind == Kind.VARIED && random.nextInt(SLOW_READER_ONE_IN) == 0
+                ? 1 + random.nextInt(MAX_READING_PAUSE_MILLIS)
+                : 0;
     }
 
-    /** After how many milliseconds it goes away without its answers; less than 0 where it stays. */
-    int leavesAfter() {
-        return random.nextInt(LEAVES_ONE_IN) == 0 ? random.nextInt(LEAVES_WITHIN) : -1;
+    /** After how many milliseconds it disconnects without its answers; less than 0 where it waits for them. */
+    int leavesAfterMillis() {
+        return random.nextInt(LEAVES_ONE_IN) == 0 ? random.nextInt(MAX_LEAVE_AFTER_MILLIS) : -1;
     }
 }
--- a/drills/src/main/java/lupinvalve/drills/DaemonProcess.java
+++ b/drills/src/main/java/lupinvalve/drills/DaemonProcess.java
@@ -16,89 +16,94 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-/** One daemon through all its lives: the program as it ships, in a process of its own. Ends only what it started. */
+/** One daemon across restarts: the shipped program in a process of its own. Signals only processes that it started. */
 public final class DaemonProcess implements Closeable {
-    private static final int END_SECONDS = 10, TORN_MILLIS = 60, SERIES_MILLIS = 150;
+    private static final int END_SECONDS = 10;
+    private static final int HALF_WRITTEN_MILLIS = 60;
+    private static final int SIGNAL_INTERVAL_MILLIS = 150;
     public final String name;
-    private final Path config, operator, said;
-    private final Consumer<String> lines;
-    /** The class that is started; the program's own unless a launcher stands before it. */
+    private final Path config;
+    private final Path operator;
+    private final Path logFile;
+    private final Consumer<String> lineListener;
+    /** Main class of the process, with its first arguments; the program's own class unless a launcher replaces it. */
     private final List<String> main = new ArrayList<>(List.of("lupinvalve.cli.Main"));
 
     private final Map<String, String> environment = new TreeMap<>();
     private int heapMegabytes = 64;
-    /** The cores that it is held to, as taskset names them; null for all. */
+    /** The cores that the process may run on, in taskset's notation; null for all. */
     private String cores;
 
     private Process process;
     private boolean paused;
-    private boolean debugs;
+    private boolean isDebug;
     private volatile long startedAt;
 
-    /** @param lines hears each line of the log */
-    public DaemonProcess(String name, Path folder, Consumer<String> lines) {
+    /** @param lineListener is called with each line of the log, on the thread that reads the process's output */
+    public DaemonProcess(String name, Path folder, Consumer<String> lineListener) {
         this.name = name;
-        this.lines = lines;
+        this.lineListener = lineListener;
         config = folder.resolve(name + ".json");
         operator = folder.resolve(name + ".operator.json");
-        said = folder.resolve(name + ".log");
+        logFile = folder.resolve(name + ".log");
     }
 
-    /** What its next starts run: a class and its arguments before those of the daemon. */
+    /** Sets what the next starts run: a class, and arguments that precede those of the daemon. */
     public void main(List<String> command) {
         main.clear();
         main.addAll(command);
     }
 
-    /** How much heap its next starts may take. */
+    /** Limits the heap of the next starts. */
     public void heap(int megabytes) {
         heapMegabytes = megabytes;
     }
 
-    /** Holds its next starts to the first so many cores of this machine. */
+    /** Limits the next starts to this many cores, the first ones of the machine. */
     public void cores(int count) {
         cores = "0-" + (count - 1);
     }
 
-    /** What the environment of its next starts holds besides this process's own. */
+    /** Adds variables to the environment of the next starts, which is otherwise that of this process. */
     public void environment(Map<String, String> more) {
         environment.putAll(more);
     }
 
-    /** The process's id; once it was started. */
+    /** The process id. Called once the process was started. */
     public long pid() {
         return process.pid();
     }
 
-    /** Has its next starts log each attempt. */
+    /** Makes the next starts log each attempt. */
     public void debug() {
-        debugs = true;
+        isDebug = true;
     }
 
-    /** Writes the files that it starts from. */
+    /** Writes the platform's and the operators' file that the daemon reads. */
     public void files(String platform, String operators) throws IOException {
         Files.writeString(config, platform);
         Files.writeString(operator, operators);
     }
 
-    /** Leaves a file half written for a moment, as an editor may, and has the daemon read it anew both times. */
+    /** Writes half of the platform's file, as an editor may, then all of it, with a SIGHUP after each. */
     public void reload() throws IOException, InterruptedException {
         byte[] whole = Files.readAllBytes(config);
         Files.write(config, Arrays.copyOf(whole, whole.length / 2));
         signal("HUP");
-        Thread.sleep(TORN_MILLIS);
+        Thread.sleep(HALF_WRITTEN_MILLIS);
         Files.write(config, whole);
         signal("HUP");
     }
 
-    private void signal(String which) throws IOException, InterruptedException {
+    private void signal(String signalName) throws IOException, InterruptedException {
         if (runs()) {
-            new ProcessBuilder("kill", "-" + which, Long.toString(process.pid()))
+            new ProcessBuilder("kill", "-" + signalName, Long.toString(process.pid()))
                     .start()
                     .waitFor();
         }
     }
 
+    /** Starts the process and a thread that reads its log. */
     public void start() throws IOException {
         startedAt = System.nanoTime();
         List<String> command = new ArrayList<>(cores == null ? List.of() : List.of("taskset", "-c", cores));
@@ -113,40 +118,42 @@
                 System.getProperty("java.class.path")));
         command.addAll(main);
         command.addAll(List.of("serve", "--config", config.toString(), "--operator", operator.toString()));
-        if (debugs) {
+        if (isDebug) {
             command.add("--debug");
         }
         ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
         builder.environment().putAll(environment);
         process = builder.start();
-        Process mine = process;
-        Threads.start("log of " + name, () -> read(mine));
+        Process started = process;
+        Threads.start("log of " + name, () -> read(started));
     }
 
     private void read(Process from) throws IOException {
         try (BufferedReader in =
                 new BufferedReader(new InputStreamReader(from.getInputStream(), StandardCharsets.UTF_8))) {
             for (String line = in.readLine(); line != null; line = in.readLine()) {
-                Files.writeString(said, line + "\n", StandardOpenOption.CREATE, StandardOpenOption.APPEND);
-                lines.accept(line);
+                Files.writeString(logFile, line + "\n", StandardOpenOption.CREATE, StandardOpenOption.APPEND);
+                lineListener.accept(line);
             }
         }
     }
 
-    /** When its last life began, by {@link System#nanoTime}. */
+    /** When the process was last started, by {@link System#nanoTime}. */
     public long startedAt() {
         return startedAt;
     }
 
+    /** Whether the process was started and has not ended. */
     public boolean runs() {
         return process != null && process.isAlive();
     }
 
+    /** Whether the process is stopped by {@link #pause}. */
     public boolean paused() {
         return paused;
     }
 
-    /** Stops the process where it stands, or lets it go on. */
+    /** Stops the process with SIGSTOP, or resumes it with SIGCONT. */
     public void pause(boolean now) throws IOException, InterruptedException {
         if (paused != now) {
             signal(now ? "STOP" : "CONT");
@@ -154,22 +161,23 @@
         paused = now && runs();
     }
 
-    /** Lets a process go on that has stopped itself. */
+    /** Resumes a process that has stopped itself. */
     public void wake() throws IOException, InterruptedException {
         signal("CONT");
     }
 
+    /** Sends SIGKILL and waits for the end. */
     public void kill() throws InterruptedException {
         process.destroyForcibly().waitFor();
         paused = false;
     }
 
-    /** SIGTERM; what was wrong with its end, or null. */
+    /** Sends SIGTERM and waits for the end; returns what was wrong with it, or null. */
     public String end() throws IOException, InterruptedException {
         if (!runs()) {
             return name + " does not run";
         }
-        // Process.destroy would close the pipe that its log comes by.
+        // Process.destroy would close the pipe that carries the log.
         signal("TERM");
         if (!process.waitFor(END_SECONDS, TimeUnit.SECONDS)) {
             process.destroyForcibly().waitFor();
@@ -179,10 +187,10 @@
     }
 
     /**
-     * SIGHUP, SIGTERM and both once more in series, then SIGKILL as early as the platform may send it; what was wrong
-     * with its end, or null.
+     * Sends SIGHUP and SIGTERM, both again in quick succession and a last SIGHUP, then SIGKILL as early as the platform
+     * may send it; returns what was wrong with the end, or null.
      *
-     * @param killMillis from the first SIGTERM to SIGKILL
+     * @param killMillis time from the first SIGTERM to SIGKILL
      */
     public String endBySeries(long killMillis) throws IOException, InterruptedException {
         if (!runs()) {
@@ -192,7 +200,7 @@
         signal("TERM");
         long killAt = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(killMillis);
         for (String next : List.of("HUP", "TERM", "HUP")) {
-            Thread.sleep(SERIES_MILLIS);
+            Thread.sleep(SIGNAL_INTERVAL_MILLIS);
             signal(next);
         }
         if (process.waitFor(killAt - System.nanoTime(), TimeUnit.NANOSECONDS)) {
--- a/drills/src/main/java/lupinvalve/drills/DbNodes.java
+++ b/drills/src/main/java/lupinvalve/drills/DbNodes.java
@@ -19,35 +19,40 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * Stand-in db sets of a primary and two replicas, which speak PostgreSQL's protocol and tell the book what they ran. A
- * replica is some milliseconds behind its primary; a primary that dies has a successor after a second.
+ * Stand-in db sets of a primary and two replicas each, which speak PostgreSQL's protocol and report what they ran to a
+ * listener. A replica lags its primary by some milliseconds; one second after a primary died a replica is promoted.
  */
 public final class DbNodes implements Closeable {
-    private static final long LAG = 12, SUCCESSION = 1_000;
+    private static final long LAG_MILLIS = 12;
+    private static final long SUCCESSION_MILLIS = 1_000;
 
-    /** Told of each statement that was run. */
-    public interface Seen {
+    /** Notified of the statements of poolers, on the thread of the connection that they came on. */
+    public interface Listener {
+        /** A db node ran a statement whose comment has these fields. */
         void ran(DbNode node, String pooler, Map<String, String> fields, boolean write);
 
-        /** The same as it came, before anything was made of it; its first byte at a Unix time in milliseconds. */
-        default void came(DbNode node, String pooler, Map<String, String> fields, long at) {}
+        /** A statement arrived and was not handled yet; its first byte came at a Unix time in milliseconds. */
+        default void arrived(DbNode node, String pooler, Map<String, String> fields, long at) {}
     }
 
-    /** One stand-in: a port for each pooler, so that it is known who asks. */
+    /** One stand-in, with a port for each pooler, by which it knows the sender of a statement. */
     public final class DbNode {
         public final String id;
-        public final int group, zone;
+        public final int group;
+        public final int zone;
         private final Map<String, ServerSocket> ports = new HashMap<>();
         private final List<Socket> sockets = new CopyOnWriteArrayList<>();
-        private volatile boolean primary, dead, paused;
+        private volatile boolean primary;
+        private volatile boolean dead;
+        private volatile boolean paused;
         private volatile long slowMillis;
         private volatile long startedAt;
 
         private DbNode(int number) {
             id = "n" + number;
-            group = number / Scenario.MEMBERS;
+            group = number / Scenario.NODES_PER_GROUP;
             zone = number % 2;
-            primary = number % Scenario.MEMBERS == 0;
+            primary = number % Scenario.NODES_PER_GROUP == 0;
         }
 
         int port(String pooler) throws IOException {
@@ -60,12 +65,13 @@
                         socket.close();
                         continue;
                     }
-                    // Else an answer's second packet waits 40 ms for the first to be acknowledged.
+                    // With Nagle's algorithm the second packet of an answer would wait 40 ms for the delayed ACK of the
+                    // first.
                     socket.setTcpNoDelay(true);
                     sockets.add(socket);
                     Threads.start(id, () -> {
                         try (socket) {
-                            speak(socket, pooler);
+                            serve(socket, pooler);
                         } finally {
                             sockets.remove(socket);
                         }
@@ -75,17 +81,17 @@
             return server.getLocalPort();
         }
 
-        /** Up to which commit it has applied all, as a Unix time in milliseconds. */
+        /** The position up to which all commits are applied, as a Unix time in milliseconds. */
         private long position() {
             long now = System.currentTimeMillis();
-            return primary ? now : now - LAG;
+            return primary ? now : now - LAG_MILLIS;
         }
 
         private String rank() {
             return primary ? "source" : "copy";
         }
 
-        /** When its last start was, as a Unix time in milliseconds, or 0 for long ago. */
+        /** When the db node was last started, as a Unix time in milliseconds; 0 where it was not restarted. */
         long startedAt() {
             return startedAt;
         }
@@ -94,60 +100,62 @@
             return dead;
         }
 
-        private void waits() throws InterruptedException {
+        private void delay() throws InterruptedException {
             Thread.sleep(1 + slowMillis);
             while (paused && !dead) {
                 Thread.sleep(5);
             }
         }
 
-        private void speak(Socket socket, String pooler) throws IOException, InterruptedException {
+        private void serve(Socket socket, String pooler) throws IOException, InterruptedException {
             DataInputStream in = new DataInputStream(socket.getInputStream());
             DataOutputStream out = new DataOutputStream(new BufferedOutputStream(socket.getOutputStream()));
             in.skipNBytes(in.readInt() - 4L);
-            message(out, 'R', new byte[4]);
-            ready(out);
+            writeMessage(out, 'R', new byte[4]);
+            writeReady(out);
             while (in.read() == 'Q') {
-                long cameAt = System.currentTimeMillis();
+                long arrivedAt = System.currentTimeMillis();
                 byte[] body = in.readNBytes(in.readInt() - 4);
                 String statement = new String(body, 0, body.length - 1, UTF_8);
                 if (statement.startsWith("SHOW vitals")) {
-                    row(out, "x0=" + BigDecimal.valueOf(position(), 3).toPlainString() + ",x1=" + (primary ? 1 : 0));
-                    ready(out);
+                    writeRow(
+                            out,
+                            "x0=" + BigDecimal.valueOf(position(), 3).toPlainString() + ",x1=" + (primary ? 1 : 0));
+                    writeReady(out);
                     continue;
                 }
                 Map<String, String> fields = fields(statement);
                 boolean write = statement.startsWith("INSERT");
-                told.came(this, pooler, fields, cameAt);
-                waits();
+                listener.arrived(this, pooler, fields, arrivedAt);
+                delay();
                 String code = null;
-                long seen;
-                // What a write is told and what a read sees have one order in the whole of the rig.
+                long position;
+                // One lock for all db nodes: the positions of writes and of reads are taken in one total order.
                 synchronized (DbNodes.this) {
-                    seen = position();
+                    position = position();
                     long after = Long.parseLong(fields.getOrDefault("after", "0"));
                     if (dead) {
                         return;
                     } else if (write && !primary) {
                         code = "25006";
-                    } else if (!write && seen < after) {
+                    } else if (!write && position < after) {
                         code = "72000";
                     } else {
-                        told.ran(this, pooler, fields, write);
+                        listener.ran(this, pooler, fields, write);
                     }
                 }
                 if (code == null) {
-                    row(out, LongValues.value(seen, statement));
+                    writeRow(out, LongValues.value(position, statement));
                 } else {
-                    message(out, 'E', ("SERROR\0C" + code + "\0Mno\0\0").getBytes(UTF_8));
+                    writeMessage(out, 'E', ("SERROR\0C" + code + "\0Mno\0\0").getBytes(UTF_8));
                 }
-                message(out, 'S', ("as_of\0" + seen + "\0").getBytes(UTF_8));
-                message(out, 'S', ("rank\0" + rank() + "\0").getBytes(UTF_8));
-                ready(out);
+                writeMessage(out, 'S', ("as_of\0" + position + "\0").getBytes(UTF_8));
+                writeMessage(out, 'S', ("rank\0" + rank() + "\0").getBytes(UTF_8));
+                writeReady(out);
             }
         }
 
-        /** Dies; its connections break and new ones come to nothing. */
+        /** Breaks all connections and closes new ones at once; a replica is promoted where this was the primary. */
         void kill() throws IOException {
             synchronized (DbNodes.this) {
                 dead = true;
@@ -157,13 +165,13 @@
             }
             if (primary) {
                 Threads.start("succession", () -> {
-                    Thread.sleep(SUCCESSION);
-                    succeed(this);
+                    Thread.sleep(SUCCESSION_MILLIS);
+                    promoteSuccessor(this);
                 });
             }
         }
 
-        void back() {
+        void restart() {
             synchronized (DbNodes.this) {
                 startedAt = System.currentTimeMillis();
                 dead = false;
@@ -180,11 +188,11 @@
     }
 
     private final List<DbNode> nodes = new ArrayList<>();
-    private final Seen told;
+    private final Listener listener;
 
-    DbNodes(int groups, Seen told) {
-        this.told = told;
-        for (int i = 0; i < groups * Scenario.MEMBERS; i++) {
+    DbNodes(int groups, Listener listener) {
+        this.listener = listener;
+        for (int i = 0; i < groups * Scenario.NODES_PER_GROUP; i++) {
             nodes.add(new DbNode(i));
         }
     }
@@ -197,18 +205,21 @@
         return nodes.get(Integer.parseInt(id.substring(1)));
     }
 
-    /** The next primary of the set takes over, if the old one is still gone and another lives. */
-    private synchronized void succeed(DbNode old) {
-        if (!old.dead) {
+    /** Promotes a live db node of the set, if there is one and the old primary is still dead. */
+    private synchronized void promoteSuccessor(DbNode oldPrimary) {
+        if (!oldPrimary.dead) {
             return;
         }
-        nodes.stream().filter(n -> n.group == old.group && !n.dead).findFirst().ifPresent(next -> {
-            old.primary = false;
-            next.primary = true;
-        });
+        nodes.stream()
+                .filter(n -> n.group == oldPrimary.group && !n.dead)
+                .findFirst()
+                .ifPresent(newPrimary -> {
+                    oldPrimary.primary = false;
+                    newPrimary.primary = true;
+                });
     }
 
-    /** Names and values of a statement's comment. */
+    /** The fields of the comment at the end of a statement, by name. */
     static Map<String, String> fields(String statement) {
         Map<String, String> fields = new HashMap<>();
         int from = statement.lastIndexOf("/*");
@@ -222,23 +233,23 @@
         return fields;
     }
 
-    private static void row(DataOutputStream out, String value) throws IOException {
-        message(out, 'T', "\0\1blob\0\0\0\0\0\0\0\0\0\0\31\377\377\377\377\377\377\0\0".getBytes(ISO_8859_1));
+    private static void writeRow(DataOutputStream out, String value) throws IOException {
+        writeMessage(out, 'T', "\0\1blob\0\0\0\0\0\0\0\0\0\0\31\377\377\377\377\377\377\0\0".getBytes(ISO_8859_1));
         byte[] bytes = value.getBytes(UTF_8);
         out.write('D');
         out.writeInt(10 + bytes.length);
         out.writeShort(1);
         out.writeInt(bytes.length);
         out.write(bytes);
-        message(out, 'C', "SELECT 1\0".getBytes(UTF_8));
+        writeMessage(out, 'C', "SELECT 1\0".getBytes(UTF_8));
     }
 
-    private static void ready(DataOutputStream out) throws IOException {
-        message(out, 'Z', new byte[] {'I'});
+    private static void writeReady(DataOutputStream out) throws IOException {
+        writeMessage(out, 'Z', new byte[] {'I'});
         out.flush();
     }
 
-    private static void message(DataOutputStream out, char type, byte[] body) throws IOException {
+    private static void writeMessage(DataOutputStream out, char type, byte[] body) throws IOException {
         out.write(type);
         out.writeInt(body.length + 4);
         out.write(body);
--- a/drills/src/main/java/lupinvalve/drills/DiscoveryCall.java
+++ b/drills/src/main/java/lupinvalve/drills/DiscoveryCall.java
@@ -11,37 +11,34 @@
 import java.net.Socket;
 import java.net.SocketTimeoutException;
 
-/** One call that a pooler made to discovery, and what can be said to it. */
+/** One HTTP call of a pooler to discovery, with the ways to answer it. */
 final class DiscoveryCall implements Closeable {
-    /**
-     * How long is listened for the caller's end: it is there at once on loopback, but a wait of 0 would be one for
-     * ever.
-     */
-    private static final int LISTEN_MILLIS = 1;
-    /** Whether it asks to be told of changes too. */
-    final boolean follows;
+    /** How long to read for the caller's FIN. On loopback it is there at once; 0 would mean to wait without a limit. */
+    private static final int READ_TIMEOUT_MILLIS = 1;
+    /** Whether the caller requested a watch, so that changes are sent as well. */
+    final boolean isWatch;
 
     private final Socket socket;
     private final OutputStream out;
 
-    /** Reads what is asked. */
+    /** Reads the request. */
     DiscoveryCall(Socket socket) throws IOException {
         this.socket = socket;
         out = socket.getOutputStream();
         BufferedReader in = new BufferedReader(new InputStreamReader(socket.getInputStream(), US_ASCII));
-        String head = in.readLine();
-        String line = head;
+        String requestLine = in.readLine();
+        String line = requestLine;
         while (line != null && !line.isEmpty()) {
-            // The other headers say nothing that is needed here.
+            // Headers have no effect here.
             line = in.readLine();
         }
-        follows = head != null && head.contains("follow=1");
+        isWatch = requestLine != null && requestLine.contains("follow=1");
     }
 
-    /** Whether the caller has ended its connection: what is written from then on reaches nobody. */
-    boolean givenUp() {
+    /** Whether the caller has closed its connection, so that it would not read what is written now. */
+    boolean isClosedByCaller() {
         try {
-            socket.setSoTimeout(LISTEN_MILLIS);
+            socket.setSoTimeout(READ_TIMEOUT_MILLIS);
             return socket.getInputStream().read() < 0;
         } catch (SocketTimeoutException e) {
             return false;
@@ -50,12 +47,12 @@
         }
     }
 
-    /** Begins an answer of chunks. */
+    /** Writes the head of a chunked answer. */
     void begin() throws IOException {
         out.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".getBytes(US_ASCII));
     }
 
-    /** One more chunk of the answer. */
+    /** Writes a chunk of the answer. */
     void chunk(String line) throws IOException {
         byte[] bytes = line.getBytes(UTF_8);
         out.write((Integer.toHexString(bytes.length) + "\r\n").getBytes(US_ASCII));
@@ -63,20 +60,20 @@
         out.write("\r\n".getBytes(US_ASCII));
     }
 
-    /** Ends the answer and the call. */
+    /** Ends the answer and closes the connection. */
     void end() throws IOException {
         out.write("0\r\n\r\n".getBytes(US_ASCII));
         close();
     }
 
-    /** Says no. */
+    /** Answers with status 503 and closes the connection. */
     void refuse() throws IOException {
         out.write("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
                 .getBytes(US_ASCII));
         close();
     }
 
-    /** Ends the call as one whose end has gone. */
+    /** Closes the connection by a reset. */
     void reset() throws IOException {
         socket.setSoLinger(true, 0);
         close();
--- a/drills/src/main/java/lupinvalve/drills/DrainTold.java
+++ b/drills/src/main/java/lupinvalve/drills/DiscoveryRecorder.java
@@ -2,13 +2,13 @@
 
 import java.util.List;
 
-/** Passes on what discovery does with one pooler's calls, to the judge of drains and to the log. */
-final class DrainTold implements NodeList.Told {
+/** Reports how discovery answered one pooler's calls to {@link Drains} and to the log. */
+final class DiscoveryRecorder implements NodeList.Listener {
     private final String pooler;
     private final Drains drains;
     private final TimedLog log;
 
-    DrainTold(String pooler, Drains drains, TimedLog log) {
+    DiscoveryRecorder(String pooler, Drains drains, TimedLog log) {
         this.pooler = pooler;
         this.drains = drains;
         this.log = log;
@@ -20,12 +20,12 @@
     }
 
     @Override
-    public void watched() {
-        drains.watched(pooler);
+    public void watchAnswered() {
+        drains.watchAnswered(pooler);
     }
 
     @Override
-    public void said(String line) {
-        log.said(pooler + " " + line);
+    public void log(String line) {
+        log.write(pooler + " " + line);
     }
 }
--- a/drills/src/main/java/lupinvalve/drills/DrainNotice.java
+++ b/drills/src/main/java/lupinvalve/drills/DrainNotice.java
@@ -4,88 +4,89 @@
 import java.util.List;
 
 /**
- * When one pooler counts as told that one db node drains: at discovery's first answer that says so, or six seconds
- * after discovery had the change, whichever comes first, whatever calls failed, were refused or given up. A process
- * that is started meanwhile learns from answers of its own, but the six seconds run on: a start does not set them back.
- * Without I/O; times are in milliseconds of one clock.
+ * Determines when one pooler counts as notified that one db node drains: at discovery's first answer that lists the
+ * drain, or six seconds after discovery had the change, whichever comes first, whatever calls failed, were refused or
+ * closed by the pooler. A process that is started meanwhile is notified by answers to its own calls, but the six
+ * seconds run on: a start does not extend them. Does no I/O; times are in milliseconds of one clock.
  */
 final class DrainNotice {
     /**
-     * So long after discovery had a change it binds, told or not; and so long after a watch fell silent, what that
-     * missed.
+     * How long after discovery had a change the pooler counts as notified even without an answer; and how long after a
+     * watch fell silent it counts as notified of the changes that the watch missed.
      */
-    static final long TOLD_AT_LATEST = 6_000;
-    /** Stands for a time that never comes. */
+    static final long NOTICE_LIMIT_MILLIS = 6_000;
+    /** A time that is never reached. */
     static final long NEVER = Long.MAX_VALUE;
 
-    /** How a pooler came to count as told. */
+    /** Why a pooler counts as notified. */
     enum Basis {
-        /** Discovery wrote the change to the process that runs. */
+        /** Discovery wrote the change to the pooler's running process. */
         ANSWERED,
-        /** The six seconds had passed before it did. */
+        /** The six seconds passed before discovery wrote the change. */
         LIMIT,
-        /** The six seconds since its watch fell silent had passed before it did. */
+        /** Six seconds since the pooler's watch fell silent passed before discovery wrote the change. */
         SILENCE
     }
 
     /**
-     * A time in which one process counts as told.
+     * The period in which one process counts as notified.
      *
-     * @param from when it was told, which may be before the process began
-     * @param to the drain's or the process's end
+     * @param from when the pooler was notified, which may be before the process started
+     * @param to the end of the drain or of the process
      */
-    record Told(long from, long to, Basis basis) {}
+    record NoticePeriod(long from, long to, Basis basis) {}
 
-    /** One process of the pooler, and when discovery first wrote the change to it. */
-    private static final class Life {
+    /** One process of the pooler, with the time at which discovery first wrote the change to it. */
+    private static final class ProcessRun {
         final long begunAt;
-        final long latest;
+        final long deadlineAt;
         long answeredAt = NEVER;
 
-        Life(long begunAt, long latest) {
+        ProcessRun(long begunAt, long deadlineAt) {
             this.begunAt = begunAt;
-            this.latest = latest;
+            this.deadlineAt = deadlineAt;
         }
     }
 
-    private final long limit;
-    private final List<Life> lives = new ArrayList<>();
+    private final long limitAt;
+    private final List<ProcessRun> runs = new ArrayList<>();
 
     /**
-     * A drain begins.
+     * Begins with the drain.
      *
-     * @param silentSince when the pooler's watch fell silent, with none answered since, or {@link #NEVER} where it did
-     *     not
+     * @param silentSince when the pooler's watch fell silent, with none answered since; {@link #NEVER} for no silent
+     *     watch
      */
     DrainNotice(long begunAt, long silentSince) {
-        limit = begunAt + TOLD_AT_LATEST;
-        lives.add(new Life(begunAt, silentSince == NEVER ? limit : Math.max(begunAt, silentSince + TOLD_AT_LATEST)));
+        limitAt = begunAt + NOTICE_LIMIT_MILLIS;
+        runs.add(new ProcessRun(
+                begunAt, silentSince == NEVER ? limitAt : Math.max(begunAt, silentSince + NOTICE_LIMIT_MILLIS)));
     }
 
-    /** Discovery wrote that the db node drains, on a call that the pooler had not given up. */
+    /** Discovery wrote that the db node drains, on a call that the pooler had not closed. */
     void answered(long at) {
-        Life now = lives.get(lives.size() - 1);
-        now.answeredAt = Math.min(now.answeredAt, at);
+        ProcessRun current = runs.get(runs.size() - 1);
+        current.answeredAt = Math.min(current.answeredAt, at);
     }
 
-    /** The pooler's process was started; a watch that had fallen silent ended with the one before. */
+    /** The pooler's process was started; a silent watch of the previous process has ended with it. */
     void started(long at) {
-        lives.add(new Life(at, limit));
+        runs.add(new ProcessRun(at, limitAt));
     }
 
-    /** The times in which the pooler counts as told, once the drain has ended. */
-    List<Told> ended(long at) {
-        List<Told> told = new ArrayList<>();
-        for (int i = 0; i < lives.size(); i++) {
-            Life life = lives.get(i);
-            long to = i + 1 < lives.size() ? lives.get(i + 1).begunAt : at;
-            Basis missed = life.latest < limit ? Basis.SILENCE : Basis.LIMIT;
-            Basis basis = life.answeredAt <= life.latest ? Basis.ANSWERED : missed;
-            long from = Math.min(life.answeredAt, life.latest);
+    /** Ends the drain; returns the periods in which the pooler counts as notified. */
+    List<NoticePeriod> ended(long at) {
+        List<NoticePeriod> periods = new ArrayList<>();
+        for (int i = 0; i < runs.size(); i++) {
+            ProcessRun run = runs.get(i);
+            long to = i + 1 < runs.size() ? runs.get(i + 1).begunAt : at;
+            Basis unansweredBasis = run.deadlineAt < limitAt ? Basis.SILENCE : Basis.LIMIT;
+            Basis basis = run.answeredAt <= run.deadlineAt ? Basis.ANSWERED : unansweredBasis;
+            long from = Math.min(run.answeredAt, run.deadlineAt);
             if (from < to) {
-                told.add(new Told(from, to, basis));
+                periods.add(new NoticePeriod(from, to, basis));
             }
         }
-        return told;
+        return periods;
     }
 }
--- a/drills/src/main/java/lupinvalve/drills/Drill.java
+++ b/drills/src/main/java/lupinvalve/drills/Drill.java
@@ -24,32 +24,36 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Real daemons on loopback with stand-in db nodes and discovery, a proxy on each pair, operators and clients
- * throughout, and the faults of a scenario between them. Then all is mended, and what everybody saw is judged.
+ * Runs real daemons on loopback with stand-in db nodes and discovery, a fault proxy for each pair, operators and
+ * clients, and injects the faults of a scenario between them. Then undoes all faults and judges what clients,
+ * operators, db nodes and the daemons' logs recorded.
  */
 public final class Drill implements Closeable {
-    private static final long STOOD = 2_000;
-    private static final List<SystemFaults.Kind> CALLS = List.of(
+    private static final long STOPPED_MILLIS = 2_000;
+    private static final List<SystemFaults.Kind> FAILING_CALLS = List.of(
             SystemFaults.Kind.ACCEPT,
             SystemFaults.Kind.SOCKET,
             SystemFaults.Kind.CONNECT,
             SystemFaults.Kind.EPOLL,
             SystemFaults.Kind.SHORT);
     private static final List<String> ZONES = List.of("east", "west");
-    private static final int OPERATORS = 3, CLIENTS = 3, WITHIN_SECONDS = 30;
-    /** How long a pooler that stood still owes nothing: what it held has run out by then. */
-    private static final long WOKEN = 3_000;
-    /**
-     * The platform may send SIGKILL so long after SIGTERM and the longest deadline, which counts as so much at most.
-     */
-    private static final long KILL_AFTER_DEADLINE = 700, LONGEST_DEADLINE = 3_000;
+    private static final int OPERATOR_COUNT = 3;
+    private static final int CLIENTS_PER_POOLER = 3;
+    private static final int AWAIT_SECONDS = 30;
+    /** How long after SIGCONT a pooler is excused: by then the deadlines of the requests that it held have passed. */
+    private static final long RESUME_GRACE_MILLIS = 3_000;
+    /** The platform sends SIGKILL no sooner than this after SIGTERM plus the longest deadline. */
+    private static final long KILL_AFTER_DEADLINE_MILLIS = 700;
+    /** The most that the longest deadline counts for in that. */
+    private static final long MAX_DEADLINE_MILLIS = 3_000;
 
     /**
-     * What a drill is made of.
+     * Settings of a drill.
      *
-     * @param launcher class and arguments that stand before those of the daemon in the first life of p0; empty for none
+     * @param lyingDisks whether a killed pooler loses the second half of its last history file
+     * @param launcher class, and arguments before those of the daemon, for the first start of p0; empty for none
      * @param paceMillis how long each operator rests between two calls
-     * @param audit what the poolers' files say of it: off, serve or fence
+     * @param audit the audit mode in the poolers' files: off, serve or fence
      */
     public record Setting(
             Scenario scenario,
@@ -61,49 +65,56 @@
             long paceMillis,
             String audit) {}
 
-    /** One pooler with all that leads to it and from it. */
+    /** One pooler with its process, its discovery and its fault proxies. */
     private final class Pooler {
         final String name;
-        final int number, store, pg;
+        final int number;
+        final int storePort;
+        final int clientPort;
         final DaemonProcess process;
         final NodeList list;
-        /** By whom is dialled: other poolers' stores, and db nodes. */
-        final Map<String, FaultProxy> ways = new TreeMap<>();
-        /** Of its system calls and clock; null where the scenario has none, or no C compiler is there. */
+        /** Proxies that this pooler connects through, by the name of the other pooler (its store) or db node. */
+        final Map<String, FaultProxy> proxies = new TreeMap<>();
+        /** Faults of its system calls and clock; null where the scenario has none or there is no C compiler. */
         final SystemFaults faults;
-        /** Stands before discovery where its word is to come late, else null. */
+        /** Proxy in front of discovery that delays its answers; null for no delay. */
         FaultProxy lateList;
 
-        Pooler(int number, int store, int pg) throws IOException {
+        Pooler(int number, int storePort, int clientPort) throws IOException {
             this.number = number;
-            this.store = store;
-            this.pg = pg;
+            this.storePort = storePort;
+            this.clientPort = clientPort;
             name = "p" + number;
-            process = new DaemonProcess(name, folder, this::said);
+            process = new DaemonProcess(name, folder, this::onLogLine);
             faults = faultLibrary == null ? null : SystemFaults.of(faultLibrary, folder.resolve(name + ".faults"));
             if (faults != null) {
                 process.environment(faults.environment());
             }
             Map<String, String> addresses = new TreeMap<>();
             for (DbNodes.DbNode node : nodes.all()) {
-                FaultProxy way = new FaultProxy(node.port(name));
-                ways.put(node.id, way);
-                addresses.put(node.id, "127.0.0.1:" + way.port());
+                FaultProxy proxy = new FaultProxy(node.port(name));
+                proxies.put(node.id, proxy);
+                addresses.put(node.id, "127.0.0.1:" + proxy.port());
             }
             list = new NodeList(
-                    name, nodes.all(), addresses, ZONES, discoveryQueue, new DrainTold(name, drains, discoveryLog));
-        }
-
-        private void said(String line) {
-            watcher.line(name, line, System.currentTimeMillis());
-            // Errors of the store are what its faults are to bring.
-            String owed = DaemonLog.owed(line);
-            if (owed != null) {
-                unclean.add(name + " logs: " + owed);
+                    name,
+                    nodes.all(),
+                    addresses,
+                    ZONES,
+                    discoveryQueue,
+                    new DiscoveryRecorder(name, drains, discoveryLog));
+        }
+
+        private void onLogLine(String line) {
+            watcher.logLine(name, line, System.currentTimeMillis());
+            // Only these faults count: the scenario makes the store log errors on purpose.
+            String ownChoiceEnding = DaemonLog.endedWithRequestsDue(line);
+            if (ownChoiceEnding != null) {
+                unclean.add(name + " logs: " + ownChoiceEnding);
             }
-            if (group.stopped(name, line)) {
-                Threads.start("wakes " + name, () -> {
-                    Thread.sleep(STOOD);
+            if (groupLog.recordLine(name, line)) {
+                Threads.start("resumes " + name, () -> {
+                    Thread.sleep(STOPPED_MILLIS);
                     process.wake();
                 });
             }
@@ -115,39 +126,41 @@
 
         void files() throws IOException {
             Map<String, String> members = new TreeMap<>();
-            members.put(name, "127.0.0.1:" + store);
+            members.put(name, "127.0.0.1:" + storePort);
             for (Pooler other : poolers) {
                 if (other != this) {
-                    members.put(other.name, "127.0.0.1:" + ways.get(other.name).port());
+                    members.put(
+                            other.name, "127.0.0.1:" + proxies.get(other.name).port());
                 }
             }
-            PoolerFiles.Place place = new PoolerFiles.Place(name, number, poolers.size(), pg, discoveryPort());
-            String platform = PoolerFiles.platform(Files.readString(setting.config()), place, ZONES, list.entries());
+            PoolerFiles.Identity identity =
+                    new PoolerFiles.Identity(name, number, poolers.size(), clientPort, discoveryPort());
+            String platform = PoolerFiles.platform(Files.readString(setting.config()), identity, ZONES, list.entries());
             process.files(
-                    socketsMost == 0 ? platform : PoolerFiles.withSockets(platform, socketsMost),
-                    PoolerFiles.operator(place, folder.resolve(name), setting.audit(), members));
+                    socketLimit == 0 ? platform : PoolerFiles.withSockets(platform, socketLimit),
+                    PoolerFiles.operator(identity, folder.resolve(name), setting.audit(), members));
         }
 
         void kill() throws IOException, InterruptedException {
             if (!process.runs()) {
                 return;
             }
-            boolean leads = name.equals(group.leader());
-            operators.fault(leads);
+            boolean isLeader = name.equals(groupLog.leader());
+            operators.recordFault(isLeader);
             downSince.put(name, System.currentTimeMillis());
             process.kill();
-            discoveryLog.said(name + " was killed");
+            discoveryLog.write(name + " was killed");
             if (setting.lyingDisks()) {
-                PoolerFiles.forget(folder.resolve(name));
+                PoolerFiles.truncateLastHistoryFile(folder.resolve(name));
             }
         }
 
-        /** How long its life takes until it takes clients, unless that ends before. */
-        private void timeStart() throws InterruptedException {
+        /** Measures how long the process takes from its start until it accepts clients, unless it ends before. */
+        private void measureStart() throws InterruptedException {
             long begun = process.startedAt();
             while (!over && process.runs() && process.startedAt() == begun) {
-                if (SqlClients.takes(pg)) {
-                    timing.ready(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - begun));
+                if (SqlClients.acceptsClients(clientPort)) {
+                    timing.poolerReady(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - begun));
                     return;
                 }
                 Thread.sleep(20);
@@ -156,26 +169,26 @@
 
         void start() throws IOException {
             if (!process.runs()) {
-                group.started(name);
+                groupLog.started(name);
                 Long since = downSince.remove(name);
                 if (since != null) {
-                    book.down(name, since, System.currentTimeMillis());
+                    requestChecker.poolerDown(name, since, System.currentTimeMillis());
                 }
                 timing.poolerStarted(name, System.currentTimeMillis());
-                drains.started(name, System.currentTimeMillis());
-                discoveryLog.said(name + " starts");
+                drains.poolerStarted(name, System.currentTimeMillis());
+                discoveryLog.write(name + " starts");
                 process.start();
-                Threads.start("ready " + name, this::timeStart);
+                Threads.start("ready " + name, this::measureStart);
             }
         }
     }
 
-    private record Due(long at, long order, Step step, boolean undo) {}
+    private record ScheduledAct(long at, long order, Step step, boolean isUndo) {}
 
     private final Setting setting;
     private final Path folder = Files.createTempDirectory("drill");
     private final DbNodes nodes;
-    private final Book book = new Book();
+    private final RequestChecker requestChecker = new RequestChecker();
     private final Timing timing;
     private final Drains drains;
     private final CallQueue discoveryQueue;
@@ -187,26 +200,26 @@
     private final LinkFaults linkFaults;
     private final Histogram recoveries = new ConcurrentHistogram(60_000_000, 3);
     private final Map<String, Long> downSince = new TreeMap<>();
-    private final Map<Step.Kind, Integer> done = new EnumMap<>(Step.Kind.class);
-    private final List<Step> course = new ArrayList<>();
+    private final Map<Step.Kind, Integer> playedCounts = new EnumMap<>(Step.Kind.class);
+    private final List<Step> playedSteps = new ArrayList<>();
     private final List<String> unclean = new CopyOnWriteArrayList<>();
-    private final GroupLog group;
+    private final GroupLog groupLog;
     private volatile DrillWatcher watcher = new DrillWatcher() {};
     private volatile boolean over;
     private final Path faultLibrary;
     private final long killMillis;
     private int variedClients;
-    /** What each pooler is told of its sockets; 0 for what the platform's file says. */
-    private int socketsMost;
+    /** The limit on sockets in each pooler's file; 0 to keep that of the platform's file. */
+    private int socketLimit;
 
-    private final Crowd crowd = new Crowd();
-    private final Stall stall = new Stall(() -> over);
+    private final IdleClients idleClients = new IdleClients();
+    private final StallMonitor stallMonitor = new StallMonitor(() -> over);
 
-    /** Sets all up; nothing runs yet. */
+    /** Opens ports, proxies and stand-ins and writes the poolers' files; starts no process. */
     public Drill(Setting setting) throws IOException {
         this.setting = setting;
         Scenario scenario = setting.scenario();
-        faultLibrary = scenario.steps().stream().anyMatch(step -> step.kind().ofSystem()) ? faultLibrary() : null;
+        faultLibrary = scenario.steps().stream().anyMatch(step -> step.kind().affectsSystem()) ? faultLibrary() : null;
         RouterSettings settings = NodeConfig.read(setting.config(), null).site().settings();
         killMillis = killMillis(settings);
         timing = new Timing(rules(settings));
@@ -214,8 +227,10 @@
                 IntStream.range(0, scenario.poolers()).mapToObj(i -> "p" + i).toList(), timing);
         discoveryQueue = new CallQueue(setting.seed());
         nodes = new DbNodes(
-                scenario.groups(), new Arrivals(book, timing, (node, pooler, at) -> watcher.ran(node, pooler, at)));
-        // Held until the proxies have theirs.
+                scenario.groups(),
+                new StatementRecorder(
+                        requestChecker, timing, (node, pooler, at) -> watcher.statementRan(node, pooler, at)));
+        // The ports stay bound until the proxies have theirs, so that no proxy is given one of them.
         try (Scratch.Ports ports = new Scratch.Ports(2 * scenario.poolers())) {
             for (int i = 0; i < scenario.poolers(); i++) {
                 poolers.add(new Pooler(i, ports.get(2 * i), ports.get(2 * i + 1)));
@@ -223,34 +238,34 @@
             for (Pooler from : poolers) {
                 for (Pooler to : poolers) {
                     if (from != to) {
-                        from.ways.put(to.name, new FaultProxy(to.store));
+                        from.proxies.put(to.name, new FaultProxy(to.storePort));
                     }
                 }
             }
         }
-        operators = new StoreClients(places(), setting.seed());
-        group = new GroupLog(operators.checker);
-        nodeFaults = new NodeFaults(poolers.stream().map(p -> p.list).toList(), timing, drains, discoveryLog);
-        Map<String, Map<String, FaultProxy>> ways = new TreeMap<>();
-        poolers.forEach(p -> ways.put(p.name, p.ways));
-        linkFaults = new LinkFaults(ways, timing);
-        clients = new SqlClients(book, timing, scenario.groups());
+        operators = new StoreClients(memberAddresses(), setting.seed());
+        groupLog = new GroupLog(operators.checker);
+        nodeFaults = new NodeFaults(poolers.stream().map(pooler -> pooler.list).toList(), timing, drains, discoveryLog);
+        Map<String, Map<String, FaultProxy>> proxies = new TreeMap<>();
+        poolers.forEach(pooler -> proxies.put(pooler.name, pooler.proxies));
+        linkFaults = new LinkFaults(proxies, timing);
+        clients = new SqlClients(requestChecker, timing, scenario.groups());
         for (Pooler pooler : poolers) {
             pooler.files();
         }
     }
 
-    /** When the platform may send SIGKILL at the earliest, in milliseconds from SIGTERM. */
+    /** How many milliseconds after SIGTERM the platform may send SIGKILL at the earliest. */
     static long killMillis(RouterSettings settings) {
         long longest = settings.classes().stream()
                         .mapToLong(RequestClass::deadlineMicros)
                         .max()
                         .orElse(0)
                 / 1000;
-        return Math.min(longest, LONGEST_DEADLINE) + KILL_AFTER_DEADLINE;
+        return Math.min(longest, MAX_DEADLINE_MILLIS) + KILL_AFTER_DEADLINE_MILLIS;
     }
 
-    /** What the settings allow in time. */
+    /** The time limits that the settings imply. */
     static Timing.Rules rules(RouterSettings settings) {
         RouterSettings.Rules rules = settings.rules();
         return new Timing.Rules(
@@ -265,43 +280,47 @@
         try {
             Path library = SystemFaults.build(folder);
             if (library == null) {
-                setting.log().println("no C compiler: clocks are not stepped and no system calls fail");
+                setting.log()
+                        .println("no C compiler: the drill runs without clock steps and without failing system calls");
             }
             return library;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new IOException("interrupted while the library of system faults was built", e);
+            throw new IOException("interrupted while compiling the library of system faults", e);
         }
     }
 
-    /** Has somebody hear what happens; before {@link #start}. */
-    public void watch(DrillWatcher by) {
-        watcher = by;
+    /** Sets the observer that is notified of events. Called before {@link #start}. */
+    public void watch(DrillWatcher observer) {
+        watcher = observer;
     }
 
-    /** Has all daemons log each attempt; before {@link #start}. */
+    /** Makes all daemons log each attempt. Called before {@link #start}. */
     public void debug() {
-        poolers.forEach(p -> p.process.debug());
+        poolers.forEach(pooler -> pooler.process.debug());
     }
 
     /**
-     * Has each pooler meet so many clients more that ask several things at once, rest and read slowly, with so many
-     * sockets that room is made of connections at rest; before {@link #start}.
+     * Adds to each pooler this many clients that pipeline statements, rest and read slowly, and limits its sockets so
+     * that it has to end idle connections to make room. Called before {@link #start}.
      */
     public void variedClients(int count, int sockets) throws IOException {
         variedClients = count;
-        socketsMost = sockets;
+        socketLimit = sockets;
         for (Pooler pooler : poolers) {
             pooler.files();
         }
     }
 
-    /** Holds all daemons to the first so many cores of this machine, on which they contend; before {@link #start}. */
+    /** Limits all daemons together to this many cores, the first ones of the machine. Called before {@link #start}. */
     public void cores(int count) {
         poolers.forEach(pooler -> pooler.process.cores(count));
     }
 
-    /** A double, to see the judge bite: all that discovery writes to a pooler comes so late; before {@link #start}. */
+    /**
+     * Plants a fault that {@link #judge} must find: everything that discovery writes to a pooler arrives this much
+     * late. Called before {@link #start}.
+     */
     public void lateLists(String name, long millis) throws IOException {
         Pooler late = pooler(name);
         late.lateList = new FaultProxy(late.list.port());
@@ -309,14 +328,16 @@
         late.files();
     }
 
-    /** Addresses of all members, past all proxies. */
-    public Map<String, String> places() {
-        Map<String, String> places = new TreeMap<>();
-        poolers.forEach(p -> places.put(p.name, "127.0.0.1:" + p.store));
-        return places;
+    /** Addresses of all members, without proxies. */
+    public Map<String, String> memberAddresses() {
+        Map<String, String> memberAddresses = new TreeMap<>();
+        poolers.forEach(pooler -> memberAddresses.put(pooler.name, "127.0.0.1:" + pooler.storePort));
+        return memberAddresses;
     }
 
-    /** Starts all and waits until the group is founded and each pooler takes clients. */
+    /**
+     * Starts all processes, waits until the group is founded and each pooler accepts clients, and starts the clients.
+     */
     public void start() throws IOException, InterruptedException {
         if (!setting.launcher().isEmpty()) {
             poolers.get(0).process.main(setting.launcher());
@@ -325,24 +346,27 @@
             pooler.process.start();
         }
         if (!setting.launcher().isEmpty()) {
-            Threads.start("tends p0", this::tend);
+            Threads.start("restarts p0", this::restartAfterFailPoint);
         }
-        Await.until("the group is founded", WITHIN_SECONDS, () -> operators.read() >= 0);
+        Await.until("the group is founded", AWAIT_SECONDS, () -> operators.read() >= 0);
         for (Pooler pooler : poolers) {
-            Await.until(pooler.name + " takes clients", WITHIN_SECONDS, () -> SqlClients.takes(pooler.pg));
+            Await.until(
+                    pooler.name + " accepts clients",
+                    AWAIT_SECONDS,
+                    () -> SqlClients.acceptsClients(pooler.clientPort));
         }
-        operators.start(OPERATORS, setting.paceMillis());
+        operators.start(OPERATOR_COUNT, setting.paceMillis());
         for (Pooler pooler : poolers) {
             if (setting.scenario().groups() > 0) {
                 clients.start(
                         pooler.name,
-                        pooler.pg,
+                        pooler.clientPort,
                         ClientHabits.Kind.STEADY,
-                        CLIENTS,
+                        CLIENTS_PER_POOLER,
                         setting.seed() * 131 + pooler.number);
                 clients.start(
                         pooler.name,
-                        pooler.pg,
+                        pooler.clientPort,
                         ClientHabits.Kind.VARIED,
                         variedClients,
                         setting.seed() * 137 + pooler.number);
@@ -350,8 +374,8 @@
         }
     }
 
-    /** Starts p0 as it ships once its launcher has ended it. */
-    private void tend() throws IOException, InterruptedException {
+    /** Starts p0 without its launcher once its process has ended. */
+    private void restartAfterFailPoint() throws IOException, InterruptedException {
         DaemonProcess first = poolers.get(0).process;
         while (!over && first.runs()) {
             Thread.sleep(20);
@@ -362,49 +386,50 @@
         }
     }
 
-    /** The log's line of the point at which something went wrong, or null where it was not met. */
+    /** The log line of the fail point at which the fault was injected; null where the point was not reached. */
     public String pointMet() {
-        return group.pointMet();
+        return groupLog.pointMet();
     }
 
-    /** Lets operators put for so long. */
-    public void pass(long millis) throws InterruptedException {
+    /** Lets operators put configurations for this long. */
+    public void letOperatorsRun(long millis) throws InterruptedException {
         Thread.sleep(millis);
     }
 
     // ---- the scenario ----
 
-    /** Plays the scenario's steps at their times, each undone in its time, and brings all back. */
+    /** Runs the scenario's steps at their times, undoes each after its time, then undoes all faults. */
     public void play() throws IOException, InterruptedException {
-        PriorityQueue<Due> due =
-                new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::order));
-        setting.scenario().steps().forEach(step -> due.add(new Due(step.atMillis(), due.size(), step, false)));
+        PriorityQueue<ScheduledAct> due =
+                new PriorityQueue<>(Comparator.comparingLong(ScheduledAct::at).thenComparingLong(ScheduledAct::order));
+        setting.scenario().steps().forEach(step -> due.add(new ScheduledAct(step.atMillis(), due.size(), step, false)));
         long begun = System.nanoTime();
         while (!due.isEmpty()) {
-            Due next = due.poll();
+            ScheduledAct next = due.poll();
             long wait = next.at() - TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - begun);
             if (wait > 0) {
                 Thread.sleep(wait);
             }
-            if (next.undo()) {
+            if (next.isUndo()) {
                 act(next.step(), false);
             } else {
-                Step step = next.step().who().equals(Step.LEADER) ? named(next.step()) : next.step();
+                Step step = next.step().who().equals(Step.LEADER) ? withLeaderName(next.step()) : next.step();
                 setting.log().println(step);
-                course.add(step);
-                done.merge(step.kind(), 1, Integer::sum);
-                // Others that took long, as an end does, may have held it up: it lasts its time all the same.
+                playedSteps.add(step);
+                playedCounts.merge(step.kind(), 1, Integer::sum);
+                // An earlier step that took long, as ending a process does, may have delayed it: it still lasts its
+                // full time.
                 long from = Math.max(next.at(), TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - begun));
                 act(step, true);
-                due.add(new Due(
+                due.add(new ScheduledAct(
                         from + step.forMillis(), setting.scenario().steps().size() + next.order(), step, true));
             }
         }
-        mend();
+        undoAllFaults();
     }
 
-    private Step named(Step step) {
-        String now = group.leader() == null ? "p0" : group.leader();
+    private Step withLeaderName(Step step) {
+        String now = groupLog.leader() == null ? "p0" : groupLog.leader();
         return new Step(step.atMillis(), step.kind(), now, step.to(), step.amount(), step.forMillis());
     }
 
@@ -413,12 +438,12 @@
     }
 
     private void act(Step step, boolean on) throws IOException, InterruptedException {
-        if (step.kind().ofNode()) {
+        if (step.kind().affectsNode()) {
             nodeFaults.act(step, nodes.get(step.who()), on);
             return;
         }
-        operators.fault(false);
-        if (step.kind().between) {
+        operators.recordFault(false);
+        if (step.kind().affectsConnection) {
             linkFaults.act(step, on);
             return;
         }
@@ -440,28 +465,32 @@
                 }
             }
             case RESTART -> {
-                if (on && pooler(step.who()).process.runs() && SqlClients.takes(pooler(step.who()).pg)) {
-                    String wrong = pooler(step.who()).process.end();
-                    if (wrong != null) {
-                        unclean.add(wrong);
+                if (on
+                        && pooler(step.who()).process.runs()
+                        && SqlClients.acceptsClients(pooler(step.who()).clientPort)) {
+                    String problem = pooler(step.who()).process.end();
+                    if (problem != null) {
+                        unclean.add(problem);
                     }
                     pooler(step.who()).start();
                 }
             }
             case SIGNALS -> {
-                if (on && pooler(step.who()).process.runs() && SqlClients.takes(pooler(step.who()).pg)) {
-                    String wrong = pooler(step.who()).process.endBySeries(killMillis);
-                    if (wrong != null) {
-                        unclean.add(wrong);
+                if (on
+                        && pooler(step.who()).process.runs()
+                        && SqlClients.acceptsClients(pooler(step.who()).clientPort)) {
+                    String problem = pooler(step.who()).process.endBySeries(killMillis);
+                    if (problem != null) {
+                        unclean.add(problem);
                     }
                     pooler(step.who()).start();
                 }
             }
             case CLOCK, CALLS -> systemFaults(pooler(step.who()), step, on);
-            case CROWD -> crowd.act(pooler(step.who()).pg, (int) step.amount(), on);
+            case CROWD -> idleClients.act(pooler(step.who()).clientPort, (int) step.amount(), on);
             case LIST_SILENT -> {
-                if (on && pooler(step.who()).list.fallSilent()) {
-                    drains.fellSilent(step.who(), System.currentTimeMillis());
+                if (on && pooler(step.who()).list.silenceWatches()) {
+                    drains.watchFellSilent(step.who(), System.currentTimeMillis());
                 }
             }
             case OVERLOAD -> overload(on);
@@ -482,17 +511,17 @@
             pooler.faults.set(SystemFaults.Kind.CLOCK, on ? (long) (step.amount() * 1e6) : 0);
             return;
         }
-        for (SystemFaults.Kind kind : CALLS) {
+        for (SystemFaults.Kind kind : FAILING_CALLS) {
             pooler.faults.set(kind, on ? (long) step.amount() : 0);
         }
     }
 
     private void overload(boolean on) throws IOException {
-        discoveryLog.said(on ? "discovery is overloaded" : "discovery is overloaded no longer");
-        discoveryQueue.overloaded(on);
+        discoveryLog.write(on ? "discovery is overloaded" : "discovery is overloaded no longer");
+        discoveryQueue.setOverloaded(on);
         if (on) {
             for (Pooler each : poolers) {
-                each.list.breakWatches();
+                each.list.resetWatches();
             }
         }
     }
@@ -500,38 +529,39 @@
     private void pause(Pooler pooler, boolean on) throws IOException, InterruptedException {
         if (on && pooler.process.runs()) {
             downSince.put(pooler.name, System.currentTimeMillis());
-            timing.disturbed(pooler.name, null, System.currentTimeMillis(), System.currentTimeMillis() + WOKEN);
+            timing.disturbed(
+                    pooler.name, null, System.currentTimeMillis(), System.currentTimeMillis() + RESUME_GRACE_MILLIS);
             pooler.process.pause(true);
         } else if (pooler.process.paused()) {
             pooler.process.pause(false);
             long since = downSince.remove(pooler.name);
-            book.down(pooler.name, since, System.currentTimeMillis() + WOKEN);
-            timing.disturbed(pooler.name, null, since, System.currentTimeMillis() + WOKEN);
+            requestChecker.poolerDown(pooler.name, since, System.currentTimeMillis() + RESUME_GRACE_MILLIS);
+            timing.disturbed(pooler.name, null, since, System.currentTimeMillis() + RESUME_GRACE_MILLIS);
         }
     }
 
-    /** All that was done is undone, and all poolers act on what holds. */
-    private void mend() throws IOException, InterruptedException {
+    /** Undoes all faults and waits until all poolers act on the revision that was acknowledged last. */
+    private void undoAllFaults() throws IOException, InterruptedException {
         overload(false);
         for (DbNodes.DbNode node : nodes.all()) {
             node.pause(false);
             node.slow(0);
         }
         for (Pooler pooler : poolers) {
-            pooler.ways.values().forEach(FaultProxy::heal);
+            pooler.proxies.values().forEach(FaultProxy::heal);
             if (pooler.faults != null) {
                 pooler.faults.heal();
             }
             pause(pooler, false);
             pooler.start();
         }
-        long wanted = operators.checker.acknowledged();
+        long acknowledgedRevision = operators.checker.acknowledged();
         Set<Pooler> behind = new HashSet<>(poolers);
         long start = System.nanoTime();
-        while (!behind.isEmpty() && System.nanoTime() < start + TimeUnit.SECONDS.toNanos(WITHIN_SECONDS)) {
+        while (!behind.isEmpty() && System.nanoTime() < start + TimeUnit.SECONDS.toNanos(AWAIT_SECONDS)) {
             Thread.sleep(10);
             for (Pooler pooler : List.copyOf(behind)) {
-                if (group.adopted(pooler.name) >= wanted) {
+                if (groupLog.adopted(pooler.name) >= acknowledgedRevision) {
                     behind.remove(pooler);
                     if (pooler.process.startedAt() >= start - TimeUnit.MILLISECONDS.toNanos(500)) {
                         recoveries.recordValue((System.nanoTime() - pooler.process.startedAt()) / 1000);
@@ -539,44 +569,47 @@
                 }
             }
         }
-        behind.forEach(p -> unclean.add(p.name + " acts on revision " + group.adopted(p.name) + " " + WITHIN_SECONDS
-                + " s after all was mended, " + wanted + " holds"));
+        behind.forEach(pooler ->
+                unclean.add(pooler.name + " acts on revision " + groupLog.adopted(pooler.name) + " " + AWAIT_SECONDS
+                        + " s after all faults were undone, revision " + acknowledgedRevision + " was acknowledged"));
     }
 
-    /** Kills the leader again and again for so long, each time once the last one is back and has caught up. */
+    /** Kills the leader repeatedly for this long, each time once the one killed before has caught up. */
     public void killLeaders(long millis) throws IOException, InterruptedException {
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
         while (System.nanoTime() < end) {
-            int tried = operators.tried();
+            int triedBefore = operators.putsTried();
             Await.until(
-                    "commits go on",
-                    WITHIN_SECONDS,
-                    () -> operators.served() && operators.tried() > tried + 5 && group.leader() != null);
-            Pooler one = pooler(group.leader());
-            if (!one.process.runs()) {
+                    "puts are acknowledged and a leader is known",
+                    AWAIT_SECONDS,
+                    () -> operators.hasServedSinceLeaderKill()
+                            && operators.putsTried() > triedBefore + 5
+                            && groupLog.leader() != null);
+            Pooler leader = pooler(groupLog.leader());
+            if (!leader.process.runs()) {
                 continue;
             }
-            done.merge(Step.Kind.KILL, 1, Integer::sum);
-            one.kill();
-            Await.until("a new leader serves", WITHIN_SECONDS, operators::served);
-            one.start();
+            playedCounts.merge(Step.Kind.KILL, 1, Integer::sum);
+            leader.kill();
+            Await.until("a new leader serves", AWAIT_SECONDS, operators::hasServedSinceLeaderKill);
+            leader.start();
             Await.until(
-                    "caught up",
-                    WITHIN_SECONDS,
-                    () -> group.adopted(one.name) >= operators.checker.acknowledged() * 9L / 10);
+                    leader.name + " has caught up",
+                    AWAIT_SECONDS,
+                    () -> groupLog.adopted(leader.name) >= operators.checker.acknowledged() * 9L / 10);
             Thread.sleep(300);
         }
-        mend();
+        undoAllFaults();
     }
 
     // ---- the verdict ----
 
     /**
-     * Ends clients, then daemons, and judges what everybody saw.
+     * Ends clients, then daemons, and judges what was recorded.
      *
-     * @param ends whether the daemons' own ends are looked at; else they are just killed
+     * @param endsInOrder whether the daemons are ended by SIGTERM and that is judged; else they are killed on close
      */
-    public DrillResult judge(boolean ends) throws IOException, InterruptedException {
+    public DrillResult judge(boolean endsInOrder) throws IOException, InterruptedException {
         clients.stop();
         operators.stop();
         long last = -1;
@@ -585,52 +618,57 @@
         }
         long end = last;
         try {
-            Await.until("all act on the last revision", WITHIN_SECONDS, () -> poolers.stream()
-                    .allMatch(p -> group.adopted(p.name) >= end));
+            Await.until("all poolers act on the last revision", AWAIT_SECONDS, () -> poolers.stream()
+                    .allMatch(pooler -> groupLog.adopted(pooler.name) >= end));
         } catch (IOException e) {
             unclean.add(e.getMessage());
         }
         over = true;
         for (Pooler pooler : poolers) {
-            String wrong = ends ? pooler.process.end() : null;
-            if (wrong != null) {
-                unclean.add(wrong);
+            String problem = endsInOrder ? pooler.process.end() : null;
+            if (problem != null) {
+                unclean.add(problem);
             }
         }
-        DrillResult.Course played = new DrillResult.Course(
-                poolers.size(), setting.seed(), done, discoveryQueue.counts(), stall.longestMillis(), unclean);
-        DrillResult.Group seen =
-                new DrillResult.Group(operators, operators.checker.lost(last), group.elections(), recoveries);
-        return new DrillResult(played, book.verdict(), timing.verdict(), seen);
+        DrillResult.Run played = new DrillResult.Run(
+                poolers.size(),
+                setting.seed(),
+                playedCounts,
+                discoveryQueue.counts(),
+                stallMonitor.longestMillis(),
+                unclean);
+        DrillResult.Group groupResult =
+                new DrillResult.Group(operators, operators.checker.lost(last), groupLog.elections(), recoveries);
+        return new DrillResult(played, requestChecker.verdict(), timing.verdict(), groupResult);
     }
 
-    /** Ends a pooler by signals in series; what was wrong with its end, or null. */
+    /** Ends a pooler by a series of signals; returns what was wrong with the end, or null. */
     String endBySeries(String name, long millis) throws IOException, InterruptedException {
         return pooler(name).process.endBySeries(millis);
     }
 
-    /** What was done when, as a scenario that replays it. */
-    public Scenario course() {
-        return new Scenario(poolers.size(), setting.scenario().groups(), course);
+    /** The steps that were run, as a scenario that replays them. */
+    public Scenario playedScenario() {
+        return new Scenario(poolers.size(), setting.scenario().groups(), playedSteps);
     }
 
-    /** Where the logs are. */
+    /** The folder of the daemons' files and logs. */
     public Path folder() {
         return folder;
     }
 
-    /** Ends all that it started; the folder stays where it is to be looked at. */
+    /** Ends all that the drill started; deletes the folder unless it is to be kept for inspection. */
     public void close(boolean keep) throws IOException {
         over = true;
-        crowd.close();
+        idleClients.close();
         for (Pooler pooler : poolers) {
             pooler.process.close();
             pooler.list.close();
             if (pooler.lateList != null) {
                 pooler.lateList.close();
             }
-            for (FaultProxy way : pooler.ways.values()) {
-                way.close();
+            for (FaultProxy proxy : pooler.proxies.values()) {
+                proxy.close();
             }
         }
         nodes.close();
--- a/drills/src/main/java/lupinvalve/drills/DrillWatcher.java
+++ b/drills/src/main/java/lupinvalve/drills/DrillWatcher.java
@@ -1,10 +1,10 @@
 package lupinvalve.drills;
 
-/** Hears what happens while a drill runs; times in Unix milliseconds. */
+/** Notified of events while a drill runs, on the threads on which they occur; times are in Unix milliseconds. */
 public interface DrillWatcher {
-    /** A db node ran a statement that came from a pooler. */
-    default void ran(String node, String pooler, long at) {}
+    /** A db node ran a statement of a pooler. */
+    default void statementRan(String node, String pooler, long at) {}
 
     /** A pooler wrote a line to its log. */
-    default void line(String pooler, String line, long at) {}
+    default void logLine(String pooler, String line, long at) {}
 }
--- a/drills/src/main/java/lupinvalve/drills/PointPlay.java
+++ b/drills/src/main/java/lupinvalve/drills/FailPointRun.java
@@ -13,46 +13,49 @@
 import lupinvalve.faultinjection.FailPoints.Fault;
 import lupinvalve.faultinjection.FailPoints.PlannedFault;
 import lupinvalve.faultinjection.FailPoints.StepKind;
-import lupinvalve.replication.PointSeams;
+import lupinvalve.replication.FailPointInterceptors;
 
 /**
- * Three real daemons found a group and agree on configurations, while the first of them, started by the launcher, has a
- * fault at one of its numbered points; then it starts again as it ships, and all must come to one history with nothing
- * lost.
+ * Runs three real daemons that found a group and agree on configurations. The first of them is started by the launcher
+ * and has a fault at one of its numbered fail points; then it is started without the launcher, and all three must reach
+ * the same history with no acknowledged put lost.
  */
-public final class PointPlay {
-    /** What a real process can be made to do at a point. */
+public final class FailPointRun {
+    /** The faults that can be injected into a real process. */
     private static final Set<Fault> FAULTS =
             EnumSet.of(Fault.DIE_BEFORE, Fault.DIE_AFTER, Fault.TORN, Fault.FAIL, Fault.LOST, Fault.STOPPED);
 
     private static final int MEMBERS = 3;
-    private static final long PUTS_MILLIS = 1_500, PACE_MILLIS = 150;
+    private static final long PUTS_MILLIS = 1_500;
+    private static final long PACE_MILLIS = 150;
     private static final String LAUNCHER = "lupinvalve.cli.PointLauncher";
 
     /**
-     * What came of one.
+     * The result of one run.
      *
-     * @param met the log's line at the point, or null where the course did not come so far
+     * @param faultLogLine the log line of the injected fault, or null where the process did not reach the point
      */
-    public record Played(PlannedFault at, String met, List<String> findings, String json) {
+    public record Result(PlannedFault planned, String faultLogLine, List<String> findings, String json) {
+        /** Whether no violation was found. */
         public boolean good() {
             return findings.isEmpty();
         }
     }
 
-    private PointPlay() {}
+    private FailPointRun() {}
 
-    /** Plays once without a fault and gives the kinds of the points met. */
-    public static List<StepKind> course(Path config, long seed) throws IOException, InterruptedException {
+    /** Runs once without a fault and returns the kinds of the fail points reached. */
+    public static List<StepKind> reachedSteps(Path config, long seed) throws IOException, InterruptedException {
         Path file = Files.createTempFile("course", ".txt");
         try {
-            Played played = play(config, seed, null, List.of(LAUNCHER, "--course", file.toString()));
-            if (!played.good()) {
-                throw new IOException("without any fault: " + played.findings().get(0));
+            Result result = play(config, seed, null, List.of(LAUNCHER, "--course", file.toString()));
+            if (!result.good()) {
+                throw new IOException(
+                        "the run without a fault failed: " + result.findings().get(0));
             }
             List<StepKind> kinds = new ArrayList<>();
             for (byte letter : Files.readAllBytes(file)) {
-                kinds.add(StepKind.values()[letter - PointSeams.letter(StepKind.values()[0])]);
+                kinds.add(StepKind.values()[letter - FailPointInterceptors.letter(StepKind.values()[0])]);
             }
             return kinds;
         } finally {
@@ -60,19 +63,19 @@
         }
     }
 
-    /** Each fault that fits at each point of a course. */
-    public static List<PlannedFault> all(List<StepKind> course) {
-        return FailPoints.allSingleFaults(course).stream()
-                .filter(at -> FAULTS.contains(at.fault()))
+    /** Each fault that fits at each of the fail points reached. */
+    public static List<PlannedFault> plannedFaults(List<StepKind> reachedSteps) {
+        return FailPoints.allSingleFaults(reachedSteps).stream()
+                .filter(planned -> FAULTS.contains(planned.fault()))
                 .toList();
     }
 
-    /** Plays with one fault at one point. */
-    public static Played play(Path config, long seed, PlannedFault at) throws IOException, InterruptedException {
-        return play(config, seed, at, List.of(LAUNCHER, "--at", at.toString()));
+    /** Runs with one fault at one point. */
+    public static Result play(Path config, long seed, PlannedFault planned) throws IOException, InterruptedException {
+        return play(config, seed, planned, List.of(LAUNCHER, "--at", planned.toString()));
     }
 
-    private static Played play(Path config, long seed, PlannedFault at, List<String> launcher)
+    private static Result play(Path config, long seed, PlannedFault planned, List<String> launcher)
             throws IOException, InterruptedException {
         Drill drill = new Drill(new Drill.Setting(
                 new Scenario(MEMBERS, 0, List.of()),
@@ -87,7 +90,7 @@
         String json = "";
         try {
             drill.start();
-            drill.pass(PUTS_MILLIS);
+            drill.letOperatorsRun(PUTS_MILLIS);
             DrillResult result = drill.judge(false);
             findings.addAll(result.findings());
             json = result.json();
@@ -101,6 +104,6 @@
         if (!findings.isEmpty()) {
             findings.add("logs: " + drill.folder());
         }
-        return new Played(at, drill.pointMet(), findings, json);
+        return new Result(planned, drill.pointMet(), findings, json);
     }
 }
--- a/drills/src/main/java/lupinvalve/drills/FaultProxy.java
+++ b/drills/src/main/java/lupinvalve/drills/FaultProxy.java
@@ -14,47 +14,55 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.ThreadLocalRandom;
 
-/** One direction of dialling between two processes: passes bytes on, or does to them what it is told. */
+/**
+ * Proxy for the connections that one process opens to another: forwards bytes, or delays, drops or breaks as set. The
+ * setters may be called from any thread and affect open connections too.
+ */
 public final class FaultProxy implements Closeable {
-    /** A whole zone's poolers may dial at once. */
-    private static final int BACKLOG = 1024;
+    /** All poolers of a zone may connect at the same time. */
+    private static final int BACKLOG_CONNECTIONS = 1024;
 
-    private static final long STACK = 256 << 10;
+    private static final long STACK_BYTES = 256 << 10;
 
-    /** Sees the bytes of one direction of one connection that were passed on. */
+    /** Notified of the bytes that were forwarded in one direction of one connection. */
     public interface Tap {
+        /** The first bytes of the array, as many as the count, were forwarded. */
         void passed(byte[] bytes, int count);
     }
 
-    /** Gives a tap for each direction of each connection. */
+    /** Creates a tap for each direction of each connection. */
     public interface Taps {
-        /** @param there whether the bytes are of the one who dialled */
-        Tap open(boolean there);
+        /** @param fromDialer whether the bytes come from the side that opened the connection */
+        Tap open(boolean fromDialer);
     }
 
-    /** Of all proxies: connections that come and go by the hundred would else spend their time on new threads. */
+    /** Shared by all proxies: starting new threads for hundreds of short connections would take most of their time. */
     private static final ExecutorService THREADS = Executors.newCachedThreadPool(work -> {
-        Thread thread = new Thread(null, work, "proxy", STACK);
+        Thread thread = new Thread(null, work, "proxy", STACK_BYTES);
         thread.setDaemon(true);
         return thread;
     });
 
-    private final ServerSocket server = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
+    private final ServerSocket server = new ServerSocket(0, BACKLOG_CONNECTIONS, InetAddress.getLoopbackAddress());
     private final Taps taps;
     private final InetSocketAddress to;
     private final List<Socket> sockets = new CopyOnWriteArrayList<>();
-    /** Bytes of the one who dials, and those of the one dialled, that are swallowed. */
-    private volatile boolean cutThere, cutBack;
+    /** Whether bytes from the side that opens connections are dropped. */
+    private volatile boolean cutFromDialer;
+    /** Whether bytes to the side that opens connections are dropped. */
+    private volatile boolean cutToDialer;
 
     private volatile boolean gone;
     private volatile long delayMillis;
-    private volatile double breaks, bytesPerSecond = Double.POSITIVE_INFINITY;
+    private volatile double breakRatio;
+    private volatile double bytesPerSecond = Double.POSITIVE_INFINITY;
 
+    /** Starts a proxy for a port on loopback. */
     public FaultProxy(int port) throws IOException {
-        this(port, there -> (bytes, count) -> {});
+        this(port, fromDialer -> (bytes, count) -> {});
     }
 
-    /** The same; what it passes on is seen by these. */
+    /** The same, with taps that are notified of the forwarded bytes. */
     public FaultProxy(int port, Taps taps) throws IOException {
         this.taps = taps;
         to = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
@@ -62,18 +70,19 @@
             while (!server.isClosed()) {
                 Socket in = server.accept();
                 sockets.add(in);
-                start(() -> carry(in));
+                start(() -> forwardConnection(in));
             }
         });
     }
 
+    /** The port on loopback that the proxy listens on. */
     public int port() {
         return server.getLocalPort();
     }
 
-    private void carry(Socket in) throws IOException, InterruptedException {
+    private void forwardConnection(Socket in) throws IOException, InterruptedException {
         if (gone) {
-            // Whoever dials is let in by the system and hears nothing, as from a machine that went without a word.
+            // The kernel accepts the connection and no byte follows, as from a machine that lost power.
             while (gone && !in.isClosed()) {
                 Thread.sleep(20);
             }
@@ -87,28 +96,28 @@
             in.close();
             throw e;
         }
-        // Else small messages wait 40 ms for the last one to be acknowledged.
+        // With Nagle's algorithm small messages would wait 40 ms for the delayed ACK of the one before.
         in.setTcpNoDelay(true);
         out.setTcpNoDelay(true);
         sockets.add(out);
-        start(() -> pass(out, in, false));
-        pass(in, out, true);
+        start(() -> forward(out, in, false));
+        forward(in, out, true);
     }
 
     private static void start(Threads.Work work) {
-        THREADS.execute(Threads.quiet(work));
+        THREADS.execute(Threads.ignoringDisconnects(work));
     }
 
-    private boolean cut(boolean there) {
-        return gone || (there ? cutThere : cutBack);
+    private boolean isCut(boolean fromDialer) {
+        return gone || (fromDialer ? cutFromDialer : cutToDialer);
     }
 
-    private void pass(Socket from, Socket into, boolean there) throws IOException, InterruptedException {
+    private void forward(Socket from, Socket into, boolean fromDialer) throws IOException, InterruptedException {
         try {
             InputStream in = from.getInputStream();
             OutputStream out = into.getOutputStream();
             byte[] bytes = new byte[16 << 10];
-            Tap tap = taps.open(there);
+            Tap tap = taps.open(fromDialer);
             for (int count = in.read(bytes); count >= 0; count = in.read(bytes)) {
                 if (delayMillis > 0) {
                     Thread.sleep(delayMillis);
@@ -116,14 +125,14 @@
                 if (bytesPerSecond < Double.POSITIVE_INFINITY) {
                     Thread.sleep((long) (1000 * count / bytesPerSecond));
                 }
-                if (cut(there)) {
-                    // What was swallowed can't be made up for: the rest would make no sense.
-                    while (cut(there)) {
+                if (isCut(fromDialer)) {
+                    // Dropped bytes are never sent again, so the stream can't continue after them.
+                    while (isCut(fromDialer)) {
                         Thread.sleep(20);
                     }
                     break;
                 }
-                if (breaks > 0 && ThreadLocalRandom.current().nextDouble() < breaks) {
+                if (breakRatio > 0 && ThreadLocalRandom.current().nextDouble() < breakRatio) {
                     break;
                 }
                 out.write(bytes, 0, count);
@@ -137,32 +146,33 @@
         }
     }
 
-    /** Swallows what comes in these directions, or no more. */
-    public void cut(boolean there, boolean back) {
-        cutThere = there;
-        cutBack = back;
+    /** Drops the bytes of these directions of all connections from now on, or forwards them again. */
+    public void cut(boolean fromDialer, boolean toDialer) {
+        cutFromDialer = fromDialer;
+        cutToDialer = toDialer;
     }
 
-    /** The far end is gone without a word, or there again. */
-    public void gone(boolean now) {
-        gone = now;
+    /** Makes the far end silent: connections stay open, new ones are accepted, and no byte passes; or ends that. */
+    public void gone(boolean isGone) {
+        gone = isGone;
     }
 
-    /** Each piece of bytes comes so much later. */
+    /** Delays each piece of bytes by this long. */
     public void slow(long millis) {
         delayMillis = millis;
     }
 
-    /** This part of the pieces breaks its connection; 0 to 1. */
-    public void lossy(double part) {
-        breaks = part;
+    /** Sets the ratio of pieces of bytes that close their connection, from 0 to 1. */
+    public void lossy(double ratio) {
+        breakRatio = ratio;
     }
 
-    /** So many bytes a second in each direction of each connection. */
+    /** Limits each direction of each connection to this many bytes a second. */
     public void limit(double perSecond) {
         bytesPerSecond = perSecond;
     }
 
+    /** Ends all faults; connections that lost bytes are closed. */
     public void heal() {
         cut(false, false);
         gone(false);
--- a/drills/src/main/java/lupinvalve/drills/FleetDrill.java
+++ b/drills/src/main/java/lupinvalve/drills/FleetDrill.java
@@ -17,27 +17,32 @@
 import lupinvalve.routing.RouterSettings;
 
 /**
- * Up to some forty poolers without a store, which are killed together, started, told to end, started and given their
- * configuration anew within one run, while clients go on using their connections and come back at once. The processes
- * may be held to a few cores, on which they contend with each other.
+ * Runs up to some forty poolers without a store. Within one run most are killed together and restarted, half are ended
+ * by signals and restarted, and all reload their configuration, while clients keep using their connections and
+ * reconnect at once. The processes may be limited to a few cores, for which they contend.
  */
 public final class FleetDrill implements Closeable {
-    /** How long clients ask between two of the things that strike the fleet. */
+    /** How long clients send statements between two faults of the fleet. */
     private static final long SERVE_MILLIS = 3_000;
 
-    private static final int DOWN_LEAST = 300, DOWN_SPREAD = 500;
-    private static final int START_SECONDS = 120, END_SECONDS = 60;
-    /** Of ten poolers so many are killed together, and so many told to end. */
-    private static final int KILLED_OF_TEN = 7, ENDED_OF_TEN = 5;
+    private static final int MIN_DOWN_MILLIS = 300;
+    private static final int DOWN_SPREAD_MILLIS = 500;
+    private static final int START_SECONDS = 120;
+    private static final int END_SECONDS = 60;
+    /** How many of ten poolers are killed together. */
+    private static final int KILLED_OF_TEN = 7;
+    /** How many of ten poolers are ended by signals together. */
+    private static final int ENDED_OF_TEN = 5;
 
     private static final List<String> ZONES = List.of("east", "west");
 
     /**
-     * What a run is made of.
+     * Settings of a run.
      *
-     * @param clients of each pooler
-     * @param sockets what each pooler is told of its descriptors
-     * @param cores to how many cores all poolers are held together; 0 for all there are
+     * @param groups how many db sets
+     * @param clients how many clients each pooler has
+     * @param sockets the limit on sockets in each pooler's file
+     * @param cores to how many cores all poolers together are limited; 0 for all cores
      */
     public record Setting(
             int poolers, int groups, Path config, long seed, int clients, int sockets, int cores, PrintStream log) {}
@@ -51,33 +56,34 @@
         Pooler(int number, int port) throws IOException {
             name = "p" + number;
             this.port = port;
-            process = new DaemonProcess(name, folder, line -> faultOfLog(name, line));
+            process = new DaemonProcess(name, folder, line -> checkLogLine(name, line));
             Map<String, String> addresses = new TreeMap<>();
             for (DbNodes.DbNode node : nodes.all()) {
                 addresses.put(node.id, "127.0.0.1:" + node.port(name));
             }
-            list = new NodeList(name, nodes.all(), addresses, ZONES, queue, new DrainTold(name, drains, log));
-            PoolerFiles.Place place = new PoolerFiles.Place(name, number, setting.poolers(), port, list.port());
-            String platform = PoolerFiles.platform(Files.readString(setting.config()), place, ZONES, list.entries());
+            list = new NodeList(name, nodes.all(), addresses, ZONES, queue, new DiscoveryRecorder(name, drains, log));
+            PoolerFiles.Identity identity =
+                    new PoolerFiles.Identity(name, number, setting.poolers(), port, list.port());
+            String platform = PoolerFiles.platform(Files.readString(setting.config()), identity, ZONES, list.entries());
             process.files(PoolerFiles.withSockets(platform, setting.sockets()), "{}");
         }
 
         void start() throws IOException {
             timing.poolerStarted(name, System.currentTimeMillis());
-            drains.started(name, System.currentTimeMillis());
+            drains.poolerStarted(name, System.currentTimeMillis());
             process.start();
         }
 
         void awaitReady() throws IOException, InterruptedException {
-            Await.until(name + " takes clients", START_SECONDS, () -> SqlClients.takes(port));
-            timing.ready((System.nanoTime() - process.startedAt()) / 1_000_000);
+            Await.until(name + " accepts clients", START_SECONDS, () -> SqlClients.acceptsClients(port));
+            timing.poolerReady((System.nanoTime() - process.startedAt()) / 1_000_000);
         }
 
-        /** Tells it to end, kills it as early as the platform may, and starts it again. */
+        /** Ends the process by signals, with SIGKILL as early as the platform may send it, and starts it again. */
         void endAndStart() throws IOException, InterruptedException {
-            String wrong = process.endBySeries(killMillis);
-            if (wrong != null) {
-                unclean.add(wrong);
+            String problem = process.endBySeries(killMillis);
+            if (problem != null) {
+                unclean.add(problem);
             }
             start();
         }
@@ -85,7 +91,7 @@
 
     private final Setting setting;
     private final Path folder = Files.createTempDirectory("fleet");
-    private final Book book = new Book();
+    private final RequestChecker requestChecker = new RequestChecker();
     private final Timing timing;
     private final Drains drains;
     private final CallQueue queue;
@@ -98,9 +104,9 @@
     private final long killMillis;
     private final Random random;
     private volatile boolean over;
-    private final Stall stall = new Stall(() -> over);
+    private final StallMonitor stallMonitor = new StallMonitor(() -> over);
 
-    /** Sets all up; nothing runs yet. */
+    /** Opens ports and stand-ins and writes the poolers' files; starts no process. */
     public FleetDrill(Setting setting) throws IOException {
         this.setting = setting;
         random = new Random(setting.seed());
@@ -110,7 +116,7 @@
         drains = new Drains(
                 IntStream.range(0, setting.poolers()).mapToObj(i -> "p" + i).toList(), timing);
         queue = new CallQueue(setting.seed());
-        nodes = new DbNodes(setting.groups(), new Arrivals(book, timing, (node, pooler, at) -> {}));
+        nodes = new DbNodes(setting.groups(), new StatementRecorder(requestChecker, timing, (node, pooler, at) -> {}));
         try (Scratch.Ports ports = new Scratch.Ports(setting.poolers())) {
             for (int i = 0; i < setting.poolers(); i++) {
                 poolers.add(new Pooler(i, ports.get(i)));
@@ -120,17 +126,17 @@
             poolers.forEach(pooler -> pooler.process.cores(setting.cores()));
         }
         nodeFaults = new NodeFaults(poolers.stream().map(pooler -> pooler.list).toList(), timing, drains, log);
-        clients = new SqlClients(book, timing, setting.groups());
+        clients = new SqlClients(requestChecker, timing, setting.groups());
     }
 
-    private void faultOfLog(String name, String line) {
+    private void checkLogLine(String name, String line) {
         String fault = DaemonLog.fault(line);
         if (fault != null) {
             unclean.add(name + " logs: " + fault);
         }
     }
 
-    /** Starts all and waits until each takes clients. */
+    /** Starts all poolers, waits until each accepts clients, and starts the clients. */
     public void start() throws IOException, InterruptedException {
         for (Pooler pooler : poolers) {
             pooler.start();
@@ -152,24 +158,24 @@
     }
 
     /**
-     * Strikes the fleet: kills, ends and configurations, each of many poolers at once, with db nodes that drain
-     * meanwhile.
+     * Runs the faults: kills, ends and reloads, each of many poolers at once, with a db node that drains during the
+     * kills.
      */
     public void play() throws IOException, InterruptedException {
-        DbNodes.DbNode leaving = nodes.all().get(random.nextInt(nodes.all().size()));
-        serve("clients ask");
-        drain(leaving, true);
+        DbNodes.DbNode drainingNode = nodes.all().get(random.nextInt(nodes.all().size()));
+        letClientsRun("all poolers serve clients");
+        drain(drainingNode, true);
         killTogether();
-        serve("started anew");
-        drain(leaving, false);
+        letClientsRun("the poolers that were killed together serve again");
+        drain(drainingNode, false);
         endTogether();
-        serve("ended and started anew");
+        letClientsRun("the poolers that were ended together serve again");
         reloadTogether();
-        serve("configured anew");
+        letClientsRun("all poolers have reloaded their configuration");
     }
 
-    private void serve(String after) throws InterruptedException {
-        setting.log().println(after);
+    private void letClientsRun(String progress) throws InterruptedException {
+        setting.log().println(progress);
         Thread.sleep(SERVE_MILLIS);
     }
 
@@ -177,21 +183,21 @@
         nodeFaults.act(new Step(0, Step.Kind.NODE_DRAIN, node.id, "", 0, 0), node, on);
     }
 
-    private List<Pooler> some(int ofTen) {
+    private List<Pooler> drawPoolers(int ofTen) {
         List<Pooler> drawn = new ArrayList<>(poolers);
         Collections.shuffle(drawn, random);
         return drawn.subList(0, Math.max(1, drawn.size() * ofTen / 10));
     }
 
     private void killTogether() throws IOException, InterruptedException {
-        List<Pooler> killed = some(KILLED_OF_TEN);
+        List<Pooler> killed = drawPoolers(KILLED_OF_TEN);
         long at = System.currentTimeMillis();
         for (Pooler pooler : killed) {
             pooler.process.kill();
         }
-        Thread.sleep(DOWN_LEAST + random.nextInt(DOWN_SPREAD));
+        Thread.sleep(MIN_DOWN_MILLIS + random.nextInt(DOWN_SPREAD_MILLIS));
         for (Pooler pooler : killed) {
-            book.down(pooler.name, at, System.currentTimeMillis());
+            requestChecker.poolerDown(pooler.name, at, System.currentTimeMillis());
             pooler.start();
         }
         for (Pooler pooler : killed) {
@@ -200,12 +206,12 @@
     }
 
     private void endTogether() throws InterruptedException, IOException {
-        List<Pooler> ended = some(ENDED_OF_TEN);
-        List<Thread> each = new ArrayList<>();
+        List<Pooler> ended = drawPoolers(ENDED_OF_TEN);
+        List<Thread> threads = new ArrayList<>();
         for (Pooler pooler : ended) {
-            each.add(Threads.start("ends " + pooler.name, pooler::endAndStart));
+            threads.add(Threads.start("ends " + pooler.name, pooler::endAndStart));
         }
-        for (Thread thread : each) {
+        for (Thread thread : threads) {
             thread.join(END_SECONDS * 1_000L);
         }
         for (Pooler pooler : ended) {
@@ -214,40 +220,45 @@
     }
 
     private void reloadTogether() throws IOException, InterruptedException {
-        List<Thread> each = new ArrayList<>();
+        List<Thread> threads = new ArrayList<>();
         for (Pooler pooler : poolers) {
-            each.add(Threads.start("reloads " + pooler.name, pooler.process::reload));
+            threads.add(Threads.start("reloads " + pooler.name, pooler.process::reload));
         }
-        for (Thread thread : each) {
+        for (Thread thread : threads) {
             thread.join(END_SECONDS * 1_000L);
         }
     }
 
-    /** Ends clients, then daemons, and judges what everybody saw. */
+    /** Ends clients, then daemons, and judges what was recorded. */
     public FleetResult judge() throws IOException, InterruptedException {
         clients.stop();
-        List<Thread> ends = new ArrayList<>();
+        List<Thread> threads = new ArrayList<>();
         for (Pooler pooler : poolers) {
-            ends.add(Threads.start("ends " + pooler.name, () -> {
-                String wrong = pooler.process.end();
-                if (wrong != null) {
-                    unclean.add(wrong);
+            threads.add(Threads.start("ends " + pooler.name, () -> {
+                String problem = pooler.process.end();
+                if (problem != null) {
+                    unclean.add(problem);
                 }
             }));
         }
-        for (Thread end : ends) {
-            end.join(END_SECONDS * 1_000L);
+        for (Thread thread : threads) {
+            thread.join(END_SECONDS * 1_000L);
         }
         over = true;
-        return new FleetResult(setting, book.verdict(), timing.verdict(), List.copyOf(unclean), stall.longestMillis());
+        return new FleetResult(
+                setting,
+                requestChecker.verdict(),
+                timing.verdict(),
+                List.copyOf(unclean),
+                stallMonitor.longestMillis());
     }
 
-    /** Where the logs are. */
+    /** The folder of the daemons' files and logs. */
     public Path folder() {
         return folder;
     }
 
-    /** Ends all that it started; the folder stays where it is to be looked at. */
+    /** Ends all that the drill started; deletes the folder unless it is to be kept for inspection. */
     public void close(boolean keep) throws IOException {
         over = true;
         for (Pooler pooler : poolers) {
--- a/drills/src/main/java/lupinvalve/drills/FleetResult.java
+++ b/drills/src/main/java/lupinvalve/drills/FleetResult.java
@@ -5,23 +5,23 @@
 import java.util.Locale;
 
 /**
- * What came of a fleet's run.
+ * The result of a fleet's run.
  *
- * @param unclean what went wrong with the daemons themselves
- * @param stallMillis how long the rig got no processor at a time
+ * @param unclean faults of the daemons themselves
+ * @param stallMillis the longest time for which this process got no processor
  */
 public record FleetResult(
         FleetDrill.Setting setting,
-        Book.Verdict requests,
+        RequestChecker.Verdict requests,
         Timing.Verdict times,
         List<String> unclean,
         long stallMillis) {
-    /** Whether nothing was found wrong. */
+    /** Whether no violation was found. */
     public boolean good() {
         return requests.good() && times.good() && unclean.isEmpty();
     }
 
-    /** All that was found wrong. */
+    /** All violations found. */
     public List<String> findings() {
         List<String> all = new ArrayList<>(unclean);
         all.addAll(requests.findings());
@@ -41,11 +41,11 @@
                 setting.cores(),
                 setting.seed(),
                 requests.requests(),
-                requests.count(Book.Ending.SERVED),
-                requests.count(Book.Ending.REFUSED),
-                requests.count(Book.Ending.FAILED),
-                requests.count(Book.Ending.LEFT),
-                requests.count(Book.Ending.RESET),
+                requests.count(RequestChecker.Ending.SERVED),
+                requests.count(RequestChecker.Ending.REFUSED),
+                requests.count(RequestChecker.Ending.FAILED),
+                requests.count(RequestChecker.Ending.LEFT),
+                requests.count(RequestChecker.Ending.RESET),
                 requests.lost(),
                 requests.doubled(),
                 requests.stale(),
--- a/drills/src/main/java/lupinvalve/drills/GroupLog.java
+++ b/drills/src/main/java/lupinvalve/drills/GroupLog.java
@@ -8,7 +8,8 @@
 import java.util.regex.Pattern;
 
 /**
- * What the daemons' logs tell of the group: who leads, on which revision each member acts, and which point went wrong.
+ * Reads from the daemons' logs which member leads, on which revision each member acts, and at which fail point a fault
+ * was injected. Called from the threads that read the logs; safe for concurrent use.
  */
 final class GroupLog {
     private static final Pattern ADOPTED =
@@ -27,8 +28,8 @@
         this.checker = checker;
     }
 
-    /** A daemon wrote a line; whether it says that the daemon has stopped itself at a point, to be woken. */
-    boolean stopped(String member, String line) {
+    /** Reads a line of a member's log; returns whether it says that the member stops itself and has to be resumed. */
+    boolean recordLine(String member, String line) {
         Matcher adoption = ADOPTED.matcher(line);
         if (adoption.find()) {
             long revision = Long.parseLong(adoption.group(1));
@@ -47,17 +48,17 @@
         return met && line.endsWith(STOPPED);
     }
 
-    /** A member is started anew, and acts on nothing yet. */
+    /** A member was restarted and acts on no revision yet. */
     void started(String member) {
         adopted.put(member, 0L);
     }
 
-    /** The revision that a member acts on. */
+    /** The revision that a member acts on; 0 for none. */
     long adopted(String member) {
         return adopted.getOrDefault(member, 0L);
     }
 
-    /** Who leads, or null where that is not known yet. */
+    /** The name of the leader; null where it is not known yet. */
     String leader() {
         return leader;
     }
@@ -67,7 +68,7 @@
         return terms.size();
     }
 
-    /** The log's line of the point at which something went wrong, or null where it was not met. */
+    /** The log line of the fail point at which the fault was injected; null where the point was not reached. */
     String pointMet() {
         return pointMet;
     }
--- a/drills/src/main/java/lupinvalve/drills/NodeFaults.java
+++ b/drills/src/main/java/lupinvalve/drills/NodeFaults.java
@@ -3,14 +3,14 @@
 import java.io.IOException;
 import java.util.List;
 
-/** Does to db nodes what a scenario says, and has discovery and the judges know. */
+/** Injects a scenario's faults into db nodes, and reports them to discovery and the checkers. */
 final class NodeFaults {
     private final List<NodeList> lists;
     private final Timing timing;
     private final Drains drains;
     private final TimedLog log;
 
-    /** @param lists what discovery tells each pooler */
+    /** @param lists discovery's list for each pooler */
     NodeFaults(List<NodeList> lists, Timing timing, Drains drains, TimedLog log) {
         this.lists = lists;
         this.timing = timing;
@@ -18,7 +18,7 @@
         this.log = log;
     }
 
-    /** Begins a step that strikes a db node, or undoes it. */
+    /** Begins a step that affects a db node, or undoes it. */
     void act(Step step, DbNodes.DbNode node, boolean on) throws IOException {
         switch (step.kind()) {
             case NODE_PAUSE -> node.pause(on);
@@ -28,21 +28,21 @@
                 if (on && !node.isDead()) {
                     node.kill();
                 } else if (!on && node.isDead()) {
-                    node.back();
-                    timing.started(node.id, System.currentTimeMillis());
-                    lists.forEach(list -> list.started(node));
+                    node.restart();
+                    timing.nodeStarted(node.id, System.currentTimeMillis());
+                    lists.forEach(list -> list.entryChanged(node));
                 }
             }
         }
     }
 
-    /** The judge knows of a drain's begin before any pooler can, and of its end before any pooler is told otherwise. */
+    /** Records a drain's begin and end before any pooler is notified of either. */
     private void drain(DbNodes.DbNode node, boolean on) {
         long now = System.currentTimeMillis();
-        boolean changed = on ? drains.begun(node.id, now) : drains.ended(node.id, now);
+        boolean changed = on ? drains.drainBegan(node.id, now) : drains.drainEnded(node.id, now);
         if (changed) {
-            log.said(node.id + (on ? " drains" : " drains no longer"));
-            lists.forEach(list -> list.drains(node, on));
+            log.write(node.id + (on ? " drains" : " drains no longer"));
+            lists.forEach(list -> list.setDraining(node, on));
         }
     }
 }
--- a/drills/src/main/java/lupinvalve/drills/NodeList.java
+++ b/drills/src/main/java/lupinvalve/drills/NodeList.java
@@ -13,40 +13,40 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.stream.Collectors;
 
-/** Discovery as one pooler sees it: the list over HTTP, and a watch that tells of each start of a db node. */
+/** Discovery for one pooler: serves the list of db nodes over HTTP, with a watch that sends changed entries. */
 final class NodeList implements Closeable {
-    private static final long BEAT = 500;
+    private static final long KEEPALIVE_INTERVAL_MILLIS = 500;
 
-    /** Hears what discovery does with the pooler's calls; times in Unix milliseconds. */
-    interface Told {
-        /** Discovery now writes that these db nodes drain, on a call that its caller had not given up. */
+    /** Notified of how discovery handles the pooler's calls, on discovery's threads; times are in Unix milliseconds. */
+    interface Listener {
+        /** Discovery is about to write that these db nodes drain, on a call that its caller has not closed. */
         void answered(List<String> draining, long at);
 
-        /** A watch is answered. */
-        void watched();
+        /** A watch was answered. */
+        void watchAnswered();
 
-        /** What came of a call. */
-        void said(String line);
+        /** Logs what happened to a call or to the list. */
+        void log(String line);
     }
 
     private final ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-    private final List<DiscoveryCall> watching = new CopyOnWriteArrayList<>();
+    private final List<DiscoveryCall> watches = new CopyOnWriteArrayList<>();
     private final List<DbNodes.DbNode> nodes;
     private final Map<String, String> addresses;
     private final List<String> zones;
-    private final Told told;
+    private final Listener listener;
     private final CallQueue queue;
     private final String pooler;
-    private final List<DiscoveryCall> silent = new CopyOnWriteArrayList<>();
+    private final List<DiscoveryCall> silentWatches = new CopyOnWriteArrayList<>();
     private int revision = 1;
     private int calls;
     private final Set<String> draining = new TreeSet<>();
 
     /**
-     * Answers from now on.
+     * Starts to answer calls.
      *
-     * @param addresses of db nodes as this pooler reaches them
-     * @param queue of all poolers' calls
+     * @param addresses addresses of the db nodes through which this pooler reaches them, by id
+     * @param queue determines the outcome of the calls of all poolers
      */
     NodeList(
             String pooler,
@@ -54,14 +54,14 @@
             Map<String, String> addresses,
             List<String> zones,
             CallQueue queue,
-            Told told)
+            Listener listener)
             throws IOException {
         this.pooler = pooler;
         this.queue = queue;
         this.nodes = nodes;
         this.addresses = addresses;
         this.zones = zones;
-        this.told = told;
+        this.listener = listener;
         Threads.start("discovery", () -> {
             while (!server.isClosed()) {
                 Socket socket = server.accept();
@@ -70,8 +70,8 @@
         });
         Threads.start("discovery", () -> {
             while (!server.isClosed()) {
-                Thread.sleep(BEAT);
-                beat();
+                Thread.sleep(KEEPALIVE_INTERVAL_MILLIS);
+                sendKeepAlives();
             }
         });
     }
@@ -88,36 +88,36 @@
                 + "\",\"size\":1.0,\"up_since_ms\":" + node.startedAt() + "}";
     }
 
-    /** The list's entries, for a start before discovery answers. */
+    /** The entries of the list, for the pooler's file, from which it starts before discovery answers. */
     String entries() {
         return nodes.stream().map(this::entry).collect(Collectors.joining(","));
     }
 
     private void answer(Socket socket) throws IOException, InterruptedException {
         DiscoveryCall call = new DiscoveryCall(socket);
-        String name = begun(call);
+        String name = logBegin(call);
         long now = System.currentTimeMillis();
-        CallQueue.Fate fate = queue.fate(pooler, now);
-        if (fate.at() > now) {
-            Thread.sleep(fate.at() - now);
+        CallQueue.Outcome outcome = queue.outcome(pooler, now);
+        if (outcome.at() > now) {
+            Thread.sleep(outcome.at() - now);
         }
-        switch (fate.ending()) {
-            case ANSWERED -> whole(call, name);
+        switch (outcome.ending()) {
+            case ANSWERED -> answerWhole(call, name);
             case REFUSED -> {
-                told.said(name + " was refused");
+                listener.log(name + " was refused");
                 call.refuse();
             }
             case RESET -> {
-                told.said(name + " was reset");
+                listener.log(name + " was reset");
                 call.reset();
             }
-            case TORN -> torn(call, name);
+            case TORN -> answerHalf(call, name);
         }
     }
 
-    /** Half the list, and a reset. */
-    private synchronized void torn(DiscoveryCall call, String name) throws IOException {
-        told.said(name + " was reset within its answer");
+    /** Writes half of the list and resets the connection. */
+    private synchronized void answerHalf(DiscoveryCall call, String name) throws IOException {
+        listener.log(name + " was reset within its answer");
         String list = list();
         call.begin();
         call.chunk(list.substring(0, list.length() / 2));
@@ -128,92 +128,92 @@
         return "{\"revision\":" + revision + ",\"complete\":true,\"members\":[" + entries() + "]}\n";
     }
 
-    private synchronized String begun(DiscoveryCall call) {
-        String name = (call.follows ? "watch " : "call ") + ++calls;
-        told.said(name + " began");
+    private synchronized String logBegin(DiscoveryCall call) {
+        String name = (call.isWatch ? "watch " : "call ") + ++calls;
+        listener.log(name + " began");
         return name;
     }
 
-    /** Answers with the whole list as it is now, unless the call has been given up. */
-    private synchronized void whole(DiscoveryCall call, String name) throws IOException {
-        if (call.givenUp()) {
-            told.said(name + " had been given up");
+    /** Answers with the whole current list, unless the caller has closed the connection. */
+    private synchronized void answerWhole(DiscoveryCall call, String name) throws IOException {
+        if (call.isClosedByCaller()) {
+            listener.log(name + " had been given up");
             call.close();
             return;
         }
-        told.answered(List.copyOf(draining), System.currentTimeMillis());
+        listener.answered(List.copyOf(draining), System.currentTimeMillis());
         call.begin();
         call.chunk(list());
-        told.said(name + " was answered, revision " + revision + ", draining " + draining);
-        if (call.follows) {
-            watching.add(call);
-            told.watched();
+        listener.log(name + " was answered, revision " + revision + ", draining " + draining);
+        if (call.isWatch) {
+            watches.add(call);
+            listener.watchAnswered();
         } else {
             call.end();
         }
     }
 
-    /** A db node drains, or no longer. */
-    synchronized void drains(DbNodes.DbNode node, boolean now) {
-        if (now) {
+    /** Lists a db node as draining, or no longer. */
+    synchronized void setDraining(DbNodes.DbNode node, boolean isDraining) {
+        if (isDraining) {
             draining.add(node.id);
         } else {
             draining.remove(node.id);
         }
-        started(node);
+        entryChanged(node);
     }
 
-    /** Ends all open watches with resets. */
-    synchronized void breakWatches() throws IOException {
-        told.said(watching.size() + " watches are reset");
-        for (DiscoveryCall call : watching) {
+    /** Resets all open watches. */
+    synchronized void resetWatches() throws IOException {
+        listener.log(watches.size() + " watches are reset");
+        for (DiscoveryCall call : watches) {
             call.reset();
         }
-        watching.clear();
+        watches.clear();
     }
 
-    /** What is open now stays open and says nothing more; whether there was any. */
-    synchronized boolean fallSilent() {
-        boolean any = !watching.isEmpty();
-        silent.addAll(watching);
-        watching.clear();
+    /** Leaves all open watches open and writes nothing more to them; returns whether there was any. */
+    synchronized boolean silenceWatches() {
+        boolean any = !watches.isEmpty();
+        silentWatches.addAll(watches);
+        watches.clear();
         return any;
     }
 
-    /** A db node has started again, or its entry has changed otherwise. */
-    synchronized void started(DbNodes.DbNode node) {
+    /** Sends a db node's entry to all watches after it changed, as by a restart of the db node. */
+    synchronized void entryChanged(DbNodes.DbNode node) {
         revision++;
-        List<String> news = draining.contains(node.id) ? List.of(node.id) : List.of();
-        for (DiscoveryCall call : watching) {
-            if (call.givenUp()) {
-                watching.remove(call);
+        List<String> drainingNow = draining.contains(node.id) ? List.of(node.id) : List.of();
+        for (DiscoveryCall call : watches) {
+            if (call.isClosedByCaller()) {
+                watches.remove(call);
                 continue;
             }
-            told.answered(news, System.currentTimeMillis());
-            push(call, "{\"revision\":" + revision + ",\"complete\":false,\"members\":[" + entry(node) + "]}\n");
+            listener.answered(drainingNow, System.currentTimeMillis());
+            pushOrDrop(call, "{\"revision\":" + revision + ",\"complete\":false,\"members\":[" + entry(node) + "]}\n");
         }
-        told.said("revision " + revision + " was written to " + watching.size() + " watches, draining " + draining);
+        listener.log("revision " + revision + " was written to " + watches.size() + " watches, draining " + draining);
     }
 
-    private synchronized void beat() {
-        for (DiscoveryCall call : watching) {
-            push(call, "\n");
+    private synchronized void sendKeepAlives() {
+        for (DiscoveryCall call : watches) {
+            pushOrDrop(call, "\n");
         }
     }
 
-    private void push(DiscoveryCall call, String line) {
+    private void pushOrDrop(DiscoveryCall call, String line) {
         try {
             call.chunk(line);
         } catch (IOException e) {
-            watching.remove(call);
+            watches.remove(call);
         }
     }
 
     @Override
     public void close() throws IOException {
         server.close();
-        List<DiscoveryCall> open = new ArrayList<>(watching);
-        open.addAll(silent);
+        List<DiscoveryCall> open = new ArrayList<>(watches);
+        open.addAll(silentWatches);
         for (DiscoveryCall call : open) {
             call.close();
         }
--- a/drills/src/main/java/lupinvalve/drills/PoolerFiles.java
+++ b/drills/src/main/java/lupinvalve/drills/PoolerFiles.java
@@ -10,46 +10,46 @@
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
 
-/** What a pooler of a drill starts from, and what its disk may lose. */
+/** Writes the files that a pooler of a drill starts from, and removes what a lying disk would lose. */
 final class PoolerFiles {
-    /** One pooler's name and number among all, and the ports that it listens on and dials. */
-    record Place(String name, int number, int poolers, int pg, int discovery) {}
+    /** A pooler's name, its number among all poolers, the port for its clients and the port of its discovery. */
+    record Identity(String name, int number, int poolers, int clientPort, int discoveryPort) {}
 
     private PoolerFiles() {}
 
-    /** A platform's file, with a pooler's own places and the db nodes in place of its own. */
-    static String platform(String text, Place place, List<String> zones, String entries) {
-        return text.replace("\"name\": \"n0\"", "\"name\": \"" + place.name() + "\"")
-                .replace("127.0.0.1:5432", "127.0.0.1:" + place.pg())
-                .replace("127.0.0.1:8500", "127.0.0.1:" + place.discovery())
+    /** Replaces names, ports, zones and db nodes in a platform's file by those of a pooler of the drill. */
+    static String platform(String text, Identity identity, List<String> zones, String entries) {
+        return text.replace("\"name\": \"n0\"", "\"name\": \"" + identity.name() + "\"")
+                .replace("127.0.0.1:5432", "127.0.0.1:" + identity.clientPort())
+                .replace("127.0.0.1:8500", "127.0.0.1:" + identity.discoveryPort())
                 .replace("\"members\": []", "\"members\": [" + entries + "]")
                 .replace("\"almaty-main\"", "\"" + String.join("\",\"", zones) + "\"")
-                .replace("\"me\": 0", "\"me\": " + place.number())
-                .replace("\"n_instances\": 1", "\"n_instances\": " + place.poolers())
-                .replace("\"zone\": 0", "\"zone\": " + place.number() % zones.size());
+                .replace("\"me\": 0", "\"me\": " + identity.number())
+                .replace("\"n_instances\": 1", "\"n_instances\": " + identity.poolers())
+                .replace("\"zone\": 0", "\"zone\": " + identity.number() % zones.size());
     }
 
-    /** The same with another limit on sockets. */
+    /** Replaces the limit on sockets in a platform's file. */
     static String withSockets(String platform, int sockets) {
         return platform.replaceFirst("\"sockets\": *\\d+", "\"sockets\": " + sockets);
     }
 
     /**
-     * The operators' file.
+     * Returns the text of the operators' file.
      *
-     * @param members addresses of the group's members as this one reaches them, its own among them
+     * @param members addresses through which this pooler reaches the group's members, and its own
      */
-    static String operator(Place place, Path folder, String audit, Map<String, String> members) {
+    static String operator(Identity identity, Path folder, String audit, Map<String, String> members) {
         String listed = members.entrySet().stream()
                 .map(member -> "\"" + member.getKey() + "\":\"" + member.getValue() + "\"")
                 .collect(Collectors.joining(","));
-        return "{\"store\":{\"cluster\":\"" + StoreClients.CLUSTER + "\",\"name\":\"" + place.name()
+        return "{\"store\":{\"cluster\":\"" + StoreClients.CLUSTER + "\",\"name\":\"" + identity.name()
                 + "\",\"folder\":\"" + folder + "\",\"audit\":\"" + audit + "\",\"listen\":\""
-                + members.get(place.name()) + "\",\"members\":{" + listed + "}}}";
+                + members.get(identity.name()) + "\",\"members\":{" + listed + "}}}";
     }
 
-    /** Leaves what a disk that lied about its forces would have kept. */
-    static void forget(Path folder) throws IOException {
+    /** Cuts off the second half of the last history file, as a disk that acknowledged fsync without writing would. */
+    static void truncateLastHistoryFile(Path folder) throws IOException {
         try (Stream<Path> files = Files.list(folder)) {
             Path last = files.filter(f -> f.getFileName().toString().startsWith("history"))
                     .sorted()
--- a/drills/src/main/java/lupinvalve/drills/RevisionChecker.java
+++ b/drills/src/main/java/lupinvalve/drills/RevisionChecker.java
@@ -6,9 +6,10 @@
 import java.util.TreeMap;
 
 /**
- * Checks what clients and members saw of one configuration whose revisions count up. No I/O. With revisions, reads are
- * linearizable where no call that began after another had ended saw less than that one: a put must have come to more, a
- * read to as much; and where each revision has one content, whoever tells of it.
+ * Checks what clients and members saw of one configuration with increasing revisions for linearizability. Of two calls
+ * where the second began after the first had ended, a put must return a higher revision than the first call and a read
+ * at least the same; and each revision must have the same content for all clients and members. Does no I/O. Safe for
+ * concurrent use.
  */
 public final class RevisionChecker {
     private record Call(long began, long ended, long revision, boolean put) {}
@@ -18,48 +19,49 @@
     private final TreeMap<Long, String> acknowledged = new TreeMap<>();
     private final List<String> divergent = new ArrayList<>();
 
-    /** A put was acknowledged with the revision that it came to. */
+    /** A put was acknowledged with the revision that it created. */
     public synchronized void put(long began, long ended, long revision, String digest) {
         calls.add(new Call(began, ended, revision, true));
         String other = acknowledged.putIfAbsent(revision, digest);
         if (other != null) {
             divergent.add("revision " + revision + " was acknowledged to two");
         }
-        content(revision, digest, "a client");
+        recordContent(revision, digest, "a client");
     }
 
-    /** A read came back. */
+    /** A read returned; revision 0 stands for no configuration. */
     public synchronized void read(long began, long ended, long revision, String digest) {
         calls.add(new Call(began, ended, revision, false));
         if (revision > 0) {
-            content(revision, digest, "a reader");
+            recordContent(revision, digest, "a reader");
         }
     }
 
-    /** A member acts on a revision. */
+    /** A member has adopted a revision. */
     public synchronized void adopted(String member, long revision, String digest) {
-        content(revision, digest, member);
+        recordContent(revision, digest, member);
     }
 
-    private void content(long revision, String digest, String who) {
+    private void recordContent(long revision, String digest, String who) {
         String before = contents.putIfAbsent(revision, digest);
         if (before != null && !before.equals(digest)) {
             divergent.add("revision " + revision + " is " + before + ", and " + digest + " to " + who);
         }
     }
 
+    /** How many revisions were acknowledged to a put. */
     public synchronized int acknowledged() {
         return acknowledged.size();
     }
 
-    /** Acknowledged puts that the end does not know of. */
+    /** How many acknowledged puts are missing, given the last revision read at the end. */
     public synchronized int lost(long last) {
         return (int) acknowledged.entrySet().stream()
                 .filter(one -> one.getKey() > last || !one.getValue().equals(contents.get(one.getKey())))
                 .count();
     }
 
-    /** What members or clients saw that does not fit one history. */
+    /** All that clients or members saw that contradicts a single linearizable history. */
     public synchronized List<String> divergent() {
         List<String> all = new ArrayList<>(divergent);
         List<Call> ended = new ArrayList<>(calls);
--- a/drills/src/main/java/lupinvalve/drills/Scenario.java
+++ b/drills/src/main/java/lupinvalve/drills/Scenario.java
@@ -13,66 +13,82 @@
 import java.util.Random;
 
 /**
- * What faults come when: read from a file's text, or drawn from a seed, and written again as what was done. Without I/O
- * of its own.
+ * Which faults are injected when: read from the text of a file or drawn from a seed, and written in the file's format
+ * as a record of what was run. Does no I/O.
  *
- * @param poolers how many poolers, p0 on
+ * @param poolers how many poolers; they are named p0, p1 and so on
  * @param groups how many db sets, each of three db nodes: n0 to n2, n3 to n5 and so on
  */
 public record Scenario(int poolers, int groups, List<Step> steps) {
-    /** Db nodes of a set. */
-    public static final int MEMBERS = 3;
+    /** How many db nodes a db set has. */
+    public static final int NODES_PER_GROUP = 3;
 
-    private static final int POOLERS_LEAST = 3, POOLERS_MOST = 9, GROUPS_MOST = 4;
-    private static final long LONGEST = 3_600_000;
-    /** By how many seconds a wall clock is stepped. */
-    private static final double[] CLOCK_STEPS = {-3_600, -5, -0.5, 0.5, 5, 3_600};
+    private static final int MIN_POOLERS = 3;
+    private static final int MAX_POOLERS = 9;
+    private static final int MAX_GROUPS = 4;
+    private static final long MAX_MILLIS = 3_600_000;
+    /** The steps of a wall clock that are drawn, in seconds. */
+    private static final double[] CLOCK_STEPS_SECONDS = {-3_600, -5, -0.5, 0.5, 5, 3_600};
 
     private static final JsonFactory JSON = new JsonFactory();
 
-    /** Checks the whole; throws IllegalArgumentException with the field and its value. */
+    /** Checks all fields; throws IllegalArgumentException that names the invalid field and its value. */
     public Scenario {
-        check(
-                poolers >= POOLERS_LEAST && poolers <= POOLERS_MOST,
-                "poolers",
-                poolers,
-                POOLERS_LEAST + " to " + POOLERS_MOST);
-        check(groups >= 0 && groups <= GROUPS_MOST, "groups", groups, "0 to " + GROUPS_MOST);
+        check(poolers >= MIN_POOLERS && poolers <= MAX_POOLERS, "poolers", poolers, MIN_POOLERS + " to " + MAX_POOLERS);
+        check(groups >= 0 && groups <= MAX_GROUPS, "groups", groups, "0 to " + MAX_GROUPS);
         steps = steps.stream().sorted(Comparator.comparingLong(Step::atMillis)).toList();
         for (int i = 0; i < steps.size(); i++) {
-            Step s = steps.get(i);
+            Step step = steps.get(i);
             String at = "steps[" + i + "].";
-            check(s.atMillis() >= 0 && s.atMillis() <= LONGEST, at + "at_ms", s.atMillis(), "0 to " + LONGEST);
-            check(s.forMillis() >= 0 && s.forMillis() <= LONGEST, at + "for_ms", s.forMillis(), "0 to " + LONGEST);
-            boolean whoIs = s.kind().ofNode()
-                    ? isNode(s.who(), groups)
-                    : isPooler(s.who(), poolers)
-                            || s.who().equals(Step.LEADER)
-                            || s.kind().ofAll() && s.who().equals(Step.ALL);
-            check(whoIs, at + "who", s.who(), s.kind().ofNode() ? "a db node" : "a pooler, or " + Step.LEADER);
-            boolean toIs = s.kind().between
-                    ? isPooler(s.to(), poolers) || isNode(s.to(), groups) || s.to().equals(Step.ALL)
-                    : s.to().isEmpty();
             check(
-                    toIs && !s.to().equals(s.who()),
+                    step.atMillis() >= 0 && step.atMillis() <= MAX_MILLIS,
+                    at + "at_ms",
+                    step.atMillis(),
+                    "0 to " + MAX_MILLIS);
+            check(
+                    step.forMillis() >= 0 && step.forMillis() <= MAX_MILLIS,
+                    at + "for_ms",
+                    step.forMillis(),
+                    "0 to " + MAX_MILLIS);
+            boolean isWhoValid = step.kind().affectsNode()
+                    ? isNode(step.who(), groups)
+                    : isPooler(step.who(), poolers)
+                            || step.who().equals(Step.LEADER)
+                            || step.kind().mayAffectAll() && step.who().equals(Step.ALL);
+            check(
+                    isWhoValid,
+                    at + "who",
+                    step.who(),
+                    step.kind().affectsNode() ? "a db node" : "a pooler, or " + Step.LEADER);
+            boolean isToValid = step.kind().affectsConnection
+                    ? isPooler(step.to(), poolers)
+                            || isNode(step.to(), groups)
+                            || step.to().equals(Step.ALL)
+                    : step.to().isEmpty();
+            check(
+                    isToValid && !step.to().equals(step.who()),
                     at + "to",
-                    s.to(),
-                    s.kind().between
+                    step.to(),
+                    step.kind().affectsConnection
                             ? "another pooler, a db node, or " + Step.ALL
                             : "none, as this kind has no other end");
             check(
-                    s.kind().measured
-                            ? s.amount() > 0 || s.kind() == Step.Kind.CLOCK && s.amount() != 0
-                            : s.amount() == 0,
+                    step.kind().hasAmount
+                            ? step.amount() > 0 || step.kind() == Step.Kind.CLOCK && step.amount() != 0
+                            : step.amount() == 0,
                     at + "amount",
-                    s.amount(),
-                    s.kind().measured ? "over 0" : "none, as this kind has none");
-            check(s.kind() != Step.Kind.LOSSY || s.amount() <= 1, at + "amount", s.amount(), "a part, at most 1");
+                    step.amount(),
+                    step.kind().hasAmount ? "over 0" : "none, as this kind has none");
+            check(
+                    step.kind() != Step.Kind.LOSSY || step.amount() <= 1,
+                    at + "amount",
+                    step.amount(),
+                    "a part, at most 1");
         }
     }
 
-    private static void check(boolean holds, String field, Object value, String wanted) {
-        if (!holds) {
+    private static void check(boolean valid, String field, Object value, String wanted) {
+        if (!valid) {
             throw new IllegalArgumentException(field + " is " + value + "; possible: " + wanted);
         }
     }
@@ -82,26 +98,26 @@
     }
 
     private static boolean isNode(String name, int groups) {
-        return name.matches("n[0-9]{1,2}") && Integer.parseInt(name.substring(1)) < groups * MEMBERS;
+        return name.matches("n[0-9]{1,2}") && Integer.parseInt(name.substring(1)) < groups * NODES_PER_GROUP;
     }
 
     // ---- the file ----
 
-    /** Reads a scenario; complaints name the file, the field and the value. */
+    /** Reads a scenario; the IOException for an invalid one names the file, the field and the value. */
     public static Scenario read(String file, String text) throws IOException {
         int poolers = 0;
         int groups = 0;
         List<Step> steps = new ArrayList<>();
         try (JsonParser in = JSON.createParser(text)) {
-            wants(in, in.nextToken(), JsonToken.START_OBJECT, "the file");
+            expectToken(in, in.nextToken(), JsonToken.START_OBJECT, "the file");
             while (in.nextToken() == JsonToken.FIELD_NAME) {
                 String name = in.currentName();
                 in.nextToken();
                 switch (name) {
-                    case "poolers" -> poolers = (int) whole(in, name);
-                    case "groups" -> groups = (int) whole(in, name);
+                    case "poolers" -> poolers = (int) wholeNumber(in, name);
+                    case "groups" -> groups = (int) wholeNumber(in, name);
                     case "steps" -> {
-                        wants(in, in.currentToken(), JsonToken.START_ARRAY, name);
+                        expectToken(in, in.currentToken(), JsonToken.START_ARRAY, name);
                         while (in.nextToken() != JsonToken.END_ARRAY) {
                             steps.add(step(in, "steps[" + steps.size() + "]"));
                         }
@@ -117,7 +133,7 @@
     }
 
     private static Step step(JsonParser in, String at) throws IOException {
-        wants(in, in.currentToken(), JsonToken.START_OBJECT, at);
+        expectToken(in, in.currentToken(), JsonToken.START_OBJECT, at);
         long atMillis = -1;
         long forMillis = 0;
         Step.Kind kind = null;
@@ -129,8 +145,8 @@
             in.nextToken();
             String field = at + "." + name;
             switch (name) {
-                case "at_ms" -> atMillis = whole(in, field);
-                case "for_ms" -> forMillis = whole(in, field);
+                case "at_ms" -> atMillis = wholeNumber(in, field);
+                case "for_ms" -> forMillis = wholeNumber(in, field);
                 case "fault" -> kind = kind(in.getText(), field);
                 case "who" -> who = in.getText();
                 case "to" -> to = in.getText();
@@ -141,7 +157,7 @@
                 default -> throw new IllegalArgumentException(field + " is unknown");
             }
         }
-        check(kind != null, at + ".fault", "missing", names());
+        check(kind != null, at + ".fault", "missing", kindNames());
         return new Step(atMillis, kind, who, to, amount, forMillis);
     }
 
@@ -151,31 +167,31 @@
                 return kind;
             }
         }
-        throw new IllegalArgumentException(field + " is " + text + "; possible: " + names());
+        throw new IllegalArgumentException(field + " is " + text + "; possible: " + kindNames());
     }
 
-    private static String names() {
+    private static String kindNames() {
         return String.join(
                 ", ",
                 java.util.Arrays.stream(Step.Kind.values())
-                        .map(k -> k.name().toLowerCase(Locale.ROOT))
+                        .map(kind -> kind.name().toLowerCase(Locale.ROOT))
                         .toList());
     }
 
-    private static long whole(JsonParser in, String field) throws IOException {
+    private static long wholeNumber(JsonParser in, String field) throws IOException {
         check(in.hasToken(JsonToken.VALUE_NUMBER_INT), field, in.getText(), "a whole number");
         return in.getLongValue();
     }
 
-    private static void wants(JsonParser in, JsonToken is, JsonToken wanted, String field) throws IOException {
+    private static void expectToken(JsonParser in, JsonToken token, JsonToken wanted, String field) throws IOException {
         check(
-                is == wanted,
+                token == wanted,
                 field,
-                is == null ? "empty" : in.getText(),
+                token == null ? "empty" : in.getText(),
                 wanted == JsonToken.START_ARRAY ? "an array" : "an object");
     }
 
-    /** The same in the file's form, a step a line. */
+    /** The scenario in the file's format, one step a line. */
     public String write() {
         StringWriter text = new StringWriter();
         try (JsonGenerator out = JSON.createGenerator(text)) {
@@ -183,19 +199,19 @@
             out.writeNumberField("poolers", poolers);
             out.writeNumberField("groups", groups);
             out.writeArrayFieldStart("steps");
-            for (Step s : steps) {
+            for (Step step : steps) {
                 out.writeRaw('\n');
                 out.writeStartObject();
-                out.writeNumberField("at_ms", s.atMillis());
-                out.writeStringField("fault", s.kind().name().toLowerCase(Locale.ROOT));
-                out.writeStringField("who", s.who());
-                if (!s.to().isEmpty()) {
-                    out.writeStringField("to", s.to());
+                out.writeNumberField("at_ms", step.atMillis());
+                out.writeStringField("fault", step.kind().name().toLowerCase(Locale.ROOT));
+                out.writeStringField("who", step.who());
+                if (!step.to().isEmpty()) {
+                    out.writeStringField("to", step.to());
                 }
-                if (s.kind().measured) {
-                    out.writeNumberField("amount", s.amount());
+                if (step.kind().hasAmount) {
+                    out.writeNumberField("amount", step.amount());
                 }
-                out.writeNumberField("for_ms", s.forMillis());
+                out.writeNumberField("for_ms", step.forMillis());
                 out.writeEndObject();
             }
             out.writeEndArray();
@@ -208,9 +224,9 @@
 
     // ---- drawn ----
 
-    /** Weights of the kinds in a draw; the mix of all holds one-way cuts and flapping links as cases of their own. */
+    /** Kinds of faults to draw from; a kind that is listed twice is drawn twice as often. */
     public enum Mix {
-        /** The group's own connections and processes alone. */
+        /** Only the connections and processes of the group of poolers. */
         STORE(
                 Step.Kind.KILL,
                 Step.Kind.KILL,
@@ -220,13 +236,13 @@
                 Step.Kind.CUT_THERE,
                 Step.Kind.CUT,
                 Step.Kind.POWER),
-        /** Cuts that one side alone notices. */
+        /** Cuts of one direction. */
         ONE_WAY(Step.Kind.CUT_THERE),
-        /** What separates a pooler from the group: for the audit. */
+        /** Faults that disconnect a pooler from the group, for the drill of the audit. */
         AUDIT(Step.Kind.KILL, Step.Kind.PAUSE, Step.Kind.PAUSE, Step.Kind.CUT, Step.Kind.CUT_THERE, Step.Kind.RESTART),
-        /** Links that come and go. */
+        /** Links that are cut and healed in turn. */
         FLAPPING(Step.Kind.FLAP),
-        /** All there is. */
+        /** Kinds of all sorts, among them one-way cuts and flapping links. */
         ALL(
                 Step.Kind.KILL,
                 Step.Kind.KILL,
@@ -248,8 +264,8 @@
                 Step.Kind.NODE_SLOW,
                 Step.Kind.POWER),
         /**
-         * Ends that are crossed by others: poolers told to end, silent lists, db nodes that drain or come back cold;
-         * and releases.
+         * Ends of poolers that coincide with other events: silent discovery watches, db nodes that drain or restart
+         * cold, and releases.
          */
         CROSSING(
                 Step.Kind.RESTART,
@@ -263,8 +279,8 @@
                 Step.Kind.NODE_KILL,
                 Step.Kind.NODE_SLOW),
         /**
-         * Signals in series with early kills, clocks, calls and crowds beside drains, silent lists, dead db nodes and a
-         * release.
+         * Series of signals with early kills, clock steps, failing system calls and idle clients, together with drains,
+         * silent discovery watches, dead db nodes and releases.
          */
         SOAK(
                 Step.Kind.SIGNALS,
@@ -290,8 +306,8 @@
     }
 
     /**
-     * Faults for so long, drawn by a seed; all end before it is over, and a minority of the poolers is down at a time
-     * but at a loss of power and in a release.
+     * Draws faults for a time in milliseconds from a seed. All are undone within that time, and only a minority of the
+     * poolers is down at any time, except by POWER and in a release.
      */
     public static Scenario draw(Mix mix, int poolers, int groups, long millis, long seed) {
         Random random = new Random(seed);
@@ -299,35 +315,51 @@
         long[] downUntil = new long[poolers];
         for (long at = 300 + random.nextInt(700); at < millis; at += 200 + random.nextInt(1100)) {
             Step.Kind kind = mix.kinds[random.nextInt(mix.kinds.length)];
-            int one = random.nextInt(poolers);
+            int pooler = random.nextInt(poolers);
             long until = Math.min(millis, at + 500 + random.nextInt(kind == Step.Kind.POWER ? 500 : 3500));
             long now = at;
-            boolean spare =
+            boolean mayStopOne =
                     java.util.Arrays.stream(downUntil).filter(d -> d > now).count() + 1 <= (poolers - 1) / 2;
-            boolean up = downUntil[one] <= at;
-            if (kind.ofNode() && groups == 0
-                    || (kind.downs() || kind.ends()) && !(spare && up)
-                    || kind == Step.Kind.POWER && !spare) {
+            boolean isRunning = downUntil[pooler] <= at;
+            if (kind.affectsNode() && groups == 0
+                    || (kind.stopsProcess() || kind.restartsAtOnce()) && !(mayStopOne && isRunning)
+                    || kind == Step.Kind.POWER && !mayStopOne) {
                 continue;
             }
             if (kind == Step.Kind.RELOAD || kind == Step.Kind.LIST_SILENT) {
-                steps.add(new Step(at, kind, "p" + one, "", 0, 0));
+                steps.add(new Step(at, kind, "p" + pooler, "", 0, 0));
             } else if (kind == Step.Kind.POWER) {
                 java.util.Arrays.fill(downUntil, until + 3_000);
                 steps.add(new Step(at, kind, Step.ALL, "", 0, until - at));
-            } else if (kind.ofNode()) {
+            } else if (kind.affectsNode()) {
                 steps.add(new Step(
-                        at, kind, "n" + random.nextInt(groups * MEMBERS), "", amount(kind, random), until - at));
-            } else if (kind.between) {
+                        at,
+                        kind,
+                        "n" + random.nextInt(groups * NODES_PER_GROUP),
+                        "",
+                        amount(kind, random),
+                        until - at));
+            } else if (kind.affectsConnection) {
                 steps.add(new Step(
-                        at, kind, "p" + one, other(random, poolers, groups, one), amount(kind, random), until - at));
-            } else if (kind.measured) {
-                steps.add(new Step(at, kind, "p" + one, "", amount(kind, random), until - at));
+                        at,
+                        kind,
+                        "p" + pooler,
+                        otherEnd(random, poolers, groups, pooler),
+                        amount(kind, random),
+                        until - at));
+            } else if (kind.hasAmount) {
+                steps.add(new Step(at, kind, "p" + pooler, "", amount(kind, random), until - at));
             } else {
-                // A leader's end is the case that matters most.
-                boolean leads = kind == Step.Kind.KILL && random.nextInt(3) == 0;
-                downUntil[one] = until + 1_000;
-                steps.add(new Step(at, kind, leads ? Step.LEADER : "p" + one, "", 0, kind.ends() ? 0 : until - at));
+                // One kill in three is of the leader, the most important case for the group.
+                boolean isLeader = kind == Step.Kind.KILL && random.nextInt(3) == 0;
+                downUntil[pooler] = until + 1_000;
+                steps.add(new Step(
+                        at,
+                        kind,
+                        isLeader ? Step.LEADER : "p" + pooler,
+                        "",
+                        0,
+                        kind.restartsAtOnce() ? 0 : until - at));
             }
         }
         if (mix == Mix.CROSSING || mix == Mix.SOAK) {
@@ -336,14 +368,14 @@
         return new Scenario(poolers, groups, steps);
     }
 
-    private static String other(Random random, int poolers, int groups, int one) {
+    private static String otherEnd(Random random, int poolers, int groups, int pooler) {
         int draw = random.nextInt(10);
         if (draw == 0) {
             return Step.ALL;
         } else if (draw < 5 && groups > 0) {
-            return "n" + random.nextInt(groups * MEMBERS);
+            return "n" + random.nextInt(groups * NODES_PER_GROUP);
         }
-        return "p" + (one + 1 + random.nextInt(poolers - 1)) % poolers;
+        return "p" + (pooler + 1 + random.nextInt(poolers - 1)) % poolers;
     }
 
     private static double amount(Step.Kind kind, Random random) {
@@ -353,7 +385,7 @@
             case LOSSY -> 0.02 + random.nextInt(20) / 100.0;
             case LIMIT -> 2_000 + random.nextInt(50_000);
             case NODE_SLOW -> 50 + random.nextInt(400);
-            case CLOCK -> CLOCK_STEPS[random.nextInt(CLOCK_STEPS.length)];
+            case CLOCK -> CLOCK_STEPS_SECONDS[random.nextInt(CLOCK_STEPS_SECONDS.length)];
             case CALLS -> 5 + random.nextInt(20);
             case CROWD -> 100 + random.nextInt(200);
             default -> 0;
--- a/drills/src/main/java/lupinvalve/drills/Scratch.java
+++ b/drills/src/main/java/lupinvalve/drills/Scratch.java
@@ -15,34 +15,37 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.stream.Stream;
 
-/** What each trial needs for a while: ports on loopback that nobody listens on, and folders. */
+/** Temporary resources of a trial: unused ports on loopback, and folders. */
 public final class Scratch {
     private Scratch() {}
 
     /**
-     * So many different ports, which nobody else is given until it is closed. They lie below those that the system
-     * gives to whoever does not ask for one, and this program gives none twice: what is let go before its user takes it
-     * stays free.
+     * A number of different unused ports, which stay bound until this is closed. They lie below the system's range of
+     * ephemeral ports, and this process reserves none twice: a port stays free between being released here and being
+     * bound by its user.
      */
     public static final class Ports implements Closeable {
-        private static final int FIRST = 12_000, LAST = 30_000;
-        private static final AtomicInteger NEXT =
-                new AtomicInteger((int) (ProcessHandle.current().pid() * 97 % (LAST - FIRST)));
+        private static final int FIRST_PORT = 12_000;
+        private static final int LAST_PORT = 30_000;
+        private static final AtomicInteger NEXT_OFFSET =
+                new AtomicInteger((int) (ProcessHandle.current().pid() * 97 % (LAST_PORT - FIRST_PORT)));
         private final List<ServerSocket> held = new ArrayList<>();
 
+        /** Reserves this many ports. */
         public Ports(int count) throws IOException {
             for (int tries = 0; held.size() < count; tries++) {
-                int port = FIRST + Math.floorMod(NEXT.getAndIncrement(), LAST - FIRST);
+                int port = FIRST_PORT + Math.floorMod(NEXT_OFFSET.getAndIncrement(), LAST_PORT - FIRST_PORT);
                 try {
                     held.add(new ServerSocket(port, 1, InetAddress.getLoopbackAddress()));
                 } catch (BindException e) {
-                    if (tries > LAST - FIRST) {
+                    if (tries > LAST_PORT - FIRST_PORT) {
                         throw e;
                     }
                 }
             }
         }
 
+        /** The port at an index, from 0. */
         public int get(int at) {
             return held.get(at).getLocalPort();
         }
@@ -55,7 +58,7 @@
         }
     }
 
-    /** An address for each member. */
+    /** A loopback address with an unused port for each name. */
     public static Map<String, String> places(List<String> names) throws IOException {
         Map<String, String> places = new TreeMap<>();
         try (Ports ports = new Ports(names.size())) {
@@ -66,6 +69,7 @@
         return places;
     }
 
+    /** Deletes a folder with all that it contains. */
     public static void delete(Path folder) throws IOException {
         try (Stream<Path> all = Files.walk(folder)) {
             for (Path path : all.sorted(Comparator.reverseOrder()).toList()) {
--- a/drills/src/main/java/lupinvalve/drills/SqlClients.java
+++ b/drills/src/main/java/lupinvalve/drills/SqlClients.java
@@ -8,67 +8,72 @@
 import java.util.Random;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** Clients of all poolers, a session each, which ask as their habits are and tell the book what came of it. */
+/** Clients of all poolers, with one session each, that send statements by their habits and record how each ended. */
 final class SqlClients {
-    private static final int DEADLINE = 2_000, SLACK = 500, PROBE = 1_000;
-    /** After a connection that did not come up or has ended: a process that starts gets its clients back at once. */
-    private static final long AGAIN_MILLIS = 3;
-    /** Who asks again at once after a refusal keeps the machine busy with nothing else. */
+    private static final int DEADLINE_MILLIS = 2_000;
+    private static final int SLACK_MILLIS = 500;
+    private static final int PROBE_TIMEOUT_MILLIS = 1_000;
+    /** Rest before a client connects again: short, so that a pooler that starts gets all its clients back at once. */
+    private static final long RECONNECT_MILLIS = 3;
+    /** Rest after a refusal: clients that retry at once would take up the machine's processors. */
     private static final long AFTER_REFUSAL_MILLIS = 100;
 
     private static final int WRITE_ONE_IN = 4;
-    private static final String REFUSED = "53300", DRAINING = "57P03";
-    private final Book book;
+    private static final String SQLSTATE_TOO_MANY_CONNECTIONS = "53300";
+    private static final String SQLSTATE_CANNOT_CONNECT_NOW = "57P03";
+    private final RequestChecker requestChecker;
     private final Timing timing;
     private final int groups;
-    private final AtomicLong numbers = new AtomicLong();
+    private final AtomicLong requestCount = new AtomicLong();
     private final List<Thread> threads = new ArrayList<>();
     private volatile boolean over;
 
-    SqlClients(Book book, Timing timing, int groups) {
-        this.book = book;
+    SqlClients(RequestChecker requestChecker, Timing timing, int groups) {
+        this.requestChecker = requestChecker;
         this.timing = timing;
         this.groups = groups;
     }
 
-    /** Starts so many clients of a pooler. */
+    /** Starts this many clients of a pooler. */
     void start(String pooler, int port, ClientHabits.Kind kind, int count, long seed) {
         for (int i = 0; i < count; i++) {
             ClientHabits habits = new ClientHabits(kind, new Random(seed * 31 + i));
             threads.add(Threads.start("client of " + pooler, () -> {
                 while (!over) {
-                    long pause = habits.readingPause();
-                    try (SqlConnection connection = new SqlConnection(port, DEADLINE + SLACK, pause > 0)) {
-                        connection.readsSlowly(pause);
+                    long pauseMillis = habits.readingPauseMillis();
+                    try (SqlConnection connection =
+                            new SqlConnection(port, DEADLINE_MILLIS + SLACK_MILLIS, pauseMillis > 0)) {
+                        connection.setReadingPause(pauseMillis);
                         new Session(connection, pooler, habits).run();
                     } catch (IOException e) {
-                        Thread.sleep(AGAIN_MILLIS);
+                        Thread.sleep(RECONNECT_MILLIS);
                     }
                 }
             }));
         }
     }
 
-    /** Whether a pooler takes clients. */
-    static boolean takes(int port) {
+    /** Whether a pooler accepts a client's connection and login. */
+    static boolean acceptsClients(int port) {
         try {
-            new SqlConnection(port, PROBE, false).close();
+            new SqlConnection(port, PROBE_TIMEOUT_MILLIS, false).close();
             return true;
         } catch (IOException e) {
             return false;
         }
     }
 
-    /** One statement, and what it must be answered. */
-    private record Asked(String id, String text, boolean write, boolean own, long after, int longValue) {}
+    /** One statement, and what its answer is checked against. */
+    private record Request(
+            String id, String text, boolean write, boolean readsOwnWrites, long minPosition, int longValueBytes) {}
 
-    /** What a client does on one connection. */
+    /** One connection of a client. */
     private final class Session {
         private final SqlConnection connection;
         private final String pooler;
         private final ClientHabits habits;
         private final int group;
-        private long after;
+        private long lastWritePosition;
 
         Session(SqlConnection connection, String pooler, ClientHabits habits) {
             this.connection = connection;
@@ -79,108 +84,111 @@
 
         void run() throws IOException, InterruptedException {
             while (!over) {
-                boolean refused = turn();
-                Thread.sleep(Math.max(habits.rest(), refused ? AFTER_REFUSAL_MILLIS : 0));
+                boolean refused = runTurn();
+                Thread.sleep(Math.max(habits.restMillis(), refused ? AFTER_REFUSAL_MILLIS : 0));
             }
         }
 
-        /** Asks once; whether anything was refused. */
-        private boolean turn() throws IOException, InterruptedException {
+        /** Sends one batch of statements and reads the answers; returns whether any was refused. */
+        private boolean runTurn() throws IOException, InterruptedException {
             if (connection.hasEnded()) {
                 throw new EOFException();
             }
-            List<Asked> asked = new ArrayList<>();
-            for (int count = habits.atOnce(); count > 0; count--) {
-                asked.add(next(asked.isEmpty()));
+            List<Request> requests = new ArrayList<>();
+            for (int count = habits.statementsAtOnce(); count > 0; count--) {
+                requests.add(nextRequest(requests.isEmpty()));
             }
-            asked.forEach(one -> book.asked(one.id, pooler, one.write, System.currentTimeMillis()));
+            requests.forEach(
+                    request -> requestChecker.sent(request.id, pooler, request.write, System.currentTimeMillis()));
             int answered = 0;
             boolean refused = false;
-            Book.Ending rest = Book.Ending.NOT_TAKEN;
+            RequestChecker.Ending endingOfRest = RequestChecker.Ending.NOT_TAKEN;
             try {
-                connection.send(asked.stream().map(Asked::text).toList());
-                // An end that is there right after the write may have been there before it; answers that came ahead of
-                // it count.
+                connection.send(requests.stream().map(Request::text).toList());
+                // An end of the connection that has arrived right after the write may have arrived before it; answers
+                // that came before that end still count.
                 if (!connection.hasEnded()) {
-                    rest = Book.Ending.ENDED;
-                    int leaves = habits.leavesAfter();
-                    if (leaves >= 0) {
-                        rest = Book.Ending.LEFT;
-                        leave(asked, leaves);
+                    endingOfRest = RequestChecker.Ending.ENDED;
+                    int leaveAfterMillis = habits.leavesAfterMillis();
+                    if (leaveAfterMillis >= 0) {
+                        endingOfRest = RequestChecker.Ending.LEFT;
+                        leave(requests, leaveAfterMillis);
                     }
                 }
-                for (; answered < asked.size(); answered++) {
-                    Asked one = asked.get(answered);
-                    Book.Ending ending = judged(one, connection.answer());
-                    refused |= ending == Book.Ending.REFUSED;
-                    book.ended(one.id, ending, System.currentTimeMillis());
+                for (; answered < requests.size(); answered++) {
+                    Request request = requests.get(answered);
+                    RequestChecker.Ending ending = judge(request, connection.readAnswer());
+                    refused |= ending == RequestChecker.Ending.REFUSED;
+                    requestChecker.ended(request.id, ending, System.currentTimeMillis());
                 }
                 return refused;
             } catch (SocketTimeoutException e) {
-                rest = Book.Ending.SILENT;
+                endingOfRest = RequestChecker.Ending.SILENT;
                 throw e;
             } catch (EOFException e) {
                 throw e;
             } catch (IOException e) {
-                rest = rest == Book.Ending.ENDED ? Book.Ending.RESET : rest;
+                endingOfRest = endingOfRest == RequestChecker.Ending.ENDED ? RequestChecker.Ending.RESET : endingOfRest;
                 throw e;
             } finally {
-                for (Asked one : asked.subList(answered, asked.size())) {
-                    book.ended(one.id, rest, System.currentTimeMillis());
+                for (Request request : requests.subList(answered, requests.size())) {
+                    requestChecker.ended(request.id, endingOfRest, System.currentTimeMillis());
                 }
             }
         }
 
-        private void leave(List<Asked> asked, int afterMillis) throws IOException, InterruptedException {
+        private void leave(List<Request> requests, int afterMillis) throws IOException, InterruptedException {
             Thread.sleep(afterMillis);
             connection.leave(habits.random().nextBoolean());
-            asked.forEach(one -> timing.left(one.id, System.currentTimeMillis()));
+            requests.forEach(request -> timing.clientLeft(request.id, System.currentTimeMillis()));
             throw new EOFException();
         }
 
         /**
-         * @param mayBeLong one long value a turn: who takes seconds for what he asked at once holds the pooler's end
-         *     until it is killed
+         * @param mayBeLong whether the statement may request a long value. Only one of a batch may: a client that reads
+         *     a batch of long values for seconds would delay the pooler's shutdown until SIGKILL.
          */
-        private Asked next(boolean mayBeLong) {
-            String id = "q" + numbers.incrementAndGet();
+        private Request nextRequest(boolean mayBeLong) {
+            String id = "q" + requestCount.incrementAndGet();
             boolean write = habits.random().nextInt(WRITE_ONE_IN) == 0;
-            boolean own = !write && habits.random().nextBoolean();
-            int longValue = write || !mayBeLong ? 0 : habits.longValue();
-            long token = own ? after : 0;
-            String key = longValue > 0 ? LongValues.key(longValue) : "s" + group;
+            boolean readsOwnWrites = !write && habits.random().nextBoolean();
+            int longValueBytes = write || !mayBeLong ? 0 : habits.longValueBytes();
+            long token = readsOwnWrites ? lastWritePosition : 0;
+            String key = longValueBytes > 0 ? LongValues.key(longValueBytes) : "s" + group;
             String text = (write
                             ? "INSERT INTO rows (handle, blob) VALUES ('" + key + "', '\\x9f') RETURNING blob"
                             : "SELECT blob FROM rows WHERE handle = '" + key + "'")
                     + " /* id=" + id + ",c="
-                    + (write ? "pickup-booking" : own ? "own-order-view" : "bag-status") + ",t=almaty-branch,d="
-                    + DEADLINE
+                    + (write ? "pickup-booking" : readsOwnWrites ? "own-order-view" : "bag-status")
+                    + ",t=almaty-branch,d="
+                    + DEADLINE_MILLIS
                     + ",cluster=" + group + (token > 0 ? ",after=" + token : "") + " */";
-            return new Asked(id, text, write, own, token, longValue);
+            return new Request(id, text, write, readsOwnWrites, token, longValueBytes);
         }
 
-        private Book.Ending judged(Asked one, SqlConnection.Answer answer) {
+        private RequestChecker.Ending judge(Request request, SqlConnection.Answer answer) {
             if (answer.code() != null || answer.value() == null) {
-                boolean refused = REFUSED.equals(answer.code()) || DRAINING.equals(answer.code());
-                return refused ? Book.Ending.REFUSED : Book.Ending.FAILED;
+                boolean refused = SQLSTATE_TOO_MANY_CONNECTIONS.equals(answer.code())
+                        || SQLSTATE_CANNOT_CONNECT_NOW.equals(answer.code());
+                return refused ? RequestChecker.Ending.REFUSED : RequestChecker.Ending.FAILED;
             }
             long position = LongValues.position(answer.value());
-            if (one.write) {
-                after = Math.max(after, position);
-            } else if (one.own && position < one.after) {
-                book.stale(one.id, one.after, position);
+            if (request.write) {
+                lastWritePosition = Math.max(lastWritePosition, position);
+            } else if (request.readsOwnWrites && position < request.minPosition) {
+                requestChecker.stale(request.id, request.minPosition, position);
             }
-            if (one.longValue > 0 && !LongValues.isWhole(answer.value(), one.longValue)) {
-                book.spoilt(one.id, answer.value().length());
+            if (request.longValueBytes > 0 && !LongValues.isWhole(answer.value(), request.longValueBytes)) {
+                requestChecker.valueMismatch(request.id, answer.value().length());
             }
-            return Book.Ending.SERVED;
+            return RequestChecker.Ending.SERVED;
         }
     }
 
     void stop() throws InterruptedException {
         over = true;
         for (Thread thread : threads) {
-            thread.join(DEADLINE + 2 * SLACK);
+            thread.join(DEADLINE_MILLIS + 2 * SLACK_MILLIS);
         }
     }
 }
--- a/drills/src/main/java/lupinvalve/drills/SqlConnection.java
+++ b/drills/src/main/java/lupinvalve/drills/SqlConnection.java
@@ -16,64 +16,64 @@
 import java.util.List;
 
 /**
- * A client's connection to a pooler. An end in order is an {@link EOFException}, a reset any other {@link IOException},
- * an answer that does not come a {@link java.net.SocketTimeoutException}.
+ * A client's connection to a pooler. A close by FIN is reported as {@link EOFException}, a reset as any other
+ * {@link IOException}, a missing answer as {@link java.net.SocketTimeoutException}. Used by one thread.
  */
 final class SqlConnection implements Closeable {
     private static final int CONNECT_MILLIS = 1_000;
-    private static final int PROTOCOL = 3 << 16;
-    private static final int HEAD = 5;
-    private static final int CHUNK = 16 << 10;
-    private static final int SLOW_WINDOW = 16 << 10;
+    private static final int PROTOCOL_VERSION_3 = 3 << 16;
+    private static final int HEADER_BYTES = 5;
+    private static final int CHUNK_BYTES = 16 << 10;
+    private static final int SLOW_RECEIVE_BUFFER_BYTES = 16 << 10;
 
-    /** What a statement was answered: a value, or an error's code. */
+    /** The answer to a statement: a value, or the SQLSTATE of an error. */
     record Answer(String value, String code) {}
 
     private final SocketChannel channel = SocketChannel.open();
-    private byte[] received = new byte[CHUNK];
+    private byte[] received = new byte[CHUNK_BYTES];
     private int length;
     private boolean isEnded;
     private IOException broken;
     private long pauseMillis;
 
     /**
-     * Connects, and logs in.
+     * Connects and logs in.
      *
-     * @param silenceMillis how long nothing may come before an answer counts as missing
-     * @param isSlow whether little is taken from the network before it is read
+     * @param silenceMillis after how long without a byte an answer counts as missing
+     * @param isSlow whether the socket has a small receive buffer
      */
     SqlConnection(int port, int silenceMillis, boolean isSlow) throws IOException {
         try {
             channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
             if (isSlow) {
-                channel.setOption(StandardSocketOptions.SO_RCVBUF, SLOW_WINDOW);
+                channel.setOption(StandardSocketOptions.SO_RCVBUF, SLOW_RECEIVE_BUFFER_BYTES);
             }
             channel.socket().connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), CONNECT_MILLIS);
             channel.socket().setSoTimeout(silenceMillis);
-            write(startup());
-            answer();
+            write(startupMessage());
+            readAnswer();
         } catch (IOException | RuntimeException e) {
             channel.close();
             throw e;
         }
     }
 
-    private static byte[] startup() throws IOException {
+    private static byte[] startupMessage() throws IOException {
         byte[] names = "user\0api\0database\0ledger\0\0".getBytes(UTF_8);
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         DataOutputStream out = new DataOutputStream(bytes);
         out.writeInt(2 * Integer.BYTES + names.length);
-        out.writeInt(PROTOCOL);
+        out.writeInt(PROTOCOL_VERSION_3);
         out.write(names);
         return bytes.toByteArray();
     }
 
-    /** From now on it rests so long before each further piece of an answer that it reads. */
-    void readsSlowly(long pauseMillisAPiece) {
-        pauseMillis = pauseMillisAPiece;
+    /** Sets how long to rest before each further read from the socket. */
+    void setReadingPause(long millisPerPiece) {
+        pauseMillis = millisPerPiece;
     }
 
-    /** Writes all of the statements at once. */
+    /** Sends all statements in one write. */
     void send(List<String> statements) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         DataOutputStream out = new DataOutputStream(bytes);
@@ -94,8 +94,8 @@
     }
 
     /**
-     * Whether the connection's end, in order or by a reset, has come by now; what has come before it is kept. Asked
-     * right after a write, a yes says that the end may have been there before what was written.
+     * Whether the connection's end, by FIN or reset, has arrived; bytes that arrived before it are kept. If true right
+     * after a write, the end may have arrived before the write.
      */
     boolean hasEnded() throws IOException {
         channel.configureBlocking(false);
@@ -103,7 +103,7 @@
             for (int count = 1; count > 0 && !isEnded; ) {
                 makeRoom();
                 count = channel.read(ByteBuffer.wrap(received, length, received.length - length));
-                took(count);
+                recordRead(count);
             }
         } catch (IOException e) {
             broken = e;
@@ -113,46 +113,46 @@
     }
 
     private void makeRoom() {
-        if (received.length - length < CHUNK) {
+        if (received.length - length < CHUNK_BYTES) {
             received = java.util.Arrays.copyOf(received, received.length * 2);
         }
     }
 
-    private void took(int count) {
+    private void recordRead(int count) {
         isEnded |= count < 0;
         length += Math.max(0, count);
     }
 
     /** Reads up to the end of the next answer. */
-    Answer answer() throws IOException {
+    Answer readAnswer() throws IOException {
         String value = null;
         String code = null;
         while (true) {
-            byte[] message = message();
+            byte[] message = readMessage();
             switch (message[0]) {
-                case 'D' -> value = new String(message, HEAD + 6, message.length - HEAD - 6, UTF_8);
-                case 'E' -> code = code(message);
+                case 'D' -> value = new String(message, HEADER_BYTES + 6, message.length - HEADER_BYTES - 6, UTF_8);
+                case 'E' -> code = errorCode(message);
                 case 'Z' -> {
                     return new Answer(value, code);
                 }
                 default -> {
-                    // Nothing that a client looks at.
+                    // Other messages don't matter to a client.
                 }
             }
         }
     }
 
-    private byte[] message() throws IOException {
-        atLeast(HEAD);
+    private byte[] readMessage() throws IOException {
+        readAtLeast(HEADER_BYTES);
         int size = 1 + ByteBuffer.wrap(received, 1, Integer.BYTES).getInt();
-        atLeast(size);
+        readAtLeast(size);
         byte[] message = java.util.Arrays.copyOf(received, size);
         System.arraycopy(received, size, received, 0, length - size);
         length -= size;
         return message;
     }
 
-    private void atLeast(int size) throws IOException {
+    private void readAtLeast(int size) throws IOException {
         InputStream in = channel.socket().getInputStream();
         while (length < size) {
             if (broken != null) {
@@ -164,7 +164,7 @@
                 pause();
             }
             makeRoom();
-            took(in.read(received, length, Math.min(CHUNK, received.length - length)));
+            recordRead(in.read(received, length, Math.min(CHUNK_BYTES, received.length - length)));
         }
     }
 
@@ -177,8 +177,8 @@
         }
     }
 
-    private static String code(byte[] error) {
-        for (String field : new String(error, HEAD, error.length - HEAD, UTF_8).split("\0")) {
+    private static String errorCode(byte[] error) {
+        for (String field : new String(error, HEADER_BYTES, error.length - HEADER_BYTES, UTF_8).split("\0")) {
             if (field.startsWith("C")) {
                 return field.substring(1);
             }
@@ -186,7 +186,7 @@
         return "";
     }
 
-    /** Goes away without a word: in order, or by a reset. */
+    /** Closes the connection without a Terminate message, by FIN or by a reset. */
     void leave(boolean byReset) throws IOException {
         if (byReset) {
             channel.setOption(StandardSocketOptions.SO_LINGER, 0);
--- a/drills/src/main/java/lupinvalve/drills/Step.java
+++ b/drills/src/main/java/lupinvalve/drills/Step.java
@@ -4,113 +4,116 @@
 import java.util.Set;
 
 /**
- * One fault of a scenario. Without I/O.
+ * One fault of a scenario. Does no I/O.
  *
- * @param atMillis from the scenario's start
- * @param who a pooler, or a db node for the kinds that strike those; {@link #LEADER} is whoever leads then
+ * @param atMillis when the fault begins, in milliseconds from the scenario's start
+ * @param who a pooler, or a db node for the kinds that affect those; {@link #LEADER} is the leader at that time
  * @param to the other end of a connection, a pooler or a db node, or {@link #ALL}; empty where the kind has none
- * @param amount as {@link Kind} says; 0 where the kind has none
- * @param forMillis until it is undone
+ * @param amount the kind's amount, as described at {@link Kind}; 0 where the kind has none
+ * @param forMillis after how many milliseconds the fault is undone
  */
 public record Step(long atMillis, Kind kind, String who, String to, double amount, long forMillis) {
-    /** Who leads the group when the step's time comes. */
+    /** The member that leads the group when the step begins. */
     public static final String LEADER = "leader";
-    /** All others. */
+    /** All other ends; as {@code who}, all poolers. */
     public static final String ALL = "*";
 
-    /** What is done. */
+    /** The kind of a fault. */
     public enum Kind {
-        /** SIGKILL; started again afterwards. */
+        /** SIGKILL; the process is started when the step is undone. */
         KILL(false, false),
-        /** All poolers at once. */
+        /** SIGKILL of all poolers at once; they are started when the step is undone. */
         POWER(false, false),
-        /** SIGTERM, and a start at once. */
+        /** SIGTERM, and a start as soon as the process has ended. */
         RESTART(false, false),
-        /** SIGHUP and SIGTERM twice in series, SIGKILL as early as the platform may send it, and a start at once. */
+        /** SIGHUP and SIGTERM twice in quick succession, SIGKILL as early as the platform may send it, then a start. */
         SIGNALS(false, false),
-        /** The wall clock is so many seconds off. */
+        /** The wall clock is wrong by the amount, in seconds. */
         CLOCK(false, true),
-        /** One in so many system calls of each kind fails, and reads and writes are short. */
+        /** One of this many system calls of each kind fails, or is a short read or write. */
         CALLS(false, true),
-        /** So many connections are opened and left idle. */
+        /** This many connections are opened and left idle. */
         CROWD(false, true),
-        /** SIGHUP on a file that is written half, then on the whole one. */
+        /** SIGHUP while the configuration file is half written, and again when it is complete. */
         RELOAD(false, false),
-        /** SIGSTOP, then SIGCONT. */
+        /** SIGSTOP, and SIGCONT when the step is undone. */
         PAUSE(false, false),
-        /** Both directions swallow all. */
+        /** The bytes of both directions are dropped. */
         CUT(true, false),
-        /** {@code who} is not heard by {@code to}, but hears it. */
+        /** The bytes from {@code who} to {@code to} are dropped, those from {@code to} arrive. */
         CUT_THERE(true, false),
-        /** A cut that comes and goes; the amount is the period in ms. */
+        /** The link is cut and healed in turn; the amount is the period in milliseconds. */
         FLAP(true, true),
-        /** Each piece of bytes comes so many ms later. */
+        /** Each piece of bytes is delayed by the amount, in milliseconds. */
         SLOW(true, true),
-        /** This part of the pieces breaks its connection, as one does that gives up sending again. */
+        /**
+         * The amount is the ratio of pieces that break their connection, as TCP does when it gives up retransmitting.
+         */
         LOSSY(true, true),
-        /** So many bytes a second. */
+        /** The amount limits the bytes a second. */
         LIMIT(true, true),
-        /** The far end is gone without a word: connections stay open and silent, also new ones. */
+        /** The far end is gone without FIN or reset: connections stay open and silent, and new ones are too. */
         HALF_OPEN(true, false),
-        /** A db node's process dies; a primary has a successor after 1 s. */
+        /** A db node dies; if it was a primary, a replica is promoted after 1 s. */
         NODE_KILL(false, false),
-        /** A db node stands still. */
+        /** A db node handles no statements. */
         NODE_PAUSE(false, false),
-        /** A db node takes so many ms more for each request. */
+        /** A db node takes longer for each statement by the amount, in milliseconds. */
         NODE_SLOW(false, true),
-        /** A db node is listed as leaving, and goes on. */
+        /** A db node is listed as draining and keeps running. */
         NODE_DRAIN(false, false),
-        /** The pooler's open watches say nothing more; new calls are answered. */
+        /** Nothing more is written to the pooler's open discovery watches; new calls are answered. */
         LIST_SILENT(false, false),
         /**
-         * Discovery has too many callers: it resets all watches, works through calls slowly, and fails up to three in a
-         * row.
+         * Discovery has too many callers: it resets all watches, handles calls slowly, and fails up to three calls in a
+         * row of a pooler.
          */
         OVERLOAD(false, false);
 
-        /** Whether it strikes a connection. */
-        public final boolean between;
-        /** Whether it has an amount. */
-        public final boolean measured;
+        /** Whether the kind affects the connections between two ends. */
+        public final boolean affectsConnection;
+        /** Whether the kind has an amount. */
+        public final boolean hasAmount;
 
-        Kind(boolean between, boolean measured) {
-            this.between = between;
-            this.measured = measured;
+        Kind(boolean affectsConnection, boolean hasAmount) {
+            this.affectsConnection = affectsConnection;
+            this.hasAmount = hasAmount;
         }
 
-        /** Whether it strikes a db node. */
-        public boolean ofNode() {
-            return NODES.contains(this);
+        /** Whether the kind affects a db node. */
+        public boolean affectsNode() {
+            return NODE_KINDS.contains(this);
         }
 
-        /** Whether it may strike all at once, as {@link #ALL}. */
-        public boolean ofAll() {
+        /** Whether the kind may affect all poolers at once, as {@link #ALL}. */
+        public boolean mayAffectAll() {
             return this == POWER || this == OVERLOAD;
         }
 
-        /** Whether it strikes the system that the pooler's process runs on. */
-        public boolean ofSystem() {
+        /** Whether the kind affects the system calls of a pooler's process. */
+        public boolean affectsSystem() {
             return this == CLOCK || this == CALLS;
         }
 
-        /** Whether the pooler's process ends and is started at once. */
-        public boolean ends() {
+        /** Whether the pooler's process is ended and started within the begin of the step. */
+        public boolean restartsAtOnce() {
             return this == RESTART || this == SIGNALS;
         }
 
-        /** Whether the pooler's process does not run, or not on, while it lasts. */
-        public boolean downs() {
-            return DOWNS.contains(this);
+        /** Whether the pooler's process is dead or stopped until the step is undone. */
+        public boolean stopsProcess() {
+            return STOPPING_KINDS.contains(this);
         }
     }
 
-    private static final Set<Kind> NODES = EnumSet.of(Kind.NODE_KILL, Kind.NODE_PAUSE, Kind.NODE_SLOW, Kind.NODE_DRAIN);
-    private static final Set<Kind> DOWNS = EnumSet.of(Kind.KILL, Kind.PAUSE);
+    private static final Set<Kind> NODE_KINDS =
+            EnumSet.of(Kind.NODE_KILL, Kind.NODE_PAUSE, Kind.NODE_SLOW, Kind.NODE_DRAIN);
+    private static final Set<Kind> STOPPING_KINDS = EnumSet.of(Kind.KILL, Kind.PAUSE);
 
     @Override
     public String toString() {
         return atMillis + " ms: " + kind.name().toLowerCase(java.util.Locale.ROOT) + " " + who
-                + (to.isEmpty() ? "" : " to " + to) + (kind.measured ? " by " + amount : "") + " for " + forMillis
+                + (to.isEmpty() ? "" : " to " + to) + (kind.hasAmount ? " by " + amount : "") + " for " + forMillis
                 + " ms";
     }
 }
--- a/drills/src/main/java/lupinvalve/drills/StoreClients.java
+++ b/drills/src/main/java/lupinvalve/drills/StoreClients.java
@@ -19,63 +19,65 @@
 import org.HdrHistogram.ConcurrentHistogram;
 import org.HdrHistogram.Histogram;
 
-/** Operators who put and read configurations at a group throughout, and what they were told of it. */
+/** Operators that put and read configurations of a group during a drill, with what they measured and were answered. */
 final class StoreClients {
-    private static final long CALL_MILLIS = 4_000, QUIET_SECONDS = 1;
+    private static final long CALL_MILLIS = 4_000;
+    private static final long QUIET_AFTER_FAULT_SECONDS = 1;
     static final String CLUSTER = "drill";
     final RevisionChecker checker = new RevisionChecker();
-    final Histogram commits = new ConcurrentHistogram(60_000_000, 3),
-            failovers = new ConcurrentHistogram(60_000_000, 3);
-    private final Map<String, String> places;
+    final Histogram commits = new ConcurrentHistogram(60_000_000, 3);
+    final Histogram failovers = new ConcurrentHistogram(60_000_000, 3);
+    private final Map<String, String> addresses;
     private final long seed;
     private final List<Thread> threads = new ArrayList<>();
-    private final AtomicInteger numbers = new AtomicInteger();
+    private final AtomicInteger putCount = new AtomicInteger();
     private volatile boolean over;
-    private volatile long leaderKilledAt, faultAt = System.nanoTime();
+    private volatile long leaderKilledAt;
+    private volatile long faultAt = System.nanoTime();
 
-    /** @param places of all members, by name, past all proxies */
-    StoreClients(Map<String, String> places, long seed) {
-        this.places = places;
+    /** @param addresses addresses of all members, by name, without proxies */
+    StoreClients(Map<String, String> addresses, long seed) {
+        this.addresses = addresses;
         this.seed = seed;
     }
 
-    /** Starts so many, each of which rests for so long between two calls. */
+    /** Starts this many operators, each of which rests for the given time between two calls. */
     void start(int count, long paceMillis) {
         for (int i = 0; i < count; i++) {
             int number = i;
-            threads.add(Threads.start("operator " + i, () -> work(number, paceMillis)));
+            threads.add(Threads.start("operator " + i, () -> runOperator(number, paceMillis)));
         }
     }
 
-    private void work(int number, long paceMillis) throws IOException, InterruptedException {
-        Random own = new Random(seed * 31 + number);
-        // Each one has another member that it asks first.
-        List<String> names = new ArrayList<>(places.keySet());
+    private void runOperator(int number, long paceMillis) throws IOException, InterruptedException {
+        Random random = new Random(seed * 31 + number);
+        // Each operator calls another member first.
+        List<String> names = new ArrayList<>(addresses.keySet());
         java.util.Collections.rotate(names, -number);
-        Map<String, String> mine = new LinkedHashMap<>();
-        names.forEach(name -> mine.put(name, places.get(name)));
-        GroupClient client = new GroupClient(CLUSTER, mine, null);
+        Map<String, String> rotatedAddresses = new LinkedHashMap<>();
+        names.forEach(name -> rotatedAddresses.put(name, addresses.get(name)));
+        GroupClient client = new GroupClient(CLUSTER, rotatedAddresses, null);
         while (!over) {
             long revision = read(client);
-            if (revision >= 0 && own.nextInt(3) > 0) {
+            if (revision >= 0 && random.nextInt(3) > 0) {
                 put(client, revision);
             }
             Thread.sleep(paceMillis);
         }
     }
 
-    /** The revision that a linearizable read comes back with, or -1. */
+    /** The revision that a linearizable read returns, or -1 if it fails. */
     long read() throws IOException {
-        return read(new GroupClient(CLUSTER, places, null));
+        return read(new GroupClient(CLUSTER, addresses, null));
     }
 
     private long read(GroupClient client) throws IOException {
         long began = System.nanoTime();
-        GroupClient.Result said = client.call("get", List.of(new byte[0]), true, CALL_MILLIS);
-        if (said.status() != WireMessages.Status.OK) {
+        GroupClient.Result result = client.call("get", List.of(new byte[0]), true, CALL_MILLIS);
+        if (result.status() != WireMessages.Status.OK) {
             return -1;
         }
-        Map<String, String> fields = fields(said.text());
+        Map<String, String> fields = fields(result.text());
         long revision = Long.parseLong(fields.get("revision"));
         checker.read(began, System.nanoTime(), revision, fields.getOrDefault("digest", ""));
         return revision;
@@ -83,24 +85,24 @@
 
     private void put(GroupClient client, long expected) throws IOException {
         byte[] document =
-                ("{\"mysql\":{\"user\":\"u" + numbers.incrementAndGet() + "\"}}").getBytes(StandardCharsets.UTF_8);
+                ("{\"mysql\":{\"user\":\"u" + putCount.incrementAndGet() + "\"}}").getBytes(StandardCharsets.UTF_8);
         long began = System.nanoTime();
-        GroupClient.Result said = client.call(
+        GroupClient.Result result = client.call(
                 "put", List.of(Long.toString(expected).getBytes(StandardCharsets.UTF_8), document), false, CALL_MILLIS);
         long ended = System.nanoTime();
-        if (said.status() == WireMessages.Status.OK) {
+        if (result.status() == WireMessages.Status.OK) {
             checker.put(
                     began,
                     ended,
-                    Long.parseLong(fields(said.text()).get("revision")),
+                    Long.parseLong(fields(result.text()).get("revision")),
                     ReplicatedState.digest(document));
-            if (faultAt < began - TimeUnit.SECONDS.toNanos(QUIET_SECONDS)) {
+            if (faultAt < began - TimeUnit.SECONDS.toNanos(QUIET_AFTER_FAULT_SECONDS)) {
                 commits.recordValue((ended - began) / 1000);
             }
-            long killed = leaderKilledAt;
-            if (killed != 0 && began > killed) {
+            long killedAt = leaderKilledAt;
+            if (killedAt != 0 && began > killedAt) {
                 leaderKilledAt = 0;
-                failovers.recordValue((ended - killed) / 1000);
+                failovers.recordValue((ended - killedAt) / 1000);
             }
         }
     }
@@ -121,21 +123,21 @@
         return fields;
     }
 
-    /** How many puts were tried. */
-    int tried() {
-        return numbers.get();
+    /** How many puts were sent. */
+    int putsTried() {
+        return putCount.get();
     }
 
-    /** Something is done to a process or a connection now; what commits take is not measured for a while. */
-    void fault(boolean ofLeader) {
+    /** Records a fault that is injected now: puts that begin within a second of it don't count for commit times. */
+    void recordFault(boolean isLeaderKill) {
         faultAt = System.nanoTime();
-        if (ofLeader) {
+        if (isLeaderKill) {
             leaderKilledAt = faultAt;
         }
     }
 
-    /** Whether a put has succeeded since the leader was killed last. */
-    boolean served() {
+    /** Whether a put was acknowledged since the last kill of a leader. */
+    boolean hasServedSinceLeaderKill() {
         return leaderKilledAt == 0;
     }
 
