--- a/drills/src/main/java/lupinvalve/drills/SystemFaults.java
+++ b/drills/src/main/java/lupinvalve/drills/SystemFaults.java
@@ -13,16 +13,16 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Faults of the system for one process: a wall clock that is stepped, and calls that fail in ways that Linux documents.
- * A library built from {@code faults.c} stands before the C library's own calls (LD_PRELOAD) and reads from a mapped
- * file what is to fail.
+ * System faults for one process: steps of the wall clock, and system calls that fail in ways that Linux documents. A
+ * library compiled from {@code faults.c} is loaded by LD_PRELOAD, intercepts calls of the C library, and reads from a
+ * mapped file which are to fail.
  */
 public final class SystemFaults {
-    /** What can be made to go wrong; the order is that of the words in {@code faults.c}. */
+    /** The kinds of faults, in the order of their words in {@code faults.c}. */
     public enum Kind {
         /** Microseconds added to the wall clock. */
         CLOCK,
-        /** Of so many calls one fails: ECONNABORTED, ENFILE and ENOBUFS in turn. */
+        /** One of this many calls fails, as for all kinds below: ECONNABORTED, ENFILE and ENOBUFS in turn. */
         ACCEPT,
         /** ENFILE and ENOBUFS. */
         SOCKET,
@@ -30,15 +30,18 @@
         CONNECT,
         /** EINTR. */
         EPOLL,
-        /** One byte of a socket is read or written, however many were asked for. */
+        /** Only one byte of a socket is read or written, however many were requested. */
         SHORT,
         /** ETIMEDOUT and EHOSTUNREACH on a connection that is up. */
         BROKEN
     }
 
-    private static final int WORDS = 64, COUNTS = 16, COMPILE_SECONDS = 60;
+    private static final int WORD_COUNT = 64;
+    private static final int COUNTERS_OFFSET = 16;
+    private static final int COMPILE_SECONDS = 60;
     private static final String SOURCE = "faults.c";
-    private final Path library, control;
+    private final Path library;
+    private final Path control;
     private final MappedByteBuffer words;
 
     private SystemFaults(Path library, Path control, MappedByteBuffer words) {
@@ -47,7 +50,7 @@
         this.words = words;
     }
 
-    /** Builds the library in a folder; null where there is no C compiler. */
+    /** Compiles the library in a folder; returns null where there is no C compiler. */
     public static Path build(Path folder) throws IOException, InterruptedException {
         Path source = folder.resolve(SOURCE);
         try (InputStream in = SystemFaults.class.getResourceAsStream(SOURCE)) {
@@ -64,32 +67,32 @@
             return null;
         }
         if (!compiler.waitFor(COMPILE_SECONDS, TimeUnit.SECONDS) || compiler.exitValue() != 0) {
-            throw new IOException("the library of system faults can't be built");
+            throw new IOException("cc failed or took longer than " + COMPILE_SECONDS + " s compiling " + source);
         }
         return library;
     }
 
-    /** The faults of one process, none at first, kept in a file of its own. */
+    /** The faults of one process, none at first, with a control file of its own. */
     public static SystemFaults of(Path library, Path control) throws IOException {
         try (FileChannel file = FileChannel.open(
                 control, StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE)) {
-            MappedByteBuffer words = file.map(FileChannel.MapMode.READ_WRITE, 0, WORDS * (long) Long.BYTES);
+            MappedByteBuffer words = file.map(FileChannel.MapMode.READ_WRITE, 0, WORD_COUNT * (long) Long.BYTES);
             words.order(ByteOrder.nativeOrder());
             return new SystemFaults(library, control, words);
         }
     }
 
-    /** What the process's environment must hold. */
+    /** The variables that the process's environment must have. */
     public Map<String, String> environment() {
         return Map.of("LD_PRELOAD", library.toString(), "FAULT_CONTROL", control.toString());
     }
 
-    /** From now on; 0 for no fault. */
+    /** Sets a fault from now on: microseconds for CLOCK, else one of how many calls fails; 0 for no fault. */
     public void set(Kind kind, long value) {
         words.putLong(kind.ordinal() * Long.BYTES, value);
     }
 
-    /** No faults from now on; the clock is right again. */
+    /** Ends all faults; the clock is correct again. */
     public void heal() {
         for (Kind kind : Kind.values()) {
             set(kind, 0);
@@ -98,6 +101,6 @@
 
     /** How many calls were made to fail. */
     public long count(Kind kind) {
-        return words.getLong((COUNTS + kind.ordinal()) * Long.BYTES);
+        return words.getLong((COUNTERS_OFFSET + kind.ordinal()) * Long.BYTES);
     }
 }
--- a/drills/src/main/java/lupinvalve/drills/Threads.java
+++ b/drills/src/main/java/lupinvalve/drills/Threads.java
@@ -2,9 +2,9 @@
 
 import java.io.IOException;
 
-/** Threads of stand-ins and proxies, which end with their sockets. */
+/** Daemon threads of stand-ins and proxies, which end when their sockets are closed. */
 final class Threads {
-    /** What ends quietly once a peer has gone. */
+    /** Work that ends with an IOException once its peer has disconnected. */
     interface Work {
         void run() throws IOException, InterruptedException;
     }
@@ -12,19 +12,19 @@
     private Threads() {}
 
     static Thread start(String name, Work work) {
-        Thread thread = new Thread(quiet(work), name);
+        Thread thread = new Thread(ignoringDisconnects(work), name);
         thread.setDaemon(true);
         thread.start();
         return thread;
     }
 
-    /** The same work, ending without a word once a peer has gone. */
-    static Runnable quiet(Work work) {
+    /** Wraps work so that it ends without an error once its peer has disconnected. */
+    static Runnable ignoringDisconnects(Work work) {
         return () -> {
             try {
                 work.run();
             } catch (IOException e) {
-                // A peer has gone, or what it belonged to is closed.
+                // The peer has disconnected, or the owner of the thread was closed.
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
--- a/drills/src/main/java/lupinvalve/drills/TimedLog.java
+++ b/drills/src/main/java/lupinvalve/drills/TimedLog.java
@@ -7,7 +7,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** What the rig did, a line each with its Unix time in milliseconds, beside the daemons' logs. */
+/** Log of what the drill did, beside the daemons' logs; each line begins with a Unix time in milliseconds. */
 final class TimedLog implements Closeable {
     private final PrintStream out;
 
@@ -15,8 +15,8 @@
         out = new PrintStream(Files.newOutputStream(file), true, StandardCharsets.UTF_8);
     }
 
-    /** Writes a line. */
-    void said(String line) {
+    /** Writes a line with the current time. */
+    void write(String line) {
         out.println(System.currentTimeMillis() + " " + line);
     }
 
--- a/drills/src/main/java/lupinvalve/drills/Timing.java
+++ b/drills/src/main/java/lupinvalve/drills/Timing.java
@@ -8,67 +8,75 @@
 import java.util.TreeMap;
 
 /**
- * When what came to db nodes, against what poolers had been told by then: departures of clients, drains, starts of cold
- * db nodes; and how soon restarted poolers took clients. Without I/O; times are in milliseconds of one clock.
+ * Checks when statements arrived at db nodes against what their poolers knew by then: departures of clients, drains,
+ * and starts of cold db nodes; and how soon restarted poolers accepted clients. Does no I/O; times are in milliseconds
+ * of one clock. Safe for concurrent use.
  */
 public final class Timing {
-    /**
-     * An attempt may begin so long after its client has gone, and after a drain was told; time limits are 50 ms longer.
-     */
-    private static final long DEPARTED = 150, SLACK = 50;
+    /** How long after its client disconnected an attempt may still arrive at a db node. */
+    private static final long DEPARTURE_GRACE_MILLIS = 150;
+    /** Added to the drain's grace time, for the way from the pooler to the db node. */
+    private static final long SLACK_MILLIS = 50;
 
-    private static final long READY = 10_000;
-    /** How long what has been said keeps counting after a connection was disturbed. */
-    private static final long SETTLES = 1_000;
+    private static final long READY_LIMIT_MILLIS = 10_000;
+    /** How long after a disturbance of a connection statements on it may still arrive late. */
+    private static final long SETTLE_MILLIS = 1_000;
 
     /**
-     * What the settings allow.
+     * The limits that the settings imply.
      *
-     * @param drainMillis after a drain was told, nothing new goes out
-     * @param coldShare what a db node can do at its start, of what it can warm
-     * @param rampMillis it is warm then
-     * @param multiple how much more than it can do it bears, for so long
+     * @param drainGraceMillis how long after the notice of a drain a pooler may still send new statements
+     * @param initialCapacityRatio a db node's capacity at its start, relative to its warm capacity
+     * @param warmUpMillis how long after its start a db node is warm
+     * @param overloadMultiple how many times its capacity a db node may be sent
+     * @param overloadMillis over how long a window that is counted
      */
-    public record Rules(long drainMillis, double coldShare, long rampMillis, double multiple, long windowMillis) {}
+    public record Rules(
+            long drainGraceMillis,
+            double initialCapacityRatio,
+            long warmUpMillis,
+            double overloadMultiple,
+            long overloadMillis) {}
 
-    private record Came(String node, String pooler, String id, long at) {}
+    private record Arrival(String node, String pooler, String id, long at) {}
 
     private record Span(String pooler, String node, long from, long to) {}
 
     private record Drained(Span span, DrainNotice.Basis basis) {}
 
     private final Rules rules;
-    private final Map<String, Long> left = new HashMap<>();
+    private final Map<String, Long> clientLeftAt = new HashMap<>();
     private final Map<String, List<Drained>> drains = new TreeMap<>();
-    private final Map<String, List<Long>> starts = new TreeMap<>();
-    private final List<Came> came = new ArrayList<>();
+    private final Map<String, List<Long>> nodeStarts = new TreeMap<>();
+    private final List<Arrival> arrivals = new ArrayList<>();
     private final List<Span> disturbed = new ArrayList<>();
-    private final List<Long> ready = new ArrayList<>();
+    private final List<Long> readyAfterMillis = new ArrayList<>();
     private final Map<String, List<Long>> poolerStarts = new HashMap<>();
 
+    /** Checks against these limits; nothing is recorded yet. */
     public Timing(Rules rules) {
         this.rules = rules;
     }
 
-    /** The client of a request has gone. */
-    public synchronized void left(String id, long at) {
-        left.put(id, at);
+    /** The client of a request has disconnected. */
+    public synchronized void clientLeft(String id, long at) {
+        clientLeftAt.put(id, at);
     }
 
-    /** A statement has come to a db node. */
-    public synchronized void came(String node, String pooler, String id, long at) {
-        came.add(new Came(node, pooler, id, at));
+    /** A statement has arrived at a db node. */
+    public synchronized void arrived(String node, String pooler, String id, long at) {
+        arrivals.add(new Arrival(node, pooler, id, at));
     }
 
-    /** A pooler was told that a db node drains, up to when it was told otherwise. */
-    synchronized void drained(String pooler, String node, DrainNotice.Told told) {
-        Span span = new Span(pooler, node, told.from(), told.to());
-        drains.computeIfAbsent(node, n -> new ArrayList<>()).add(new Drained(span, told.basis()));
+    /** Records the period in which a pooler counted as notified that a db node drains. */
+    synchronized void drained(String pooler, String node, DrainNotice.NoticePeriod period) {
+        Span span = new Span(pooler, node, period.from(), period.to());
+        drains.computeIfAbsent(node, n -> new ArrayList<>()).add(new Drained(span, period.basis()));
     }
 
-    /** A db node has started, and is cold. */
-    public synchronized void started(String node, long at) {
-        starts.computeIfAbsent(node, n -> new ArrayList<>()).add(at);
+    /** A db node was started and is cold. */
+    public synchronized void nodeStarted(String node, long at) {
+        nodeStarts.computeIfAbsent(node, n -> new ArrayList<>()).add(at);
     }
 
     /** A pooler's process was started. */
@@ -76,55 +84,60 @@
         poolerStarts.computeIfAbsent(pooler, p -> new ArrayList<>()).add(at);
     }
 
-    /** What came meanwhile from a pooler to a db node may have been sent earlier; {@code null} stands for all. */
+    /** Statements from a pooler to a db node may have been delayed in this period; {@code null} stands for all. */
     public synchronized void disturbed(String pooler, String node, long from, long to) {
-        disturbed.add(new Span(pooler, node, from, to + SETTLES));
+        disturbed.add(new Span(pooler, node, from, to + SETTLE_MILLIS));
     }
 
-    /** A pooler that was started again took clients after so long. */
-    public synchronized void ready(long afterMillis) {
-        ready.add(afterMillis);
+    /** A pooler accepted clients this long after its start. */
+    public synchronized void poolerReady(long afterMillis) {
+        readyAfterMillis.add(afterMillis);
     }
 
-    private boolean excused(Came one, long since) {
+    private boolean isExcused(Arrival arrival, long since) {
         return disturbed.stream()
-                .anyMatch(d -> (d.pooler == null || d.pooler.equals(one.pooler))
-                        && (d.node == null || d.node.equals(one.node))
-                        && d.from <= one.at
-                        && d.to >= since);
+                .anyMatch(span -> (span.pooler == null || span.pooler.equals(arrival.pooler))
+                        && (span.node == null || span.node.equals(arrival.node))
+                        && span.from <= arrival.at
+                        && span.to >= since);
     }
 
-    private static String by(DrainNotice.Basis basis) {
+    private static String basisText(DrainNotice.Basis basis) {
         return switch (basis) {
             case ANSWERED -> "";
-            case LIMIT -> " by the 6 s";
-            case SILENCE -> " by the 6 s since its watch fell silent";
+            case LIMIT -> " (by the limit of 6 s)";
+            case SILENCE -> " (by the limit of 6 s since its watch fell silent)";
         };
     }
 
-    /** Whether a pooler's process that sent had not had its 6 s since its own start. */
-    private boolean starting(Came one) {
-        long grace = DrainNotice.TOLD_AT_LATEST + rules.drainMillis() + SLACK;
-        return poolerStarts.getOrDefault(one.pooler, List.of()).stream()
-                .anyMatch(start -> start <= one.at && one.at <= start + grace);
+    /** Whether the sending process had been started less than 6 s plus the drain's grace time before. */
+    private boolean isStarting(Arrival arrival) {
+        long grace = DrainNotice.NOTICE_LIMIT_MILLIS + rules.drainGraceMillis() + SLACK_MILLIS;
+        return poolerStarts.getOrDefault(arrival.pooler, List.of()).stream()
+                .anyMatch(start -> start <= arrival.at && arrival.at <= start + grace);
     }
 
-    private boolean lateAfter(Drained drained, Came one) {
+    private boolean isLateAfter(Drained drained, Arrival arrival) {
         Span drain = drained.span;
-        return drain.pooler.equals(one.pooler)
-                && one.at > drain.from + rules.drainMillis() + SLACK
-                && one.at < drain.to
-                && !excused(one, drain.from);
+        return drain.pooler.equals(arrival.pooler)
+                && arrival.at > drain.from + rules.drainGraceMillis() + SLACK_MILLIS
+                && arrival.at < drain.to
+                && !isExcused(arrival, drain.from);
     }
 
     /**
-     * What was found.
+     * Counts of violations.
      *
-     * @param lateUnanswered those of the late after a drain whose process had not been answered yet when the 6 s had
-     *     passed
-     * @param lateStarting those of them whose process had been started less than 6 s before, and the grace
-     * @param lateSilent those of the unanswered whose watch had fallen silent before the drain
-     * @param restarts all that were timed
+     * @param lateAfterDeparture statements that arrived too long after their client had disconnected
+     * @param lateAfterDrain statements that arrived too long after their pooler was notified of a drain
+     * @param lateUnanswered those late after a drain whose process counted as notified by a limit of 6 s, without an
+     *     answer of discovery
+     * @param lateStarting those of lateUnanswered whose process had been started less than 6 s plus the grace time
+     *     before
+     * @param lateSilent those of lateUnanswered whose watch had fallen silent before the drain
+     * @param coldOverrun starts of db nodes after which one was sent more than its capacity
+     * @param restarts how many starts of poolers were timed
+     * @param notReady those that took longer than 10 s
      */
     public record Verdict(
             int lateAfterDeparture,
@@ -136,11 +149,13 @@
             int restarts,
             int notReady,
             List<String> findings) {
+        /** Whether there is no violation, and at most one start in ten took longer than 10 s. */
         public boolean good() {
             return lateAfterDeparture + lateAfterDrain + coldOverrun == 0 && notReady * 10 <= restarts;
         }
     }
 
+    /** Judges all that was recorded so far. */
     public synchronized Verdict verdict() {
         List<String> findings = new ArrayList<>();
         int departed = 0;
@@ -148,62 +163,68 @@
         int unanswered = 0;
         int starting = 0;
         int silent = 0;
-        for (Came one : came) {
-            Long gone = left.get(one.id);
-            if (gone != null && one.at > gone + DEPARTED && !excused(one, gone)) {
+        for (Arrival arrival : arrivals) {
+            Long gone = clientLeftAt.get(arrival.id);
+            if (gone != null && arrival.at > gone + DEPARTURE_GRACE_MILLIS && !isExcused(arrival, gone)) {
                 departed++;
-                findings.add(one.id + " came to " + one.node + " by " + one.pooler + " " + (one.at - gone)
-                        + " ms after its client had gone, at " + one.at);
+                findings.add(arrival.id + " arrived at " + arrival.node + " from " + arrival.pooler + " "
+                        + (arrival.at - gone) + " ms after its client had disconnected, at " + arrival.at);
             }
-            Optional<Drained> late = drains.getOrDefault(one.node, List.of()).stream()
-                    .filter(drain -> lateAfter(drain, one))
+            Optional<Drained> late = drains.getOrDefault(arrival.node, List.of()).stream()
+                    .filter(drain -> isLateAfter(drain, arrival))
                     .findFirst();
             if (late.isPresent()) {
                 drained++;
                 boolean answered = late.get().basis == DrainNotice.Basis.ANSWERED;
                 unanswered += answered ? 0 : 1;
                 silent += late.get().basis == DrainNotice.Basis.SILENCE ? 1 : 0;
-                starting += answered || !starting(one) ? 0 : 1;
-                findings.add(
-                        one.id + " came to " + one.node + " by " + one.pooler + " " + (one.at - late.get().span.from)
-                                + " ms after its drain was told" + by(late.get().basis) + ", at " + one.at);
+                starting += answered || !isStarting(arrival) ? 0 : 1;
+                findings.add(arrival.id + " arrived at " + arrival.node + " from " + arrival.pooler + " "
+                        + (arrival.at - late.get().span.from) + " ms after the pooler was notified of its drain"
+                        + basisText(late.get().basis) + ", at " + arrival.at);
             }
         }
         int overrun = overrun(findings);
-        int late = (int) ready.stream().filter(after -> after > READY).count();
-        if (late * 10 > ready.size()) {
-            findings.add(late + " of " + ready.size() + " restarted poolers were not ready in 10 s");
+        int late = (int) readyAfterMillis.stream()
+                .filter(after -> after > READY_LIMIT_MILLIS)
+                .count();
+        if (late * 10 > readyAfterMillis.size()) {
+            findings.add(
+                    late + " of " + readyAfterMillis.size() + " restarted poolers did not accept clients within 10 s");
         }
-        return new Verdict(departed, drained, unanswered, starting, silent, overrun, ready.size(), late, findings);
+        return new Verdict(
+                departed, drained, unanswered, starting, silent, overrun, readyAfterMillis.size(), late, findings);
     }
 
-    /** Windows in which a cold db node was sent more than it bears: the busiest of the others shows what one can do. */
+    /** How many starts of db nodes were followed by an overload; the busiest other db node shows the warm capacity. */
     private int overrun(List<String> findings) {
         int overrun = 0;
-        for (Map.Entry<String, List<Long>> node : starts.entrySet()) {
+        for (Map.Entry<String, List<Long>> node : nodeStarts.entrySet()) {
             for (long start : node.getValue()) {
-                for (long to = start + rules.windowMillis();
-                        to < start + rules.rampMillis();
-                        to += rules.windowMillis() / 4) {
-                    long from = to - rules.windowMillis();
+                for (long to = start + rules.overloadMillis();
+                        to < start + rules.warmUpMillis();
+                        to += rules.overloadMillis() / 4) {
+                    long from = to - rules.overloadMillis();
                     long end = to;
                     Map<String, Long> counts = new HashMap<>();
-                    came.stream()
-                            .filter(c -> c.at >= from && c.at < end)
-                            .forEach(c -> counts.merge(c.node, 1L, Long::sum));
+                    arrivals.stream()
+                            .filter(entry -> entry.at >= from && entry.at < end)
+                            .forEach(entry -> counts.merge(entry.node, 1L, Long::sum));
                     long sent = counts.getOrDefault(node.getKey(), 0L);
                     long most = counts.entrySet().stream()
-                            .filter(c -> !c.getKey().equals(node.getKey()))
+                            .filter(entry -> !entry.getKey().equals(node.getKey()))
                             .mapToLong(Map.Entry::getValue)
                             .max()
                             .orElse(0);
                     double warmth = Math.min(
-                            1, rules.coldShare() + (1 - rules.coldShare()) * (to - start) / rules.rampMillis());
-                    double bears = rules.multiple() * warmth * most;
-                    if (sent > bears + 2 * Math.sqrt(bears) + 2) {
+                            1,
+                            rules.initialCapacityRatio()
+                                    + (1 - rules.initialCapacityRatio()) * (to - start) / rules.warmUpMillis());
+                    double capacity = rules.overloadMultiple() * warmth * most;
+                    if (sent > capacity + 2 * Math.sqrt(capacity) + 2) {
                         overrun++;
-                        findings.add(node.getKey() + " was sent " + sent + " in " + rules.windowMillis() + " ms, "
-                                + (to - start) + " ms after its start, and bears " + Math.round(bears));
+                        findings.add(node.getKey() + " was sent " + sent + " in " + rules.overloadMillis() + " ms, "
+                                + (to - start) + " ms after its start, with a capacity of " + Math.round(capacity));
                         break;
                     }
                 }
--- a/drills/src/main/java/lupinvalve/replication/PointSeams.java
+++ b/drills/src/main/java/lupinvalve/replication/FailPointInterceptors.java
@@ -10,47 +10,51 @@
 import lupinvalve.faultinjection.FailPoints.StepKind;
 import lupinvalve.log.Log;
 
-/** Numbers what a real member does at its seams, and ends, fails or stops this very process at one of them. */
-public final class PointSeams implements RaftMember.Interceptors {
-    /** The exit code of a process that ended itself at its point. */
-    public static final int ENDED = 137;
+/**
+ * Numbers the disk operations, timer runs and messages of the member that runs in this process, and halts or stops the
+ * process, or makes the operation fail, at one of them.
+ */
+public final class FailPointInterceptors implements RaftMember.Interceptors {
+    /** Exit code of a process that halted itself at its fail point; that of a process killed by SIGKILL. */
+    public static final int EXIT_CODE = 137;
 
     private final FailPoints points = new FailPoints();
-    private final FileChannel course;
-    private FailPoints.PlannedFault due;
-    private boolean last;
+    private final FileChannel stepFile;
+    private FailPoints.PlannedFault pendingFault;
+    private boolean haltsAtNextWork;
 
     /**
-     * @param at the point and its fault, or null. Real processes meet their points in no fixed order: where the fault
-     *     does not fit the point, it comes at the next one that it fits.
-     * @param course is appended the kind of each point met, one character each; null for none
+     * @param plannedFault the point and its fault, or null for none. Real processes reach their points in no fixed
+     *     order: where the fault does not fit the point, it is injected at the next point that it fits.
+     * @param stepFile file to which the kind of each point reached is appended, one character each; null for none
      */
-    public PointSeams(FailPoints.PlannedFault at, Path course) throws IOException {
-        due = at;
-        this.course =
-                course == null ? null : FileChannel.open(course, StandardOpenOption.CREATE, StandardOpenOption.APPEND);
+    public FailPointInterceptors(FailPoints.PlannedFault plannedFault, Path stepFile) throws IOException {
+        pendingFault = plannedFault;
+        this.stepFile = stepFile == null
+                ? null
+                : FileChannel.open(stepFile, StandardOpenOption.CREATE, StandardOpenOption.APPEND);
         points.setEnabled(true);
     }
 
-    /** The character that stands for a kind in a course. */
+    /** The character that stands for a kind in the step file. */
     public static char letter(StepKind kind) {
         return (char) ('a' + kind.ordinal());
     }
 
-    private Fault next(StepKind kind) {
+    private Fault nextFault(StepKind kind) {
         points.nextFault(kind);
         Fault fault = null;
-        if (due != null
-                && points.reachedSteps().size() >= due.point()
-                && due.fault().fits(kind)) {
-            fault = due.fault();
-            due = null;
+        if (pendingFault != null
+                && points.reachedSteps().size() >= pendingFault.point()
+                && pendingFault.fault().fits(kind)) {
+            fault = pendingFault.fault();
+            pendingFault = null;
         }
-        if (course != null) {
+        if (stepFile != null) {
             try {
-                course.write(ByteBuffer.wrap(new byte[] {(byte) letter(kind)}));
+                stepFile.write(ByteBuffer.wrap(new byte[] {(byte) letter(kind)}));
             } catch (IOException e) {
-                Log.error("course: %s", e.getMessage());
+                Log.error("can't append to the file of fail points reached, the daemon runs on: %s", e.getMessage());
             }
         }
         if (fault != null) {
@@ -60,10 +64,10 @@
     }
 
     private static void halt(Fault fault) {
-        Runtime.getRuntime().halt(ENDED);
+        Runtime.getRuntime().halt(EXIT_CODE);
     }
 
-    /** Stands still until somebody lets it go on. */
+    /** Stops this process with SIGSTOP; returns once another process has sent SIGCONT. */
     private static void stop() {
         try {
             new ProcessBuilder(
@@ -73,7 +77,7 @@
                     .start()
                     .waitFor();
         } catch (IOException e) {
-            Log.error("stop: %s", e.getMessage());
+            Log.error("can't stop this process with SIGSTOP, the daemon runs on: %s", e.getMessage());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -81,7 +85,7 @@
 
     @Override
     public Disk disk(Disk folder) {
-        return new FailPointDisk(folder, this::next, new FailPointDisk.Process() {
+        return new FailPointDisk(folder, this::nextFault, new FailPointDisk.Process() {
             @Override
             public boolean hasEnded() {
                 return false;
@@ -115,11 +119,11 @@
     }
 
     private void run(Runnable work) {
-        if (last) {
-            // What was to happen before the end has had its turn.
+        if (haltsAtNextWork) {
+            // The message that DIE_AFTER lets through was handled in the previous run: the process ends now.
             halt(Fault.DIE_AFTER);
         }
-        Fault fault = next(StepKind.TIMER);
+        Fault fault = nextFault(StepKind.TIMER);
         if (fault == Fault.STOPPED) {
             stop();
         } else if (fault != null) {
@@ -130,11 +134,11 @@
 
     @Override
     public boolean permitsMessage(boolean sent) {
-        Fault fault = next(sent ? StepKind.SEND : StepKind.ARRIVE);
+        Fault fault = nextFault(sent ? StepKind.SEND : StepKind.ARRIVE);
         if (fault == Fault.DIE_BEFORE || fault == Fault.POWER_CUT) {
             halt(fault);
         }
-        last = fault == Fault.DIE_AFTER;
+        haltsAtNextWork = fault == Fault.DIE_AFTER;
         return fault != Fault.LOST;
     }
 }
--- a/drills/src/main/resources/lupinvalve/drills/faults.c
+++ b/drills/src/main/resources/lupinvalve/drills/faults.c
@@ -1,8 +1,9 @@
 /*
- * Faults of the system for one process, loaded by LD_PRELOAD. A file named by FAULT_CONTROL is mapped; it holds 64-bit words:
- * 0 what is added to the wall clock, in microseconds; 1 to 6 of how many calls one fails (0: none): accept, socket, connect,
- * epoll_wait, reads and writes of sockets that are short, reads of sockets that end a connection; 16 + the same numbers: how
- * many were made to fail. Clocks other than the wall clock run on.
+ * Injects system faults into one process; loaded by LD_PRELOAD. Maps the file that FAULT_CONTROL names, which consists of
+ * 64-bit words. Word 0 is added to the wall clock, in microseconds. In words 1 to 6, a value n makes one of n calls fail, 0
+ * none: accept, socket, connect, epoll_wait, short reads and writes of sockets, reads of sockets that fail as on a broken
+ * connection. Words 16 + the same numbers count the calls that were made to fail. Other clocks than the wall clock are not
+ * changed.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -35,7 +36,7 @@
     }
 }
 
-/* Whether this call is the one of so many that fails; gives its number among those, from 1. */
+/* Whether this call is to fail: 0 if not, else its number among the failed calls of its kind, from 1. */
 static int64_t fails(int kind) {
     int64_t every = words[kind];
     if (every <= 0 || __atomic_add_fetch(&calls[kind], 1, __ATOMIC_RELAXED) % every != 0) {
--- a/drills/src/test/java/lupinvalve/drills/CallQueueTest.java
+++ b/drills/src/test/java/lupinvalve/drills/CallQueueTest.java
@@ -8,25 +8,26 @@
 import java.util.Map;
 import java.util.Set;
 import lupinvalve.drills.CallQueue.Ending;
-import lupinvalve.drills.CallQueue.Fate;
+import lupinvalve.drills.CallQueue.Outcome;
 import org.junit.jupiter.api.Test;
 
 /**
- * An overloaded discovery is slow, fails in each way there is, and never more than three calls in a row for one pooler.
+ * An overloaded discovery answers slowly, ends calls in each way there is, and fails at most three in a row for a
+ * pooler.
  */
 class CallQueueTest {
-    private static boolean fails(Fate fate, long calledAt) {
-        return fate.ending() != Ending.ANSWERED || fate.at() > calledAt + 1_000;
+    private static boolean fails(Outcome outcome, long calledAt) {
+        return outcome.ending() != Ending.ANSWERED || outcome.at() > calledAt + 1_000;
     }
 
     @Test
     void withoutOverloadEachCallIsAnsweredAtOnce() {
         CallQueue queue = new CallQueue(7);
-        assertEquals(new Fate(5_000, Ending.ANSWERED), queue.fate("p0", 5_000));
-        queue.overloaded(true);
-        queue.fate("p0", 5_000);
-        queue.overloaded(false);
-        assertEquals(new Fate(5_001, Ending.ANSWERED), queue.fate("p0", 5_001));
+        assertEquals(new Outcome(5_000, Ending.ANSWERED), queue.outcome("p0", 5_000));
+        queue.setOverloaded(true);
+        queue.outcome("p0", 5_000);
+        queue.setOverloaded(false);
+        assertEquals(new Outcome(5_001, Ending.ANSWERED), queue.outcome("p0", 5_001));
         assertEquals(1, queue.counts().calls());
     }
 
@@ -35,37 +36,37 @@
         int longest = 0;
         for (int seed = 0; seed < 200; seed++) {
             CallQueue queue = new CallQueue(seed);
-            queue.overloaded(true);
+            queue.setOverloaded(true);
             Map<String, Integer> failed = new HashMap<>();
             for (int i = 0; i < 200; i++) {
                 String pooler = "p" + i % 4;
                 long at = 1_000 + i * 97L;
-                boolean fails = fails(queue.fate(pooler, at), at);
-                int row = fails ? failed.merge(pooler, 1, Integer::sum) : 0;
+                boolean fails = fails(queue.outcome(pooler, at), at);
+                int inARow = fails ? failed.merge(pooler, 1, Integer::sum) : 0;
                 if (!fails) {
                     failed.remove(pooler);
                 }
-                longest = Math.max(longest, row);
+                longest = Math.max(longest, inARow);
             }
         }
         assertEquals(3, longest);
     }
 
     @Test
-    void callsWaitForAllThatCameBeforeThem() {
+    void callsWaitForAllEarlierCalls() {
         int waited = 0;
         for (int seed = 0; seed < 50; seed++) {
             CallQueue queue = new CallQueue(seed);
-            queue.overloaded(true);
+            queue.setOverloaded(true);
             long last = 1_000;
             int before = 0;
             for (int i = 0; i < 8; i++) {
                 before++;
-                Fate fate = queue.fate("p" + i, 1_000);
-                // These two come out of the queue whatever the lot says besides.
-                if (fate.ending() == Ending.TORN || fate.ending() == Ending.RESET) {
-                    assertTrue(fate.at() == 3_500 || fate.at() >= last + 80 * before, fate + " after " + last);
-                    last = fate.at();
+                Outcome outcome = queue.outcome("p" + i, 1_000);
+                // Calls that end by TORN or RESET always go through the queue.
+                if (outcome.ending() == Ending.TORN || outcome.ending() == Ending.RESET) {
+                    assertTrue(outcome.at() == 3_500 || outcome.at() >= last + 80 * before, outcome + " after " + last);
+                    last = outcome.at();
                     before = 0;
                     waited++;
                 }
@@ -81,13 +82,13 @@
         int crossing = 0;
         int answered = 0;
         CallQueue queue = new CallQueue(7);
-        queue.overloaded(true);
+        queue.setOverloaded(true);
         for (int i = 0; i < 1_000; i++) {
             long at = i * 400L;
-            Fate fate = queue.fate("p" + i % 4, at);
-            endings.add(fate.ending());
-            long took = fate.at() - at;
-            if (fate.ending() == Ending.ANSWERED) {
+            Outcome outcome = queue.outcome("p" + i % 4, at);
+            endings.add(outcome.ending());
+            long took = outcome.at() - at;
+            if (outcome.ending() == Ending.ANSWERED) {
                 answered += took <= 1_000 ? 1 : 0;
                 crossing += Math.abs(took - 1_200) <= 15 ? 1 : 0;
                 late += took > 1_215 ? 1 : 0;
--- a/drills/src/test/java/lupinvalve/drills/DaemonLogTest.java
+++ b/drills/src/test/java/lupinvalve/drills/DaemonLogTest.java
@@ -5,10 +5,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Which lines of a daemon's log tell of a fault. */
+/** Which lines of a daemon's log report a fault of the daemon. */
 class DaemonLogTest {
     @Test
-    void faultsAndOwnEndsWithSomethingDueAreSeen() {
+    void errorsAndOwnConnectionEndsWithRequestsDueAreFaults() {
         assertEquals(
                 "ERROR core: java.lang.IllegalStateException",
                 DaemonLog.fault("2026 ERROR core: java.lang.IllegalStateException"));
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void whatClientsChooseAndWhatIsToldOfAFileIsNoFault() {
+    void endsByClientsAndConfigurationErrorsAreNoFaults() {
         assertNull(DaemonLog.fault("INFO client 127.0.0.1:1 ended: to make room; open 110 ms, nothing due"));
         assertNull(DaemonLog.fault("WARN client 127.0.0.1:1 ended: by the client; open 110 ms, 2 requests due"));
         assertNull(
--- a/drills/src/test/java/lupinvalve/drills/DrainNoticeTest.java
+++ b/drills/src/test/java/lupinvalve/drills/DrainNoticeTest.java
@@ -4,90 +4,110 @@
 
 import java.util.List;
 import lupinvalve.drills.DrainNotice.Basis;
-import lupinvalve.drills.DrainNotice.Told;
+import lupinvalve.drills.DrainNotice.NoticePeriod;
 import org.junit.jupiter.api.Test;
 
-/** Told is the first answer or the six seconds, whichever comes first. */
+/** A pooler counts as notified at the first answer or after six seconds, whichever comes first. */
 class DrainNoticeTest {
-    private static final long DRAIN = 100_000, END = 120_000;
+    private static final long DRAIN_AT_MILLIS = 100_000;
+    private static final long END_AT_MILLIS = 120_000;
 
     private static DrainNotice notice() {
-        return new DrainNotice(DRAIN, DrainNotice.NEVER);
+        return new DrainNotice(DRAIN_AT_MILLIS, DrainNotice.NEVER);
     }
 
     @Test
-    void aPoolerWithALiveWatchIsToldAtTheWrite() {
+    void aPoolerWithALiveWatchIsNotifiedAtTheWrite() {
         DrainNotice notice = notice();
-        notice.answered(DRAIN + 3);
-        assertEquals(List.of(new Told(DRAIN + 3, END, Basis.ANSWERED)), notice.ended(END));
+        notice.answered(DRAIN_AT_MILLIS + 3);
+        assertEquals(
+                List.of(new NoticePeriod(DRAIN_AT_MILLIS + 3, END_AT_MILLIS, Basis.ANSWERED)),
+                notice.ended(END_AT_MILLIS));
     }
 
     @Test
-    void laterAnswersSetNothingBack() {
+    void laterAnswersDoNotMoveTheNotice() {
         DrainNotice notice = notice();
-        notice.answered(DRAIN + 900);
-        notice.answered(DRAIN + 2_000);
-        assertEquals(List.of(new Told(DRAIN + 900, END, Basis.ANSWERED)), notice.ended(END));
+        notice.answered(DRAIN_AT_MILLIS + 900);
+        notice.answered(DRAIN_AT_MILLIS + 2_000);
+        assertEquals(
+                List.of(new NoticePeriod(DRAIN_AT_MILLIS + 900, END_AT_MILLIS, Basis.ANSWERED)),
+                notice.ended(END_AT_MILLIS));
     }
 
     @Test
-    void aPoolerThatIsNeverAnsweredIsToldAfterSixSeconds() {
-        assertEquals(List.of(new Told(DRAIN + 6_000, END, Basis.LIMIT)), notice().ended(END));
+    void aPoolerThatIsNeverAnsweredCountsAsNotifiedAfterSixSeconds() {
+        assertEquals(
+                List.of(new NoticePeriod(DRAIN_AT_MILLIS + 6_000, END_AT_MILLIS, Basis.LIMIT)),
+                notice().ended(END_AT_MILLIS));
     }
 
     @Test
-    void anAnswerAfterTheSixSecondsSetsNothingBack() {
+    void anAnswerAfterTheSixSecondsDoesNotMoveTheNotice() {
         DrainNotice notice = notice();
-        notice.answered(DRAIN + 6_001);
-        assertEquals(List.of(new Told(DRAIN + 6_000, END, Basis.LIMIT)), notice.ended(END));
+        notice.answered(DRAIN_AT_MILLIS + 6_001);
+        assertEquals(
+                List.of(new NoticePeriod(DRAIN_AT_MILLIS + 6_000, END_AT_MILLIS, Basis.LIMIT)),
+                notice.ended(END_AT_MILLIS));
     }
 
     @Test
-    void aDrainThatEndsBeforeAnybodyIsToldBindsNobody() {
-        assertEquals(List.of(), notice().ended(DRAIN + 6_000));
+    void aDrainThatEndsBeforeTheNoticeHasNoPeriod() {
+        assertEquals(List.of(), notice().ended(DRAIN_AT_MILLIS + 6_000));
     }
 
     @Test
-    void theStartOfAProcessDoesNotSetTheSixSecondsBack() {
+    void theStartOfAProcessDoesNotExtendTheSixSeconds() {
         DrainNotice notice = notice();
-        notice.started(DRAIN + 1_000);
-        notice.started(DRAIN + 4_000);
-        assertEquals(List.of(new Told(DRAIN + 6_000, END, Basis.LIMIT)), notice.ended(END));
-        DrainNotice late = notice();
-        late.started(DRAIN + 7_000);
-        late.answered(DRAIN + 7_500);
+        notice.started(DRAIN_AT_MILLIS + 1_000);
+        notice.started(DRAIN_AT_MILLIS + 4_000);
+        assertEquals(
+                List.of(new NoticePeriod(DRAIN_AT_MILLIS + 6_000, END_AT_MILLIS, Basis.LIMIT)),
+                notice.ended(END_AT_MILLIS));
+        DrainNotice startedLate = notice();
+        startedLate.started(DRAIN_AT_MILLIS + 7_000);
+        startedLate.answered(DRAIN_AT_MILLIS + 7_500);
         assertEquals(
-                List.of(new Told(DRAIN + 6_000, DRAIN + 7_000, Basis.LIMIT), new Told(DRAIN + 6_000, END, Basis.LIMIT)),
-                late.ended(END));
+                List.of(
+                        new NoticePeriod(DRAIN_AT_MILLIS + 6_000, DRAIN_AT_MILLIS + 7_000, Basis.LIMIT),
+                        new NoticePeriod(DRAIN_AT_MILLIS + 6_000, END_AT_MILLIS, Basis.LIMIT)),
+                startedLate.ended(END_AT_MILLIS));
     }
 
     @Test
-    void aProcessThatIsStartedLearnsFromItsOwnAnswer() {
+    void aStartedProcessIsNotifiedByItsOwnAnswer() {
         DrainNotice notice = notice();
-        notice.answered(DRAIN + 1);
-        notice.started(DRAIN + 2_000);
-        notice.answered(DRAIN + 2_700);
+        notice.answered(DRAIN_AT_MILLIS + 1);
+        notice.started(DRAIN_AT_MILLIS + 2_000);
+        notice.answered(DRAIN_AT_MILLIS + 2_700);
         assertEquals(
                 List.of(
-                        new Told(DRAIN + 1, DRAIN + 2_000, Basis.ANSWERED),
-                        new Told(DRAIN + 2_700, END, Basis.ANSWERED)),
-                notice.ended(END));
+                        new NoticePeriod(DRAIN_AT_MILLIS + 1, DRAIN_AT_MILLIS + 2_000, Basis.ANSWERED),
+                        new NoticePeriod(DRAIN_AT_MILLIS + 2_700, END_AT_MILLIS, Basis.ANSWERED)),
+                notice.ended(END_AT_MILLIS));
     }
 
     @Test
-    void aSilentWatchTellsSixSecondsAfterItFellSilent() {
+    void aSilentWatchCountsAsNoticeSixSecondsAfterItFellSilent() {
+        assertEquals(
+                List.of(new NoticePeriod(DRAIN_AT_MILLIS + 4_000, END_AT_MILLIS, Basis.SILENCE)),
+                new DrainNotice(DRAIN_AT_MILLIS, DRAIN_AT_MILLIS - 2_000).ended(END_AT_MILLIS));
         assertEquals(
-                List.of(new Told(DRAIN + 4_000, END, Basis.SILENCE)), new DrainNotice(DRAIN, DRAIN - 2_000).ended(END));
-        assertEquals(List.of(new Told(DRAIN, END, Basis.SILENCE)), new DrainNotice(DRAIN, DRAIN - 20_000).ended(END));
-        DrainNotice answered = new DrainNotice(DRAIN, DRAIN - 2_000);
-        answered.answered(DRAIN + 700);
-        assertEquals(List.of(new Told(DRAIN + 700, END, Basis.ANSWERED)), answered.ended(END));
+                List.of(new NoticePeriod(DRAIN_AT_MILLIS, END_AT_MILLIS, Basis.SILENCE)),
+                new DrainNotice(DRAIN_AT_MILLIS, DRAIN_AT_MILLIS - 20_000).ended(END_AT_MILLIS));
+        DrainNotice answered = new DrainNotice(DRAIN_AT_MILLIS, DRAIN_AT_MILLIS - 2_000);
+        answered.answered(DRAIN_AT_MILLIS + 700);
+        assertEquals(
+                List.of(new NoticePeriod(DRAIN_AT_MILLIS + 700, END_AT_MILLIS, Basis.ANSWERED)),
+                answered.ended(END_AT_MILLIS));
     }
 
     @Test
     void aSilentWatchEndsWithItsProcess() {
-        DrainNotice notice = new DrainNotice(DRAIN, DRAIN - 2_000);
-        notice.started(DRAIN + 1_000);
-        assertEquals(List.of(new Told(DRAIN + 6_000, END, Basis.LIMIT)), notice.ended(END));
+        DrainNotice notice = new DrainNotice(DRAIN_AT_MILLIS, DRAIN_AT_MILLIS - 2_000);
+        notice.started(DRAIN_AT_MILLIS + 1_000);
+        assertEquals(
+                List.of(new NoticePeriod(DRAIN_AT_MILLIS + 6_000, END_AT_MILLIS, Basis.LIMIT)),
+                notice.ended(END_AT_MILLIS));
     }
 }
--- a/drills/src/test/java/lupinvalve/drills/FaultProxyTest.java
+++ b/drills/src/test/java/lupinvalve/drills/FaultProxyTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 
 class FaultProxyTest {
-    private final LinkedBlockingQueue<Integer> heard = new LinkedBlockingQueue<>();
+    private final LinkedBlockingQueue<Integer> received = new LinkedBlockingQueue<>();
     private ServerSocket echo;
     private FaultProxy proxy;
 
@@ -28,11 +28,11 @@
             while (true) {
                 Socket socket = echo.accept();
                 Threads.start("echo", () -> {
-                    for (int b = socket.getInputStream().read();
-                            b >= 0;
-                            b = socket.getInputStream().read()) {
-                        heard.add(b);
-                        socket.getOutputStream().write(b);
+                    for (int value = socket.getInputStream().read();
+                            value >= 0;
+                            value = socket.getInputStream().read()) {
+                        received.add(value);
+                        socket.getOutputStream().write(value);
                     }
                     socket.close();
                 });
@@ -46,94 +46,94 @@
         echo.close();
     }
 
-    private Socket dial() throws IOException {
+    private Socket connect() throws IOException {
         Socket socket = new Socket(InetAddress.getLoopbackAddress(), proxy.port());
         socket.setSoTimeout(5_000);
         return socket;
     }
 
-    private static int ask(Socket socket, int b) throws IOException {
-        socket.getOutputStream().write(b);
+    private static int roundTrip(Socket socket, int value) throws IOException {
+        socket.getOutputStream().write(value);
         return socket.getInputStream().read();
     }
 
-    private static void silent(Socket socket) throws IOException {
+    private static void assertSilent(Socket socket) throws IOException {
         socket.setSoTimeout(100);
         assertThrows(SocketTimeoutException.class, () -> socket.getInputStream().read());
         socket.setSoTimeout(5_000);
     }
 
     @Test
-    void passesOnWhatComesAndIsSlowWhenTold() throws IOException {
-        try (Socket socket = dial()) {
-            assertEquals(7, ask(socket, 7));
+    void forwardsBytesAndDelaysOrLimitsThemAsSet() throws IOException {
+        try (Socket socket = connect()) {
+            assertEquals(7, roundTrip(socket, 7));
             proxy.slow(60);
             long start = System.nanoTime();
-            assertEquals(8, ask(socket, 8));
+            assertEquals(8, roundTrip(socket, 8));
             assertTrue(System.nanoTime() - start >= TimeUnit.MILLISECONDS.toNanos(120), "60 ms each way");
             proxy.slow(0);
             proxy.limit(20);
             start = System.nanoTime();
-            assertEquals(9, ask(socket, 9));
+            assertEquals(9, roundTrip(socket, 9));
             assertTrue(System.nanoTime() - start >= TimeUnit.MILLISECONDS.toNanos(100), "50 ms a byte each way");
         }
     }
 
     @Test
-    void oneWayIsHeardAndTheOtherIsNot() throws Exception {
-        try (Socket socket = dial()) {
-            assertEquals(1, ask(socket, 1));
-            heard.clear();
+    void aCutOfOneDirectionLeavesTheOtherOpen() throws Exception {
+        try (Socket socket = connect()) {
+            assertEquals(1, roundTrip(socket, 1));
+            received.clear();
             proxy.cut(false, true);
             socket.getOutputStream().write(2);
-            assertEquals(2, heard.poll(5, TimeUnit.SECONDS), "there it goes");
-            silent(socket);
+            assertEquals(2, received.poll(5, TimeUnit.SECONDS), "the open direction forwards");
+            assertSilent(socket);
             proxy.heal();
-            assertEquals(-1, socket.getInputStream().read(), "what was swallowed can't be made up for");
+            assertEquals(-1, socket.getInputStream().read(), "a connection that lost bytes is closed");
         }
-        try (Socket socket = dial()) {
-            assertEquals(3, ask(socket, 3));
-            heard.clear();
+        try (Socket socket = connect()) {
+            assertEquals(3, roundTrip(socket, 3));
+            received.clear();
             proxy.cut(true, false);
             socket.getOutputStream().write(4);
-            silent(socket);
-            assertEquals(null, heard.peek());
+            assertSilent(socket);
+            assertEquals(null, received.peek());
         }
     }
 
     @Test
-    void aFarEndThatIsGoneLetsInAndSaysNothing() throws IOException {
-        try (Socket before = dial()) {
-            assertEquals(1, ask(before, 1));
+    void aSilentFarEndAcceptsConnectionsAndSendsNothing() throws IOException {
+        try (Socket before = connect()) {
+            assertEquals(1, roundTrip(before, 1));
             proxy.gone(true);
             before.getOutputStream().write(2);
-            silent(before);
-            try (Socket after = dial()) {
+            assertSilent(before);
+            try (Socket after = connect()) {
                 after.getOutputStream().write(3);
-                silent(after);
+                assertSilent(after);
                 proxy.heal();
                 assertEquals(-1, after.getInputStream().read());
             }
             assertEquals(-1, before.getInputStream().read());
         }
-        try (Socket again = dial()) {
-            assertEquals(4, ask(again, 4));
+        try (Socket again = connect()) {
+            assertEquals(4, roundTrip(again, 4));
         }
     }
 
     @Test
-    void aLossyWayBreaksConnections() throws IOException {
-        try (Socket socket = dial()) {
-            assertEquals(1, ask(socket, 1));
+    void aLossyLinkBreaksConnections() throws IOException {
+        try (Socket socket = connect()) {
+            assertEquals(1, roundTrip(socket, 1));
             proxy.lossy(1);
             socket.getOutputStream().write(2);
-            int said;
+            int result;
             try {
-                said = socket.getInputStream().read();
+                result = socket.getInputStream().read();
             } catch (IOException e) {
-                said = -1;
+                result = -1;
             }
-            assertEquals(-1, said);
+            assertEquals(-1, result);
         }
     }
 }
--- a/drills/src/test/java/lupinvalve/drills/FleetDrillTest.java
+++ b/drills/src/test/java/lupinvalve/drills/FleetDrillTest.java
@@ -8,12 +8,16 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A small fleet on contended cores, killed, ended and configured together while clients crowd it. */
+/** Kills, ends and reloads a small fleet on few cores, under more clients than it has sockets for. */
 class FleetDrillTest {
-    private static final int POOLERS = 5, GROUPS = 1, CLIENTS = 12, SOCKETS = 40, CORES = 2;
+    private static final int POOLERS = 5;
+    private static final int GROUPS = 1;
+    private static final int CLIENTS = 12;
+    private static final int SOCKETS = 40;
+    private static final int CORES = 2;
 
     @Test
-    void aFleetOnContendedCoresAnswersAllThatItTakes() throws Exception {
+    void aFleetOnContendedCoresAnswersAllRequestsThatItAccepts() throws Exception {
         FleetDrill.Setting setting = new FleetDrill.Setting(
                 POOLERS,
                 GROUPS,
--- a/drills/src/test/java/lupinvalve/drills/NodeListTest.java
+++ b/drills/src/test/java/lupinvalve/drills/NodeListTest.java
@@ -20,24 +20,24 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** A pooler counts as answered when discovery writes to a call of it that is still open. */
+/** A pooler counts as answered when discovery writes to a call that the pooler has not closed. */
 class NodeListTest {
     private static final String WATCH = "GET /api/targets?follow=1&since=0 HTTP/1.1\r\n\r\n";
     private static final String CALL = "GET /api/targets HTTP/1.1\r\n\r\n";
     private final BlockingQueue<List<String>> answers = new LinkedBlockingQueue<>();
     private final BlockingQueue<String> lines = new LinkedBlockingQueue<>();
-    private volatile CallQueue.Fate fate = new CallQueue.Fate(0, CallQueue.Ending.ANSWERED);
+    private volatile CallQueue.Outcome outcome = new CallQueue.Outcome(0, CallQueue.Ending.ANSWERED);
     private final CallQueue queue = new CallQueue(7) {
         @Override
-        CallQueue.Fate fate(String pooler, long now) {
-            return fate;
+        CallQueue.Outcome outcome(String pooler, long now) {
+            return outcome;
         }
     };
     private DbNodes nodes;
     private NodeList list;
 
     @BeforeEach
-    void starts() throws IOException {
+    void open() throws IOException {
         nodes = new DbNodes(1, (node, pooler, fields, write) -> {});
         list = new NodeList(
                 "p0",
@@ -45,26 +45,26 @@
                 Map.of("n0", "127.0.0.1:1", "n1", "127.0.0.1:2", "n2", "127.0.0.1:3"),
                 List.of("east", "west"),
                 queue,
-                new NodeList.Told() {
+                new NodeList.Listener() {
                     @Override
                     public void answered(List<String> draining, long at) {
                         answers.add(draining);
                     }
 
                     @Override
-                    public void watched() {
+                    public void watchAnswered() {
                         lines.add("watched");
                     }
 
                     @Override
-                    public void said(String line) {
+                    public void log(String line) {
                         lines.add(line);
                     }
                 });
     }
 
     @AfterEach
-    void ends() throws IOException {
+    void closeAll() throws IOException {
         list.close();
         nodes.close();
     }
@@ -84,7 +84,7 @@
         return line;
     }
 
-    /** All that comes until the end, or until a reset. */
+    /** All text received until the end of the connection; a reset is appended as "reset". */
     private static String text(Socket from) throws IOException {
         StringBuilder text = new StringBuilder();
         byte[] bytes = new byte[4096];
@@ -100,20 +100,20 @@
         return text.toString();
     }
 
-    private void awaits(String line) throws InterruptedException {
-        String said = lines.poll(5, TimeUnit.SECONDS);
-        while (said != null && !said.startsWith(line)) {
-            said = lines.poll(5, TimeUnit.SECONDS);
+    private void awaitLine(String line) throws InterruptedException {
+        String next = lines.poll(5, TimeUnit.SECONDS);
+        while (next != null && !next.startsWith(line)) {
+            next = lines.poll(5, TimeUnit.SECONDS);
         }
-        assertTrue(said != null, line + " was said");
+        assertTrue(next != null, line + " was logged");
     }
 
     @Test
-    void aWatchIsToldOfTheWholeListAndOfEachDrain() throws Exception {
+    void aWatchReceivesTheWholeListAndEachDrain() throws Exception {
         try (Socket watch = call(WATCH)) {
             watch.setSoTimeout(5_000);
-            awaits("watched");
-            list.drains(nodes.get("n1"), true);
+            awaitLine("watched");
+            list.setDraining(nodes.get("n1"), true);
             assertTrue(read(watch, "\"phase\":\"terminating\"").contains("n1"));
             assertEquals(List.of(), answers.poll());
             assertEquals(List.of("n1"), answers.poll());
@@ -121,43 +121,43 @@
     }
 
     @Test
-    void anAnswerHoldsAllThatDrain() throws Exception {
-        list.drains(nodes.get("n1"), true);
-        list.drains(nodes.get("n2"), true);
+    void anAnswerListsAllDrainingDbNodes() throws Exception {
+        list.setDraining(nodes.get("n1"), true);
+        list.setDraining(nodes.get("n2"), true);
         try (Socket watch = call(WATCH)) {
             watch.setSoTimeout(5_000);
-            awaits("watched");
+            awaitLine("watched");
             assertEquals(List.of("n1", "n2"), answers.poll());
         }
     }
 
     @Test
-    void aWatchThatWasGivenUpIsNotAnswered() throws Exception {
+    void aWatchThatItsCallerClosedIsNotAnswered() throws Exception {
         try (Socket watch = call(WATCH)) {
             watch.setSoTimeout(5_000);
-            awaits("watched");
+            awaitLine("watched");
         }
         answers.clear();
-        list.drains(nodes.get("n1"), true);
+        list.setDraining(nodes.get("n1"), true);
         assertTrue(answers.isEmpty(), answers.toString());
     }
 
     @Test
-    void aWatchThatFellSilentIsNotAnswered() throws Exception {
+    void aSilentWatchIsNotAnswered() throws Exception {
         try (Socket watch = call(WATCH)) {
             watch.setSoTimeout(5_000);
-            awaits("watched");
+            awaitLine("watched");
             answers.clear();
-            assertTrue(list.fallSilent());
-            list.drains(nodes.get("n1"), true);
+            assertTrue(list.silenceWatches());
+            list.setDraining(nodes.get("n1"), true);
             assertTrue(answers.isEmpty(), answers.toString());
-            assertTrue(!list.fallSilent());
+            assertTrue(!list.silenceWatches());
         }
     }
 
-    /** What a call hears that ends so. */
-    private String heard(CallQueue.Ending ending) throws IOException {
-        fate = new CallQueue.Fate(0, ending);
+    /** The text that a call with this outcome receives. */
+    private String responseText(CallQueue.Ending ending) throws IOException {
+        outcome = new CallQueue.Outcome(0, ending);
         try (Socket call = call(CALL)) {
             call.setSoTimeout(5_000);
             return text(call);
@@ -166,36 +166,36 @@
 
     @Test
     void onlyAWholeListCountsAsAnAnswer() throws Exception {
-        list.drains(nodes.get("n1"), true);
+        list.setDraining(nodes.get("n1"), true);
         answers.clear();
-        assertTrue(heard(CallQueue.Ending.REFUSED).startsWith("HTTP/1.1 503 "));
-        assertEquals("reset", heard(CallQueue.Ending.RESET));
-        String torn = heard(CallQueue.Ending.TORN);
+        assertTrue(responseText(CallQueue.Ending.REFUSED).startsWith("HTTP/1.1 503 "));
+        assertEquals("reset", responseText(CallQueue.Ending.RESET));
+        String torn = responseText(CallQueue.Ending.TORN);
         assertTrue(torn.endsWith("reset") && !torn.contains("\"n2\""), torn);
         assertTrue(answers.isEmpty(), answers.toString());
-        assertTrue(heard(CallQueue.Ending.ANSWERED).contains("\"n2\""));
+        assertTrue(responseText(CallQueue.Ending.ANSWERED).contains("\"n2\""));
         assertEquals(List.of("n1"), answers.poll());
     }
 
     @Test
-    void aCallThatIsGivenUpBeforeItsTurnIsNotAnswered() throws Exception {
-        fate = new CallQueue.Fate(System.currentTimeMillis() + 300, CallQueue.Ending.ANSWERED);
+    void aCallClosedBeforeItsTurnIsNotAnswered() throws Exception {
+        outcome = new CallQueue.Outcome(System.currentTimeMillis() + 300, CallQueue.Ending.ANSWERED);
         try (Socket call = call(CALL)) {
             call.setSoTimeout(5_000);
-            awaits("call 1 began");
+            awaitLine("call 1 began");
         }
-        awaits("call 1 had been given up");
+        awaitLine("call 1 had been given up");
         assertTrue(answers.isEmpty(), answers.toString());
     }
 
     @Test
-    void watchesThatAreResetAreNotAnswered() throws Exception {
+    void resetWatchesAreNotAnswered() throws Exception {
         try (Socket watch = call(WATCH)) {
             watch.setSoTimeout(5_000);
-            awaits("watched");
+            awaitLine("watched");
             answers.clear();
-            list.breakWatches();
-            list.drains(nodes.get("n1"), true);
+            list.resetWatches();
+            list.setDraining(nodes.get("n1"), true);
             assertThrows(SocketException.class, () -> read(watch, "terminating"));
             assertTrue(answers.isEmpty(), answers.toString());
         }
--- a/drills/src/test/java/lupinvalve/drills/ProcessesTest.java
+++ b/drills/src/test/java/lupinvalve/drills/ProcessesTest.java
@@ -12,14 +12,14 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Three processes of the program as it ships, with faults between them, and one that ends itself at a numbered point.
+ * Three processes of the shipped program with faults between them, and one that ends itself at a numbered fail point.
  */
 class ProcessesTest {
     private static final Path CONFIG = Path.of("example/config.json");
 
     /**
-     * One of each of those that must never leave a mark: a leader's end, a one-way cut, a flapping link, a pause, a
-     * node's end.
+     * Faults that must never cause a violation: a kill of the leader, a flapping link, a one-way cut, a kill of a db
+     * node, a pause, a reload and a restart.
      */
     private static final List<Step> STEPS = List.of(
             new Step(200, Step.Kind.KILL, Step.LEADER, "", 0, 900),
@@ -31,7 +31,7 @@
             new Step(4_200, Step.Kind.RESTART, "p1", "", 0, 0));
 
     @Test
-    void threeProcessesComeThroughWithNothingLostDoubledOrUnanswered() throws Exception {
+    void threeProcessesSurviveFaultsWithNothingLostDoubledOrUnanswered() throws Exception {
         try (Drill drill = new Drill(new Drill.Setting(
                 new Scenario(3, 2, STEPS),
                 CONFIG,
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void aPoolerThatHearsOfDrainsLateIsSeen() throws Exception {
+    void aPoolerThatIsNotifiedOfDrainsLateIsReported() throws Exception {
         List<Step> drains = List.of(
                 new Step(100, Step.Kind.NODE_DRAIN, "n1", "", 0, 1_200),
                 new Step(1_800, Step.Kind.NODE_DRAIN, "n2", "", 0, 1_200));
@@ -71,21 +71,23 @@
             assertFalse(result.json().contains("\"late_after_drain\":0,"), result.json());
             for (String finding : result.findings()) {
                 assertTrue(
-                        finding.matches("q\\d+ came to n[12] by p1 \\d+ ms after its drain was told, at \\d+"),
+                        finding.matches(
+                                "q\\d+ arrived at n[12] from p1 \\d+ ms after the pooler was notified of its drain, at \\d+"),
                         finding);
             }
         }
     }
 
     @Test
-    void aProcessThatEndsItselfAtAPointComesBackToTheSameHistory() throws Exception {
-        // The first point is the look into the empty folder; the 40th comes while the group is founded or soon after.
-        for (FailPoints.PlannedFault at : List.of(
+    void aProcessThatEndsAtAFailPointReachesTheSameHistoryAfterItsRestart() throws Exception {
+        // The first point is the listing of the empty folder; the 40th is reached while the group is founded or soon
+        // after.
+        for (FailPoints.PlannedFault planned : List.of(
                 new FailPoints.PlannedFault(1, FailPoints.Fault.FAIL),
                 new FailPoints.PlannedFault(40, FailPoints.Fault.DIE_BEFORE))) {
-            PointPlay.Played played = PointPlay.play(CONFIG, 7, at);
-            assertTrue(played.met() != null, "point " + at + " was met");
-            assertEquals(List.of(), played.findings(), played.json());
+            FailPointRun.Result result = FailPointRun.play(CONFIG, 7, planned);
+            assertTrue(result.faultLogLine() != null, "point " + planned + " was reached");
+            assertEquals(List.of(), result.findings(), result.json());
         }
     }
 }
--- a/drills/src/test/java/lupinvalve/drills/RevisionCheckerTest.java
+++ b/drills/src/test/java/lupinvalve/drills/RevisionCheckerTest.java
@@ -9,7 +9,7 @@
     private final RevisionChecker checker = new RevisionChecker();
 
     @Test
-    void whatFitsOneHistoryIsLeftAlone() {
+    void aLinearizableHistoryHasNoFindings() {
         checker.put(0, 10, 1, "a");
         checker.read(5, 9, 0, "");
         checker.read(5, 20, 1, "a");
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void staleReadsTwoContentsAndLostPutsAreFound() {
+    void staleReadsDivergentContentsAndLostPutsAreFound() {
         checker.put(0, 10, 1, "a");
         checker.read(11, 12, 0, "");
         checker.put(20, 30, 2, "b");
--- a/drills/src/test/java/lupinvalve/drills/ScenarioTest.java
+++ b/drills/src/test/java/lupinvalve/drills/ScenarioTest.java
@@ -10,39 +10,41 @@
 import org.junit.jupiter.api.Test;
 
 class ScenarioTest {
-    private static String complaint(String text) {
+    private static String errorMessage(String text) {
         return assertThrows(IOException.class, () -> Scenario.read("faults.json", text))
                 .getMessage();
     }
 
     @Test
-    void complaintsNameFileFieldAndValue() {
-        assertEquals("scenario faults.json: poolers is 2; possible: 3 to 9", complaint("{\"poolers\":2,\"groups\":1}"));
+    void errorsNameFileFieldAndValue() {
+        assertEquals(
+                "scenario faults.json: poolers is 2; possible: 3 to 9", errorMessage("{\"poolers\":2,\"groups\":1}"));
         assertEquals(
                 "scenario faults.json: steps[1].for_ms is -1; possible: 0 to 3600000",
-                complaint("{\"poolers\":3,\"groups\":1,\"steps\":[{\"at_ms\":1,\"fault\":\"kill\",\"who\":\"p0\"},"
+                errorMessage("{\"poolers\":3,\"groups\":1,\"steps\":[{\"at_ms\":1,\"fault\":\"kill\",\"who\":\"p0\"},"
                         + "{\"at_ms\":2,\"fault\":\"kill\",\"who\":\"p0\",\"for_ms\":-1}]}"));
-        assertTrue(complaint("{\"poolers\":3,\"groups\":1,\"steps\":[{\"at_ms\":1,\"fault\":\"melt\",\"who\":\"p0\"}]}")
-                .startsWith("scenario faults.json: steps[0].fault is melt; possible: kill, power, "));
+        assertTrue(
+                errorMessage("{\"poolers\":3,\"groups\":1,\"steps\":[{\"at_ms\":1,\"fault\":\"melt\",\"who\":\"p0\"}]}")
+                        .startsWith("scenario faults.json: steps[0].fault is melt; possible: kill, power, "));
         assertEquals(
                 "scenario faults.json: steps[0].who is n3; possible: a db node",
-                complaint(
+                errorMessage(
                         "{\"poolers\":3,\"groups\":1,\"steps\":[{\"at_ms\":1,\"fault\":\"node_kill\",\"who\":\"n3\"}]}"));
         assertEquals(
                 "scenario faults.json: steps[0].to is p1; possible: another pooler, a db node, or *",
-                complaint(
+                errorMessage(
                         "{\"poolers\":3,\"groups\":1,\"steps\":[{\"at_ms\":1,\"fault\":\"cut\",\"who\":\"p1\",\"to\":\"p1\"}]}"));
         assertEquals(
                 "scenario faults.json: steps[0].amount is 1.5; possible: a part, at most 1",
-                complaint(
+                errorMessage(
                         "{\"poolers\":3,\"groups\":1,\"steps\":[{\"at_ms\":1,\"fault\":\"lossy\",\"who\":\"p1\",\"to\":\"n0\","
                                 + "\"amount\":1.5}]}"));
-        assertEquals("scenario faults.json: step is unknown", complaint("{\"step\":1}"));
-        assertTrue(complaint("{\"poolers\":3,").startsWith("scenario faults.json: "));
+        assertEquals("scenario faults.json: step is unknown", errorMessage("{\"step\":1}"));
+        assertTrue(errorMessage("{\"poolers\":3,").startsWith("scenario faults.json: "));
     }
 
     @Test
-    void whatIsDrawnIsTheSameEachTimeAndReadsBackAsWritten() throws IOException {
+    void drawsAreDeterministicAndReadBackAsWritten() throws IOException {
         Set<Step.Kind> kinds = EnumSet.noneOf(Step.Kind.class);
         for (int seed = 0; seed < 200; seed++) {
             for (Scenario.Mix mix : Scenario.Mix.values()) {
@@ -55,23 +57,23 @@
                     assertTrue(step.atMillis() + step.forMillis() <= 20_000, step.toString());
                 });
                 assertTrue(mix != Scenario.Mix.ONE_WAY
-                        || drawn.steps().stream().allMatch(s -> s.kind() == Step.Kind.CUT_THERE));
+                        || drawn.steps().stream().allMatch(step -> step.kind() == Step.Kind.CUT_THERE));
                 assertTrue(mix != Scenario.Mix.FLAPPING
-                        || drawn.steps().stream().allMatch(s -> s.kind() == Step.Kind.FLAP));
+                        || drawn.steps().stream().allMatch(step -> step.kind() == Step.Kind.FLAP));
             }
         }
         assertEquals(EnumSet.allOf(Step.Kind.class), kinds);
     }
 
     @Test
-    void aMajorityOfPoolersRunsAtAnyTimeButAtALossOfPower() {
+    void aMajorityOfPoolersRunsAtAnyTimeExceptInAPowerLoss() {
         for (int seed = 0; seed < 300; seed++) {
             Scenario drawn = Scenario.draw(Scenario.Mix.STORE, 5, 0, 30_000, seed);
             for (Step now : drawn.steps()) {
                 long down = drawn.steps().stream()
-                        .filter(s -> s.kind().downs()
-                                && s.atMillis() <= now.atMillis()
-                                && now.atMillis() < s.atMillis() + s.forMillis())
+                        .filter(step -> step.kind().stopsProcess()
+                                && step.atMillis() <= now.atMillis()
+                                && now.atMillis() < step.atMillis() + step.forMillis())
                         .count();
                 assertTrue(down <= 2, seed + " at " + now);
             }
--- a/drills/src/test/java/lupinvalve/drills/SoakTest.java
+++ b/drills/src/test/java/lupinvalve/drills/SoakTest.java
@@ -15,13 +15,15 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A short soak with fixed seeds, and that its faults and its judges bite. */
+/** Runs a short soak with fixed seeds, and checks that its faults take effect and its checks find violations. */
 class SoakTest {
     private static final Path CONFIG = Path.of("example/config.json");
     private static final List<Long> SEEDS = List.of(101L, 102L);
     private static final int SECONDS = 8;
-    /** More clients than a pooler with so few sockets keeps connections for. */
-    private static final int CLIENTS = 40, SOCKETS = 96;
+    /** More clients than a pooler with that few sockets keeps connections for. */
+    private static final int CLIENTS = 40;
+
+    private static final int SOCKETS = 96;
 
     @TempDir
     private Path folder;
@@ -32,7 +34,7 @@
     }
 
     @Test
-    void nothingIsLostLateOrLeftHangingUnderTheSeedsOfTheBuild() throws Exception {
+    void noViolationIsFoundUnderTheFixedSeeds() throws Exception {
         for (long seed : SEEDS) {
             try (Drill drill = drill(Scenario.draw(Scenario.Mix.SOAK, 3, 2, SECONDS * 1000L, seed), seed)) {
                 drill.variedClients(CLIENTS, SOCKETS);
@@ -44,11 +46,11 @@
         }
     }
 
-    /** Each kind of fault is made in a process of its own, told by what that process prints. */
+    /** Clock steps and failing calls are injected into a process of their own and read from what it prints. */
     @Test
     void systemFaultsReachTheProcess() throws Exception {
         Path library = SystemFaults.build(folder);
-        Assumptions.assumeTrue(library != null, "no C compiler: system faults are not tried");
+        Assumptions.assumeTrue(library != null, "no C compiler: system faults are not tested");
         SystemFaults faults = SystemFaults.of(library, folder.resolve("control"));
         faults.set(SystemFaults.Kind.CLOCK, -3_600_000_000L);
         faults.set(SystemFaults.Kind.ACCEPT, 2);
@@ -77,24 +79,24 @@
                 .redirectErrorStream(true);
         command.environment().putAll(faults.environment());
         Process process = command.start();
-        List<String> said = new ArrayList<>(process.inputReader().lines().toList());
+        List<String> output = new ArrayList<>(process.inputReader().lines().toList());
         assertTrue(process.waitFor(20, TimeUnit.SECONDS));
-        long clock = Long.parseLong(said.remove(0).substring("clock ".length()));
+        long clock = Long.parseLong(output.remove(0).substring("clock ".length()));
         assertTrue(Math.abs(System.currentTimeMillis() - 3_600_000 - clock) < 60_000, "clock " + clock);
         assertTrue(
                 faults.count(SystemFaults.Kind.ACCEPT) > 0 && faults.count(SystemFaults.Kind.CONNECT) > 0,
-                said.toString());
-        // The JDK itself accepts again after ECONNABORTED.
+                output.toString());
+        // After ECONNABORTED the JDK itself calls accept again.
         assertEquals(
                 Set.of(
                         "failed Too many open files in system",
                         "failed No buffer space available",
                         "failed Network is unreachable"),
-                Set.copyOf(said));
+                Set.copyOf(output));
     }
 
     @Test
-    void aProcessThatHasNotEndedByTheKillIsFound() throws Exception {
+    void aProcessThatHasNotEndedBeforeSigkillIsReported() throws Exception {
         try (Drill drill = drill(new Scenario(3, 1, List.of()), 7)) {
             drill.start();
             assertNull(drill.endBySeries("p0", 3_700));
--- a/drills/src/test/java/lupinvalve/drills/SubscribersTest.java
+++ b/drills/src/test/java/lupinvalve/drills/SubscribersTest.java
@@ -17,7 +17,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Three control members and two poolers that follow them, each the program as it ships, with faults between them. */
+/**
+ * Three control members and two poolers that subscribe to them, processes of the shipped program, with faults between.
+ */
 class SubscribersTest {
     private static final List<String> MEMBERS = List.of("c0", "c1", "c2");
     private static final List<String> SUBSCRIBERS = List.of("s0", "s1");
@@ -26,10 +28,10 @@
     @TempDir
     private Path folder;
 
-    private final InForce book = new InForce();
+    private final InForce revisionsInForce = new InForce();
     private final Map<String, DaemonProcess> processes = new TreeMap<>();
-    /** From a subscriber to a member. */
-    private final Map<String, FaultProxy> ways = new TreeMap<>();
+    /** Proxies from subscribers to members, by "subscriber>member". */
+    private final Map<String, FaultProxy> proxies = new TreeMap<>();
 
     private final Map<String, String> places = new TreeMap<>();
     private long revision;
@@ -40,8 +42,8 @@
             process.pause(false);
             process.close();
         }
-        for (FaultProxy way : ways.values()) {
-            way.close();
+        for (FaultProxy proxy : proxies.values()) {
+            proxy.close();
         }
     }
 
@@ -55,15 +57,15 @@
             }
             for (String subscriber : SUBSCRIBERS) {
                 for (String member : MEMBERS) {
-                    ways.put(
+                    proxies.put(
                             subscriber + ">" + member,
                             new FaultProxy(Integer.parseInt(places.get(member).substring(10))));
                 }
             }
             for (int i = 0; i < all.size(); i++) {
                 String name = all.get(i);
-                DaemonProcess process =
-                        new DaemonProcess(name, folder, line -> book.line(name, line, System.currentTimeMillis()));
+                DaemonProcess process = new DaemonProcess(
+                        name, folder, line -> revisionsInForce.line(name, line, System.currentTimeMillis()));
                 process.files(
                         platform.replace("\"name\": \"n0\"", "\"name\": \"" + name + "\"")
                                 .replace("127.0.0.1:5432", "127.0.0.1:" + ports.get(i))
@@ -78,26 +80,26 @@
     }
 
     private String store(String name) {
-        boolean member = MEMBERS.contains(name);
+        boolean isMember = MEMBERS.contains(name);
         StringBuilder addresses = new StringBuilder();
         for (String other : MEMBERS) {
-            String at = member
+            String at = isMember
                     ? places.get(other)
-                    : "127.0.0.1:" + ways.get(name + ">" + other).port();
+                    : "127.0.0.1:" + proxies.get(name + ">" + other).port();
             addresses.append(addresses.isEmpty() ? "" : ",").append("\"" + other + "\":\"" + at + "\"");
         }
         return "{\"store\":{\"cluster\":\"plant\",\"name\":\"" + name + "\",\"folder\":\""
                 + folder.resolve(name + "-state")
                 + "\",\"audit\":\"fence\","
-                + (member ? "\"listen\":\"" + places.get(name) + "\"" : "\"role\":\"subscriber\"")
+                + (isMember ? "\"listen\":\"" + places.get(name) + "\"" : "\"role\":\"subscriber\"")
                 + ",\"members\":{" + addresses + "}}}";
     }
 
-    private static void await(String what, BooleanSupplier holds) throws InterruptedException {
+    private static void await(String what, BooleanSupplier condition) throws InterruptedException {
         long end = System.nanoTime() + AWAIT_SECONDS * 1_000_000_000L;
-        while (!holds.getAsBoolean()) {
+        while (!condition.getAsBoolean()) {
             if (System.nanoTime() > end) {
-                throw new AssertionError("not in " + AWAIT_SECONDS + " s: " + what);
+                throw new AssertionError("timed out after " + AWAIT_SECONDS + " s waiting for: " + what);
             }
             Thread.sleep(5);
         }
@@ -108,91 +110,92 @@
     }
 
     /**
-     * The next revision, accepted by the time that this returns.
+     * Puts the next revision, which is accepted when this returns.
      *
-     * @param standing a member that stands and is not asked, as it takes the call and can't answer; empty for none
+     * @param paused a stopped member that is not called, as it would accept the call and not answer; empty for none
      */
-    private void put(String standing) throws Exception {
-        Map<String, String> asked = new TreeMap<>(places);
-        asked.remove(standing);
+    private void put(String paused) throws Exception {
+        Map<String, String> targets = new TreeMap<>(places);
+        targets.remove(paused);
         List<byte[]> arguments = List.of(
                 Long.toString(revision).getBytes(StandardCharsets.UTF_8),
                 ("{\"mysql\":{\"user\":\"user-" + revision + "\"}}").getBytes(StandardCharsets.UTF_8));
-        GroupClient.Result said = new GroupClient("plant", asked, null).call("put", arguments, false, 30_000);
-        if (said.status() != WireMessages.Status.OK) {
-            // It may have happened as a leader went: then the next try tells so.
-            said = new GroupClient("plant", asked, null).call("put", arguments, false, 30_000);
+        GroupClient.Result result = new GroupClient("plant", targets, null).call("put", arguments, false, 30_000);
+        if (result.status() != WireMessages.Status.OK) {
+            // The put may have succeeded although its leader was lost: the retry then returns CONFLICT.
+            result = new GroupClient("plant", targets, null).call("put", arguments, false, 30_000);
         }
         assertTrue(
-                said.status() == WireMessages.Status.OK || said.status() == WireMessages.Status.CONFLICT, said.text());
+                result.status() == WireMessages.Status.OK || result.status() == WireMessages.Status.CONFLICT,
+                result.text());
         revision++;
-        book.accepted(revision, System.currentTimeMillis());
+        revisionsInForce.accepted(revision, System.currentTimeMillis());
     }
 
-    private void inForce(String what) throws InterruptedException {
-        await(what, () -> SUBSCRIBERS.stream().allMatch(one -> book.acts(one, revision)));
+    private void awaitInForce(String what) throws InterruptedException {
+        await(what, () -> SUBSCRIBERS.stream().allMatch(subscriber -> revisionsInForce.acts(subscriber, revision)));
     }
 
     @Test
-    void aChangeIsInForceInTimeOrItsPoolerIsFencedWhateverFailsBetween() throws Exception {
+    void aRevisionIsInForceInTimeOrItsPoolerIsFencedUnderFaults() throws Exception {
         start();
         put();
-        inForce("the first configuration");
+        awaitInForce("the first configuration");
 
-        // What one asks does not come any more, then what it is answered.
-        for (boolean there : new boolean[] {true, false}) {
-            FaultProxy way = ways.get("s0>" + book.follows("s0"));
-            way.cut(there, !there);
+        // First the direction of the subscriber's requests is cut, then that of the answers.
+        for (boolean requestsCut : new boolean[] {true, false}) {
+            FaultProxy proxy = proxies.get("s0>" + revisionsInForce.follows("s0"));
+            proxy.cut(requestsCut, !requestsCut);
             put();
-            inForce("past a way cut for one direction");
-            way.heal();
+            awaitInForce("with one direction to its member cut");
+            proxy.heal();
         }
 
-        String standing = book.follows("s1");
-        processes.get(standing).pause(true);
-        put(standing);
-        inForce("past a member that stands");
-        processes.get(standing).pause(false);
+        String paused = revisionsInForce.follows("s1");
+        processes.get(paused).pause(true);
+        put(paused);
+        awaitInForce("with a stopped member");
+        processes.get(paused).pause(false);
 
-        String killed = book.follows("s1");
+        String killed = revisionsInForce.follows("s1");
         processes.get(killed).kill();
         put();
-        inForce("past a member that was killed");
+        awaitInForce("with a killed member");
         processes.get(killed).start();
 
-        for (String one : SUBSCRIBERS) {
-            processes.get(one).kill();
-            book.ended(one, System.currentTimeMillis());
+        for (String subscriber : SUBSCRIBERS) {
+            processes.get(subscriber).kill();
+            revisionsInForce.ended(subscriber, System.currentTimeMillis());
         }
-        for (String one : SUBSCRIBERS) {
-            processes.get(one).start();
+        for (String subscriber : SUBSCRIBERS) {
+            processes.get(subscriber).start();
         }
-        inForce("after a restart of both");
+        awaitInForce("after a restart of both");
         put();
-        inForce("after a restart of both, anew");
+        awaitInForce("a further revision after a restart of both");
 
         for (String member : MEMBERS) {
-            ways.get("s0>" + member).cut(true, true);
+            proxies.get("s0>" + member).cut(true, true);
         }
         put();
-        await("one that reaches no member is fenced", () -> !book.may("s0"));
-        await("the other goes on", () -> book.acts("s1", revision));
+        await("the subscriber that reaches no member is fenced", () -> !revisionsInForce.mayServe("s0"));
+        await("the other subscriber acts on the new revision", () -> revisionsInForce.acts("s1", revision));
         for (String member : MEMBERS) {
-            ways.get("s0>" + member).heal();
+            proxies.get("s0>" + member).heal();
         }
-        inForce("once it reaches them again");
-        assertEquals(List.of(), book.findings(System.currentTimeMillis()));
+        awaitInForce("once it reaches the members again");
+        assertEquals(List.of(), revisionsInForce.findings(System.currentTimeMillis()));
     }
 
     @Test
-    void theJudgeSeesOneThatActsOnForTooLong() {
-        InForce judge = new InForce();
-        judge.line("s", "INFO store: adopted revision 1, change 3, digest d", 0);
-        judge.line("s", "INFO store: returned to service: lease granted", 10);
-        judge.accepted(2, 100);
-        assertEquals(List.of(), judge.findings(100 + InForce.BOUND));
-        assertEquals(1, judge.findings(101 + InForce.BOUND).size());
-        judge.line("s", "INFO store: fenced, not serving until a lease is granted", 5_000);
-        assertEquals(List.of(), judge.findings(100_000));
+    void aSubscriberThatActsOnAnOldRevisionForTooLongIsFound() {
+        InForce checker = new InForce();
+        checker.line("s", "INFO store: adopted revision 1, change 3, digest d", 0);
+        checker.line("s", "INFO store: returned to service: lease granted", 10);
+        checker.accepted(2, 100);
+        assertEquals(List.of(), checker.findings(100 + InForce.BOUND_MILLIS));
+        assertEquals(1, checker.findings(101 + InForce.BOUND_MILLIS).size());
+        checker.line("s", "INFO store: fenced, not serving until a lease is granted", 5_000);
+        assertEquals(List.of(), checker.findings(100_000));
     }
 }
--- a/lab/src/main/java/lupinvalve/lab/AuditDrillCommand.java
+++ b/lab/src/main/java/lupinvalve/lab/AuditDrillCommand.java
@@ -25,7 +25,7 @@
         Scenario scenario = Scenario.draw(Scenario.Mix.AUDIT, poolers, 2, seconds * 1000L, seed);
         PrintStream log = log(out);
         Drill drill = new Drill(new Drill.Setting(scenario, config, seed, false, log, java.util.List.of(), 200, mode));
-        AuditDrill audit = new AuditDrill(drill.places(), scenario.groups(), scenario.steps());
+        AuditDrill audit = new AuditDrill(drill.memberAddresses(), scenario.groups(), scenario.steps());
         drill.watch(audit);
         try {
             drill.start();
--- a/lab/src/main/java/lupinvalve/lab/ProcessDrill.java
+++ b/lab/src/main/java/lupinvalve/lab/ProcessDrill.java
@@ -99,7 +99,7 @@
             DrillResult result = drill.judge(true);
             result.findings().stream().limit(SHOWN).forEach(log::println);
             if (timeline != null) {
-                Files.writeString(timeline, drill.course().write());
+                Files.writeString(timeline, drill.playedScenario().write());
             }
             out.println(result.json());
             return result.good() ? 0 : 1;
--- a/lab/src/main/java/lupinvalve/lab/ProcessPoints.java
+++ b/lab/src/main/java/lupinvalve/lab/ProcessPoints.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
-import lupinvalve.drills.PointPlay;
+import lupinvalve.drills.FailPointRun;
 import lupinvalve.faultinjection.FailPoints.PlannedFault;
 import org.kohsuke.args4j.Option;
 
@@ -44,9 +44,9 @@
         if (at != null) {
             chosen.add(PlannedFault.parse(at));
         } else {
-            List<lupinvalve.faultinjection.FailPoints.StepKind> course = PointPlay.course(config, seed);
+            List<lupinvalve.faultinjection.FailPoints.StepKind> course = FailPointRun.reachedSteps(config, seed);
             points = course.size();
-            chosen.addAll(PointPlay.all(course));
+            chosen.addAll(FailPointRun.plannedFaults(course));
             if (plays > 0 && plays < chosen.size()) {
                 Collections.shuffle(chosen, new Random(seed));
                 chosen.subList(plays, chosen.size()).clear();
@@ -56,21 +56,21 @@
         int met = 0;
         int bad = 0;
         try {
-            List<Callable<PointPlay.Played>> work = new ArrayList<>();
-            chosen.forEach(one -> work.add(() -> PointPlay.play(config, seed, one)));
-            for (Future<PointPlay.Played> future : pool.invokeAll(work)) {
-                PointPlay.Played played = future.get();
-                met += played.met() != null ? 1 : 0;
+            List<Callable<FailPointRun.Result>> work = new ArrayList<>();
+            chosen.forEach(one -> work.add(() -> FailPointRun.play(config, seed, one)));
+            for (Future<FailPointRun.Result> future : pool.invokeAll(work)) {
+                FailPointRun.Result played = future.get();
+                met += played.faultLogLine() != null ? 1 : 0;
                 bad += played.good() ? 0 : 1;
                 if (!json) {
-                    out.println(played.at() + " of " + points + ": "
-                            + (played.met() == null
+                    out.println(played.planned() + " of " + points + ": "
+                            + (played.faultLogLine() == null
                                     ? "not met, "
-                                    : played.met().replaceFirst("^.* point ", "point ") + ", ")
+                                    : played.faultLogLine().replaceFirst("^.* point ", "point ") + ", ")
                             + (played.good()
                                     ? "kept"
                                     : played.findings() + " (again: lab process-points --seed " + seed + " --at "
-                                            + played.at() + ")"));
+                                            + played.planned() + ")"));
                 }
             }
         } finally {
