--- a/faultinjection/src/main/java/lupinvalve/faultinjection/FailPoints.java
+++ b/faultinjection/src/main/java/lupinvalve/faultinjection/FailPoints.java
@@ -11,12 +11,12 @@
 import java.util.function.Supplier;
 
 /**
- * Numbers the steps at which a process meets its disk, the network or a timer, and says which fault, if any, comes at
- * one. Counts only while enabled, so that a scenario's own steps are numbered and not those that lead to it. No I/O, no
- * clock; not thread-safe.
+ * Numbers the steps at which a process accesses its disk, the network or a timer, and returns the fault, if any, that
+ * is planned for a step. Counts only while enabled, so that the steps of a scenario are numbered but not those of its
+ * setup. Does no I/O and reads no clock; not thread-safe.
  */
 public final class FailPoints {
-    /** What a process is about to do. */
+    /** What a process does at a step. */
     public enum StepKind {
         /** Read a file or a directory. */
         READ,
@@ -36,51 +36,51 @@
         SEND,
         /** Receive a message. */
         ARRIVE,
-        /** Run what its scheduler hands it. */
+        /** Run a scheduled task. */
         TIMER
     }
 
-    /** What may go wrong there. */
+    /** A fault that can be injected at a step. */
     public enum Fault {
-        /** The process dies before the step; its disk loses some of what was not forced. */
+        /** The process dies before the step; its disk loses a part of the unforced data. */
         DIE_BEFORE(true, EnumSet.allOf(StepKind.class)),
-        /** The process dies after the step; its disk loses some of what was not forced. */
+        /** The process dies after the step; its disk loses a part of the unforced data. */
         DIE_AFTER(true, EnumSet.complementOf(EnumSet.of(StepKind.TIMER))),
-        /** Half of what was to be written is, then the process dies. */
+        /** The first half of the bytes is written, then the process dies. */
         TORN(true, EnumSet.of(StepKind.WRITE)),
         /** All processes die before the step. */
         POWER_CUT(true, EnumSet.of(StepKind.FORCE, StepKind.SEND, StepKind.ARRIVE, StepKind.REPLACE, StepKind.DELETE)),
-        /** The call fails and the process goes on. */
+        /** The call fails with an I/O error; the process continues. */
         FAIL(false, EnumSet.range(StepKind.READ, StepKind.DELETE)),
         /** The message is lost. */
         LOST(false, EnumSet.of(StepKind.SEND)),
         /** The message arrives twice. */
         DOUBLED(false, EnumSet.of(StepKind.SEND)),
-        /** The message comes 2 s later, behind those sent after it. */
+        /** The message is delayed by 2 s, so that messages sent after it arrive first. */
         LATE(false, EnumSet.of(StepKind.SEND)),
-        /** The process stands still for 10 s, then wakes. */
+        /** The process is paused for 10 s, then resumes. */
         STOPPED(false, EnumSet.of(StepKind.TIMER));
 
-        /** Whether it ends a process. */
+        /** Whether the fault ends the process. */
         public final boolean endsProcess;
 
-        private final Set<StepKind> fits;
+        private final Set<StepKind> applicableKinds;
 
-        Fault(boolean endsProcess, Set<StepKind> fits) {
+        Fault(boolean endsProcess, Set<StepKind> applicableKinds) {
             this.endsProcess = endsProcess;
-            this.fits = fits;
+            this.applicableKinds = applicableKinds;
         }
 
-        /** Whether it can come at such a step. */
+        /** Whether the fault can be injected at a step of this kind. */
         public boolean fits(StepKind kind) {
-            return fits.contains(kind);
+            return applicableKinds.contains(kind);
         }
     }
 
     /**
-     * A fault at a point.
+     * A fault that is planned for a point.
      *
-     * @param point its number, from 1
+     * @param point the point's number, from 1
      */
     public record PlannedFault(int point, Fault fault) {
         @Override
@@ -88,11 +88,11 @@
             return point + ":" + fault;
         }
 
-        /** Parses what {@link #toString} gives; throws IllegalArgumentException where the text is none. */
+        /** Parses the form that {@link #toString} returns; throws IllegalArgumentException for any other text. */
         public static PlannedFault parse(String text) {
             int colon = text.indexOf(':');
             if (colon < 0) {
-                throw new IllegalArgumentException("not POINT:FAULT: " + text);
+                throw new IllegalArgumentException("invalid fault \"" + text + "\"; expected POINT:FAULT");
             }
             return new PlannedFault(
                     Integer.parseInt(text.substring(0, colon)), Fault.valueOf(text.substring(colon + 1)));
@@ -104,47 +104,50 @@
     private boolean enabled;
     private Consumer<String> tracer;
 
-    /** With the faults that are to come. */
+    /** @param faults the faults to inject; one per point, of several at one point the last */
     public FailPoints(PlannedFault... faults) {
         for (PlannedFault planned : faults) {
             plan.put(planned.point(), planned.fault());
         }
     }
 
-    /** Counts points from here on, or no more. */
+    /** Starts or stops the counting of points, and with it the injection of faults. */
     public void setEnabled(boolean enabled) {
         this.enabled = enabled;
     }
 
-    /** The next point is reached: returns the fault that comes there, or null. */
+    /** Counts the next point, a step of this kind; returns the fault to inject there, or null. */
     public Fault nextFault(StepKind kind) {
         if (!enabled) {
             return null;
         }
         reachedSteps.add(kind);
         Fault fault = plan.get(reachedSteps.size());
-        // After a first fault a run goes another way: a later point may be of a kind that the fault does not fit.
+        // An earlier fault changes the run, so this point may be of a kind to which the planned fault does not apply.
         return fault != null && fault.fits(kind) ? fault : null;
     }
 
-    /** Gives all further trace lines to {@code tracer}. */
+    /** Passes all further trace lines to {@code tracer}. */
     public void setTracer(Consumer<String> tracer) {
         this.tracer = tracer;
     }
 
-    /** Traces a line, with the number of the point before it; {@code line} is called only where there is a tracer. */
+    /**
+     * Traces a line, prefixed with the number of the last point, or with "-" while counting is off; {@code line} is
+     * evaluated only if a tracer is set.
+     */
     public void trace(Supplier<String> line) {
         if (tracer != null) {
             tracer.accept((enabled ? reachedSteps.size() + " " : "- ") + line.get());
         }
     }
 
-    /** The kinds of the steps at the points reached so far, in order; a view. */
+    /** Step kinds of the points reached so far, in order; an unmodifiable view. */
     public List<StepKind> reachedSteps() {
         return Collections.unmodifiableList(reachedSteps);
     }
 
-    /** Each fault that fits at each of the points with such steps. */
+    /** Every applicable fault at every point. {@code steps} are the points' step kinds, in order. */
     public static List<PlannedFault> allSingleFaults(List<StepKind> steps) {
         List<PlannedFault> all = new ArrayList<>();
         for (int i = 0; i < steps.size(); i++) {
--- a/faultinjection/src/main/java/lupinvalve/faultinjection/HotRestartScenario.java
+++ b/faultinjection/src/main/java/lupinvalve/faultinjection/HotRestartScenario.java
@@ -15,78 +15,80 @@
 import lupinvalve.maintenance.DrainCommands;
 
 /**
- * A hot restart in which operators drain db nodes and return them at both processes: each command that was acknowledged
- * must hold at every process from its next poll on, and at one that starts later, whatever fails in between. In memory.
+ * A hot restart during which operators start and end drains of db nodes at both processes. Each acknowledged command
+ * must hold at every process from that process's next poll on, and at processes that start later, whatever faults are
+ * injected in between. Runs in memory.
  */
 public final class HotRestartScenario {
-    /** Thrown through the code under test as its process dies. */
+    /** Unwinds the code under test when its process dies. */
     private static final class ProcessEnded extends RuntimeException {
         private static final long serialVersionUID = 1;
     }
 
-    /** The shared directory; it outlives processes. */
+    /** Content of the shared directory, by file name; survives the processes. */
     private final Map<String, byte[]> files = new TreeMap<>();
 
     private final FailPoints points;
     private final List<String> violations = new ArrayList<>();
-    /** Whether a db node is drained by the last acknowledged command; null after one of unknown outcome. */
+    /** Whether the last command drains a db node, by the node's id; null if the command's outcome is unknown. */
     private final Map<String, Boolean> expectedDrained = new TreeMap<>();
 
+    /** Timestamp of the next command. */
     private long nextMicros = 1;
 
     private HotRestartScenario(FailPoints points) {
         this.points = points;
     }
 
-    /** Runs a hot restart with the faults that the points name; returns what was broken. */
+    /** Runs a hot restart with the faults that are planned in {@code points}; returns the violations. */
     public static List<String> run(FailPoints points) {
         HotRestartScenario scenario = new HotRestartScenario(points);
         points.setEnabled(true);
         scenario.restart();
         points.setEnabled(false);
-        for (Process later : List.of(scenario.new Process(), scenario.new Process())) {
-            later.poll();
-            scenario.check(later, "a process that starts later");
+        for (Process laterProcess : List.of(scenario.new Process(), scenario.new Process())) {
+            laterProcess.poll();
+            scenario.check(laterProcess, "a process that starts later");
         }
         return scenario.violations;
     }
 
     private final class Process {
         private DrainCommandsFile file = new DrainCommandsFile(new FailPointDirectory(), "p");
-        private DrainCommands known = DrainCommands.NONE;
+        private DrainCommands knownCommands = DrainCommands.NONE;
         private boolean ended;
 
-        /** An operator's command. */
+        /** Executes an operator's command: starts or ends the drain of a db node. */
         void command(boolean drain, String id) {
             if (ended) {
                 return;
             }
             expectedDrained.put(id, null);
             try {
-                known = file.update(known, commands -> commands.with(drain, id, nextMicros++));
+                knownCommands = file.update(knownCommands, commands -> commands.with(drain, id, nextMicros++));
                 expectedDrained.put(id, drain);
             } catch (IOException e) {
-                // Rejected: it may hold or not.
+                // The command's outcome is unknown: it may have been stored or not.
             } catch (ProcessEnded e) {
                 ended = true;
             }
         }
 
-        /** Polls for the other process's commands. */
+        /** Reads the other process's commands if they have changed. */
         void poll() {
             try {
-                DrainCommands other = ended ? null : file.readIfChanged(known);
-                known = other == null ? known : other;
+                DrainCommands otherCommands = ended ? null : file.readIfChanged(knownCommands);
+                knownCommands = otherCommands == null ? knownCommands : otherCommands;
             } catch (ProcessEnded e) {
                 ended = true;
             }
         }
 
-        /** Starts again where it has died. */
+        /** Restarts the process if it has died. */
         void restartIfEnded() {
             if (ended) {
                 ended = false;
-                known = DrainCommands.NONE;
+                knownCommands = DrainCommands.NONE;
                 file = new DrainCommandsFile(new FailPointDirectory(), "p");
                 poll();
             }
@@ -94,47 +96,48 @@
     }
 
     private void restart() {
-        Process before = new Process();
-        before.poll();
-        before.command(true, "a");
-        before.command(true, "b");
-        Process after = new Process();
-        after.poll();
-        after.command(true, "c");
-        before.restartIfEnded();
-        before.command(true, "d");
-        after.restartIfEnded();
-        after.poll();
-        check(after, "the new process");
-        after.command(false, "a");
-        before.poll();
-        check(before, "the old process");
-        before.command(false, "d");
-        before.ended = true;
-        after.restartIfEnded();
-        after.poll();
-        after.command(false, "b");
-        after.command(true, "e");
-        check(after, "the new process alone");
+        Process oldProcess = new Process();
+        oldProcess.poll();
+        oldProcess.command(true, "a");
+        oldProcess.command(true, "b");
+        Process newProcess = new Process();
+        newProcess.poll();
+        newProcess.command(true, "c");
+        oldProcess.restartIfEnded();
+        oldProcess.command(true, "d");
+        newProcess.restartIfEnded();
+        newProcess.poll();
+        check(newProcess, "the new process");
+        newProcess.command(false, "a");
+        oldProcess.poll();
+        check(oldProcess, "the old process");
+        oldProcess.command(false, "d");
+        oldProcess.ended = true;
+        newProcess.restartIfEnded();
+        newProcess.poll();
+        newProcess.command(false, "b");
+        newProcess.command(true, "e");
+        check(newProcess, "the new process alone");
     }
 
-    private void check(Process process, String who) {
+    /** Records a violation if a running process does not follow the acknowledged commands after a poll. */
+    private void check(Process process, String processLabel) {
         points.setEnabled(false);
         process.poll();
         if (!process.ended) {
             expectedDrained.forEach((id, drained) -> {
-                if (drained != null && process.known.drained().contains(id) != drained) {
-                    violations.add(who
+                if (drained != null && process.knownCommands.drained().contains(id) != drained) {
+                    violations.add(processLabel
                             + (drained
-                                    ? " uses " + id + ", whose drain was acknowledged"
-                                    : " drains " + id + ", whose return was acknowledged"));
+                                    ? " uses db node " + id + " although its drain was acknowledged"
+                                    : " drains db node " + id + " although the end of its drain was acknowledged"));
                 }
             });
         }
         points.setEnabled(true);
     }
 
-    /** One process's access to the directory, on which each call is a fail point. */
+    /** One process's access to the directory; each call is a fail point. */
     private final class FailPointDirectory implements SharedDirectory {
         private interface Step<T> {
             T run() throws IOException;
@@ -181,8 +184,8 @@
         }
 
         @Override
-        public void move(String name, String to) throws IOException {
-            step(StepKind.REPLACE, () -> files.put(to, files.remove(name)), () -> null);
+        public void move(String name, String target) throws IOException {
+            step(StepKind.REPLACE, () -> files.put(target, files.remove(name)), () -> null);
         }
 
         @Override
--- a/faultinjection/src/main/java/lupinvalve/faultinjection/package-info.java
+++ b/faultinjection/src/main/java/lupinvalve/faultinjection/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Faults at numbered points of what a process does. The simulation of a group stands in the package of what it
- * simulates, {@code lupinvalve.replication}, since it plays that package's own parts in virtual time.
+ * Injects faults at numbered points of a process's execution. The simulation of a Raft group is in the package that it
+ * simulates, {@code lupinvalve.replication}, because it runs that package's package-private classes in virtual time.
  */
 package lupinvalve.faultinjection;
--- a/faultinjection/src/main/java/lupinvalve/replication/FailPointDisk.java
+++ b/faultinjection/src/main/java/lupinvalve/replication/FailPointDisk.java
@@ -7,14 +7,14 @@
 import lupinvalve.faultinjection.FailPoints.Fault;
 import lupinvalve.faultinjection.FailPoints.StepKind;
 
-/** One process's access to its disk, on which each call is a fail point. */
+/** One process's access to its disk; each call is a fail point. */
 final class FailPointDisk implements Disk {
-    /** The process whose disk it is. */
+    /** The process that uses the disk. */
     interface Process {
-        /** Whether it has ended: no further call reaches the disk. */
+        /** Whether the process has ended; from then on every call fails without reaching the disk. */
         boolean hasEnded();
 
-        /** Ends it. */
+        /** Ends the process because of an injected fault. */
         void end(Fault fault);
     }
 
@@ -26,7 +26,7 @@
     private final Function<StepKind, Fault> nextFault;
     private final Process process;
 
-    /** @param nextFault gives the fault that comes at the next point, or null */
+    /** @param nextFault counts the next point and returns the fault to inject there, or null */
     FailPointDisk(Disk disk, Function<StepKind, Fault> nextFault, Process process) {
         this.disk = disk;
         this.nextFault = nextFault;
@@ -73,7 +73,7 @@
 
     @Override
     public AppendFile create(String name) throws IOException {
-        AppendFile out = step(StepKind.CREATE, () -> disk.create(name));
+        AppendFile file = step(StepKind.CREATE, () -> disk.create(name));
         return new AppendFile() {
             @Override
             public void write(byte[] bytes) throws IOException {
@@ -81,21 +81,21 @@
             }
 
             private Void writeBytes(byte[] bytes) throws IOException {
-                out.write(bytes);
+                file.write(bytes);
                 return null;
             }
 
             @Override
             public void force() throws IOException {
                 step(StepKind.FORCE, () -> {
-                    out.force();
+                    file.force();
                     return null;
                 });
             }
 
             @Override
             public void close() throws IOException {
-                out.close();
+                file.close();
             }
         };
     }
@@ -109,9 +109,9 @@
     }
 
     @Override
-    public void truncate(String name, long size) throws IOException {
+    public void truncate(String name, long sizeBytes) throws IOException {
         step(StepKind.CUT, () -> {
-            disk.truncate(name, size);
+            disk.truncate(name, sizeBytes);
             return null;
         });
     }
--- a/faultinjection/src/main/java/lupinvalve/replication/FaultSweep.java
+++ b/faultinjection/src/main/java/lupinvalve/replication/FaultSweep.java
@@ -12,35 +12,35 @@
 import lupinvalve.faultinjection.HotRestartScenario;
 
 /**
- * Runs a scenario once to count its fail points, then once for each fault at each of them, then for pairs drawn by
- * seed. Checks after each run what must hold: members agree, nothing acknowledged is lost, one leader a term, and the
- * group makes progress. Deterministic by seed.
+ * Runs a scenario once to count its fail points, then once for each fault at each point, then for pairs of faults drawn
+ * by the seed. Checks after each run that members agree, that nothing acknowledged is lost, that each term has one
+ * leader at most, and that the group makes progress. Deterministic by seed.
  */
 public final class FaultSweep {
-    /** By then messages that were late have arrived and members that stood still have woken. */
+    /** Longer than the delay of a late message (2 s) and the pause of a stopped process (10 s). */
     private static final long SETTLE_MICROS = 11_000_000;
 
-    private static final int REVIVE_EVERY_STEPS = 100;
+    private static final int RESTART_INTERVAL_STEPS = 100;
 
-    /** What members do wrong in a test of the sweep itself. */
+    /** A bug planted in the members' disks, to test that the sweep detects it. */
     public enum SeededBug {
-        /** Nothing. */
+        /** No bug. */
         NONE,
-        /** The disk reports a force that it has not done: all is acknowledged before it is forced. */
+        /** The disk reports every force as done without doing it, so data is acknowledged before it is durable. */
         ACK_BEFORE_FORCE,
-        /** Records without a command (a vote, a term) are not forced. */
+        /** Records without a command, such as votes and terms, are not forced. */
         VOTE_NOT_FORCED,
-        /** A file replaces another before it was forced. */
+        /** A file replaces another one before it is forced. */
         RENAME_WITHOUT_FORCE
     }
 
     /**
      * One run of a scenario.
      *
-     * @param faults that were planned for it
-     * @param violations what it broke
-     * @param hung whether the group made no progress after all faults had been repaired
-     * @param reachedSteps the steps at its fail points, in order
+     * @param faults the faults planned for the run
+     * @param violations what was violated, in the order in which it was found
+     * @param hung whether the group failed to make progress, or members to catch up, after all faults were repaired
+     * @param reachedSteps step kinds of the fail points reached, in order
      */
     public record Run(
             Scenario scenario,
@@ -49,7 +49,7 @@
             List<String> violations,
             boolean hung,
             List<FailPoints.StepKind> reachedSteps) {
-        /** Whether nothing was found. */
+        /** Whether the run had no violation and did not hang. */
         public boolean isGood() {
             return violations.isEmpty() && !hung;
         }
@@ -58,26 +58,26 @@
     /**
      * The sweep of one scenario.
      *
-     * @param pointCount fail points of a run without faults
-     * @param runCount runs with faults
+     * @param pointCount number of fail points in a run without faults
+     * @param runCount number of runs with faults
      */
     public record Result(Scenario scenario, int pointCount, int runCount, List<Run> badRuns) {}
 
     private FaultSweep() {}
 
-    /** The steps at the fail points of a run without faults. */
+    /** Step kinds of the fail points of a run without faults, in order. */
     public static List<FailPoints.StepKind> faultFreeSteps(Scenario scenario, long seed) {
         FailPoints points = new FailPoints();
         runOnce(scenario, seed, SeededBug.NONE, points, List.of());
         return points.reachedSteps();
     }
 
-    /** One run with faults. */
+    /** Runs a scenario once with faults. */
     public static Run runOnce(Scenario scenario, long seed, SeededBug bug, List<PlannedFault> faults) {
         return runOnce(scenario, seed, bug, new FailPoints(faults.toArray(PlannedFault[]::new)), faults);
     }
 
-    /** The same; {@code tracer} is given a line for each message. */
+    /** Runs a scenario once with faults; {@code tracer} receives one line per message. */
     public static Run runOnce(
             Scenario scenario, long seed, SeededBug bug, List<PlannedFault> faults, Consumer<String> tracer) {
         FailPoints points = new FailPoints(faults.toArray(PlannedFault[]::new));
@@ -104,7 +104,7 @@
             points.setEnabled(true);
             scenario.run(sim, clients);
             points.setEnabled(false);
-            hung = !settles(scenario, sim, clients);
+            hung = !recovers(scenario, sim, clients);
             violations.addAll(sim.violations);
         } catch (IOException | RuntimeException e) {
             violations.add(e + " at " + e.getStackTrace()[0]);
@@ -112,8 +112,10 @@
         return new Run(scenario, seed, faults, violations, hung, List.copyOf(points.reachedSteps()));
     }
 
-    /** Repairs all faults, starts what is down, and waits until a new change is committed and all members have all. */
-    private static boolean settles(Scenario scenario, Simulation sim, SimulatedClients clients) throws IOException {
+    /**
+     * Repairs all faults, restarts members and waits for a new change and for all members to catch up; false if not.
+     */
+    private static boolean recovers(Scenario scenario, Simulation sim, SimulatedClients clients) throws IOException {
         sim.restoreNetwork();
         sim.run(SETTLE_MICROS);
         restartStopped(sim);
@@ -122,54 +124,57 @@
         }
         List<SimulatedMember> remaining =
                 sim.members.stream().filter(scenario::remainsMember).toList();
-        boolean same = sim.runUntil(() -> remaining.stream().allMatch(clients::caughtUp));
+        boolean allCaughtUp = sim.runUntil(() -> remaining.stream().allMatch(clients::caughtUp));
         remaining.forEach(clients::checkAcknowledged);
-        return same;
+        return allCaughtUp;
     }
 
+    /** Whether a new configuration is acknowledged within the time limit; restarts stopped members repeatedly. */
     private static boolean makesProgress(Simulation sim, SimulatedClients clients) {
-        int before = clients.acknowledgedDigests.size();
-        AtomicInteger steps = new AtomicInteger();
+        int acknowledgedBefore = clients.acknowledgedDigests.size();
+        AtomicInteger waitSteps = new AtomicInteger();
         return sim.runUntil(() -> {
-            if (steps.incrementAndGet() % REVIVE_EVERY_STEPS == 0) {
+            if (waitSteps.incrementAndGet() % RESTART_INTERVAL_STEPS == 0) {
                 restartStopped(sim);
             }
             Scenario.putAndReadAtLeader(sim, clients);
-            return clients.acknowledgedDigests.size() > before;
+            return clients.acknowledgedDigests.size() > acknowledgedBefore;
         });
     }
 
-    /** Restarts members that are down or have stopped for a fault of their disk. */
+    /** Restarts members that are down or whose replica has terminated after a disk failure. */
     private static void restartStopped(Simulation sim) {
         for (SimulatedMember member : sim.members) {
-            boolean expected = member.number < sim.founders.size() || member.started;
+            boolean shouldRun = member.number < sim.founders.size() || member.started;
             if (member.replica != null && member.stopReason != null) {
                 member.kill();
             }
-            if (expected && member.replica == null) {
+            if (shouldRun && member.replica == null) {
                 Scenario.start(member);
             }
         }
     }
 
-    /** Sweeps one scenario, on all cores; {@code pairCount} pairs of points are drawn by the seed. */
+    /**
+     * Sweeps one scenario on all cores; draws {@code pairCount} pairs and skips those with both faults at one point.
+     */
     public static Result sweep(Scenario scenario, long seed, SeededBug bug, int pairCount) {
         List<FailPoints.StepKind> steps = faultFreeSteps(scenario, seed);
-        List<PlannedFault> single = FailPoints.allSingleFaults(steps);
-        List<List<PlannedFault>> pairs = drawPairs(single, seed, pairCount);
-        List<Run> bad = Stream.concat(single.stream().map(List::of), pairs.stream()).toList().parallelStream()
+        List<PlannedFault> singleFaults = FailPoints.allSingleFaults(steps);
+        List<List<PlannedFault>> pairs = drawPairs(singleFaults, seed, pairCount);
+        List<Run> badRuns = Stream.concat(singleFaults.stream().map(List::of), pairs.stream()).toList().parallelStream()
                 .map(faults -> runOnce(scenario, seed, bug, faults))
                 .filter(run -> !run.isGood())
                 .toList();
-        return new Result(scenario, steps.size(), single.size() + pairs.size(), bad);
+        return new Result(scenario, steps.size(), singleFaults.size() + pairs.size(), badRuns);
     }
 
-    private static List<List<PlannedFault>> drawPairs(List<PlannedFault> single, long seed, int count) {
+    private static List<List<PlannedFault>> drawPairs(List<PlannedFault> singleFaults, long seed, int count) {
         Random random = new Random(seed);
         List<List<PlannedFault>> pairs = new ArrayList<>();
-        for (int i = 0; i < count && !single.isEmpty(); i++) {
-            PlannedFault first = single.get(random.nextInt(single.size()));
-            PlannedFault second = single.get(random.nextInt(single.size()));
+        for (int i = 0; i < count && !singleFaults.isEmpty(); i++) {
+            PlannedFault first = singleFaults.get(random.nextInt(singleFaults.size()));
+            PlannedFault second = singleFaults.get(random.nextInt(singleFaults.size()));
             if (first.point() != second.point()) {
                 pairs.add(List.of(first, second));
             }
--- a/faultinjection/src/main/java/lupinvalve/replication/Scenario.java
+++ b/faultinjection/src/main/java/lupinvalve/replication/Scenario.java
@@ -10,9 +10,12 @@
 import lupinvalve.statemachine.MembershipChange;
 import lupinvalve.statemachine.ReplicatedState;
 
-/** What a group does while faults are injected; no step waits for success, as a fault may have made that impossible. */
+/**
+ * What a Raft group does while faults are injected. No step waits until it succeeds, because an injected fault may
+ * prevent that.
+ */
 public enum Scenario {
-    /** Three members found the group and agree on a first configuration. */
+    /** Three members bootstrap the group and commit first configurations. */
     BOOTSTRAP("founding", 3, 0) {
         @Override
         void run(Simulation sim, SimulatedClients clients) {
@@ -20,47 +23,52 @@
             put(sim, clients, 2);
         }
     },
-    /** Configurations are put while the group stands. */
+    /** Configurations are put while the group has a leader and all members are running. */
     PUT("put", 3, 0) {
         @Override
         void run(Simulation sim, SimulatedClients clients) {
             put(sim, clients, 5);
         }
     },
-    /** The leader dies and comes back while configurations are put. */
+    /** The leader dies and is restarted while configurations are put. */
     LEADER_CHANGE("leader-change", 3, 0) {
         @Override
         void run(Simulation sim, SimulatedClients clients) throws IOException {
-            SimulatedMember old = sim.leader();
+            SimulatedMember oldLeader = sim.leader();
             put(sim, clients, 1);
-            if (old != null && old.isRunning()) {
-                old.kill();
+            if (oldLeader != null && oldLeader.isRunning()) {
+                oldLeader.kill();
             }
             sim.run(1_500_000);
             put(sim, clients, 2);
-            if (old != null && old.replica == null) {
-                start(old);
+            if (oldLeader != null && oldLeader.replica == null) {
+                start(oldLeader);
             }
             sim.run(500_000);
         }
     },
-    /** The next leader dies as well, once it has committed: a majority that runs must elect another by itself. */
+    /**
+     * After a leader change the new leader dies as well, once it has committed. The running majority must elect another
+     * leader without the restart of any member.
+     */
     SECOND_LEADER("second-leader", 3, 0) {
         @Override
         void run(Simulation sim, SimulatedClients clients) throws IOException {
             LEADER_CHANGE.run(sim, clients);
-            SimulatedMember next = sim.leader();
-            if (next != null && next.isRunning()) {
-                killBehindOneFollower(sim, clients, next);
+            SimulatedMember newLeader = sim.leader();
+            if (newLeader != null && newLeader.isRunning()) {
+                killAfterSendingToOneFollower(sim, clients, newLeader);
             }
             sim.runExpectingLeader(5_000_000);
-            if (next != null && next.replica == null) {
-                start(next);
+            if (newLeader != null && newLeader.replica == null) {
+                start(newLeader);
             }
         }
 
-        /** The last change reaches one follower alone, so that only that one can lead afterwards. */
-        private void killBehindOneFollower(Simulation sim, SimulatedClients clients, SimulatedMember leader) {
+        /**
+         * Kills the leader after its last change has been sent to one follower only, the one that can then be elected.
+         */
+        private void killAfterSendingToOneFollower(Simulation sim, SimulatedClients clients, SimulatedMember leader) {
             SimulatedMember follower = sim.members.stream()
                     .filter(member -> member != leader && member.isRunning())
                     .min(Comparator.comparingInt(member -> member.incarnation))
@@ -71,18 +79,18 @@
             sim.restoreNetwork();
         }
     },
-    /** A member that was down catches up with what was committed without it. */
+    /** A member is down while changes are committed, is restarted and catches up. */
     CATCH_UP("catch-up", 3, 0) {
         @Override
         void run(Simulation sim, SimulatedClients clients) throws IOException {
-            SimulatedMember down = sim.members.stream()
-                    .filter(m -> m != sim.leader())
+            SimulatedMember stoppedMember = sim.members.stream()
+                    .filter(member -> member != sim.leader())
                     .findFirst()
                     .orElseThrow();
-            down.kill();
+            stoppedMember.kill();
             put(sim, clients, 3);
-            if (down.replica == null) {
-                start(down);
+            if (stoppedMember.replica == null) {
+                start(stoppedMember);
             }
             put(sim, clients, 1);
         }
@@ -96,7 +104,7 @@
             put(sim, clients, 1);
         }
     },
-    /** A member is removed, which may be the leader. */
+    /** A member is removed; it may be the leader. */
     REMOVE("remove", 4, 0) {
         @Override
         void run(Simulation sim, SimulatedClients clients) {
@@ -124,7 +132,7 @@
             put(sim, clients, 1);
         }
     },
-    /** A new member gets a snapshot while the log goes on. */
+    /** A new member receives a snapshot while further entries are appended to the log. */
     SNAPSHOT("snapshot", 3, 1) {
         @Override
         void prepare(Simulation sim, SimulatedClients clients) {
@@ -143,7 +151,10 @@
             put(sim, clients, 1);
         }
     },
-    /** What earlier stores left at the members is imported by the first leader, and by no other. */
+    /**
+     * Each member has a different configuration in the store of an earlier version. At most one of them is imported, as
+     * the group's first configuration.
+     */
     LEGACY_IMPORT("take-over", 3, 0) {
         @Override
         void prepare(Simulation sim, SimulatedClients clients) {
@@ -152,7 +163,7 @@
 
         @Override
         void run(Simulation sim, SimulatedClients clients) {
-            // A legacy document is read as its member starts.
+            // A member reads its legacy document only when it starts.
             sim.forEachMember(SimulatedMember::kill);
             sim.forEachMember(Scenario::start);
             for (int i = 0; i < 12; i++) {
@@ -173,10 +184,11 @@
             List<String> imported = sim.committedDigests.values().stream()
                     .filter(legacyDigests::contains)
                     .toList();
-            boolean first = imported.isEmpty()
+            boolean importedFirst = imported.isEmpty()
                     || imported.get(0).equals(sim.committedDigests.firstEntry().getValue());
-            if (imported.size() > 1 || !first) {
-                sim.violations.add("what was left was taken over " + imported.size() + " times, or late");
+            if (imported.size() > 1 || !importedFirst) {
+                sim.violations.add(imported.size()
+                        + " legacy configurations were imported, or one was not the group's first configuration");
             }
             return done;
         }
@@ -185,14 +197,14 @@
             return Simulation.document("{\"left\":" + member.number + "}");
         }
     },
-    /** The two processes of a hot restart and the drain commands that they share; no group. */
+    /** Two processes of a hot restart share drain commands; has no Raft group and is run by HotRestartScenario. */
     HOT_RESTART("hand-off", 0, 0) {
         @Override
         void run(Simulation sim, SimulatedClients clients) {
-            throw new UnsupportedOperationException("it is run by HotRestartScenario");
+            throw new UnsupportedOperationException("HOT_RESTART is run by HotRestartScenario");
         }
     },
-    /** All members die at once and start again. */
+    /** All members die at the same time and are restarted. */
     RESTART("restart", 3, 0) {
         @Override
         void run(Simulation sim, SimulatedClients clients) throws IOException {
@@ -219,28 +231,29 @@
         this.laterMemberCount = laterMemberCount;
     }
 
-    /** Brings the group to where the scenario begins; fail points are off. */
+    /** Sets up the state from which the scenario starts; called while fail points are disabled. */
     void prepare(Simulation sim, SimulatedClients clients) throws IOException {
-        // Most need nothing.
+        // Most scenarios start from an idle group.
     }
 
-    /** Does what the scenario is about. */
+    /** Runs the scenario itself; called while fail points are enabled. */
     abstract void run(Simulation sim, SimulatedClients clients) throws IOException;
 
-    /** Its name on the command line. */
+    /** The scenario's name on the command line. */
     public String title() {
         return title;
     }
 
-    /** Starts a member; where a fault comes meanwhile, it is started again later. */
+    /** Starts a member. If an injected fault prevents that, records the reason; the sweep restarts the member later. */
     static void start(SimulatedMember member) {
         try {
             member.start();
         } catch (IOException | RuntimeException e) {
-            member.stopReason = "start: " + e.getMessage();
+            member.stopReason = "start failed: " + e.getMessage();
         }
     }
 
+    /** Puts and reads a configuration at the leader, if there is one. */
     static void putAndReadAtLeader(Simulation sim, SimulatedClients clients) {
         if (sim.leader() != null) {
             clients.put(sim.leader());
@@ -262,7 +275,7 @@
         sim.run(40_000);
     }
 
-    /** Attempts steps of a membership change, up to a number; returns whether it was completed. */
+    /** Performs the steps of a membership change, one per attempt at most; returns whether the change was completed. */
     static boolean changeMembership(Simulation sim, boolean add, SimulatedMember member, int attempts) {
         MembershipChange.Request request = new MembershipChange.Request(add, member.identity.name());
         AtomicReference<MembershipChange.Step> step = new AtomicReference<>();
@@ -292,7 +305,7 @@
         });
     }
 
-    /** Completes the scenario's membership change, if any, before members are compared; returns whether it could. */
+    /** Completes the scenario's membership change or import, if any; returns false if that was not possible. */
     boolean settle(Simulation sim) {
         return switch (this) {
             case ADD, SNAPSHOT -> changeMembership(sim, true, sim.members.get(3), MAX_SETTLE_ATTEMPTS);
--- a/faultinjection/src/main/java/lupinvalve/replication/SimulatedClients.java
+++ b/faultinjection/src/main/java/lupinvalve/replication/SimulatedClients.java
@@ -7,11 +7,11 @@
 import lupinvalve.statemachine.ReplicatedState;
 
 /**
- * Clients of a {@link Simulation} that put and read configurations at members that claim to lead. Checks that nothing
- * acknowledged is lost or read stale.
+ * Clients of a {@link Simulation} that put and read configurations at members, in general at those that claim
+ * leadership. Checks that no acknowledged configuration is lost and that no read is stale.
  */
 final class SimulatedClients {
-    /** Digests of the configurations that were acknowledged, by revision. */
+    /** Digests of the acknowledged configurations, by revision. */
     final TreeMap<Long, String> acknowledgedDigests = new TreeMap<>();
 
     private final Simulation simulation;
@@ -21,51 +21,56 @@
         this.simulation = simulation;
     }
 
-    private long lastAcknowledged() {
+    private long lastAcknowledgedRevision() {
         return acknowledgedDigests.isEmpty() ? 0 : acknowledgedDigests.lastKey();
     }
 
-    void put(SimulatedMember at) {
-        put(at, "");
+    void put(SimulatedMember member) {
+        put(member, "");
     }
 
-    void put(SimulatedMember at, String filler) {
-        if (!at.isRunning()) {
+    /** Proposes a new configuration at a member if it is running; {@code filler} makes the document larger. */
+    void put(SimulatedMember member, String filler) {
+        if (!member.isRunning()) {
             return;
         }
         byte[] content = Simulation.document("{\"n\":\"" + nextNumber++ + filler + "\"}");
-        long expected = at.replica.state().revision();
-        at.replica.propose(new Command.PutDocument(expected, content), (completion, outcome) -> {
+        long expectedRevision = member.replica.state().revision();
+        member.replica.propose(new Command.PutDocument(expectedRevision, content), (completion, outcome) -> {
             if (completion == RaftReplica.Completion.DONE && outcome.result() == ReplicatedState.Result.APPLIED) {
-                String other = acknowledgedDigests.putIfAbsent(outcome.revision(), ReplicatedState.digest(content));
-                if (other != null) {
+                String earlierDigest =
+                        acknowledgedDigests.putIfAbsent(outcome.revision(), ReplicatedState.digest(content));
+                if (earlierDigest != null) {
                     simulation.violations.add("revision " + outcome.revision() + " was acknowledged twice");
                 }
             }
         });
     }
 
-    void read(SimulatedMember at) {
-        if (!at.isRunning()) {
+    /** Reads at a member if it is running; the result must have all that was acknowledged before the call. */
+    void read(SimulatedMember member) {
+        if (!member.isRunning()) {
             return;
         }
-        long expected = lastAcknowledged();
-        at.replica.readBarrier((completion, ok) -> {
-            if (completion == RaftReplica.Completion.DONE && at.replica.state().revision() < expected) {
-                simulation.violations.add(
-                        "a read came back with revision " + at.replica.state().revision() + " after " + expected);
+        long requiredRevision = lastAcknowledgedRevision();
+        member.replica.readBarrier((completion, ok) -> {
+            if (completion == RaftReplica.Completion.DONE
+                    && member.replica.state().revision() < requiredRevision) {
+                simulation.violations.add("stale read at " + member.identity.name() + ": revision "
+                        + member.replica.state().revision() + " after revision " + requiredRevision
+                        + " was acknowledged");
             }
         });
     }
 
-    /** Whether a member has all that was acknowledged, by its revision. */
+    /** Whether a running member has reached the last acknowledged revision; false if nothing was acknowledged. */
     boolean caughtUp(SimulatedMember member) {
         return member.isRunning()
                 && !acknowledgedDigests.isEmpty()
                 && member.replica.state().revision() >= acknowledgedDigests.lastKey();
     }
 
-    /** Notes a violation where a member lacks something acknowledged, or has it at another revision. */
+    /** Records a violation if a member lacks an acknowledged configuration or has another one at its revision. */
     void checkAcknowledged(SimulatedMember member) {
         if (!caughtUp(member)) {
             simulation.violations.add(member.identity + describeBehind(member));
@@ -77,16 +82,18 @@
                 .values());
         acknowledgedDigests.forEach((revision, digest) -> {
             if (digests.size() < revision || !digests.get((int) (revision - 1)).equals(digest)) {
-                simulation.violations.add("revision " + revision + " was acknowledged and is lost");
+                simulation.violations.add(
+                        member.identity + " has lost revision " + revision + ", which was acknowledged");
             }
         });
     }
 
     private String describeBehind(SimulatedMember member) {
         if (!member.isRunning()) {
-            return " does not run: " + member.stopReason;
+            return " is not running: " + member.stopReason;
         }
-        return " has only revision " + member.replica.state().revision() + " after " + lastAcknowledged() + ", term "
-                + member.replica.term() + " of " + simulation.leaderByTerm.lastKey();
+        return " is at revision " + member.replica.state().revision() + " and term " + member.replica.term()
+                + "; acknowledged up to revision " + lastAcknowledgedRevision() + ", last term with a leader "
+                + simulation.leaderByTerm.lastKey();
     }
 }
--- a/faultinjection/src/main/java/lupinvalve/replication/SimulatedDisk.java
+++ b/faultinjection/src/main/java/lupinvalve/replication/SimulatedDisk.java
@@ -6,9 +6,9 @@
 import java.util.Random;
 import java.util.TreeMap;
 
-/** A disk in memory that loses what was not forced as its process dies, may be full, and may have a seeded bug. */
+/** An in-memory disk that loses unforced data in a crash, can run full, and can have a seeded bug. */
 final class SimulatedDisk implements Disk {
-    /** Any record with a command of the scenarios is longer. */
+    /** Every record of the scenarios that has a command is longer than this. */
     private static final int MAX_VOTE_RECORD_BYTES = 40;
 
     private static final class File {
@@ -17,12 +17,12 @@
     }
 
     final TreeMap<String, File> files = new TreeMap<>();
-    /** How much it can still store; of a write that is too long the first part is stored. */
+    /** Remaining capacity; of a write that exceeds it, the part that fits is stored and the write fails. */
     long freeBytes = Long.MAX_VALUE;
 
     FaultSweep.SeededBug seededBug = FaultSweep.SeededBug.NONE;
 
-    /** Its process dies: of each file's unforced bytes some of the first remain. */
+    /** Simulates the death of the process: of each file's unforced bytes, a prefix of random length remains. */
     void crash(Random random) {
         files.values().forEach(file -> {
             file.bytes = Arrays.copyOf(
@@ -35,6 +35,7 @@
         return files.get(name).bytes;
     }
 
+    /** Stores a file whose bytes are all forced. */
     void put(String name, byte[] bytes) {
         File file = new File();
         file.bytes = bytes;
@@ -42,6 +43,7 @@
         files.put(name, file);
     }
 
+    /** A disk with a copy of the files, all bytes forced, without a capacity limit or a seeded bug. */
     SimulatedDisk copy() {
         SimulatedDisk copy = new SimulatedDisk();
         files.forEach((name, file) -> copy.put(name, file.bytes.clone()));
@@ -72,16 +74,16 @@
         File file = new File();
         files.put(name, file);
         return new AppendFile() {
-            /** Whether the last write had no command. */
+            /** Whether the last write was a record without a command. */
             private boolean voteRecord;
 
             @Override
             public void write(byte[] bytes) throws IOException {
                 voteRecord = bytes.length < MAX_VOTE_RECORD_BYTES;
-                int fitting = (int) Math.min(bytes.length, freeBytes);
+                int storedBytes = (int) Math.min(bytes.length, freeBytes);
                 int end = file.bytes.length;
-                file.bytes = Arrays.copyOf(file.bytes, end + fitting);
-                System.arraycopy(bytes, 0, file.bytes, end, fitting);
+                file.bytes = Arrays.copyOf(file.bytes, end + storedBytes);
+                System.arraycopy(bytes, 0, file.bytes, end, storedBytes);
                 reserve(bytes.length);
             }
 
@@ -109,8 +111,8 @@
     }
 
     @Override
-    public void truncate(String name, long size) {
-        put(name, Arrays.copyOf(files.get(name).bytes, (int) size));
+    public void truncate(String name, long sizeBytes) {
+        put(name, Arrays.copyOf(files.get(name).bytes, (int) sizeBytes));
     }
 
     @Override
--- a/faultinjection/src/main/java/lupinvalve/replication/SimulatedMember.java
+++ b/faultinjection/src/main/java/lupinvalve/replication/SimulatedMember.java
@@ -11,29 +11,30 @@
 import lupinvalve.statemachine.MemberId;
 import lupinvalve.statemachine.ReplicatedState;
 
-/** One member of a {@link Simulation} through all its incarnations, and its disk. */
+/** One member of a {@link Simulation}, across all incarnations of its process, and its disk. */
 final class SimulatedMember {
     private static final String CLUSTER = "sim";
-    private static final long STOPPED_MICROS = 10_000_000;
-    private static final long LATE_MICROS = 2_000_000;
-    private static final long REVIVE_MICROS = 500_000;
+    private static final long PAUSE_MICROS = 10_000_000;
+    private static final long LATE_DELAY_MICROS = 2_000_000;
+    private static final long REPLICA_RESTART_DELAY_MICROS = 500_000;
 
     final int number;
     final MemberId identity;
     SimulatedDisk disk = new SimulatedDisk();
-    /** Of the process that runs, or null. */
+    /** The running process's replica, or null if no process is running. */
     RaftReplica replica;
-    /** Why the replica has stopped, or null. */
+    /** Why the replica has terminated or could not be started, or null. */
     String stopReason;
 
+    /** Whether the member has ever been started. */
     boolean started;
-    /** Counts up as the process dies. */
+    /** Incremented each time the process dies. */
     int incarnation;
 
     long pausedUntilMicros;
-    /** Digests of the configurations that it has applied, by log index. */
+    /** Digests of the configurations that this member has applied, by log index. */
     final TreeMap<Long, String> appliedDigests = new TreeMap<>();
-    /** What an earlier store left at this member, until that is imported. */
+    /** Configuration in the store of an earlier version; null if there is none or it has been imported. */
     byte[] legacyDocument;
 
     private final Simulation simulation;
@@ -45,10 +46,10 @@
         identity = new MemberId("m" + number, "d" + number);
     }
 
-    /** One process of the member: after its end nothing that it does has an effect. */
+    /** One process of the member; once it has ended, its calls and its scheduled tasks have no effect. */
     private final class Incarnation
             implements Scheduler, FailPointDisk.Process, RaftReplica.MessageSender, LegacyStoreImport.Source {
-        private final int own = incarnation;
+        private final int ownIncarnation = incarnation;
 
         @Override
         public long now() {
@@ -72,7 +73,7 @@
             if (now() >= pausedUntilMicros) {
                 Fault fault = simulation.failPoints.nextFault(StepKind.TIMER);
                 if (fault == Fault.STOPPED) {
-                    pausedUntilMicros = now() + STOPPED_MICROS;
+                    pausedUntilMicros = now() + PAUSE_MICROS;
                 } else if (fault != null) {
                     die(fault);
                     return;
@@ -88,7 +89,7 @@
 
         @Override
         public boolean hasEnded() {
-            return own != incarnation;
+            return ownIncarnation != incarnation;
         }
 
         @Override
@@ -106,7 +107,7 @@
             if (fault == null || fault == Fault.DOUBLED || fault == Fault.DIE_AFTER) {
                 simulation.transmit(SimulatedMember.this, receiver, message, 0);
             } else if (fault == Fault.LATE) {
-                simulation.transmit(SimulatedMember.this, receiver, message, LATE_MICROS);
+                simulation.transmit(SimulatedMember.this, receiver, message, LATE_DELAY_MICROS);
             }
             if (fault == Fault.DOUBLED) {
                 simulation.transmit(SimulatedMember.this, receiver, message, 0);
@@ -164,25 +165,25 @@
         @Override
         public void terminated(RaftReplica.Termination reason) {
             stopReason = reason.reason();
-            new Incarnation().after(REVIVE_MICROS, SimulatedMember.this::revive);
+            new Incarnation().after(REPLICA_RESTART_DELAY_MICROS, SimulatedMember.this::restartReplica);
         }
     }
 
-    /** Starts a process from what is on the disk. */
+    /** Starts a process from the state on the disk. */
     void start() throws IOException {
         started = true;
         startReplica(SegmentedLog.open(accessDisk(), CLUSTER, identity.name(), identity.diskId()));
     }
 
-    /** Starts the replica again in the same process, as a member does whose disk is good again. */
-    private void revive() {
+    /** Starts a new replica in the same process after a disk failure, as a member does; retries until that works. */
+    private void restartReplica() {
         if (replica == null || !RaftReplica.Termination.DISK_FAILURE.reason().equals(stopReason)) {
             return;
         }
         try {
             startReplica(SegmentedLog.reopenAfterFault(accessDisk(), CLUSTER, identity.name()));
         } catch (IOException e) {
-            new Incarnation().after(REVIVE_MICROS, this::revive);
+            new Incarnation().after(REPLICA_RESTART_DELAY_MICROS, this::restartReplica);
         }
     }
 
@@ -206,21 +207,21 @@
         replica.start();
     }
 
-    /** Imports what an earlier store left here, as long as this member leads. */
+    /** Proposes the earlier version's configuration if this member leads. */
     void importLegacy() {
         if (isRunning() && replica.isLeader()) {
             legacyImport.propose(replica, document -> true, (session, position) -> {});
         }
     }
 
-    /** Ends the process; the disk loses some of what was not forced. */
+    /** Ends the process; the disk loses a part of the unforced data. */
     void kill() {
         incarnation++;
         replica = null;
         disk.crash(simulation.random);
     }
 
-    /** Ends this process, or all where the power is cut. */
+    /** Ends this process, or those of all members in a power cut. */
     void die(Fault fault) {
         if (fault == Fault.POWER_CUT) {
             simulation.forEachMember(SimulatedMember::kill);
@@ -235,19 +236,22 @@
 
     private void checkOneLeaderPerTerm() {
         if (isRunning() && replica.isLeader()) {
-            Integer other = simulation.leaderByTerm.putIfAbsent(replica.term(), number);
-            if (other != null && other != number) {
-                simulation.violations.add("term " + replica.term() + " is led by m" + other + " and m" + number);
+            Integer firstLeader = simulation.leaderByTerm.putIfAbsent(replica.term(), number);
+            if (firstLeader != null && firstLeader != number) {
+                simulation.violations.add(
+                        "term " + replica.term() + " has two leaders: m" + firstLeader + " and m" + number);
             }
         }
     }
 
+    /** Records a violation if another document was applied at the same log index, by any member. */
     private void checkSameAsOthers(ReplicatedState.Document document) {
-        String before = appliedDigests.putIfAbsent(document.index(), document.digest());
-        String committed = simulation.committedDigests.putIfAbsent(document.index(), document.digest());
-        if (committed != null && !committed.equals(document.digest())
-                || before != null && !before.equals(document.digest())) {
-            simulation.violations.add("change " + document.index() + " is " + document.digest() + " and " + committed);
+        String ownEarlierDigest = appliedDigests.putIfAbsent(document.index(), document.digest());
+        String firstDigest = simulation.committedDigests.putIfAbsent(document.index(), document.digest());
+        if (firstDigest != null && !firstDigest.equals(document.digest())
+                || ownEarlierDigest != null && !ownEarlierDigest.equals(document.digest())) {
+            simulation.violations.add("log index " + document.index() + ": " + identity.name() + " applied digest "
+                    + document.digest() + ", " + firstDigest + " was applied before");
         }
     }
 }
--- a/faultinjection/src/main/java/lupinvalve/replication/Simulation.java
+++ b/faultinjection/src/main/java/lupinvalve/replication/Simulation.java
@@ -18,9 +18,9 @@
 import lupinvalve.statemachine.MemberId;
 
 /**
- * A group in virtual time: its members, the network between them, and what must hold of them together. One seed, one
- * sequence of events. Each step at which a member meets its disk, the network or a timer is a fail point. For one
- * thread.
+ * A Raft group in virtual time: its members, the network between them, and the violations found. The seed determines
+ * the sequence of events. Each step at which a member accesses its disk, the network or a timer is a fail point. Not
+ * thread-safe.
  */
 final class Simulation {
     private static final int MAX_TRACE_CHARS = 400;
@@ -42,13 +42,13 @@
     final Random random;
     final List<SimulatedMember> members = new ArrayList<>();
     final Set<MemberId> founders = new TreeSet<>();
-    /** Which member led first in each term. */
+    /** Number of the member that was first seen to lead, by term. */
     final TreeMap<Integer, Integer> leaderByTerm = new TreeMap<>();
     /** Digests of the configurations that any member has applied, by log index. */
     final TreeMap<Long, String> committedDigests = new TreeMap<>();
-    /** What was found broken. */
+    /** Violations of what must hold, in the order in which they were found. */
     final List<String> violations = new ArrayList<>();
-    /** Whether messages from one member, by number, to another are lost. */
+    /** Whether messages are lost, by the numbers of the sender and the receiver. */
     final boolean[][] linkDown;
 
     double messageLossRatio;
@@ -79,11 +79,12 @@
         }
     }
 
+    /** Schedules an event; events of the same time run in the order in which they were scheduled. */
     void schedule(long inMicros, Runnable work) {
         events.add(new Event(nowMicros + inMicros, nextSequence++, work));
     }
 
-    /** Sends a message; it is lost where the receiver dies, or the link breaks, before it arrives. */
+    /** Sends a message; it is lost if the receiver dies or the link goes down before it arrives. */
     void transmit(SimulatedMember from, SimulatedMember to, byte[] message, long delayMicros) {
         if (to == null || linkDown[from.number][to.number] || random.nextDouble() < messageLossRatio) {
             return;
@@ -108,7 +109,7 @@
                 member.die(fault);
             }
         } catch (IOException e) {
-            violations.add("a message can't be read: " + e.getMessage());
+            violations.add(member.identity.name() + " can't decode a message: " + e.getMessage());
         }
     }
 
@@ -121,7 +122,7 @@
         }
     }
 
-    /** Lets virtual time pass. */
+    /** Advances virtual time and runs the events that become due. */
     void run(long micros) {
         long endMicros = nowMicros + micros;
         while (!events.isEmpty() && events.peek().atMicros() <= endMicros) {
@@ -132,7 +133,7 @@
         nowMicros = endMicros;
     }
 
-    /** Runs until a condition holds, for 30 s of virtual time at most; returns whether it holds. */
+    /** Advances virtual time until the condition holds, by 30 s at most; returns whether it holds. */
     boolean runUntil(BooleanSupplier condition) {
         for (int i = 0; i < MAX_WAIT_STEPS && !condition.getAsBoolean(); i++) {
             run(WAIT_STEP_MICROS);
@@ -141,8 +142,8 @@
     }
 
     /**
-     * Lets time pass; where a majority runs throughout and its members hear each other, it must not end without a
-     * leader, whoever is down.
+     * Advances virtual time. If a majority is running throughout, there must be a leader at the end, whichever members
+     * are down. The caller ensures that running members can reach each other.
      */
     void runExpectingLeader(long micros) {
         boolean majorityThroughout = true;
@@ -155,12 +156,11 @@
             majorityThroughout &= 2 * runningCount > founders.size();
         }
         if (majorityThroughout && leader() == null) {
-            violations.add(
-                    "no leader " + micros / 1000 + " ms after the last one's end, though a majority runs throughout");
+            violations.add("no leader after " + micros / 1000 + " ms although a majority was running throughout");
         }
     }
 
-    /** A member that claims to lead, or null. */
+    /** The first running member that claims leadership, or null. */
     SimulatedMember leader() {
         return members.stream()
                 .filter(member -> member.isRunning() && member.replica.isLeader())
@@ -168,7 +168,7 @@
                 .orElse(null);
     }
 
-    /** The member with an identity, or null. */
+    /** The member with this identity, or null. */
     SimulatedMember member(MemberId identity) {
         return members.stream()
                 .filter(member -> member.identity.equals(identity))
@@ -191,6 +191,7 @@
         messageLossRatio = 0;
     }
 
+    /** Content of a configuration document. */
     static byte[] document(String text) {
         return text.getBytes(StandardCharsets.UTF_8);
     }
--- a/faultinjection/src/test/java/lupinvalve/faultinjection/FailPointsTest.java
+++ b/faultinjection/src/test/java/lupinvalve/faultinjection/FailPointsTest.java
@@ -12,7 +12,7 @@
 
 class FailPointsTest {
     @Test
-    void onlyPointsMetWhileItIsOnAreNumbered() {
+    void onlyPointsReachedWhileEnabledAreNumbered() {
         FailPoints points = new FailPoints(new PlannedFault(2, Fault.FAIL));
         assertNull(points.nextFault(StepKind.FORCE));
         points.setEnabled(true);
@@ -25,19 +25,19 @@
     }
 
     @Test
-    void aFaultComesOnlyWhereItFits() {
+    void aFaultIsInjectedOnlyAtStepsThatItFits() {
         FailPoints points = new FailPoints(new PlannedFault(1, Fault.TORN));
         points.setEnabled(true);
-        assertNull(points.nextFault(StepKind.SEND), "a message is not torn");
+        assertNull(points.nextFault(StepKind.SEND), "TORN does not apply to SEND");
         assertEquals(
                 List.of(new PlannedFault(1, Fault.DIE_BEFORE), new PlannedFault(1, Fault.STOPPED)),
                 FailPoints.allSingleFaults(List.of(StepKind.TIMER)));
     }
 
     @Test
-    void aFaultAtAPointIsReadAsItIsWritten() {
-        PlannedFault at = new PlannedFault(472, Fault.DIE_AFTER);
-        assertEquals(at, PlannedFault.parse(at.toString()));
+    void aPlannedFaultIsParsedFromItsOwnText() {
+        PlannedFault planned = new PlannedFault(472, Fault.DIE_AFTER);
+        assertEquals(planned, PlannedFault.parse(planned.toString()));
         assertThrows(IllegalArgumentException.class, () -> PlannedFault.parse("472"));
         assertThrows(IllegalArgumentException.class, () -> PlannedFault.parse("472:GONE"));
     }
--- a/faultinjection/src/test/java/lupinvalve/replication/AuditLogTest.java
+++ b/faultinjection/src/test/java/lupinvalve/replication/AuditLogTest.java
@@ -16,16 +16,16 @@
 class AuditLogTest {
     private final SimulatedDisk disk = new SimulatedDisk();
 
-    private static List<AuditEntry> entries(Command.AppendAudit noted) throws IOException {
+    private static List<AuditEntry> entries(Command.AppendAudit command) throws IOException {
         List<AuditEntry> all = new ArrayList<>();
-        for (byte[] entry : noted.entries()) {
+        for (byte[] entry : command.entries()) {
             all.add(AuditEntry.decode(entry));
         }
         return all;
     }
 
     @Test
-    void whatWasForcedIsThereAfterACrashAndIsDeliveredLate() throws IOException {
+    void forcedEntriesSurviveACrashAndAreDeliveredAfterTheRestart() throws IOException {
         AuditLog first = new AuditLog(disk, "p", 1);
         first.append(AuditEntry.Event.STARTED, "", 0, 10, "");
         first.append(AuditEntry.Event.ADOPTED, "1-a", 1, 20, "");
@@ -33,18 +33,20 @@
         assertNull(first.nextBatch());
         first.append(AuditEntry.Event.CUT_OFF, "1-a", 1, 30, "");
         disk.crash(new Random(1));
-        AuditLog next = new AuditLog(disk, "p", 2);
-        List<AuditEntry> left = entries(next.nextBatch());
+        AuditLog second = new AuditLog(disk, "p", 2);
+        List<AuditEntry> undelivered = entries(second.nextBatch());
         assertEquals(
-                List.of(1L, 2L, 3L), left.stream().map(AuditEntry::number).toList(), "which came through is not known");
-        assertNull(AuditJournal.chainBreak(left));
-        next.markDelivered(next.nextBatch());
-        next.append(AuditEntry.Event.STARTED, "", 1, 40, "");
-        assertEquals(2, entries(next.nextBatch()).get(0).incarnation());
+                List.of(1L, 2L, 3L),
+                undelivered.stream().map(AuditEntry::number).toList(),
+                "deliveries before the crash are not recorded on disk");
+        assertNull(AuditJournal.chainBreak(undelivered));
+        second.markDelivered(second.nextBatch());
+        second.append(AuditEntry.Event.STARTED, "", 1, 40, "");
+        assertEquals(2, entries(second.nextBatch()).get(0).incarnation());
     }
 
     @Test
-    void anEntryThatADiskDidNotTakeIsNotActedOnAndStillDelivered() throws IOException {
+    void appendingToAFullDiskFailsAndTheEntryIsStillDelivered() throws IOException {
         AuditLog log = new AuditLog(disk, "p", 1);
         log.append(AuditEntry.Event.STARTED, "", 0, 10, "");
         disk.freeBytes = 30;
@@ -53,11 +55,12 @@
         log.append(AuditEntry.Event.ADOPTED, "1-a", 1, 30, "");
         assertNull(AuditJournal.chainBreak(entries(log.nextBatch())));
         assertEquals(3, log.nextBatch().entries().size());
-        // On the disk stands what it took, each file whole but for its end.
-        List<AuditEntry> kept = new ArrayList<>();
+        // The disk has the entries whose writes succeeded; the torn record is the last of its file and is ignored.
+        List<AuditEntry> storedEntries = new ArrayList<>();
         for (String file : disk.names()) {
-            kept.addAll(AuditLog.read(disk, file));
+            storedEntries.addAll(AuditLog.read(disk, file));
         }
-        assertEquals(List.of(1L, 3L), kept.stream().map(AuditEntry::number).toList());
+        assertEquals(
+                List.of(1L, 3L), storedEntries.stream().map(AuditEntry::number).toList());
     }
 }
--- a/faultinjection/src/test/java/lupinvalve/replication/CachedDocumentFileTest.java
+++ b/faultinjection/src/test/java/lupinvalve/replication/CachedDocumentFileTest.java
@@ -7,6 +7,7 @@
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
@@ -18,7 +19,10 @@
 import lupinvalve.subscription.SubscriberState;
 import org.junit.jupiter.api.Test;
 
-/** What a subscriber caches for its restart: the old state or the new one, complete, or an error. */
+/**
+ * A subscriber's cache file: after a fault it has the old state or the new one, complete, and a damaged or foreign file
+ * is rejected.
+ */
 class CachedDocumentFileTest {
     private static final String CLUSTER = "plant";
     private final SimulatedDisk disk = new SimulatedDisk();
@@ -34,77 +38,80 @@
     }
 
     @Test
-    void aFaultAtEachPointLeavesTheOldOrTheNew() throws IOException {
+    void aFaultAtAnyPointLeavesTheOldOrTheNewState() throws IOException {
         FailPoints counted = new FailPoints();
         counted.setEnabled(true);
-        twoWrites(new SimulatedDisk(), counted, null);
+        writeTwice(new SimulatedDisk(), counted, null);
         List<FailPoints.PlannedFault> faults = FailPoints.allSingleFaults(counted.reachedSteps());
         assertTrue(faults.size() >= 6, faults.toString());
         for (FailPoints.PlannedFault at : faults) {
-            SimulatedDisk own = new SimulatedDisk();
+            SimulatedDisk faultyDisk = new SimulatedDisk();
             FailPoints points = new FailPoints(at);
             points.setEnabled(true);
-            long seen = twoWrites(own, points, new Random(at.point()));
-            SubscriberState.Cached left = CachedDocumentFile.read(own, CLUSTER);
-            long revision = left.document() == null ? 0 : left.document().revision();
-            assertTrue(revision >= seen && revision <= 2, at + ": " + revision + " after " + seen);
+            long writtenRevision = writeTwice(faultyDisk, points, new Random(at.point()));
+            SubscriberState.Cached cachedState = CachedDocumentFile.read(faultyDisk, CLUSTER);
+            long revision =
+                    cachedState.document() == null ? 0 : cachedState.document().revision();
+            assertTrue(
+                    revision >= writtenRevision && revision <= 2,
+                    at + ": read revision " + revision + " after writing " + writtenRevision);
             assertEquals(
                     revision == 0
                             ? SubscriberState.Cached.EMPTY.drains()
                             : cached(revision).drains(),
-                    left.drains(),
+                    cachedState.drains(),
                     at.toString());
         }
     }
 
-    /** Writes one state, reads it, and writes another; returns the revision that was surely written. */
-    private static long twoWrites(SimulatedDisk disk, FailPoints points, Random crash) {
-        boolean[] over = new boolean[1];
+    /** Reads the file and writes a state, twice; returns the revision of the last write that succeeded, or 0. */
+    private static long writeTwice(SimulatedDisk disk, FailPoints points, Random crashRandom) {
+        boolean[] processEnded = new boolean[1];
         Disk counted = new FailPointDisk(disk, points::nextFault, new FailPointDisk.Process() {
             @Override
             public boolean hasEnded() {
-                return over[0];
+                return processEnded[0];
             }
 
             @Override
             public void end(FailPoints.Fault fault) {
-                over[0] = true;
-                if (crash != null) {
-                    disk.crash(crash);
+                processEnded[0] = true;
+                if (crashRandom != null) {
+                    disk.crash(crashRandom);
                 }
             }
         });
-        long sure = 0;
+        long writtenRevision = 0;
         for (long revision = 1; revision <= 2; revision++) {
             try {
                 CachedDocumentFile.read(counted, CLUSTER);
                 CachedDocumentFile.write(counted, CLUSTER, cached(revision));
-                sure = revision;
+                writtenRevision = revision;
             } catch (IOException e) {
-                // The subscriber goes on, or its process has ended.
+                // The subscriber continues without its cache, or the process has ended and all further calls fail.
             }
         }
-        return sure;
+        return writtenRevision;
     }
 
     @Test
-    void whatIsTornOrChangedOrOfAnotherClusterIsAnError() throws IOException {
+    void readingATruncatedOrModifiedFileOrOneOfAnotherClusterFails() throws IOException {
         CachedDocumentFile.write(disk, CLUSTER, cached(1));
-        byte[] whole = disk.content(CachedDocumentFile.NAME);
+        byte[] intact = disk.content(CachedDocumentFile.NAME);
         assertArrayEquals(
                 cached(1).document().content(),
                 CachedDocumentFile.read(disk, CLUSTER).document().content());
-        for (int length = 0; length < whole.length; length++) {
-            disk.put(CachedDocumentFile.NAME, Arrays.copyOf(whole, length));
+        for (int length = 0; length < intact.length; length++) {
+            disk.put(CachedDocumentFile.NAME, Arrays.copyOf(intact, length));
             assertThrows(IOException.class, () -> CachedDocumentFile.read(disk, CLUSTER));
         }
-        for (int at = 0; at < whole.length; at++) {
-            byte[] changed = whole.clone();
+        for (int at = 0; at < intact.length; at++) {
+            byte[] changed = intact.clone();
             changed[at] ^= (byte) (1 << at % 8);
             disk.put(CachedDocumentFile.NAME, changed);
             assertThrows(IOException.class, () -> CachedDocumentFile.read(disk, CLUSTER));
         }
-        disk.put(CachedDocumentFile.NAME, whole);
+        disk.put(CachedDocumentFile.NAME, intact);
         assertEquals(
                 "followed: the file belongs to cluster plant, expected another",
                 assertThrows(IOException.class, () -> CachedDocumentFile.read(disk, "another"))
@@ -112,22 +119,22 @@
     }
 
     @Test
-    void ofThoseThatWaitForTheDiskTheLastIsWrittenAndItIsClosedAfterwards() throws Exception {
-        List<Runnable> waiting = new java.util.ArrayList<>();
-        CachedDocumentWriter writer = new CachedDocumentWriter(disk, CLUSTER, waiting::add);
+    void onlyTheLatestPendingStateIsWrittenAndTheDiskIsClosedAfterwards() throws Exception {
+        List<Runnable> pendingTasks = new ArrayList<>();
+        CachedDocumentWriter writer = new CachedDocumentWriter(disk, CLUSTER, pendingTasks::add);
         writer.write(cached(1));
         writer.write(cached(2));
         writer.close();
-        assertEquals(1, waiting.size());
-        assertEquals(List.of(), disk.names(), "nobody has waited for the disk");
+        assertEquals(1, pendingTasks.size());
+        assertEquals(List.of(), disk.names(), "nothing is written before the executor runs the task");
         assertTrue(!writer.awaitClosed(0));
-        waiting.remove(0).run();
+        pendingTasks.remove(0).run();
         assertEquals(2, CachedDocumentFile.read(disk, CLUSTER).document().revision());
         assertTrue(writer.awaitClosed(0));
     }
 
     @Test
-    void aDiskThatRenamesWithoutForcingIsFoundOut() throws IOException {
+    void aRenameWithoutForceIsDetected() throws IOException {
         disk.seededBug = FaultSweep.SeededBug.RENAME_WITHOUT_FORCE;
         CachedDocumentFile.write(disk, CLUSTER, cached(1));
         disk.crash(new Random(3));
--- a/faultinjection/src/test/java/lupinvalve/replication/FaultSweepTest.java
+++ b/faultinjection/src/test/java/lupinvalve/replication/FaultSweepTest.java
@@ -15,18 +15,18 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Whole sweeps of the scenarios that take seconds; the long ones are for `lab faults`. */
+/** Complete sweeps of the scenarios that take seconds; {@code lab faults} sweeps the longer ones. */
 class FaultSweepTest {
     private static final long SEED = 7;
 
     @BeforeAll
-    static void quiet() {
+    static void disableLog() {
         Log.setLevel(Log.Level.ERROR);
         Log.setOutput(new PrintStream(OutputStream.nullOutputStream()));
     }
 
     @AfterAll
-    static void loud() {
+    static void restoreLog() {
         Log.setOutput(System.err);
     }
 
@@ -34,51 +34,52 @@
     @EnumSource(
             mode = EnumSource.Mode.EXCLUDE,
             names = {"COMPACTION", "SNAPSHOT"})
-    void noFaultAtAnyPointBreaksAnything(Scenario scenario) {
+    void noFaultAtAnyPointCausesAViolation(Scenario scenario) {
         FaultSweep.Result result = FaultSweep.sweep(scenario, SEED, FaultSweep.SeededBug.NONE, 100);
         assertEquals(List.of(), result.badRuns().stream().limit(5).toList());
-        assertTrue(result.pointCount() >= 50, "points " + result.pointCount());
+        assertTrue(result.pointCount() >= 50, "point count " + result.pointCount());
     }
 
     /**
-     * Found by the sweep: a member that died once its snapshot was forced, with one change behind it, never caught up.
+     * Guards against a fault in which a member never caught up after it had died right after forcing its snapshot, with
+     * one log entry behind the snapshot.
      */
     @Test
     void aMemberWithAChangeBehindItsSnapshotCatchesUp() {
-        for (String at : List.of("472:DIE_AFTER", "473:DIE_BEFORE")) {
-            FaultSweep.Run play = FaultSweep.runOnce(
-                    Scenario.COMPACTION, SEED, FaultSweep.SeededBug.NONE, List.of(PlannedFault.parse(at)));
-            assertTrue(play.isGood(), play.toString());
+        for (String fault : List.of("472:DIE_AFTER", "473:DIE_BEFORE")) {
+            FaultSweep.Run run = FaultSweep.runOnce(
+                    Scenario.COMPACTION, SEED, FaultSweep.SeededBug.NONE, List.of(PlannedFault.parse(fault)));
+            assertTrue(run.isGood(), run.toString());
         }
     }
 
     /**
-     * Found by the sweep: the leader's first answer behind a snapshot was lost, and the newcomer turned down all that
-     * followed.
+     * Guards against a fault in which the leader's first response after a snapshot was lost and the new member rejected
+     * everything that followed, so that it never caught up.
      */
     @Test
-    void aNewcomerWhoseFirstAnswerBehindASnapshotIsLostCatchesUp() {
-        FaultSweep.Run play = FaultSweep.runOnce(
+    void aNewMemberCatchesUpThoughTheFirstResponseAfterItsSnapshotIsLost() {
+        FaultSweep.Run run = FaultSweep.runOnce(
                 Scenario.SNAPSHOT, SEED, FaultSweep.SeededBug.NONE, List.of(PlannedFault.parse("155:LOST")));
-        assertTrue(play.isGood(), play.toString());
+        assertTrue(run.isGood(), run.toString());
     }
 
     @Test
-    void whatIsAcknowledgedBeforeTheForceIsFoundLost() {
+    void acknowledgingBeforeForcingIsDetected() {
         assertFalse(FaultSweep.sweep(Scenario.PUT, SEED, FaultSweep.SeededBug.ACK_BEFORE_FORCE, 0)
                 .badRuns()
                 .isEmpty());
     }
 
     @Test
-    void aPlaceTakenBeforeTheForceIsFound() {
+    void renamingBeforeForcingIsDetected() {
         assertFalse(FaultSweep.sweep(Scenario.BOOTSTRAP, SEED, FaultSweep.SeededBug.RENAME_WITHOUT_FORCE, 0)
                 .badRuns()
                 .isEmpty());
     }
 
     @Test
-    void theSameSeedMeetsTheSamePoints() {
+    void theSameSeedReachesTheSamePoints() {
         assertEquals(
                 FaultSweep.faultFreeSteps(Scenario.LEADER_CHANGE, SEED),
                 FaultSweep.faultFreeSteps(Scenario.LEADER_CHANGE, SEED));
--- a/faultinjection/src/test/java/lupinvalve/replication/SegmentedLogTest.java
+++ b/faultinjection/src/test/java/lupinvalve/replication/SegmentedLogTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 
 class SegmentedLogTest {
-    private static final MemberId ME = new MemberId("a", "d1");
+    private static final MemberId MEMBER = new MemberId("a", "d1");
     private final SimulatedDisk disk = new SimulatedDisk();
 
     private static SegmentedLog open(SimulatedDisk from) throws IOException {
@@ -36,30 +36,32 @@
                 .build();
     }
 
-    private static void begin(SegmentedLog log) throws IOException {
-        log.persistAnnouncement(new ClusterBootstrap.Announcement(ME, ClusterBootstrap.Phase.BOOTSTRAPPED, Set.of(ME)));
+    /** Persists the identity, the group's members, a term and a vote. */
+    private static void persistInitialState(SegmentedLog log) throws IOException {
+        log.persistAnnouncement(
+                new ClusterBootstrap.Announcement(MEMBER, ClusterBootstrap.Phase.BOOTSTRAPPED, Set.of(MEMBER)));
         log.persistAndFlushLocalEndpoint(RaftCodec.FACTORY
                 .createRaftEndpointPersistentStateBuilder()
-                .setLocalEndpoint(new MemberEndpoint(ME))
+                .setLocalEndpoint(new MemberEndpoint(MEMBER))
                 .setVoting(true)
                 .build());
         log.persistAndFlushInitialGroupMembers(RaftCodec.FACTORY
                 .createRaftGroupMembersViewBuilder()
                 .setLogIndex(0)
-                .setMembers(List.of(new MemberEndpoint(ME)))
-                .setVotingMembers(List.of(new MemberEndpoint(ME)))
+                .setMembers(List.of(new MemberEndpoint(MEMBER)))
+                .setVotingMembers(List.of(new MemberEndpoint(MEMBER)))
                 .build());
         log.persistAndFlushTerm(RaftCodec.FACTORY
                 .createRaftTermPersistentStateBuilder()
                 .setTerm(3)
-                .setVotedFor(new MemberEndpoint(ME))
+                .setVotedFor(new MemberEndpoint(MEMBER))
                 .build());
     }
 
-    /** A history of 20 changes, each forced. */
-    private SegmentedLog written() throws IOException {
+    /** Opens a log and appends 20 entries, each forced. */
+    private SegmentedLog writeTwentyEntries() throws IOException {
         SegmentedLog log = open(disk);
-        begin(log);
+        persistInitialState(log);
         for (int i = 1; i <= 20; i++) {
             log.persistLogEntries(List.of(entry(i, 3)));
             log.flush();
@@ -67,59 +69,60 @@
         return log;
     }
 
-    private String history() {
+    /** Name of the last segment file of the log. */
+    private String lastSegmentFile() {
         return disk.files.lastEntry().getKey().startsWith("history")
                 ? disk.files.lastKey()
                 : disk.files.headMap("identity").lastKey();
     }
 
     @Test
-    void aTornEndIsCutAndNothingBeforeItIsLost() throws Exception {
-        written();
-        String name = history();
-        byte[] whole = disk.content(name);
-        long before = -1;
-        for (int size = 0; size <= whole.length; size++) {
+    void aTornEndIsTruncatedAndNoEarlierEntryIsLost() throws Exception {
+        writeTwentyEntries();
+        String name = lastSegmentFile();
+        byte[] intact = disk.content(name);
+        long previousLastIndex = -1;
+        for (int size = 0; size <= intact.length; size++) {
             SimulatedDisk torn = disk.copy();
-            torn.put(name, Arrays.copyOf(whole, size));
-            // Some systems leave zeros where the rest should be.
+            torn.put(name, Arrays.copyOf(intact, size));
+            // Some file systems leave zeros in place of lost data.
             SimulatedDisk zeros = disk.copy();
-            zeros.put(name, Arrays.copyOf(Arrays.copyOf(whole, size), size + 5000));
+            zeros.put(name, Arrays.copyOf(Arrays.copyOf(intact, size), size + 5000));
             SegmentedLog log = open(torn);
             assertEquals(log.lastIndex(), open(zeros).lastIndex());
-            assertTrue(log.lastIndex() >= before, "more is there than with less");
-            before = log.lastIndex();
-            // What was cut is gone for good, and the history goes on behind it.
+            assertTrue(log.lastIndex() >= previousLastIndex, "a longer prefix of the file has no fewer entries");
+            previousLastIndex = log.lastIndex();
+            // The truncation is permanent: an entry appended after it is the last one at the next opening.
             if (log.lastIndex() > 0) {
                 log.persistLogEntries(List.of(entry(log.lastIndex() + 1, 4)));
                 log.flush();
                 assertEquals(log.lastIndex() + 1, open(torn).lastIndex());
             }
         }
-        assertEquals(20, before);
+        assertEquals(20, previousLastIndex);
     }
 
     @Test
-    void aFlippedBitAnywhereStopsTheStart() throws Exception {
-        written();
+    void aFlippedBitAnywherePreventsOpening() throws Exception {
+        writeTwentyEntries();
         for (String name : disk.names()) {
-            byte[] whole = disk.content(name);
-            for (int at = 0; at < whole.length; at++) {
+            byte[] intact = disk.content(name);
+            for (int at = 0; at < intact.length; at++) {
                 SimulatedDisk damaged = disk.copy();
-                byte[] bytes = whole.clone();
+                byte[] bytes = intact.clone();
                 bytes[at] ^= (byte) (1 << at % 8);
                 damaged.put(name, bytes);
-                int where = at;
-                IOException refused =
-                        assertThrows(IOException.class, () -> open(damaged), () -> name + " byte " + where);
-                assertTrue(refused.getMessage().startsWith(name + ", byte "), refused.getMessage());
+                int byteOffset = at;
+                IOException failure =
+                        assertThrows(IOException.class, () -> open(damaged), () -> name + " byte " + byteOffset);
+                assertTrue(failure.getMessage().startsWith(name + ", byte "), failure.getMessage());
             }
         }
     }
 
     @Test
-    void aForeignFolderOrANewerFormatStopsTheStart() throws Exception {
-        written();
+    void aForeignOrMissingIdentityANewerFormatOrAGapPreventsOpening() throws Exception {
+        writeTwentyEntries();
         assertEquals(
                 "identity: the file belongs to cluster plant, expected dock",
                 assertThrows(IOException.class, () -> SegmentedLog.open(disk, "dock", "a", "d1"))
@@ -128,48 +131,50 @@
                 "identity: the file belongs to member a, expected b",
                 assertThrows(IOException.class, () -> SegmentedLog.open(disk, "plant", "b", "d1"))
                         .getMessage());
-        SimulatedDisk newer = disk.copy();
-        newer.put(
+        SimulatedDisk newerFormat = disk.copy();
+        newerFormat.put(
                 "identity",
                 RecordFrames.frame(
                         new lupinvalve.statemachine.Cbor.Writer().number(2).toByteArray()));
         assertEquals(
                 "identity: format version 2 is not supported; this program reads version 1",
-                assertThrows(IOException.class, () -> open(newer)).getMessage());
-        SimulatedDisk bare = disk.copy();
-        bare.files.remove("identity");
-        assertTrue(
-                assertThrows(IOException.class, () -> open(bare)).getMessage().startsWith("identity is missing"));
-        SimulatedDisk gap = disk.copy();
-        SegmentedLog log = open(gap);
+                assertThrows(IOException.class, () -> open(newerFormat)).getMessage());
+        SimulatedDisk withoutIdentity = disk.copy();
+        withoutIdentity.files.remove("identity");
+        assertTrue(assertThrows(IOException.class, () -> open(withoutIdentity))
+                .getMessage()
+                .startsWith("identity is missing"));
+        SimulatedDisk withGap = disk.copy();
+        SegmentedLog log = open(withGap);
         log.persistLogEntries(List.of(entry(30, 3)));
         log.flush();
-        assertTrue(
-                assertThrows(IOException.class, () -> open(gap)).getMessage().contains("changes 1 to 29 are missing"));
+        assertTrue(assertThrows(IOException.class, () -> open(withGap))
+                .getMessage()
+                .contains("changes 1 to 29 are missing"));
     }
 
     @Test
-    void termVoteMembersAndWhatWasAcceptedOutliveSegments() throws Exception {
-        SegmentedLog log = written();
+    void aGapBetweenTheSnapshotAndTheLogPreventsOpening() throws Exception {
+        SegmentedLog log = writeTwentyEntries();
         log.advanceCommitIndex(12);
-        ReplicatedState ledger = new ReplicatedState();
+        ReplicatedState state = new ReplicatedState();
         for (int i = 1; i <= 15; i++) {
-            ledger.apply(i, CommandCodec.decode((byte[]) entry(i, 3).getOperation()));
+            state.apply(i, CommandCodec.decode((byte[]) entry(i, 3).getOperation()));
         }
-        List<byte[]> pieces = SnapshotCodec.encode(ledger);
-        for (int i = 0; i < pieces.size(); i++) {
+        List<byte[]> chunks = SnapshotCodec.encode(state);
+        for (int i = 0; i < chunks.size(); i++) {
             log.persistSnapshotChunk(RaftCodec.FACTORY
                     .createSnapshotChunkBuilder()
                     .setIndex(15)
                     .setTerm(3)
                     .setSnapshotChunkIndex(i)
-                    .setSnapshotChunkCount(pieces.size())
-                    .setOperation(pieces.get(i))
+                    .setSnapshotChunkCount(chunks.size())
+                    .setOperation(chunks.get(i))
                     .setGroupMembersView(RaftCodec.FACTORY
                             .createRaftGroupMembersViewBuilder()
                             .setLogIndex(0)
-                            .setMembers(List.of(new MemberEndpoint(ME)))
-                            .setVotingMembers(List.of(new MemberEndpoint(ME)))
+                            .setMembers(List.of(new MemberEndpoint(MEMBER)))
+                            .setVotingMembers(List.of(new MemberEndpoint(MEMBER)))
                             .build())
                     .build());
         }
@@ -182,31 +187,32 @@
         log.truncateLogEntriesFrom(22);
         log.persistLogEntries(List.of(entry(22, 4)));
         log.flush();
-        // The changes that lay in the segment gone are missing behind the snapshot: that must not pass.
+        // Entries 16 to 20 were in the deleted segment and are not in the snapshot: opening must fail.
         assertTrue(assertThrows(IOException.class, () -> open(disk.copy()))
                 .getMessage()
                 .contains("changes 16 to 20"));
     }
 
     @Test
-    void aRestartKnowsByItselfWhatWasAccepted() throws Exception {
-        SegmentedLog log = written();
+    void aRestartRestoresTheCommittedStateTermVoteAndEntries() throws Exception {
+        SegmentedLog log = writeTwentyEntries();
         log.advanceCommitIndex(12);
         log.flush();
-        SegmentedLog again = open(disk);
-        assertEquals(12, RaftReplica.committedState(again).revision());
-        assertEquals(3, again.restoredState().getTermPersistentState().getTerm());
+        SegmentedLog reopened = open(disk);
+        assertEquals(12, RaftReplica.committedState(reopened).revision());
+        assertEquals(3, reopened.restoredState().getTermPersistentState().getTerm());
         assertEquals(
-                ME,
-                MemberEndpoint.of(again.restoredState().getTermPersistentState().getVotedFor()));
-        assertEquals(20, again.restoredState().getLogEntries().size());
+                MEMBER,
+                MemberEndpoint.of(
+                        reopened.restoredState().getTermPersistentState().getVotedFor()));
+        assertEquals(20, reopened.restoredState().getLogEntries().size());
     }
 
     @Test
-    void afterTheFirstFaultNothingIsTaken() throws Exception {
-        SegmentedLog log = written();
-        int[] told = {0};
-        log.onFailure(() -> told[0]++);
+    void afterTheFirstDiskFailureAllWritesFail() throws Exception {
+        SegmentedLog log = writeTwentyEntries();
+        int[] failureCount = {0};
+        log.onFailure(() -> failureCount[0]++);
         disk.freeBytes = 10;
         log.persistLogEntries(List.of(entry(21, 3)));
         assertThrows(IOException.class, log::flush);
@@ -220,7 +226,7 @@
                         .setTerm(9)
                         .setVotedFor(null)
                         .build()));
-        assertEquals(1, told[0]);
+        assertEquals(1, failureCount[0]);
         assertEquals(20, open(disk).lastIndex());
     }
 }
--- a/faultinjection/src/test/java/lupinvalve/replication/SimulationTest.java
+++ b/faultinjection/src/test/java/lupinvalve/replication/SimulationTest.java
@@ -13,49 +13,53 @@
 import java.util.stream.IntStream;
 import lupinvalve.log.Log;
 import lupinvalve.statemachine.Command;
+import lupinvalve.statemachine.MemberId;
 import lupinvalve.statemachine.MembershipChange;
 import lupinvalve.statemachine.ReplicatedState;
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
 
-/** The group under faults, in virtual time: kills, cuts, pauses, full and lying disks, changes of members. */
+/**
+ * A Raft group under faults in virtual time: killed and paused members, failed links, full disks, disks that do not
+ * force, and membership changes.
+ */
 class SimulationTest {
-    private static final int SCHEDULES = 4000;
+    private static final int SCHEDULE_COUNT = 4000;
 
     @BeforeAll
-    static void quiet() {
+    static void disableLog() {
         Log.setLevel(Log.Level.ERROR);
         Log.setOutput(new java.io.PrintStream(java.io.OutputStream.nullOutputStream()));
     }
 
     @org.junit.jupiter.api.AfterAll
-    static void loud() {
+    static void restoreLog() {
         Log.setOutput(System.err);
     }
 
-    /** One course of random faults; gives what was wrong. */
-    private static List<String> schedule(long seed, boolean lying) {
+    /** Runs one random sequence of faults and requests; returns the violations. */
+    private static List<String> runSchedule(long seed, boolean skipForces) {
         try {
             Simulation sim = new Simulation(seed, seed % 3 == 0 ? 5 : 3, 0);
             SimulatedClients clients = new SimulatedClients(sim);
-            sim.forEachMember(
-                    m -> m.disk.seededBug = lying ? FaultSweep.SeededBug.ACK_BEFORE_FORCE : FaultSweep.SeededBug.NONE);
+            sim.forEachMember(member -> member.disk.seededBug =
+                    skipForces ? FaultSweep.SeededBug.ACK_BEFORE_FORCE : FaultSweep.SeededBug.NONE);
             for (int step = 0; step < 60; step++) {
                 switch (sim.random.nextInt(12)) {
-                    case 0 -> fault(sim);
+                    case 0 -> injectFault(sim);
                     case 1 -> sim.restoreNetwork();
                     case 2 -> {
-                        for (SimulatedMember m : sim.members) {
-                            if (m.replica == null) {
-                                m.start();
+                        for (SimulatedMember member : sim.members) {
+                            if (member.replica == null) {
+                                member.start();
                             }
                         }
                     }
                     default -> {
-                        sim.forEachMember(m -> {
-                            if (m.isRunning() && m.replica.isLeader()) {
-                                clients.put(m);
-                                clients.read(m);
+                        sim.forEachMember(member -> {
+                            if (member.isRunning() && member.replica.isLeader()) {
+                                clients.put(member);
+                                clients.read(member);
                             }
                         });
                     }
@@ -63,22 +67,22 @@
                 sim.run(20_000 + sim.random.nextInt(150_000));
             }
             sim.restoreNetwork();
-            for (SimulatedMember m : sim.members) {
-                if (m.replica == null) {
-                    m.start();
+            for (SimulatedMember member : sim.members) {
+                if (member.replica == null) {
+                    member.start();
                 }
             }
-            int before = clients.acknowledgedDigests.size();
+            int acknowledgedBefore = clients.acknowledgedDigests.size();
             boolean settled = sim.runUntil(() -> {
                 if (sim.leader() != null) {
                     clients.put(sim.leader());
                 }
-                return clients.acknowledgedDigests.size() > before;
+                return clients.acknowledgedDigests.size() > acknowledgedBefore;
             });
             if (!settled) {
-                sim.violations.add("nothing was accepted after all was healed");
+                sim.violations.add("no change was committed after all faults had been repaired");
             } else {
-                // Those that were still asleep catch up as well.
+                // Members that are still paused catch up once they resume.
                 sim.runUntil(() -> sim.members.stream().allMatch(clients::caughtUp));
                 sim.forEachMember(clients::checkAcknowledged);
             }
@@ -88,20 +92,21 @@
         }
     }
 
-    private static void fault(Simulation sim) {
-        SimulatedMember one = sim.randomMember();
-        SimulatedMember other = sim.randomMember();
+    /** Injects a random fault: kills or pauses a member, breaks links, or loses messages. */
+    private static void injectFault(Simulation sim) {
+        SimulatedMember target = sim.randomMember();
+        SimulatedMember peer = sim.randomMember();
         switch (sim.random.nextInt(6)) {
-            case 0 -> one.kill();
-            case 1 -> sim.linkDown[one.number][other.number] = true;
-            case 2 -> sim.forEachMember(m -> {
-                sim.linkDown[m.number][one.number] = true;
-                sim.linkDown[one.number][m.number] = true;
+            case 0 -> target.kill();
+            case 1 -> sim.linkDown[target.number][peer.number] = true;
+            case 2 -> sim.forEachMember(member -> {
+                sim.linkDown[member.number][target.number] = true;
+                sim.linkDown[target.number][member.number] = true;
             });
-            case 3 -> one.pausedUntilMicros = sim.nowMicros + 10_000_000;
+            case 3 -> target.pausedUntilMicros = sim.nowMicros + 10_000_000;
             case 4 -> sim.messageLossRatio = 0.3;
             default -> {
-                // The leader, while its changes are on their way.
+                // Kills the leader while its changes are in flight.
                 SimulatedMember leader = sim.leader();
                 if (leader != null) {
                     leader.kill();
@@ -111,102 +116,110 @@
     }
 
     @Test
-    void noCourseOfFaultsLosesOrDivides() {
-        List<String> faults = IntStream.range(0, SCHEDULES)
+    void randomFaultsCauseNoViolation() {
+        List<String> violations = IntStream.range(0, SCHEDULE_COUNT)
                 .parallel()
                 .boxed()
-                .flatMap(seed -> schedule(seed, false).stream().map(fault -> seed + ": " + fault))
+                .flatMap(seed -> runSchedule(seed, false).stream().map(violation -> seed + ": " + violation))
                 .toList();
-        assertEquals(List.of(), faults);
+        assertEquals(List.of(), violations);
     }
 
     @Test
-    void disksThatOnlySayThatTheyForceAreFoundOut() {
-        assertTrue(IntStream.range(0, 60).parallel().anyMatch(seed -> !schedule(seed, true)
+    void disksThatDoNotForceAreDetected() {
+        assertTrue(IntStream.range(0, 60).parallel().anyMatch(seed -> !runSchedule(seed, true)
                 .isEmpty()));
     }
 
     @Test
-    void theSameSeedIsTheSameCourse() throws IOException {
+    void theSameSeedCommitsTheSameChanges() throws IOException {
         for (int seed = 0; seed < 3; seed++) {
-            Simulation one = new Simulation(seed, 3, 0);
-            Simulation two = new Simulation(seed, 3, 0);
-            for (Simulation sim : List.of(one, two)) {
+            Simulation firstSim = new Simulation(seed, 3, 0);
+            Simulation secondSim = new Simulation(seed, 3, 0);
+            for (Simulation sim : List.of(firstSim, secondSim)) {
                 SimulatedClients clients = new SimulatedClients(sim);
                 for (int i = 0; i < 50; i++) {
                     sim.forEachMember(clients::put);
                     sim.run(50_000);
                 }
             }
-            assertEquals(one.committedDigests, two.committedDigests);
-            assertFalse(one.committedDigests.isEmpty());
+            assertEquals(firstSim.committedDigests, secondSim.committedDigests);
+            assertFalse(firstSim.committedDigests.isEmpty());
         }
     }
 
-    private static Simulation led(int founding, int later) throws IOException {
-        Simulation sim = new Simulation(7, founding, later);
+    /** A group that has a leader. */
+    private static Simulation groupWithLeader(int founderCount, int laterMemberCount) throws IOException {
+        Simulation sim = new Simulation(7, founderCount, laterMemberCount);
         assertTrue(sim.runUntil(() -> sim.leader() != null));
         return sim;
     }
 
-    private static RaftReplica.Completion put(Simulation sim, SimulatedMember at, long expected, String text) {
-        AtomicReference<RaftReplica.Completion> got = new AtomicReference<>();
+    /** Puts a configuration; returns the completion, or null if the change was committed but not applied. */
+    private static RaftReplica.Completion put(
+            Simulation sim, SimulatedMember member, long expectedRevision, String text) {
+        AtomicReference<RaftReplica.Completion> completionRef = new AtomicReference<>();
         AtomicReference<ReplicatedState.Outcome> outcome = new AtomicReference<>();
-        at.replica.propose(new Command.PutDocument(expected, Simulation.document(text)), (fate, result) -> {
-            outcome.set(result);
-            got.set(fate);
-        });
-        sim.runUntil(() -> got.get() != null);
-        return got.get() == RaftReplica.Completion.DONE && outcome.get().result() != ReplicatedState.Result.APPLIED
+        member.replica.propose(
+                new Command.PutDocument(expectedRevision, Simulation.document(text)), (completion, result) -> {
+                    outcome.set(result);
+                    completionRef.set(completion);
+                });
+        sim.runUntil(() -> completionRef.get() != null);
+        return completionRef.get() == RaftReplica.Completion.DONE
+                        && outcome.get().result() != ReplicatedState.Result.APPLIED
                 ? null
-                : got.get();
+                : completionRef.get();
     }
 
     @Test
-    void aLeaderAloneDecidesNothingAndKnowsItSoon() throws IOException {
-        Simulation sim = led(3, 0);
-        SimulatedMember old = sim.leader();
-        assertEquals(RaftReplica.Completion.DONE, put(sim, old, 0, "{}"));
-        sim.forEachMember(m -> {
-            if (m != old) {
-                sim.linkDown[m.number][old.number] = true;
-                sim.linkDown[old.number][m.number] = true;
+    void anIsolatedLeaderCommitsNothingAndStepsDown() throws IOException {
+        Simulation sim = groupWithLeader(3, 0);
+        SimulatedMember oldLeader = sim.leader();
+        assertEquals(RaftReplica.Completion.DONE, put(sim, oldLeader, 0, "{}"));
+        sim.forEachMember(member -> {
+            if (member != oldLeader) {
+                sim.linkDown[member.number][oldLeader.number] = true;
+                sim.linkDown[oldLeader.number][member.number] = true;
             }
         });
-        AtomicReference<RaftReplica.Completion> lost = new AtomicReference<>();
-        AtomicReference<RaftReplica.Completion> read = new AtomicReference<>();
-        old.replica.propose(
-                new Command.PutDocument(1, Simulation.document("{\"a\":1}")), (fate, outcome) -> lost.set(fate));
-        old.replica.readBarrier((fate, ok) -> read.set(fate));
-        assertTrue(sim.runUntil(() -> sim.members.stream().anyMatch(m -> m != old && m.replica.isLeader())));
+        AtomicReference<RaftReplica.Completion> putCompletion = new AtomicReference<>();
+        AtomicReference<RaftReplica.Completion> readCompletion = new AtomicReference<>();
+        oldLeader.replica.propose(
+                new Command.PutDocument(1, Simulation.document("{\"a\":1}")),
+                (completion, outcome) -> putCompletion.set(completion));
+        oldLeader.replica.readBarrier((completion, ok) -> readCompletion.set(completion));
+        assertTrue(sim.runUntil(
+                () -> sim.members.stream().anyMatch(member -> member != oldLeader && member.replica.isLeader())));
         sim.run(2_000_000);
-        assertFalse(old.replica.isLeader());
-        assertTrue(read.get() != RaftReplica.Completion.DONE && lost.get() != RaftReplica.Completion.DONE);
+        assertFalse(oldLeader.replica.isLeader());
+        assertTrue(readCompletion.get() != RaftReplica.Completion.DONE
+                && putCompletion.get() != RaftReplica.Completion.DONE);
         assertEquals(RaftReplica.Completion.DONE, put(sim, sim.leader(), 1, "{\"b\":1}"));
         sim.restoreNetwork();
         sim.run(3_000_000);
-        assertEquals(RaftReplica.Completion.INDETERMINATE, lost.get());
+        assertEquals(RaftReplica.Completion.INDETERMINATE, putCompletion.get());
         assertEquals(List.of(), sim.violations);
         assertEquals(
-                old.replica.state().document().digest(),
+                oldLeader.replica.state().document().digest(),
                 sim.leader().replica.state().document().digest());
     }
 
     @Test
-    void ofTwoOperatorsWhoReplaceOneRevisionOneIsTurnedDown() throws IOException {
-        Simulation sim = led(3, 0);
+    void ofTwoPutsAgainstOneRevisionTheSecondConflicts() throws IOException {
+        Simulation sim = groupWithLeader(3, 0);
         AtomicReference<ReplicatedState.Outcome> first = new AtomicReference<>();
         AtomicReference<ReplicatedState.Outcome> second = new AtomicReference<>();
         sim.leader()
                 .replica
                 .propose(
                         new Command.PutDocument(0, Simulation.document("{\"a\":1}")),
-                        (f, outcome) -> first.set(outcome));
+                        (completion, outcome) -> first.set(outcome));
         sim.leader()
                 .replica
                 .propose(
                         new Command.PutDocument(0, Simulation.document("{\"b\":1}")),
-                        (f, outcome) -> second.set(outcome));
+                        (completion, outcome) -> second.set(outcome));
         sim.runUntil(() -> first.get() != null && second.get() != null);
         assertEquals(ReplicatedState.Result.APPLIED, first.get().result());
         assertEquals(ReplicatedState.Result.CONFLICT, second.get().result());
@@ -214,32 +227,34 @@
     }
 
     @Test
-    void aDiskThatIsFullStepsDownAndTheOthersGoOn() throws IOException {
-        Simulation sim = led(3, 0);
-        SimulatedMember old = sim.leader();
-        old.disk.freeBytes = 30;
-        assertTrue(put(sim, old, 0, "{\"long\":\"" + "x".repeat(100) + "\"}") != RaftReplica.Completion.DONE);
-        assertEquals("the disk fails", old.stopReason);
+    void aLeaderWithAFullDiskTerminatesAndTheOthersContinue() throws IOException {
+        Simulation sim = groupWithLeader(3, 0);
+        SimulatedMember oldLeader = sim.leader();
+        oldLeader.disk.freeBytes = 30;
+        assertTrue(put(sim, oldLeader, 0, "{\"long\":\"" + "x".repeat(100) + "\"}") != RaftReplica.Completion.DONE);
+        assertEquals("the disk fails", oldLeader.stopReason);
         assertTrue(sim.runUntil(() -> sim.leader() != null));
         assertEquals(
                 RaftReplica.Completion.DONE,
                 put(sim, sim.leader(), sim.leader().replica.state().revision(), "{}"));
-        // With room again it comes back with what it had.
-        old.kill();
-        old.disk.freeBytes = Long.MAX_VALUE;
-        old.start();
+        // Once the disk has space again, the member restarts with its earlier state and catches up.
+        oldLeader.kill();
+        oldLeader.disk.freeBytes = Long.MAX_VALUE;
+        oldLeader.start();
         sim.run(3_000_000);
         assertEquals(
-                sim.leader().replica.state().revision(), old.replica.state().revision());
+                sim.leader().replica.state().revision(),
+                oldLeader.replica.state().revision());
         assertEquals(List.of(), sim.violations);
     }
 
-    static void change(Simulation sim, boolean in, SimulatedMember who) {
-        MembershipChange.Request wish = new MembershipChange.Request(in, who.identity.name());
-        Set<lupinvalve.statemachine.MemberId> all = new TreeSet<>();
-        sim.forEachMember(m -> {
-            if (m.isRunning()) {
-                all.add(m.identity);
+    /** Adds or removes a member, one step after another, until the change is done. */
+    static void changeMembership(Simulation sim, boolean add, SimulatedMember member) {
+        MembershipChange.Request request = new MembershipChange.Request(add, member.identity.name());
+        Set<MemberId> runningMembers = new TreeSet<>();
+        sim.forEachMember(other -> {
+            if (other.isRunning()) {
+                runningMembers.add(other.identity);
             }
         });
         AtomicReference<MembershipChange.Step> step = new AtomicReference<>();
@@ -247,11 +262,12 @@
                 sim.runUntil(() -> {
                     if (sim.leader() != null) {
                         RaftReplica leader = sim.leader().replica;
-                        leader.report((fate, report) -> {
-                            if (fate == RaftReplica.Completion.DONE && RaftReplica.isLeader(report)) {
-                                MembershipChange.GroupView view = RaftReplica.groupView(report, all, all);
-                                step.set(MembershipChange.nextStep(wish, view));
-                                leader.changeMembership(step.get(), report, (f, ok) -> {});
+                        leader.report((completion, report) -> {
+                            if (completion == RaftReplica.Completion.DONE && RaftReplica.isLeader(report)) {
+                                MembershipChange.GroupView view =
+                                        RaftReplica.groupView(report, runningMembers, runningMembers);
+                                step.set(MembershipChange.nextStep(request, view));
+                                leader.changeMembership(step.get(), report, (stepCompletion, ok) -> {});
                             }
                         });
                         sim.run(100_000);
@@ -262,8 +278,8 @@
     }
 
     @Test
-    void membersComeByASnapshotWhileTheHistoryMovesOnAndGoOneAtATime() throws IOException {
-        Simulation sim = led(3, 2);
+    void membersJoinBySnapshotDuringPutsAndAreRemovedOneAtATime() throws IOException {
+        Simulation sim = groupWithLeader(3, 2);
         String filler = "x".repeat(40_000);
         for (int i = 0; i < 40; i++) {
             assertEquals(RaftReplica.Completion.DONE, put(sim, sim.leader(), i, "{\"n\":\"" + i + filler + "\"}"));
@@ -273,87 +289,89 @@
                 sim.leader().disk.names().stream()
                         .filter(name -> name.startsWith("snapshot"))
                         .count());
-        SimulatedMember newcomer = sim.members.get(3);
-        newcomer.start();
+        SimulatedMember newMember = sim.members.get(3);
+        newMember.start();
         sim.members.get(4).start();
         SimulatedClients clients = new SimulatedClients(sim);
         for (int i = 1; i < 100; i++) {
             sim.schedule(i * 20_000, () -> sim.forEachMember(clients::put));
         }
-        change(sim, true, newcomer);
-        change(sim, true, sim.members.get(4));
+        changeMembership(sim, true, newMember);
+        changeMembership(sim, true, sim.members.get(4));
         sim.run(3_000_000);
         assertEquals(
                 sim.leader().replica.state().revision(),
-                newcomer.replica.state().revision());
-        // The leader is to go as well: it hands over first.
-        SimulatedMember old = sim.leader();
-        change(sim, false, old);
-        assertTrue(sim.leader() != old);
-        // One that is no member any more can't disturb the others, nor can its disk under its old name.
+                newMember.replica.state().revision());
+        // Removing the leader: it transfers leadership first.
+        SimulatedMember oldLeader = sim.leader();
+        changeMembership(sim, false, oldLeader);
+        assertTrue(sim.leader() != oldLeader);
+        // A removed member that restarts from its old disk and under its old name does not raise the others' term.
         int term = sim.leader().replica.term();
-        old.kill();
-        old.start();
+        oldLeader.kill();
+        oldLeader.start();
         sim.run(10_000_000);
         assertEquals(term, sim.leader().replica.term());
         assertEquals(
                 RaftReplica.Completion.DONE,
                 put(sim, sim.leader(), sim.leader().replica.state().revision(), "{}"));
         assertEquals(List.of(), sim.violations);
-        assertNotNull(newcomer.replica.state().document());
+        assertNotNull(newMember.replica.state().document());
     }
 
     @Test
-    void aMemberThatSleptWakesAsAFollowerAndNobodyBelievesIt() throws IOException {
-        Simulation sim = led(3, 0);
-        SimulatedMember old = sim.leader();
-        old.pausedUntilMicros = sim.nowMicros + 10_000_000;
-        AtomicReference<RaftReplica.Completion> late = new AtomicReference<>();
-        old.replica.propose(
-                new Command.PutDocument(0, Simulation.document("{\"old\":1}")), (fate, outcome) -> late.set(fate));
-        assertTrue(sim.runUntil(() -> sim.members.stream().anyMatch(m -> m != old && m.replica.isLeader())));
-        SimulatedMember next = sim.members.stream()
-                .filter(m -> m != old && m.replica.isLeader())
+    void aPausedLeaderResumesAsAFollowerAndItsProposalIsNotAcknowledged() throws IOException {
+        Simulation sim = groupWithLeader(3, 0);
+        SimulatedMember oldLeader = sim.leader();
+        oldLeader.pausedUntilMicros = sim.nowMicros + 10_000_000;
+        AtomicReference<RaftReplica.Completion> lateCompletion = new AtomicReference<>();
+        oldLeader.replica.propose(
+                new Command.PutDocument(0, Simulation.document("{\"old\":1}")),
+                (completion, outcome) -> lateCompletion.set(completion));
+        assertTrue(sim.runUntil(
+                () -> sim.members.stream().anyMatch(member -> member != oldLeader && member.replica.isLeader())));
+        SimulatedMember newLeader = sim.members.stream()
+                .filter(member -> member != oldLeader && member.replica.isLeader())
                 .findFirst()
                 .orElseThrow();
-        assertEquals(RaftReplica.Completion.DONE, put(sim, next, 0, "{\"new\":1}"));
+        assertEquals(RaftReplica.Completion.DONE, put(sim, newLeader, 0, "{\"new\":1}"));
         sim.run(15_000_000);
-        assertFalse(old.replica.isLeader());
-        assertTrue(late.get() != RaftReplica.Completion.DONE);
+        assertFalse(oldLeader.replica.isLeader());
+        assertTrue(lateCompletion.get() != RaftReplica.Completion.DONE);
         assertEquals(
-                next.replica.state().document().digest(),
-                old.replica.state().document().digest());
+                newLeader.replica.state().document().digest(),
+                oldLeader.replica.state().document().digest());
         assertEquals(List.of(), sim.violations);
     }
 
     @Test
-    void aMemberWhoseDiskWasFullTakesPartAgainInTheSameLifeFromWhatIsThere() throws IOException {
+    void aMemberWhoseDiskWasFullRecoversInTheSameProcess() throws IOException {
         for (long seed = 1; seed <= 20; seed++) {
             Simulation sim = new Simulation(seed, 3, 0);
             SimulatedClients clients = new SimulatedClients(sim);
             assertTrue(sim.runUntil(() -> sim.leader() != null));
-            SimulatedMember full = sim.members.stream()
-                    .filter(m -> m != sim.leader())
+            SimulatedMember fullMember = sim.members.stream()
+                    .filter(member -> member != sim.leader())
                     .findFirst()
                     .orElseThrow();
-            full.disk.freeBytes = 30;
+            fullMember.disk.freeBytes = 30;
             sim.runUntil(() -> {
                 Scenario.putAndReadAtLeader(sim, clients);
-                return full.stopReason != null;
+                return fullMember.stopReason != null;
             });
-            assertEquals(RaftReplica.Termination.DISK_FAILURE.reason(), full.stopReason);
+            assertEquals(RaftReplica.Termination.DISK_FAILURE.reason(), fullMember.stopReason);
             sim.run(3_000_000);
             Scenario.putAndReadAtLeader(sim, clients);
-            int life = full.incarnation;
-            full.disk.freeBytes = Long.MAX_VALUE;
+            int incarnation = fullMember.incarnation;
+            fullMember.disk.freeBytes = Long.MAX_VALUE;
             assertTrue(
                     sim.runUntil(() -> {
                         Scenario.putAndReadAtLeader(sim, clients);
-                        return clients.caughtUp(full);
+                        return clients.caughtUp(fullMember);
                     }),
                     "seed " + seed);
-            assertEquals(life, full.incarnation);
-            clients.checkAcknowledged(full);
+            assertEquals(incarnation, fullMember.incarnation);
+            clients.checkAcknowledged(fullMember);
             assertEquals(List.of(), sim.violations, "seed " + seed);
         }
     }
--- a/lab/src/main/java/lupinvalve/lab/CapacityCommand.java
+++ b/lab/src/main/java/lupinvalve/lab/CapacityCommand.java
@@ -12,9 +12,9 @@
 import lupinvalve.capacity.Table;
 import org.kohsuke.args4j.Option;
 
-/** Computes the tables of the pages on capacity from the file of slopes: writes them, or says which of them differ. */
+/** Computes the tables of the capacity pages from the file of slopes and writes them, or reports which ones differ. */
 public final class CapacityCommand implements Lab.Command {
-    @Option(name = "--slopes", metaVar = "FILE", usage = "what scale runs measured")
+    @Option(name = "--slopes", metaVar = "FILE", usage = "the slopes that scale runs have measured")
     private Path slopes = Path.of("docs/capacity/slopes.json");
 
     @Option(name = "--page", metaVar = "FILE", usage = "the page with the overview")
@@ -23,7 +23,7 @@
     @Option(name = "--places", metaVar = "FILE", usage = "the page with the tables of each place")
     private Path places = Path.of("docs/capacity/places.md");
 
-    @Option(name = "--check", usage = "changes nothing; ends with 1 where a table differs")
+    @Option(name = "--check", usage = "changes nothing; exits with 1 if a table differs")
     private boolean check;
 
     @Override
@@ -34,26 +34,27 @@
         } catch (IOException e) {
             throw new Lab.BadInput("capacity: --slopes " + slopes + " can't be read: " + firstLine(e));
         }
-        int stale = bring(out, "--page", page, model.overview()) + bring(out, "--places", places, model.places());
-        return check && stale > 0 ? 1 : 0;
+        int staleCount =
+                updatePage(out, "--page", page, model.overview()) + updatePage(out, "--places", places, model.places());
+        return check && staleCount > 0 ? 1 : 0;
     }
 
-    /** Gives how many tables of a page differ. */
-    private int bring(PrintStream out, String option, Path file, List<Table> tables) throws Lab.BadInput {
+    /** Updates a page unless {@code --check} is given; returns how many of its tables differed. */
+    private int updatePage(PrintStream out, String option, Path file, List<Table> tables) throws Lab.BadInput {
         try {
-            String before = Files.readString(file);
-            List<String> stale = CapacityPage.stale(before, tables);
-            stale.forEach(name -> out.println(file + ": " + name + (check ? " differs" : " written")));
+            String oldText = Files.readString(file);
+            List<String> staleTables = CapacityPage.stale(oldText, tables);
+            staleTables.forEach(name -> out.println(file + ": " + name + (check ? " differs" : " written")));
             if (!check) {
-                Files.writeString(file, CapacityPage.render(before, tables));
+                Files.writeString(file, CapacityPage.render(oldText, tables));
             }
-            return stale.size();
+            return staleTables.size();
         } catch (IOException | IllegalArgumentException e) {
             throw new Lab.BadInput("capacity: " + option + " " + file + " can't be used: " + firstLine(e));
         }
     }
 
-    private static String firstLine(Exception e) {
-        return String.valueOf(e.getMessage()).lines().findFirst().orElse("");
+    private static String firstLine(Exception exception) {
+        return String.valueOf(exception.getMessage()).lines().findFirst().orElse("");
     }
 }
--- a/lab/src/main/java/lupinvalve/lab/Disk.java
+++ b/lab/src/main/java/lupinvalve/lab/Disk.java
@@ -11,54 +11,59 @@
 import org.HdrHistogram.Histogram;
 import org.kohsuke.args4j.Option;
 
-/** What the disk itself can do: appended records with a force behind each batch. Figures of a log stand beside it. */
+/** Measures appends to the disk with one force per batch, as a baseline for the figures of the replicated log. */
 public final class Disk implements Lab.Command {
-    @Option(name = "--folder", metaVar = "FOLDER", usage = "where to write; else the system's folder for such files")
+    private static final int RECORD_BYTES = 120;
+    private static final int MAX_BATCH_RECORDS = 100_000;
+    private static final int MAX_BATCH_SECONDS = 60;
+
+    @Option(name = "--folder", metaVar = "FOLDER", usage = "where to write; by default the system's temporary folder")
     private Path folder;
 
-    @Option(name = "--seconds", usage = "how long")
+    @Option(name = "--seconds", usage = "duration of the measurement")
     private int seconds = 3;
 
-    @Option(name = "--batch", usage = "records of 120 bytes to a force")
+    @Option(name = "--batch", usage = "records of 120 bytes per force")
     private int batch = 1;
 
-    @Option(name = "--json", usage = "one JSON object")
+    @Option(name = "--json", usage = "print one JSON object")
     private boolean json;
 
     @Override
     public int run(PrintStream out) throws IOException {
-        if (seconds < 1 || batch < 1 || batch > 100_000) {
-            throw new IllegalArgumentException("--seconds from 1, --batch from 1 to 100000");
+        if (seconds < 1 || batch < 1 || batch > MAX_BATCH_RECORDS) {
+            throw new IllegalArgumentException("--seconds is " + seconds + ", from 1 is possible; --batch is " + batch
+                    + ", 1 to " + MAX_BATCH_RECORDS + " is possible");
         }
         Path file = folder == null
                 ? Files.createTempFile("lab-disk", ".log")
                 : Files.createTempFile(folder, "lab-disk", ".log");
-        Histogram forces = new Histogram(TimeUnit.SECONDS.toNanos(60), 3);
-        ByteBuffer records = ByteBuffer.allocateDirect(120 * batch);
-        long start = System.nanoTime();
+        Histogram batchNanos = new Histogram(TimeUnit.SECONDS.toNanos(MAX_BATCH_SECONDS), 3);
+        ByteBuffer records = ByteBuffer.allocateDirect(RECORD_BYTES * batch);
+        long startNanos = System.nanoTime();
         try (FileChannel channel = FileChannel.open(file, StandardOpenOption.WRITE)) {
-            while (System.nanoTime() - start < TimeUnit.SECONDS.toNanos(seconds)) {
-                long begin = System.nanoTime();
+            while (System.nanoTime() - startNanos < TimeUnit.SECONDS.toNanos(seconds)) {
+                long batchStartNanos = System.nanoTime();
                 records.clear();
                 while (records.hasRemaining()) {
                     channel.write(records);
                 }
                 channel.force(false);
-                forces.recordValue(System.nanoTime() - begin);
+                batchNanos.recordValue(System.nanoTime() - batchStartNanos);
             }
         } finally {
             Files.delete(file);
         }
-        double took = (System.nanoTime() - start) / 1e9;
-        double rate = forces.getTotalCount() * (double) batch / took;
+        double elapsedSeconds = (System.nanoTime() - startNanos) / 1e9;
+        double recordsPerSecond = batchNanos.getTotalCount() * (double) batch / elapsedSeconds;
         out.printf(
                 json
                         ? "{\"batch\":%d,\"records_per_s\":%.0f,\"force_p50_ms\":%.3f,\"force_p99_ms\":%.3f}%n"
                         : "batches of %d: %.0f records a second, a batch takes %.3f ms (p50), %.3f ms (p99)%n",
                 batch,
-                rate,
-                forces.getValueAtPercentile(50) / 1e6,
-                forces.getValueAtPercentile(99) / 1e6);
+                recordsPerSecond,
+                batchNanos.getValueAtPercentile(50) / 1e6,
+                batchNanos.getValueAtPercentile(99) / 1e6);
         return 0;
     }
 }
--- a/lab/src/main/java/lupinvalve/lab/Faults.java
+++ b/lab/src/main/java/lupinvalve/lab/Faults.java
@@ -1,5 +1,6 @@
 package lupinvalve.lab;
 
+import java.io.OutputStream;
 import java.io.PrintStream;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -12,54 +13,55 @@
 import org.kohsuke.args4j.Option;
 
 /**
- * Faults at numbered points of a group in virtual time, each in turn. Exit code 1 where anything was broken or hung.
+ * Injects each fault at each numbered point of a simulated Raft group in virtual time, one per run, and drawn pairs of
+ * them. Exit code 1 if a run had a violation or hung.
  */
 public final class Faults implements Lab.Command {
-    private static final int SHOWN = 10;
+    private static final int MAX_SHOWN_RUNS = 10;
 
-    @Option(name = "--list", usage = "the scenarios, with the number of their points")
+    @Option(name = "--list", usage = "print the scenarios with their number of points")
     private boolean list;
 
-    @Option(name = "--scenario", metaVar = "NAME", usage = "one of --list, or all")
+    @Option(name = "--scenario", metaVar = "NAME", usage = "a scenario of --list, or all")
     private String name = "all";
 
-    @Option(name = "--seed", usage = "of the course, and of the pairs that are drawn")
+    @Option(name = "--seed", usage = "seed of the runs and of the drawn pairs")
     private long seed = 7;
 
-    @Option(name = "--pairs", usage = "how many pairs of points are drawn for each scenario")
+    @Option(name = "--pairs", usage = "number of pairs of faults drawn for each scenario")
     private int pairs = 300;
 
-    @Option(name = "--at", metaVar = "POINT:FAULT[,POINT:FAULT]", usage = "plays only this again")
+    @Option(name = "--at", metaVar = "POINT:FAULT[,POINT:FAULT]", usage = "runs one scenario with only these faults")
     private String at;
 
-    @Option(name = "--trace", usage = "with --at: each message, with the number of the point before it")
+    @Option(name = "--trace", usage = "with --at: print each message, with the number of the last point")
     private boolean trace;
 
     @Option(
             name = "--planted",
             metaVar = "NAME",
-            usage = "what members do wrong: ack-before-force, vote-not-forced, " + "rename-without-force")
+            usage = "bug planted in members: ack-before-force, vote-not-forced, rename-without-force")
     private String planted = "none";
 
-    @Option(name = "--json", usage = "only the last line")
+    @Option(name = "--json", usage = "print only the last line")
     private boolean json;
 
-    private List<Scenario> chosen() {
+    private List<Scenario> selectedScenarios() {
         List<Scenario> all = Arrays.stream(Scenario.values())
-                .filter(s -> name.equals("all") || s.title().equals(name))
+                .filter(scenario -> name.equals("all") || scenario.title().equals(name))
                 .toList();
         if (all.isEmpty()) {
-            throw new IllegalArgumentException("--scenario " + name + ": none of that name; --list has them");
+            throw new IllegalArgumentException("--scenario " + name + ": unknown scenario; --list prints the names");
         }
         return all;
     }
 
-    private FaultSweep.SeededBug fault() {
+    private FaultSweep.SeededBug seededBug() {
         try {
             return FaultSweep.SeededBug.valueOf(planted.toUpperCase(Locale.ROOT).replace('-', '_'));
         } catch (IllegalArgumentException e) {
-            throw new IllegalArgumentException(
-                    "--planted " + planted + ": none of " + Arrays.toString(FaultSweep.SeededBug.values()));
+            throw new IllegalArgumentException("--planted " + planted + ": unknown bug; possible: "
+                    + Arrays.toString(FaultSweep.SeededBug.values()));
         }
     }
 
@@ -67,29 +69,30 @@
     public int run(PrintStream out) {
         if (at == null) {
             Log.setLevel(Log.Level.ERROR);
-            Log.setOutput(new PrintStream(java.io.OutputStream.nullOutputStream()));
+            Log.setOutput(new PrintStream(OutputStream.nullOutputStream()));
         }
         try {
             if (list) {
-                chosen().forEach(s -> out.println(
-                        s.title() + " " + FaultSweep.faultFreeSteps(s, seed).size()));
+                selectedScenarios()
+                        .forEach(scenario -> out.println(scenario.title() + " "
+                                + FaultSweep.faultFreeSteps(scenario, seed).size()));
                 return 0;
             }
-            return at != null ? again(out) : sweep(out);
+            return at != null ? replay(out) : sweep(out);
         } finally {
             Log.setOutput(System.err);
         }
     }
 
-    private int again(PrintStream out) {
+    private int replay(PrintStream out) {
         List<FailPoints.PlannedFault> faults = new ArrayList<>();
-        for (String one : at.split(",")) {
-            faults.add(FailPoints.PlannedFault.parse(one));
+        for (String text : at.split(",")) {
+            faults.add(FailPoints.PlannedFault.parse(text));
         }
-        FaultSweep.Run play =
-                FaultSweep.runOnce(chosen().get(0), seed, fault(), faults, trace ? out::println : line -> {});
-        out.println(told(play, 0));
-        return play.isGood() ? 0 : 1;
+        FaultSweep.Run run = FaultSweep.runOnce(
+                selectedScenarios().get(0), seed, seededBug(), faults, trace ? out::println : line -> {});
+        out.println(describe(run, 0));
+        return run.isGood() ? 0 : 1;
     }
 
     private int sweep(PrintStream out) {
@@ -97,14 +100,14 @@
         int runs = 0;
         int violations = 0;
         int hung = 0;
-        List<Scenario> scenarios = chosen();
+        List<Scenario> scenarios = selectedScenarios();
         for (Scenario scenario : scenarios) {
-            long begun = System.nanoTime();
-            FaultSweep.Result result = FaultSweep.sweep(scenario, seed, fault(), pairs);
+            long startNanos = System.nanoTime();
+            FaultSweep.Result result = FaultSweep.sweep(scenario, seed, seededBug(), pairs);
             points += result.pointCount();
             runs += result.runCount();
             violations += (int) result.badRuns().stream()
-                    .filter(p -> !p.violations().isEmpty())
+                    .filter(run -> !run.violations().isEmpty())
                     .count();
             hung += (int) result.badRuns().stream().filter(FaultSweep.Run::hung).count();
             if (!json) {
@@ -115,10 +118,10 @@
                         result.pointCount(),
                         result.runCount(),
                         result.badRuns().size(),
-                        (System.nanoTime() - begun) / 1e9);
+                        (System.nanoTime() - startNanos) / 1e9);
                 result.badRuns().stream()
-                        .limit(SHOWN)
-                        .forEach(play -> out.println("  " + told(play, result.pointCount())));
+                        .limit(MAX_SHOWN_RUNS)
+                        .forEach(run -> out.println("  " + describe(run, result.pointCount())));
             }
         }
         out.printf(
@@ -135,22 +138,27 @@
         return violations + hung == 0 ? 0 : 1;
     }
 
-    private String told(FaultSweep.Run play, int of) {
+    /**
+     * Describes a run with the command line that repeats it.
+     *
+     * @param pointCount number of points of the scenario; 0 to leave it out
+     */
+    private String describe(FaultSweep.Run run, int pointCount) {
         StringBuilder faults = new StringBuilder();
         StringBuilder kinds = new StringBuilder();
-        play.faults().forEach(one -> {
-            faults.append(faults.isEmpty() ? "" : ",").append(one);
+        run.faults().forEach(planned -> {
+            faults.append(faults.isEmpty() ? "" : ",").append(planned);
             kinds.append(' ')
                     .append(
-                            one.point() <= play.reachedSteps().size()
-                                    ? play.reachedSteps().get(one.point() - 1)
+                            planned.point() <= run.reachedSteps().size()
+                                    ? run.reachedSteps().get(planned.point() - 1)
                                     : "not met");
         });
-        return faults + (of > 0 ? " of " + of : "") + " at" + kinds + ": "
-                + (play.isGood() ? "kept" : play.hung() ? "hung" : "broken")
-                + (play.violations().isEmpty() ? "" : " " + play.violations().get(0))
+        return faults + (pointCount > 0 ? " of " + pointCount : "") + " at" + kinds + ": "
+                + (run.isGood() ? "kept" : run.hung() ? "hung" : "broken")
+                + (run.violations().isEmpty() ? "" : " " + run.violations().get(0))
                 + " (again: lab faults --scenario "
-                + play.scenario().title() + " --seed " + play.seed() + " --planted " + planted + " --at " + faults
+                + run.scenario().title() + " --seed " + run.seed() + " --planted " + planted + " --at " + faults
                 + ")";
     }
 }
--- a/lab/src/main/java/lupinvalve/lab/FleetSoakCommand.java
+++ b/lab/src/main/java/lupinvalve/lab/FleetSoakCommand.java
@@ -8,48 +8,48 @@
 import org.kohsuke.args4j.Option;
 
 /**
- * Strikes whole fleets, one seed after another: killed together, ended together, configured together. Exit code 1 where
- * any was bad.
+ * Runs a fleet drill for each seed, one after another: many poolers are killed, terminated and reconfigured together.
+ * Exit code 1 if any drill failed.
  */
 public final class FleetSoakCommand extends DrillOptions {
-    private static final int SHOWN = 12;
+    private static final int MAX_SHOWN_FINDINGS = 12;
 
-    @Option(name = "--seeds", usage = "how many, from --seed on")
+    @Option(name = "--seeds", usage = "number of seeds, the first of which is --seed")
     private int seeds = 3;
 
-    @Option(name = "--poolers", usage = "how many processes")
+    @Option(name = "--poolers", usage = "number of pooler processes")
     private int poolers = 40;
 
-    @Option(name = "--groups", usage = "db sets of three db nodes each")
+    @Option(name = "--groups", usage = "number of db sets of three db nodes each")
     private int groups = 2;
 
-    @Option(name = "--clients", usage = "of each pooler")
+    @Option(name = "--clients", usage = "clients per pooler")
     private int clients = 12;
 
-    @Option(name = "--sockets", usage = "what each pooler is told of its descriptors")
+    @Option(name = "--sockets", usage = "limit of sockets in each pooler's configuration")
     private int sockets = 40;
 
-    @Option(name = "--cores", usage = "to how many cores all poolers are held; 0 for all")
+    @Option(name = "--cores", usage = "number of cores that all poolers share; 0 for all cores")
     private int cores;
 
     @Override
     public int run(PrintStream out) throws Exception {
-        List<Long> red = new ArrayList<>();
-        for (long each = seed; each < seed + seeds; each++) {
-            FleetResult result = one(each, log(out));
-            out.println("seed " + each + " " + (result.good() ? "good" : "red") + " " + result.json());
+        List<Long> failedSeeds = new ArrayList<>();
+        for (long currentSeed = seed; currentSeed < seed + seeds; currentSeed++) {
+            FleetResult result = runDrill(currentSeed, log(out));
+            out.println("seed " + currentSeed + " " + (result.good() ? "good" : "red") + " " + result.json());
             if (!result.good()) {
-                red.add(each);
-                result.findings().stream().limit(SHOWN).forEach(line -> out.println("  " + line));
+                failedSeeds.add(currentSeed);
+                result.findings().stream().limit(MAX_SHOWN_FINDINGS).forEach(line -> out.println("  " + line));
             }
         }
-        out.println("{\"seeds\":" + seeds + ",\"red\":" + red + "}");
-        return red.isEmpty() ? 0 : 1;
+        out.println("{\"seeds\":" + seeds + ",\"red\":" + failedSeeds + "}");
+        return failedSeeds.isEmpty() ? 0 : 1;
     }
 
-    private FleetResult one(long number, PrintStream log) throws Exception {
-        FleetDrill drill =
-                new FleetDrill(new FleetDrill.Setting(poolers, groups, config, number, clients, sockets, cores, log));
+    private FleetResult runDrill(long drillSeed, PrintStream log) throws Exception {
+        FleetDrill drill = new FleetDrill(
+                new FleetDrill.Setting(poolers, groups, config, drillSeed, clients, sockets, cores, log));
         boolean good = false;
         try {
             drill.start();
--- a/lab/src/main/java/lupinvalve/lab/Lab.java
+++ b/lab/src/main/java/lupinvalve/lab/Lab.java
@@ -8,15 +8,15 @@
 import org.kohsuke.args4j.spi.SubCommandHandler;
 import org.kohsuke.args4j.spi.SubCommands;
 
-/** The laboratory's command line: what tries and measures, and is no part of the daemon. */
+/** Command line of the tests and measurements that are not part of the daemon. */
 public final class Lab {
-    /** One of its commands. */
+    /** A subcommand. */
     public interface Command {
-        /** Runs it and gives the exit code. */
+        /** Runs the subcommand; returns the exit code. */
         int run(PrintStream out) throws Exception;
     }
 
-    /** What the command line says can't be done; told in one line. */
+    /** Invalid input on the command line; reported as a single line, with exit code 2. */
     static final class BadInput extends Exception {
         private static final long serialVersionUID = 1;
 
@@ -49,6 +49,7 @@
 
     private Lab() {}
 
+    /** Runs the subcommand that {@code args} name and exits with its exit code. */
     public static void main(String[] args) {
         System.exit(run(args, System.out, System.err));
     }
--- a/lab/src/main/java/lupinvalve/lab/ProcessPoints.java
+++ b/lab/src/main/java/lupinvalve/lab/ProcessPoints.java
@@ -13,64 +13,66 @@
 import java.util.concurrent.Future;
 import lupinvalve.drills.PointPlay;
 import lupinvalve.faultinjection.FailPoints.PlannedFault;
+import lupinvalve.faultinjection.FailPoints.StepKind;
 import org.kohsuke.args4j.Option;
 
 /**
- * Faults at numbered points of real processes, each in turn or drawn by seed. Exit code 1 where anything was broken.
+ * Injects faults at numbered points of real processes, one per run: every one, or a sample drawn by seed. Exit code 1
+ * if any run had a violation.
  */
 public final class ProcessPoints implements Lab.Command {
-    @Option(name = "--plays", usage = "how many of all points and faults are drawn; 0 for each in turn")
-    private int plays = 48;
+    @Option(name = "--plays", usage = "number of faults drawn from those at all points; 0 for all faults")
+    private int runCount = 48;
 
-    @Option(name = "--seed", usage = "which are drawn")
+    @Option(name = "--seed", usage = "seed of the drills and of the drawn faults")
     private long seed = 7;
 
-    @Option(name = "--side-by-side", usage = "how many plays run at once, of three processes each")
-    private int lanes = 3;
+    @Option(name = "--side-by-side", usage = "number of simultaneous runs, of three processes each")
+    private int concurrentRuns = 3;
 
-    @Option(name = "--at", metaVar = "POINT:FAULT", usage = "plays only this")
+    @Option(name = "--at", metaVar = "POINT:FAULT", usage = "runs only with this fault")
     private String at;
 
-    @Option(name = "--config", metaVar = "FILE", usage = "a platform's file to start from")
+    @Option(name = "--config", metaVar = "FILE", usage = "platform configuration to start from")
     private Path config = Path.of("example/config.json");
 
-    @Option(name = "--json", usage = "only the last line")
+    @Option(name = "--json", usage = "print only the last line")
     private boolean json;
 
     @Override
     public int run(PrintStream out) throws Exception {
-        int points = 0;
-        List<PlannedFault> chosen = new ArrayList<>();
+        int pointCount = 0;
+        List<PlannedFault> faults = new ArrayList<>();
         if (at != null) {
-            chosen.add(PlannedFault.parse(at));
+            faults.add(PlannedFault.parse(at));
         } else {
-            List<lupinvalve.faultinjection.FailPoints.StepKind> course = PointPlay.course(config, seed);
-            points = course.size();
-            chosen.addAll(PointPlay.all(course));
-            if (plays > 0 && plays < chosen.size()) {
-                Collections.shuffle(chosen, new Random(seed));
-                chosen.subList(plays, chosen.size()).clear();
+            List<StepKind> steps = PointPlay.course(config, seed);
+            pointCount = steps.size();
+            faults.addAll(PointPlay.all(steps));
+            if (runCount > 0 && runCount < faults.size()) {
+                Collections.shuffle(faults, new Random(seed));
+                faults.subList(runCount, faults.size()).clear();
             }
         }
-        ExecutorService pool = Executors.newFixedThreadPool(lanes);
-        int met = 0;
-        int bad = 0;
+        ExecutorService pool = Executors.newFixedThreadPool(concurrentRuns);
+        int reachedCount = 0;
+        int badCount = 0;
         try {
-            List<Callable<PointPlay.Played>> work = new ArrayList<>();
-            chosen.forEach(one -> work.add(() -> PointPlay.play(config, seed, one)));
-            for (Future<PointPlay.Played> future : pool.invokeAll(work)) {
-                PointPlay.Played played = future.get();
-                met += played.met() != null ? 1 : 0;
-                bad += played.good() ? 0 : 1;
+            List<Callable<PointPlay.Played>> runs = new ArrayList<>();
+            faults.forEach(fault -> runs.add(() -> PointPlay.play(config, seed, fault)));
+            for (Future<PointPlay.Played> future : pool.invokeAll(runs)) {
+                PointPlay.Played result = future.get();
+                reachedCount += result.met() != null ? 1 : 0;
+                badCount += result.good() ? 0 : 1;
                 if (!json) {
-                    out.println(played.at() + " of " + points + ": "
-                            + (played.met() == null
+                    out.println(result.at() + " of " + pointCount + ": "
+                            + (result.met() == null
                                     ? "not met, "
-                                    : played.met().replaceFirst("^.* point ", "point ") + ", ")
-                            + (played.good()
+                                    : result.met().replaceFirst("^.* point ", "point ") + ", ")
+                            + (result.good()
                                     ? "kept"
-                                    : played.findings() + " (again: lab process-points --seed " + seed + " --at "
-                                            + played.at() + ")"));
+                                    : result.findings() + " (again: lab process-points --seed " + seed + " --at "
+                                            + result.at() + ")"));
                 }
             }
         } finally {
@@ -79,11 +81,11 @@
         out.printf(
                 Locale.ROOT,
                 "{\"points\":%d,\"runs\":%d,\"met\":%d,\"violations\":%d,\"seed\":%d}%n",
-                points,
-                chosen.size(),
-                met,
-                bad,
+                pointCount,
+                faults.size(),
+                reachedCount,
+                badCount,
                 seed);
-        return bad == 0 ? 0 : 1;
+        return badCount == 0 ? 0 : 1;
     }
 }
--- a/lab/src/main/java/lupinvalve/lab/ScaleCommand.java
+++ b/lab/src/main/java/lupinvalve/lab/ScaleCommand.java
@@ -4,7 +4,10 @@
 import lupinvalve.scale.Scale;
 import lupinvalve.scale.ScaleOptions;
 
-/** The scale run: hundreds of poolers' control code beside real control members, against the operators' budgets. */
+/**
+ * Runs the control code of hundreds of poolers against real control members and compares the cost with the operators'
+ * budgets.
+ */
 public final class ScaleCommand extends ScaleOptions implements Lab.Command {
     @Override
     public int run(PrintStream out) throws Exception {
--- a/lab/src/main/java/lupinvalve/lab/SoakCommand.java
+++ b/lab/src/main/java/lupinvalve/lab/SoakCommand.java
@@ -14,13 +14,13 @@
 import org.kohsuke.args4j.Option;
 
 /**
- * Drills one seed after another, each with signals in series and kills as early as the platform may send them, stepped
- * clocks, calls that fail, crowds, drains and overloaded discovery, while clients go on using their connections. Exit
- * code 1 where any was bad.
+ * Runs a drill for each seed, one after another. Each has series of signals and kills at the earliest time the platform
+ * may send them, stepped clocks, failing system calls, connection storms, drains and an overloaded discovery, while
+ * clients keep using their connections. Exit code 1 if any drill failed.
  */
 public final class SoakCommand extends DrillOptions {
-    private static final Pattern FIGURE = Pattern.compile("\"(\\w+)\":(\\d+)[,}]");
-    private static final List<String> SUMS = List.of(
+    private static final Pattern NUMBER_FIELD = Pattern.compile("\"(\\w+)\":(\\d+)[,}]");
+    private static final List<String> SUMMED_FIELDS = List.of(
             "requests",
             "lost",
             "doubled",
@@ -34,53 +34,54 @@
             "not_ready_10s",
             "divergent",
             "unclean");
-    private static final int SHOWN = 5;
+    private static final int MAX_SHOWN_FINDINGS = 5;
 
-    @Option(name = "--seeds", usage = "how many, from --seed on")
+    @Option(name = "--seeds", usage = "number of seeds, the first of which is --seed")
     private int seeds = 50;
 
-    @Option(name = "--poolers", usage = "3 to 9")
+    @Option(name = "--poolers", usage = "number of poolers, 3 to 9")
     private int poolers = 3;
 
-    @Option(name = "--clients", usage = "of each pooler that ask several things at once, rest and read slowly")
+    @Option(name = "--clients", usage = "clients per pooler that pipeline requests, pause and read slowly")
     private int clients = 40;
 
     @Option(
             name = "--sockets",
-            usage = "what each pooler is told of its descriptors: so few that room is made of resting connections")
+            usage = "limit of sockets in each pooler's configuration: low enough that idle connections are closed")
     private int sockets = 96;
 
-    @Option(name = "--cores", usage = "to how many cores all poolers are held, so that they contend; 0 for all")
+    @Option(name = "--cores", usage = "number of cores that all poolers share, so that they contend; 0 for all cores")
     private int cores;
 
-    @Option(name = "--groups", usage = "db sets of three db nodes each")
+    @Option(name = "--groups", usage = "number of db sets of three db nodes each")
     private int groups = 2;
 
     @Override
     public int run(PrintStream out) throws Exception {
         Map<String, Long> sums = new TreeMap<>();
-        List<Long> red = new ArrayList<>();
-        for (long each = seed; each < seed + seeds; each++) {
-            DrillResult result = one(each, log(out));
-            Matcher figure = FIGURE.matcher(result.json());
-            while (figure.find()) {
-                sums.merge(figure.group(1), Long.parseLong(figure.group(2)), Long::sum);
+        List<Long> failedSeeds = new ArrayList<>();
+        for (long currentSeed = seed; currentSeed < seed + seeds; currentSeed++) {
+            DrillResult result = runDrill(currentSeed, log(out));
+            Matcher field = NUMBER_FIELD.matcher(result.json());
+            while (field.find()) {
+                sums.merge(field.group(1), Long.parseLong(field.group(2)), Long::sum);
             }
-            out.println("seed " + each + " " + (result.good() ? "good" : "red") + " " + result.json());
+            out.println("seed " + currentSeed + " " + (result.good() ? "good" : "red") + " " + result.json());
             if (!result.good()) {
-                red.add(each);
-                result.findings().stream().limit(SHOWN).forEach(line -> out.println("  " + line));
+                failedSeeds.add(currentSeed);
+                result.findings().stream().limit(MAX_SHOWN_FINDINGS).forEach(line -> out.println("  " + line));
             }
         }
-        StringBuilder total = new StringBuilder("{\"seeds\":" + seeds);
-        SUMS.forEach(name -> total.append(String.format(Locale.ROOT, ",\"%s\":%d", name, sums.getOrDefault(name, 0L))));
-        out.println(total.append(",\"red\":").append(red).append('}'));
-        return red.isEmpty() ? 0 : 1;
+        StringBuilder summary = new StringBuilder("{\"seeds\":" + seeds);
+        SUMMED_FIELDS.forEach(
+                name -> summary.append(String.format(Locale.ROOT, ",\"%s\":%d", name, sums.getOrDefault(name, 0L))));
+        out.println(summary.append(",\"red\":").append(failedSeeds).append('}'));
+        return failedSeeds.isEmpty() ? 0 : 1;
     }
 
-    private DrillResult one(long number, PrintStream log) throws Exception {
-        Scenario scenario = Scenario.draw(Scenario.Mix.SOAK, poolers, groups, seconds * 1000L, number);
-        Drill drill = new Drill(new Drill.Setting(scenario, config, number, false, log, List.of(), 0, "off"));
+    private DrillResult runDrill(long drillSeed, PrintStream log) throws Exception {
+        Scenario scenario = Scenario.draw(Scenario.Mix.SOAK, poolers, groups, seconds * 1000L, drillSeed);
+        Drill drill = new Drill(new Drill.Setting(scenario, config, drillSeed, false, log, List.of(), 0, "off"));
         boolean good = false;
         try {
             if (debug) {
--- a/lab/src/main/java/lupinvalve/lab/StoreBench.java
+++ b/lab/src/main/java/lupinvalve/lab/StoreBench.java
@@ -2,6 +2,7 @@
 
 import java.io.IOException;
 import java.io.PrintStream;
+import java.io.UncheckedIOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -28,25 +29,31 @@
 import org.kohsuke.args4j.Option;
 
 /**
- * Three members in one process over loopback and real files: how many small changes they take, and how fast a restart
- * is.
+ * Measures the rate of small changes that three members in one process commit, over loopback and with real files, and
+ * the duration of a restart.
  */
 public final class StoreBench implements Lab.Command {
-    private static final int SESSIONS = 50_000, CONNECTIONS = 4;
+    private static final int SESSION_COUNT = 50_000;
+    private static final int CONNECTION_COUNT = 4;
+    private static final int MAX_LATENCY_SECONDS = 60;
+    private static final int CALL_TIMEOUT_MILLIS = 20_000;
+    private static final int MAX_LEADER_POLLS = 600;
+    private static final int LEADER_POLL_MILLIS = 50;
 
-    @Option(name = "--seconds", usage = "how long changes are put in")
+    @Option(name = "--seconds", usage = "how long changes are proposed")
     private int seconds = 10;
 
-    @Option(name = "--changes", usage = "at least so many before the restart")
-    private int least = 100_000;
+    @Option(name = "--changes", usage = "minimum number of changes before the restart")
+    private int minChanges = 100_000;
 
-    @Option(name = "--outstanding", usage = "changes under way on each of four connections")
+    @Option(name = "--outstanding", usage = "changes in flight on each of four connections")
     private int outstanding = 250;
 
-    private final Map<String, String> places = new TreeMap<>();
+    private final Map<String, String> addresses = new TreeMap<>();
     private Path folder;
 
-    private static final class Quiet implements ControlPlane.Listener {
+    /** Ignores all notifications: no pooler runs here. */
+    private static final class IgnoringListener implements ControlPlane.Listener {
         @Override
         public String validationError(byte[] document) {
             return null;
@@ -54,119 +61,124 @@
 
         @Override
         public void configurationAccepted(ReplicatedState.Document document) {
-            // Nobody acts here.
+            // Ignored.
         }
 
         @Override
-        public void drainsChanged(Map<Command.DrainTarget, ReplicatedState.Drain> holds) {
-            // Likewise.
+        public void drainsChanged(Map<Command.DrainTarget, ReplicatedState.Drain> drains) {
+            // Ignored.
         }
 
         @Override
         public void commitsAccepted(Command.SessionCommits commits) {
-            // Likewise.
+            // Ignored.
         }
     }
 
     private OperatorConfig.Store config(String name) {
-        return new OperatorConfig.Store("bench", name, folder.resolve(name), places.get(name), places, null, 0);
+        return new OperatorConfig.Store("bench", name, folder.resolve(name), addresses.get(name), addresses, null, 0);
     }
 
     @Override
     public int run(PrintStream out) throws Exception {
         Log.setLevel(Log.Level.ERROR);
         folder = Files.createTempDirectory("store-bench");
-        List<RaftMember> groups = new ArrayList<>();
+        List<RaftMember> members = new ArrayList<>();
         try {
-            places.putAll(Scratch.places(List.of("a", "b", "c")));
-            for (String name : places.keySet()) {
-                RaftMember group = new RaftMember(config(name));
-                groups.add(group);
-                group.start(new Quiet());
+            addresses.putAll(Scratch.places(List.of("a", "b", "c")));
+            for (String name : addresses.keySet()) {
+                RaftMember member = new RaftMember(config(name));
+                members.add(member);
+                member.start(new IgnoringListener());
             }
-            String leader = leader(groups);
-            Histogram latencies = new ConcurrentHistogram(TimeUnit.SECONDS.toMicros(60), 3);
-            AtomicLong done = new AtomicLong();
-            AtomicLong turnedDown = new AtomicLong();
-            long start = System.nanoTime();
+            String leader = leader(members);
+            Histogram latencies = new ConcurrentHistogram(TimeUnit.SECONDS.toMicros(MAX_LATENCY_SECONDS), 3);
+            AtomicLong committed = new AtomicLong();
+            AtomicLong rejected = new AtomicLong();
+            long startNanos = System.nanoTime();
             List<Thread> senders = new ArrayList<>();
-            for (int i = 0; i < CONNECTIONS; i++) {
+            for (int i = 0; i < CONNECTION_COUNT; i++) {
                 int number = i;
-                Thread sender =
-                        new Thread(() -> send(leader, number, start, done, turnedDown, latencies), "sender " + i);
+                Thread sender = new Thread(
+                        () -> send(leader, number, startNanos, committed, rejected, latencies), "sender " + i);
                 sender.start();
                 senders.add(sender);
             }
             for (Thread sender : senders) {
                 sender.join();
             }
-            double took = (System.nanoTime() - start) / 1e9;
+            double elapsedSeconds = (System.nanoTime() - startNanos) / 1e9;
             System.gc();
-            long heap =
+            long heapBytes =
                     Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
-            groups.forEach(RaftMember::stop);
-            groups.clear();
-            long disk = 0;
+            members.forEach(RaftMember::stop);
+            members.clear();
+            long diskBytes = 0;
             try (Stream<Path> files = Files.list(folder.resolve(leader))) {
                 for (Path file : files.toList()) {
-                    disk += Files.size(file);
+                    diskBytes += Files.size(file);
                 }
             }
-            long opened = System.nanoTime();
-            RaftMember again = new RaftMember(config(leader));
-            groups.add(again);
-            double restart = (System.nanoTime() - opened) / 1e6;
+            long reopenStartNanos = System.nanoTime();
+            RaftMember restarted = new RaftMember(config(leader));
+            members.add(restarted);
+            double restartMillis = (System.nanoTime() - reopenStartNanos) / 1e6;
             out.printf(
                     "{\"changes\":%d,\"changes_per_s\":%.0f,\"turned_down\":%d,\"p50_ms\":%.1f,\"p99_ms\":%.1f,"
                             + "\"sessions\":%d,\"heap_mb_of_three_members\":%.1f,\"disk_kb\":%d,\"restart_ms\":%.0f}%n",
-                    done.get(),
-                    done.get() / took,
-                    turnedDown.get(),
+                    committed.get(),
+                    committed.get() / elapsedSeconds,
+                    rejected.get(),
                     latencies.getValueAtPercentile(50) / 1000.0,
                     latencies.getValueAtPercentile(99) / 1000.0,
-                    again.initialReplicatedState().sessionCount(),
-                    heap / 1048576.0,
-                    disk / 1024,
-                    restart);
+                    restarted.initialReplicatedState().sessionCount(),
+                    heapBytes / 1048576.0,
+                    diskBytes / 1024,
+                    restartMillis);
             return 0;
         } finally {
-            groups.forEach(RaftMember::stop);
+            members.forEach(RaftMember::stop);
             Scratch.delete(folder);
         }
     }
 
-    private String leader(List<RaftMember> groups) throws IOException, InterruptedException {
-        List<String> names = new ArrayList<>(places.keySet());
-        for (int i = 0; i < 600; i++) {
-            for (int g = 0; g < groups.size(); g++) {
-                if (groups.get(g).isLeader()) {
-                    return names.get(g);
+    private String leader(List<RaftMember> members) throws IOException, InterruptedException {
+        List<String> names = new ArrayList<>(addresses.keySet());
+        for (int i = 0; i < MAX_LEADER_POLLS; i++) {
+            for (int j = 0; j < members.size(); j++) {
+                if (members.get(j).isLeader()) {
+                    return names.get(j);
                 }
             }
-            Thread.sleep(50);
+            Thread.sleep(LEADER_POLL_MILLIS);
         }
-        throw new IOException("no leader in 30 s");
+        throw new IOException("no member was elected leader within 30 s");
     }
 
     private void send(
-            String leader, int number, long start, AtomicLong done, AtomicLong turnedDown, Histogram latencies) {
-        Semaphore room = new Semaphore(outstanding);
-        Map<Long, Long> sentAt = new ConcurrentHashMap<>();
+            String leader,
+            int senderNumber,
+            long startNanos,
+            AtomicLong committed,
+            AtomicLong rejected,
+            Histogram latencies) {
+        Semaphore freeSlots = new Semaphore(outstanding);
+        Map<Long, Long> sentNanosByCall = new ConcurrentHashMap<>();
         try (GroupClient.Session session =
-                new GroupClient("bench", places, null).open(leader, places.get(leader), 20_000)) {
+                new GroupClient("bench", addresses, null).open(leader, addresses.get(leader), CALL_TIMEOUT_MILLIS)) {
             Thread receiver = new Thread(
                     () -> {
                         try {
                             while (true) {
-                                WireMessages.Response answer = session.receive();
-                                Long sent = sentAt.remove(answer.id());
-                                if (answer.status() == WireMessages.Status.OK) {
-                                    done.incrementAndGet();
-                                    latencies.recordValue((System.nanoTime() - sent) / 1000);
+                                WireMessages.Response response = session.receive();
+                                Long sentNanos = sentNanosByCall.remove(response.id());
+                                if (response.status() == WireMessages.Status.OK) {
+                                    committed.incrementAndGet();
+                                    latencies.recordValue((System.nanoTime() - sentNanos) / 1000);
                                 } else {
-                                    turnedDown.incrementAndGet();
+                                    rejected.incrementAndGet();
                                 }
-                                room.release();
+                                freeSlots.release();
                             }
                         } catch (IOException e) {
                             // The sender has closed the connection.
@@ -175,20 +187,22 @@
                     "receiver");
             receiver.setDaemon(true);
             receiver.start();
-            long end = start + TimeUnit.SECONDS.toNanos(seconds);
+            long endNanos = startNanos + TimeUnit.SECONDS.toNanos(seconds);
             long calls = 0;
-            for (long n = number; System.nanoTime() < end || done.get() < least; n += CONNECTIONS) {
-                room.acquire();
-                long now = System.currentTimeMillis() * 1000;
-                byte[] change =
-                        CommandCodec.encode(new Command.SessionCommits(now, Map.of("session-" + n % SESSIONS, now)));
-                // Calls are numbered from 1 on; the answer may be here before the call returns.
-                sentAt.put(++calls, System.nanoTime());
+            for (long n = senderNumber;
+                    System.nanoTime() < endNanos || committed.get() < minChanges;
+                    n += CONNECTION_COUNT) {
+                freeSlots.acquire();
+                long nowMicros = System.currentTimeMillis() * 1000;
+                byte[] change = CommandCodec.encode(
+                        new Command.SessionCommits(nowMicros, Map.of("session-" + n % SESSION_COUNT, nowMicros)));
+                // Calls are numbered from 1 on; the response may arrive before send() returns.
+                sentNanosByCall.put(++calls, System.nanoTime());
                 session.send("propose", List.of(change));
             }
-            room.acquire(outstanding);
+            freeSlots.acquire(outstanding);
         } catch (IOException e) {
-            throw new java.io.UncheckedIOException(e);
+            throw new UncheckedIOException(e);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/lab/src/main/java/lupinvalve/lab/StoreCost.java
+++ b/lab/src/main/java/lupinvalve/lab/StoreCost.java
@@ -24,49 +24,60 @@
 import org.kohsuke.args4j.Option;
 
 /**
- * What the store costs requests: the same ones by turns to a pooler without it and to one that leads a group of three.
+ * Measures what the store adds to the latency of requests: sends the same requests alternately to a pooler without a
+ * store and to one that is a member of a group of three.
  */
 public final class StoreCost implements Lab.Command {
-    @Option(name = "--requests", usage = "to each of the two")
+    private static final int WARMUP_REQUESTS = 1000;
+    /** Requests beyond the measured ones that a client's script holds; more than the warm-up uses. */
+    private static final int EXTRA_SCRIPT_REQUESTS = 2000;
+
+    private static final int STARTUP_MILLIS = 3000;
+    private static final int SOCKET_TIMEOUT_MILLIS = 10_000;
+    private static final int READ_BUFFER_BYTES = 8192;
+    private static final int MAX_LATENCY_SECONDS = 60;
+
+    @Option(name = "--requests", usage = "number of requests to each of the two poolers")
     private int requests = 20_000;
 
-    @Option(name = "--config", metaVar = "FILE", usage = "a platform's file to start from")
+    @Option(name = "--config", metaVar = "FILE", usage = "platform configuration to start from")
     private Path config = Path.of("example/config.json");
 
     private Path folder;
 
-    /** One client's connection and the latencies that it saw. */
-    private static final class Asker implements Closeable {
-        final Histogram latencies = new Histogram(TimeUnit.SECONDS.toMicros(60), 3);
+    /** A client on its own connection, which sends one request after another and records their latencies. */
+    private static final class MeasuringClient implements Closeable {
+        final Histogram latencies = new Histogram(TimeUnit.SECONDS.toMicros(MAX_LATENCY_SECONDS), 3);
         private final Socket socket;
         private final ClientScript script;
-        private byte[] next;
+        private byte[] nextMessage;
 
-        Asker(Daemon daemon, List<RequestClass> classes, String name, int most) throws IOException {
+        MeasuringClient(Daemon daemon, List<RequestClass> classes, String name, int requestCount) throws IOException {
             socket = new Socket(daemon.address().getAddress(), daemon.address().getPort());
             socket.setTcpNoDelay(true);
-            socket.setSoTimeout(10_000);
-            script = new ClientScript(classes, name, most, new CountDownLatch(most));
-            next = ClientScript.startupMessage();
+            socket.setSoTimeout(SOCKET_TIMEOUT_MILLIS);
+            script = new ClientScript(classes, name, requestCount, new CountDownLatch(requestCount));
+            nextMessage = ClientScript.startupMessage();
         }
 
-        void ask() throws IOException {
-            long start = System.nanoTime();
-            socket.getOutputStream().write(next);
-            ByteArrayOutputStream answer = new ByteArrayOutputStream();
-            byte[] read = new byte[8192];
-            boolean whole;
+        void runRequest() throws IOException {
+            long startNanos = System.nanoTime();
+            socket.getOutputStream().write(nextMessage);
+            ByteArrayOutputStream response = new ByteArrayOutputStream();
+            byte[] buffer = new byte[READ_BUFFER_BYTES];
+            boolean complete;
             do {
-                int count = socket.getInputStream().read(read);
+                int count = socket.getInputStream().read(buffer);
                 if (count < 0) {
-                    throw new IOException("the pooler closed the connection");
+                    throw new IOException("the pooler closed the connection before the response was complete");
                 }
-                answer.write(read, 0, count);
-                byte[] all = answer.toByteArray();
-                whole = all.length >= 6 && all[all.length - 6] == 'Z' && all[all.length - 1] == 'I';
-            } while (!whole);
-            latencies.recordValue((System.nanoTime() - start) / 1000);
-            next = script.answer(answer.toByteArray());
+                response.write(buffer, 0, count);
+                byte[] bytes = response.toByteArray();
+                // A response ends with the ReadyForQuery message of the idle state.
+                complete = bytes.length >= 6 && bytes[bytes.length - 6] == 'Z' && bytes[bytes.length - 1] == 'I';
+            } while (!complete);
+            latencies.recordValue((System.nanoTime() - startNanos) / 1000);
+            nextMessage = script.answer(response.toByteArray());
         }
 
         @Override
@@ -75,18 +86,18 @@
         }
     }
 
-    private Daemon daemon(NodeConfig from, StubServers stubServers, OperatorConfig.Store store) throws Exception {
+    private Daemon daemon(NodeConfig baseConfig, StubServers stubServers, OperatorConfig.Store store) throws Exception {
         Daemon daemon = new Daemon(
                 new NodeConfig(
-                        from.name(),
+                        baseConfig.name(),
                         "127.0.0.1:0",
                         stubServers.discovery(),
-                        from.seed(),
-                        from.cores(),
-                        from.memoryMb(),
-                        from.sockets(),
-                        from.known(),
-                        from.site(),
+                        baseConfig.seed(),
+                        baseConfig.cores(),
+                        baseConfig.memoryMb(),
+                        baseConfig.sockets(),
+                        baseConfig.known(),
+                        baseConfig.site(),
                         null),
                 new OperatorConfig(0, null, store, null));
         daemon.start();
@@ -98,39 +109,41 @@
         Log.setLevel(Log.Level.ERROR);
         folder = Files.createTempDirectory("store-cost");
         List<Daemon> daemons = new ArrayList<>();
-        NodeConfig from = NodeConfig.read(config, null);
-        Map<String, String> places = Scratch.places(List.of("a", "b", "c"));
+        NodeConfig baseConfig = NodeConfig.read(config, null);
+        Map<String, String> addresses = Scratch.places(List.of("a", "b", "c"));
         try (StubServers stubServers = new StubServers()) {
-            daemons.add(daemon(from, stubServers, null));
-            for (String name : places.keySet()) {
+            daemons.add(daemon(baseConfig, stubServers, null));
+            for (String name : addresses.keySet()) {
                 daemons.add(daemon(
-                        from,
+                        baseConfig,
                         stubServers,
                         new OperatorConfig.Store(
-                                "cost", name, folder.resolve(name), places.get(name), places, null, 0)));
+                                "cost", name, folder.resolve(name), addresses.get(name), addresses, null, 0)));
             }
-            Thread.sleep(3000);
-            List<RequestClass> classes = from.site().settings().classes();
-            try (Asker without = new Asker(daemons.get(0), classes, "w", requests + 2000);
-                    Asker with = new Asker(daemons.get(1), classes, "s", requests + 2000)) {
-                for (int i = 0; i < requests + 1000; i++) {
-                    if (i == 1000) {
-                        without.latencies.reset();
-                        with.latencies.reset();
+            Thread.sleep(STARTUP_MILLIS);
+            List<RequestClass> classes = baseConfig.site().settings().classes();
+            try (MeasuringClient withoutStore =
+                            new MeasuringClient(daemons.get(0), classes, "w", requests + EXTRA_SCRIPT_REQUESTS);
+                    MeasuringClient withStore =
+                            new MeasuringClient(daemons.get(1), classes, "s", requests + EXTRA_SCRIPT_REQUESTS)) {
+                for (int i = 0; i < requests + WARMUP_REQUESTS; i++) {
+                    if (i == WARMUP_REQUESTS) {
+                        withoutStore.latencies.reset();
+                        withStore.latencies.reset();
                     }
-                    without.ask();
-                    with.ask();
+                    withoutStore.runRequest();
+                    withStore.runRequest();
                 }
                 out.printf(
                         "{\"requests\":%d,\"off_p50_us\":%d,\"off_p99_us\":%d,\"on_p50_us\":%d,\"on_p99_us\":%d,"
                                 + "\"off_served\":%d,\"on_served\":%d}%n",
                         requests,
-                        without.latencies.getValueAtPercentile(50),
-                        without.latencies.getValueAtPercentile(99),
-                        with.latencies.getValueAtPercentile(50),
-                        with.latencies.getValueAtPercentile(99),
-                        without.script.served(),
-                        with.script.served());
+                        withoutStore.latencies.getValueAtPercentile(50),
+                        withoutStore.latencies.getValueAtPercentile(99),
+                        withStore.latencies.getValueAtPercentile(50),
+                        withStore.latencies.getValueAtPercentile(99),
+                        withoutStore.script.served(),
+                        withStore.script.served());
             }
             return 0;
         } finally {
--- a/lab/src/test/java/lupinvalve/lab/KnownRedTest.java
+++ b/lab/src/test/java/lupinvalve/lab/KnownRedTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Only the tests that KNOWN-RED.txt lists may fail, and they must: tried on planted reports. */
+/** Exactly the tests that KNOWN-RED.txt lists may and must fail; checked with generated test reports. */
 class KnownRedTest {
     private static final String RED = "a.BadTest#fails; the cause; issue 1\n";
 
@@ -19,7 +19,7 @@
     private Path root;
 
     @BeforeEach
-    void plant() throws IOException {
+    void writeReports() throws IOException {
         Path reports = Files.createDirectories(root.resolve("one/target/surefire-reports"));
         Files.writeString(
                 reports.resolve("TEST-a.GoodTest.xml"),
@@ -31,53 +31,54 @@
                         + "<testcase name=\"fails(int)[2]\" classname=\"a.BadTest\"><failure message=\"no\">at</failure></testcase></testsuite>");
     }
 
-    private String told(int exit) throws IOException, InterruptedException {
-        Process run = new ProcessBuilder(
+    /** Runs the check on the generated reports; returns its output. */
+    private String outputOf(int expectedExitCode) throws IOException, InterruptedException {
+        Process process = new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                         Path.of(".ci/KnownRed.java").toAbsolutePath().toString(),
                         ".")
                 .directory(root.toFile())
                 .redirectErrorStream(true)
                 .start();
-        String out = new String(run.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-        assertEquals(exit, run.waitFor(), out);
+        String out = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        assertEquals(expectedExitCode, process.waitFor(), out);
         return out;
     }
 
-    private void list(String text) throws IOException {
+    private void writeList(String text) throws IOException {
         Files.writeString(root.resolve("KNOWN-RED.txt"), text);
     }
 
     @Test
-    void withoutAListWhatFailsFails() throws Exception {
-        assertTrue(told(1).contains("WRONG failed: a.BadTest#fails"));
-        list("\n");
-        assertTrue(told(1).contains("WRONG failed: a.BadTest#fails"));
+    void withoutAListAnyFailureFailsTheCheck() throws Exception {
+        assertTrue(outputOf(1).contains("WRONG failed: a.BadTest#fails"));
+        writeList("\n");
+        assertTrue(outputOf(1).contains("WRONG failed: a.BadTest#fails"));
         Files.delete(root.resolve("one/target/surefire-reports/TEST-a.BadTest.xml"));
-        assertTrue(told(0).contains("2 passed, 0 failed"));
+        assertTrue(outputOf(0).contains("2 passed, 0 failed"));
         Files.delete(root.resolve("one/target/surefire-reports/TEST-a.GoodTest.xml"));
-        assertTrue(told(1).contains("no test ran"));
+        assertTrue(outputOf(1).contains("no test ran"));
     }
 
     @Test
-    void oneThatIsListedMayFailAndIsPrinted() throws Exception {
-        list(RED);
-        assertTrue(told(0).contains("known red: a.BadTest#fails failed: the cause; issue 1"));
+    void aListedTestMayFailAndIsPrinted() throws Exception {
+        writeList(RED);
+        assertTrue(outputOf(0).contains("known red: a.BadTest#fails failed: the cause; issue 1"));
     }
 
     @Test
-    void oneThatPassesOrDoesNotExistMayNotBeListed() throws Exception {
-        list(RED + "a.GoodTest#holds; the cause; issue 1\n");
-        assertTrue(told(1).contains("lists a test that passes: a.GoodTest#holds"));
-        list(RED + "a.GoodTest#other; the cause; issue 1\n");
-        assertTrue(told(1).contains("lists a test that does not exist: a.GoodTest#other"));
+    void aTestThatPassesOrDoesNotExistMustNotBeListed() throws Exception {
+        writeList(RED + "a.GoodTest#holds; the cause; issue 1\n");
+        assertTrue(outputOf(1).contains("lists a test that passes: a.GoodTest#holds"));
+        writeList(RED + "a.GoodTest#other; the cause; issue 1\n");
+        assertTrue(outputOf(1).contains("lists a test that does not exist: a.GoodTest#other"));
     }
 
     @Test
-    void aFourthLineOrOneWithoutACauseFails() throws Exception {
-        list(RED + RED.replace("fails", "b") + RED.replace("fails", "c") + RED.replace("fails", "d"));
-        assertTrue(told(1).contains("4 lines, 3 at most"));
-        list("a.BadTest#fails\n");
-        assertTrue(told(1).contains("not class#method; cause; issue"));
+    void moreThanThreeLinesOrALineWithoutACauseFail() throws Exception {
+        writeList(RED + RED.replace("fails", "b") + RED.replace("fails", "c") + RED.replace("fails", "d"));
+        assertTrue(outputOf(1).contains("4 lines, 3 at most"));
+        writeList("a.BadTest#fails\n");
+        assertTrue(outputOf(1).contains("not class#method; cause; issue"));
     }
 }
--- a/lab/src/test/java/lupinvalve/lab/LabTest.java
+++ b/lab/src/test/java/lupinvalve/lab/LabTest.java
@@ -15,7 +15,7 @@
     private Path folder;
 
     @Test
-    void theDiskIsMeasuredAndNothingIsLeft() throws Exception {
+    void theDiskIsMeasuredAndNoFileIsLeft() throws Exception {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         assertEquals(
                 0,
@@ -24,38 +24,39 @@
                         new PrintStream(out),
                         System.err));
         assertTrue(out.toString().matches("\\{\"batch\":1,\"records_per_s\":\\d+,.*}\\R"), out.toString());
-        try (var left = Files.list(folder)) {
-            assertEquals(0, left.count());
+        try (var files = Files.list(folder)) {
+            assertEquals(0, files.count());
         }
     }
 
     @Test
-    void whatItCantReadEndsWithTheUsage() {
+    void anUnknownCommandPrintsTheUsage() {
         ByteArrayOutputStream err = new ByteArrayOutputStream();
         assertEquals(2, Lab.run(new String[] {"dusk"}, System.out, new PrintStream(err)));
         assertTrue(err.toString().contains("usage: lab disk"));
     }
 
-    private static String refused(String... options) {
+    /** Runs {@code lab scale} with invalid options; returns its one line of error output. */
+    private static String scaleError(String... options) {
         ByteArrayOutputStream err = new ByteArrayOutputStream();
-        String[] line = new String[options.length + 1];
-        line[0] = "scale";
-        System.arraycopy(options, 0, line, 1, options.length);
-        assertEquals(2, Lab.run(line, System.out, new PrintStream(err)));
+        String[] args = new String[options.length + 1];
+        args[0] = "scale";
+        System.arraycopy(options, 0, args, 1, options.length);
+        assertEquals(2, Lab.run(args, System.out, new PrintStream(err)));
         assertEquals(1, err.toString().lines().count(), err.toString());
         return err.toString();
     }
 
     @Test
-    void whatAScaleRunCantDoIsToldInOneLineWithOptionAndValue() {
-        assertTrue(refused("--poolers", "many").contains("\"many\" is not a valid value for \"--poolers\""));
-        assertTrue(refused("--poolers", "0").contains("--poolers is 0; 1 to 2000 are possible"));
-        assertTrue(refused("--seconds", "4").contains("--seconds is 4"));
-        assertTrue(refused("--daemons", "6").contains("--daemons is 6"));
-        assertTrue(refused("--design", "mesh").contains("--design is mesh; members, subscriptions are possible"));
-        assertTrue(refused("--load", "none").contains("--load is none"));
-        assertTrue(refused("--change-factor", "-1").contains("--change-factor is -1.0"));
-        assertTrue(refused("--sizes", "5,x").contains("--sizes is 5,x"));
-        assertTrue(refused("--config", "no-such-file").contains("--config is no-such-file"));
+    void invalidScaleOptionsAreReportedInOneLineWithOptionAndValue() {
+        assertTrue(scaleError("--poolers", "many").contains("\"many\" is not a valid value for \"--poolers\""));
+        assertTrue(scaleError("--poolers", "0").contains("--poolers is 0; 1 to 2000 are possible"));
+        assertTrue(scaleError("--seconds", "4").contains("--seconds is 4"));
+        assertTrue(scaleError("--daemons", "6").contains("--daemons is 6"));
+        assertTrue(scaleError("--design", "mesh").contains("--design is mesh; members, subscriptions are possible"));
+        assertTrue(scaleError("--load", "none").contains("--load is none"));
+        assertTrue(scaleError("--change-factor", "-1").contains("--change-factor is -1.0"));
+        assertTrue(scaleError("--sizes", "5,x").contains("--sizes is 5,x"));
+        assertTrue(scaleError("--config", "no-such-file").contains("--config is no-such-file"));
     }
 }
