--- a/.ci/unfinished.sh
+++ b/.ci/unfinished.sh
@@ -3,7 +3,7 @@
 set -euo pipefail
 cd "$(dirname "$0")/.."
 # Lowered with each entry that leaves the list; never raised.
-readonly MOST=10
+readonly MOST=8
 unfinished=$(sed -n 's#^  <suppress .*files="\[/\\\\\]\([a-z]*\)\[/\\\\\]src\[/\\\\\]\([a-z]*\).*#\1/src/\2#p' build/checkstyle-unfinished.xml)
 entries=$(grep -c '<suppress ' build/checkstyle-unfinished.xml || true)
 echo "Not held by the linter yet: $entries, $MOST at most"
