--- a/routing/src/main/java/lupinvalve/routing/RouterEvent.java
+++ b/routing/src/main/java/lupinvalve/routing/RouterEvent.java
@@ -33,8 +33,8 @@
      * @param repeated whether the client marked the request as a retry
      * @param session the session, or null
      * @param sinceWriteMicros time since the session's last commit, where requests carry their tokens; 0 for none
-     * @param timeLeftMicros time until the client stops waiting for this request; a retry by the client is
-     *     another event, with a time of its own
+     * @param timeLeftMicros time until the client stops waiting for this request; a retry by the client is another
+     *     event, with a time of its own
      * @param waitMicros the wait that the client stated, part of which may have passed before a busy core thread
      *     handled the request
      */
--- a/routing/src/main/java/lupinvalve/routing/SlowStart.java
+++ b/routing/src/main/java/lupinvalve/routing/SlowStart.java
@@ -135,7 +135,9 @@
                         < (request.isWrite()
                                 ? NO_WARM_SERVER_MAX_IN_FLIGHT_FOR_WRITE
                                 : NO_WARM_SERVER_MAX_IN_FLIGHT_FOR_READ)
-                && draw < NO_WARM_SERVER_EXPECTED_ADMISSIONS / context.settings().instanceCount();
+                && draw
+                        < NO_WARM_SERVER_EXPECTED_ADMISSIONS
+                                / context.settings().instanceCount();
     }
 
     /**
