--- a/net/src/main/java/lupinvalve/net/Link.java
+++ b/net/src/main/java/lupinvalve/net/Link.java
@@ -32,8 +32,8 @@
  * </ul>
  *
  * <p>With all but {@link #abort}, the peer sees an orderly end (FIN) if nothing is unread in the socket at the moment
- * of the close, and a reset otherwise: {@link Net.Processor#destroy} leaves that decision to the system. But {@link
- * #finish} and {@link #retire} also reset the connection if its peer has stopped reading.
+ * of the close, and a reset otherwise: {@link Net.Processor#destroy} leaves that decision to the system. But
+ * {@link #finish} and {@link #retire} also reset the connection if its peer has stopped reading.
  *
  * <p>A connection on which the peer sends FIN (also a half-close) or that has an I/O error is closed at once: what was
  * read before is still delivered, bytes that are not handed to the socket yet are discarded, and {@link Events#closed}
--- a/replication/src/main/java/lupinvalve/replication/LeaseGrantor.java
+++ b/replication/src/main/java/lupinvalve/replication/LeaseGrantor.java
@@ -70,8 +70,9 @@
     }
 
     /**
-     * A strict change was committed at a log index: a pooler that has not applied it gets no lease once {@link
-     * LeaseManager#CATCH_UP_MICROS} have passed, and none from now on if it cannot apply it or has no valid lease.
+     * A strict change was committed at a log index: a pooler that has not applied it gets no lease once
+     * {@link LeaseManager#CATCH_UP_MICROS} have passed, and none from now on if it cannot apply it or has no valid
+     * lease.
      */
     void requireIndex(long index) {
         if (leases != null) {
--- a/replication/src/main/java/lupinvalve/replication/PeerConnections.java
+++ b/replication/src/main/java/lupinvalve/replication/PeerConnections.java
@@ -22,8 +22,7 @@
 
 /**
  * The connections between members, and those accepted from operators and subscribers. Each member dials every other
- * member whose address it knows; where two connections to one member exist, either may be used. On the group's
- * thread.
+ * member whose address it knows; where two connections to one member exist, either may be used. On the group's thread.
  */
 final class PeerConnections implements RaftReplica.MessageSender {
     private static final long MIN_REDIAL_BACKOFF_MICROS = 300_000;
--- a/replication/src/main/java/lupinvalve/replication/SubscriptionServer.java
+++ b/replication/src/main/java/lupinvalve/replication/SubscriptionServer.java
@@ -107,8 +107,7 @@
         WatchRequest request = WatchRequest.read(wireRequest.arguments().get(0));
         requestCount++;
         service.onRequest(subscriber);
-        PendingRequest pending =
-                new PendingRequest(wireRequest.id(), request, LeaseHolder.monotonicMicros(), channel);
+        PendingRequest pending = new PendingRequest(wireRequest.id(), request, LeaseHolder.monotonicMicros(), channel);
         if (!pendingBySubscriber.containsKey(subscriber) && pendingBySubscriber.size() >= SUBSCRIBERS_MAX_COUNT) {
             reject(pending, "too many follow this member");
             return;
