--- a/capacity/src/main/java/lupinvalve/capacity/CodeFacts.java
+++ b/capacity/src/main/java/lupinvalve/capacity/CodeFacts.java
@@ -67,7 +67,7 @@
 
     static final double ANSWERS_FOR_A_PICTURE = 12;
     /**
-     * {@code SlowStart.NO_WARM_SERVER_ADMITTING_ROUTERS}: tries at a cold db node where none is warm, of all poolers
+     * {@code SlowStart.NO_WARM_SERVER_EXPECTED_ADMISSIONS}: tries at a cold db node where none is warm, of all poolers
      * together.
      */
     static final double COLD_ALONE = 10;
--- a/capacity/src/test/java/lupinvalve/capacity/CodeFactsTest.java
+++ b/capacity/src/test/java/lupinvalve/capacity/CodeFactsTest.java
@@ -52,7 +52,7 @@
                 CodeFacts.MEMORY_SECONDS, constant("lupinvalve.routing.DecayingMean", "DECAY_TIME_MICROS") / MICROS);
         assertEquals(CodeFacts.ANSWERS_FOR_A_PICTURE, constant("lupinvalve.routing.DecayingMean", "MAX_SAMPLES"));
         assertEquals(
-                CodeFacts.COLD_ALONE, constant("lupinvalve.routing.SlowStart", "NO_WARM_SERVER_ADMITTING_ROUTERS"));
+                CodeFacts.COLD_ALONE, constant("lupinvalve.routing.SlowStart", "NO_WARM_SERVER_EXPECTED_ADMISSIONS"));
         assertEquals(
                 CodeFacts.PROBES_PER_REQUEST,
                 constant("lupinvalve.routing.HealthChecker", "SPARSE_BUDGET_PER_REQUEST_CHECKS"));
--- a/config/src/main/java/lupinvalve/config/OperatorConfig.java
+++ b/config/src/main/java/lupinvalve/config/OperatorConfig.java
@@ -7,7 +7,8 @@
 import java.util.Optional;
 
 /**
- * The operator's configuration file, with the features that are off on the hosting platform. Each section may be absent
+ * The operator's configuration file, which turns on optional features. All of them are off on the hosting platform: it
+ * starts the process with a configuration file of its own and gives no operator's file. Each section may be absent
  * (null). Immutable.
  *
  * @param revision version of the sections that a group shares; the higher of two revisions is in force
@@ -91,8 +92,8 @@
     }
 
     /**
-     * Whether a pooler writes audit entries of the configuration that it applies under a lease, and what it does
-     * without a lease.
+     * Whether a pooler requests a lease from the group and writes audit entries of the configuration that it applies,
+     * and what it does while it has no lease.
      */
     public enum Audit {
         /** Writes no audit entries and needs no lease. */
@@ -161,11 +162,13 @@
     }
 
     private static Optional<String> changeRejection(OperatorConfig before, OperatorConfig after) {
+        // Running members can't add or remove the dns_sd section; that takes the creation of a new group.
         if ((before.dnsSd == null) != (after.dnsSd == null)) {
             return Optional.of("dns_sd: members that run can't "
                     + (after.dnsSd == null ? "leave DNS-SD" : "turn to DNS-SD")
                     + "; found a group with a configuration that " + (after.dnsSd == null ? "lacks it" : "has it"));
         }
+        // Rejected, as running members would use the new port only from their next start.
         if (before.mysql != null && after.mysql != null && before.mysql.nodePort != after.mysql.nodePort) {
             return Optional.of("mysql.node_port is " + before.mysql.nodePort + " at members that run; "
                     + after.mysql.nodePort + " would hold from their next start only");
@@ -178,8 +181,8 @@
     }
 
     /**
-     * This configuration with its shared sections replaced by the document that the group has accepted: only what a
-     * majority has accepted takes effect. The MySQL frontend is on only if this file gives its listen address.
+     * Returns this configuration with its shared sections replaced by the document that the group has accepted: only
+     * what a majority has accepted takes effect. The MySQL frontend is on only if this file gives its listen address.
      *
      * @param document the accepted document, or null if none was accepted yet
      */
--- a/core/src/main/java/lupinvalve/core/AttemptTable.java
+++ b/core/src/main/java/lupinvalve/core/AttemptTable.java
@@ -81,8 +81,8 @@
     }
 
     /**
-     * Abandons an attempt whose answer is being forwarded, without reporting an outcome: the router is notified when
-     * the forwarding starts that the request was served.
+     * Abandons an attempt whose answer is being forwarded. Reports no outcome: when the forwarding started, the router
+     * was notified that the request was served.
      */
     void discard(Attempt attempt) {
         byHandle.remove(attempt.handle);
--- a/core/src/main/java/lupinvalve/core/EndpointDiscovery.java
+++ b/core/src/main/java/lupinvalve/core/EndpointDiscovery.java
@@ -13,8 +13,8 @@
     void fetch();
 
     /**
-     * Unix time in microseconds up to which the core knows every change that discovery has sent. A change sent later
-     * may have been unknown when the current task of the core thread began.
+     * Unix time in microseconds up to which the core knows every change that discovery has sent. A change sent after
+     * that time may not be known yet, as it may have arrived after the current task of the core thread began.
      */
     default long knownUpToMicros() {
         return Long.MAX_VALUE;
--- a/core/src/main/java/lupinvalve/core/EndpointDraining.java
+++ b/core/src/main/java/lupinvalve/core/EndpointDraining.java
@@ -15,7 +15,7 @@
  * requests may still be started at them. Core thread only.
  */
 final class EndpointDraining {
-    /** How long after the notification of a drain requests may still be started at the db node. */
+    /** For this long after a drain is notified, requests may still be started at the db node. */
     private final long graceMicros;
 
     private final DrainedEndpoints drainedByOperators;
@@ -63,18 +63,18 @@
     // ---- the grace period of draining db nodes ----
 
     /**
-     * The time from which the grace period of an event's drains counts, in Unix microseconds: the earliest at which the
-     * event may have been sent. An event that may have been sent longer ago than the grace period leaves none of it.
+     * The start of the grace period of an event's drains, in Unix microseconds: the earliest time at which the event
+     * may have been sent. An event that may have been sent longer ago than the grace period leaves none of it.
      */
-    long graceCountsFromMicros(EndpointListEvent event, long nowMicros) {
+    long graceStartMicros(EndpointListEvent event, long nowMicros) {
         // The router's endpoint list applies the same limits.
         return Math.min(nowMicros, Math.max(nowMicros - graceMicros, event.notifiedSinceMicros()));
     }
 
     /** Records whether a db node is draining, by the endpoint that the router is given for it. */
-    void update(Endpoint effective, long graceCountsFromMicros) {
+    void update(Endpoint effective, long graceStartMicros) {
         if (effective.state() == EndpointState.DRAINING) {
-            drainingSinceMicros.putIfAbsent(effective.node(), graceCountsFromMicros);
+            drainingSinceMicros.putIfAbsent(effective.node(), graceStartMicros);
         } else {
             drainingSinceMicros.remove(effective.node());
         }
@@ -102,7 +102,7 @@
      *     since, so its grace period limits the time as well
      */
     long latestStartMicros(String node, long knownUpToMicros) {
-        long known = Math.min(knownUpToMicros, drainingSinceMicros.getOrDefault(node, Long.MAX_VALUE));
-        return known == Long.MAX_VALUE ? known : known + graceMicros;
+        long earliestDrainMicros = Math.min(knownUpToMicros, drainingSinceMicros.getOrDefault(node, Long.MAX_VALUE));
+        return earliestDrainMicros == Long.MAX_VALUE ? earliestDrainMicros : earliestDrainMicros + graceMicros;
     }
 }
--- a/core/src/main/java/lupinvalve/core/EndpointListEvent.java
+++ b/core/src/main/java/lupinvalve/core/EndpointListEvent.java
@@ -9,7 +9,7 @@
  * @param form what kind of event it is
  * @param endpoints its endpoints; empty for {@link ListForm#UNAVAILABLE}
  * @param notifiedSinceMicros the earliest time at which discovery may have sent it, in Unix microseconds; the grace
- *     period of db nodes that it drains or removes counts from then
+ *     period of db nodes that it drains or removes begins then
  */
 public record EndpointListEvent(ListForm form, List<DiscoveredEndpoint> endpoints, long notifiedSinceMicros) {
     /**
--- a/core/src/main/java/lupinvalve/core/EndpointUpdates.java
+++ b/core/src/main/java/lupinvalve/core/EndpointUpdates.java
@@ -53,7 +53,7 @@
      */
     private void notifyRouter(EndpointListEvent event) {
         long now = loop.now();
-        long graceCountsFromMicros = draining.graceCountsFromMicros(event, now);
+        long graceStartMicros = draining.graceStartMicros(event, now);
         List<Endpoint> effective = new ArrayList<>();
         List<String> replaced = new ArrayList<>();
         for (DiscoveredEndpoint discovered : event.endpoints()) {
@@ -62,10 +62,10 @@
             if (endpoints.updateInstance(discovered, endpoint)) {
                 replaced.add(endpoint.node());
             }
-            draining.update(endpoint, graceCountsFromMicros);
+            draining.update(endpoint, graceStartMicros);
         }
         draining.retainAll(endpoints.instanceIds());
-        router.feed(now, new RouterEvent.EndpointUpdate(event.form(), effective, graceCountsFromMicros));
+        router.feed(now, new RouterEvent.EndpointUpdate(event.form(), effective, graceStartMicros));
         replaced.forEach(attempts::closeIdleConnections);
     }
 
--- a/core/src/main/java/lupinvalve/core/HandleTable.java
+++ b/core/src/main/java/lupinvalve/core/HandleTable.java
@@ -7,7 +7,8 @@
 
 /**
  * A bounded table that assigns a handle to each entry. A handle consists of the number and the generation of a slot, so
- * that a late event whose slot has been freed and reused finds no entry instead of another one. Not thread-safe.
+ * that a late event whose slot has been freed and reused finds null and not the entry that now has the slot. Not
+ * thread-safe.
  *
  * @param <T> type of the entries
  */
--- a/core/src/main/java/lupinvalve/core/OpenRequest.java
+++ b/core/src/main/java/lupinvalve/core/OpenRequest.java
@@ -6,7 +6,9 @@
 final class OpenRequest {
     final Frontend frontend;
     final long ticket;
+    /** The client's request as the frontend parsed it, with its statement and its protocol. */
     final ClientRequest request;
+
     final RequestClass requestClass;
     /**
      * Until when it must be answered, in Unix microseconds: when its client stops waiting, or the shutdown deadline.
--- a/core/src/main/java/lupinvalve/core/Pooler.java
+++ b/core/src/main/java/lupinvalve/core/Pooler.java
@@ -210,8 +210,8 @@
 
     /**
      * Whether an attempt that has waited for a connection to an instance may be sent on it. Since the attempt was
-     * routed, the instance may have begun to drain, the client may have disconnected, and a retry of the write or the
-     * age of the db node's data for the read may no longer be allowed. All of these are judged when the first byte is
+     * routed, the instance may have begun to drain, the client may have disconnected, a write may have become unsafe to
+     * retry, and the db node's data may have become too old for a read. All of these are judged when the first byte is
      * sent.
      *
      * @param opened the instance that the connection was opened to
@@ -227,7 +227,7 @@
         Attempt waiting = attempts.get(attempt);
         return waiting == null
                 || !waiting.request.isClientDisconnected()
-                        && router.router().mayStillStart(waiting.request.routerId, loop.now());
+                        && router.router().mayStillBeSent(waiting.request.routerId, loop.now());
     }
 
     /**
--- a/core/src/main/java/lupinvalve/core/Statement.java
+++ b/core/src/main/java/lupinvalve/core/Statement.java
@@ -135,6 +135,7 @@
         }
         long timeoutMillis = number("d");
         long group = number("cluster");
+        // Field d is the client's timeout, which must be greater than 0.
         if (timeoutMillis <= 0) {
             throw new InvalidStatementException("field d is missing or no time to wait");
         }
--- a/core/src/main/java/lupinvalve/core/StreamedAnswers.java
+++ b/core/src/main/java/lupinvalve/core/StreamedAnswers.java
@@ -29,7 +29,7 @@
      * served: how long a client takes to read the rest says nothing about the db node.
      *
      * @param first what has been received so far, in the protocol's own form
-     * @param retainsTokens whether this pooler keeps the session tokens at the end of answers to writes
+     * @param retainsTokens whether this pooler stores session tokens, which stand at the end of the answers to writes
      */
     StreamDecision start(long handle, Object first, Backend.StreamSource source, boolean retainsTokens) {
         Attempt attempt = attempts.get(handle);
--- a/core/src/test/java/lupinvalve/core/EndpointDrainingTest.java
+++ b/core/src/test/java/lupinvalve/core/EndpointDrainingTest.java
@@ -29,11 +29,11 @@
     @Test
     void theGraceOfADrainIsOverInACompleteListAndCountsFromTheSendingOfAnUpdate() {
         EndpointListEvent full = new EndpointListEvent(ListForm.FULL, List.of());
-        assertEquals(NOW - GRACE_MICROS, draining.graceCountsFromMicros(full, NOW));
+        assertEquals(NOW - GRACE_MICROS, draining.graceStartMicros(full, NOW));
         EndpointListEvent update = new EndpointListEvent(ListForm.UPDATE, List.of());
-        assertEquals(NOW, draining.graceCountsFromMicros(update, NOW));
+        assertEquals(NOW, draining.graceStartMicros(update, NOW));
         EndpointListEvent queued = new EndpointListEvent(ListForm.UPDATE, List.of(), NOW - 50_000);
-        assertEquals(NOW - 50_000, draining.graceCountsFromMicros(queued, NOW));
+        assertEquals(NOW - 50_000, draining.graceStartMicros(queued, NOW));
     }
 
     @Test
--- a/daemon/src/main/java/lupinvalve/cli/RereadPauses.java
+++ b/daemon/src/main/java/lupinvalve/cli/RereadPauses.java
@@ -1,9 +1,9 @@
 package lupinvalve.cli;
 
 /**
- * Backoff for reading a configuration file again that was not usable: short at first, since most files are complete
- * within moments, then longer, and 3 s in total. The total is the sum of the pauses and not elapsed time, so that a
- * process that was suspended meanwhile still gets all its attempts.
+ * The pauses before a configuration file that was not usable is read again: short at first, since most files are
+ * complete within moments, then longer, and 3 s in total. The total is the sum of the pauses and not elapsed time, so
+ * that a process that was suspended meanwhile still gets all its attempts.
  */
 final class RereadPauses {
     private static final long FIRST_PAUSE_MILLIS = 50;
--- a/discovery/src/main/java/lupinvalve/discovery/DnsEndpointDiscovery.java
+++ b/discovery/src/main/java/lupinvalve/discovery/DnsEndpointDiscovery.java
@@ -86,7 +86,7 @@
         loop = pooler.loop();
     }
 
-    /** Sets the resolver, the service and the poll interval from the next look-up on. */
+    /** Reconfigures the discovery: sets the resolver, the service and the poll interval from the next look-up on. */
     public void move(InetSocketAddress newResolver, String newService, long newPollMicros) {
         resolver = newResolver;
         service = newService;
--- a/maintenance/src/main/java/lupinvalve/maintenance/DrainCommands.java
+++ b/maintenance/src/main/java/lupinvalve/maintenance/DrainCommands.java
@@ -7,8 +7,8 @@
 import java.util.TreeSet;
 
 /**
- * Operators' commands to drain and to restore db nodes that are currently in effect. The two processes of a hot restart
- * share them. Immutable.
+ * The commands of operators, to drain or restore db nodes, that are currently in effect. The two processes of a hot
+ * restart share them. Immutable.
  *
  * @param drained ids of the drained db nodes
  * @param restoredAtMicros when db nodes were restored, in Unix microseconds, by id
--- a/replication/src/main/java/lupinvalve/replication/AuditLog.java
+++ b/replication/src/main/java/lupinvalve/replication/AuditLog.java
@@ -9,15 +9,16 @@
 import lupinvalve.statemachine.Command;
 
 /**
- * A member's audit entries on its own disk, in one file per process incarnation. Each entry is forced to disk before
- * the event that it records takes effect. Also holds the entries that the Raft group has not committed yet; those of
- * earlier incarnations are delivered first. Confined to the {@code store} event loop's thread.
+ * A member's audit entries on its own disk. Each process incarnation writes a file of its own, and a further one after
+ * each failed write. Each entry is forced to disk before the event that it records takes effect. Also holds the entries
+ * that the Raft group has not committed yet; those of earlier incarnations are delivered first. Confined to the
+ * {@code store} event loop's thread.
  */
 final class AuditLog {
     /** Prefix of the names of audit files; the start time of the incarnation follows, in Unix microseconds. */
     static final String FILE_PREFIX = "audit-";
 
-    private static final int MAX_INCARNATIONS = 8;
+    private static final int MAX_EARLIER_FILES = 8;
     private static final int MAX_BATCH_ENTRIES = 100;
     /**
      * Assumed error of a pooler's clock. The system clock is read once at the start and advanced by the monotonic
@@ -28,7 +29,7 @@
     private final Disk disk;
     private final String fileName;
     private final AuditJournal journal;
-    private final List<Command.AppendAudit> earlierIncarnations = new ArrayList<>();
+    private final List<Command.AppendAudit> undeliveredEarlierBatches = new ArrayList<>();
     /** Number of this incarnation's current file: after a failed write the next entry goes to a new file. */
     private int filePart;
 
@@ -43,7 +44,7 @@
                 .filter(file -> file.startsWith(FILE_PREFIX))
                 .toList();
         for (int i = 0; i < files.size(); i++) {
-            if (i < files.size() - MAX_INCARNATIONS) {
+            if (i < files.size() - MAX_EARLIER_FILES) {
                 disk.delete(files.get(i));
             } else {
                 restore(files.get(i));
@@ -68,7 +69,7 @@
             List<AuditEntry> entries = read(disk, file);
             for (int from = 0; from < entries.size(); from += MAX_BATCH_ENTRIES) {
                 int end = Math.min(entries.size(), from + MAX_BATCH_ENTRIES);
-                earlierIncarnations.add(batch(entries.subList(from, end)));
+                undeliveredEarlierBatches.add(batch(entries.subList(from, end)));
             }
         } catch (IOException e) {
             Log.warn("store: audit entries of an earlier run can't be read and are not delivered: %s", e.getMessage());
@@ -108,8 +109,8 @@
 
     /** The next batch of entries to propose to the Raft group, or null if there is none. */
     Command.AppendAudit nextBatch() {
-        if (!earlierIncarnations.isEmpty()) {
-            return earlierIncarnations.get(0);
+        if (!undeliveredEarlierBatches.isEmpty()) {
+            return undeliveredEarlierBatches.get(0);
         }
         List<AuditEntry> undelivered = journal.undelivered(MAX_BATCH_ENTRIES);
         // A batch carries only its first entry's number, so the numbers in it must be consecutive. Where a summary of
@@ -124,7 +125,7 @@
 
     /** Marks a batch as committed by the Raft group. */
     void markDelivered(Command.AppendAudit batch) {
-        if (!earlierIncarnations.remove(batch)) {
+        if (!undeliveredEarlierBatches.remove(batch)) {
             journal.markDelivered(batch.firstNumber() + batch.entries().size() - 1);
         }
     }
--- a/routing/src/main/java/lupinvalve/routing/Attempt.java
+++ b/routing/src/main/java/lupinvalve/routing/Attempt.java
@@ -5,7 +5,7 @@
  *
  * @param number the number of earlier attempts of the same request, so 0 for the first
  * @param startedMicros when the attempt was started
- * @param overdueMicros the time after which the attempt is overdue: load alone no longer explains the missing answer
+ * @param overdueAtMicros the time after which the attempt is overdue: load alone no longer explains the missing answer
  * @param connectionIdleMicros how long the connection that carries the attempt had been idle before; 0 if the
  *     connection is new or was in use
  */
@@ -14,5 +14,5 @@
         int number,
         Server server,
         long startedMicros,
-        long overdueMicros,
+        long overdueAtMicros,
         long connectionIdleMicros) {}
--- a/routing/src/main/java/lupinvalve/routing/AttemptDispatcher.java
+++ b/routing/src/main/java/lupinvalve/routing/AttemptDispatcher.java
@@ -29,7 +29,7 @@
         long nowMicros = context.nowMicros();
         double overdueAfterMicros = timeouts.overdueAfterMicros(server, request);
         boolean unsafe = request.requestClass.effect() == RequestClass.Effect.UNSAFE;
-        long idleMicros = idleTimeout.beforeAttempt(server, unsafe);
+        long idleMicros = idleTimeout.closeExpiredAndGetIdleMicros(server, unsafe);
         long timeoutMicros = timeouts.timeoutMicros(request, overdueAfterMicros, idleMicros);
         long startWithinMicros = timeouts.startWithinMicros(request, timeoutMicros);
         int number = retryPolicy.attemptStarted(request);
--- a/routing/src/main/java/lupinvalve/routing/AttemptFeedback.java
+++ b/routing/src/main/java/lupinvalve/routing/AttemptFeedback.java
@@ -63,8 +63,8 @@
     private void served(Server server, PendingRequest request, long latencyMicros) {
         answered(server);
         outliers.recordServed(server, request);
-        boolean warm = !slowStart.inSlowStart(server) && !request.longRead;
-        load.recordServed(server, request, latencyMicros, warm);
+        boolean countsForWarmServers = !slowStart.inSlowStart(server) && !request.longRead;
+        load.recordServed(server, request, latencyMicros, countsForWarmServers);
         limit.adapt(server);
     }
 
@@ -81,7 +81,7 @@
      */
     private void timedOut(Server server, Attempt attempt, long elapsedMicros) {
         boolean silent = server.outlier.lastAnswerMicros() < attempt.startedMicros()
-                && context.nowMicros() >= attempt.overdueMicros();
+                && context.nowMicros() >= attempt.overdueAtMicros();
         if (silent && idleTimeout.mayHaveBeenDropped(attempt)) {
             // The idle connection may have been dropped rather than the server be down: the next attempt, on a new
             // connection, shows which.
--- a/routing/src/main/java/lupinvalve/routing/AttemptTimeout.java
+++ b/routing/src/main/java/lupinvalve/routing/AttemptTimeout.java
@@ -57,7 +57,7 @@
     long timeoutMicros(PendingRequest request, double overdueAfterMicros, long connectionIdleMicros) {
         long remainingMicros = request.expiresMicros - context.nowMicros();
         double timeoutMicros =
-                overdueAfterMicros * (idleTimeout.mayBeStale(connectionIdleMicros) ? 1 : TIMEOUT_OVERDUE_MULTIPLE);
+                overdueAfterMicros * (idleTimeout.isSuspect(connectionIdleMicros) ? 1 : TIMEOUT_OVERDUE_MULTIPLE);
         boolean leavesTimeForRetry = remainingMicros - timeoutMicros > load.serviceTimeMicros(request);
         return request.requestClass.effect() != RequestClass.Effect.UNSAFE && leavesTimeForRetry
                 ? (long) timeoutMicros
--- a/routing/src/main/java/lupinvalve/routing/ClientRetryDetector.java
+++ b/routing/src/main/java/lupinvalve/routing/ClientRetryDetector.java
@@ -66,7 +66,7 @@
      * @return the time in microseconds since the client's first attempt of the request, or 0 if the request does not
      *     count as a retry
      */
-    long sinceFirstAttemptMicros(int classIndex, long waitMicros) {
+    long recordWait(int classIndex, long waitMicros) {
         ClassWaits waits = waitsByClass.get(classIndex);
         long wait = waitMicros / RESOLUTION_MICROS;
         waits.add(wait);
@@ -76,15 +76,15 @@
     }
 
     /**
-     * Records the wait that a request's client stated, like {@link #sinceFirstAttemptMicros}.
+     * Records the wait that a request's client stated, like {@link #recordWait}.
      *
-     * @return whether the request is a retry for which over half of the latency objective has passed, so that its
-     *     answer would hardly be in time, and late answers of its class are worth little; under overload such a request
-     *     is rejected first
+     * @return whether the request is a late retry: over half of the latency objective has passed since the client's
+     *     first attempt, so that an answer would hardly be in time, and late answers of its class are worth little.
+     *     Under overload such a request is rejected first.
      */
-    boolean isLateRetry(int classIndex, long waitMicros) {
+    boolean recordAndCheckLateRetry(int classIndex, long waitMicros) {
         RequestClass requestClass = waitsByClass.get(classIndex).requestClass;
-        return sinceFirstAttemptMicros(classIndex, waitMicros) > requestClass.latencyObjectiveMicros() / 2
+        return recordWait(classIndex, waitMicros) > requestClass.latencyObjectiveMicros() / 2
                 && requestClass.losesValueWhenLate();
     }
 }
--- a/routing/src/main/java/lupinvalve/routing/DecayingMean.java
+++ b/routing/src/main/java/lupinvalve/routing/DecayingMean.java
@@ -16,27 +16,27 @@
     private static final double PRIOR_WEIGHT_SAMPLES = 2;
 
     private double weightedSum;
-    private double weightSamples;
+    private double totalWeight;
     private long decayedAtMicros;
 
     /** Adds a sample with weight 1. The older weights are scaled down first where they exceed the bound. */
     void add(long nowMicros, double sample) {
         decay(nowMicros);
-        double retainedRatio = Math.min(1, MAX_SAMPLES / (weightSamples + 1));
+        double retainedRatio = Math.min(1, MAX_SAMPLES / (totalWeight + 1));
         weightedSum = weightedSum * retainedRatio + sample;
-        weightSamples = weightSamples * retainedRatio + 1;
+        totalWeight = totalWeight * retainedRatio + 1;
     }
 
     /** Returns the weighted mean of the samples and the prior. */
     double mean(long nowMicros, double prior) {
         decay(nowMicros);
-        return (weightedSum + PRIOR_WEIGHT_SAMPLES * prior) / (weightSamples + PRIOR_WEIGHT_SAMPLES);
+        return (weightedSum + PRIOR_WEIGHT_SAMPLES * prior) / (totalWeight + PRIOR_WEIGHT_SAMPLES);
     }
 
     private void decay(long nowMicros) {
         double retainedRatio = Math.exp((decayedAtMicros - nowMicros) / DECAY_TIME_MICROS);
         weightedSum *= retainedRatio;
-        weightSamples *= retainedRatio;
+        totalWeight *= retainedRatio;
         decayedAtMicros = nowMicros;
     }
 }
--- a/routing/src/main/java/lupinvalve/routing/Endpoint.java
+++ b/routing/src/main/java/lupinvalve/routing/Endpoint.java
@@ -3,7 +3,7 @@
 /**
  * One server of a group, as given in the endpoint list.
  *
- * @param node the server's id
+ * @param node the id of the server, also called db node; events and actions refer to the server by it
  * @param group number of the group that the server belongs to
  * @param zone number of the zone that the server is in
  * @param listedPrimary whether the list gives the server as its group's primary
--- a/routing/src/main/java/lupinvalve/routing/EndpointList.java
+++ b/routing/src/main/java/lupinvalve/routing/EndpointList.java
@@ -5,7 +5,10 @@
 
 /** Keeps the table of servers in line with the endpoint list, and notifies the other rules of changes. */
 final class EndpointList {
-    /** Time for which a departed server is kept, since it may be listed again or a health check of it may still end. */
+    /**
+     * Time for which a departed server is kept after its drain or departure was notified, since it may be listed again
+     * or a health check of it may still end.
+     */
     private static final long DEPARTED_RETENTION_MICROS = 5_000_000;
 
     /** Upper bound of the random member index at which a group's round-robin starts; far above any group's size. */
@@ -93,9 +96,9 @@
     }
 
     /**
-     * Sets the state of a server. The time of the drain's notification, in microseconds, is limited to the last
-     * {@code drainGraceMicros} before now: if the notification may be older than that, the grace in which writes are
-     * still sent is over.
+     * Sets the state of a server. When a live server begins to drain or departs, records the earliest time at which
+     * that may have been notified, in microseconds, but no time earlier than {@code drainGraceMicros} ago: by then the
+     * grace period in which writes are still sent is over anyway.
      */
     private void setState(Server server, EndpointState state, long notifiedSinceMicros) {
         Listing listing = server.listing;
@@ -121,8 +124,9 @@
     }
 
     /**
-     * Removes servers that departed over {@link #DEPARTED_RETENTION_MICROS} ago and have no attempts in flight. Without
-     * this the table would grow for ever, as each deployment of servers brings new ids.
+     * Removes departed servers that have no attempts in flight, once {@link #DEPARTED_RETENTION_MICROS} have passed
+     * since their drain, or else their departure, was notified. Without this the table would grow for ever, as each
+     * deployment of servers brings new ids.
      */
     void removeDeparted() {
         servers.removeServersIf(server -> server.listing.state == EndpointState.DEPARTED
--- a/routing/src/main/java/lupinvalve/routing/EndpointWatch.java
+++ b/routing/src/main/java/lupinvalve/routing/EndpointWatch.java
@@ -2,14 +2,15 @@
 
 /** The watch on the endpoint list: requested at the start, and again after each failure, with backoff and jitter. */
 final class EndpointWatch {
+    /** Backoff before the watch is requested again after the first failure; it doubles with each further one. */
+    private static final long FIRST_BACKOFF_MICROS = 250_000;
     /**
-     * Backoff before the watch is requested again. A change of the list must take effect within some seconds after
-     * discovery has it and is reachable, whatever calls failed before; the longest backoff and a call that hangs must
-     * fit into that time twice.
+     * The longest backoff. A change of the list must take effect within some seconds after discovery has it and is
+     * reachable, whatever calls failed before. So two of these backoffs plus two calls that hang must take no longer
+     * than that.
      */
-    private static final long FIRST_BACKOFF_MICROS = 250_000;
-
     private static final long MAX_BACKOFF_MICROS = 750_000;
+
     private static final int MAX_DOUBLINGS = 2;
     /** The backoff is at most the longest poll interval, {@code pollWithinMicros}, divided by this. */
     private static final long BACKOFFS_PER_POLL_INTERVAL = 4;
--- a/routing/src/main/java/lupinvalve/routing/HealthChecker.java
+++ b/routing/src/main/java/lupinvalve/routing/HealthChecker.java
@@ -36,8 +36,9 @@
         private int failures;
 
         /**
-         * Checks failed since the last successful one, limited to {@link HealthChecker#INCONCLUSIVE_FAILURES} by each
-         * answered attempt.
+         * The number of failed checks since the last successful one. An answered attempt lowers it to
+         * {@link HealthChecker#INCONCLUSIVE_FAILURES} if it is higher; {@link HealthChecker#resetFailures} sets it to
+         * 0.
          */
         int failures() {
             return failures;
@@ -94,7 +95,7 @@
         if (budgetChecks >= RESERVED_BUDGET_CHECKS
                 && now - server.healthCheck.startedMicros > REPORT_INTERVAL_MICROS
                 && now - server.group.healthChecks.lastRequestMicros < REPORT_INTERVAL_MICROS
-                && lag.hasNoReportFor(server, REPORT_INTERVAL_MICROS)) {
+                && lag.hasNoReportWithin(server, REPORT_INTERVAL_MICROS)) {
             budgetChecks--;
             check(server);
         }
@@ -111,7 +112,7 @@
             Server server = group.members.get((state.roundRobinIndex + i) % size);
             if (isReadable.test(server)
                     && context.nowMicros() - server.healthCheck.startedMicros >= WAITING_READ_INTERVAL_MICROS
-                    && lag.hasNoReportFor(server, WAITING_READ_INTERVAL_MICROS / 2)) {
+                    && lag.hasNoReportWithin(server, WAITING_READ_INTERVAL_MICROS / 2)) {
                 check(server);
                 budgetChecks--;
                 state.roundRobinIndex = (state.roundRobinIndex + i + 1) % size;
--- a/routing/src/main/java/lupinvalve/routing/IdleTimeout.java
+++ b/routing/src/main/java/lupinvalve/routing/IdleTimeout.java
@@ -39,19 +39,26 @@
     }
 
     /**
-     * Whether a connection idle for this long may have been dropped without notice: idle for longer than the shortest
-     * timeout, while the timeout is below its maximum because of an earlier drop or full connection table.
+     * Whether a connection idle for this long is suspected of having been dropped without notice: it has been idle for
+     * longer than the shortest timeout, and the timeout is below its maximum because of an earlier drop or full
+     * connection table. The second condition makes this stricter than {@link #mayHaveBeenDropped}.
      */
-    boolean mayBeStale(long idleMicros) {
+    boolean isSuspect(long idleMicros) {
         return idleMicros > MIN_TIMEOUT_MICROS && timeoutMicros < MAX_TIMEOUT_MICROS;
     }
 
-    /** Whether an attempt without answer may have been lost because its connection had been dropped while idle. */
+    /**
+     * Whether an attempt without answer may have been lost because its connection had been dropped while idle: the
+     * connection had been idle for longer than the shortest timeout, whatever the timeout is now.
+     */
     boolean mayHaveBeenDropped(Attempt attempt) {
         return attempt.connectionIdleMicros() > MIN_TIMEOUT_MICROS;
     }
 
-    /** Shortens the timeout below the time after which an idle connection was dropped; closes the server's others. */
+    /**
+     * Records that an attempt's connection was dropped while idle: shortens the timeout below the time that it had been
+     * idle, and closes the server's other idle connections.
+     */
     void connectionDropped(Attempt attempt) {
         timeoutMicros =
                 Math.max(MIN_TIMEOUT_MICROS, Math.min(timeoutMicros, attempt.connectionIdleMicros() * CUT_RATIO));
@@ -74,7 +81,7 @@
      *
      * @param unsafe whether the request can't be retried, so that a shorter timeout applies
      */
-    long beforeAttempt(Server server, boolean unsafe) {
+    long closeExpiredAndGetIdleMicros(Server server, boolean unsafe) {
         State state = server.connection;
         boolean idle = state.mayBeOpen && server.inFlight.isEmpty();
         long idleMicros = idle ? context.nowMicros() - state.lastUsedMicros : 0;
--- a/routing/src/main/java/lupinvalve/routing/InFlightAttempts.java
+++ b/routing/src/main/java/lupinvalve/routing/InFlightAttempts.java
@@ -35,8 +35,8 @@
     int countWithoutLost(long nowMicros, long lastAnswerMicros) {
         int lost = 0;
         for (Attempt attempt : attempts) {
-            if (nowMicros <= 2 * attempt.overdueMicros() - attempt.startedMicros()
-                    || lastAnswerMicros <= attempt.overdueMicros()) {
+            if (nowMicros <= 2 * attempt.overdueAtMicros() - attempt.startedMicros()
+                    || lastAnswerMicros <= attempt.overdueAtMicros()) {
                 break;
             }
             lost++;
--- a/routing/src/main/java/lupinvalve/routing/InFlightLimit.java
+++ b/routing/src/main/java/lupinvalve/routing/InFlightLimit.java
@@ -8,8 +8,8 @@
  */
 final class InFlightLimit {
     /**
-     * The latency ratio above which the limit falls. Service times spread about as widely as their mean, so with a mean
-     * latency of this part of the objective few answers come after the objective.
+     * The latency ratio above which the limit falls. The standard deviation of service times is about as large as their
+     * mean. So if the mean latency is this part of the objective, few answers come after the objective.
      */
     static final double TARGET_LATENCY_RATIO = 0.25;
 
@@ -92,8 +92,8 @@
      * Adapts the limit to the server's latency ratio; called once for each served request and each late timeout.
      * Latency grows about in proportion to the attempts in flight, so multiplying the limit by the factor (target /
      * latency ratio) brings latency to its target. Each call multiplies it by the factor to the power of 1 / limit, so
-     * the whole factor has been applied once as many answers have arrived as the limit allows in flight. The divisor is
-     * at least {@link DecayingMean#MAX_SAMPLES}, as the mean itself takes that many samples to follow a change.
+     * the whole factor is applied over a number of answers equal to the limit. The divisor of that exponent is at least
+     * {@link DecayingMean#MAX_SAMPLES}, as the mean itself takes that many samples to follow a change.
      */
     void adapt(Server server) {
         double latencyRatio = load.latencyRatio(server);
--- a/routing/src/main/java/lupinvalve/routing/ListForm.java
+++ b/routing/src/main/java/lupinvalve/routing/ListForm.java
@@ -1,6 +1,6 @@
 package lupinvalve.routing;
 
-/** How an endpoint update relates to the endpoint list known before. */
+/** The kind of an endpoint update: how it relates to the endpoint list known before. */
 public enum ListForm {
     /** The entries that changed. */
     UPDATE,
--- a/routing/src/main/java/lupinvalve/routing/LoadShedding.java
+++ b/routing/src/main/java/lupinvalve/routing/LoadShedding.java
@@ -11,7 +11,7 @@
     private static final double TARGET_LATENCY_RATIO = 0.42;
     /** The target for writes is this multiple of that for reads, as only the primary can serve a write. */
     private static final double WRITE_TARGET_MULTIPLE = 2;
-    /** The exponent of target over latency ratio that yields the part of requests that is admitted. */
+    /** The part of the requests that is admitted is (target / latency ratio) to the power of this. */
     private static final double STEEPNESS_EXPONENT = 3;
     /** The lowest draw of a client's retry. Requests with the highest draws are shed first. */
     private static final double CLIENT_RETRY_MIN_DRAW = 0.9;
@@ -45,7 +45,7 @@
      */
     boolean sheds(Server server, PendingRequest request, double limitRatio) {
         double targetRatio = TARGET_LATENCY_RATIO * (request.isWrite() ? WRITE_TARGET_MULTIPLE : limitRatio);
-        double targetPart = Math.min(1, targetRatio / load.latencyRatio(server));
-        return limit.hasManyRouters() && request.sheddingDraw >= Math.pow(targetPart, STEEPNESS_EXPONENT);
+        double targetOverLatencyRatio = Math.min(1, targetRatio / load.latencyRatio(server));
+        return limit.hasManyRouters() && request.sheddingDraw >= Math.pow(targetOverLatencyRatio, STEEPNESS_EXPONENT);
     }
 }
--- a/routing/src/main/java/lupinvalve/routing/LoadStatistics.java
+++ b/routing/src/main/java/lupinvalve/routing/LoadStatistics.java
@@ -80,7 +80,10 @@
                 * request.requestClass.latencyObjectiveMicros();
     }
 
-    /** Returns the number of requests that servers not in slow start have served for this router. */
+    /**
+     * Returns the number of requests, long-running reads excepted, that servers not in slow start have served for this
+     * router.
+     */
     double servedByWarmServers() {
         return servedByWarmServers;
     }
@@ -100,9 +103,9 @@
      * Records a served request: updates the estimated service time of its class and both ratios.
      *
      * @param latencyMicros the time from the attempt's start to its answer
-     * @param warm whether the request counts for {@link #servedByWarmServers}
+     * @param countsForWarmServers whether the request counts for {@link #servedByWarmServers}
      */
-    void recordServed(Server server, PendingRequest request, long latencyMicros, boolean warm) {
+    void recordServed(Server server, PendingRequest request, long latencyMicros, boolean countsForWarmServers) {
         double oldServiceTimeMicros = serviceTimeMicros[request.classIndex()];
         serviceTimeMicros[request.classIndex()] +=
                 (latencyMicros < oldServiceTimeMicros ? SERVICE_TIME_FALL_RATIO : SERVICE_TIME_RISE_RATIO)
@@ -111,6 +114,6 @@
         server.load.slowdown.add(context.nowMicros(), slowdown);
         server.group.load.slowdown.add(context.nowMicros(), slowdown);
         recordLatencyRatio(server, (double) latencyMicros / request.requestClass.latencyObjectiveMicros());
-        servedByWarmServers += warm ? 1 : 0;
+        servedByWarmServers += countsForWarmServers ? 1 : 0;
     }
 }
--- a/routing/src/main/java/lupinvalve/routing/OutlierDetection.java
+++ b/routing/src/main/java/lupinvalve/routing/OutlierDetection.java
@@ -82,9 +82,9 @@
     private boolean isOverdue(Server server) {
         Attempt oldest = server.inFlight.oldest();
         return oldest != null
-                && context.nowMicros() > oldest.overdueMicros()
+                && context.nowMicros() > oldest.overdueAtMicros()
                 && context.nowMicros() - server.outlier.lastAnswerMicros
-                        > oldest.overdueMicros() - oldest.startedMicros();
+                        > oldest.overdueAtMicros() - oldest.startedMicros();
     }
 
     /** Starts the trial of an ejected server if it is due; health-checks other servers whose reports are missing. */
@@ -114,7 +114,10 @@
         healthChecker.serverAnswered(server);
     }
 
-    /** Records a served request. Only now do errors of other servers for the same request count against those. */
+    /**
+     * Records a served request. If other servers answered the same request with an error before, that error counts
+     * against them from now on.
+     */
     void recordServed(Server server, PendingRequest request) {
         State state = server.outlier;
         state.errorRatio *= 1 - NEWEST_WEIGHT_RATIO;
@@ -150,8 +153,8 @@
     }
 
     /**
-     * Records the timeout of an attempt since whose start the server has answered nothing. The first such timeout since
-     * the last answer only starts a health check, further ones eject the server.
+     * Records that an attempt timed out and that the server has answered nothing since the attempt's start. The first
+     * such timeout since the last answer only starts a health check, further ones eject the server.
      */
     void recordSilentTimeout(Server server) {
         if (server.outlier.silentTimeouts++ > 0) {
--- a/routing/src/main/java/lupinvalve/routing/PendingRequest.java
+++ b/routing/src/main/java/lupinvalve/routing/PendingRequest.java
@@ -18,7 +18,10 @@
     final long tokenPosition;
     /** The random number in [0, 1) that load shedding compares: the higher, the sooner the request is rejected. */
     final double sheddingDraw;
-    /** Whether it is a client's retry: marked as one, or detected by {@link ClientRetryDetector}. */
+    /**
+     * Whether it counts as a client's retry: the client marked it as one, or {@link ClientRetryDetector} found it to be
+     * a late one.
+     */
     final boolean clientRetry;
     /** Whether it is a long-running read, see {@link LongReadPlacement}. */
     final boolean longRead;
--- a/routing/src/main/java/lupinvalve/routing/PlacementResult.java
+++ b/routing/src/main/java/lupinvalve/routing/PlacementResult.java
@@ -1,6 +1,6 @@
 package lupinvalve.routing;
 
-/** The result of an attempt to place a request at a server. */
+/** The result of looking for a server for a request, see {@link RequestPlacement}. */
 enum PlacementResult {
     /** An attempt was started. */
     STARTED,
--- a/routing/src/main/java/lupinvalve/routing/PrimarySearch.java
+++ b/routing/src/main/java/lupinvalve/routing/PrimarySearch.java
@@ -11,7 +11,10 @@
 
     /** Pause after the last member of a round, in attempt intervals. */
     private static final long ROUND_PAUSE_INTERVALS = 3;
-    /** Time of one round of health checks over a group's members, or over as many of them as requests wait. */
+    /**
+     * The time in which each member of a group is health-checked once or, if the group has fewer queued requests than
+     * members, in which as many members as there are queued requests are checked.
+     */
     private static final long CHECK_ROUND_MICROS = 150_000;
     /** Up to the interval divided by this is added at random to it, as every router does these checks. */
     private static final long JITTER_DIVISOR = 4;
--- a/routing/src/main/java/lupinvalve/routing/PrimaryTracker.java
+++ b/routing/src/main/java/lupinvalve/routing/PrimaryTracker.java
@@ -64,8 +64,8 @@
     }
 
     /**
-     * Makes a live server that the endpoint list gives as primary the group's primary, unless one is known or the
-     * server is known to have been a replica.
+     * Handles a live server that the endpoint list marks as primary: it becomes the group's primary, unless one is
+     * known or the server is known to have been a replica.
      */
     void listedAsPrimary(Server server) {
         if (server.group.primary() == null && server.role.knownReplicaMicros == NEVER_MICROS) {
--- a/routing/src/main/java/lupinvalve/routing/QueueDeadline.java
+++ b/routing/src/main/java/lupinvalve/routing/QueueDeadline.java
@@ -18,8 +18,8 @@
      */
     private static final double NEVER_SENT_TIME_RATIO = 0.49;
     /**
-     * The expected latency of the answer, which is reserved before the objective, is at most this part of the
-     * objective.
+     * A request is given up so early that the expected latency still fits before the answer loses its value. That
+     * latency counts as at most this part of the objective.
      */
     private static final double MAX_LATENCY_OBJECTIVE_RATIO = 0.7;
 
--- a/routing/src/main/java/lupinvalve/routing/QueuedRequests.java
+++ b/routing/src/main/java/lupinvalve/routing/QueuedRequests.java
@@ -71,8 +71,8 @@
     }
 
     /** Removes the request that an iterator over one of the group's queues returned last. */
-    void remove(Iterator<PendingRequest> position, ServerGroup group) {
-        position.remove();
+    void remove(Iterator<PendingRequest> iterator, ServerGroup group) {
+        iterator.remove();
         changeSize(group, -1);
     }
 
--- a/routing/src/main/java/lupinvalve/routing/ReplicaCost.java
+++ b/routing/src/main/java/lupinvalve/routing/ReplicaCost.java
@@ -11,8 +11,8 @@
     private static final double OTHER_ZONE_COST_MULTIPLE = 1.3;
     /**
      * The cost factor added for each unit of the price of a zone crossing, which is a part of a request's priority
-     * weight. One more attempt ahead of a read costs about 1/75 of a priority weight, by the answers that come late, so
-     * the price of a whole priority weight equals 75 attempts ahead.
+     * weight. One more attempt ahead of a read makes so many answers late that it costs about 1/75 of a priority
+     * weight, so the price of a whole priority weight equals 75 attempts ahead.
      */
     private static final double CROSSING_PRICE_COST_MULTIPLE = 75;
     /**
@@ -26,21 +26,22 @@
     /** The cost factor of a server that answered an earlier attempt of the request with an error. */
     private static final double ERRED_COST_MULTIPLE = 50;
     /**
-     * The cost factor of a server in slow start that admitted the read by a random draw. It is preferred, as the budget
-     * that the admission used up would be lost otherwise.
+     * The cost factor of a server in slow start that admitted the read, where there are many routers. It is far below
+     * 1, so that the read goes there: the admission holds for that server only, and the budget that it used up would be
+     * lost otherwise.
      */
-    private static final double DRAWN_COST_MULTIPLE = 0.01;
+    private static final double SERVER_SPECIFIC_ADMISSION_COST_MULTIPLE = 0.01;
     /**
      * Where there are many routers (see {@link InFlightLimit#hasManyRouters}), a cost counts as less only below this
      * part of the other: costs then rest on few answers, which differ by chance.
      */
-    private static final double MANY_ROUTERS_LESS_COST_RATIO = 0.85;
+    private static final double MANY_ROUTERS_LOWER_COST_BOUND_RATIO = 0.85;
 
     private final RouterContext context;
     private final LoadStatistics load;
     private final SlowStart slowStart;
     private final double otherZoneCost;
-    private final double lessCostRatio;
+    private final double lowerCostBoundRatio;
 
     ReplicaCost(RouterContext context, LoadStatistics load, InFlightLimit limit, SlowStart slowStart) {
         this.context = context;
@@ -49,12 +50,12 @@
         double crossingCost =
                 1 + CROSSING_PRICE_COST_MULTIPLE * context.settings().crossZonePrice();
         otherZoneCost = Math.max(OTHER_ZONE_COST_MULTIPLE, crossingCost);
-        lessCostRatio = limit.hasManyRouters() ? MANY_ROUTERS_LESS_COST_RATIO : 1;
+        lowerCostBoundRatio = limit.hasManyRouters() ? MANY_ROUTERS_LOWER_COST_BOUND_RATIO : 1;
     }
 
     /** Whether a cost counts as less than the least cost so far. */
     boolean isLess(double cost, double leastCost) {
-        return cost < leastCost * lessCostRatio;
+        return cost < leastCost * lowerCostBoundRatio;
     }
 
     /**
@@ -80,6 +81,6 @@
         if (request.history.erredServers().contains(server)) {
             return ERRED_COST_MULTIPLE;
         }
-        return slowStart.isDrawnForServer(server) ? DRAWN_COST_MULTIPLE : 1;
+        return slowStart.isAdmissionServerSpecific(server) ? SERVER_SPECIFIC_ADMISSION_COST_MULTIPLE : 1;
     }
 }
--- a/routing/src/main/java/lupinvalve/routing/ReplicationLag.java
+++ b/routing/src/main/java/lupinvalve/routing/ReplicationLag.java
@@ -84,12 +84,12 @@
             return Math.max(0, requiredPosition - (context.nowMicros() - server.lag.lagMicros));
         }
         boolean unreachable =
-                server.healthCheck.failures() > 0 && hasNoReportFor(server, HealthChecker.REPORT_INTERVAL_MICROS);
+                server.healthCheck.failures() > 0 && hasNoReportWithin(server, HealthChecker.REPORT_INTERVAL_MICROS);
         return unreachable ? Long.MAX_VALUE : 0;
     }
 
     /** Whether the server has stated no current position within the last {@code micros}. */
-    boolean hasNoReportFor(Server server, long micros) {
+    boolean hasNoReportWithin(Server server, long micros) {
         return server.lag.reportedAtMicros == NEVER_MICROS
                 || context.nowMicros() - server.lag.reportedAtMicros >= micros;
     }
--- a/routing/src/main/java/lupinvalve/routing/RequestClass.java
+++ b/routing/src/main/java/lupinvalve/routing/RequestClass.java
@@ -59,7 +59,10 @@
     /** An answer that keeps less than this part of its priority weight after the objective is worth little. */
     private static final double KEEPS_VALUE_MIN_RATIO = 0.5;
 
-    /** Checks the ranges; the message of the {@link IllegalArgumentException} names the platform's setting. */
+    /**
+     * Checks the ranges; the message of the {@link IllegalArgumentException} names the setting as it is called in the
+     * hosting platform's configuration file, see {@link RouterSettings}.
+     */
     public RequestClass {
         RouterSettings.require(access != null, "class_read of class " + name, access);
         RouterSettings.require(effect != null, "classes.effect of class " + name, effect);
--- a/routing/src/main/java/lupinvalve/routing/RequestQueue.java
+++ b/routing/src/main/java/lupinvalve/routing/RequestQueue.java
@@ -13,8 +13,8 @@
  */
 final class RequestQueue {
     /**
-     * The part of the requests that clients can have open at once that may be queued in all groups together. The rest
-     * is left for requests of groups that have a server available.
+     * At most this part of the limit on open requests may be queued, in all groups together. The rest is left for
+     * requests of groups that have a server available.
      */
     private static final double MAX_OPEN_REQUESTS_RATIO = 0.3;
     /**
--- a/routing/src/main/java/lupinvalve/routing/RetryPolicy.java
+++ b/routing/src/main/java/lupinvalve/routing/RetryPolicy.java
@@ -84,8 +84,8 @@
     }
 
     /**
-     * Whether a request whose attempt has ended may be retried now, at the same server at least. Otherwise it gets a
-     * final answer.
+     * Whether a request whose attempt has ended may be retried now, if only at the same server. If not, it gets a final
+     * answer.
      */
     boolean mayRetry(PendingRequest request) {
         long retryEndsMicros = Math.min(request.answerDueMicros(), request.losesValueAtMicros());
--- a/routing/src/main/java/lupinvalve/routing/Router.java
+++ b/routing/src/main/java/lupinvalve/routing/Router.java
@@ -111,7 +111,7 @@
      * Whether a request's attempt may still be sent once its connection has opened, which may have taken long: the
      * replica may be too far behind by then, or the write no longer safe to retry.
      */
-    public boolean mayStillStart(String id, long nowMicros) {
+    public boolean mayStillBeSent(String id, long nowMicros) {
         context.advanceTo(nowMicros);
         PendingRequest request = lifecycle.find(id);
         if (request == null || request.inFlight() == null) {
@@ -150,7 +150,8 @@
             return;
         }
         healthChecker.requestArrived(group);
-        boolean clientRetry = clientRetries.isLateRetry(classIndex, arrival.waitMicros()) || arrival.repeated();
+        boolean clientRetry =
+                clientRetries.recordAndCheckLateRetry(classIndex, arrival.waitMicros()) || arrival.repeated();
         PendingRequest request = new PendingRequest(
                 arrival,
                 requestClass,
--- a/routing/src/main/java/lupinvalve/routing/RouterAction.java
+++ b/routing/src/main/java/lupinvalve/routing/RouterAction.java
@@ -6,8 +6,8 @@
      * Starts an attempt of a request; the attempt's number is the count of the request's earlier attempts.
      *
      * @param timeoutMicros time after which the attempt is abandoned; 0 for the time at which the client stops waiting
-     * @param startWithinMicros time within which the server must begin the work or drop the attempt, which is sent to
-     *     the server; 0 for the timeout
+     * @param startWithinMicros time within which the server must begin the work, or else drop the attempt; the server
+     *     receives this time with the request; 0 for the timeout
      */
     record StartAttempt(String id, String node, long timeoutMicros, long startWithinMicros) implements RouterAction {}
 
--- a/routing/src/main/java/lupinvalve/routing/RouterEvent.java
+++ b/routing/src/main/java/lupinvalve/routing/RouterEvent.java
@@ -7,11 +7,15 @@
     /**
      * A change of the endpoint list; {@code endpoints} is empty for {@link ListForm#UNAVAILABLE}.
      *
-     * @param notifiedSinceMicros the earliest time at which the change may have been notified; the time within which
-     *     attempts at a draining or departed server must cease counts from then. Times in the future stand for now.
+     * @param notifiedSinceMicros the earliest time at which the change may have been notified. The grace period of a
+     *     server that it drains or removes begins then, after which no attempt may start there. A time in the future
+     *     stands for now.
      */
     record EndpointUpdate(ListForm form, List<Endpoint> endpoints, long notifiedSinceMicros) implements RouterEvent {
-        /** A change notified just now, or, in any other form, a list whose content may have been notified long ago. */
+        /**
+         * An update of unknown age: an {@link ListForm#UPDATE} counts as notified now; any other form counts as
+         * notified long ago, since a complete list may repeat an old drain.
+         */
         public EndpointUpdate(ListForm form, List<Endpoint> endpoints) {
             this(form, endpoints, form == ListForm.UPDATE ? Long.MAX_VALUE : Long.MIN_VALUE);
         }
@@ -29,7 +33,8 @@
      * @param repeated whether the client marked the request as a retry
      * @param session the session, or null
      * @param sinceWriteMicros time since the session's last commit, where requests carry their tokens; 0 for none
-     * @param timeLeftMicros time until the client stops waiting for this request; its retry is a request of its own
+     * @param timeLeftMicros time until the client stops waiting for this request; a retry by the client is another
+     *     event, with a time of its own
      * @param waitMicros the wait that the client stated, part of which may have passed before a busy core thread
      *     handled the request
      */
--- a/routing/src/main/java/lupinvalve/routing/RouterSettings.java
+++ b/routing/src/main/java/lupinvalve/routing/RouterSettings.java
@@ -4,8 +4,9 @@
 import java.util.List;
 
 /**
- * The settings of one router. Immutable; lists are copied. The constructors throw an {@link IllegalArgumentException}
- * that names the platform's setting if a value is out of range.
+ * The settings of one router. The hosting platform, which starts the process, gives them in a configuration file. If a
+ * value is out of range, the constructors throw an {@link IllegalArgumentException} that names the setting as it is
+ * called in that file. Immutable; lists are copied.
  *
  * @param instanceIndex number of this router among all routers, from 0
  * @param instanceCount number of routers
@@ -46,8 +47,8 @@
      *
      * @param maxAttempts attempts of one request at most
      * @param parallelAttempts whether a request may have more than one attempt in flight
-     * @param cancel whether attempts may be cancelled
-     * @param probe whether health checks may be sent
+     * @param cancel whether the router may cancel attempts
+     * @param probe whether the router may send health checks to servers
      * @param retryAfter whether rejections may state a Retry-After
      * @param maxRetryAfterMicros longest Retry-After that may be stated
      * @param maxOpenRequests number of requests that clients can have open at this router at once
@@ -69,7 +70,7 @@
     }
 
     /**
-     * The platform's rules for routers.
+     * The rules that the hosting platform sets for routers.
      *
      * @param answerSlackMicros time after a request's deadline within which its final answer is still accepted
      * @param drainGraceMicros time after the notification of a drain or departure within which attempts may still start
@@ -77,7 +78,8 @@
      * @param initialCapacityRatio capacity of a server at its start, as a fraction of its full capacity
      * @param warmUpMicros time from a server's start to its full capacity: the length of its slow start
      * @param overloadMultiple load that overloads a server in slow start, as a multiple of its capacity at that time
-     * @param overloadMicros length of the time window over which the load for {@code overloadMultiple} is counted
+     * @param overloadMicros length of the time window up to now over which the load for {@code overloadMultiple} is
+     *     counted
      */
     public record Rules(
             long answerSlackMicros,
--- a/routing/src/main/java/lupinvalve/routing/ServerEligibility.java
+++ b/routing/src/main/java/lupinvalve/routing/ServerEligibility.java
@@ -15,7 +15,7 @@
     }
 
     /** Whether the endpoint list allows new attempts at a server; a draining primary gets writes for a while. */
-    boolean isListed(Server server, boolean write) {
+    boolean isAllowedByList(Server server, boolean write) {
         EndpointState state = server.listing.state();
         return state == EndpointState.LIVE || state == EndpointState.DRAINING && write && stillTakesWrites(server);
     }
@@ -26,10 +26,10 @@
         return context.nowMicros() < server.listing.drainNotifiedMicros() + writeGraceMicros;
     }
 
-    /** Whether a server may be sent writes, or else reads, now; false for null. */
+    /** Whether a server may be sent a write now if {@code write}, otherwise whether a read; false for null. */
     boolean isEligible(Server server, boolean write) {
         return server != null
-                && isListed(server, write)
+                && isAllowedByList(server, write)
                 && outliers.isHealthy(server)
                 && (write || !outliers.isPausedForErrors(server));
     }
--- a/routing/src/main/java/lupinvalve/routing/SlowStart.java
+++ b/routing/src/main/java/lupinvalve/routing/SlowStart.java
@@ -25,7 +25,7 @@
      * While no server is warm, a router admits a request at a server with a probability of this divided by the number
      * of routers, so that, if each router has one request, about this many of all these are admitted at the server.
      */
-    private static final double NO_WARM_SERVER_ADMITTING_ROUTERS = 10;
+    private static final double NO_WARM_SERVER_EXPECTED_ADMISSIONS = 10;
     /**
      * While no server is warm, a write is admitted only if fewer than this many attempts of this router, of any kind,
      * are in flight to the server.
@@ -37,13 +37,13 @@
      */
     private static final int NO_WARM_SERVER_MAX_IN_FLIGHT_FOR_READ = 1;
     /**
-     * Multiplies a request's draw for load shedding, so that the fractional part, a draw for slow start, depends on
-     * digits that hardly affect load shedding.
+     * The draw for slow start is the fractional part of a request's draw for load shedding times this, plus a shift for
+     * each server. So it depends on the fifth and later decimals of that draw, which hardly affect load shedding.
      */
     private static final double DRAW_SCALE = 1e4;
     /**
-     * Shifts that draw by a step for each value of the server id's hash, so that each server gets another draw. This is
-     * about the golden ratio's fractional part, whose multiples spread evenly between 0 and 1.
+     * The shift for a server is the hash of the server's id times this, so that each server gets another draw for the
+     * same request. This is about the golden ratio's fractional part, whose multiples spread evenly between 0 and 1.
      */
     private static final double SERVER_DRAW_STEP = 0.618;
 
@@ -98,10 +98,11 @@
     }
 
     /**
-     * Whether a request that {@link #admits} has just admitted at this server should be sent there in preference to
-     * others, because the admission was for this request at this server alone: by budget used up or by a random draw.
+     * Whether this server is to be preferred to other servers for a request that {@link #admits} has just admitted
+     * here. It is where the admission used up budget or was drawn at random, since such an admission holds for this
+     * server only and would be lost if the request went elsewhere.
      */
-    boolean isDrawnForServer(Server server) {
+    boolean isAdmissionServerSpecific(Server server) {
         return limit.hasManyRouters() && inSlowStart(server);
     }
 
@@ -134,35 +135,38 @@
                         < (request.isWrite()
                                 ? NO_WARM_SERVER_MAX_IN_FLIGHT_FOR_WRITE
                                 : NO_WARM_SERVER_MAX_IN_FLIGHT_FOR_READ)
-                && draw < NO_WARM_SERVER_ADMITTING_ROUTERS / context.settings().instanceCount();
+                && draw
+                        < NO_WARM_SERVER_EXPECTED_ADMISSIONS
+                                / context.settings().instanceCount();
     }
 
     /**
-     * Adds what the server in slow start has earned since the last call to its budget, and admits the request if the
-     * budget suffices.
+     * Adds to the server's budget what it has earned since the last call, and admits the request if the budget
+     * suffices.
      *
      * <p>The number of requests that the server may get for each request that one warm server serves is its capacity
      * ratio, times the multiple of its capacity that overloads it, times {@link #USED_CAPACITY_RATIO}. A request that
      * any of the warm servers has served earns this number divided by the number of warm servers.
      *
      * <p>Where there are many routers, each request considered for the server uses up part of the budget: a write uses
-     * up the number of requests per warm request above, but at most 1; a read uses up that divided by the number of the
-     * group's replicas, as it is considered for each of them. The capacity ratio is then that of one overload period
-     * earlier, the time over which the load at a server in slow start is counted.
+     * up the number of the paragraph above (requests for each request that one warm server serves), but at most 1; a
+     * read uses up that divided by the number of the group's replicas, as it is considered for each of them. The
+     * capacity ratio used then is that of {@code overloadMicros} ago, because the load at a server in slow start is
+     * counted over that time.
      */
     private boolean admitsByBudget(Server server, PendingRequest request, int warmServers) {
         RouterSettings.Rules rules = context.settings().rules();
         boolean manyRouters = limit.hasManyRouters();
         long ageMicros =
                 context.nowMicros() - server.slowStart.startedMicros - (manyRouters ? rules.overloadMicros() : 0);
-        double requestsPerWarmRequest =
+        double requestsPerRequestOfWarmServer =
                 capacityRatio(rules, ageMicros) * rules.overloadMultiple() * USED_CAPACITY_RATIO;
         int candidateServers = request.isWrite() ? 1 : Math.max(1, server.group.members.size() - 1);
-        double requestPart = Math.min(1, requestsPerWarmRequest) / candidateServers;
+        double usedUpPerConsideredRequest = Math.min(1, requestsPerRequestOfWarmServer) / candidateServers;
         SlowStartBudget budget = server.slowStart.budget;
-        double maxSaved = manyRouters ? MAX_SAVED_REQUESTS * requestPart : MAX_SAVED_REQUESTS;
-        budget.earn(load.servedByWarmServers(), requestsPerWarmRequest / warmServers, maxSaved);
-        return manyRouters ? budget.spendPart(requestPart) : budget.hasWholeRequest();
+        double maxSaved = manyRouters ? MAX_SAVED_REQUESTS * usedUpPerConsideredRequest : MAX_SAVED_REQUESTS;
+        budget.earn(load.servedByWarmServers(), requestsPerRequestOfWarmServer / warmServers, maxSaved);
+        return manyRouters ? budget.spendPart(usedUpPerConsideredRequest) : budget.hasWholeRequest();
     }
 
     /** Uses up the budget of one request for an attempt that was started, unless {@link #admits} has done so. */
--- a/routing/src/main/java/lupinvalve/routing/WritePlacement.java
+++ b/routing/src/main/java/lupinvalve/routing/WritePlacement.java
@@ -34,10 +34,10 @@
         if (eligibility.isEligible(primary, true)) {
             return placeAt(primary, request);
         }
-        // If the known primary is listed but can't be used now, the write waits for it, as no other member accepts
-        // writes.
-        boolean primaryListed = primary != null && eligibility.isListed(primary, true);
-        return primaryListed || !search.isAttemptDue(group) || !retryPolicy.maySearchPrimary(request)
+        // If the endpoint list allows writes at the known primary but it can't be used now, the write waits for it, as
+        // no other member accepts writes.
+        boolean primaryAllowed = primary != null && eligibility.isAllowedByList(primary, true);
+        return primaryAllowed || !search.isAttemptDue(group) || !retryPolicy.maySearchPrimary(request)
                 ? PlacementResult.NO_SERVER
                 : searchPrimary(request);
     }
--- a/routing/src/test/java/lupinvalve/routing/ClientRetryDetectorTest.java
+++ b/routing/src/test/java/lupinvalve/routing/ClientRetryDetectorTest.java
@@ -37,37 +37,37 @@
     /** Records first attempts, which all state a wait of 1.5 s; none may count as a retry. */
     private void recordFirstAttempts(int classIndex, int count) {
         for (int i = 0; i < count; i++) {
-            assertEquals(0, detector.sinceFirstAttemptMicros(classIndex, 1500 * MS));
+            assertEquals(0, detector.recordWait(classIndex, 1500 * MS));
         }
     }
 
     @Test
     void timeSinceTheFirstAttemptIsDeadlineMinusStatedWait() {
         recordFirstAttempts(0, 40);
-        assertEquals(1100 * MS, detector.sinceFirstAttemptMicros(0, 900 * MS));
-        assertTrue(detector.isLateRetry(0, 900 * MS));
-        assertFalse(detector.isLateRetry(0, 1500 * MS));
+        assertEquals(1100 * MS, detector.recordWait(0, 900 * MS));
+        assertTrue(detector.recordAndCheckLateRetry(0, 900 * MS));
+        assertFalse(detector.recordAndCheckLateRetry(0, 1500 * MS));
     }
 
     @Test
     void oneLongerWaitDoesNotMakeOtherRequestsCountAsRetries() {
         recordFirstAttempts(0, 40);
-        assertEquals(0, detector.sinceFirstAttemptMicros(0, 1990 * MS));
+        assertEquals(0, detector.recordWait(0, 1990 * MS));
         recordFirstAttempts(0, 40);
     }
 
     @Test
     void requestsWithDifferentWaitsDoNotCountAsRetries() {
         for (int i = 0; i < 200; i++) {
-            assertFalse(detector.isLateRetry(0, (500 + i * 7 % 900) * MS));
+            assertFalse(detector.recordAndCheckLateRetry(0, (500 + i * 7 % 900) * MS));
         }
     }
 
     @Test
     void fewRequestsOrAClassThatKeepsItsValueWhenLateYieldNoLateRetry() {
         recordFirstAttempts(0, 5);
-        assertFalse(detector.isLateRetry(0, 300 * MS));
+        assertFalse(detector.recordAndCheckLateRetry(0, 300 * MS));
         recordFirstAttempts(1, 40);
-        assertFalse(detector.isLateRetry(1, 300 * MS), "a late write keeps most of its value");
+        assertFalse(detector.recordAndCheckLateRetry(1, 300 * MS), "a late write keeps most of its value");
     }
 }
--- a/statemachine/src/main/java/lupinvalve/statemachine/ClusterBootstrap.java
+++ b/statemachine/src/main/java/lupinvalve/statemachine/ClusterBootstrap.java
@@ -111,6 +111,7 @@
     public String pendingReason() {
         Set<String> missing = otherFounders();
         missing.removeAll(announcements.keySet());
+        // Founders from which no announcement has arrived yet.
         if (!missing.isEmpty()) {
             return "not heard of " + String.join(", ", missing);
         }
