--- a/scale/src/main/java/lupinvalve/scale/Daemons.java
+++ b/scale/src/main/java/lupinvalve/scale/Daemons.java
@@ -14,11 +14,11 @@
 import lupinvalve.drills.DaemonProcess;
 import lupinvalve.drills.Scratch;
 
-/** The processes of the program as it ships: three control members, and some whole poolers beside the hollow ones. */
+/** The complete daemons as processes: three control members, and some poolers that run beside the hollow ones. */
 final class Daemons implements Closeable {
     static final String CLUSTER = "scale";
-    private static final int MEMBER_HEAP = 768;
-    private static final int DAEMON_HEAP = 128;
+    private static final int MEMBER_HEAP_MEGABYTES = 768;
+    private static final int DAEMON_HEAP_MEGABYTES = 128;
     private static final Pattern ADOPTED = Pattern.compile("adopted revision (\\d+),.* digest ([0-9a-f]+)");
     private static final Pattern LEADS = Pattern.compile("store: (\\S+)/\\S+ leads, term (\\d+)");
     private static final Pattern FENCED = Pattern.compile("audit: fenced|: fenced");
@@ -28,13 +28,13 @@
     private final History history;
     private final List<DaemonProcess> members = new ArrayList<>();
     private final List<DaemonProcess> daemons = new ArrayList<>();
-    private final Map<String, PoolerCourse> courses = new TreeMap<>();
+    private final Map<String, PoolerTimeline> timelines = new TreeMap<>();
     private final List<Integer> memberPorts = new ArrayList<>();
     private volatile String leader = "";
-    private volatile long leaderSince;
+    private volatile long leaderSinceNanos;
     private int term;
 
-    /** @param config a platform's file to start from */
+    /** @param config a deployment's configuration file, the template of each daemon's file */
     Daemons(Path folder, Path config, History history) throws IOException {
         this.folder = folder;
         this.config = config;
@@ -50,54 +50,59 @@
         return memberPorts;
     }
 
-    /** Addresses of the control members, past all proxies. */
-    Map<String, String> places() {
-        Map<String, String> places = new TreeMap<>();
+    /** Returns the addresses of the control members themselves, not of the proxies before them, by name. */
+    Map<String, String> memberAddresses() {
+        Map<String, String> addresses = new TreeMap<>();
         for (int i = 0; i < Topology.MEMBERS; i++) {
-            places.put(Topology.member(i), "127.0.0.1:" + memberPorts.get(i));
+            addresses.put(Topology.member(i), "127.0.0.1:" + memberPorts.get(i));
         }
-        return places;
+        return addresses;
     }
 
     void startMembers(Links links) throws IOException {
         for (int i = 0; i < Topology.MEMBERS; i++) {
-            Map<String, String> places = links.forMember(i);
-            places.put(Topology.member(i), "127.0.0.1:" + memberPorts.get(i));
-            DaemonProcess member =
-                    process(Topology.member(i), "127.0.0.1:" + memberPorts.get(i), places, null, MEMBER_HEAP);
+            Map<String, String> addresses = links.forMember(i);
+            addresses.put(Topology.member(i), "127.0.0.1:" + memberPorts.get(i));
+            DaemonProcess member = process(
+                    Topology.member(i), "127.0.0.1:" + memberPorts.get(i), addresses, null, MEMBER_HEAP_MEGABYTES);
             members.add(member);
             member.start();
         }
     }
 
-    /** Starts whole poolers. */
+    /** Starts complete poolers. */
     void startPoolers(int count, Design design, Links links) throws IOException {
         try (Scratch.Ports ports = new Scratch.Ports(count)) {
             for (int i = 0; i < count; i++) {
                 String listen = design == Design.MEMBERS ? "127.0.0.1:" + ports.get(i) : null;
-                daemons.add(
-                        process(Topology.daemon(i), listen, links.forPooler(Topology.ZONES + i), design, DAEMON_HEAP));
+                daemons.add(process(
+                        Topology.daemon(i),
+                        listen,
+                        links.forPooler(Topology.ZONES + i),
+                        design,
+                        DAEMON_HEAP_MEGABYTES));
             }
         }
         for (DaemonProcess daemon : daemons) {
-            course(daemon.name).started(System.nanoTime());
+            timeline(daemon.name).started(System.nanoTime());
             daemon.start();
         }
     }
 
-    private DaemonProcess process(String name, String listen, Map<String, String> places, Design design, int heap)
+    private DaemonProcess process(
+            String name, String listen, Map<String, String> addresses, Design design, int heapMegabytes)
             throws IOException {
-        DaemonProcess process = new DaemonProcess(name, folder, line -> heard(name, line));
-        process.heap(heap);
-        int front;
+        DaemonProcess process = new DaemonProcess(name, folder, line -> onLogLine(name, line));
+        process.heap(heapMegabytes);
+        int frontPort;
         try (Scratch.Ports ports = new Scratch.Ports(1)) {
-            front = ports.get(0);
+            frontPort = ports.get(0);
         }
         String platform = Files.readString(config)
                 .replace("\"name\": \"n0\"", "\"name\": \"" + name + "\"")
-                .replace("127.0.0.1:5432", "127.0.0.1:" + front)
+                .replace("127.0.0.1:5432", "127.0.0.1:" + frontPort)
                 .replaceFirst("\"discovery\": \"[^\"]*\",", "");
-        String members = places.entrySet().stream()
+        String members = addresses.entrySet().stream()
                 .map(one -> "\"" + one.getKey() + "\":\"" + one.getValue() + "\"")
                 .collect(Collectors.joining(","));
         process.files(
@@ -111,44 +116,44 @@
         return process;
     }
 
-    private synchronized PoolerCourse course(String name) {
-        return courses.computeIfAbsent(name, n -> new PoolerCourse());
+    private synchronized PoolerTimeline timeline(String name) {
+        return timelines.computeIfAbsent(name, n -> new PoolerTimeline());
     }
 
-    private void heard(String name, String line) {
-        long at = System.nanoTime();
+    private void onLogLine(String name, String line) {
+        long atNanos = System.nanoTime();
         Matcher adopted = ADOPTED.matcher(line);
         Matcher leads = LEADS.matcher(line);
         if (adopted.find()) {
             long revision = Long.parseLong(adopted.group(1));
-            course(name).adopted(at, revision);
+            timeline(name).adopted(atNanos, revision);
             history.adopted(name, revision, adopted.group(2));
         } else if (leads.find()) {
-            leads(leads.group(1), Integer.parseInt(leads.group(2)), at);
+            electedLeader(leads.group(1), Integer.parseInt(leads.group(2)), atNanos);
         } else if (RETURNED.matcher(line).find()) {
-            course(name).mayAct(at, true);
+            timeline(name).mayAct(atNanos, true);
         } else if (FENCED.matcher(line).find()) {
-            course(name).mayAct(at, false);
+            timeline(name).mayAct(atNanos, false);
         }
     }
 
-    private synchronized void leads(String name, int inTerm, long at) {
-        if (inTerm > term) {
-            term = inTerm;
+    private synchronized void electedLeader(String name, int newTerm, long atNanos) {
+        if (newTerm > term) {
+            term = newTerm;
             leader = name;
-            leaderSince = at;
+            leaderSinceNanos = atNanos;
         }
     }
 
-    /** The number of the member that leads, as far as logs say, or -1. */
+    /** Returns the number of the leader with the highest term that the logs have reported, or -1 before the first. */
     int leader() {
         String name = leader;
         return name.startsWith("c") ? Integer.parseInt(name.substring(1)) : -1;
     }
 
-    /** When the leader that holds was first heard of. */
-    long leaderSince() {
-        return leaderSince;
+    /** Returns the {@link System#nanoTime()} at which the log line of the current leader's election was read. */
+    long leaderSinceNanos() {
+        return leaderSinceNanos;
     }
 
     DaemonProcess member(int number) {
@@ -159,11 +164,11 @@
         return List.copyOf(daemons);
     }
 
-    /** What whole poolers acted on. */
-    synchronized Map<String, PoolerCourse> poolerCourses() {
-        Map<String, PoolerCourse> mine = new TreeMap<>(courses);
-        mine.keySet().removeIf(name -> !name.startsWith("d"));
-        return mine;
+    /** Returns by pooler name which revisions the complete poolers acted on, and when. */
+    synchronized Map<String, PoolerTimeline> poolerTimelines() {
+        Map<String, PoolerTimeline> poolersOnly = new TreeMap<>(timelines);
+        poolersOnly.keySet().removeIf(name -> !name.startsWith("d"));
+        return poolersOnly;
     }
 
     Path memberFolder(int number) {
--- a/scale/src/main/java/lupinvalve/scale/Design.java
+++ b/scale/src/main/java/lupinvalve/scale/Design.java
@@ -3,9 +3,9 @@
 import java.io.IOException;
 import lupinvalve.config.OperatorConfig;
 
-/** How poolers come to the agreed configuration. */
+/** How poolers receive the replicated configuration. */
 enum Design {
-    /** Each pooler is a member of the group. */
+    /** Each pooler is a member of the Raft group. */
     MEMBERS {
         @Override
         OpenPlane open(HostCommand command, String cluster) throws IOException {
@@ -20,7 +20,7 @@
                     OperatorConfig.Audit.FENCE));
         }
     },
-    /** Poolers follow one of the control members and are none themselves. */
+    /** Poolers subscribe to one of the control members and are not members themselves. */
     SUBSCRIPTIONS {
         @Override
         OpenPlane open(HostCommand command, String cluster) throws IOException {
@@ -34,10 +34,13 @@
         }
     };
 
-    /** Opens what a pooler has beside it, from its folder; it takes part once it is started. */
+    /**
+     * Opens a pooler's control plane from the pooler's folder; it takes part in the group or subscribes once it is
+     * started.
+     */
     abstract OpenPlane open(HostCommand command, String cluster) throws IOException;
 
-    /** As options and files name it. */
+    /** Returns the name used in options and files. */
     String word() {
         return name().toLowerCase(java.util.Locale.ROOT);
     }
--- a/scale/src/main/java/lupinvalve/scale/Documents.java
+++ b/scale/src/main/java/lupinvalve/scale/Documents.java
@@ -6,34 +6,36 @@
 import java.io.UncheckedIOException;
 import org.apache.commons.math3.random.RandomGenerator;
 
-/** Configurations of so many databases, each of which differs from the one before in an entry or a few. */
+/**
+ * Generates configurations with a given number of databases; each differs from the previous one in up to three entries.
+ */
 final class Documents {
-    private static final int ENTRIES_MOST = 3;
-    private static final int LIMIT_LEAST = 20;
-    private static final int LIMIT_RANGE = 200;
-    private static final long TIMEOUT_MILLIS = 30_000;
-    private final int[] limits;
-    private final int[] primaries;
+    private static final int MAX_CHANGED_ENTRIES = 3;
+    private static final int MIN_CONNECTION_LIMIT = 20;
+    private static final int CONNECTION_LIMIT_RANGE = 200;
+    private static final long STATEMENT_TIMEOUT_MILLIS = 30_000;
+    private final int[] connectionLimits;
+    private final int[] primaryOffsets;
     private final RandomGenerator random;
-    private int number;
+    private int documentsGenerated;
 
     Documents(int databases, RandomGenerator random) {
-        limits = new int[databases];
-        primaries = new int[databases];
+        connectionLimits = new int[databases];
+        primaryOffsets = new int[databases];
         this.random = random;
         for (int i = 0; i < databases; i++) {
-            limits[i] = LIMIT_LEAST + random.nextInt(LIMIT_RANGE);
+            connectionLimits[i] = MIN_CONNECTION_LIMIT + random.nextInt(CONNECTION_LIMIT_RANGE);
         }
     }
 
-    /** The next configuration: other connection limits, or another primary. */
+    /** Returns the next configuration, with other connection limits and primaries in the changed entries. */
     byte[] next() {
-        number++;
-        int changed = limits.length == 0 ? 0 : 1 + random.nextInt(ENTRIES_MOST);
+        documentsGenerated++;
+        int changed = connectionLimits.length == 0 ? 0 : 1 + random.nextInt(MAX_CHANGED_ENTRIES);
         for (int i = 0; i < changed; i++) {
-            int at = random.nextInt(limits.length);
-            limits[at] = LIMIT_LEAST + random.nextInt(LIMIT_RANGE);
-            primaries[at] = random.nextInt(Topology.REGIONS);
+            int index = random.nextInt(connectionLimits.length);
+            connectionLimits[index] = MIN_CONNECTION_LIMIT + random.nextInt(CONNECTION_LIMIT_RANGE);
+            primaryOffsets[index] = random.nextInt(Topology.REGIONS);
         }
         try {
             return write();
@@ -47,12 +49,12 @@
         try (JsonGenerator out = Json.MAPPER.getFactory().createGenerator(bytes)) {
             out.writeStartObject();
             out.writeObjectFieldStart("mysql");
-            // Without databases something must differ all the same.
-            out.writeStringField("user", limits.length == 0 ? "u" + number : "portal");
+            // Without databases the user differs, so that each configuration is a change.
+            out.writeStringField("user", connectionLimits.length == 0 ? "u" + documentsGenerated : "portal");
             out.writeEndObject();
             out.writeArrayFieldStart("databases");
-            for (int i = 0; i < limits.length; i++) {
-                entry(out, i);
+            for (int i = 0; i < connectionLimits.length; i++) {
+                writeEntry(out, i);
             }
             out.writeEndArray();
             out.writeEndObject();
@@ -60,26 +62,26 @@
         return bytes.toByteArray();
     }
 
-    private void entry(JsonGenerator out, int at) throws IOException {
-        int primary = (at + primaries[at]) % Topology.REGIONS;
+    private void writeEntry(JsonGenerator out, int index) throws IOException {
+        int primary = (index + primaryOffsets[index]) % Topology.REGIONS;
         out.writeStartObject();
-        out.writeStringField("name", String.format("orders-%04d", at));
-        out.writeStringField("group", String.format("g%04d", at));
-        out.writeStringField("zone", "z" + at % Topology.ZONES);
-        out.writeStringField("primary", address(primary, at));
+        out.writeStringField("name", String.format("orders-%04d", index));
+        out.writeStringField("group", String.format("g%04d", index));
+        out.writeStringField("zone", "z" + index % Topology.ZONES);
+        out.writeStringField("primary", address(primary, index));
         out.writeArrayFieldStart("replicas");
         for (int region = 0; region < Topology.REGIONS; region++) {
             if (region != primary) {
-                out.writeString(address(region, at));
+                out.writeString(address(region, index));
             }
         }
         out.writeEndArray();
-        out.writeNumberField("connection_limit", limits[at]);
-        out.writeNumberField("statement_timeout_ms", TIMEOUT_MILLIS);
+        out.writeNumberField("connection_limit", connectionLimits[index]);
+        out.writeNumberField("statement_timeout_ms", STATEMENT_TIMEOUT_MILLIS);
         out.writeEndObject();
     }
 
-    private static String address(int region, int at) {
-        return "10." + region + "." + at / 250 + "." + (1 + at % 250) + ":5432";
+    private static String address(int region, int index) {
+        return "10." + region + "." + index / 250 + "." + (1 + index % 250) + ":5432";
     }
 }
--- a/scale/src/main/java/lupinvalve/scale/Fits.java
+++ b/scale/src/main/java/lupinvalve/scale/Fits.java
@@ -11,14 +11,20 @@
 import java.util.function.ToIntFunction;
 import org.apache.commons.math3.stat.regression.SimpleRegression;
 
-/** Lines by least squares through runs that differ in one size only. Without I/O. */
+/**
+ * Fits lines by least squares to runs that differ only in the number of poolers or only in the number of databases.
+ * Without I/O.
+ */
 final class Fits {
-    private static final int POINTS_LEAST = 2;
-    private static final int DIGITS = 6;
+    private static final int MIN_DISTINCT_SIZES = 2;
+    private static final int SIGNIFICANT_DIGITS = 6;
 
     private Fits() {}
 
-    /** All lines that the runs give; of runs of the same the last one counts, and what failed has no figures. */
+    /**
+     * Returns all lines that can be fitted. Of runs with the same key only the last one with metrics counts; failed
+     * runs have none.
+     */
     static List<SlopesFile.Fit> of(List<SlopesFile.Run> runs) {
         Map<String, SlopesFile.Run> last = new LinkedHashMap<>();
         for (SlopesFile.Run run : runs) {
@@ -27,12 +33,12 @@
             }
         }
         List<SlopesFile.Fit> fits = new ArrayList<>();
-        grouped(last.values(), one -> one.databases()).forEach(group -> fits.addAll(group(group, true)));
-        grouped(last.values(), one -> one.poolers()).forEach(group -> fits.addAll(group(group, false)));
+        groupedBy(last.values(), one -> one.databases()).forEach(group -> fits.addAll(fitGroup(group, true)));
+        groupedBy(last.values(), one -> one.poolers()).forEach(group -> fits.addAll(fitGroup(group, false)));
         return fits;
     }
 
-    private static Collection<List<SlopesFile.Run>> grouped(
+    private static Collection<List<SlopesFile.Run>> groupedBy(
             Collection<SlopesFile.Run> runs, Function<SlopesFile.Run, Integer> fixed) {
         Map<String, List<SlopesFile.Run>> groups = new TreeMap<>();
         for (SlopesFile.Run run : runs) {
@@ -42,10 +48,10 @@
         return groups.values();
     }
 
-    private static List<SlopesFile.Fit> group(List<SlopesFile.Run> runs, boolean perPooler) {
+    private static List<SlopesFile.Fit> fitGroup(List<SlopesFile.Run> runs, boolean perPooler) {
         ToIntFunction<SlopesFile.Run> size = perPooler ? SlopesFile.Run::poolers : SlopesFile.Run::databases;
         List<SlopesFile.Fit> fits = new ArrayList<>();
-        if (runs.stream().mapToInt(size).distinct().count() < POINTS_LEAST) {
+        if (runs.stream().mapToInt(size).distinct().count() < MIN_DISTINCT_SIZES) {
             return fits;
         }
         TreeSet<String> metrics = new TreeSet<>();
@@ -70,32 +76,32 @@
                 sizes.add(size.applyAsInt(run));
             }
         }
-        if (sizes.size() < POINTS_LEAST) {
+        if (sizes.size() < MIN_DISTINCT_SIZES) {
             return null;
         }
-        SlopesFile.Run one = runs.get(0);
+        SlopesFile.Run first = runs.get(0);
         double residual = Math.sqrt(line.getSumSquaredErrors() / line.getN());
         return new SlopesFile.Fit(
-                one.design(),
+                first.design(),
                 metric,
                 perPooler ? "pooler" : "database",
-                one.load(),
-                perPooler ? null : one.poolers(),
-                perPooler ? one.databases() : null,
-                one.trial(),
+                first.load(),
+                perPooler ? null : first.poolers(),
+                perPooler ? first.databases() : null,
+                first.trial(),
                 rounded(line.getSlope()),
                 rounded(line.getIntercept()),
                 rounded(residual),
                 (int) line.getN());
     }
 
-    /** To so many digits that count. */
+    /** Rounds to 6 significant digits; 0 if the value is not finite. */
     static double rounded(double value) {
         if (value == 0 || Double.isNaN(value) || Double.isInfinite(value)) {
             return 0;
         }
         return new java.math.BigDecimal(value)
-                .round(new java.math.MathContext(DIGITS))
+                .round(new java.math.MathContext(SIGNIFICANT_DIGITS))
                 .doubleValue();
     }
 }
--- a/scale/src/main/java/lupinvalve/scale/Fleet.java
+++ b/scale/src/main/java/lupinvalve/scale/Fleet.java
@@ -14,16 +14,19 @@
 import java.util.stream.IntStream;
 import lupinvalve.drills.Scratch;
 
-/** All hollow poolers, some hundred to a process, and what they told. */
+/** All hollow poolers, up to 230 per process, and the events that they reported. */
 final class Fleet implements Closeable {
-    private static final int PER_HOST = 230;
-    private static final int HEAP_LEAST = 256;
-    private static final int HEAP_A_POOLER = 5;
-    private static final long STOP_SECONDS = 20;
+    private static final int POOLERS_PER_HOST = 230;
+    private static final int MIN_HEAP_MEGABYTES = 256;
+    private static final int HEAP_MEGABYTES_PER_POOLER = 5;
+    private static final long STOP_TIMEOUT_SECONDS = 20;
     private static final long POLL_MILLIS = 20;
-    private static final int FAILURES_MOST = 50;
-    /** In memory where the system has a place for that: poolers have a disk each, and these would share one. */
-    private static final Path MEMORY = Path.of("/dev/shm");
+    private static final int MAX_FAILURES = 50;
+    /**
+     * Poolers' folders go to a file system in memory where there is one: in production each pooler has its own disk,
+     * here all would share one.
+     */
+    private static final Path MEMORY_FOLDER = Path.of("/dev/shm");
 
     private final Path disks;
     private final Design design;
@@ -32,15 +35,15 @@
     private final List<HostProcess> hosts = new ArrayList<>();
     private final List<Integer> ports = new ArrayList<>();
     private final int size;
-    private final Map<String, PoolerCourse> courses = new ConcurrentHashMap<>();
+    private final Map<String, PoolerTimeline> timelines = new ConcurrentHashMap<>();
     private final Map<String, Integer> holds = new ConcurrentHashMap<>();
-    private final Map<String, Boolean> alive = new ConcurrentHashMap<>();
+    private final Map<String, Boolean> running = new ConcurrentHashMap<>();
     private final List<String> failures = java.util.Collections.synchronizedList(new ArrayList<>());
 
     Fleet(int size, Design design, String cluster, Path folder, Links links, History history) throws IOException {
         this.size = size;
         this.design = design;
-        disks = Files.isWritable(MEMORY) ? Files.createTempDirectory(MEMORY, "scale") : folder;
+        disks = Files.isWritable(MEMORY_FOLDER) ? Files.createTempDirectory(MEMORY_FOLDER, "scale") : folder;
         this.links = links;
         this.history = history;
         if (design == Design.MEMBERS) {
@@ -48,39 +51,40 @@
                 IntStream.range(0, size).forEach(i -> ports.add(held.get(i)));
             }
         }
-        int count = (size + PER_HOST - 1) / PER_HOST;
+        int count = (size + POOLERS_PER_HOST - 1) / POOLERS_PER_HOST;
         for (int i = 0; i < count; i++) {
-            int heap = HEAP_LEAST + HEAP_A_POOLER * size / count;
-            hosts.add(new HostProcess(design, cluster, heap, folder.resolve("host" + i + ".log"), this::heard));
+            int heapMegabytes = MIN_HEAP_MEGABYTES + HEAP_MEGABYTES_PER_POOLER * size / count;
+            hosts.add(new HostProcess(
+                    design, cluster, heapMegabytes, folder.resolve("host" + i + ".log"), this::onEvent));
         }
     }
 
-    private void heard(HostEvent event) {
+    private void onEvent(HostEvent event) {
         String name = event.pooler();
-        PoolerCourse course = courses.computeIfAbsent(name, n -> new PoolerCourse());
+        PoolerTimeline timeline = timelines.computeIfAbsent(name, n -> new PoolerTimeline());
         switch (event.what()) {
             case STARTED -> {
-                course.started(event.atNanos());
-                alive.put(name, true);
+                timeline.started(event.atNanos());
+                running.put(name, true);
             }
             case STOPPED -> {
-                course.stopped(event.atNanos());
-                alive.put(name, false);
+                timeline.stopped(event.atNanos());
+                running.put(name, false);
             }
-            case MAY_ACT, MAY_NOT -> course.mayAct(event.atNanos(), event.what() == HostEvent.What.MAY_ACT);
+            case MAY_ACT, MAY_NOT -> timeline.mayAct(event.atNanos(), event.what() == HostEvent.What.MAY_ACT);
             case ADOPTED -> {
-                course.adopted(event.atNanos(), event.revision());
+                timeline.adopted(event.atNanos(), event.revision());
                 history.adopted(name, event.revision(), event.digest());
             }
             case HOLDS -> holds.put(name, event.holds());
-            case FAILED -> failed(name + ": " + event.why());
-            default -> failed(name + " told " + event.what());
+            case FAILED -> addFailure(name + ": " + event.why());
+            default -> addFailure(name + " told " + event.what());
         }
     }
 
-    private void failed(String what) {
-        if (failures.size() < FAILURES_MOST) {
-            failures.add(what);
+    private void addFailure(String failure) {
+        if (failures.size() < MAX_FAILURES) {
+            failures.add(failure);
         }
     }
 
@@ -88,8 +92,8 @@
         return size;
     }
 
-    Map<String, PoolerCourse> courses() {
-        return courses;
+    Map<String, PoolerTimeline> timelines() {
+        return timelines;
     }
 
     List<String> failures() {
@@ -102,73 +106,74 @@
 
     void start(int pooler) throws IOException {
         String name = Topology.pooler(pooler);
-        Path own = disks.resolve(name);
-        Files.createDirectories(own);
+        Path poolerFolder = disks.resolve(name);
+        Files.createDirectories(poolerFolder);
         host(pooler)
-                .tell(new HostCommand(
+                .send(new HostCommand(
                         HostCommand.What.START,
                         name,
-                        own.toString(),
+                        poolerFolder.toString(),
                         design == Design.MEMBERS ? "127.0.0.1:" + ports.get(pooler) : null,
                         links.forPooler(pooler)));
     }
 
-    /** Stops all of these at once and waits until they have. */
+    /** Stops the given poolers at the same time and waits until all have stopped. */
     void stop(Collection<Integer> poolers) throws IOException, InterruptedException {
-        poolers.forEach(one -> host(one).tell(HostCommand.stop(Topology.pooler(one))));
-        await("poolers stop", STOP_SECONDS, () -> poolers.stream()
-                .noneMatch(one -> alive.getOrDefault(Topology.pooler(one), false)));
+        poolers.forEach(one -> host(one).send(HostCommand.stop(Topology.pooler(one))));
+        await("poolers stop", STOP_TIMEOUT_SECONDS, () -> poolers.stream()
+                .noneMatch(one -> running.getOrDefault(Topology.pooler(one), false)));
     }
 
     /**
-     * Stops these at once, starts them again at once and gives how long it took until the last acted on a revision, in
-     * ms.
+     * Stops the given poolers at the same time, starts them all again, and returns the time from then until the last of
+     * them acted on a revision, in milliseconds.
      */
-    double herd(Collection<Integer> poolers, long revision, long withinSeconds)
+    double restartTogether(Collection<Integer> poolers, long revision, long withinSeconds)
             throws IOException, InterruptedException {
         stop(poolers);
-        long begun = System.nanoTime();
+        long startNanos = System.nanoTime();
         for (int one : poolers) {
             start(one);
         }
         awaitReady(poolers, revision, withinSeconds);
-        long last = begun;
+        long lastReadyNanos = startNanos;
         for (int one : poolers) {
-            last = Math.max(last, courses.get(Topology.pooler(one)).readyAt(revision, begun));
+            lastReadyNanos =
+                    Math.max(lastReadyNanos, timelines.get(Topology.pooler(one)).readyAt(revision, startNanos));
         }
-        return (last - begun) / 1e6;
+        return (lastReadyNanos - startNanos) / 1e6;
     }
 
-    /** Waits until these may act, on this revision or a later one. */
+    /** Waits until the given poolers have the right to act and act on this revision or a later one. */
     void awaitReady(Collection<Integer> poolers, long revision, long withinSeconds)
             throws IOException, InterruptedException {
-        List<Integer> left = new ArrayList<>(poolers);
+        List<Integer> missing = new ArrayList<>(poolers);
         try {
             await("poolers act on revision " + revision, withinSeconds, () -> {
-                left.removeIf(one -> {
-                    PoolerCourse course = courses.get(Topology.pooler(one));
-                    return course != null && course.ready(revision);
+                missing.removeIf(one -> {
+                    PoolerTimeline timeline = timelines.get(Topology.pooler(one));
+                    return timeline != null && timeline.ready(revision);
                 });
-                return left.isEmpty();
+                return missing.isEmpty();
             });
         } catch (IOException e) {
             throw new IOException(
-                    e.getMessage() + ": " + left.size() + " of " + poolers.size() + " left, the first "
-                            + Topology.pooler(left.get(0)) + (failures.isEmpty() ? "" : "; " + failures.get(0)),
+                    e.getMessage() + ": " + missing.size() + " of " + poolers.size() + " left, the first "
+                            + Topology.pooler(missing.get(0)) + (failures.isEmpty() ? "" : "; " + failures.get(0)),
                     e);
         }
     }
 
-    /** Waits until all that run know of so many holds. */
+    /** Waits until every running pooler has received exactly this many holds. */
     void awaitHolds(int count, long withinSeconds) throws IOException, InterruptedException {
-        await("poolers hear of the hold", withinSeconds, () -> alive.entrySet().stream()
+        await("poolers hear of the hold", withinSeconds, () -> running.entrySet().stream()
                 .allMatch(one -> !one.getValue() || holds.getOrDefault(one.getKey(), 0) == count));
     }
 
-    private static void await(String what, long withinSeconds, BooleanSupplier holds)
+    private static void await(String what, long withinSeconds, BooleanSupplier condition)
             throws IOException, InterruptedException {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(withinSeconds);
-        while (!holds.getAsBoolean()) {
+        while (!condition.getAsBoolean()) {
             if (System.nanoTime() > end) {
                 throw new IOException("not in " + withinSeconds + " s: " + what);
             }
@@ -176,7 +181,7 @@
         }
     }
 
-    /** Counters of all hosts together. */
+    /** Returns the counters summed over all hosts. */
     HostReport report() throws IOException, InterruptedException {
         HostReport sum = new HostReport(0, 0, 0, 0, 0, 0, 0);
         for (HostProcess host : hosts) {
@@ -185,21 +190,21 @@
         return sum;
     }
 
-    List<Integer> all() {
+    List<Integer> allPoolers() {
         return IntStream.range(0, size).boxed().toList();
     }
 
     @Override
     public void close() throws IOException {
-        List<Thread> ends = new ArrayList<>();
+        List<Thread> shutdowns = new ArrayList<>();
         for (HostProcess host : hosts) {
-            Thread end = new Thread(host::close, "ends a host");
-            end.start();
-            ends.add(end);
+            Thread shutdown = new Thread(host::close, "host shutdown");
+            shutdown.start();
+            shutdowns.add(shutdown);
         }
         try {
-            for (Thread end : ends) {
-                end.join();
+            for (Thread shutdown : shutdowns) {
+                shutdown.join();
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/scale/src/main/java/lupinvalve/scale/FrameMeter.java
+++ b/scale/src/main/java/lupinvalve/scale/FrameMeter.java
@@ -5,11 +5,14 @@
 import java.util.concurrent.atomic.LongAdder;
 import lupinvalve.drills.FaultProxy;
 
-/** Counts messages and bytes of the store's wire by kind, as they pass a proxy: a length of four bytes, then a kind. */
+/**
+ * Counts messages and bytes of the replication protocol by kind as they pass through a proxy. A frame is a length of
+ * four bytes, a byte with the kind, and the rest of the message.
+ */
 final class FrameMeter implements FaultProxy.Taps {
     private static final int LENGTH_BYTES = 4;
 
-    /** Kinds of messages in the order of the wire's numbers; what is newer than this list is OTHER. */
+    /** Kinds of messages in the order of their numbers in the protocol; unlisted numbers count as OTHER. */
     enum Kind {
         HELLO,
         RAFT,
@@ -19,7 +22,7 @@
         OTHER
     }
 
-    /** Messages and bytes of both directions so far. */
+    /** Messages and bytes so far, both directions together. */
     record Sums(long messages, long bytes) {
         Sums plus(Sums other) {
             return new Sums(messages + other.messages, bytes + other.bytes);
@@ -53,52 +56,52 @@
     }
 
     @Override
-    public FaultProxy.Tap open(boolean there) {
+    public FaultProxy.Tap open(boolean towardsTarget) {
         return new Reader();
     }
 
-    /** One direction of one connection. */
+    /** Parses the frames of one direction of a connection. */
     private final class Reader implements FaultProxy.Tap {
-        private int lengthRead;
+        private int lengthBytesRead;
         private int length;
-        private boolean kindDue;
-        private long left;
+        private boolean kindExpected;
+        private long remainingBytes;
         private Kind kind = Kind.OTHER;
 
         @Override
         public void passed(byte[] piece, int count) {
-            int at = 0;
-            while (at < count) {
-                if (left > 0) {
-                    int skip = (int) Math.min(left, count - at);
+            int offset = 0;
+            while (offset < count) {
+                if (remainingBytes > 0) {
+                    int skip = (int) Math.min(remainingBytes, count - offset);
                     bytes.get(kind).add(skip);
-                    left -= skip;
-                    at += skip;
-                } else if (kindDue) {
-                    kind(piece[at++]);
+                    remainingBytes -= skip;
+                    offset += skip;
+                } else if (kindExpected) {
+                    readKind(piece[offset++]);
                 } else {
-                    length(piece[at++]);
+                    readLengthByte(piece[offset++]);
                 }
             }
         }
 
-        private void length(byte next) {
+        private void readLengthByte(byte next) {
             length = length << 8 | next & 0xff;
-            lengthRead++;
-            if (lengthRead == LENGTH_BYTES) {
-                kindDue = true;
+            lengthBytesRead++;
+            if (lengthBytesRead == LENGTH_BYTES) {
+                kindExpected = true;
             }
         }
 
-        private void kind(byte next) {
+        private void readKind(byte next) {
             Kind[] kinds = Kind.values();
             kind = next >= 0 && next < Kind.OTHER.ordinal() ? kinds[next] : Kind.OTHER;
             messages.get(kind).increment();
             bytes.get(kind).add(LENGTH_BYTES + 1);
-            left = Math.max(0, length - 1L);
+            remainingBytes = Math.max(0, length - 1L);
             length = 0;
-            lengthRead = 0;
-            kindDue = false;
+            lengthBytesRead = 0;
+            kindExpected = false;
         }
     }
 }
--- a/scale/src/main/java/lupinvalve/scale/History.java
+++ b/scale/src/main/java/lupinvalve/scale/History.java
@@ -7,59 +7,63 @@
 import lupinvalve.drills.RevisionChecker;
 
 /**
- * Judges whether all acted on one history that a majority accepted: one content a revision, nothing acknowledged is
- * lost, and nothing is acted on that the group does not know of at the end. Without I/O.
+ * Checks that all poolers acted on a single history that a majority accepted: one content per revision, no acknowledged
+ * change lost, and no pooler acting on a revision that the group does not have at the end. Without I/O.
  */
 final class History {
     private final RevisionChecker revisions = new RevisionChecker();
-    private final Map<Long, String> proposed = new TreeMap<>();
-    private final Map<Long, String> actedOn = new TreeMap<>();
+    private final Map<Long, String> proposedDigests = new TreeMap<>();
+    private final Map<Long, String> firstPoolerByRevision = new TreeMap<>();
     private final List<String> findings = new ArrayList<>();
-    private long last;
+    private long lastReadRevision;
 
-    /** A document was put against the revision before this one. */
+    /** Records that a document was proposed as this revision, with the revision before it as precondition. */
     synchronized void proposed(long revision, String digest) {
-        proposed.merge(revision, digest, (a, b) -> a.contains(b) ? a : a + " " + b);
+        proposedDigests.merge(revision, digest, (a, b) -> a.contains(b) ? a : a + " " + b);
     }
 
     synchronized void acknowledged(long beganNanos, long endedNanos, long revision, String digest) {
         revisions.put(beganNanos, endedNanos, revision, digest);
     }
 
-    /** A read that must be as new as all that was acknowledged before. */
+    /**
+     * Records a linearizable read, which must return a revision at least as new as every one acknowledged before it
+     * began.
+     */
     synchronized void read(long beganNanos, long endedNanos, long revision, String digest) {
         revisions.read(beganNanos, endedNanos, revision, digest);
-        last = Math.max(last, revision);
+        lastReadRevision = Math.max(lastReadRevision, revision);
     }
 
-    /** A pooler acts on a revision. */
+    /** Records that a pooler acts on a revision. */
     synchronized void adopted(String pooler, long revision, String digest) {
         revisions.adopted(pooler, revision, digest);
-        actedOn.putIfAbsent(revision, pooler);
-        String known = proposed.get(revision);
+        firstPoolerByRevision.putIfAbsent(revision, pooler);
+        String known = proposedDigests.get(revision);
         if (known == null || !known.contains(digest)) {
             findings.add(pooler + " acts on revision " + revision + " with " + digest + ", which nobody put");
         }
     }
 
-    /** What was acted on or read that does not fit one accepted history; after the last read. */
+    /** Returns what was acted on or read and does not fit a single accepted history. Call after the last read. */
     synchronized List<String> divergent() {
         List<String> all = new ArrayList<>(findings);
         all.addAll(revisions.divergent());
-        actedOn.forEach((revision, pooler) -> {
-            if (revision > last) {
-                all.add(pooler + " acted on revision " + revision + "; the group has come to " + last + " only");
+        firstPoolerByRevision.forEach((revision, pooler) -> {
+            if (revision > lastReadRevision) {
+                all.add(pooler + " acted on revision " + revision + "; the group has come to " + lastReadRevision
+                        + " only");
             }
         });
         return all;
     }
 
-    /** Acknowledged changes that the end does not know of; after the last read. */
+    /** Returns the number of acknowledged changes that the final state does not contain. Call after the last read. */
     synchronized int lost() {
-        return revisions.lost(last);
+        return revisions.lost(lastReadRevision);
     }
 
-    /** How many changes were acknowledged. */
+    /** Returns the number of acknowledged changes. */
     synchronized int count() {
         return revisions.acknowledged();
     }
--- a/scale/src/main/java/lupinvalve/scale/HollowHost.java
+++ b/scale/src/main/java/lupinvalve/scale/HollowHost.java
@@ -17,25 +17,25 @@
 import lupinvalve.net.Net;
 
 /**
- * A process of many hollow poolers: hears commands on its standard input, tells events on its output, ends with its
- * input.
+ * Process that runs many hollow poolers: reads commands from standard input, writes events to standard output, and
+ * exits at the end of its input.
  */
 public final class HollowHost {
-    private static final int WORKERS = 16;
-    private static final int OPENINGS_MOST = 50;
-    private static final long OPENING_MILLIS = 200;
-    private static final long LOOK_MILLIS = 20;
-    private static final long END_SECONDS = 10;
+    private static final int WORKER_THREADS = 16;
+    private static final int MAX_OPEN_ATTEMPTS = 50;
+    private static final long OPEN_RETRY_DELAY_MILLIS = 200;
+    private static final long POLL_INTERVAL_MILLIS = 20;
+    private static final long STOP_TIMEOUT_SECONDS = 10;
     private final Design design;
     private final String cluster;
     private final PrintStream out;
     private final Map<String, HollowPooler> poolers = new ConcurrentHashMap<>();
-    private final ExecutorService workers = Executors.newFixedThreadPool(WORKERS);
+    private final ExecutorService workers = Executors.newFixedThreadPool(WORKER_THREADS);
     private final ExecutorService reports = Executors.newSingleThreadExecutor();
-    private long goneOut;
-    private long goneIn;
-    private long goneMessages;
-    private volatile boolean over;
+    private long stoppedBytesOut;
+    private long stoppedBytesIn;
+    private long stoppedMessagesOut;
+    private volatile boolean ended;
 
     HollowHost(Design design, String cluster, PrintStream out) {
         this.design = design;
@@ -43,7 +43,10 @@
         this.out = out;
     }
 
-    /** Arguments: the design's word and the cluster's name; the variable SCALE_LOG may name a level of the log. */
+    /**
+     * Arguments: the name of the design and the name of the cluster. The environment variable SCALE_LOG may set the log
+     * level.
+     */
     public static void main(String[] args) throws IOException, InterruptedException {
         Log.setLevel(Log.Level.valueOf(System.getenv().getOrDefault("SCALE_LOG", "ERROR")));
         PrintStream out = new PrintStream(
@@ -54,44 +57,47 @@
     }
 
     private void serve(BufferedReader in) throws IOException, InterruptedException {
-        Thread looks = new Thread(this::looks, "looks");
-        looks.setDaemon(true);
-        looks.start();
-        for (String line = in.readLine(); line != null && !over; line = in.readLine()) {
+        Thread poller = new Thread(this::pollLeases, "looks");
+        poller.setDaemon(true);
+        poller.start();
+        for (String line = in.readLine(); line != null && !ended; line = in.readLine()) {
             HostCommand command = Json.MAPPER.readValue(line, HostCommand.class);
             switch (command.what()) {
                 case START -> workers.execute(() -> start(command));
                 case STOP -> workers.execute(() -> stop(command.pooler()));
-                case REPORT -> reports.execute(() -> tell(HostEvent.report(report())));
-                case END -> over = true;
+                case REPORT -> reports.execute(() -> send(HostEvent.report(report())));
+                case END -> ended = true;
                 default -> throw new IOException("not a command: " + line);
             }
         }
-        over = true;
+        ended = true;
         poolers.keySet().forEach(name -> workers.execute(() -> stop(name)));
         workers.shutdown();
-        workers.awaitTermination(END_SECONDS, TimeUnit.SECONDS);
+        workers.awaitTermination(STOP_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
     private void start(HostCommand command) {
         try {
-            HollowPooler pooler = new HollowPooler(command.pooler(), opened(command), this::tell);
+            HollowPooler pooler = new HollowPooler(command.pooler(), openWithRetry(command), this::send);
             pooler.start();
             poolers.put(command.pooler(), pooler);
         } catch (IOException | RuntimeException e) {
-            tell(HostEvent.failed(command.pooler(), String.valueOf(e)));
+            send(HostEvent.failed(command.pooler(), String.valueOf(e)));
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** Tries again for a while, as who starts daemons does: the life before may not have let go of its folder yet. */
-    private OpenPlane opened(HostCommand command) throws IOException, InterruptedException {
-        for (int i = 1; i < OPENINGS_MOST; i++) {
+    /**
+     * Retries for up to 10 s, as a daemon's service manager does: the previous instance may still hold the lock on its
+     * folder.
+     */
+    private OpenPlane openWithRetry(HostCommand command) throws IOException, InterruptedException {
+        for (int i = 1; i < MAX_OPEN_ATTEMPTS; i++) {
             try {
                 return design.open(command, cluster);
             } catch (IOException e) {
-                Thread.sleep(OPENING_MILLIS);
+                Thread.sleep(OPEN_RETRY_DELAY_MILLIS);
             }
         }
         return design.open(command, cluster);
@@ -101,28 +107,28 @@
         HollowPooler pooler = poolers.remove(name);
         if (pooler != null) {
             pooler.stop();
-            count(pooler.traffic());
+            addStopped(pooler.traffic());
         }
     }
 
-    private synchronized void count(Net.Traffic traffic) {
-        goneOut += traffic.bytesOut();
-        goneIn += traffic.bytesIn();
-        goneMessages += traffic.messagesOut();
+    private synchronized void addStopped(Net.Traffic traffic) {
+        stoppedBytesOut += traffic.bytesOut();
+        stoppedBytesIn += traffic.bytesIn();
+        stoppedMessagesOut += traffic.messagesOut();
     }
 
-    private void looks() {
+    private void pollLeases() {
         try {
-            while (!over) {
-                poolers.values().forEach(HollowPooler::look);
-                Thread.sleep(LOOK_MILLIS);
+            while (!ended) {
+                poolers.values().forEach(HollowPooler::pollLease);
+                Thread.sleep(POLL_INTERVAL_MILLIS);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private void tell(HostEvent event) {
+    private void send(HostEvent event) {
         String line = Json.line(event);
         synchronized (out) {
             out.println(line);
@@ -131,27 +137,29 @@
     }
 
     private synchronized HostReport report() {
-        long bytesOut = goneOut;
-        long bytesIn = goneIn;
-        long messages = goneMessages;
+        long bytesOut = stoppedBytesOut;
+        long bytesIn = stoppedBytesIn;
+        long messagesOut = stoppedMessagesOut;
         for (HollowPooler pooler : poolers.values()) {
             Net.Traffic traffic = pooler.traffic();
             bytesOut += traffic.bytesOut();
             bytesIn += traffic.bytesIn();
-            messages += traffic.messagesOut();
+            messagesOut += traffic.messagesOut();
         }
-        long cpu = ((OperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean()).getProcessCpuTime();
-        // The collection comes after the processor's counter is read: it is the measurement's own.
+        long cpuNanos = ((OperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean()).getProcessCpuTime();
+        // Collects garbage after reading the processor time, because the collection is part of the measurement and not
+        // of the load.
         System.gc();
-        long heap = ManagementFactory.getMemoryMXBean().getHeapMemoryUsage().getUsed();
-        return new HostReport(cpu, resident(), heap, poolers.size(), bytesOut, bytesIn, messages);
+        long heapBytes =
+                ManagementFactory.getMemoryMXBean().getHeapMemoryUsage().getUsed();
+        return new HostReport(cpuNanos, residentBytes(), heapBytes, poolers.size(), bytesOut, bytesIn, messagesOut);
     }
 
-    private static long resident() {
+    private static long residentBytes() {
         try {
             return ProcessCounters.residentBytes(Path.of("/proc/self/status"));
         } catch (IOException e) {
-            Log.error("scale: %s", e.getMessage());
+            Log.error("scale: resident memory of the host process not readable: %s; reporting 0", e.getMessage());
             return 0;
         }
     }
--- a/scale/src/main/java/lupinvalve/scale/HollowPooler.java
+++ b/scale/src/main/java/lupinvalve/scale/HollowPooler.java
@@ -12,52 +12,56 @@
 import lupinvalve.statemachine.ReplicatedState;
 
 /**
- * A pooler without fronts and db nodes: the daemon's control code, which reads each configuration as the daemon does.
+ * A pooler without client listeners and db nodes: only the daemon's control code, which validates and reads each
+ * configuration as the daemon does.
  */
 final class HollowPooler implements ControlPlane.Listener {
     private final String name;
-    private final OpenPlane open;
+    private final OpenPlane controlPlane;
     private final Consumer<HostEvent> events;
     private static final long LEASE_NANOS = TimeUnit.MICROSECONDS.toNanos(Lease.DURATION_MICROS);
-    private boolean may;
-    /** At the last look. */
-    private long leaseEnd;
+    private boolean mayAct;
+    /** Lease end at the last poll, in nanoseconds of the monotonic clock; Long.MAX_VALUE where it is not known. */
+    private long lastLeaseEndNanos;
 
-    HollowPooler(String name, OpenPlane open, Consumer<HostEvent> events) {
+    HollowPooler(String name, OpenPlane controlPlane, Consumer<HostEvent> events) {
         this.name = name;
-        this.open = open;
+        this.controlPlane = controlPlane;
         this.events = events;
     }
 
     void start() throws IOException {
         events.accept(HostEvent.of(HostEvent.What.STARTED, name));
-        open.plane().start(this);
+        controlPlane.plane().start(this);
     }
 
     void stop() {
-        open.plane().stop();
+        controlPlane.plane().stop();
         events.accept(HostEvent.of(HostEvent.What.STOPPED, name));
     }
 
     Net.Traffic traffic() {
-        return open.traffic().get();
+        return controlPlane.traffic().get();
     }
 
-    /** Tells where the right to act has come or gone since the last look; always from the same thread. */
-    void look() {
-        long end = open.leaseEndNanos().getAsLong();
-        boolean now = open.plane().mayServe();
-        // On a busy machine a look may come long after a lease has ended, and after the next one has begun, which
-        // counts from its request.
-        boolean lapsed = may && end != Long.MAX_VALUE && end - LEASE_NANOS > leaseEnd;
-        if (may && (!now || lapsed)) {
-            events.accept(HostEvent.may(name, false, lapsed ? leaseEnd : end));
+    /**
+     * Reports whether the right to act was gained or lost since the last poll. Called on the host's polling thread
+     * only.
+     */
+    void pollLease() {
+        long leaseEndNanos = controlPlane.leaseEndNanos().getAsLong();
+        boolean mayActNow = controlPlane.plane().mayServe();
+        // On a busy machine a poll may come long after a lease has ended and the next one has begun; a lease begins at
+        // the time of its request.
+        boolean lapsed = mayAct && leaseEndNanos != Long.MAX_VALUE && leaseEndNanos - LEASE_NANOS > lastLeaseEndNanos;
+        if (mayAct && (!mayActNow || lapsed)) {
+            events.accept(HostEvent.mayAct(name, false, lapsed ? lastLeaseEndNanos : leaseEndNanos));
         }
-        if (now && (!may || lapsed)) {
-            events.accept(HostEvent.may(name, true, lapsed ? end - LEASE_NANOS : Long.MAX_VALUE));
+        if (mayActNow && (!mayAct || lapsed)) {
+            events.accept(HostEvent.mayAct(name, true, lapsed ? leaseEndNanos - LEASE_NANOS : Long.MAX_VALUE));
         }
-        may = now;
-        leaseEnd = end;
+        mayAct = mayActNow;
+        lastLeaseEndNanos = leaseEndNanos;
     }
 
     @Override
@@ -73,7 +77,7 @@
     @Override
     public void configurationAccepted(ReplicatedState.Document document) {
         try {
-            // What the daemon does on its core thread.
+            // The same reading that the daemon does on its core thread.
             OperatorConfig.NONE.accepted(document.content());
             events.accept(HostEvent.adopted(name, document.revision(), document.digest()));
         } catch (IOException e) {
@@ -88,6 +92,6 @@
 
     @Override
     public void commitsAccepted(Command.SessionCommits commits) {
-        // Sessions are none of a hollow pooler's.
+        // A hollow pooler has no sessions.
     }
 }
--- a/scale/src/main/java/lupinvalve/scale/HostCommand.java
+++ b/scale/src/main/java/lupinvalve/scale/HostCommand.java
@@ -3,13 +3,13 @@
 import java.util.Map;
 
 /**
- * What a host of hollow poolers is told, one JSON line each.
+ * Command to a host of hollow poolers, one JSON object per line.
  *
- * @param listen where a pooler that is a member listens; null where it listens nowhere
- * @param members addresses of the control members as this pooler reaches them, by name
+ * @param listen listening address of a pooler that is a member; null if it does not listen
+ * @param members addresses through which this pooler reaches the control members, by member name
  */
 record HostCommand(What what, String pooler, String folder, String listen, Map<String, String> members) {
-    /** What is to be done. */
+    /** Kind of command. */
     enum What {
         START,
         STOP,
--- a/scale/src/main/java/lupinvalve/scale/HostEvent.java
+++ b/scale/src/main/java/lupinvalve/scale/HostEvent.java
@@ -1,10 +1,10 @@
 package lupinvalve.scale;
 
 /**
- * What a host tells, one JSON line each; fields that do not belong to the event are null.
+ * Event of a host of hollow poolers, one JSON object per line; fields that do not belong to the kind of event are null.
  *
- * @param atNanos by the machine's monotonic clock, which all its processes share
- * @param holds how many holds the pooler knows of
+ * @param atNanos in nanoseconds of the machine's monotonic clock, which all its processes share
+ * @param holds number of holds that the pooler has received
  */
 record HostEvent(
         What what,
@@ -15,7 +15,7 @@
         Integer holds,
         String why,
         HostReport report) {
-    /** What happened. */
+    /** Kind of event. */
     enum What {
         STARTED,
         STOPPED,
@@ -31,8 +31,8 @@
         return new HostEvent(what, pooler, System.nanoTime(), null, null, null, null, null);
     }
 
-    /** @param atNanos when it was so, if that was before now */
-    static HostEvent may(String pooler, boolean now, long atNanos) {
+    /** @param atNanos time of the change; a time in the future is replaced by the current time */
+    static HostEvent mayAct(String pooler, boolean now, long atNanos) {
         return new HostEvent(
                 now ? What.MAY_ACT : What.MAY_NOT,
                 pooler,
--- a/scale/src/main/java/lupinvalve/scale/HostProcess.java
+++ b/scale/src/main/java/lupinvalve/scale/HostProcess.java
@@ -13,10 +13,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-/** A process of hollow poolers, from the side of who started it. Ends only what it started. */
+/** Parent's handle of a process that runs hollow poolers. Terminates only the process that it started. */
 final class HostProcess implements Closeable {
-    private static final long REPORT_SECONDS = 20;
-    private static final long END_SECONDS = 15;
+    private static final long REPORT_TIMEOUT_SECONDS = 20;
+    private static final long EXIT_TIMEOUT_SECONDS = 15;
     private final Process process;
     private final PrintStream commands;
     private final Consumer<HostEvent> events;
@@ -25,8 +25,8 @@
     /**
      * Starts the process.
      *
-     * @param errors a file for what it writes on standard error
-     * @param events hears what its poolers tell
+     * @param errors file that receives the process's standard error
+     * @param events receives the poolers' events, on the reader thread
      */
     HostProcess(Design design, String cluster, int heapMegabytes, Path errors, Consumer<HostEvent> events)
             throws IOException {
@@ -64,22 +64,22 @@
         } catch (JsonProcessingException e) {
             events.accept(HostEvent.failed("host", "it told what is no event: " + e.getOriginalMessage()));
         } catch (IOException e) {
-            // It has ended.
+            // The process has exited.
         }
     }
 
-    void tell(HostCommand command) {
+    void send(HostCommand command) {
         synchronized (commands) {
             commands.println(Json.line(command));
         }
     }
 
-    /** Its counters now. */
+    /** Requests and returns the process's current counters. */
     HostReport report() throws IOException, InterruptedException {
-        tell(HostCommand.report());
-        HostReport report = reports.poll(REPORT_SECONDS, TimeUnit.SECONDS);
+        send(HostCommand.report());
+        HostReport report = reports.poll(REPORT_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         if (report == null) {
-            throw new IOException("a host of hollow poolers did not report in " + REPORT_SECONDS + " s"
+            throw new IOException("a host of hollow poolers did not report in " + REPORT_TIMEOUT_SECONDS + " s"
                     + (process.isAlive() ? "" : ": it has ended with " + process.exitValue()));
         }
         return report;
@@ -87,10 +87,10 @@
 
     @Override
     public void close() {
-        tell(HostCommand.end());
+        send(HostCommand.end());
         commands.close();
         try {
-            if (!process.waitFor(END_SECONDS, TimeUnit.SECONDS)) {
+            if (!process.waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
                 process.destroyForcibly();
             }
         } catch (InterruptedException e) {
--- a/scale/src/main/java/lupinvalve/scale/HostReport.java
+++ b/scale/src/main/java/lupinvalve/scale/HostReport.java
@@ -1,9 +1,9 @@
 package lupinvalve.scale;
 
 /**
- * Counters of one host's process since its start; traffic is that of its poolers, stopped ones included.
+ * Counters of a host's process since its start; traffic is the sum over its poolers, including stopped ones.
  *
- * @param heapBytes in use after a collection
+ * @param heapBytes heap in use after a garbage collection
  */
 record HostReport(
         long cpuNanos, long rssBytes, long heapBytes, int poolers, long bytesOut, long bytesIn, long messagesOut) {
--- a/scale/src/main/java/lupinvalve/scale/InForce.java
+++ b/scale/src/main/java/lupinvalve/scale/InForce.java
@@ -9,27 +9,28 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Judges how soon acknowledged changes were in force at each pooler, and whether whoever lacked one in time had lost
- * the right to act. Without I/O.
+ * Computes how soon acknowledged changes were in force at each pooler, and checks that each pooler without a change
+ * after the time limit had lost the right to act. Without I/O.
  */
 final class InForce {
-    private static final int FINDINGS_MOST = 20;
+    private static final int MAX_FINDINGS = 20;
 
-    /** A change that the group has acknowledged. */
+    /** A change that the group acknowledged, and when, in nanoseconds of the monotonic clock. */
     record Acknowledged(long revision, long atNanos) {}
 
     /**
-     * What came out.
+     * Result over all poolers and changes.
      *
-     * @param latencies microseconds from acknowledged to in force, of pairs of a change and a pooler that ran and might
-     *     act throughout
+     * @param latencyMicros microseconds from acknowledgement to in force, over the pairs of a change and a pooler that
+     *     ran and had the right to act during that time
      * @param fenced pairs in which the pooler had lost the right to act before the change was in force
-     * @param unfencedLate pairs in which it acted on an older version after the limit
-     * @param unleasedOldNanos how long poolers did that, in all
+     * @param unfencedLate pairs in which the pooler acted on an older version after the limit
+     * @param unleasedOldNanos total time in which poolers acted on an older version after the limit
      */
-    record Verdict(Histogram latencies, long fenced, long unfencedLate, long unleasedOldNanos, List<String> findings) {}
+    record Verdict(
+            Histogram latencyMicros, long fenced, long unfencedLate, long unleasedOldNanos, List<String> findings) {}
 
-    private final Histogram latencies = new Histogram(TimeUnit.MINUTES.toMicros(10), 3);
+    private final Histogram latencyMicros = new Histogram(TimeUnit.MINUTES.toMicros(10), 3);
     private final List<String> findings = new ArrayList<>();
     private final long limitNanos;
     private long fenced;
@@ -41,71 +42,84 @@
     }
 
     /**
-     * Judges all poolers by all changes.
+     * Checks every pooler against every change.
      *
-     * @param endNanos what comes later is not looked at
+     * @param endNanos end of the observation; later times are ignored
      */
-    static Verdict judge(
-            Collection<Acknowledged> changes, Map<String, PoolerCourse> poolers, long limitMillis, long endNanos) {
-        InForce judge = new InForce(limitMillis);
-        TreeMap<Long, Acknowledged> inOrder = new TreeMap<>();
-        changes.forEach(one -> inOrder.put(one.atNanos(), one));
-        poolers.forEach((name, course) -> {
-            inOrder.values().forEach(change -> judge.pair(name, course.stretches(), change, endNanos));
-            judge.old(course.stretches(), inOrder, endNanos);
+    static Verdict evaluate(
+            Collection<Acknowledged> changes, Map<String, PoolerTimeline> poolers, long limitMillis, long endNanos) {
+        InForce evaluator = new InForce(limitMillis);
+        TreeMap<Long, Acknowledged> changesByTime = new TreeMap<>();
+        changes.forEach(change -> changesByTime.put(change.atNanos(), change));
+        poolers.forEach((name, timeline) -> {
+            changesByTime.values().forEach(change -> evaluator.checkPair(name, timeline.intervals(), change, endNanos));
+            evaluator.addTimeOnOldVersion(timeline.intervals(), changesByTime, endNanos);
         });
-        return new Verdict(judge.latencies, judge.fenced, judge.unfencedLate, judge.unleasedOldNanos, judge.findings);
+        return new Verdict(
+                evaluator.latencyMicros,
+                evaluator.fenced,
+                evaluator.unfencedLate,
+                evaluator.unleasedOldNanos,
+                evaluator.findings);
     }
 
-    private void pair(String name, List<PoolerCourse.Stretch> stretches, Acknowledged change, long end) {
-        long acknowledged = change.atNanos();
-        boolean throughout = false;
-        boolean mightThroughout = true;
+    private void checkPair(String name, List<PoolerTimeline.Interval> intervals, Acknowledged change, long endNanos) {
+        long acknowledgedNanos = change.atNanos();
+        boolean ranThroughout = false;
+        boolean hadRightThroughout = true;
         boolean late = false;
-        long inForce = -1;
-        for (PoolerCourse.Stretch one : stretches) {
-            if (one.to() <= acknowledged || one.from() >= end) {
+        long inForceNanos = -1;
+        for (PoolerTimeline.Interval interval : intervals) {
+            if (interval.toNanos() <= acknowledgedNanos || interval.fromNanos() >= endNanos) {
                 continue;
             }
-            throughout = one.from() <= acknowledged ? one.alive() : throughout && one.alive();
-            boolean current = one.revision() >= change.revision();
-            late = late || one.alive() && one.may() && !current && Math.min(one.to(), end) > acknowledged + limitNanos;
-            mightThroughout = mightThroughout && (current || one.may());
-            if (throughout && current) {
-                inForce = Math.max(one.from(), acknowledged);
+            ranThroughout = interval.fromNanos() <= acknowledgedNanos
+                    ? interval.running()
+                    : ranThroughout && interval.running();
+            boolean current = interval.revision() >= change.revision();
+            late = late
+                    || interval.running()
+                            && interval.mayAct()
+                            && !current
+                            && Math.min(interval.toNanos(), endNanos) > acknowledgedNanos + limitNanos;
+            hadRightThroughout = hadRightThroughout && (current || interval.mayAct());
+            if (ranThroughout && current) {
+                inForceNanos = Math.max(interval.fromNanos(), acknowledgedNanos);
                 break;
             }
         }
         if (late) {
             unfencedLate++;
-            note(name + " acted on an older version than " + change.revision() + " after the limit");
+            addFinding(name + " acted on an older version than " + change.revision() + " after the limit");
         }
-        if (throughout && !mightThroughout) {
+        if (ranThroughout && !hadRightThroughout) {
             fenced++;
-        } else if (throughout && inForce >= 0) {
-            latencies.recordValue(TimeUnit.NANOSECONDS.toMicros(inForce - acknowledged));
-        } else if (throughout && end - acknowledged > limitNanos) {
-            note(name + " never came to " + change.revision() + " before the end");
+        } else if (ranThroughout && inForceNanos >= 0) {
+            latencyMicros.recordValue(TimeUnit.NANOSECONDS.toMicros(inForceNanos - acknowledgedNanos));
+        } else if (ranThroughout && endNanos - acknowledgedNanos > limitNanos) {
+            addFinding(name + " never came to " + change.revision() + " before the end");
         }
     }
 
-    /** How long a pooler acted on what a change had replaced longer than the limit ago. */
-    private void old(List<PoolerCourse.Stretch> stretches, TreeMap<Long, Acknowledged> changes, long end) {
-        for (PoolerCourse.Stretch one : stretches) {
-            if (one.alive() && one.may()) {
+    /** Adds the time in which a pooler acted on a version that a change had replaced longer ago than the limit. */
+    private void addTimeOnOldVersion(
+            List<PoolerTimeline.Interval> intervals, TreeMap<Long, Acknowledged> changes, long endNanos) {
+        for (PoolerTimeline.Interval interval : intervals) {
+            if (interval.running() && interval.mayAct()) {
                 Acknowledged replaced = changes.values().stream()
-                        .filter(c -> c.revision() > one.revision())
+                        .filter(change -> change.revision() > interval.revision())
                         .findFirst()
                         .orElse(null);
-                long from = replaced == null ? end : Math.max(one.from(), replaced.atNanos() + limitNanos);
-                unleasedOldNanos += Math.max(0, Math.min(one.to(), end) - from);
+                long fromNanos =
+                        replaced == null ? endNanos : Math.max(interval.fromNanos(), replaced.atNanos() + limitNanos);
+                unleasedOldNanos += Math.max(0, Math.min(interval.toNanos(), endNanos) - fromNanos);
             }
         }
     }
 
-    private void note(String what) {
-        if (findings.size() < FINDINGS_MOST) {
-            findings.add(what);
+    private void addFinding(String finding) {
+        if (findings.size() < MAX_FINDINGS) {
+            findings.add(finding);
         }
     }
 }
--- a/scale/src/main/java/lupinvalve/scale/Json.java
+++ b/scale/src/main/java/lupinvalve/scale/Json.java
@@ -6,7 +6,7 @@
 import com.fasterxml.jackson.databind.PropertyNamingStrategies;
 import java.io.UncheckedIOException;
 
-/** Records as JSON, one line each. */
+/** Serializes records as JSON, one line each. */
 final class Json {
     static final ObjectMapper MAPPER = new ObjectMapper()
             .setPropertyNamingStrategy(PropertyNamingStrategies.SNAKE_CASE)
--- a/scale/src/main/java/lupinvalve/scale/Load.java
+++ b/scale/src/main/java/lupinvalve/scale/Load.java
@@ -11,9 +11,9 @@
 import org.HdrHistogram.Histogram;
 import org.apache.commons.math3.random.RandomGenerator;
 
-/** Changes of configuration and single restarts at their rates, on a thread each. */
+/** Generates configuration changes and restarts of single poolers at given rates, on one thread each. */
 final class Load implements Closeable {
-    /** What is done to the poolers. */
+    /** Kind of load. */
     enum Kind {
         CHANGES,
         RESTARTS,
@@ -24,17 +24,17 @@
         }
     }
 
-    private static final long READY_SECONDS = 60;
-    private static final long JOIN_MILLIS = 5_000;
+    private static final long READY_TIMEOUT_SECONDS = 60;
+    private static final long THREAD_JOIN_MARGIN_MILLIS = 5_000;
     private final Operator operator;
     private final Fleet fleet;
     private final Documents documents;
     private final Set<Integer> busy = new HashSet<>();
-    private final Histogram joins = new Histogram(120_000_000, 3);
+    private final Histogram joinMicros = new Histogram(120_000_000, 3);
     private final AtomicInteger restarts = new AtomicInteger();
     private final List<String> failures = Collections.synchronizedList(new ArrayList<>());
     private final List<Thread> threads = new ArrayList<>();
-    private volatile boolean over;
+    private volatile boolean stopped;
 
     Load(Operator operator, Fleet fleet, Documents documents) {
         this.operator = operator;
@@ -42,25 +42,25 @@
         this.documents = documents;
     }
 
-    /** Puts so many configurations a second. */
-    void changes(double perSecond, RandomGenerator random) {
-        run("changes", () -> {
-            while (!over) {
-                rest(perSecond, random);
-                if (!over) {
+    /** Starts a thread that puts configurations at this mean rate. */
+    void startChanges(double perSecond, RandomGenerator random) {
+        startThread("changes", () -> {
+            while (!stopped) {
+                pause(perSecond, random);
+                if (!stopped) {
                     operator.put(documents.next());
                 }
             }
         });
     }
 
-    /** Restarts so many poolers a second, one after another. */
-    void restarts(double perSecond, RandomGenerator random) {
-        run("restarts", () -> {
-            while (!over) {
-                rest(perSecond, random);
+    /** Starts a thread that restarts random poolers, one after another, at this mean rate. */
+    void startRestarts(double perSecond, RandomGenerator random) {
+        startThread("restarts", () -> {
+            while (!stopped) {
+                pause(perSecond, random);
                 int pooler = random.nextInt(fleet.size());
-                if (!over && take(List.of(pooler))) {
+                if (!stopped && reserve(List.of(pooler))) {
                     restart(pooler);
                 }
             }
@@ -69,52 +69,56 @@
 
     private void restart(int pooler) throws IOException, InterruptedException {
         try {
-            double took = fleet.herd(List.of(pooler), operator.revision(), READY_SECONDS);
-            synchronized (joins) {
-                joins.recordValue(Math.round(took * 1000));
+            double readyMillis = fleet.restartTogether(List.of(pooler), operator.revision(), READY_TIMEOUT_SECONDS);
+            synchronized (joinMicros) {
+                joinMicros.recordValue(Math.round(readyMillis * 1000));
             }
             restarts.incrementAndGet();
         } finally {
-            give(List.of(pooler));
+            release(List.of(pooler));
         }
     }
 
     /**
-     * Restarts these at once; gives how long it took until the last was ready, in ms, or null where not all were in
-     * time.
+     * Restarts the given poolers at the same time. Returns the time until the last was ready, in milliseconds, or null
+     * if not all were ready in time.
      */
-    Double herd(List<Integer> poolers) throws InterruptedException {
-        List<Integer> mine = poolers.stream().filter(one -> take(List.of(one))).toList();
+    Double restartTogether(List<Integer> poolers) throws InterruptedException {
+        List<Integer> reserved =
+                poolers.stream().filter(one -> reserve(List.of(one))).toList();
         try {
-            return fleet.herd(mine, operator.revision(), READY_SECONDS);
+            return fleet.restartTogether(reserved, operator.revision(), READY_TIMEOUT_SECONDS);
         } catch (IOException e) {
-            // The run goes on: what else it measures is worth having, and its verdict names this.
-            failures.add("herd of " + mine.size() + ": " + e.getMessage());
+            // The run continues for its other measurements; its result names this failure.
+            failures.add("herd of " + reserved.size() + ": " + e.getMessage());
             return null;
         } finally {
-            give(mine);
+            release(reserved);
         }
     }
 
-    private boolean take(List<Integer> poolers) {
+    private boolean reserve(List<Integer> poolers) {
         synchronized (busy) {
             return poolers.stream().noneMatch(busy::contains) && busy.addAll(poolers);
         }
     }
 
-    private void give(List<Integer> poolers) {
+    private void release(List<Integer> poolers) {
         synchronized (busy) {
             busy.removeAll(poolers);
         }
     }
 
-    /** A pause of half to one and a half times the mean. */
-    private void rest(double perSecond, RandomGenerator random) throws InterruptedException {
-        long left = (long) (1000 / perSecond * (0.5 + random.nextDouble()));
-        while (left > 0 && !over) {
-            long step = Math.min(left, 100);
-            Thread.sleep(step);
-            left -= step;
+    /**
+     * Sleeps for a random time of 0.5 to 1.5 times the mean interval, in steps of at most 100 ms so that close() takes
+     * effect soon.
+     */
+    private void pause(double perSecond, RandomGenerator random) throws InterruptedException {
+        long leftMillis = (long) (1000 / perSecond * (0.5 + random.nextDouble()));
+        while (leftMillis > 0 && !stopped) {
+            long stepMillis = Math.min(leftMillis, 100);
+            Thread.sleep(stepMillis);
+            leftMillis -= stepMillis;
         }
     }
 
@@ -122,7 +126,7 @@
         void run() throws IOException, InterruptedException;
     }
 
-    private void run(String name, Work work) {
+    private void startThread(String name, Work work) {
         Thread thread = new Thread(
                 () -> {
                     try {
@@ -139,10 +143,10 @@
         thread.start();
     }
 
-    /** How long single starts took, in microseconds. */
-    Histogram joins() {
-        synchronized (joins) {
-            return joins.copy();
+    /** Returns the durations of single restarts in microseconds. */
+    Histogram joinTimes() {
+        synchronized (joinMicros) {
+            return joinMicros.copy();
         }
     }
 
@@ -150,17 +154,17 @@
         return restarts.get();
     }
 
-    /** What ended a part of the load before its time. */
+    /** Returns the errors that ended a part of the load early. */
     List<String> failures() {
         return List.copyOf(failures);
     }
 
     @Override
     public void close() {
-        over = true;
+        stopped = true;
         try {
             for (Thread thread : threads) {
-                thread.join(READY_SECONDS * 1000 + JOIN_MILLIS);
+                thread.join(READY_TIMEOUT_SECONDS * 1000 + THREAD_JOIN_MARGIN_MILLIS);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/scale/src/main/java/lupinvalve/scale/MemberWatch.java
+++ b/scale/src/main/java/lupinvalve/scale/MemberWatch.java
@@ -2,24 +2,27 @@
 
 import java.io.Closeable;
 
-/** Adds up what the control members spend, apart for the one that leads and those that follow. */
+/**
+ * Samples the control members' processor time and traffic every 500 ms, and sums them separately for the leader and for
+ * the followers.
+ */
 final class MemberWatch implements Closeable {
-    private static final long EACH_MILLIS = 500;
-    private static final double MEGABYTE = 1 << 20;
+    private static final long SAMPLE_INTERVAL_MILLIS = 500;
+    private static final double BYTES_PER_MEGABYTE = 1 << 20;
     private final Daemons daemons;
     private final Links links;
-    private final long[] cpu = new long[Topology.MEMBERS];
+    private final long[] cpuNanosByMember = new long[Topology.MEMBERS];
     private final long[] pids = new long[Topology.MEMBERS];
     private final FrameMeter.Sums[] traffic = new FrameMeter.Sums[Topology.MEMBERS];
     private final Thread thread;
-    private volatile boolean over;
-    private long at = System.nanoTime();
-    private Spent leading = new Spent(0, 0, 0, 0);
-    private Spent following = new Spent(0, 0, 0, 0);
-    private long leaderRss;
+    private volatile boolean stopped;
+    private long lastSampleNanos = System.nanoTime();
+    private Usage leading = new Usage(0, 0, 0, 0);
+    private Usage following = new Usage(0, 0, 0, 0);
+    private long leaderResidentBytes;
 
-    /** Sums: time watched, processor time, bytes and messages. */
-    record Spent(long nanos, long cpuNanos, long bytes, long messages) {
+    /** Sums over the samples: time observed, processor time, bytes and messages. */
+    record Usage(long nanos, long cpuNanos, long bytes, long messages) {
         double cpuCore() {
             return nanos == 0 ? 0 : (double) cpuNanos / nanos;
         }
@@ -32,15 +35,19 @@
             return nanos == 0 ? 0 : messages * 1e9 / nanos;
         }
 
-        private Spent plus(long more, long cpu, FrameMeter.Sums passed) {
-            return new Spent(nanos + more, cpuNanos + cpu, bytes + passed.bytes(), messages + passed.messages());
+        private Usage plus(long moreNanos, long moreCpuNanos, FrameMeter.Sums moreTraffic) {
+            return new Usage(
+                    nanos + moreNanos,
+                    cpuNanos + moreCpuNanos,
+                    bytes + moreTraffic.bytes(),
+                    messages + moreTraffic.messages());
         }
     }
 
     MemberWatch(Daemons daemons, Links links) {
         this.daemons = daemons;
         this.links = links;
-        look();
+        sample();
         reset();
         thread = new Thread(this::run, "member watch");
         thread.setDaemon(true);
@@ -49,65 +56,68 @@
 
     private void run() {
         try {
-            while (!over) {
-                Thread.sleep(EACH_MILLIS);
-                look();
+            while (!stopped) {
+                Thread.sleep(SAMPLE_INTERVAL_MILLIS);
+                sample();
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private synchronized void look() {
+    private synchronized void sample() {
         long now = System.nanoTime();
-        long passed = now - at;
-        at = now;
+        long elapsedNanos = now - lastSampleNanos;
+        lastSampleNanos = now;
         int leader = daemons.leader();
         for (int i = 0; i < Topology.MEMBERS; i++) {
             long pid = daemons.member(i).pid();
             long total = ProcessCounters.cpuNanos(pid);
             FrameMeter.Sums sums = links.ofMember(i);
-            boolean same = pid == pids[i] && total >= 0;
-            if (same) {
-                FrameMeter.Sums more = sums.minus(traffic[i]);
+            boolean sameProcess = pid == pids[i] && total >= 0;
+            if (sameProcess) {
+                FrameMeter.Sums delta = sums.minus(traffic[i]);
                 if (i == leader) {
-                    leading = leading.plus(passed, total - cpu[i], more);
-                    leaderRss = ProcessCounters.residentBytes(pid);
+                    leading = leading.plus(elapsedNanos, total - cpuNanosByMember[i], delta);
+                    leaderResidentBytes = ProcessCounters.residentBytes(pid);
                 } else {
-                    following = following.plus(passed, total - cpu[i], more);
+                    following = following.plus(elapsedNanos, total - cpuNanosByMember[i], delta);
                 }
             }
             pids[i] = pid;
-            cpu[i] = Math.max(0, total);
+            cpuNanosByMember[i] = Math.max(0, total);
             traffic[i] = sums;
         }
     }
 
-    /** Begins to add up anew. */
+    /** Resets the sums to zero. */
     synchronized void reset() {
-        look();
-        leading = new Spent(0, 0, 0, 0);
-        following = new Spent(0, 0, 0, 0);
+        sample();
+        leading = new Usage(0, 0, 0, 0);
+        following = new Usage(0, 0, 0, 0);
     }
 
-    /** The member that leads, whoever that was. */
-    synchronized Spent leading() {
-        look();
+    /** Returns the leader's sums, across changes of leader. */
+    synchronized Usage leading() {
+        sample();
         return leading;
     }
 
-    /** A member that follows, on average. */
-    synchronized Spent following() {
+    /**
+     * Returns the followers' sums; the time is summed over followers too, so the rates are those of an average
+     * follower.
+     */
+    synchronized Usage following() {
         return following;
     }
 
     synchronized double leaderMegabytes() {
-        return leaderRss / MEGABYTE;
+        return leaderResidentBytes / BYTES_PER_MEGABYTE;
     }
 
     @Override
     public void close() {
-        over = true;
+        stopped = true;
         thread.interrupt();
     }
 }
--- a/scale/src/main/java/lupinvalve/scale/Metrics.java
+++ b/scale/src/main/java/lupinvalve/scale/Metrics.java
@@ -5,18 +5,18 @@
 import com.fasterxml.jackson.databind.annotation.JsonNaming;
 
 /**
- * What one run measured. Times in milliseconds, processor time as a part of one core, sizes in bytes or megabytes; null
- * where it was not measured. "Control" is the mean hollow pooler, its host's process counted whole; "idle" is before
- * the load begins.
+ * Measurements of one run. Times are in milliseconds, processor time is a share of one core, sizes are in bytes or
+ * megabytes; null means not measured. "Control" is the mean hollow pooler: its host's whole process divided by the
+ * number of poolers. "Idle" is before the load starts. "Real" is a complete daemon.
  *
- * @param controlBytesPerS both ways
- * @param leaderBytesPerS both ways, at the member that leads
- * @param memberCpuCore mean of the members that follow
- * @param herdReadyMs until the last of a herd acts on what holds
- * @param joinMs median of single starts until the pooler acts on what holds
- * @param toldMs until the last pooler had heard of a db node's hold, as a change of primary tells it
- * @param unleasedOldMs time in which poolers acted on an old version without a lease, in all
- * @param realRssMb mean of whole daemons, fronts included
+ * @param controlBytesPerS both directions
+ * @param leaderBytesPerS both directions, at the leader
+ * @param memberCpuCore mean of the followers
+ * @param herdReadyMs time until the last pooler of a zone, restarted together, acts on the current revision
+ * @param joinMs median time from a single start until the pooler acts on the current revision
+ * @param toldMs time until the last pooler had received the hold of a db node, as a change of primary sends it
+ * @param unleasedOldMs total time in which poolers acted on an old version after the limit
+ * @param realRssMb mean of complete daemons, client listeners included
  */
 @JsonNaming(PropertyNamingStrategies.SnakeCaseStrategy.class)
 @JsonInclude(JsonInclude.Include.NON_NULL)
--- a/scale/src/main/java/lupinvalve/scale/OpenPlane.java
+++ b/scale/src/main/java/lupinvalve/scale/OpenPlane.java
@@ -11,15 +11,15 @@
 import lupinvalve.replication.Subscriber;
 
 /**
- * A pooler's control plane as the daemon opens it, with ways to its traffic and its lease.
+ * A pooler's control plane, opened as the daemon opens it, with access to its traffic counters and its lease.
  *
- * @param leaseEndNanos when its last lease ends, by the machine's monotonic clock; the far future where it does not
- *     tell
+ * @param leaseEndNanos end of its last lease in nanoseconds of the machine's monotonic clock; Long.MAX_VALUE if the
+ *     control plane does not expose it
  */
 record OpenPlane(ControlPlane plane, Supplier<Net.Traffic> traffic, LongSupplier leaseEndNanos) {
     static OpenPlane member(OperatorConfig.Store store) throws IOException {
-        RaftMember group = new RaftMember(store);
-        return new OpenPlane(group, group::traffic, () -> Long.MAX_VALUE);
+        RaftMember member = new RaftMember(store);
+        return new OpenPlane(member, member::traffic, () -> Long.MAX_VALUE);
     }
 
     static OpenPlane subscriber(OperatorConfig.Store store) throws IOException {
--- a/scale/src/main/java/lupinvalve/scale/Operator.java
+++ b/scale/src/main/java/lupinvalve/scale/Operator.java
@@ -13,30 +13,33 @@
 import lupinvalve.statemachine.ReplicatedState;
 import org.HdrHistogram.Histogram;
 
-/** The one who puts configurations at the control members, and what was acknowledged. One thread at a time. */
+/**
+ * Client that puts configurations at the control members and records what was acknowledged. Its methods that access the
+ * revision are synchronized.
+ */
 final class Operator {
-    private static final long CALL_MILLIS = 4_000;
-    private static final long ADD_MILLIS = 25_000;
-    private static final long PAUSE_MILLIS = 100;
+    private static final long CALL_TIMEOUT_MILLIS = 4_000;
+    private static final long ADD_TIMEOUT_MILLIS = 25_000;
+    private static final long RETRY_DELAY_MILLIS = 100;
     private final Daemons daemons;
     private final History history;
     private final List<InForce.Acknowledged> acknowledged = new ArrayList<>();
-    private final Histogram puts = new Histogram(TimeUnit.MINUTES.toMicros(2), 3);
+    private final Histogram putMicros = new Histogram(TimeUnit.MINUTES.toMicros(2), 3);
     private long revision;
-    private boolean unsure;
+    private boolean revisionUnknown;
 
     Operator(Daemons daemons, History history) {
         this.daemons = daemons;
         this.history = history;
     }
 
-    /** The leader is asked first, so that a member that stands still costs no time. */
+    /** Creates a client that tries the leader first, so that a suspended member does not delay the call. */
     private GroupClient client() throws IOException {
-        Map<String, String> places = daemons.places();
+        Map<String, String> addresses = daemons.memberAddresses();
         Map<String, String> ordered = new LinkedHashMap<>();
         String leader = Topology.member(Math.max(0, daemons.leader()));
-        ordered.put(leader, places.get(leader));
-        ordered.putAll(places);
+        ordered.put(leader, addresses.get(leader));
+        ordered.putAll(addresses);
         return new GroupClient(Daemons.CLUSTER, ordered, null);
     }
 
@@ -44,78 +47,88 @@
         return text.getBytes(StandardCharsets.UTF_8);
     }
 
-    /** Puts a document against the revision known; whether that was acknowledged. */
+    /**
+     * Puts a document with the last known revision as its precondition. Returns whether the group acknowledged it;
+     * without an answer the next put first reads the revision.
+     */
     synchronized boolean put(byte[] document) throws IOException {
-        if (unsure && !read()) {
+        if (revisionUnknown && !read()) {
             return false;
         }
         String digest = ReplicatedState.digest(document);
         history.proposed(revision + 1, digest);
-        long began = System.nanoTime();
-        GroupClient.Result said =
-                client().call("put", List.of(bytes(Long.toString(revision)), document), false, CALL_MILLIS);
-        long ended = System.nanoTime();
-        if (said.status() != WireMessages.Status.OK) {
-            if (said.status() == WireMessages.Status.REJECTED) {
-                throw new IOException("a configuration was refused: " + said.text());
+        long startNanos = System.nanoTime();
+        GroupClient.Result result =
+                client().call("put", List.of(bytes(Long.toString(revision)), document), false, CALL_TIMEOUT_MILLIS);
+        long endNanos = System.nanoTime();
+        if (result.status() != WireMessages.Status.OK) {
+            if (result.status() == WireMessages.Status.REJECTED) {
+                throw new IOException("a configuration was refused: " + result.text());
             }
-            unsure = true;
+            revisionUnknown = true;
             return false;
         }
-        revision = Json.MAPPER.readTree(said.text()).get("revision").asLong();
-        history.acknowledged(began, ended, revision, digest);
-        acknowledged.add(new InForce.Acknowledged(revision, ended));
-        puts.recordValue(TimeUnit.NANOSECONDS.toMicros(ended - began));
+        revision = Json.MAPPER.readTree(result.text()).get("revision").asLong();
+        history.acknowledged(startNanos, endNanos, revision, digest);
+        acknowledged.add(new InForce.Acknowledged(revision, endNanos));
+        putMicros.recordValue(TimeUnit.NANOSECONDS.toMicros(endNanos - startNanos));
         return true;
     }
 
-    /** Reads what holds, linearizably; whether there was an answer. */
+    /** Reads the current configuration linearizably. Returns whether there was an answer. */
     synchronized boolean read() throws IOException {
-        long began = System.nanoTime();
-        GroupClient.Result said = client().call("get", List.of(new byte[0]), true, CALL_MILLIS);
-        if (said.status() != WireMessages.Status.OK) {
+        long startNanos = System.nanoTime();
+        GroupClient.Result result = client().call("get", List.of(new byte[0]), true, CALL_TIMEOUT_MILLIS);
+        if (result.status() != WireMessages.Status.OK) {
             return false;
         }
-        JsonNode answer = Json.MAPPER.readTree(said.text());
+        JsonNode answer = Json.MAPPER.readTree(result.text());
         revision = answer.get("revision").asLong();
-        unsure = false;
-        history.read(began, System.nanoTime(), revision, answer.path("digest").asText(""));
+        revisionUnknown = false;
+        history.read(
+                startNanos, System.nanoTime(), revision, answer.path("digest").asText(""));
         return true;
     }
 
-    /** Reads until there is an answer. */
+    /** Repeats the read until there is an answer, or fails after a time-out. */
     void awaitRead(long withinSeconds) throws IOException, InterruptedException {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(withinSeconds);
         while (!read()) {
             if (System.nanoTime() > end) {
                 throw new IOException("not in " + withinSeconds + " s: the group answers");
             }
-            Thread.sleep(PAUSE_MILLIS);
+            Thread.sleep(RETRY_DELAY_MILLIS);
         }
     }
 
-    /** Holds a db node, as a change of its primary does, or releases it; gives when that was acknowledged, or -1. */
-    long hold(String node, boolean now) throws IOException {
+    /**
+     * Holds a db node, as a change of its primary does, or releases it. Returns the {@link System#nanoTime()} of the
+     * acknowledgement, or -1 without one.
+     */
+    long hold(String node, boolean hold) throws IOException {
         List<byte[]> arguments = new ArrayList<>(List.of(bytes("node"), bytes(node)));
-        if (now) {
+        if (hold) {
             arguments.add(bytes("scale run"));
         }
-        GroupClient.Result said = client().call(now ? "hold" : "release", arguments, true, CALL_MILLIS);
-        return said.status() == WireMessages.Status.OK ? System.nanoTime() : -1;
+        GroupClient.Result result = client().call(hold ? "hold" : "release", arguments, true, CALL_TIMEOUT_MILLIS);
+        return result.status() == WireMessages.Status.OK ? System.nanoTime() : -1;
     }
 
-    /** Has a pooler become a member. Throws with what the group says where it can't, or not in time. */
+    /**
+     * Adds a pooler as a member and retries while it is not connected. Throws with the group's answer if the group
+     * rejects it or the time is over.
+     */
     void add(String name, long withinSeconds) throws IOException, InterruptedException {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(withinSeconds);
-        GroupClient.Result said = client().call("add", List.of(bytes(name)), true, ADD_MILLIS);
-        while (said.status() != WireMessages.Status.OK) {
-            boolean never = said.status() == WireMessages.Status.REJECTED
-                    && !said.text().contains("not connected");
-            if (never || System.nanoTime() > end) {
-                throw new IOException("add " + name + ": " + said.text());
+        GroupClient.Result result = client().call("add", List.of(bytes(name)), true, ADD_TIMEOUT_MILLIS);
+        while (result.status() != WireMessages.Status.OK) {
+            boolean rejectedForGood = result.status() == WireMessages.Status.REJECTED
+                    && !result.text().contains("not connected");
+            if (rejectedForGood || System.nanoTime() > end) {
+                throw new IOException("add " + name + ": " + result.text());
             }
-            Thread.sleep(PAUSE_MILLIS);
-            said = client().call("add", List.of(bytes(name)), true, ADD_MILLIS);
+            Thread.sleep(RETRY_DELAY_MILLIS);
+            result = client().call("add", List.of(bytes(name)), true, ADD_TIMEOUT_MILLIS);
         }
     }
 
@@ -123,13 +136,13 @@
         return revision;
     }
 
-    /** What was acknowledged since a time. */
+    /** Returns the changes acknowledged at or after a {@link System#nanoTime()}. */
     synchronized List<InForce.Acknowledged> acknowledgedSince(long nanos) {
         return acknowledged.stream().filter(one -> one.atNanos() >= nanos).toList();
     }
 
-    /** How long puts took, in microseconds. */
-    synchronized Histogram puts() {
-        return puts.copy();
+    /** Returns the durations of acknowledged puts in microseconds. */
+    synchronized Histogram putMicros() {
+        return putMicros.copy();
     }
 }
--- a/scale/src/main/java/lupinvalve/scale/Progress.java
+++ b/scale/src/main/java/lupinvalve/scale/Progress.java
@@ -2,18 +2,18 @@
 
 import java.util.Locale;
 
-/** Says on a terminal how far a run is; where there is none, nothing. */
+/** Prints a run's progress to standard error if there is a terminal; otherwise nothing. */
 final class Progress {
-    private final long begun = System.nanoTime();
-    private final boolean on;
+    private final long startNanos = System.nanoTime();
+    private final boolean enabled;
 
     Progress(boolean quiet) {
-        on = !quiet && System.console() != null;
+        enabled = !quiet && System.console() != null;
     }
 
     void say(String what) {
-        if (on) {
-            System.err.printf(Locale.ROOT, "%6.1f s  %s%n", (System.nanoTime() - begun) / 1e9, what);
+        if (enabled) {
+            System.err.printf(Locale.ROOT, "%6.1f s  %s%n", (System.nanoTime() - startNanos) / 1e9, what);
         }
     }
 }
--- a/scale/src/main/java/lupinvalve/scale/RunResult.java
+++ b/scale/src/main/java/lupinvalve/scale/RunResult.java
@@ -5,10 +5,10 @@
 import java.util.Map;
 
 /**
- * What came out of a run.
+ * Result of a run.
  *
- * @param fenced pairs of a change and a pooler that had lost the right to act before it was in force there
- * @param kinds messages and bytes a second between poolers and members, of all poolers together, by kind
+ * @param fenced pairs of a change and a pooler that had lost the right to act before the change was in force there
+ * @param kinds messages and bytes per second between poolers and members, summed over all poolers, by kind of message
  */
 record RunResult(
         RunSpec spec,
@@ -26,7 +26,7 @@
         return over.isEmpty() && divergent == 0 && lost == 0 && unfencedLate == 0;
     }
 
-    /** One JSON object. */
+    /** Returns the result as one line with a JSON object. */
     String json() {
         ObjectNode out = Json.MAPPER.createObjectNode();
         out.put("design", spec.design().word());
--- a/scale/src/main/java/lupinvalve/scale/RunSpec.java
+++ b/scale/src/main/java/lupinvalve/scale/RunSpec.java
@@ -3,12 +3,12 @@
 import java.nio.file.Path;
 
 /**
- * One run.
+ * Parameters of a run.
  *
- * @param changeFactor times the operators' 3,800 changes of configuration a day
- * @param restartFactor times the operators' 340 restarts a day
- * @param regionDelayMillis each way between regions
- * @param config a platform's file that the daemons' are made from
+ * @param changeFactor multiple of the operators' 3,800 configuration changes a day
+ * @param restartFactor multiple of the operators' 340 restarts a day
+ * @param regionDelayMillis added one-way delay between regions
+ * @param config a deployment's configuration file that serves as the template for the daemons' files
  */
 record RunSpec(
         Design design,
@@ -23,7 +23,7 @@
         int regionDelayMillis,
         Path config,
         boolean keep) {
-    RunSpec sized(Load.Kind kind, int size, int entries) {
+    RunSpec withSize(Load.Kind kind, int size, int entries) {
         return new RunSpec(
                 design,
                 kind,
@@ -40,10 +40,10 @@
     }
 
     double changesPerSecond() {
-        return Budgets.CHANGES_A_DAY / Budgets.DAY_SECONDS * changeFactor;
+        return Budgets.CHANGES_PER_DAY / Budgets.SECONDS_PER_DAY * changeFactor;
     }
 
     double restartsPerSecond() {
-        return Budgets.RESTARTS_A_DAY / Budgets.DAY_SECONDS * restartFactor;
+        return Budgets.RESTARTS_PER_DAY / Budgets.SECONDS_PER_DAY * restartFactor;
     }
 }
--- a/scale/src/main/java/lupinvalve/scale/Scale.java
+++ b/scale/src/main/java/lupinvalve/scale/Scale.java
@@ -4,12 +4,13 @@
 import java.io.PrintStream;
 import java.util.Map;
 
-/** The command: one run, or the runs of all sizes. */
+/** Entry point of the scale command: a single run, or one run per fleet size. */
 public final class Scale {
     private Scale() {}
 
     /**
-     * Runs what the options say and gives the exit code: 0 where all is within its budget and nothing was found wrong.
+     * Runs what the options describe and returns the exit code: 0 if every metric is within its budget and no check
+     * failed.
      */
     public static int run(ScaleOptions options, PrintStream out)
             throws IOException, InterruptedException, ScaleOptions.BadValue {
@@ -21,7 +22,7 @@
         try (ScaleRun run = new ScaleRun(options.spec(), progress)) {
             RunResult result = run.run();
             if (options.keep) {
-                progress.say("kept: " + run.folder());
+                progress.say("kept the logs and disks in " + run.folder());
             }
             out.println(result.json());
             return result.good() ? 0 : 1;
--- a/scale/src/main/java/lupinvalve/scale/ScaleOptions.java
+++ b/scale/src/main/java/lupinvalve/scale/ScaleOptions.java
@@ -6,17 +6,17 @@
 import java.util.Locale;
 import org.kohsuke.args4j.Option;
 
-/** What a scale run is told on the command line. */
+/** Command line options of a scale run. */
 public class ScaleOptions {
-    static final int POOLERS_MOST = 2_000;
-    static final int DAEMONS_MOST = 5;
-    static final int SECONDS_LEAST = 5;
-    static final int SECONDS_MOST = 3_600;
-    static final int DATABASES_MOST = 4_000;
-    static final double FACTOR_MOST = 10_000;
-    private static final int REGION_DELAY_MOST = 500;
-
-    /** An option's value that is not possible; the message has both. */
+    static final int MAX_POOLERS = 2_000;
+    static final int MAX_DAEMONS = 5;
+    static final int MIN_SECONDS = 5;
+    static final int MAX_SECONDS = 3_600;
+    static final int MAX_DATABASES = 4_000;
+    static final double MAX_FACTOR = 10_000;
+    private static final int MAX_REGION_DELAY_MILLIS = 500;
+
+    /** Invalid value of an option; the message names the option, its value and the valid values. */
     public static final class BadValue extends Exception {
         private static final long serialVersionUID = 1;
 
@@ -53,7 +53,7 @@
     double restartFactor = 100;
 
     @Option(name = "--region-delay-ms", metaVar = "N", usage = "each way between regions")
-    int regionDelay;
+    int regionDelayMillis;
 
     @Option(name = "--config", metaVar = "FILE", usage = "a platform's file to start daemons from")
     Path config = Path.of("example/config.json");
@@ -76,22 +76,25 @@
     @Option(name = "--json", usage = "only the last line")
     boolean json;
 
-    /** Checks all values. */
+    /** Checks the values of all options. */
     void check() throws BadValue {
-        within("--poolers", poolers, 1, POOLERS_MOST);
-        within("--databases", databases, 0, DATABASES_MOST);
-        within("--daemons", daemons, 0, DAEMONS_MOST);
-        within("--seconds", seconds, SECONDS_LEAST, SECONDS_MOST);
-        within("--region-delay-ms", regionDelay, 0, REGION_DELAY_MOST);
-        factor("--change-factor", changeFactor);
-        factor("--restart-factor", restartFactor);
-        one("--design", design, Arrays.stream(Design.values()).map(Design::word).toList());
-        one(
+        checkRange("--poolers", poolers, 1, MAX_POOLERS);
+        checkRange("--databases", databases, 0, MAX_DATABASES);
+        checkRange("--daemons", daemons, 0, MAX_DAEMONS);
+        checkRange("--seconds", seconds, MIN_SECONDS, MAX_SECONDS);
+        checkRange("--region-delay-ms", regionDelayMillis, 0, MAX_REGION_DELAY_MILLIS);
+        checkFactor("--change-factor", changeFactor);
+        checkFactor("--restart-factor", restartFactor);
+        checkOneOf(
+                "--design",
+                design,
+                Arrays.stream(Design.values()).map(Design::word).toList());
+        checkOneOf(
                 "--load",
                 load,
                 Arrays.stream(Load.Kind.values()).map(Load.Kind::word).toList());
-        list("--sizes", sizes, 1, POOLERS_MOST);
-        list("--documents", documents, 0, DATABASES_MOST);
+        parseNumbers("--sizes", sizes, 1, MAX_POOLERS);
+        parseNumbers("--documents", documents, 0, MAX_DATABASES);
         if (!Files.isReadable(config)) {
             throw new BadValue("--config", config, "it can't be read");
         }
@@ -102,30 +105,30 @@
         }
     }
 
-    private static void within(String option, int value, int least, int most) throws BadValue {
-        if (value < least || value > most) {
-            throw new BadValue(option, value, least + " to " + most + " are possible");
+    private static void checkRange(String option, int value, int min, int max) throws BadValue {
+        if (value < min || value > max) {
+            throw new BadValue(option, value, min + " to " + max + " are possible");
         }
     }
 
-    private static void factor(String option, double value) throws BadValue {
-        if (!(value > 0 && value <= FACTOR_MOST)) {
-            throw new BadValue(option, value, "more than 0, up to " + (long) FACTOR_MOST + " are possible");
+    private static void checkFactor(String option, double value) throws BadValue {
+        if (!(value > 0 && value <= MAX_FACTOR)) {
+            throw new BadValue(option, value, "more than 0, up to " + (long) MAX_FACTOR + " are possible");
         }
     }
 
-    private static void one(String option, String value, java.util.List<String> possible) throws BadValue {
+    private static void checkOneOf(String option, String value, java.util.List<String> possible) throws BadValue {
         if (!possible.contains(value)) {
             throw new BadValue(option, value, String.join(", ", possible) + " are possible");
         }
     }
 
-    private static int[] list(String option, String value, int least, int most) throws BadValue {
+    private static int[] parseNumbers(String option, String value, int min, int max) throws BadValue {
         try {
             int[] numbers =
                     Arrays.stream(value.split(",")).mapToInt(Integer::parseInt).toArray();
             for (int number : numbers) {
-                within(option, number, least, most);
+                checkRange(option, number, min, max);
             }
             return numbers;
         } catch (NumberFormatException e) {
@@ -134,11 +137,11 @@
     }
 
     int[] sizeList() throws BadValue {
-        return list("--sizes", sizes, 1, POOLERS_MOST);
+        return parseNumbers("--sizes", sizes, 1, MAX_POOLERS);
     }
 
     int[] documentList() throws BadValue {
-        return list("--documents", documents, 0, DATABASES_MOST);
+        return parseNumbers("--documents", documents, 0, MAX_DATABASES);
     }
 
     Design design() {
@@ -149,7 +152,7 @@
         return Load.Kind.valueOf(load.toUpperCase(Locale.ROOT));
     }
 
-    /** The run that these describe. */
+    /** Returns the run that the options describe. */
     RunSpec spec() {
         return new RunSpec(
                 design(),
@@ -161,7 +164,7 @@
                 seed,
                 changeFactor,
                 restartFactor,
-                regionDelay,
+                regionDelayMillis,
                 config,
                 keep);
     }
--- a/scale/src/main/java/lupinvalve/scale/ScaleRun.java
+++ b/scale/src/main/java/lupinvalve/scale/ScaleRun.java
@@ -16,18 +16,21 @@
 import org.apache.commons.math3.random.RandomGenerator;
 import org.apache.commons.math3.random.Well19937c;
 
-/** One run: brings all up, measures it at rest and under its load, lets it settle, and judges what everybody told. */
+/**
+ * A single run: starts all processes, measures them idle and under load, waits until they settle, and checks the events
+ * that poolers and daemons reported against the operators' limits.
+ */
 final class ScaleRun implements Closeable {
-    private static final long FOUNDED_SECONDS = 30;
-    private static final long UP_SECONDS = 60;
-    private static final long SETTLE_SECONDS = 60;
-    private static final long ADD_SECONDS = 30;
-    private static final long IDLE_MILLIS_LEAST = 2_000;
-    private static final long IDLE_MILLIS_MOST = 10_000;
-    private static final int IDLE_SHARE = 6;
-    private static final double MEGABYTE = 1 << 20;
-    /** How many poolers start at once while all are brought up. */
-    private static final int START_AT_ONCE = 60;
+    private static final long GROUP_READY_TIMEOUT_SECONDS = 30;
+    private static final long START_TIMEOUT_SECONDS = 60;
+    private static final long SETTLE_TIMEOUT_SECONDS = 60;
+    private static final long ADD_TIMEOUT_SECONDS = 30;
+    private static final long MIN_IDLE_MILLIS = 2_000;
+    private static final long MAX_IDLE_MILLIS = 10_000;
+    private static final int IDLE_DIVISOR = 6;
+    private static final double BYTES_PER_MEGABYTE = 1 << 20;
+    /** Number of poolers that are started at a time during the initial start. */
+    private static final int START_BATCH_POOLERS = 60;
 
     private final RunSpec spec;
     private final Progress progress;
@@ -39,16 +42,19 @@
     private final Operator operator;
     private final Documents documents;
     private final Load load;
-    private final List<Double> joins = new ArrayList<>();
+    private final List<Double> joinMillis = new ArrayList<>();
     private MemberWatch watch;
-    private FaultCourse faults;
+    private FaultSchedule faults;
     private int documentBytes;
     private Double herdReadyMs;
 
-    /** Ends what runs where this program is ended from outside. */
-    private final Thread ends = new Thread(this::closeQuietly, "ends a run");
+    /** Shutdown hook: stops the child processes if this process is terminated during a run. */
+    private final Thread shutdownHook = new Thread(this::closeQuietly, "scale shutdown");
 
-    /** Sets all up; nothing but the hosts' processes runs yet. */
+    /**
+     * Prepares a run and starts the processes that host hollow poolers; the poolers, members and daemons start in
+     * {@link #run()}.
+     */
     ScaleRun(RunSpec spec, Progress progress) throws IOException {
         this.spec = spec;
         this.progress = progress;
@@ -58,7 +64,7 @@
         operator = new Operator(daemons, history);
         documents = new Documents(spec.databases(), new Well19937c(spec.seed()));
         load = new Load(operator, fleet, documents);
-        Runtime.getRuntime().addShutdownHook(ends);
+        Runtime.getRuntime().addShutdownHook(shutdownHook);
     }
 
     private void closeQuietly() {
@@ -70,139 +76,141 @@
         }
     }
 
-    /** All of it. */
+    /** Runs from start to verdict. */
     RunResult run() throws IOException, InterruptedException {
-        up();
-        progress.say("all are up; at rest");
-        Measured before = measure();
+        start();
+        progress.say("all poolers are up; measuring without load");
+        Sample idleStart = measure();
         Thread.sleep(Math.max(
-                IDLE_MILLIS_LEAST, Math.min(IDLE_MILLIS_MOST, TimeUnit.SECONDS.toMillis(spec.seconds()) / IDLE_SHARE)));
-        Measured rested = measure();
-        progress.say("load begins");
+                MIN_IDLE_MILLIS, Math.min(MAX_IDLE_MILLIS, TimeUnit.SECONDS.toMillis(spec.seconds()) / IDLE_DIVISOR)));
+        Sample idleEnd = measure();
+        progress.say("load starts");
         watch.reset();
-        long begun = System.nanoTime();
-        loaded(begun);
-        Measured end = measure();
-        MemberWatch.Spent leading = watch.leading();
-        MemberWatch.Spent following = watch.following();
-        progress.say("load is over");
+        long startNanos = System.nanoTime();
+        runLoad(startNanos);
+        Sample end = measure();
+        MemberWatch.Usage leading = watch.leading();
+        MemberWatch.Usage following = watch.following();
+        progress.say("load has ended");
         settle();
-        return judged(begun, new Measurements(before, rested, end, leading, following));
+        return evaluate(startNanos, new Samples(idleStart, idleEnd, end, leading, following));
     }
 
-    /** Counters at one moment. */
-    private record Measured(
+    /** Counters at a point in time, by {@link System#nanoTime()}. */
+    private record Sample(
             long atNanos,
             HostReport hosts,
             FrameMeter.Sums proxied,
             Map<FrameMeter.Kind, FrameMeter.Sums> kinds,
-            MemberWatch.Spent leader) {
-        double seconds(Measured since) {
+            MemberWatch.Usage leader) {
+        double seconds(Sample since) {
             return (atNanos - since.atNanos) / 1e9;
         }
     }
 
-    /** Counters before and after the rest, at the end of the load, and what members spent under it. */
-    private record Measurements(
-            Measured before, Measured rested, Measured end, MemberWatch.Spent leading, MemberWatch.Spent following) {}
+    /**
+     * Counters before and after the idle phase and at the end of the load, and the members' resource use under load.
+     */
+    private record Samples(
+            Sample idleStart, Sample idleEnd, Sample end, MemberWatch.Usage leading, MemberWatch.Usage following) {}
 
-    private Measured measure() throws IOException, InterruptedException {
-        return new Measured(
+    private Sample measure() throws IOException, InterruptedException {
+        return new Sample(
                 System.nanoTime(), fleet.report(), links.ofPoolers(), links.ofPoolersByKind(), watch.leading());
     }
 
-    // ---- bringing up ----
+    // ---- start ----
 
-    private void up() throws IOException, InterruptedException {
+    private void start() throws IOException, InterruptedException {
         links.slowRegions(spec.regionDelayMillis());
         daemons.startMembers(links);
-        operator.awaitRead(FOUNDED_SECONDS);
+        operator.awaitRead(GROUP_READY_TIMEOUT_SECONDS);
         byte[] first = documents.next();
         documentBytes = first.length;
         if (!operator.put(first)) {
             throw new IOException("the first configuration was not acknowledged");
         }
-        progress.say("the group is founded");
+        progress.say("the group of control members accepts configurations");
         daemons.startPoolers(spec.daemons(), spec.design(), links);
         if (spec.design() == Design.MEMBERS) {
-            addAll();
+            addMembers();
         } else {
-            startAll();
+            startFleet();
         }
         watch = new MemberWatch(daemons, links);
     }
 
-    private void startAll() throws IOException, InterruptedException {
-        List<Integer> all = fleet.all();
-        for (int from = 0; from < all.size(); from += START_AT_ONCE) {
-            List<Integer> next = all.subList(from, Math.min(all.size(), from + START_AT_ONCE));
+    private void startFleet() throws IOException, InterruptedException {
+        List<Integer> all = fleet.allPoolers();
+        for (int from = 0; from < all.size(); from += START_BATCH_POOLERS) {
+            List<Integer> next = all.subList(from, Math.min(all.size(), from + START_BATCH_POOLERS));
             for (int one : next) {
                 fleet.start(one);
             }
-            fleet.awaitReady(next, operator.revision(), UP_SECONDS);
+            fleet.awaitReady(next, operator.revision(), START_TIMEOUT_SECONDS);
             progress.say(from + next.size() + " poolers are up");
         }
     }
 
-    /** Members come one at a time: the group takes one change of itself after another. */
-    private void addAll() throws IOException, InterruptedException {
+    /** Adds members one at a time: the group accepts a membership change only after the previous one has completed. */
+    private void addMembers() throws IOException, InterruptedException {
         for (DaemonProcess daemon : daemons.poolers()) {
-            operator.add(daemon.name, ADD_SECONDS);
+            operator.add(daemon.name, ADD_TIMEOUT_SECONDS);
         }
-        for (int one : fleet.all()) {
+        for (int one : fleet.allPoolers()) {
             fleet.start(one);
-            long begun = System.nanoTime();
+            long startNanos = System.nanoTime();
             try {
-                operator.add(Topology.pooler(one), ADD_SECONDS);
-                fleet.awaitReady(List.of(one), operator.revision(), ADD_SECONDS);
+                operator.add(Topology.pooler(one), ADD_TIMEOUT_SECONDS);
+                fleet.awaitReady(List.of(one), operator.revision(), ADD_TIMEOUT_SECONDS);
             } catch (IOException e) {
                 throw new IOException(
                         "with " + (Topology.MEMBERS + spec.daemons() + one) + " members: " + e.getMessage(), e);
             }
-            joins.add((System.nanoTime() - begun) / 1e6);
-            progress.say(Topology.pooler(one) + " is a member");
+            joinMillis.add((System.nanoTime() - startNanos) / 1e6);
+            progress.say(Topology.pooler(one) + " has become a member");
         }
     }
 
     // ---- load ----
 
-    private void loaded(long begun) throws IOException, InterruptedException {
-        long until = begun + TimeUnit.SECONDS.toNanos(spec.seconds());
+    private void runLoad(long startNanos) throws IOException, InterruptedException {
+        long untilNanos = startNanos + TimeUnit.SECONDS.toNanos(spec.seconds());
         if (spec.load() != Load.Kind.RESTARTS) {
-            load.changes(spec.changesPerSecond(), new Well19937c(spec.seed() + 1));
+            load.startChanges(spec.changesPerSecond(), new Well19937c(spec.seed() + 1));
         }
         if (spec.load() != Load.Kind.CHANGES) {
             RandomGenerator random = new Well19937c(spec.seed() + 2);
-            load.restarts(spec.restartsPerSecond(), random);
+            load.startRestarts(spec.restartsPerSecond(), random);
         }
         if (spec.load() == Load.Kind.MIXED) {
-            faults = new FaultCourse(daemons, links, fleet, operator, load, progress, spec.seconds());
-            faults.play(until);
+            faults = new FaultSchedule(daemons, links, fleet, operator, load, progress, spec.seconds());
+            faults.run(untilNanos);
         }
-        TimeUnit.NANOSECONDS.sleep(Math.max(0, until - System.nanoTime()));
+        TimeUnit.NANOSECONDS.sleep(Math.max(0, untilNanos - System.nanoTime()));
         load.close();
     }
 
     private void settle() throws IOException, InterruptedException {
-        operator.awaitRead(SETTLE_SECONDS);
-        fleet.awaitReady(fleet.all(), operator.revision(), SETTLE_SECONDS);
+        operator.awaitRead(SETTLE_TIMEOUT_SECONDS);
+        fleet.awaitReady(fleet.allPoolers(), operator.revision(), SETTLE_TIMEOUT_SECONDS);
         if (spec.load() == Load.Kind.RESTARTS) {
-            progress.say("a zone restarts");
-            herdReadyMs = load.herd(FaultCourse.zone(fleet, 1));
+            progress.say("restarting all poolers of a zone");
+            herdReadyMs = load.restartTogether(FaultSchedule.zone(fleet, 1));
         }
-        operator.awaitRead(SETTLE_SECONDS);
+        operator.awaitRead(SETTLE_TIMEOUT_SECONDS);
     }
 
     // ---- the verdict ----
 
-    private RunResult judged(long begun, Measurements measured) throws IOException {
+    private RunResult evaluate(long startNanos, Samples samples) throws IOException {
         long end = System.nanoTime();
-        List<InForce.Acknowledged> changes = operator.acknowledgedSince(begun);
-        Map<String, PoolerCourse> all = new HashMap<>(fleet.courses());
+        List<InForce.Acknowledged> changes = operator.acknowledgedSince(startNanos);
+        Map<String, PoolerTimeline> all = new HashMap<>(fleet.timelines());
         all.keySet().removeIf(name -> !name.startsWith("h"));
-        InForce.Verdict hollow = InForce.judge(changes, all, Budgets.IN_FORCE_MILLIS, end);
-        InForce.Verdict real = InForce.judge(changes, daemons.poolerCourses(), Budgets.IN_FORCE_MILLIS, end);
-        Metrics metrics = metrics(measured, hollow, real);
+        InForce.Verdict hollow = InForce.evaluate(changes, all, Budgets.IN_FORCE_MILLIS, end);
+        InForce.Verdict real = InForce.evaluate(changes, daemons.poolerTimelines(), Budgets.IN_FORCE_MILLIS, end);
+        Metrics metrics = metrics(samples, hollow, real);
         List<String> findings = new ArrayList<>(history.divergent());
         int divergent = findings.size();
         findings.addAll(hollow.findings());
@@ -224,80 +232,80 @@
                 hollow.fenced() + real.fenced(),
                 over,
                 findings,
-                kinds(measured));
+                ratesByKind(samples));
     }
 
-    private Metrics metrics(Measurements m, InForce.Verdict hollow, InForce.Verdict real) throws IOException {
-        double seconds = m.end().seconds(m.rested());
+    private Metrics metrics(Samples samples, InForce.Verdict hollow, InForce.Verdict real) throws IOException {
+        double seconds = samples.end().seconds(samples.idleEnd());
         Traffic traffic = Traffic.between(
                 spec,
-                m.rested().hosts(),
-                m.end().hosts(),
-                m.rested().proxied(),
-                m.end().proxied());
+                samples.idleEnd().hosts(),
+                samples.end().hosts(),
+                samples.idleEnd().proxied(),
+                samples.end().proxied());
         Traffic idle = Traffic.between(
                 spec,
-                m.before().hosts(),
-                m.rested().hosts(),
-                m.before().proxied(),
-                m.rested().proxied());
-        double idleSeconds = m.rested().seconds(m.before());
-        HostReport hosts = m.end().hosts();
-        FaultCourse.Times times =
-                faults == null ? new FaultCourse.Times(null, null, herdReadyMs, null, null) : faults.times();
-        Histogram joined = joined();
+                samples.idleStart().hosts(),
+                samples.idleEnd().hosts(),
+                samples.idleStart().proxied(),
+                samples.idleEnd().proxied());
+        double idleSeconds = samples.idleEnd().seconds(samples.idleStart());
+        HostReport hosts = samples.end().hosts();
+        FaultSchedule.Times times =
+                faults == null ? new FaultSchedule.Times(null, null, herdReadyMs, null, null) : faults.times();
+        Histogram joinMicros = joinMicros();
         int leader = Math.max(0, daemons.leader());
-        MemberWatch.Spent rest = m.rested().leader();
+        MemberWatch.Usage idleLeader = samples.idleEnd().leader();
         return new Metrics(
-                percentile(hollow.latencies(), 50),
-                percentile(hollow.latencies(), 99),
-                percentile(hollow.latencies(), 100),
-                percentile(real.latencies(), 100),
-                cpu(m.rested(), m.end()),
+                percentile(hollow.latencyMicros(), 50),
+                percentile(hollow.latencyMicros(), 99),
+                percentile(hollow.latencyMicros(), 100),
+                percentile(real.latencyMicros(), 100),
+                cpuCores(samples.idleEnd(), samples.end()),
                 traffic.bytes() / seconds / spec.poolers(),
                 traffic.bytesIn() / seconds / spec.poolers(),
                 traffic.bytesOut() / seconds / spec.poolers(),
                 traffic.messages() / seconds / spec.poolers(),
-                hosts.rssBytes() / MEGABYTE / spec.poolers(),
-                hosts.heapBytes() / MEGABYTE / spec.poolers(),
-                cpu(m.before(), m.rested()),
+                hosts.rssBytes() / BYTES_PER_MEGABYTE / spec.poolers(),
+                hosts.heapBytes() / BYTES_PER_MEGABYTE / spec.poolers(),
+                cpuCores(samples.idleStart(), samples.idleEnd()),
                 idle.bytes() / idleSeconds / spec.poolers(),
-                m.leading().cpuCore(),
-                rest.cpuCore(),
-                m.leading().bytesPerSecond() + traffic.unproxied() / seconds,
-                m.leading().messagesPerSecond(),
+                samples.leading().cpuCore(),
+                idleLeader.cpuCore(),
+                samples.leading().bytesPerSecond() + traffic.unproxied() / seconds,
+                samples.leading().messagesPerSecond(),
                 watch.leaderMegabytes(),
-                m.following().cpuCore(),
-                realMegabytes(),
+                samples.following().cpuCore(),
+                daemonMegabytes(),
                 ProcessCounters.fileBytes(daemons.memberFolder(leader), "history-"),
                 ProcessCounters.fileBytes(daemons.memberFolder(leader), "snapshot-"),
                 times.herdReadyMs(),
                 times.rackReadyMs(),
                 times.regionReadyMs(),
-                percentile(joined, 50),
-                percentile(joined, 100),
+                percentile(joinMicros, 50),
+                percentile(joinMicros, 100),
                 times.toldMs(),
-                percentile(operator.puts(), 50),
-                percentile(operator.puts(), 99),
+                percentile(operator.putMicros(), 50),
+                percentile(operator.putMicros(), 99),
                 times.failoverMs(),
                 (hollow.unleasedOldNanos() + real.unleasedOldNanos()) / 1e6,
                 (long) documentBytes);
     }
 
-    /** Single restarts, or where there were none how long each took to become a member. */
-    private Histogram joined() {
-        Histogram joined = load.joins();
-        if (joined.getTotalCount() == 0) {
-            joins.forEach(one -> joined.recordValue(Math.round(one * 1000)));
+    /** Durations of single restarts in microseconds; if there were none, of joining the group as a member. */
+    private Histogram joinMicros() {
+        Histogram joinMicros = load.joinTimes();
+        if (joinMicros.getTotalCount() == 0) {
+            joinMillis.forEach(one -> joinMicros.recordValue(Math.round(one * 1000)));
         }
-        return joined;
+        return joinMicros;
     }
 
-    private double cpu(Measured from, Measured to) {
+    private double cpuCores(Sample from, Sample to) {
         return (to.hosts().cpuNanos() - from.hosts().cpuNanos()) / 1e9 / to.seconds(from) / spec.poolers();
     }
 
-    private Double realMegabytes() {
+    private Double daemonMegabytes() {
         if (daemons.poolers().isEmpty()) {
             return null;
         }
@@ -305,21 +313,21 @@
                         .mapToLong(one -> ProcessCounters.residentBytes(one.pid()))
                         .average()
                         .orElse(0)
-                / MEGABYTE;
+                / BYTES_PER_MEGABYTE;
     }
 
     private static Double percentile(Histogram micros, double percentile) {
         return micros.getTotalCount() == 0 ? null : micros.getValueAtPercentile(percentile) / 1000.0;
     }
 
-    private static Map<FrameMeter.Kind, FrameMeter.Sums> kinds(Measurements m) {
+    private static Map<FrameMeter.Kind, FrameMeter.Sums> ratesByKind(Samples samples) {
         Map<FrameMeter.Kind, FrameMeter.Sums> kinds = new LinkedHashMap<>();
-        double seconds = m.end().seconds(m.rested());
-        m.end().kinds().forEach((kind, sums) -> {
-            FrameMeter.Sums more = sums.minus(m.rested().kinds().get(kind));
+        double seconds = samples.end().seconds(samples.idleEnd());
+        samples.end().kinds().forEach((kind, sums) -> {
+            FrameMeter.Sums delta = sums.minus(samples.idleEnd().kinds().get(kind));
             kinds.put(
                     kind,
-                    new FrameMeter.Sums(Math.round(more.messages() / seconds), Math.round(more.bytes() / seconds)));
+                    new FrameMeter.Sums(Math.round(delta.messages() / seconds), Math.round(delta.bytes() / seconds)));
         });
         return kinds;
     }
@@ -330,7 +338,7 @@
 
     @Override
     public void close() throws IOException {
-        Runtime.getRuntime().removeShutdownHook(ends);
+        Runtime.getRuntime().removeShutdownHook(shutdownHook);
         load.close();
         if (watch != null) {
             watch.close();
--- a/scale/src/main/java/lupinvalve/scale/Slopes.java
+++ b/scale/src/main/java/lupinvalve/scale/Slopes.java
@@ -13,10 +13,13 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Runs the sizes, changes alone and restarts alone, and keeps each run in a file with the lines that fit them. */
+/**
+ * Runs each fleet size, under changes only and under restarts only, and adds each run to a file together with the lines
+ * fitted to all runs.
+ */
 final class Slopes {
-    private static final int FAILED_MOST = 300;
-    private static final int KILOBYTES_A_GIGABYTE = 1 << 20;
+    private static final int MAX_FAILURE_CHARACTERS = 300;
+    private static final int KILOBYTES_PER_GIGABYTE = 1 << 20;
     private static final String NOTE =
             "Loopback on one machine beside other work; latencies hold for that, processor time is by process "
                     + "counters and includes what compiles the code. Control is the mean hollow pooler: its host's process divided by its "
@@ -25,7 +28,7 @@
     private final ScaleOptions options;
     private final PrintStream out;
     private final Progress progress;
-    /** The program's, as it was when the runs began. */
+    /** Git commit of the program when the runs started. */
     private final String commit = commit();
 
     Slopes(ScaleOptions options, PrintStream out) {
@@ -34,13 +37,13 @@
         progress = new Progress(options.json);
     }
 
-    /** Gives 0 where each run came to figures. */
+    /** Returns 0 if every run produced metrics, otherwise 1. */
     int run() throws IOException, InterruptedException, ScaleOptions.BadValue {
         int failed = 0;
         for (RunSpec spec : specs()) {
             progress.say(spec.design().word() + ", " + spec.load().word() + ", " + spec.poolers() + " poolers, "
                     + spec.databases() + " databases");
-            SlopesFile.Run run = one(spec);
+            SlopesFile.Run run = runOne(spec);
             failed += run.failed() == null ? 0 : 1;
             SlopesFile.read(options.slopes).with(run, machine(), NOTE).write(options.slopes);
             out.println(Json.line(run));
@@ -48,11 +51,14 @@
         return failed == 0 ? 0 : 1;
     }
 
-    /** All sizes with the longest document, and all other documents at the second size. */
+    /**
+     * Returns a run of each fleet size with the largest document, and of each other document size at the second fleet
+     * size.
+     */
     private List<RunSpec> specs() throws ScaleOptions.BadValue {
         int[] sizes = options.sizeList();
         int[] documents = options.documentList();
-        int longest = documents[documents.length - 1];
+        int largest = documents[documents.length - 1];
         int second = sizes[Math.min(1, sizes.length - 1)];
         List<Load.Kind> loads = options.load() == Load.Kind.MIXED
                 ? List.of(Load.Kind.CHANGES, Load.Kind.RESTARTS)
@@ -60,28 +66,28 @@
         List<RunSpec> specs = new ArrayList<>();
         for (Load.Kind load : loads) {
             for (int size : sizes) {
-                specs.add(options.spec().sized(load, size, longest));
+                specs.add(options.spec().withSize(load, size, largest));
             }
             for (int document : documents) {
-                if (document != longest) {
-                    specs.add(options.spec().sized(load, second, document));
+                if (document != largest) {
+                    specs.add(options.spec().withSize(load, second, document));
                 }
             }
         }
         return specs;
     }
 
-    private SlopesFile.Run one(RunSpec spec) throws InterruptedException {
+    private SlopesFile.Run runOne(RunSpec spec) throws InterruptedException {
         try (ScaleRun run = new ScaleRun(spec, progress)) {
-            return made(spec, run.run(), null);
+            return toRun(spec, run.run(), null);
         } catch (IOException e) {
             String why = String.valueOf(e.getMessage());
-            return made(spec, null, why.substring(0, Math.min(FAILED_MOST, why.length())));
+            return toRun(spec, null, why.substring(0, Math.min(MAX_FAILURE_CHARACTERS, why.length())));
         }
     }
 
-    private SlopesFile.Run made(RunSpec spec, RunResult result, String failed) {
-        boolean came = result != null;
+    private SlopesFile.Run toRun(RunSpec spec, RunResult result, String failed) {
+        boolean succeeded = result != null;
         return new SlopesFile.Run(
                 spec.design().word(),
                 spec.load().word(),
@@ -95,13 +101,13 @@
                 commit,
                 options.trial,
                 failed,
-                came ? result.changes() : null,
-                came ? result.restarts() : null,
-                came ? result.divergent() : null,
-                came ? result.lost() : null,
-                came ? result.unfencedLate() : null,
-                came ? result.over() : null,
-                came ? figures(result.metrics()) : null);
+                succeeded ? result.changes() : null,
+                succeeded ? result.restarts() : null,
+                succeeded ? result.divergent() : null,
+                succeeded ? result.lost() : null,
+                succeeded ? result.unfencedLate() : null,
+                succeeded ? result.over() : null,
+                succeeded ? figures(result.metrics()) : null);
     }
 
     private static Map<String, Double> figures(Metrics metrics) {
@@ -134,7 +140,7 @@
             }
         }
         return Runtime.getRuntime().availableProcessors() + " cores, "
-                + Math.round((double) kilobytes / KILOBYTES_A_GIGABYTE) + " GiB, Java "
+                + Math.round((double) kilobytes / KILOBYTES_PER_GIGABYTE) + " GiB, Java "
                 + Runtime.version().feature();
     }
 }
--- a/scale/src/main/java/lupinvalve/scale/SlopesFile.java
+++ b/scale/src/main/java/lupinvalve/scale/SlopesFile.java
@@ -10,18 +10,18 @@
 import java.util.Map;
 
 /**
- * The file of runs and of the lines that were fitted through them.
+ * File with all runs and the lines fitted to them.
  *
- * @param note what holds for all runs
+ * @param note conditions that apply to all runs
  */
 @JsonIgnoreProperties(ignoreUnknown = true)
 record SlopesFile(String machine, String commit, String note, List<Run> runs, List<Fit> fits) {
     /**
-     * One run; what failed stays too.
+     * A run; failed runs are kept too.
      *
-     * @param trial what of the program was changed for it, or null for the program as it is
-     * @param failed why it came to no figures, or null
-     * @param unfencedLate pairs of a change and a pooler that acted on an older version past the limit
+     * @param trial change to the program under trial in this run, or null for the unchanged program
+     * @param failed reason why the run produced no metrics, or null
+     * @param unfencedLate pairs of a change and a pooler that acted on an older version after the limit
      */
     @JsonIgnoreProperties(ignoreUnknown = true)
     record Run(
@@ -44,7 +44,7 @@
             Long unfencedLate,
             List<String> over,
             Map<String, Double> metrics) {
-        /** Runs of the same of which the last one counts for the fits. */
+        /** Identifies repetitions of a run, of which only the last counts for the fits. */
         String key() {
             return design + " " + load + " " + poolers + " " + databases + " " + trial;
         }
@@ -54,9 +54,9 @@
      * A line fitted by least squares.
      *
      * @param per "pooler" or "database"
-     * @param poolers that were the same in all runs, or null where it is per pooler
-     * @param databases that were the same in all runs, or null where it is per database
-     * @param residual root of the mean square of what the line misses
+     * @param poolers number of poolers in all runs, or null if the line is per pooler
+     * @param databases number of databases in all runs, or null if the line is per database
+     * @param residual root mean square of the deviations from the line
      */
     @JsonIgnoreProperties(ignoreUnknown = true)
     record Fit(
@@ -72,7 +72,7 @@
             double residual,
             int points) {}
 
-    /** Reads a file, or begins one. */
+    /** Reads a file; returns an empty one if the file does not exist. */
     static SlopesFile read(Path file) throws IOException {
         if (!Files.exists(file)) {
             return new SlopesFile("", "", "", List.of(), List.of());
@@ -80,14 +80,14 @@
         return Json.MAPPER.readValue(Files.readAllBytes(file), SlopesFile.class);
     }
 
-    /** The same with one more run and the lines fitted anew. */
+    /** Returns a copy with one more run and with the lines fitted again. */
     SlopesFile with(Run run, String onMachine, String note) {
         List<Run> all = new ArrayList<>(runs);
         all.add(run);
         return new SlopesFile(onMachine, run.commit(), note, all, Fits.of(all));
     }
 
-    /** One line a run and a fit, so that differences can be read. */
+    /** Writes one line per run and per fit, so that a line-based diff of two versions is readable. */
     void write(Path file) throws IOException {
         StringBuilder text = new StringBuilder("{\"machine\":")
                 .append(Json.line(machine))
--- a/scale/src/main/java/lupinvalve/scale/Topology.java
+++ b/scale/src/main/java/lupinvalve/scale/Topology.java
@@ -1,15 +1,15 @@
 package lupinvalve.scale;
 
-/** Where poolers and control members stand: 7 zones in 3 regions, a control member in each region. */
+/** Placement of poolers and control members: 7 zones in 3 regions, with one control member in each region. */
 final class Topology {
     static final int REGIONS = 3;
     static final int ZONES = 7;
     static final int MEMBERS = 3;
     private static final int[] REGION_OF_ZONE = {0, 0, 0, 1, 1, 2, 2};
-    /** A rack holds so many of a zone's poolers. */
-    static final int RACK = 20;
-    /** Each pooler whose number ends so is one of the slow tenth. */
-    private static final int SLOW_EACH = 10;
+    /** Number of a zone's poolers in one rack. */
+    static final int RACK_POOLERS = 20;
+    /** One in this many of a zone's poolers belongs to the slow tenth. */
+    private static final int POOLERS_PER_SLOW_POOLER = 10;
 
     private Topology() {}
 
@@ -25,9 +25,9 @@
         return regionOfZone(zone(pooler));
     }
 
-    /** Whether a pooler is of the tenth whose links can be slowed. */
+    /** Whether a pooler belongs to the tenth whose links can be slowed down. */
     static boolean slow(int pooler) {
-        return pooler / ZONES % SLOW_EACH == 0;
+        return pooler / ZONES % POOLERS_PER_SLOW_POOLER == 0;
     }
 
     static String pooler(int number) {
--- a/scale/src/main/java/lupinvalve/scale/Traffic.java
+++ b/scale/src/main/java/lupinvalve/scale/Traffic.java
@@ -1,16 +1,16 @@
 package lupinvalve.scale;
 
 /**
- * What poolers and members exchanged in a while, all poolers together.
+ * Traffic between poolers and members in an interval, summed over all poolers.
  *
- * @param messages both ways
- * @param unproxied bytes that went past the proxies: members dial poolers that are members themselves, and these each
- *     other
+ * @param messages both directions
+ * @param unproxied bytes that did not pass through the proxies: members connect to poolers that are members themselves,
+ *     and those poolers to each other
  */
 record Traffic(long bytes, long bytesIn, long bytesOut, long messages, long unproxied) {
     /**
-     * Of counters at its beginning and end. Poolers that are members count at their own sockets; those that only dial
-     * are counted by the proxies that they dial through.
+     * Computes the traffic from counters at the beginning and end. Poolers that are members count at their own sockets;
+     * poolers that only connect are counted by the proxies that they connect through.
      */
     static Traffic between(
             RunSpec spec, HostReport from, HostReport to, FrameMeter.Sums proxiedFrom, FrameMeter.Sums proxiedTo) {
--- a/scale/src/main/java/lupinvalve/scale/package-info.java
+++ b/scale/src/main/java/lupinvalve/scale/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The scale run: real control members and some whole daemons as processes, hundreds of poolers' control code beside
- * them in a few processes, load and faults between them; measured against the operators' budgets and judged.
+ * The scale run: starts real control members and some complete daemons as processes, runs the control code of hundreds
+ * of poolers in a few more processes, applies load and faults, and compares the measurements with the operators'
+ * budgets.
  */
 package lupinvalve.scale;
--- a/scale/src/test/java/lupinvalve/scale/FitsTest.java
+++ b/scale/src/test/java/lupinvalve/scale/FitsTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Lines go through runs that differ in one size, and only through what came to figures. */
+/** Lines are fitted to runs that differ in one size only; failed runs and repeated runs are excluded. */
 class FitsTest {
     @TempDir
     private Path folder;
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void theLineOfThreePointsIsKnown() {
+    void lineThroughThreePointsHasTheExpectedCoefficients() {
         List<SlopesFile.Fit> fits = Fits.of(List.of(
                 run(10, 100, 9.0, null),
                 run(10, 100, 1.0, null),
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void documentsAreFittedAtTheSamePoolers() {
+    void databasesAreFittedAmongRunsWithTheSamePoolers() {
         List<SlopesFile.Fit> fits =
                 Fits.of(List.of(run(10, 100, 1.0, null), run(10, 400, 4.0, null), run(20, 1200, 5.0, null)));
         assertEquals(1, fits.size());
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void theFileKeepsEachRun() throws Exception {
+    void fileKeepsEachRun() throws Exception {
         Path file = folder.resolve("slopes.json");
         SlopesFile.read(file).with(run(10, 100, 1.0, null), "m", "n").write(file);
         SlopesFile.read(file).with(run(20, 100, 2.0, null), "m", "n").write(file);
--- a/scale/src/test/java/lupinvalve/scale/FrameMeterTest.java
+++ b/scale/src/test/java/lupinvalve/scale/FrameMeterTest.java
@@ -6,7 +6,7 @@
 import lupinvalve.drills.FaultProxy;
 import org.junit.jupiter.api.Test;
 
-/** Frames are counted by kind however the bytes are cut. */
+/** Frames are counted by kind for every way in which the bytes are split into reads. */
 class FrameMeterTest {
     private static byte[] frames() {
         return ByteBuffer.allocate(9 + 5 + 6)
@@ -22,12 +22,12 @@
     }
 
     @Test
-    void countsAreTheSameForEachCut() {
+    void countsAreTheSameForEachReadSize() {
         for (int size = 1; size <= frames().length; size++) {
             FrameMeter meter = new FrameMeter();
             FaultProxy.Tap tap = meter.open(true);
-            for (int at = 0; at < frames().length; at += size) {
-                byte[] piece = java.util.Arrays.copyOfRange(frames(), at, Math.min(frames().length, at + size));
+            for (int offset = 0; offset < frames().length; offset += size) {
+                byte[] piece = java.util.Arrays.copyOfRange(frames(), offset, Math.min(frames().length, offset + size));
                 tap.passed(piece, piece.length);
             }
             assertEquals(new FrameMeter.Sums(1, 9), meter.of(FrameMeter.Kind.RAFT));
--- a/scale/src/test/java/lupinvalve/scale/HollowPoolerTest.java
+++ b/scale/src/test/java/lupinvalve/scale/HollowPoolerTest.java
@@ -12,13 +12,16 @@
 import lupinvalve.statemachine.Command;
 import org.junit.jupiter.api.Test;
 
-/** What a hollow pooler tells of its right to act is right also where nobody looked for a while. */
+/**
+ * A hollow pooler reports gain and loss of its right to act with the right times, also if it was not polled for longer
+ * than a lease.
+ */
 class HollowPoolerTest {
-    private final AtomicBoolean may = new AtomicBoolean();
-    private final AtomicLong end = new AtomicLong();
+    private final AtomicBoolean mayAct = new AtomicBoolean();
+    private final AtomicLong leaseEndNanos = new AtomicLong();
     private final List<HostEvent> events = new ArrayList<>();
-    private final HollowPooler pooler =
-            new HollowPooler("h1", new OpenPlane(new Plane(), () -> new Net.Traffic(0, 0, 0), end::get), events::add);
+    private final HollowPooler pooler = new HollowPooler(
+            "h1", new OpenPlane(new Plane(), () -> new Net.Traffic(0, 0, 0), leaseEndNanos::get), events::add);
 
     private final class Plane implements ControlPlane {
         @Override
@@ -27,13 +30,13 @@
         }
 
         @Override
-        public void start(ControlPlane.Listener beside) {
-            // Nothing is heard.
+        public void start(ControlPlane.Listener listener) {
+            // No events.
         }
 
         @Override
         public boolean mayServe() {
-            return may.get();
+            return mayAct.get();
         }
 
         @Override
@@ -63,23 +66,23 @@
 
         @Override
         public void stop() {
-            // Nothing runs.
+            // Nothing to stop.
         }
     }
 
-    private void look(boolean now, long endNanos) {
-        may.set(now);
-        end.set(endNanos);
-        pooler.look();
+    private void poll(boolean mayActNow, long endNanos) {
+        mayAct.set(mayActNow);
+        leaseEndNanos.set(endNanos);
+        pooler.pollLease();
     }
 
     @Test
-    void aLeaseThatEndedAndCameAgainBetweenTwoLooksIsTold() {
+    void leaseThatEndsAndIsRegrantedBetweenTwoPollsIsReported() {
         long now = System.nanoTime();
         long first = now - TimeUnit.SECONDS.toNanos(20);
         long next = now - TimeUnit.SECONDS.toNanos(1);
-        look(true, first);
-        look(true, next);
+        poll(true, first);
+        poll(true, next);
         assertEquals(
                 List.of(HostEvent.What.MAY_ACT, HostEvent.What.MAY_NOT, HostEvent.What.MAY_ACT),
                 events.stream().map(HostEvent::what).toList());
@@ -88,13 +91,13 @@
     }
 
     @Test
-    void aRenewedLeaseIsNoNewsAndItsEndIsToldAsItWas() {
+    void renewalIsNotReportedAndExpiryHasTheTimeOfTheLeaseEnd() {
         long now = System.nanoTime();
         long first = now - TimeUnit.SECONDS.toNanos(4);
         long next = now - TimeUnit.SECONDS.toNanos(3);
-        look(true, first);
-        look(true, next);
-        look(false, next);
+        poll(true, first);
+        poll(true, next);
+        poll(false, next);
         assertEquals(
                 List.of(HostEvent.What.MAY_ACT, HostEvent.What.MAY_NOT),
                 events.stream().map(HostEvent::what).toList());
--- a/scale/src/test/java/lupinvalve/scale/ScaleRunTest.java
+++ b/scale/src/test/java/lupinvalve/scale/ScaleRunTest.java
@@ -7,7 +7,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A small run of each design with real processes; what it judges, not what it costs here. */
+/**
+ * A small run of each design with real processes. Checks the findings and that metrics are present, not the costs on
+ * this machine.
+ */
 class ScaleRunTest {
     private static final Path CONFIG = Path.of("example/config.json");
 
@@ -19,7 +22,7 @@
         }
     }
 
-    private static void well(RunResult result) {
+    private static void assertNoFindings(RunResult result) {
         assertEquals(List.of(), result.findings());
         assertEquals(0, result.divergent());
         assertEquals(0, result.lost());
@@ -31,14 +34,14 @@
     }
 
     @Test
-    void fewMembersTakeUpChanges() throws Exception {
-        well(run(Design.MEMBERS, Load.Kind.CHANGES, 3, 1, 5));
+    void fewMembersAdoptChanges() throws Exception {
+        assertNoFindings(run(Design.MEMBERS, Load.Kind.CHANGES, 3, 1, 5));
     }
 
     @Test
-    void thirtySubscribersAndTwoDaemonsGoThroughAllFaults() throws Exception {
+    void thirtySubscribersAndTwoDaemonsPassAllFaults() throws Exception {
         RunResult result = run(Design.SUBSCRIPTIONS, Load.Kind.MIXED, 30, 2, 5);
-        well(result);
+        assertNoFindings(result);
         assertTrue(result.metrics().herdReadyMs() > 0);
         assertTrue(result.metrics().regionReadyMs() > 0);
         assertTrue(result.metrics().toldMs() > 0);
