--- a/capacity/src/main/java/lupinvalve/capacity/Assumptions.java
+++ b/capacity/src/main/java/lupinvalve/capacity/Assumptions.java
@@ -1,32 +1,33 @@
 package lupinvalve.capacity;
 
 /**
- * What the operators did not say and no run measured. Each figure that rests on one of these is called guessed on the
- * page, which lists them with their reasons.
+ * Values that the operators did not state and no run measured. Each figure that depends on one of these is marked as
+ * guessed on the page, which lists them with their reasons.
  */
 final class Assumptions {
-    /** What a control machine's link carries: 1 Gbit/s. */
+    /** Capacity of a control machine's network link: 1 Gbit/s. */
     static final double CONTROL_LINK_BYTES_PER_SECOND = 125e6;
-    /** What one database takes in a configuration document: name, group, zone, three addresses and two limits. */
+    /** Size of one database's entry in a configuration document: name, group, zone, three addresses and two limits. */
     static final double DOCUMENT_BYTES_PER_DATABASE = 190;
-    /** How much more often than in the day's mean changes come in its busiest hours. */
-    static final double BUSY_FACTOR = 10;
-    /** A commit's way there and back between regions. */
-    static final double REGIONS_APART_SECONDS = 0.08;
-    /** What a probe and its answer take on the wire. */
+    /** Rate of changes in the busiest hours over the day's mean. */
+    static final double BUSY_HOURS_RATIO = 10;
+    /** Round trip time of a commit between regions. */
+    static final double REGION_ROUND_TRIP_SECONDS = 0.08;
+    /** Size of a probe with its answer on the network. */
     static final double PROBE_BYTES = 150;
-    /** Cores of a db node; both settings have 4 and 5. */
+    /** Cores of a db node; both deployments' settings have 4 and 5. */
     static final double DB_NODE_CORES = 5;
     /**
-     * What a statement takes at a db node: the settings' works (26 to 160 ms) can't be, at 1,500 a second on 5 cores.
+     * Processor time of a statement at a db node. The settings' work times (26 to 160 ms) are impossible at 1,500
+     * statements per second on 5 cores.
      */
     static final double STATEMENT_SECONDS = 0.002;
-    /** Part of a db node's processor that handshakes, or probes, may take. */
-    static final double OVERHEAD_PART = 0.05;
+    /** Share of a db node's processor that handshakes, or probes, may use. */
+    static final double OVERHEAD_RATIO = 0.05;
 
     private Assumptions() {}
 
-    /** One of them, as the page lists it. */
+    /** An assumption as listed on the page. */
     record Guess(String what, double value, Unit unit, String why) {}
 
     static java.util.List<Guess> all() {
@@ -43,10 +44,10 @@
                         "name, group, zone, three addresses, two limits; used only while no run tells a document's size"),
                 new Guess(
                         "busy hours over the day's mean",
-                        BUSY_FACTOR,
+                        BUSY_HOURS_RATIO,
                         Unit.COUNT,
                         "changes made by staff and releases come together"),
-                new Guess("way there and back between regions", REGIONS_APART_SECONDS, Unit.SECONDS, "not stated"),
+                new Guess("way there and back between regions", REGION_ROUND_TRIP_SECONDS, Unit.SECONDS, "not stated"),
                 new Guess(
                         "a probe with its answer",
                         PROBE_BYTES,
@@ -64,6 +65,6 @@
                         1,
                         Unit.COUNT,
                         "for the poolers' load in subsets; not stated"),
-                new Guess("part of a db node for handshakes, or for probes", OVERHEAD_PART, Unit.COUNT, "not stated"));
+                new Guess("part of a db node for handshakes, or for probes", OVERHEAD_RATIO, Unit.COUNT, "not stated"));
     }
 }
--- a/capacity/src/main/java/lupinvalve/capacity/Basis.java
+++ b/capacity/src/main/java/lupinvalve/capacity/Basis.java
@@ -1,16 +1,16 @@
 package lupinvalve.capacity;
 
-/** How a figure is known. */
+/** Source of a figure. */
 public enum Basis {
-    /** A run at this size gave it. */
+    /** Measured by a run at this size. */
     MEASURED("measured"),
-    /** It follows from measured slopes or sizes, or from the program's own constants, by arithmetic alone. */
+    /** Computed from measured slopes or sizes, or from the program's own constants, without other assumptions. */
     COMPUTED("computed"),
-    /** A run, or a line through runs, of a program that was changed for it: bounds lifted, say. */
+    /** A run, or a line fitted to runs, of a program changed for the trial, for example with limits removed. */
     TRIAL("trial"),
-    /** Something in it was neither told by the operators nor measured. */
+    /** Depends on a value that was neither stated by the operators nor measured. */
     GUESSED("guessed"),
-    /** Only a run could give it, and there was none. */
+    /** Can only be measured, and there was no run. */
     NOT_RUN("not run");
 
     private final String word;
@@ -19,7 +19,7 @@
         this.word = word;
     }
 
-    /** As the page says it. */
+    /** Returns the name used on the page. */
     public String word() {
         return word;
     }
--- a/capacity/src/main/java/lupinvalve/capacity/CapacityModel.java
+++ b/capacity/src/main/java/lupinvalve/capacity/CapacityModel.java
@@ -5,10 +5,10 @@
 import java.util.List;
 import lupinvalve.capacity.Slopes.Design;
 
-/** All figures of the pages, from what was measured and what the operators plan. No I/O. */
+/** Computes all figures of the pages from the measurements and the operators' plan. Without I/O. */
 public final class CapacityModel {
-    /** A place at which the design may end: how its table is called, what it is, and its figures. */
-    private record Place(String name, String words, List<Figure> figures) {}
+    /** A part of the design that may limit its size: the name of its table, its name on the page, and its figures. */
+    private record Place(String name, String label, List<Figure> figures) {}
 
     private final Demand demand;
     private final Slopes slopes;
@@ -29,11 +29,11 @@
                 new Place("connections", "connections at a db node", connections.figures()),
                 new Place("databases", "limits, cold db nodes, probes", new DatabaseFigures(demand).figures()),
                 new Place("discovery", "discovery", new DiscoveryFigures(demand).figures()),
-                new Place("regions", "regions", new RegionFigures(demand, configuration.document()).figures()),
+                new Place("regions", "regions", new RegionFigures(demand, configuration.documentBytes()).figures()),
                 new Place("primaries", "changes of primary", new PrimaryFigures(demand).figures()));
     }
 
-    /** The tables of docs/CAPACITY.md, by the names of their marks. */
+    /** Returns the tables of docs/CAPACITY.md, named as their markers. */
     public List<Table> overview() {
         RoleFigures roles = new RoleFigures(demand, slopes);
         Ranking ranking = new Ranking(figures());
@@ -48,7 +48,7 @@
                 ranking.table("over-subscriptions", Figure.Scope.SUBSCRIPTIONS));
     }
 
-    /** The tables of docs/capacity/places.md, likewise. */
+    /** Returns the tables of docs/capacity/places.md, named as their markers. */
     public List<Table> places() {
         List<Table> out = new ArrayList<>();
         places.forEach(place -> out.add(Table.of(place.name(), place.figures())));
@@ -57,7 +57,7 @@
         return out;
     }
 
-    /** All figures that may have a budget. */
+    /** Returns all figures that may have a budget. */
     List<Figure> figures() {
         RoleFigures roles = new RoleFigures(demand, slopes);
         List<Figure> out = new ArrayList<>(roles.figures(Design.MEMBERS));
@@ -68,7 +68,7 @@
     }
 
     private List<Figure> state() {
-        return new StateFigures(demand, configuration.document(), configuration.basis()).figures();
+        return new StateFigures(demand, configuration.documentBytes(), configuration.basis()).figures();
     }
 
     private Table worstByPlace() {
@@ -84,15 +84,15 @@
                         "known by"));
         for (Place place : places) {
             Figure members = worst(place, Figure.Scope.MEMBERS);
-            Figure followed = worst(place, Figure.Scope.SUBSCRIPTIONS);
-            table.row(
-                    place.words(),
+            Figure subscriptions = worst(place, Figure.Scope.SUBSCRIPTIONS);
+            table.addRow(
+                    place.label(),
                     words(members),
                     ratio(members),
                     basis(members),
-                    words(followed),
-                    ratio(followed),
-                    basis(followed));
+                    words(subscriptions),
+                    ratio(subscriptions),
+                    basis(subscriptions));
         }
         return table;
     }
@@ -107,11 +107,11 @@
     }
 
     private static String words(Figure figure) {
-        return figure == null ? "-" : figure.what() + ": " + figure.needWords() + " of " + figure.budgetWords();
+        return figure == null ? "-" : figure.what() + ": " + figure.needText() + " of " + figure.budgetText();
     }
 
     private static String ratio(Figure figure) {
-        return figure == null ? "" : figure.ratioWords();
+        return figure == null ? "" : figure.ratioText();
     }
 
     private static String basis(Figure figure) {
@@ -120,7 +120,8 @@
 
     private static Table guesses() {
         Table table = new Table("guesses", List.of("guess", "value", "why"));
-        Assumptions.all().forEach(guess -> table.row(guess.what(), guess.unit().words(guess.value()), guess.why()));
+        Assumptions.all()
+                .forEach(guess -> table.addRow(guess.what(), guess.unit().format(guess.value()), guess.why()));
         return table;
     }
 }
--- a/capacity/src/main/java/lupinvalve/capacity/CapacityPage.java
+++ b/capacity/src/main/java/lupinvalve/capacity/CapacityPage.java
@@ -8,24 +8,27 @@
 import java.util.regex.Pattern;
 
 /**
- * The page with its generated tables: each follows a mark that bears its name and ends with the last line of the table.
- * No I/O.
+ * Replaces the generated tables in a page. Each table follows a marker comment with the table's name and ends with its
+ * last row. Without I/O.
  */
 public final class CapacityPage {
     private static final Pattern BLOCK = Pattern.compile("(<!-- generated: ([a-z-]+) -->\n)((?:\\|.*\n)*)");
 
     private CapacityPage() {}
 
-    /** The page with each table as it is now; throws where a mark names none, or a table has not one mark. */
+    /**
+     * Returns the page with each table replaced by its current content. Throws if a marker names no table or names one
+     * twice, or if a table has no marker.
+     */
     public static String render(String page, List<Table> tables) {
-        Set<String> left = new HashSet<>();
-        tables.forEach(table -> left.add(table.name()));
+        Set<String> missing = new HashSet<>();
+        tables.forEach(table -> missing.add(table.name()));
         StringBuilder out = new StringBuilder();
         Matcher block = BLOCK.matcher(page);
         while (block.find()) {
             String name = block.group(2);
-            if (!left.remove(name)) {
-                throw new IllegalArgumentException("no table is called " + name + ", or it has two marks");
+            if (!missing.remove(name)) {
+                throw new IllegalArgumentException("no table is named " + name + ", or the page has two marks for it");
             }
             Table table = tables.stream()
                     .filter(one -> one.name().equals(name))
@@ -34,18 +37,18 @@
             block.appendReplacement(out, Matcher.quoteReplacement(block.group(1) + table.markdown() + "\n"));
         }
         block.appendTail(out);
-        if (!left.isEmpty()) {
-            throw new IllegalArgumentException("no mark for " + left);
+        if (!missing.isEmpty()) {
+            throw new IllegalArgumentException("the page has no mark for " + missing);
         }
         return out.toString();
     }
 
-    /** Names of the generated parts that are not what they would be now. */
+    /** Returns the names of the tables in the page that differ from their current content. */
     public static List<String> stale(String page, List<Table> tables) {
-        String now = render(page, tables);
+        String current = render(page, tables);
         List<String> out = new ArrayList<>();
         Matcher before = BLOCK.matcher(page);
-        Matcher after = BLOCK.matcher(now);
+        Matcher after = BLOCK.matcher(current);
         while (before.find() && after.find()) {
             if (!before.group(3).equals(after.group(3))) {
                 out.add(before.group(2));
--- a/capacity/src/main/java/lupinvalve/capacity/ConnectionFigures.java
+++ b/capacity/src/main/java/lupinvalve/capacity/ConnectionFigures.java
@@ -4,36 +4,36 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Connections that poolers hold to a db node, and what fewer of them cost. */
+/** Figures for the connections that poolers hold to a db node, and for the cost of holding fewer. */
 final class ConnectionFigures {
-    private static final int REQUESTS = 100_000;
+    private static final int SIMULATED_REQUESTS = 100_000;
     private static final long SEED = 34;
-    private static final double[] RESTS = {10.5, 5, 2, 1, 0.5, 0.25};
-    private static final int[] SUBSETS = {910, 455, 130, 64, 32};
-    private static final double SUBSET_REST = 10.5;
-    private final Demand d;
+    private static final double[] IDLE_SECONDS = {10.5, 5, 2, 1, 0.5, 0.25};
+    private static final int[] SUBSET_POOLERS = {910, 455, 130, 64, 32};
+    private static final double PRESENT_IDLE_SECONDS = 10.5;
+    private final Demand demand;
 
     ConnectionFigures(Demand demand) {
-        d = demand;
+        this.demand = demand;
     }
 
     List<Figure> figures() {
         List<Figure> out = new ArrayList<>();
-        RestingConnections.Outcome now = play(d.poolers(), SUBSET_REST);
+        RestingConnections.Outcome allPoolers = simulate(demand.poolers(), PRESENT_IDLE_SECONDS);
         for (Setting setting : Setting.all()) {
-            out.add(places(setting, now, setting.places().least(), "fewest"));
-            out.add(places(setting, now, setting.places().most(), "most"));
+            out.add(places(setting, allPoolers, setting.connectionSlots().min(), "fewest"));
+            out.add(places(setting, allPoolers, setting.connectionSlots().max(), "most"));
         }
         out.add(Figure.plain(
                 "agreed share of the fewest half of places for one of 910 poolers",
-                Setting.RECIFE.places().least() / 2 / d.poolers(),
+                Setting.RECIFE.connectionSlots().min() / 2 / demand.poolers(),
                 Unit.COUNT,
                 Basis.COMPUTED,
                 "under 1: shares alone can't do it",
                 ""));
         out.add(Figure.plain(
                 "connections of one pooler to all db nodes",
-                d.databases() * now.open(),
+                demand.databases() * allPoolers.open(),
                 Unit.COUNT,
                 Basis.COMPUTED,
                 "virtual time",
@@ -41,9 +41,9 @@
         return out;
     }
 
-    private Figure places(Setting setting, RestingConnections.Outcome now, double places, String which) {
-        double need = now.atDatabase(d.poolers());
-        double failsAt = need > places / 2 ? Math.floor(places / 2 / need * d.poolers()) + 1 : Double.NaN;
+    private Figure places(Setting setting, RestingConnections.Outcome allPoolers, double places, String which) {
+        double need = allPoolers.exceededOnceIn1000(demand.poolers());
+        double failsAt = need > places / 2 ? Math.floor(places / 2 / need * demand.poolers()) + 1 : Double.NaN;
         return new Figure(
                 setting.name() + ": connections at a db node against half of its places, " + which,
                 need,
@@ -56,16 +56,16 @@
                 "net/Pool.java");
     }
 
-    private RestingConnections.Outcome play(double poolers, double rest) {
-        return RestingConnections.play(
-                d.statementsPerDatabase() / poolers,
+    private RestingConnections.Outcome simulate(double poolers, double idleSeconds) {
+        return RestingConnections.simulate(
+                demand.statementsPerDatabase() / poolers,
                 Assumptions.STATEMENT_SECONDS,
-                RestingConnections.Rests.of(rest),
-                REQUESTS,
+                RestingConnections.IdleTimes.of(idleSeconds),
+                SIMULATED_REQUESTS,
                 SEED);
     }
 
-    /** All 910 poolers, with connections closed sooner. */
+    /** Creates a table for all poolers with shorter idle times. */
     Table closingSooner() {
         Table table = new Table(
                 "closing-sooner",
@@ -75,21 +75,21 @@
                         "handshakes at a db node",
                         "cores for them, from the cheapest to the dearest",
                         "requests that wait for one"));
-        for (double rest : RESTS) {
-            RestingConnections.Outcome outcome = play(d.poolers(), rest);
-            table.row(
-                    Unit.SECONDS.words(rest),
-                    connections(outcome, d.poolers()),
+        for (double idleSeconds : IDLE_SECONDS) {
+            RestingConnections.Outcome outcome = simulate(demand.poolers(), idleSeconds);
+            table.addRow(
+                    Unit.SECONDS.format(idleSeconds),
+                    connections(outcome, demand.poolers()),
                     handshakes(outcome),
                     cores(outcome),
-                    percent(outcome.newPart()));
+                    percent(outcome.handshakeRatio()));
         }
         return table;
     }
 
     /**
-     * So many poolers before each db node, resting as today; the load's spread takes databases' loads to vary as much
-     * as their mean.
+     * Creates a table for subsets of poolers per db node with the present idle time. The spread of the poolers' load
+     * assumes that the standard deviation of the databases' loads equals their mean.
      */
     Table subsets() {
         Table table = new Table(
@@ -102,15 +102,15 @@
                         "a pooler's statements at it",
                         "databases of a pooler",
                         "poolers' load off its mean (guessed)"));
-        for (int subset : SUBSETS) {
-            double databases = Math.ceil((double) d.databases() * subset / d.poolers());
-            RestingConnections.Outcome outcome = play(subset, SUBSET_REST);
-            table.row(
+        for (int subset : SUBSET_POOLERS) {
+            double databases = Math.ceil((double) demand.databases() * subset / demand.poolers());
+            RestingConnections.Outcome outcome = simulate(subset, PRESENT_IDLE_SECONDS);
+            table.addRow(
                     Unit.number(subset),
                     connections(outcome, subset),
                     handshakes(outcome),
-                    percent(outcome.newPart()),
-                    Unit.PER_SECOND.words(d.statementsPerDatabase() / subset),
+                    percent(outcome.handshakeRatio()),
+                    Unit.PER_SECOND.format(demand.statementsPerDatabase() / subset),
                     Unit.number(databases),
                     percent(1 / Math.sqrt(databases)));
         }
@@ -118,20 +118,20 @@
     }
 
     private static String connections(RestingConnections.Outcome outcome, double poolers) {
-        return Unit.number(poolers * outcome.open()) + " (" + Unit.number(outcome.atDatabase(poolers)) + ")";
+        return Unit.number(poolers * outcome.open()) + " (" + Unit.number(outcome.exceededOnceIn1000(poolers)) + ")";
     }
 
     private String handshakes(RestingConnections.Outcome outcome) {
-        return Unit.PER_SECOND.words(outcome.newPart() * d.statementsPerDatabase());
+        return Unit.PER_SECOND.format(outcome.handshakeRatio() * demand.statementsPerDatabase());
     }
 
     private String cores(RestingConnections.Outcome outcome) {
-        double perSecond = outcome.newPart() * d.statementsPerDatabase();
+        double perSecond = outcome.handshakeRatio() * demand.statementsPerDatabase();
         Setting.Range cost = Setting.ALMATY.handshakeCoreSeconds();
-        return Unit.number(perSecond * cost.least()) + " to " + Unit.number(perSecond * cost.most());
+        return Unit.number(perSecond * cost.min()) + " to " + Unit.number(perSecond * cost.max());
     }
 
-    private static String percent(double part) {
-        return String.format(Locale.ROOT, part < 0.001 ? "%.3f%%" : "%.1f%%", part * 100);
+    private static String percent(double ratio) {
+        return String.format(Locale.ROOT, ratio < 0.001 ? "%.3f%%" : "%.1f%%", ratio * 100);
     }
 }
--- a/capacity/src/main/java/lupinvalve/capacity/Demand.java
+++ b/capacity/src/main/java/lupinvalve/capacity/Demand.java
@@ -1,16 +1,18 @@
 package lupinvalve.capacity;
 
 /**
- * What the operators plan for, in their own figures.
+ * The operators' planned size and load, and their limits.
  *
- * @param databases each taken as one db node, as the operators' 1.6 requests a second of a pooler at a db node say
- * @param primaryChangeSeconds within how long a change of primary is to be over
- * @param inForceSeconds within how long a change of configuration is to be in force everywhere
- * @param controlCore part of a core that a pooler may spend for control
- * @param controlBytesPerSecond likewise; a KB is taken as 1,000 bytes, the stricter reading
+ * @param databases each counted as one db node, which agrees with the operators' 1.6 requests per second from a pooler
+ *     to a db node
+ * @param primaryChangeSeconds limit for the duration of a change of primary
+ * @param inForceSeconds limit until a configuration change is in force everywhere
+ * @param controlCore share of a core that a pooler may use for control
+ * @param controlBytesPerSecond control traffic that a pooler may use; a KB is taken as 1,000 bytes, the stricter
+ *     reading
  * @param restartsPerDay restarts and replacements of poolers
- * @param herd poolers of a zone's share that come at once
- * @param cutHours how long regions lose each other
+ * @param herd number of a zone's poolers that start at the same time
+ * @param cutHours duration in hours for which a region is cut off
  */
 public record Demand(
         int poolers,
@@ -31,38 +33,38 @@
         double restartsPerDay,
         int herd,
         double cutHours) {
-    /** The plan for two years. */
+    /** The operators' plan for two years. */
     public static final Demand OPERATORS =
             new Demand(910, 1200, 2.2e6, 1.8e6, 3, 7, 2, 9, 3800, 6, 0.029, 128, 18_000, 3, 4, 340, 130, 1);
 
-    private static final double DAY = 86_400;
+    private static final double SECONDS_PER_DAY = 86_400;
 
-    /** Changes of configuration a second, in the mean of a day. */
+    /** Returns configuration changes per second, as the mean of a day. */
     public double changesPerSecond() {
-        return changesPerDay / DAY;
+        return changesPerDay / SECONDS_PER_DAY;
     }
 
-    /** Statements a second at one pooler. */
+    /** Returns statements per second at one pooler. */
     public double statementsPerPooler() {
         return statementsPerSecond / poolers;
     }
 
-    /** Statements a second at one db node. */
+    /** Returns statements per second at one db node. */
     public double statementsPerDatabase() {
         return statementsPerSecond / databases;
     }
 
-    /** Statements a second of one pooler at one db node. */
+    /** Returns statements per second from one pooler to one db node. */
     public double statementsPerPair() {
         return statementsPerPooler() / databases;
     }
 
-    /** Poolers of one region. */
+    /** Returns the number of poolers of a region. */
     public double poolersPerRegion() {
         return (double) poolers / regions;
     }
 
-    /** Db nodes of one zone. */
+    /** Returns the number of db nodes of a zone. */
     public double databasesPerZone() {
         return (double) databases / zones;
     }
--- a/capacity/src/main/java/lupinvalve/capacity/Figure.java
+++ b/capacity/src/main/java/lupinvalve/capacity/Figure.java
@@ -1,16 +1,16 @@
 package lupinvalve.capacity;
 
 /**
- * One line of the page: what is needed at the operators' size, against what there is.
+ * A row of the page: what is needed at the operators' size, compared with the budget.
  *
- * @param what in words
- * @param need NaN where only a run could tell
- * @param budget NaN where nobody set one
- * @param failsAt the smallest size at which the budget is exceeded; NaN where it holds, or isn't known
- * @param size what that size counts: poolers, databases
- * @param from where the figure comes from: a run, a slope, a test, a setting
- * @param carriedBy the file of the mechanism
- * @param scope where it counts
+ * @param what description
+ * @param need NaN if only a run could measure it and there was none
+ * @param budget NaN if there is none
+ * @param failsAt smallest size at which the budget is exceeded; NaN if the budget holds or the size is not known
+ * @param size what the size counts: poolers or databases
+ * @param from source of the figure: a run, a slope, a test or a setting
+ * @param carriedBy source file of the mechanism
+ * @param scope designs in which the figure counts
  */
 public record Figure(
         String what,
@@ -23,15 +23,15 @@
         String from,
         String carriedBy,
         Scope scope) {
-    /** In which design a figure counts when budgets are ranked. */
+    /** Design in which a figure counts when budgets are ranked. */
     public enum Scope {
-        /** Only where each pooler is a member of the group. */
+        /** Only if each pooler is a member of the group. */
         MEMBERS,
-        /** Only where poolers follow control members. */
+        /** Only if poolers subscribe to control members. */
         SUBSCRIPTIONS,
-        /** In both. */
+        /** In both designs. */
         BOTH,
-        /** In neither: it shows what something not built or not needed would take. */
+        /** In neither design: shows the cost of something that is not built or not needed. */
         OPTION
     }
 
@@ -48,50 +48,55 @@
         this(what, need, budget, unit, failsAt, size, basis, from, carriedBy, Scope.BOTH);
     }
 
-    /** The same, counted elsewhere. */
-    Figure in(Scope other) {
+    /** Returns a copy with another scope. */
+    Figure withScope(Scope other) {
         return new Figure(what, need, budget, unit, failsAt, size, basis, from, carriedBy, other);
     }
 
-    /** A figure of a size that follows from the number of poolers in proportion. */
+    /** Creates a figure that is proportional to the number of poolers. */
     static Figure inProportion(
             String what, double need, double budget, Unit unit, int poolers, Basis basis, String from, String by) {
         double failsAt = need > budget ? Math.floor(budget / need * poolers) + 1 : Double.NaN;
         return new Figure(what, need, budget, unit, failsAt, "poolers", basis, from, by);
     }
 
-    /** A figure for which no smaller size was worked out. */
+    /** Creates a figure without a size from which the budget is exceeded. */
     static Figure of(String what, double need, double budget, Unit unit, Basis basis, String from, String by) {
         return new Figure(what, need, budget, unit, Double.NaN, "", basis, from, by);
     }
 
-    /** A figure without a budget. */
+    /** Creates a figure without a budget. */
     static Figure plain(String what, double need, Unit unit, Basis basis, String from, String by) {
         return of(what, need, Double.NaN, unit, basis, from, by);
     }
 
-    /** Need over budget, or NaN; infinite where nothing at all is allowed and there is something. */
+    /**
+     * Returns need divided by budget, or NaN if either is not known; infinite if the budget is zero and the need is
+     * not.
+     */
     public double ratio() {
         return need == 0 ? 0 * budget : need / budget;
     }
 
     /** Whether the budget is known to be exceeded. */
-    public boolean over() {
+    public boolean exceedsBudget() {
         return ratio() > 1;
     }
 
-    String needWords() {
-        return Double.isNaN(need) ? Basis.NOT_RUN.word() : unit.words(need);
+    String needText() {
+        return Double.isNaN(need) ? Basis.NOT_RUN.word() : unit.format(need);
     }
 
-    String budgetWords() {
-        return Double.isNaN(budget) ? "none set" : unit.words(budget);
+    String budgetText() {
+        return Double.isNaN(budget) ? "none set" : unit.format(budget);
     }
 
-    String ratioWords() {
+    String ratioText() {
         if (Double.isInfinite(ratio())) {
             return "**over**";
         }
-        return Double.isNaN(ratio()) ? "" : (over() ? "**" + Unit.number(ratio()) + "**" : Unit.number(ratio()));
+        return Double.isNaN(ratio())
+                ? ""
+                : (exceedsBudget() ? "**" + Unit.number(ratio()) + "**" : Unit.number(ratio()));
     }
 }
--- a/capacity/src/main/java/lupinvalve/capacity/GroupFigures.java
+++ b/capacity/src/main/java/lupinvalve/capacity/GroupFigures.java
@@ -5,38 +5,40 @@
 import lupinvalve.statemachine.MemberId;
 import lupinvalve.statemachine.ReplicatedState;
 
-/** What the group costs where each pooler is a member of it. */
+/** Figures for the Raft group if each pooler is a member of it. */
 final class GroupFigures {
-    private static final double MICROS = 1e6;
+    private static final double MICROS_PER_SECOND = 1e6;
     private static final String SIZES = "`CodeFactsTest`";
-    private final Demand d;
+    private final Demand demand;
 
     GroupFigures(Demand demand) {
-        d = demand;
+        this.demand = demand;
     }
 
     List<Figure> figures() {
         List<Figure> all = List.of(
                 members(),
-                taken(),
+                acceptedConnections(),
                 heartbeats(),
-                beats(),
+                connectionHeartbeats(),
                 leases(),
                 audit(1, Basis.COMPUTED),
-                audit(Assumptions.BUSY_FACTOR, Basis.GUESSED),
-                listing(),
-                together(),
+                audit(Assumptions.BUSY_HOURS_RATIO, Basis.GUESSED),
+                endpointList(),
+                allTogether(),
                 leaderMessages(),
                 leaderBytes(),
-                kept(),
-                replaced());
-        return all.stream().map(figure -> figure.in(Figure.Scope.MEMBERS)).toList();
+                keptAuditEntries(),
+                replacedMembers());
+        return all.stream()
+                .map(figure -> figure.withScope(Figure.Scope.MEMBERS))
+                .toList();
     }
 
     private Figure members() {
         return new Figure(
                 "members of one group",
-                d.poolers(),
+                demand.poolers(),
                 MemberId.MAX_MEMBERS,
                 Unit.COUNT,
                 MemberId.MAX_MEMBERS + 1,
@@ -46,11 +48,11 @@
                 "statemachine/MembershipChange.java");
     }
 
-    private Figure taken() {
+    private Figure acceptedConnections() {
         return Figure.of(
                 "connections that a member takes",
-                d.poolers() - 1,
-                CodeFacts.TAKEN_MOST,
+                demand.poolers() - 1,
+                CodeFacts.MAX_ACCEPTED_CONNECTIONS,
                 Unit.COUNT,
                 Basis.COMPUTED,
                 "`PeerConnections.MAX_ACCEPTED_CONNECTIONS`",
@@ -59,45 +61,51 @@
 
     private double heartbeatBytes() {
         return (CodeFacts.HEARTBEATS_PER_SECOND + CodeFacts.CONFIRMS_PER_SECOND)
-                * (CodeFacts.HEARTBEAT + CodeFacts.HEARTBEAT_ANSWER);
+                * (CodeFacts.HEARTBEAT_BYTES + CodeFacts.HEARTBEAT_RESPONSE_BYTES);
     }
 
     private Figure heartbeats() {
         return Figure.of(
                 "heartbeats and confirmations at a pooler, at most",
                 heartbeatBytes(),
-                d.controlBytesPerSecond(),
+                demand.controlBytesPerSecond(),
                 Unit.BYTES_PER_SECOND,
                 Basis.COMPUTED,
                 "20 a second, " + SIZES,
                 "replication/RaftReplica.java, AcceleratedExecutor.java");
     }
 
-    private double beatBytes() {
-        return 2.0 * CodeFacts.CONNECTIONS_PER_PAIR * (d.poolers() - 1) * CodeFacts.BEATS_PER_SECOND * CodeFacts.BEAT;
+    private double connectionHeartbeatBytes() {
+        return 2.0
+                * CodeFacts.CONNECTIONS_PER_PAIR
+                * (demand.poolers() - 1)
+                * CodeFacts.CONNECTION_HEARTBEATS_PER_SECOND
+                * CodeFacts.CONNECTION_HEARTBEAT_BYTES;
     }
 
-    private Figure beats() {
+    private Figure connectionHeartbeats() {
         return Figure.inProportion(
                 "beats with all other members, both ways, at a pooler",
-                beatBytes(),
-                d.controlBytesPerSecond(),
+                connectionHeartbeatBytes(),
+                demand.controlBytesPerSecond(),
                 Unit.BYTES_PER_SECOND,
-                d.poolers(),
+                demand.poolers(),
                 Basis.COMPUTED,
                 "each dials each, 2 a second, " + SIZES,
                 "replication/PeerConnections.java");
     }
 
     private double leaseBytes() {
-        return MICROS / Lease.RENEW_INTERVAL_MICROS * (CodeFacts.LEASE_CALL + CodeFacts.LEASE_ANSWER);
+        return MICROS_PER_SECOND
+                / Lease.RENEW_INTERVAL_MICROS
+                * (CodeFacts.LEASE_REQUEST_BYTES + CodeFacts.LEASE_RESPONSE_BYTES);
     }
 
     private Figure leases() {
         return Figure.of(
                 "leases at a pooler",
                 leaseBytes(),
-                d.controlBytesPerSecond(),
+                demand.controlBytesPerSecond(),
                 Unit.BYTES_PER_SECOND,
                 Basis.COMPUTED,
                 "each 0.3 s, " + SIZES,
@@ -105,7 +113,7 @@
     }
 
     private double auditBytes(double factor) {
-        return factor * d.changesPerSecond() * d.poolers() * CodeFacts.NOTED;
+        return factor * demand.changesPerSecond() * demand.poolers() * CodeFacts.AUDIT_ENTRIES_BYTES;
     }
 
     private Figure audit(double factor, Basis basis) {
@@ -113,38 +121,40 @@
         return Figure.inProportion(
                 "audit entries of all poolers through the log, at each, " + when,
                 auditBytes(factor),
-                d.controlBytesPerSecond(),
+                demand.controlBytesPerSecond(),
                 Unit.BYTES_PER_SECOND,
-                d.poolers(),
+                demand.poolers(),
                 basis,
                 "two entries a change, " + SIZES,
                 "replication/AuditLog.java");
     }
 
-    private double listingBytes() {
-        return d.databases() * CodeFacts.LISTED / CodeFacts.LISTING_SECONDS;
+    private double endpointListBytes() {
+        return demand.databases() * CodeFacts.GROUP_LIST_ENTRY_BYTES / CodeFacts.ENDPOINT_LIST_INTERVAL_SECONDS;
     }
 
-    private Figure listing() {
+    private Figure endpointList() {
         return Figure.of(
                 "list of db nodes through the log each 10 s, at each",
-                listingBytes(),
-                d.controlBytesPerSecond(),
+                endpointListBytes(),
+                demand.controlBytesPerSecond(),
                 Unit.BYTES_PER_SECOND,
                 Basis.COMPUTED,
                 "`Shared.REFRESH`, " + SIZES,
                 "daemon/Shared.java");
     }
 
-    private Figure together() {
-        double sum = heartbeatBytes() + beatBytes() + leaseBytes() + auditBytes(1) + listingBytes();
-        double fixed = heartbeatBytes() + leaseBytes() + listingBytes();
-        double failsAt =
-                Math.floor((d.controlBytesPerSecond() - fixed) / (beatBytes() + auditBytes(1)) * d.poolers()) + 1;
+    private Figure allTogether() {
+        double sum = heartbeatBytes() + connectionHeartbeatBytes() + leaseBytes() + auditBytes(1) + endpointListBytes();
+        double fixed = heartbeatBytes() + leaseBytes() + endpointListBytes();
+        double failsAt = Math.floor((demand.controlBytesPerSecond() - fixed)
+                        / (connectionHeartbeatBytes() + auditBytes(1))
+                        * demand.poolers())
+                + 1;
         return new Figure(
                 "all of these at a pooler, without documents and commits",
                 sum,
-                d.controlBytesPerSecond(),
+                demand.controlBytesPerSecond(),
                 Unit.BYTES_PER_SECOND,
                 failsAt,
                 "poolers",
@@ -154,9 +164,9 @@
     }
 
     private Figure leaderMessages() {
-        double followers = d.poolers() - 1;
+        double followers = demand.poolers() - 1;
         double each = 2 * (CodeFacts.HEARTBEATS_PER_SECOND + CodeFacts.CONFIRMS_PER_SECOND)
-                + 2 * MICROS / Lease.RENEW_INTERVAL_MICROS;
+                + 2 * MICROS_PER_SECOND / Lease.RENEW_INTERVAL_MICROS;
         return Figure.plain(
                 "leader: heartbeats, confirmations, leases, both ways, at most",
                 followers * each,
@@ -167,38 +177,39 @@
     }
 
     private Figure leaderBytes() {
-        double each = heartbeatBytes() + leaseBytes() + listingBytes() + auditBytes(1);
+        double each = heartbeatBytes() + leaseBytes() + endpointListBytes() + auditBytes(1);
         return Figure.inProportion(
                 "leader: bytes of that with list and audit entries",
-                (d.poolers() - 1) * each,
+                (demand.poolers() - 1) * each,
                 Assumptions.CONTROL_LINK_BYTES_PER_SECOND,
                 Unit.BYTES_PER_SECOND,
-                d.poolers(),
+                demand.poolers(),
                 Basis.GUESSED,
                 "paces, sizes; the link is a guess",
                 "replication/RaftReplica.java");
     }
 
-    private Figure kept() {
-        double aDay = d.changesPerDay() * d.poolers() * CodeFacts.ENTRIES_PER_CHANGE;
+    private Figure keptAuditEntries() {
+        double entriesPerDay = demand.changesPerDay() * demand.poolers() * CodeFacts.AUDIT_ENTRIES_PER_CHANGE;
         return Figure.inProportion(
                 "audit entries of one day, against those kept",
-                aDay,
+                entriesPerDay,
                 ReplicatedState.MAX_AUDIT_ENTRIES,
                 Unit.COUNT,
-                d.poolers(),
+                demand.poolers(),
                 Basis.GUESSED,
                 "`ReplicatedState.MAX_AUDIT_ENTRIES`; that a day is wanted is a guess",
                 "statemachine/ReplicatedState.java");
     }
 
-    private Figure replaced() {
-        double seconds = d.herd() * CodeFacts.CHANGES_PER_REPLACED * CodeFacts.MEMBERSHIP_STEP_SECONDS;
-        double failsAt = Math.floor(d.inForceSeconds() / seconds * d.herd()) + 1;
+    private Figure replacedMembers() {
+        double seconds =
+                demand.herd() * CodeFacts.MEMBERSHIP_CHANGES_PER_REPLACEMENT * CodeFacts.MEMBERSHIP_STEP_SECONDS;
+        double failsAt = Math.floor(demand.inForceSeconds() / seconds * demand.herd()) + 1;
         return new Figure(
                 "130 replaced members, one change of members at a time, at least",
                 seconds,
-                d.inForceSeconds(),
+                demand.inForceSeconds(),
                 Unit.SECONDS,
                 failsAt,
                 "replaced at once",
--- a/capacity/src/main/java/lupinvalve/capacity/Metric.java
+++ b/capacity/src/main/java/lupinvalve/capacity/Metric.java
@@ -2,7 +2,7 @@
 
 import java.util.Locale;
 
-/** What a scale run tells; the names in the file are these in small letters. */
+/** Metrics of a scale run; the file of slopes has these names in lower case. */
 public enum Metric {
     IN_FORCE_P50_MS("in force, p50", Unit.MILLIS),
     IN_FORCE_P99_MS("in force, p99", Unit.MILLIS),
@@ -33,31 +33,31 @@
     JOIN_MAX_MS("one pooler joined, worst", Unit.MILLIS),
     UNLEASED_OLD_MS("acted on an old version without a lease", Unit.MILLIS);
 
-    private final String words;
+    private final String label;
     private final Unit unit;
 
-    Metric(String words, Unit unit) {
-        this.words = words;
+    Metric(String label, Unit unit) {
+        this.label = label;
         this.unit = unit;
     }
 
-    /** As the page says it. */
-    public String words() {
-        return words;
+    /** Returns the name used on the page. */
+    public String label() {
+        return label;
     }
 
-    /** What it counts. */
+    /** Returns the unit of the values. */
     public Unit unit() {
         return unit;
     }
 
-    /** Its name in the file of slopes. */
+    /** Returns the metric's name in the file of slopes. */
     public String key() {
         return name().toLowerCase(Locale.ROOT);
     }
 
-    /** The same without load, or null where runs don't tell that apart. */
-    public Metric idle() {
+    /** Returns the same metric without load, or null if runs do not measure it separately. */
+    public Metric idleMetric() {
         return switch (this) {
             case CONTROL_CPU_CORE -> IDLE_CPU_CORE;
             case CONTROL_BYTES_PER_S -> IDLE_BYTES_PER_S;
@@ -66,16 +66,16 @@
         };
     }
 
-    /** What the operators allow, or NaN where they said nothing and the program sets no bound. */
+    /** Returns the operators' limit, or NaN if they stated none and the program has no bound. */
     public double budget(Demand demand) {
         return switch (this) {
             case IN_FORCE_P99_MS, IN_FORCE_MAX_MS, TOLD_MS -> demand.inForceSeconds() * 1000;
             case CONTROL_CPU_CORE, IDLE_CPU_CORE -> demand.controlCore();
             case CONTROL_BYTES_PER_S, IDLE_BYTES_PER_S -> demand.controlBytesPerSecond();
             case CONTROL_RSS_MB -> demand.controlMegabytes();
-                // Nobody may act on an old version without a lease.
+                // No pooler may act on an old version without a lease.
             case UNLEASED_OLD_MS -> 0;
-                // A member of the group works on one thread.
+                // A member of the Raft group works on a single thread.
             case LEADER_CPU_CORE, MEMBER_CPU_CORE -> 1;
             case LEADER_BYTES_PER_S -> Assumptions.CONTROL_LINK_BYTES_PER_SECOND;
             default -> Double.NaN;
--- a/capacity/src/main/java/lupinvalve/capacity/PositionFigures.java
+++ b/capacity/src/main/java/lupinvalve/capacity/PositionFigures.java
@@ -4,20 +4,20 @@
 import java.util.List;
 import lupinvalve.statemachine.SessionTable;
 
-/** What it takes that sessions read their own writes at any pooler. */
+/** Figures for the cost of letting sessions read their own writes at any pooler. */
 final class PositionFigures {
-    private static final double AGE_SECONDS = SessionTable.MAX_AGE_MICROS / 1e6;
-    private final Demand d;
+    private static final double MAX_AGE_SECONDS = SessionTable.MAX_AGE_MICROS / 1e6;
+    private final Demand demand;
 
     PositionFigures(Demand demand) {
-        d = demand;
+        this.demand = demand;
     }
 
     List<Figure> figures() {
         List<Figure> out = new ArrayList<>();
         for (Setting setting : Setting.all()) {
-            double writes = d.statementsPerSecond() * setting.writeShare();
-            out.addAll(shared(
+            double writes = demand.statementsPerSecond() * setting.writeShare();
+            out.addAll(sharedPositions(
                     setting.name() + ": shared as shipped, each write of a session that is named",
                     writes,
                     Figure.Scope.MEMBERS));
@@ -25,82 +25,88 @@
         out.add(Figure.of(
                 "both deployments: clients carry their tokens, or sessions stay; nothing need be shared",
                 0,
-                d.controlBytesPerSecond(),
+                demand.controlBytesPerSecond(),
                 Unit.BYTES_PER_SECOND,
                 Basis.COMPUTED,
                 "`tokens = carried`",
                 "core/SessionTokenStore.java"));
         Setting roaming = Setting.ALMATY;
-        double least = d.statementsPerSecond() * roaming.writeShare() * roaming.roamsLeast();
-        out.addAll(
-                shared(roaming.name() + ": only sessions that roam, least part of them", least, Figure.Scope.OPTION));
-        out.add(bundles());
+        double least = demand.statementsPerSecond() * roaming.writeShare() * roaming.minRoamingRatio();
+        out.addAll(sharedPositions(
+                roaming.name() + ": only sessions that roam, least part of them", least, Figure.Scope.OPTION));
+        out.add(batches());
         out.add(table(roaming));
-        out.add(fits(roaming));
-        out.add(owner(roaming, roaming.roamsLeast(), "least"));
-        out.add(owner(roaming, roaming.roamsMost(), "greatest"));
+        out.add(deliverableRatio(roaming));
+        out.add(owner(roaming, roaming.minRoamingRatio(), "least"));
+        out.add(owner(roaming, roaming.maxRoamingRatio(), "greatest"));
         return out;
     }
 
-    private List<Figure> shared(String what, double commits, Figure.Scope scope) {
+    private List<Figure> sharedPositions(String what, double commits, Figure.Scope scope) {
         return List.of(
                 Figure.inProportion(
                                 what + ": through one log",
                                 commits,
-                                Past.CHANGES_LEAST,
+                                EarlierMeasurements.MIN_CHANGES_PER_SECOND,
                                 Unit.PER_SECOND,
-                                d.poolers(),
+                                demand.poolers(),
                                 Basis.COMPUTED,
-                                Past.LOG_PAGE + ", slowest run of 3 members",
+                                EarlierMeasurements.LOG_PAGE + ", slowest run of 3 members",
                                 "statemachine/SessionCommitBatcher.java")
-                        .in(scope),
+                        .withScope(scope),
                 Figure.inProportion(
                                 what + ": heard by each pooler",
-                                commits * CodeFacts.COMMIT,
-                                d.controlBytesPerSecond(),
+                                commits * CodeFacts.SESSION_COMMIT_BYTES,
+                                demand.controlBytesPerSecond(),
                                 Unit.BYTES_PER_SECOND,
-                                d.poolers(),
+                                demand.poolers(),
                                 Basis.COMPUTED,
                                 "`CodeFactsTest`",
                                 "replication/SessionTokens.java")
-                        .in(scope));
+                        .withScope(scope));
     }
 
-    private Figure bundles() {
-        double perPooler = 1 / (CodeFacts.BUNDLE_SECONDS + Past.COMMIT_SECONDS);
+    private Figure batches() {
+        double perPooler = 1 / (CodeFacts.BATCH_DELAY_SECONDS + EarlierMeasurements.COMMIT_SECONDS);
         return Figure.inProportion(
                         "bundles, one out at a time for each pooler, at most",
-                        perPooler * d.poolers(),
-                        Past.CHANGES_LEAST,
+                        perPooler * demand.poolers(),
+                        EarlierMeasurements.MIN_CHANGES_PER_SECOND,
                         Unit.PER_SECOND,
-                        d.poolers(),
+                        demand.poolers(),
                         Basis.COMPUTED,
-                        Past.LOG_PAGE + "; a bundle counted as a change",
+                        EarlierMeasurements.LOG_PAGE + "; a bundle counted as a change",
                         "statemachine/SessionCommitBatcher.java")
-                .in(Figure.Scope.MEMBERS);
+                .withScope(Figure.Scope.MEMBERS);
     }
 
     private Figure table(Setting setting) {
-        double writing = d.connections()
-                * setting.roamsLeast()
-                * (1 - Math.exp(-d.statementsPerSecond() * setting.writeShare() / d.connections() * AGE_SECONDS));
+        double writing = demand.connections()
+                * setting.minRoamingRatio()
+                * (1
+                        - Math.exp(-demand.statementsPerSecond()
+                                * setting.writeShare()
+                                / demand.connections()
+                                * MAX_AGE_SECONDS));
         return Figure.inProportion(
                         "sessions that roam and wrote within 10 min, one a connection, least part",
                         writing,
                         SessionTable.MAX_SESSIONS,
                         Unit.COUNT,
-                        d.poolers(),
+                        demand.poolers(),
                         Basis.GUESSED,
                         "`SessionTable.MAX_SESSIONS`; one session a connection is a guess",
                         "statemachine/SessionTable.java")
-                .in(Figure.Scope.OPTION);
+                .withScope(Figure.Scope.OPTION);
     }
 
-    private Figure fits(Setting setting) {
-        double part = d.controlBytesPerSecond() / CodeFacts.COMMIT / (d.statementsPerSecond() * setting.writeShare());
+    private Figure deliverableRatio(Setting setting) {
+        double ratio = demand.controlBytesPerSecond()
+                / CodeFacts.SESSION_COMMIT_BYTES
+                / (demand.statementsPerSecond() * setting.writeShare());
         return Figure.plain(
                 setting.name() + ": part of the writes of which each pooler can hear",
-                part,
+                ratio,
                 Unit.COUNT,
                 Basis.COMPUTED,
                 "the budget over the writes",
@@ -108,20 +114,20 @@
     }
 
     /**
-     * Each roaming session's position kept at one pooler, found by a hash of the session's name and asked for by each
-     * read.
+     * Figure for an option in which one pooler, found by a hash of the session's name, keeps a roaming session's
+     * position and each read requests it there.
      */
     private Figure owner(Setting setting, double roams, String which) {
-        double messages = d.statementsPerPooler() * roams;
-        double bytes = 2 * messages * (CodeFacts.LEASE_CALL + CodeFacts.LEASE_ANSWER);
+        double messages = demand.statementsPerPooler() * roams;
+        double bytes = 2 * messages * (CodeFacts.LEASE_REQUEST_BYTES + CodeFacts.LEASE_RESPONSE_BYTES);
         return Figure.of(
                         "option: one pooler keeps a roaming session's position, asked each time, " + which + " part",
                         bytes,
-                        d.controlBytesPerSecond(),
+                        demand.controlBytesPerSecond(),
                         Unit.BYTES_PER_SECOND,
                         Basis.GUESSED,
                         "a call as large as a lease's, asked and answered",
                         "not built")
-                .in(Figure.Scope.OPTION);
+                .withScope(Figure.Scope.OPTION);
     }
 }
--- a/capacity/src/main/java/lupinvalve/capacity/RestingConnections.java
+++ b/capacity/src/main/java/lupinvalve/capacity/RestingConnections.java
@@ -6,136 +6,139 @@
 import java.util.SplittableRandom;
 
 /**
- * One pooler's connections to one db node in virtual time: requests come at random, each takes the connection used last
- * or opens one. As in {@code Pool.closeIfSurplus}, one that rested for a while stays if it is the one used last, up to
- * the longer time, and is closed else. No I/O; the same seed gives the same figures.
+ * Simulates one pooler's connections to one db node in virtual time. Requests arrive at random; each takes the
+ * connection used last or opens one. As in {@code Pool.closeIfSurplus}, a connection that has been idle for the surplus
+ * time is kept up to the longer time if it is the one used last, and closed otherwise. Without I/O; the same seed gives
+ * the same result.
  */
 final class RestingConnections {
     /**
-     * What one pair of pooler and db node comes to.
+     * Result for one pair of a pooler and a db node.
      *
-     * @param open connections in the mean, those in use among them
-     * @param variance of that number
-     * @param newPart part of the requests that wait for a handshake
+     * @param open mean number of open connections, including those in use
+     * @param variance of the number of open connections
+     * @param handshakeRatio ratio of requests that wait for a handshake
      */
-    record Outcome(double open, double variance, double newPart) {
-        /** Connections at a db node of so many poolers, exceeded once in 1,000 moments. */
-        double atDatabase(double poolers) {
-            return poolers * open + ONCE_IN_1000 * Math.sqrt(poolers * variance);
+    record Outcome(double open, double variance, double handshakeRatio) {
+        /** Returns the number of connections at a db node with this many poolers that is exceeded 0.1 % of the time. */
+        double exceededOnceIn1000(double poolers) {
+            return poolers * open + SIGMAS_ONCE_IN_1000 * Math.sqrt(poolers * variance);
         }
     }
 
-    /** A connection that rests, until it is used, stays for longer or is closed. */
-    private static final class Resting {
-        private final double since;
-        private double looked;
-        private boolean stays;
+    /** An idle connection; times are in seconds of virtual time. */
+    private static final class IdleConnection {
+        private final double idleSince;
+        private double checkAt;
+        private boolean kept;
 
-        Resting(double since, double looked) {
-            this.since = since;
-            this.looked = looked;
+        IdleConnection(double idleSince, double checkAt) {
+            this.idleSince = idleSince;
+            this.checkAt = checkAt;
         }
     }
 
     /**
-     * For how long connections rest.
+     * Idle times, in seconds, after which connections are closed.
      *
-     * @param last the one used last
-     * @param surplus any other
+     * @param last for the connection used last
+     * @param surplus for any other connection
      */
-    record Rests(double last, double surplus) {
-        /** As the program has it where poolers are many: the surplus goes after its least time. */
-        static Rests of(double last) {
-            return new Rests(last, Math.min(last, CodeFacts.SURPLUS_LEAST_SECONDS));
+    record IdleTimes(double last, double surplus) {
+        /**
+         * Returns the pool's idle times with many poolers, where surplus connections are closed after the minimum time.
+         */
+        static IdleTimes of(double last) {
+            return new IdleTimes(last, Math.min(last, CodeFacts.MIN_SURPLUS_IDLE_SECONDS));
         }
     }
 
-    private static final double ONCE_IN_1000 = 3.09;
+    private static final double SIGMAS_ONCE_IN_1000 = 3.09;
     private final SplittableRandom random;
     private final double perSecond;
     private final double workSeconds;
-    private final Rests rests;
-    /** When each connection that is in use will rest. */
+    private final IdleTimes idleTimes;
+    /** Time at which each connection in use becomes idle. */
     private final PriorityQueue<Double> busyUntil = new PriorityQueue<>();
-    /** Those that rest; the one used last is the last. */
-    private final List<Resting> resting = new ArrayList<>();
+    /** Idle connections; the one used last is at the end. */
+    private final List<IdleConnection> idle = new ArrayList<>();
 
     private double now;
-    private double area;
-    private double squares;
+    private double openSeconds;
+    private double openSquaredSeconds;
 
-    private RestingConnections(double perSecond, double workSeconds, Rests rests, long seed) {
+    private RestingConnections(double perSecond, double workSeconds, IdleTimes idleTimes, long seed) {
         this.perSecond = perSecond;
         this.workSeconds = workSeconds;
-        this.rests = rests;
+        this.idleTimes = idleTimes;
         random = new SplittableRandom(seed);
     }
 
-    /** Plays so many requests. */
-    static Outcome play(double perSecond, double workSeconds, Rests rests, int requests, long seed) {
-        return new RestingConnections(perSecond, workSeconds, rests, seed).play(requests);
+    /** Simulates a number of requests. */
+    static Outcome simulate(double perSecond, double workSeconds, IdleTimes idleTimes, int requests, long seed) {
+        return new RestingConnections(perSecond, workSeconds, idleTimes, seed).simulate(requests);
     }
 
-    private Outcome play(int requests) {
+    private Outcome simulate(int requests) {
         int opened = 0;
         for (int i = 0; i < requests; i++) {
-            advance(now + drawn(1 / perSecond));
-            if (resting.isEmpty()) {
+            advance(now + drawExponential(1 / perSecond));
+            if (idle.isEmpty()) {
                 opened++;
             } else {
-                resting.remove(resting.size() - 1);
+                idle.remove(idle.size() - 1);
             }
-            busyUntil.add(now + drawn(workSeconds));
+            busyUntil.add(now + drawExponential(workSeconds));
         }
-        double mean = area / now;
-        return new Outcome(mean, squares / now - mean * mean, (double) opened / requests);
+        double mean = openSeconds / now;
+        return new Outcome(mean, openSquaredSeconds / now - mean * mean, (double) opened / requests);
     }
 
-    private double drawn(double mean) {
+    private double drawExponential(double mean) {
         return -mean * Math.log(1 - random.nextDouble());
     }
 
     private void advance(double to) {
         while (true) {
             double done = busyUntil.isEmpty() ? Double.MAX_VALUE : busyUntil.peek();
-            Resting due = due();
-            double looked = due == null ? Double.MAX_VALUE : due.looked;
-            if (Math.min(done, looked) > to) {
-                pass(to);
+            IdleConnection due = nextCheck();
+            double checkAt = due == null ? Double.MAX_VALUE : due.checkAt;
+            if (Math.min(done, checkAt) > to) {
+                advanceClock(to);
                 return;
             }
-            pass(Math.min(done, looked));
-            if (done <= looked) {
-                resting.add(new Resting(busyUntil.poll(), now + rests.surplus()));
+            advanceClock(Math.min(done, checkAt));
+            if (done <= checkAt) {
+                idle.add(new IdleConnection(busyUntil.poll(), now + idleTimes.surplus()));
             } else {
-                settle(due);
+                expire(due);
             }
         }
     }
 
-    /** The one to be looked at next, or null. */
-    private Resting due() {
-        Resting first = null;
-        for (Resting one : resting) {
-            first = first == null || one.looked < first.looked ? one : first;
+    /** Returns the idle connection with the earliest check, or null. */
+    private IdleConnection nextCheck() {
+        IdleConnection first = null;
+        for (IdleConnection connection : idle) {
+            first = first == null || connection.checkAt < first.checkAt ? connection : first;
         }
         return first;
     }
 
-    private void settle(Resting one) {
-        boolean last = resting.get(resting.size() - 1) == one;
-        if (last && !one.stays && rests.last() > rests.surplus()) {
-            one.stays = true;
-            one.looked = one.since + rests.last();
+    private void expire(IdleConnection connection) {
+        boolean last = idle.get(idle.size() - 1) == connection;
+        if (last && !connection.kept && idleTimes.last() > idleTimes.surplus()) {
+            connection.kept = true;
+            connection.checkAt = connection.idleSince + idleTimes.last();
         } else {
-            resting.remove(one);
+            idle.remove(connection);
         }
     }
 
-    private void pass(double to) {
-        double open = busyUntil.size() + resting.size();
-        area += open * (to - now);
-        squares += open * open * (to - now);
+    private void advanceClock(double to) {
+        double open = busyUntil.size() + idle.size();
+        openSeconds += open * (to - now);
+        openSquaredSeconds += open * open * (to - now);
         now = to;
     }
 }
--- a/capacity/src/main/java/lupinvalve/capacity/RoleFigures.java
+++ b/capacity/src/main/java/lupinvalve/capacity/RoleFigures.java
@@ -8,44 +8,47 @@
 import java.util.TreeMap;
 import lupinvalve.capacity.Slopes.Design;
 
-/** What scale runs tell of each role, before and after. */
+/** Results of scale runs for each role, with poolers as members (before) and as subscribers (after). */
 final class RoleFigures {
-    private static final String MEMBERS_BY = "replication/RaftReplica.java";
-    private static final String SUBSCRIPTIONS_BY = "replication/Subscriber.java";
-    /** What {@link FailureTable} tells. */
-    private static final Set<Metric> BY_FAILURE = EnumSet.of(
+    private static final String MEMBERS_SOURCE_FILE = "replication/RaftReplica.java";
+    private static final String SUBSCRIPTIONS_SOURCE_FILE = "replication/Subscriber.java";
+    /** Metrics that {@link FailureTable} shows. */
+    private static final Set<Metric> LISTED_BY_FAILURE = EnumSet.of(
             Metric.FAILOVER_MS, Metric.RACK_READY_MS, Metric.HERD_READY_MS, Metric.REGION_READY_MS, Metric.JOIN_MS);
 
-    private final Demand d;
+    private final Demand demand;
     private final Slopes slopes;
 
     RoleFigures(Demand demand, Slopes slopes) {
-        d = demand;
+        this.demand = demand;
         this.slopes = slopes;
     }
 
-    /** All metrics that have a budget, of one design. */
+    /** Returns a figure per metric for a design. */
     List<Figure> figures(Design design) {
         List<Figure> out = new ArrayList<>();
         Figure.Scope scope = design == Design.MEMBERS ? Figure.Scope.MEMBERS : Figure.Scope.SUBSCRIPTIONS;
         for (Metric metric : Metric.values()) {
-            Estimate estimate = Estimate.of(slopes, design, metric, d);
+            Estimate estimate = Estimate.of(slopes, design, metric, demand);
             out.add(new Figure(
-                    metric.words(),
+                    metric.label(),
                     estimate.value(),
-                    metric.budget(d),
+                    metric.budget(demand),
                     metric.unit(),
                     estimate.failsAt(),
                     "poolers",
                     estimate.basis(),
                     estimate.from(),
-                    design == Design.MEMBERS ? MEMBERS_BY : SUBSCRIPTIONS_BY,
+                    design == Design.MEMBERS ? MEMBERS_SOURCE_FILE : SUBSCRIPTIONS_SOURCE_FILE,
                     scope));
         }
         return out;
     }
 
-    /** Each metric once, members before and subscriptions after; what the page tells by failure is left out. */
+    /**
+     * Creates a table with one row per metric, members before and subscriptions after, without the metrics that the
+     * page lists by failure.
+     */
     Table beforeAndAfter() {
         Table table = new Table(
                 "before-after",
@@ -65,36 +68,36 @@
         List<Figure> before = figures(Design.MEMBERS);
         List<Figure> after = figures(Design.SUBSCRIPTIONS);
         for (int i = 0; i < before.size(); i++) {
-            if (!BY_FAILURE.contains(Metric.values()[i])) {
+            if (!LISTED_BY_FAILURE.contains(Metric.values()[i])) {
                 Figure one = before.get(i);
                 Figure other = after.get(i);
-                table.row(
+                table.addRow(
                         one.what(),
-                        one.budgetWords(),
+                        one.budgetText(),
                         Estimate.largest(slopes, Design.MEMBERS, Metric.values()[i]),
-                        one.needWords(),
-                        one.ratioWords(),
+                        one.needText(),
+                        one.ratioText(),
                         Table.failsFrom(one),
-                        known(one),
+                        basisText(one),
                         Estimate.largest(slopes, Design.SUBSCRIPTIONS, Metric.values()[i]),
-                        other.needWords(),
-                        other.ratioWords(),
+                        other.needText(),
+                        other.ratioText(),
                         Table.failsFrom(other),
-                        known(other));
+                        basisText(other));
             }
         }
         return table;
     }
 
-    private static String known(Figure figure) {
+    private static String basisText(Figure figure) {
         return figure.from().equals("no run")
                 ? figure.basis().word()
                 : figure.basis().word() + ": " + figure.from();
     }
 
     /**
-     * Of each design and size, with the most databases that it was run with, the run with the worst p99; and what
-     * failed.
+     * Creates a table with one run per design, size and trial: of those with the most databases the one with the worst
+     * p99. Failed runs are listed too.
      */
     Table runs() {
         Table table = new Table(
@@ -115,13 +118,13 @@
                     run.design(),
                     run.poolers(),
                     run.trial(),
-                    run.whole() ? "" : "failed");
-            shown.merge(size, run, RoleFigures::tellsMore);
+                    run.completed() ? "" : "failed");
+            shown.merge(size, run, RoleFigures::moreSignificant);
         }
         for (Slopes.Run run : shown.values()) {
-            table.row(
+            table.addRow(
                     run.design().name().toLowerCase(Locale.ROOT),
-                    run.words(),
+                    run.description(),
                     run.commit() == null ? slopes.commit() : run.commit(),
                     values(run, Metric.IN_FORCE_P50_MS, Metric.IN_FORCE_P99_MS, Metric.IN_FORCE_MAX_MS),
                     values(run, Metric.CONTROL_CPU_CORE, Metric.CONTROL_BYTES_PER_S, Metric.CONTROL_RSS_MB),
@@ -129,12 +132,12 @@
                     run.ended());
         }
         if (shown.isEmpty()) {
-            table.row("not run", "", "", "", "", "", "");
+            table.addRow("not run", "", "", "", "", "", "");
         }
         return table;
     }
 
-    private static Slopes.Run tellsMore(Slopes.Run one, Slopes.Run other) {
+    private static Slopes.Run moreSignificant(Slopes.Run one, Slopes.Run other) {
         if (one.databases() != other.databases()) {
             return one.databases() > other.databases() ? one : other;
         }
--- a/capacity/src/main/java/lupinvalve/capacity/Setting.java
+++ b/capacity/src/main/java/lupinvalve/capacity/Setting.java
@@ -1,30 +1,33 @@
 package lupinvalve.capacity;
 
 /**
- * What the settings of two deployments say, each from its least to its greatest.
+ * Values from the settings of two deployments, each with its minimum and maximum.
  *
- * @param writeShare part of the statements that are writes, by the classes' mean shares
- * @param roamsLeast part of the sessions that move between poolers
- * @param places connections that a db node takes: cores times {@code cap_per_core}
- * @param handshakeCoreSeconds what a handshake costs a db node
- * @param probeCoreSeconds what a probe costs a db node
- * @param members of a db set
+ * @param writeShare ratio of statements that are writes, from the classes' mean shares
+ * @param minRoamingRatio minimum ratio of the sessions that move between poolers
+ * @param connectionSlots connections that a db node accepts: cores times {@code cap_per_core}
+ * @param handshakeCoreSeconds processor time of a handshake at a db node
+ * @param probeCoreSeconds processor time of a probe at a db node
+ * @param members number of members of a db set
  * @param electSeconds the sum of {@code detect_s} and {@code elect_s}
  */
 record Setting(
         String name,
         double writeShare,
-        double roamsLeast,
-        double roamsMost,
-        Range places,
+        double minRoamingRatio,
+        double maxRoamingRatio,
+        Range connectionSlots,
         Range handshakeCoreSeconds,
         Range probeCoreSeconds,
         Range members,
         Range electSeconds) {
-    /** From the least to the greatest. */
-    record Range(double least, double most) {}
+    /** Minimum and maximum of a setting. */
+    record Range(double min, double max) {}
 
-    /** Bag-status, own-order-view and pickup-booking have mean shares of 0.61, 0.24 and 0.135; the last one writes. */
+    /**
+     * Bag-status, own-order-view and pickup-booking have mean shares of 0.61, 0.24 and 0.135; only the last class
+     * writes.
+     */
     static final Setting ALMATY = new Setting(
             "almaty-plant",
             0.135 / (0.61 + 0.24 + 0.135),
@@ -36,7 +39,8 @@
             new Range(5, 7),
             new Range(1.2 + 1, 2.9 + 3.4));
     /**
-     * Quadro-obra, conferir-ponto, relatorio-mes and registrar-ponto: 0.34, 0.32, 0.22 and 0.405; the last one writes.
+     * Quadro-obra, conferir-ponto, relatorio-mes and registrar-ponto: 0.34, 0.32, 0.22 and 0.405; only the last class
+     * writes.
      */
     static final Setting RECIFE = new Setting(
             "recife-ponto",
--- a/capacity/src/main/java/lupinvalve/capacity/Slopes.java
+++ b/capacity/src/main/java/lupinvalve/capacity/Slopes.java
@@ -12,10 +12,10 @@
 import java.util.Objects;
 
 /**
- * What scale runs measured, and the straight lines fitted to it.
+ * Measurements of scale runs and the straight lines fitted to them.
  *
- * @param machine on what it ran
- * @param commit which program ran; a run may name another
+ * @param machine description of the machine of the runs
+ * @param commit commit of the program; a run may name a different one
  */
 @JsonIgnoreProperties(ignoreUnknown = true)
 public record Slopes(
@@ -23,17 +23,17 @@
         @JsonProperty("commit") String commit,
         @JsonProperty("runs") List<Run> runs,
         @JsonProperty("fits") List<Fit> fits) {
-    /** How poolers come by the configuration. */
+    /** How poolers receive the configuration. */
     public enum Design {
-        /** Each is a member of the group. */
+        /** Each pooler is a member of the Raft group. */
         @JsonProperty("members")
         MEMBERS,
-        /** They follow a group of control members. */
+        /** Poolers subscribe to a group of control members. */
         @JsonProperty("subscriptions")
         SUBSCRIPTIONS
     }
 
-    /** What was put on the group during a run. */
+    /** Kind of load during a run. */
     public enum Load {
         @JsonProperty("changes")
         CHANGES,
@@ -42,13 +42,13 @@
         @JsonProperty("mixed")
         MIXED;
 
-        /** As the page says it. */
+        /** Returns the name used on the page. */
         public String word() {
             return name().toLowerCase(Locale.ROOT);
         }
     }
 
-    /** By what a line rises. */
+    /** Size over which a line is fitted. */
     public enum Per {
         @JsonProperty("pooler")
         POOLER,
@@ -57,16 +57,17 @@
     }
 
     /**
-     * One run.
+     * A run.
      *
-     * @param changeFactor by how much more often than the operators' mean changes came; 0 where that is not told
-     * @param restartFactor the same of restarts
-     * @param trial what of the program was changed for it, or null
-     * @param failed why it failed, or null
-     * @param divergent contents of a revision that nobody put, or that differ
-     * @param lost changes that were acknowledged and are gone
-     * @param unfencedLate pairs of a change and a pooler that acted on an older one past its time
-     * @param metrics what it told, by {@link Metric#key}
+     * @param changeFactor rate of changes as a multiple of the operators' mean; 0 if not recorded
+     * @param restartFactor rate of restarts as a multiple of the operators' mean; 0 if not recorded
+     * @param trial change to the program under trial in the run, or null
+     * @param failed reason of the failure, or null
+     * @param divergent number of findings of contents that were not proposed for their revision, or that differ between
+     *     poolers
+     * @param lost number of acknowledged changes that were lost
+     * @param unfencedLate pairs of a change and a pooler that acted on an older version after the time limit
+     * @param metrics values by {@link Metric#key}
      */
     @JsonIgnoreProperties(ignoreUnknown = true)
     public record Run(
@@ -90,14 +91,14 @@
             metrics = metrics == null ? Map.of() : Collections.unmodifiableMap(metrics);
         }
 
-        /** Whether it came to its end. */
-        public boolean whole() {
+        /** Whether the run completed without failure. */
+        public boolean completed() {
             return failed == null || failed.isEmpty();
         }
 
-        /** How it ended, as the page says it. */
+        /** Returns how the run ended, in the page's words. */
         public String ended() {
-            if (!whole()) {
+            if (!completed()) {
                 return "failed: " + failed;
             }
             return divergent + lost + unfencedLate == 0
@@ -106,14 +107,17 @@
                             Locale.ROOT, "whole; **divergent %d, lost %d, late %d**", divergent, lost, unfencedLate);
         }
 
-        /** What it told of a metric, or NaN. */
+        /** Returns the value of a metric, or NaN if the run has none. */
         public double value(Metric metric) {
             Double value = metrics.get(metric.key());
             return value == null ? Double.NaN : value;
         }
 
-        /** By how much the load was heavier than the operators' mean, at the least. */
-        public double factor() {
+        /**
+         * Returns the factor by which the load was heavier than the operators' mean, the smaller one for a mixed load;
+         * 1 if not recorded.
+         */
+        public double loadFactor() {
             double factor =
                     switch (load) {
                         case CHANGES -> changeFactor;
@@ -123,9 +127,9 @@
             return factor > 0 ? factor : 1;
         }
 
-        /** What the page calls it. */
-        public String words() {
-            String times = factor() == 1 ? "" : " x " + Unit.number(factor());
+        /** Returns the description of the run used on the page. */
+        public String description() {
+            String times = loadFactor() == 1 ? "" : " x " + Unit.number(loadFactor());
             return String.format(
                     Locale.ROOT,
                     "%s%s, %d poolers, %d databases, %.0f s, seed %d%s",
@@ -140,11 +144,11 @@
     }
 
     /**
-     * A straight line through the runs' values.
+     * A straight line fitted to the runs' values.
      *
-     * @param trial what of the program was changed for the runs, or null
-     * @param residual by how much the values are off the line, root mean square
-     * @param points through how many
+     * @param trial change to the program under trial in the runs, or null
+     * @param residual root mean square of the deviations from the line
+     * @param points number of points that the line is fitted to
      */
     @JsonIgnoreProperties(ignoreUnknown = true)
     public record Fit(
@@ -162,22 +166,22 @@
             load = load == null ? Load.MIXED : load;
         }
 
-        /** The line's value. */
+        /** Returns the line's value at a size. */
         public double at(double size) {
             return intercept + slope * size;
         }
 
-        /** Whether a run is of those that such a line is drawn through. */
-        public boolean through(Run run) {
-            return run.whole()
+        /** Whether a run is one of those that this line is fitted to. */
+        public boolean includes(Run run) {
+            return run.completed()
                     && run.design() == design
                     && run.load() == load
                     && Objects.equals(run.trial(), trial)
                     && (per != Per.POOLER || databases == 0 || run.databases() == databases);
         }
 
-        /** Whether another line is of the same runs. */
-        public boolean beside(Fit other) {
+        /** Whether another line is fitted to the same runs. */
+        public boolean hasSameRunsAs(Fit other) {
             return other.design == design
                     && other.per == per
                     && other.load == load
@@ -191,7 +195,7 @@
         fits = fits == null ? List.of() : List.copyOf(fits);
     }
 
-    /** Of runs of the same the last one, as the lines have it. */
+    /** Returns the last run of each set of repetitions, as the lines use them. */
     List<Run> latest() {
         Map<String, Run> last = new LinkedHashMap<>();
         for (Run run : runs) {
@@ -202,12 +206,12 @@
         return List.copyOf(last.values());
     }
 
-    /** Nothing has run yet. */
+    /** Returns an instance without runs. */
     public static Slopes none() {
         return new Slopes("", "", List.of(), List.of());
     }
 
-    /** Reads the file's text. */
+    /** Parses the file's content. */
     public static Slopes read(byte[] json) throws IOException {
         return new ObjectMapper().readValue(json, Slopes.class);
     }
--- a/capacity/src/main/java/lupinvalve/capacity/StateFigures.java
+++ b/capacity/src/main/java/lupinvalve/capacity/StateFigures.java
@@ -2,42 +2,45 @@
 
 import java.util.List;
 
-/** What each role holds at the operators' size, and what passes it whatever the design. */
+/** Figures for the state that each role holds at the operators' size, and for its traffic independent of the design. */
 final class StateFigures {
-    /** What the platform's script leaves a pooler for all but its heap, and the least heap. */
-    private static final double HEAP_LEAST = 40e6;
+    /**
+     * Bytes that the platform's start script reserves for a pooler outside its heap, and also the smallest heap that it
+     * sets.
+     */
+    private static final double MIN_HEAP_BYTES = 40e6;
 
-    private final Demand d;
-    private final double document;
+    private final Demand demand;
+    private final double documentBytes;
     private final Basis basis;
 
     StateFigures(Demand demand, double documentBytes, Basis documentBasis) {
-        d = demand;
-        document = documentBytes;
+        this.demand = demand;
+        this.documentBytes = documentBytes;
         basis = documentBasis;
     }
 
     List<Figure> figures() {
-        double watched = (double) d.poolers() / d.controlMembers();
+        double subscribersPerMember = (double) demand.poolers() / demand.controlMembers();
         return List.of(
                 Figure.of(
                         "pooler: the document, as text, against its least heap",
-                        document,
-                        HEAP_LEAST,
+                        documentBytes,
+                        MIN_HEAP_BYTES,
                         Unit.BYTES,
                         basis,
                         "deploy/run.sh has 40 MB",
                         "replication/Subscriber.java"),
                 Figure.plain(
                         "pooler: clients' connections",
-                        d.connections() / d.poolers(),
+                        demand.connections() / demand.poolers(),
                         Unit.COUNT,
                         Basis.COMPUTED,
                         "the demand alone",
                         "net/Net.java"),
                 Figure.of(
                         "pooler: its core thread, each statement at its whole latency",
-                        d.statementsPerPooler() * Past.REQUEST_SECONDS,
+                        demand.statementsPerPooler() * EarlierMeasurements.REQUEST_SECONDS,
                         1,
                         Unit.CORES,
                         Basis.COMPUTED,
@@ -45,32 +48,32 @@
                         "core/EventLoop.java"),
                 Figure.of(
                                 "control member: poolers that follow it, where all three are up",
-                                watched,
-                                CodeFacts.FOLLOWERS_MOST,
+                                subscribersPerMember,
+                                CodeFacts.MAX_SUBSCRIBERS,
                                 Unit.COUNT,
                                 Basis.COMPUTED,
                                 "`SubscriptionServer.SUBSCRIBERS_MAX_COUNT`",
                                 "replication/SubscriptionServer.java")
-                        .in(Figure.Scope.SUBSCRIPTIONS),
+                        .withScope(Figure.Scope.SUBSCRIPTIONS),
                 Figure.of(
                                 "control member: poolers that follow the last of three",
-                                d.poolers(),
-                                CodeFacts.FOLLOWERS_MOST,
+                                demand.poolers(),
+                                CodeFacts.MAX_SUBSCRIBERS,
                                 Unit.COUNT,
                                 Basis.COMPUTED,
                                 "`SubscriptionServer.SUBSCRIBERS_MAX_COUNT`",
                                 "replication/SubscriptionServer.java")
-                        .in(Figure.Scope.SUBSCRIPTIONS),
+                        .withScope(Figure.Scope.SUBSCRIPTIONS),
                 Figure.plain(
                         "db node: statements",
-                        d.statementsPerDatabase(),
+                        demand.statementsPerDatabase(),
                         Unit.PER_SECOND,
                         Basis.COMPUTED,
                         "the demand alone",
                         "net/Pool.java"),
                 Figure.plain(
                         "operator's client: documents put, in a day",
-                        document * d.changesPerDay(),
+                        documentBytes * demand.changesPerDay(),
                         Unit.BYTES,
                         basis,
                         "each put is a whole document",
--- a/capacity/src/main/java/lupinvalve/capacity/Table.java
+++ b/capacity/src/main/java/lupinvalve/capacity/Table.java
@@ -3,9 +3,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One generated table of the page. */
+/** A generated table of a page. */
 public final class Table {
-    private static final List<String> FIGURES =
+    private static final List<String> FIGURE_COLUMNS =
             List.of("what", "needed", "budget", "ratio", "fails from", "known by", "from", "carried by");
     private final String name;
     private final List<String> header;
@@ -16,15 +16,15 @@
         this.header = List.copyOf(header);
     }
 
-    /** A table with a line for each figure. */
+    /** Creates a table with one row per figure. */
     static Table of(String name, List<Figure> figures) {
-        Table table = new Table(name, FIGURES);
+        Table table = new Table(name, FIGURE_COLUMNS);
         for (Figure figure : figures) {
-            table.row(
+            table.addRow(
                     figure.what(),
-                    figure.needWords(),
-                    figure.budgetWords(),
-                    figure.ratioWords(),
+                    figure.needText(),
+                    figure.budgetText(),
+                    figure.ratioText(),
                     failsFrom(figure),
                     figure.basis().word(),
                     figure.from(),
@@ -37,7 +37,7 @@
         return Double.isNaN(figure.failsAt()) ? "" : Unit.number(figure.failsAt()) + " " + figure.size();
     }
 
-    void row(String... cells) {
+    void addRow(String... cells) {
         if (cells.length != header.size()) {
             throw new IllegalArgumentException(
                     name + ": " + cells.length + " cells under " + header.size() + " headings");
@@ -45,21 +45,21 @@
         rows.add(List.of(cells));
     }
 
-    /** By what the page names it. */
+    /** Returns the name that the page's marker has. */
     public String name() {
         return name;
     }
 
-    /** The table as the page has it, without a line's end behind it. */
+    /** Returns the table in Markdown, without a line break at its end. */
     public String markdown() {
         StringBuilder out = new StringBuilder();
-        line(out, header);
-        line(out, header.stream().map(cell -> "---").toList());
-        rows.forEach(row -> line(out, row));
+        appendRow(out, header);
+        appendRow(out, header.stream().map(cell -> "---").toList());
+        rows.forEach(row -> appendRow(out, row));
         return out.substring(0, out.length() - 1);
     }
 
-    private static void line(StringBuilder out, List<String> cells) {
+    private static void appendRow(StringBuilder out, List<String> cells) {
         out.append("| ").append(String.join(" | ", cells)).append(" |\n");
     }
 }
--- a/capacity/src/main/java/lupinvalve/capacity/Unit.java
+++ b/capacity/src/main/java/lupinvalve/capacity/Unit.java
@@ -2,7 +2,7 @@
 
 import java.util.Locale;
 
-/** What a figure counts, and how it is written: three digits that tell something. */
+/** Unit of a figure, and its formatting with three significant digits. */
 public enum Unit {
     COUNT(""),
     PER_SECOND("/s"),
@@ -13,9 +13,9 @@
     SECONDS(" s"),
     MEGABYTES(" MB");
 
-    private static final double DIGITS = 1000;
-    /** Whole numbers below this are written whole. */
-    private static final double WHOLE_MOST = 100_000;
+    private static final double ROUNDING_THRESHOLD = 1000;
+    /** Integers below this are written with all digits. */
+    private static final double MAX_EXACT_INTEGER = 100_000;
 
     private final String suffix;
 
@@ -23,8 +23,8 @@
         this.suffix = suffix;
     }
 
-    /** The figure with its unit. */
-    public String words(double value) {
+    /** Formats a value with its unit. */
+    public String format(double value) {
         boolean bytes = this == BYTES || this == BYTES_PER_SECOND;
         if (bytes && Math.abs(value) >= 1e6) {
             return number(value / 1e6) + (this == BYTES ? " MB" : " MB/s");
@@ -35,13 +35,13 @@
         return value == 1 && this == CORES ? "1 core" : number(value) + suffix;
     }
 
-    /** The figure alone. */
+    /** Formats a value without a unit. */
     public static String number(double value) {
         double size = Math.abs(value);
-        if (value == Math.rint(value) && size < WHOLE_MOST) {
+        if (value == Math.rint(value) && size < MAX_EXACT_INTEGER) {
             return String.format(Locale.ROOT, "%,.0f", value);
         }
-        if (size >= DIGITS) {
+        if (size >= ROUNDING_THRESHOLD) {
             double step = Math.pow(10, Math.floor(Math.log10(size)) - 2);
             return String.format(Locale.ROOT, "%,.0f", Math.round(value / step) * step);
         }
--- a/capacity/src/test/java/lupinvalve/capacity/CapacityPageTest.java
+++ b/capacity/src/test/java/lupinvalve/capacity/CapacityPageTest.java
@@ -11,25 +11,25 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The pages' figures are those that follow from the file of slopes. */
+/** The generated tables in the pages equal those computed from the file of slopes. */
 class CapacityPageTest {
     private static final Path PAGE = Path.of("docs/CAPACITY.md");
     private static final Path PLACES = Path.of("docs/capacity/places.md");
     private static final Path SLOPES = Path.of("docs/capacity/slopes.json");
-    private static final String MEND = "run: java -jar lab/target/lupinvalve-lab.jar capacity";
+    private static final String HINT = "run: java -jar lab/target/lupinvalve-lab.jar capacity";
 
     private static CapacityModel model() throws IOException {
         return new CapacityModel(Demand.OPERATORS, Slopes.read(Files.readAllBytes(SLOPES)));
     }
 
     @Test
-    void eachFigureOfThePagesFollowsFromTheSlopes() throws IOException {
-        assertEquals(List.of(), CapacityPage.stale(Files.readString(PAGE), model().overview()), MEND);
-        assertEquals(List.of(), CapacityPage.stale(Files.readString(PLACES), model().places()), MEND);
+    void pagesEqualTheTablesComputedFromTheSlopes() throws IOException {
+        assertEquals(List.of(), CapacityPage.stale(Files.readString(PAGE), model().overview()), HINT);
+        assertEquals(List.of(), CapacityPage.stale(Files.readString(PLACES), model().places()), HINT);
     }
 
     @Test
-    void aFigureThatWasChangedByHandIsFound() throws IOException {
+    void figureEditedByHandIsReported() throws IOException {
         String page = Files.readString(PLACES);
         String changed = page.replace("| leases at a pooler | 190 B/s |", "| leases at a pooler | 19 B/s |");
         assertNotEquals(page, changed, "the figure to change is there");
@@ -37,14 +37,14 @@
     }
 
     @Test
-    void anotherSlopeChangesThePage() throws IOException {
-        List<Table> others = new CapacityModel(Demand.OPERATORS, EstimateTest.fixture()).overview();
-        List<String> stale = CapacityPage.stale(Files.readString(PAGE), others);
+    void differentSlopesChangeThePage() throws IOException {
+        List<Table> otherTables = new CapacityModel(Demand.OPERATORS, EstimateTest.fixture()).overview();
+        List<String> stale = CapacityPage.stale(Files.readString(PAGE), otherTables);
         assertTrue(stale.containsAll(List.of("before-after", "runs")), stale.toString());
     }
 
     @Test
-    void aTableWithoutItsMarkAndAMarkWithoutItsTableAreTurnedDown() throws IOException {
+    void tableWithoutMarkerAndMarkerWithoutTableAreRejected() throws IOException {
         List<Table> tables = model().places();
         String page = Files.readString(PLACES);
         String twice = page + "<!-- generated: group -->\n";
--- a/capacity/src/test/java/lupinvalve/capacity/DocumentDifferencesTest.java
+++ b/capacity/src/test/java/lupinvalve/capacity/DocumentDifferencesTest.java
@@ -4,10 +4,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The difference that the page counts holds at least what was changed, and is no more than a document. */
+/** The computed difference is at least as large as the three changed bytes and at most as large as the document. */
 class DocumentDifferencesTest {
     @Test
-    void theDifferenceLiesBetweenThreeBytesAndADocument() {
+    void differenceIsBetweenThreeBytesAndTheDocumentSize() {
         double bytes = DocumentDifferences.farApart(1200, 178);
         assertTrue(bytes >= 3 && bytes <= 1200 * 178, "bytes: " + bytes);
     }
--- a/capacity/src/test/java/lupinvalve/capacity/EstimateTest.java
+++ b/capacity/src/test/java/lupinvalve/capacity/EstimateTest.java
@@ -8,7 +8,7 @@
 import lupinvalve.capacity.Slopes.Design;
 import org.junit.jupiter.api.Test;
 
-/** What is measured, computed and not run, from a fixture that no machine ran. */
+/** Estimates that are measured, computed, trials, guesses or not run, from a hand-written fixture. */
 class EstimateTest {
     private static final double EXACT = 1e-9;
 
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void theWorstRunOfFullSizeIsMeasured() throws IOException {
+    void worstRunOfFullSizeIsUsedAsMeasured() throws IOException {
         Estimate estimate = of(Design.SUBSCRIPTIONS, Metric.IN_FORCE_P99_MS);
         assertEquals(1200, estimate.value());
         assertEquals(Basis.MEASURED, estimate.basis());
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void aRunThatFailedLeavesTheSlopeAndTheSizeAtWhichItFails() throws IOException {
+    void lineIsUsedAndGivesTheSizeAtWhichTheBudgetIsExceeded() throws IOException {
         Estimate estimate = of(Design.MEMBERS, Metric.CONTROL_BYTES_PER_S);
         assertEquals(91_000, estimate.value());
         assertEquals(Basis.GUESSED, estimate.basis(), "the line rests on 15 poolers");
@@ -39,13 +39,13 @@
     }
 
     @Test
-    void databasesThatTheRunsLackedAreAdded() throws IOException {
+    void missingDatabasesAreAdded() throws IOException {
         Estimate estimate = of(Design.SUBSCRIPTIONS, Metric.MEMBER_CPU_CORE);
         assertEquals(0.0095 + 0.0091 + 0.08, estimate.value(), EXACT);
     }
 
     @Test
-    void whatTheLoadAddsIsDividedByHowMuchHeavierItIs() throws IOException {
+    void loadAboveIdleIsDividedByTheLoadFactor() throws IOException {
         Estimate estimate = of(Design.SUBSCRIPTIONS, Metric.CONTROL_CPU_CORE);
         assertEquals(0.01 + 0.2 / 20, estimate.value(), EXACT);
         assertEquals(Basis.COMPUTED, estimate.basis());
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void aTrialThatReachesFurtherGoesBeforeALineThroughFewerAndIsCalledATrial() throws IOException {
+    void trialWithLargerRunsIsPreferredAndMarkedAsTrial() throws IOException {
         Estimate estimate = of(Design.MEMBERS, Metric.LEADER_CPU_CORE);
         assertEquals(0.2 + 9.1 / 10, estimate.value(), EXACT);
         assertEquals(Basis.TRIAL, estimate.basis());
@@ -64,7 +64,7 @@
     }
 
     @Test
-    void whatFallsBelowZeroIsTakenAsInTheLargestRunAndTwoPointsTellNothing() throws IOException {
+    void negativeLineUsesTheLargestRunAndTwoPointsGiveNoLine() throws IOException {
         Estimate estimate = of(Design.MEMBERS, Metric.CONTROL_RSS_MB);
         assertEquals(50, estimate.value(), "the line has -810 at 910 poolers");
         assertTrue(estimate.from().startsWith("falls with size, taken as at 15"), estimate.from());
@@ -74,14 +74,14 @@
     }
 
     @Test
-    void aRunOfFullSizeThatFailedIsToldBesideTheLine() throws IOException {
+    void failedRunOfFullSizeIsNotedBesideTheLine() throws IOException {
         String from = of(Design.MEMBERS, Metric.CONTROL_BYTES_PER_S).from();
         assertTrue(from.endsWith("; **a run of 910 failed**"), from);
         assertTrue(!of(Design.SUBSCRIPTIONS, Metric.MEMBER_CPU_CORE).from().contains("failed"));
     }
 
     @Test
-    void ofRunsOfTheSameTheLastOneCounts() throws IOException {
+    void lastOfRepeatedRunsCounts() throws IOException {
         Slopes slopes = fixture();
         assertEquals(slopes.runs().size() - 1, slopes.latest().size());
         assertEquals(
@@ -91,7 +91,7 @@
     }
 
     @Test
-    void whatNoRunTellsIsNotRun() throws IOException {
+    void metricWithoutRunIsNotRun() throws IOException {
         Estimate estimate = of(Design.SUBSCRIPTIONS, Metric.LEADER_CPU_CORE);
         assertTrue(Double.isNaN(estimate.value()));
         assertEquals(Basis.NOT_RUN, estimate.basis());
