--- a/mysql/src/main/java/lupinvalve/mysql/MysqlBackend.java
+++ b/mysql/src/main/java/lupinvalve/mysql/MysqlBackend.java
@@ -57,7 +57,9 @@
             // The JVM's first cipher takes 0.1 s to load, for which the core thread must not stall while it serves.
             Cipher.getInstance(OAEP);
         } catch (GeneralSecurityException e) {
-            Log.warn("cipher %s is missing: logins succeed only on servers that have the password cached", OAEP);
+            Log.warn(
+                    "cipher %s is missing: logins by caching_sha2_password succeed only on servers that have the password cached",
+                    OAEP);
         }
     }
 
--- a/mysql/src/main/java/lupinvalve/mysql/Params.java
+++ b/mysql/src/main/java/lupinvalve/mysql/Params.java
@@ -47,7 +47,7 @@
             }
         }
 
-        /** Whether the type is encoded as a string; BIT is, but holds no text. */
+        /** Whether the type is one of strings; false for BIT, which is encoded as a string but holds no text. */
         boolean isText() {
             int typeCode = type & 255;
             return typeCode >= 15 && typeCode != 16;
--- a/net/src/main/java/lupinvalve/net/ClientEndLog.java
+++ b/net/src/main/java/lupinvalve/net/ClientEndLog.java
@@ -8,8 +8,8 @@
 
 /**
  * Logs why client connections have ended, how old they were and how many requests were unanswered on them: the first
- * connection of each reason at once, those that follow by number, in a line every few seconds. Core thread only; holds
- * one count per reason.
+ * connection of each reason at once, those that follow by number, in a line every few seconds. Ends by the client's own
+ * choice with nothing unanswered are only counted. Core thread only; holds one count per reason.
  */
 public final class ClientEndLog {
     private static final long SUMMARY_MICROS = 5_000_000;
@@ -29,7 +29,7 @@
     }
 
     private final EventLoop loop;
-    /** Reasons that have been logged in this period, with the number of connections since. */
+    /** Reasons that have occurred in this period, with the connections that have not been logged on their own. */
     private final Map<EndReason, Count> countsByReason = new EnumMap<>(EndReason.class);
 
     private boolean isSummaryDue;
@@ -75,7 +75,7 @@
     }
 
     /**
-     * Returns the summary of what came since the last call beyond the first connection of each reason, and resets it;
+     * Returns the summary of the connections since the last call that have not been logged on their own, and resets it;
      * empty if clients closed all of these connections themselves with nothing unanswered.
      */
     String takeSummary() {
--- a/net/src/main/java/lupinvalve/net/ClientEviction.java
+++ b/net/src/main/java/lupinvalve/net/ClientEviction.java
@@ -29,7 +29,10 @@
 
     /** A connection that has been idle this long may be closed before room runs out. */
     private static final long IDLE_MICROS = 2_000_000;
-    /** A connection that has been idle this long may be closed if there is no room, or clients have few left. */
+    /**
+     * A connection that has been idle this long may be closed if there is no place for a new client, or if clients use
+     * more than three quarters of the connections that they are allowed.
+     */
     private static final long IDLE_MIN_MICROS = 100_000;
     /**
      * A connection must send its first complete command in this time: one that sends none must be closed within 3 s.
--- a/net/src/main/java/lupinvalve/net/EndReason.java
+++ b/net/src/main/java/lupinvalve/net/EndReason.java
@@ -2,7 +2,7 @@
 
 /** Why a client's connection has ended. The texts stand in log lines that operators and tools match. */
 public enum EndReason {
-    /** The connection was idle while the pooler was short of connections. */
+    /** Places for client connections were short, and the connection was idle or had sent no command yet. */
     MADE_ROOM("to make room"),
     /** The client sent no complete command in time. */
     SILENT("it said nothing"),
@@ -16,7 +16,7 @@
     NOT_LET_IN("its login failed"),
     /** The client sent its protocol's message for the end of a connection. */
     GOODBYE("it said goodbye"),
-    /** The connection was opened to cancel a request of another one, which has been handled. */
+    /** The connection was opened only to send a cancel request for another one, and that has been received. */
     CANCEL_REQUEST("its cancel request is taken"),
     /** An answer that had been partly sent could not be completed. */
     CUT("a long answer broke off"),
@@ -35,7 +35,10 @@
         this.text = text;
     }
 
-    /** Whether the client or its machine ended the connection. */
+    /**
+     * Whether the end was the choice of the client or of its machine, also where the pooler closes the connection at
+     * the client's request. Such an end alone is no sign of a fault of the pooler.
+     */
     boolean isByClient() {
         return this == CLIENT_LEFT || this == BROKE || this == GOODBYE || this == CANCEL_REQUEST;
     }
--- a/net/src/main/java/lupinvalve/net/Framer.java
+++ b/net/src/main/java/lupinvalve/net/Framer.java
@@ -8,7 +8,7 @@
     final class Malformed extends Exception {
         private static final long serialVersionUID = 1L;
 
-        /** @param message what is wrong; sent to clients in error responses */
+        /** @param message what is wrong; logged, or sent to a client in an error response */
         public Malformed(String message) {
             super(message);
         }
--- a/net/src/main/java/lupinvalve/net/Link.java
+++ b/net/src/main/java/lupinvalve/net/Link.java
@@ -32,7 +32,8 @@
  * </ul>
  *
  * <p>With all but {@link #abort}, the peer sees an orderly end (FIN) if nothing is unread in the socket at the moment
- * of the close, and a reset otherwise: {@link Net.Processor#destroy} leaves that decision to the system.
+ * of the close, and a reset otherwise: {@link Net.Processor#destroy} leaves that decision to the system. But
+ * {@link #finish} and {@link #retire} also reset the connection if its peer has stopped reading.
  *
  * <p>A connection on which the peer sends FIN (also a half-close) or that has an I/O error is closed at once: what was
  * read before is still delivered, bytes that are not handed to the socket yet are discarded, and {@link Events#closed}
@@ -51,7 +52,8 @@
         void messages(Link link, List<byte[]> messages, long atMicros);
 
         /**
-         * The peer violated the protocol, and nothing more is read; the connection is still open for a final answer.
+         * The peer violated the protocol, or there is no room for its long message; input from here on is read and
+         * discarded, and the connection is still open for a final answer.
          */
         void malformed(Link link, String why);
 
@@ -76,8 +78,8 @@
     /** {@link #finish} resets a connection whose peer has not read all that was left to flush in this time. */
     private static final long FLUSH_MAX_MICROS = 15_000_000;
     /**
-     * The shortest time without progress after which a peer that has pending bytes no longer holds back
-     * {@link #retire}.
+     * A peer that still has bytes to read gets at least this long to take some of them before {@link #retire} resets
+     * its connection.
      */
     private static final long UNREAD_STALL_MICROS = 1_000_000;
     /** An answer longer than this may still be in the system's send buffers, where its progress cannot be observed. */
@@ -139,8 +141,11 @@
     private boolean closed;
     /** Whether the close has been requested and no input has come since. */
     private volatile boolean retiring;
-    /** Whether reading is paused because the peer leaves more than {@link Outbound#FULL_BYTES} unread. */
-    private volatile boolean backlogged;
+    /**
+     * Whether reading is paused because the peer left more than {@link Outbound#FULL_BYTES} unread; until no more than
+     * half of that is left.
+     */
+    private volatile boolean readingPausedForBacklog;
 
     Link(EventLoop loop, Framer framer, Events events) {
         this(loop, framer, events, new ByteBudget(Long.MAX_VALUE), false);
@@ -215,8 +220,8 @@
     /**
      * Reads once more before a close that the core has requested; processor's thread.
      *
-     * @return whether nothing has been read since the request, so that the connection may be closed; it is not read
-     *     again
+     * @return whether nothing has been read since the request; the connection may then be closed, and no later read
+     *     takes anything from its socket
      */
     boolean readBeforeClose(Read read) throws Exception {
         if (read(read) != 0) {
@@ -307,7 +312,7 @@
         if (queuedBytes.addAndGet(count) > QUEUED_MAX_BYTES) {
             // Guards the core's queue against a peer that sends faster than its messages are processed.
             from.suspendRead();
-            if (queuedBytes.get() <= QUEUED_MAX_BYTES && !readingPaused && !backlogged) {
+            if (queuedBytes.get() <= QUEUED_MAX_BYTES && !readingPaused && !readingPausedForBacklog) {
                 from.resumeRead();
             }
         }
@@ -351,7 +356,7 @@
     private void resumeReading() {
         if (!closed
                 && !readingPaused
-                && !backlogged
+                && !readingPausedForBacklog
                 && queuedBytes.get() <= QUEUED_MAX_BYTES
                 && session != null
                 && session.isReadSuspended()
@@ -376,8 +381,8 @@
     /** A write request has been handed to the socket completely; MINA's thread, and the core thread for a recheck. */
     void onSent(IoSession to) {
         outbound.onSent(to);
-        if (backlogged && to.getScheduledWriteBytes() <= Outbound.FULL_BYTES / 2) {
-            backlogged = false;
+        if (readingPausedForBacklog && to.getScheduledWriteBytes() <= Outbound.FULL_BYTES / 2) {
+            readingPausedForBacklog = false;
             loop.post(this::resumeReading);
         }
     }
@@ -456,8 +461,9 @@
 
     /**
      * Writes the parts in order; core thread. They must not be changed afterwards. Ignored before the connection is
-     * open and after it has ended; bytes that are pending when it ends are discarded. A peer that has left too much
-     * unread has its connection reset instead.
+     * open, and once it has ended or was finished or dropped. {@link #finish} flushes pending bytes, unless the peer
+     * stops reading; with any other end they are discarded. A peer that has left too much unread has its connection
+     * reset instead.
      */
     public void write(byte[]... parts) {
         if (closed || session == null) {
@@ -483,9 +489,9 @@
                 from = i + 1;
             }
         }
-        if (outbound.isFull() && !backlogged) {
+        if (outbound.isFull() && !readingPausedForBacklog) {
             // A peer that keeps sending requests without reading the answers would fill this process's memory.
-            backlogged = true;
+            readingPausedForBacklog = true;
             session.suspendRead();
             outbound.watch();
             onSent(session);
--- a/net/src/main/java/lupinvalve/net/Net.java
+++ b/net/src/main/java/lupinvalve/net/Net.java
@@ -107,9 +107,9 @@
     }
 
     /**
-     * Limits the number of connections that may be open when another is accepted, dialled ones included. Guards the
-     * process's file descriptors: a burst is accepted faster than the frontends can reject what exceeds their limits,
-     * and with no descriptor left nothing can be dialled. Any thread.
+     * Sets the limit on open connections: another is accepted only while fewer than this many are open, dialled ones
+     * included. Guards the process's file descriptors: a burst is accepted faster than the frontends can reject what
+     * exceeds their limits, and with no descriptor left nothing can be dialled. Any thread.
      */
     public void setMaxConnections(int connections) {
         maxConnections = connections;
@@ -133,7 +133,8 @@
     }
 
     /**
-     * MINA's processor, extended so that a link can refuse reads and writes. Its methods run on the processor's thread.
+     * MINA's processor, extended so that a link can refuse reads and writes. The methods here run on the processor's
+     * thread, except {@code scheduleClose}, which any thread may call, like {@code wakeup}, which is inherited.
      */
     public static class Processor extends NioProcessor {
         private final Queue<NioSession> pendingCloses = new ConcurrentLinkedQueue<>();
@@ -354,9 +355,9 @@
         private final AtomicInteger accepted;
         private final BooleanSupplier hasRoom;
         /** Whether the last attempt to accept found a connection. */
-        private boolean acceptedLast;
-        /** Whether the last connection was refused because the limit was reached. */
-        private boolean refusedLast;
+        private boolean lastAttemptFoundConnection;
+        /** Whether the last check found the limit reached. */
+        private boolean lastCheckFoundLimitReached;
 
         Acceptor(
                 Executor threads,
@@ -393,8 +394,8 @@
         protected NioSession accept(IoProcessor<NioSession> processor, ServerSocketChannel handle) throws Exception {
             if (!awaitRoom()) {
                 SocketChannel refused = handle.accept();
-                acceptedLast = refused != null;
-                if (acceptedLast) {
+                lastAttemptFoundConnection = refused != null;
+                if (lastAttemptFoundConnection) {
                     // The peer sees FIN, or a reset if it has sent something already.
                     refused.close();
                     warnings.warn("client connection closed unread: the limit on open connections is reached");
@@ -408,8 +409,8 @@
                 onAcceptFailed(e);
                 return null;
             }
-            acceptedLast = session != null;
-            if (acceptedLast) {
+            lastAttemptFoundConnection = session != null;
+            if (lastAttemptFoundConnection) {
                 accepted.incrementAndGet();
                 session.getCloseFuture().addListener(closed -> accepted.decrementAndGet());
             }
@@ -422,7 +423,7 @@
          * an immediate retry would keep a thread busy.
          */
         private void onAcceptFailed(IOException why) throws InterruptedException {
-            acceptedLast = true;
+            lastAttemptFoundConnection = true;
             warnings.warn("accept failed: " + why.getMessage());
             if (lacksResources(why)) {
                 Thread.sleep(SHORTAGE_PAUSE_MILLIS);
@@ -446,17 +447,17 @@
          * ms. If one connection has waited in vain, those behind it are refused without a wait.
          */
         private boolean awaitRoom() throws InterruptedException {
-            for (int i = 0; i < ROOM_CHECKS && !refusedLast && !hasRoom.getAsBoolean(); i++) {
+            for (int i = 0; i < ROOM_CHECKS && !lastCheckFoundLimitReached && !hasRoom.getAsBoolean(); i++) {
                 Thread.sleep(ROOM_CHECK_MILLIS);
             }
-            refusedLast = !hasRoom.getAsBoolean();
-            return !refusedLast;
+            lastCheckFoundLimitReached = !hasRoom.getAsBoolean();
+            return !lastCheckFoundLimitReached;
         }
 
         @Override
         protected void close(ServerSocketChannel handle) throws Exception {
-            acceptedLast = true;
-            for (int i = 0; i < ACCEPT_BACKLOG && acceptedLast; i++) {
+            lastAttemptFoundConnection = true;
+            for (int i = 0; i < ACCEPT_BACKLOG && lastAttemptFoundConnection; i++) {
                 // MINA accepts a connection only if its selector has just reported one.
                 selector.selectNow();
                 processHandles(new ArrayList<>(List.of(handle)).iterator());
--- a/net/src/main/java/lupinvalve/net/Outbound.java
+++ b/net/src/main/java/lupinvalve/net/Outbound.java
@@ -29,7 +29,7 @@
     private long bytesTaken;
     /** When a sample last found that number changed. */
     private long bytesTakenAtMicros;
-    /** The first of the latest samples that have all found pending bytes. */
+    /** Since when all samples have found pending bytes; {@link Long#MAX_VALUE} if the last one found none. */
     private long pendingSinceMicros = Long.MAX_VALUE;
 
     /** Whether a check of the peer's progress is scheduled. */
--- a/net/src/main/java/lupinvalve/net/Pool.java
+++ b/net/src/main/java/lupinvalve/net/Pool.java
@@ -341,7 +341,7 @@
         return connection;
     }
 
-    /** Closes the connection of some db node that has been idle longest, to make room; false if none is idle. */
+    /** Closes the longest idle connection of any one db node, to make room; false if no connection is idle. */
     private boolean evict() {
         for (ArrayDeque<PooledConnection> idleOnes : idleByNode.values()) {
             PooledConnection connection = idleOnes.pollFirst();
@@ -362,7 +362,8 @@
         boolean requestSent = connection.sent;
         release(connection);
         if (!connection.ready) {
-            // The handshake is under way: the connection can serve the next request.
+            // The handshake is under way, and its cost would be lost with the connection: it is kept, and can serve the
+            // next request.
             return false;
         }
         remove(connection);
@@ -434,9 +435,9 @@
     }
 
     /**
-     * After its first idle period, keeps the most recently used connection and closes the others. Guards the db nodes'
-     * connection tables, which all poolers share: what one pooler keeps for its rare peaks takes room and capacity from
-     * all.
+     * Runs when a connection has been idle for {@link #surplusIdleMicros}: the db node's most recently used one stays
+     * for the rest of the idle limit, any other is closed. Guards the db nodes' connection tables, which all poolers
+     * share: what one pooler keeps for its rare peaks takes room and capacity from all.
      */
     private void closeIfSurplus(PooledConnection connection) {
         if (idleByNode.get(connection.node).peekLast() == connection && surplusIdleMicros < bounds.idleMicros()) {
--- a/pg/src/main/java/lupinvalve/pg/PgFront.java
+++ b/pg/src/main/java/lupinvalve/pg/PgFront.java
@@ -556,7 +556,7 @@
         }
     }
 
-    /** Takes a reply that has been answered or dropped out of the totals. */
+    /** Subtracts from the totals what a reply counted, once it is answered or dropped. */
     private void release(Reply reply) {
         pendingStatementBytes -= reply.statementBytes;
         streamCount -= reply.source != null ? 1 : 0;
--- a/pg/src/main/java/lupinvalve/pg/PgMessages.java
+++ b/pg/src/main/java/lupinvalve/pg/PgMessages.java
@@ -111,7 +111,7 @@
     }
 
     /**
-     * Whether the header of a DataRow is that of a row of one column.
+     * Whether the header of a DataRow is that of a row of one column whose length agrees with that of the message.
      *
      * @param message the row, or the first chunk of it
      * @param length bytes of the whole message, its type byte included
--- a/replication/src/main/java/lupinvalve/replication/AuditLog.java
+++ b/replication/src/main/java/lupinvalve/replication/AuditLog.java
@@ -11,7 +11,7 @@
 /**
  * A member's audit entries on its own disk, in one file per process incarnation. Each entry is forced to disk before
  * the event that it records takes effect. Also holds the entries that the Raft group has not committed yet; those of
- * earlier incarnations are delivered first. Confined to the {@code store} event loop's thread.
+ * earlier incarnations are delivered first. On the group's thread.
  */
 final class AuditLog {
     /** Prefix of the names of audit files; the start time of the incarnation follows, in Unix microseconds. */
--- a/replication/src/main/java/lupinvalve/replication/ConfigurationActivator.java
+++ b/replication/src/main/java/lupinvalve/replication/ConfigurationActivator.java
@@ -41,7 +41,7 @@
                 activate(document, listener);
             }
             case UNREADABLE -> {
-                Log.error("store: cannot apply a committed configuration: %s", active.describe());
+                Log.error("store: cannot apply a committed configuration; %s", active.describe());
                 if (leaseHolder != null) {
                     String version = LeaseHolder.versionOf(document);
                     leaseHolder.onRejected(version, document.index(), loop.now(), active.unreadableReason());
--- a/replication/src/main/java/lupinvalve/replication/ControlPlane.java
+++ b/replication/src/main/java/lupinvalve/replication/ControlPlane.java
@@ -43,7 +43,7 @@
         /** A committed configuration is to be applied. */
         void configurationAccepted(ReplicatedState.Document document);
 
-        /** The drains that operators have started have changed; {@code drains} has all of them. */
+        /** All drains by operators, as they now stand; called at the start, and whenever they may have changed. */
         void drainsChanged(Map<Command.DrainTarget, ReplicatedState.Drain> drains);
 
         /** Sessions' commits, published by any pooler, have been replicated to a majority. */
@@ -73,8 +73,8 @@
      * Publishes a session's commit.
      *
      * @param position the log position in Unix microseconds
-     * @param onCommitted runs on the control plane's thread once a majority has the commit, or at once in a subscriber,
-     *     which does not replicate it; null for none
+     * @param onCommitted in a member, runs on the control plane's thread once a majority has the commit, which may be
+     *     never; in a subscriber, which does not replicate it, runs at once on the caller's thread; null for none
      */
     void publishCommit(String session, long position, Runnable onCommitted);
 
--- a/replication/src/main/java/lupinvalve/replication/LeaseGrantor.java
+++ b/replication/src/main/java/lupinvalve/replication/LeaseGrantor.java
@@ -48,7 +48,8 @@
 
     /**
      * The response to a request for a lease. No lease outlasts {@link Lease#DURATION_MICROS} from the last confirmation
-     * by a majority: a later leader waits for as long from its own election, which comes after that confirmation.
+     * by a majority. A later leader waits for the longest time that such a lease can last by the later leader's clock,
+     * counted from its own first confirmation; that follows its election, and so the last confirmation of this leader.
      *
      * @param servedIndex log index up to which the pooler has applied all changes
      * @param cannotServeReason why the pooler can't apply the committed configuration, or empty
@@ -68,7 +69,11 @@
                 : new LeaseManager.Renewal(Math.min(remainingMicros, renewal.durationMicros()), "");
     }
 
-    /** A strict change was committed at a log index: from now on, poolers that don't apply it get no more leases. */
+    /**
+     * A strict change was committed at a log index: a pooler that has not applied it gets no lease once
+     * {@link LeaseManager#CATCH_UP_MICROS} have passed, and none from now on if it cannot apply it or has no valid
+     * lease.
+     */
     void requireIndex(long index) {
         if (leases != null) {
             leases.requireIndex(index, LeaseHolder.monotonicMicros());
--- a/replication/src/main/java/lupinvalve/replication/LeaseHolder.java
+++ b/replication/src/main/java/lupinvalve/replication/LeaseHolder.java
@@ -27,7 +27,7 @@
 
     /** The member that the lease belongs to. */
     interface Host {
-        /** This member's replica, or null until the group is bootstrapped. */
+        /** This member's replica, or null until the member's bootstrap is over. */
         RaftReplica replica();
 
         /** The leader according to this member's Raft state, or null if it knows none. */
--- a/replication/src/main/java/lupinvalve/replication/MemberAddresses.java
+++ b/replication/src/main/java/lupinvalve/replication/MemberAddresses.java
@@ -8,7 +8,7 @@
 
 /**
  * Addresses of members that the operator's file does not name: each member announces its address on its connections,
- * and the leader replicates it to all members through the log. Confined to the {@code store} event loop's thread.
+ * and the leader replicates it to all members through the log. On the group's thread.
  */
 final class MemberAddresses {
     /** Members that this member's operator file names. The file takes precedence: its addresses are valid from here. */
--- a/replication/src/main/java/lupinvalve/replication/NumberedFileName.java
+++ b/replication/src/main/java/lupinvalve/replication/NumberedFileName.java
@@ -12,7 +12,12 @@
         return prefix + "0".repeat(Math.max(0, MIN_DIGITS - digits.length())) + digits;
     }
 
-    /** Returns the number after the prefix in a file's name. */
+    /**
+     * Returns the number after the prefix in a file's name.
+     *
+     * @throws RecordFrames.CorruptException if the name does not end in a number, so that the file is not one of this
+     *     program's
+     */
     static long number(String name, String prefix) throws RecordFrames.CorruptException {
         try {
             return Long.parseLong(name.substring(prefix.length()));
--- a/replication/src/main/java/lupinvalve/replication/PeerConnections.java
+++ b/replication/src/main/java/lupinvalve/replication/PeerConnections.java
@@ -22,8 +22,7 @@
 
 /**
  * The connections between members, and those accepted from operators and subscribers. Each member dials every other
- * member whose address it knows; where two connections to one member exist, either may be used. Confined to the
- * {@code store} event loop's thread.
+ * member whose address it knows; where two connections to one member exist, either may be used. On the group's thread.
  */
 final class PeerConnections implements RaftReplica.MessageSender {
     private static final long MIN_REDIAL_BACKOFF_MICROS = 300_000;
@@ -65,7 +64,7 @@
         void raftMessage(byte[] message) throws IOException;
 
         /** @param caller the name in the caller's Hello, which passed the {@link IdentityCheck} */
-        void request(String caller, WireMessages.Request request, Consumer<WireMessages.Response> responder);
+        void request(String caller, WireMessages.Request request, Consumer<WireMessages.Response> channel);
     }
 
     private final Net net;
--- a/replication/src/main/java/lupinvalve/replication/SegmentFiles.java
+++ b/replication/src/main/java/lupinvalve/replication/SegmentFiles.java
@@ -35,7 +35,7 @@
      * Reads all segments into {@code target}.
      *
      * @param names the names of all files in the folder, sorted
-     * @param repair whether to truncate a file before a record that a crash has torn
+     * @param repair whether to cut a file off at the start of a record that a crash has torn
      */
     void load(List<String> names, boolean repair, RestoredLog target) throws IOException {
         List<String> segments =
--- a/replication/src/main/java/lupinvalve/replication/SegmentedLog.java
+++ b/replication/src/main/java/lupinvalve/replication/SegmentedLog.java
@@ -24,7 +24,7 @@
  * Records are batched until a flush, which writes them with one fsync (group commit).
  *
  * <p>Each segment begins with a {@link SegmentHeader}, so that older segments can be deleted. After the first disk
- * fault every call fails, because it is unknown what is on the disk. Confined to the {@code store} event loop's thread.
+ * fault every call fails, because it is unknown what is on the disk. On the group's thread.
  */
 final class SegmentedLog implements RaftStore {
     private static final int DISK_ID_BYTES = 8;
--- a/replication/src/main/java/lupinvalve/replication/StatusReport.java
+++ b/replication/src/main/java/lupinvalve/replication/StatusReport.java
@@ -138,7 +138,7 @@
         });
     }
 
-    /** The db nodes and poolers that operators have drained. */
+    /** The drains of db nodes and poolers that operators have started and not ended. */
     String drains() {
         return Json.object(out -> {
             out.writeArrayFieldStart("holds");
--- a/replication/src/main/java/lupinvalve/replication/StrictChanges.java
+++ b/replication/src/main/java/lupinvalve/replication/StrictChanges.java
@@ -11,7 +11,10 @@
  * On the group's thread.
  */
 final class StrictChanges {
-    /** How long the leader waits for the poolers before it responds that the outcome is not known. */
+    /**
+     * How long the leader waits for the poolers before it responds that the change is committed, but not known to be
+     * applied by all.
+     */
     static final long TIMEOUT_MICROS = 6_000_000;
 
     private static final long POLL_INTERVAL_MICROS = 20_000;
--- a/replication/src/main/java/lupinvalve/replication/SubscriptionServer.java
+++ b/replication/src/main/java/lupinvalve/replication/SubscriptionServer.java
@@ -15,8 +15,8 @@
 import lupinvalve.subscription.WatchService;
 
 /**
- * Serves a member's subscribers by long polling: a request waits here for an update, for a bounded time. Confined to
- * the {@code store} event loop's thread.
+ * Serves a member's subscribers by long polling: a request waits here for an update, for a bounded time. On the group's
+ * thread.
  */
 final class SubscriptionServer {
     /** The name of the subscribers' request on the wire. */
@@ -29,7 +29,7 @@
     private static final long BATCH_INTERVAL_MICROS = 1_000;
 
     private record PendingRequest(
-            long requestId, WatchRequest request, long receivedMicros, Consumer<WireMessages.Response> responder) {}
+            long requestId, WatchRequest request, long receivedMicros, Consumer<WireMessages.Response> channel) {}
 
     private final MemberRuntime member;
     private final WatchService service;
@@ -98,8 +98,8 @@
         }
     }
 
-    /** Handles a subscriber's request; {@code responder} receives one response, at once or after the poll. */
-    void onRequest(String subscriber, WireMessages.Request wireRequest, Consumer<WireMessages.Response> responder)
+    /** Handles a subscriber's request; {@code channel} receives one response, at once or after the poll. */
+    void onRequest(String subscriber, WireMessages.Request wireRequest, Consumer<WireMessages.Response> channel)
             throws IOException {
         if (wireRequest.arguments().isEmpty()) {
             throw new IOException(CALL + " lacks an argument");
@@ -107,8 +107,7 @@
         WatchRequest request = WatchRequest.read(wireRequest.arguments().get(0));
         requestCount++;
         service.onRequest(subscriber);
-        PendingRequest pending =
-                new PendingRequest(wireRequest.id(), request, LeaseHolder.monotonicMicros(), responder);
+        PendingRequest pending = new PendingRequest(wireRequest.id(), request, LeaseHolder.monotonicMicros(), channel);
         if (!pendingBySubscriber.containsKey(subscriber) && pendingBySubscriber.size() >= SUBSCRIBERS_MAX_COUNT) {
             reject(pending, "too many follow this member");
             return;
@@ -138,7 +137,7 @@
     }
 
     private static void reject(PendingRequest pending, String reason) {
-        pending.responder().accept(new WireMessages.Response(pending.requestId(), WireMessages.Status.RETRY, reason));
+        pending.channel().accept(new WireMessages.Response(pending.requestId(), WireMessages.Status.RETRY, reason));
     }
 
     private void respond(String subscriber) {
@@ -165,7 +164,7 @@
         deltaResponseCount += response.event() instanceof WatchResponse.Event.Deltas ? 1 : 0;
         byte[] content = response.write();
         responseBytes += content.length;
-        pending.responder().accept(new WireMessages.Response(pending.requestId(), WireMessages.Status.OK, "", content));
+        pending.channel().accept(new WireMessages.Response(pending.requestId(), WireMessages.Status.OK, "", content));
     }
 
     /** Writes the status fields for operators; the {@code follow_} fields are sums since the start. */
--- a/replication/src/main/java/lupinvalve/replication/Tls.java
+++ b/replication/src/main/java/lupinvalve/replication/Tls.java
@@ -31,8 +31,9 @@
 import org.apache.mina.filter.ssl.SslFilter;
 
 /**
- * Mutual TLS 1.3 between members, operators and subscribers, with certificates of one authority, read from PEM files.
- * The files can be reloaded; established connections keep the certificates that they began with.
+ * Mutual TLS 1.3 on the connections of members to each other, to operators and to subscribers, with certificates of one
+ * authority, read from PEM files. The files can be reloaded; established connections keep the certificates that they
+ * began with.
  */
 final class Tls implements Net.Security {
     static final String VERSION = "TLSv1.3";
--- a/replication/src/main/java/lupinvalve/replication/WireMessages.java
+++ b/replication/src/main/java/lupinvalve/replication/WireMessages.java
@@ -47,7 +47,8 @@
     private static final int LENGTH_FIELD_BYTES = 4;
 
     /**
-     * The first message from each end of a connection: identifies its sender.
+     * The first message from each end of a connection, which identifies its sender; a member sends it again to the
+     * others when its announcement changes.
      *
      * @param address where a member listens; empty for an operator or a subscriber
      * @param announcement a member's identity and bootstrap phase; null for an operator or a subscriber
@@ -161,9 +162,9 @@
             if (to - position - LENGTH_FIELD_BYTES < length) {
                 break;
             }
-            int bodyStart = position + LENGTH_FIELD_BYTES;
-            out.add(Arrays.copyOfRange(bytes, bodyStart, bodyStart + length));
-            position = bodyStart + length;
+            int messageStart = position + LENGTH_FIELD_BYTES;
+            out.add(Arrays.copyOfRange(bytes, messageStart, messageStart + length));
+            position = messageStart + length;
             firstMessageReceived = true;
         }
         return position;
